--- a/internal/standin/falls.go
+++ b/internal/simulation/correlated_failures.go
@@ -1,37 +1,37 @@
-package standin
+package simulation
 
 import (
 	"math/rand/v2"
 	"time"
 )
 
-// falls strews over a world what large fleets see: many machines that stop, hang,
+// correlatedFailures adds to a world what large fleets see: many machines that stop, hang,
 // start anew or go deaf together, and controllers that stand still for seconds
 // while their clocks run on. It draws luck of its own, so that the other worlds of
 // the same seed stay what they are.
-type falls struct {
+type correlatedFailures struct {
 	w   *World
 	rng *rand.Rand
 }
 
-func (w *World) planFalls() {
-	f := &falls{w: w, rng: rand.New(rand.NewPCG(w.o.Seed, 11))}
-	w.falls = f
+func (w *World) planCorrelatedFailures() {
+	f := &correlatedFailures{w: w, rng: rand.New(rand.NewPCG(w.o.Seed, 11))}
+	w.correlated = f
 	for range 3 + f.rng.IntN(4) {
-		w.after(f.between(0, w.o.Length), f.machinesFall)
+		w.after(f.between(0, w.o.Length), f.failMachines)
 	}
 	for range 3 + f.rng.IntN(6) {
-		w.after(f.between(0, w.o.Length), f.nodeStands)
+		w.after(f.between(0, w.o.Length), f.stallNode)
 	}
 }
 
-func (f *falls) between(lo, hi time.Duration) time.Duration {
+func (f *correlatedFailures) between(lo, hi time.Duration) time.Duration {
 	return lo + time.Duration(f.rng.Int64N(int64(hi-lo)+1))
 }
 
-// machinesFall has up to all machines fall in one way within a second, often
+// failMachines has up to all machines fall in one way within a second, often
 // with the leader, or all controllers.
-func (f *falls) machinesFall() {
+func (f *correlatedFailures) failMachines() {
 	w := f.w
 	share, kind := 0.2+0.8*f.rng.Float64(), f.rng.IntN(5)
 	hang := f.between(time.Second, 3*w.o.Lease)
@@ -66,9 +66,9 @@
 	}
 }
 
-// nodeStands has a controller stand still, mostly the leader; some end before
+// stallNode has a controller stand still, mostly the leader; some end before
 // they go on.
-func (f *falls) nodeStands() {
+func (f *correlatedFailures) stallNode() {
 	w := f.w
 	n := w.nodes[f.rng.IntN(len(w.nodes))]
 	for _, o := range w.nodes {
@@ -95,7 +95,7 @@
 
 // standstill is how long an answer lay in a process that stood still after it had
 // checked its right to give it: seldom any time.
-func (f *falls) standstill() time.Duration {
+func (f *correlatedFailures) stallBeforeAnswer() time.Duration {
 	if f.w.noNet || f.rng.IntN(100) > 0 {
 		return 0
 	}
--- a/internal/standin/meetings_rows_test.go
+++ b/internal/simulation/fault_scenario_rows_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"time"
@@ -6,8 +6,8 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// meetings are the rows of TestMeetings; docs/meetings.md has the argument for each.
-var meetings = []meeting{
+// faultScenarios are the rows of TestFaultScenarios; docs/fault-scenarios.md has the argument for each.
+var faultScenarios = []faultScenario{
 	{name: "refused leader, next one confirms, out for all", length: 280 * time.Second, script: func(s *script) {
 		s.long(12, 0)
 		s.long(8, 130*time.Second)
--- a/internal/standin/meetings.go
+++ b/internal/simulation/fault_scenarios.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"context"
@@ -83,7 +83,7 @@
 		}
 	}
 	if !w.o.Faults {
-		w.check.waits()
+		w.check.checkStarvation()
 	}
 }
 
--- a/internal/standin/meetings_test.go
+++ b/internal/simulation/fault_scenarios_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"os"
@@ -10,9 +10,9 @@
 	"gingertally/internal/core/placement"
 )
 
-// meeting is a row of TestMeetings: troubles that meet, and what must have come
+// faultScenario is a row of TestFaultScenarios: troubles that meet, and what must have come
 // about, over all its seeds, for the row to prove anything.
-type meeting struct {
+type faultScenario struct {
 	name   string
 	noise  bool // every other seed has all other troubles on top
 	length time.Duration
@@ -21,10 +21,10 @@
 	least  map[string]int
 }
 
-// seedsOf is how many worlds each meeting has.
+// seedsOf is how many worlds each fault scenario has.
 const seedsOf = 4
 
-func (m *meeting) options(i uint64) Options {
+func (m *faultScenario) options(i uint64) Options {
 	o := options(9000+i, m.noise && i%2 == 1)
 	o.Jobs = 0
 	if m.length > 0 {
@@ -124,12 +124,12 @@
 	})
 }
 
-// TestMeetings plays worlds in which troubles meet at just the wrong moments, and
-// holds every rule against each step. A row whose meeting didn't come about proves
+// TestFaultScenarios plays worlds in which troubles meet at just the wrong moments, and
+// holds every rule against each step. A row whose scenario didn't come about proves
 // nothing, and fails.
-func TestMeetings(t *testing.T) {
-	for i := range meetings {
-		m := &meetings[i]
+func TestFaultScenarios(t *testing.T) {
+	for i := range faultScenarios {
+		m := &faultScenarios[i]
 		t.Run(m.name, func(t *testing.T) {
 			notes := map[string]int{}
 			for k := range uint64(seedsOf) {
@@ -145,7 +145,7 @@
 	}
 }
 
-func (m *meeting) play(t *testing.T, seed uint64, notes map[string]int, trace bool) {
+func (m *faultScenario) play(t *testing.T, seed uint64, notes map[string]int, trace bool) {
 	t.Helper()
 	w := NewWorld(m.options(seed))
 	s := newScript(w)
@@ -171,18 +171,18 @@
 	}
 }
 
-// TestMeetingSeeds plays as many worlds of each meeting as STANDIN_MEETINGS says,
-// from STANDIN_FROM on: a longer hunt than the tests have time for.
-func TestMeetingSeeds(t *testing.T) {
-	n, err := strconv.ParseUint(os.Getenv("STANDIN_MEETINGS"), 10, 64)
+// TestFaultScenarioSeeds plays as many worlds of each fault scenario as SIMULATION_FAULT_SCENARIOS says,
+// from SIMULATION_FROM on: a longer hunt than the tests have time for.
+func TestFaultScenarioSeeds(t *testing.T) {
+	n, err := strconv.ParseUint(os.Getenv("SIMULATION_FAULT_SCENARIOS"), 10, 64)
 	if err != nil {
-		t.Skip("STANDIN_MEETINGS gives no number")
+		t.Skip("SIMULATION_FAULT_SCENARIOS gives no number")
 	}
-	from, _ := strconv.ParseUint(os.Getenv("STANDIN_FROM"), 10, 64)
-	for i := range meetings {
-		t.Run(meetings[i].name, func(t *testing.T) {
+	from, _ := strconv.ParseUint(os.Getenv("SIMULATION_FROM"), 10, 64)
+	for i := range faultScenarios {
+		t.Run(faultScenarios[i].name, func(t *testing.T) {
 			for k := range n {
-				meetings[i].play(t, from+k, map[string]int{}, os.Getenv("STANDIN_TRACE") != "")
+				faultScenarios[i].play(t, from+k, map[string]int{}, os.Getenv("SIMULATION_TRACE") != "")
 			}
 		})
 	}
--- a/internal/standin/lines.go
+++ b/internal/simulation/pipelines.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"fmt"
@@ -8,17 +8,17 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// lines are pipelines of jobs that wait for each other: chains, diamonds, fans and
+// pipelinePlan submits pipelines of jobs that wait for each other: chains, diamonds, fans and
 // whatever luck brings. It draws luck of its own, so that the other worlds of the
 // same seed stay what they are.
-type lines struct {
+type pipelinePlan struct {
 	w   *World
 	rng *rand.Rand
 	n   int // jobs so far
 }
 
-func newLines(w *World) *lines {
-	l := &lines{w: w, rng: rand.New(rand.NewPCG(w.o.Seed, 13))}
+func newPipelinePlan(w *World) *pipelinePlan {
+	l := &pipelinePlan{w: w, rng: rand.New(rand.NewPCG(w.o.Seed, 13))}
 	begin := time.Duration(0)
 	if w.o.Roll {
 		begin = l.roll()
@@ -26,20 +26,20 @@
 	if w.o.Lower {
 		w.after(l.between(begin, w.o.Length), w.store.lower)
 	}
-	for range w.o.Lines {
+	for range w.o.Pipelines {
 		w.after(l.between(begin, begin+w.o.Length/2), l.start)
 	}
 	return l
 }
 
-func (l *lines) between(lo, hi time.Duration) time.Duration {
+func (l *pipelinePlan) between(lo, hi time.Duration) time.Duration {
 	return lo + time.Duration(l.rng.Int64N(int64(hi-lo)+1))
 }
 
 // roll replaces the version in production, node by node, and returns when nothing
 // of it is left. Whatever else crashes meanwhile comes back as it was, and half of
 // the time the leader falls too, so that the versions take turns at leading.
-func (l *lines) roll() time.Duration {
+func (l *pipelinePlan) roll() time.Duration {
 	at := l.between(5*time.Second, 30*time.Second)
 	for _, i := range l.rng.Perm(len(l.w.nodes)) {
 		n := l.w.nodes[i]
@@ -48,14 +48,14 @@
 			n.crash(l.between(10*time.Millisecond, 4*time.Second))
 		})
 		if l.rng.IntN(2) == 0 {
-			l.w.after(at+l.between(time.Second, 6*time.Second), l.leaderFalls)
+			l.w.after(at+l.between(time.Second, 6*time.Second), l.crashLeader)
 		}
 		at += l.between(4*time.Second, 12*time.Second)
 	}
 	return at
 }
 
-func (l *lines) leaderFalls() {
+func (l *pipelinePlan) crashLeader() {
 	for _, n := range l.w.nodes {
 		if n.entitled() {
 			n.crash(l.between(10*time.Millisecond, 2*time.Second))
@@ -64,7 +64,7 @@
 }
 
 // needs says which of the jobs before it each job of a pipeline needs.
-func (l *lines) needs(shape, i, n int) []int {
+func (l *pipelinePlan) needs(shape, i, n int) []int {
 	switch {
 	case i == 0:
 		return nil
@@ -92,7 +92,7 @@
 
 // start has a user submit a pipeline, each job as soon as those that it needs are
 // accepted, and some the last only when all others are over.
-func (l *lines) start() {
+func (l *pipelinePlan) start() {
 	shape, n := l.rng.IntN(4), 2+l.rng.IntN(6)
 	if shape == 2 && l.rng.IntN(4) == 0 {
 		n = 40 // a wide one
@@ -120,7 +120,7 @@
 }
 
 // job is one job of a pipeline, most of them small.
-func (l *lines) job(last bool) *userJob {
+func (l *pipelinePlan) job(last bool) *userJob {
 	l.n++
 	j := &userJob{w: l.w, done: map[int]bool{}, run: l.between(time.Second, 8*time.Second), mistake: l.rng.IntN(40) == 0}
 	s := &j.spec
@@ -143,7 +143,7 @@
 }
 
 // stranger is a job outside the pipeline that one of it may need too.
-func (l *lines) stranger() []*userJob {
+func (l *pipelinePlan) stranger() []*userJob {
 	for range 5 {
 		ref := fmt.Sprintf("j-%06d", l.rng.IntN(max(1, l.w.o.Jobs))*7919%100003)
 		if o := l.w.jobs[ref]; o != nil && o.accepted && o.spec.Shape != pipeline.Service {
@@ -154,7 +154,7 @@
 }
 
 // submit submits a job once those that it needs are accepted, or over if it is late.
-func (l *lines) submit(j *userJob, late bool, others []*userJob) {
+func (l *pipelinePlan) submit(j *userJob, late bool, others []*userJob) {
 	for _, p := range j.needs {
 		if !p.accepted {
 			l.w.after(l.between(100*time.Millisecond, time.Second), func() { l.submit(j, late, others) })
@@ -170,7 +170,7 @@
 	j.submit()
 }
 
-func (l *lines) cancel(j *userJob) {
+func (l *pipelinePlan) cancel(j *userJob) {
 	if !j.accepted {
 		l.w.after(time.Second, func() { l.cancel(j) })
 		return
@@ -184,7 +184,7 @@
 // outageOnceTold has the state service fail as soon as a user knows that a job is
 // cancelled, mostly for longer than those that need it may still be called queued,
 // and often all controllers end too.
-func (l *lines) outageOnceTold(j *userJob) {
+func (l *pipelinePlan) outageOnceTold(j *userJob) {
 	w := l.w
 	if w.now.Sub(w.start) > w.o.Length-w.o.Cancel {
 		return
--- a/internal/standin/random_test.go
+++ b/internal/simulation/random_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"os"
@@ -48,7 +48,7 @@
 	started, done := 0, 0
 	for seed := range uint64(80) {
 		o := options(3000+seed, seed%4 != 0)
-		o.Falls, o.Jobs = true, 20
+		o.CorrelatedFailures, o.Jobs = true, 20
 		w := NewWorld(o)
 		if err := w.Run(); err != nil {
 			t.Error(err)
@@ -64,8 +64,8 @@
 // version in production.
 func pipelines(seed uint64) Options {
 	o := options(seed, seed%4 != 0)
-	o.Lines, o.Jobs, o.Roll, o.Lower = 12, 8, seed%3 != 0, seed%2 == 0
-	o.Falls = seed%5 == 0
+	o.Pipelines, o.Jobs, o.Roll, o.Lower = 12, 8, seed%3 != 0, seed%2 == 0
+	o.CorrelatedFailures = seed%5 == 0
 	return o
 }
 
@@ -86,18 +86,18 @@
 	}
 }
 
-// TestSeed plays the one world of TestTroubles that STANDIN_SEED names, and
+// TestSeed plays the one world of TestTroubles that SIMULATION_SEED names, and
 // logs what its controllers say.
 func TestSeed(t *testing.T) {
-	seed, err := strconv.ParseUint(os.Getenv("STANDIN_SEED"), 10, 64)
+	seed, err := strconv.ParseUint(os.Getenv("SIMULATION_SEED"), 10, 64)
 	if err != nil {
-		t.Skip("STANDIN_SEED names no seed")
+		t.Skip("SIMULATION_SEED names no seed")
 	}
 	o := options(seed, true)
-	if o.Falls = os.Getenv("STANDIN_FALLS") != ""; o.Falls {
+	if o.CorrelatedFailures = os.Getenv("SIMULATION_CORRELATED_FAILURES") != ""; o.CorrelatedFailures {
 		o.Jobs = 20
 	}
-	if os.Getenv("STANDIN_LINES") != "" {
+	if os.Getenv("SIMULATION_PIPELINES") != "" {
 		o = pipelines(seed)
 	}
 	w := NewWorld(o)
@@ -109,19 +109,19 @@
 	}
 }
 
-// TestSeeds plays as many worlds as STANDIN_SEEDS says, from seed 10000 on: a
+// TestSeeds plays as many worlds as SIMULATION_SEEDS says, from seed 10000 on: a
 // longer hunt than the tests have time for.
 func TestSeeds(t *testing.T) {
-	n, err := strconv.ParseUint(os.Getenv("STANDIN_SEEDS"), 10, 64)
+	n, err := strconv.ParseUint(os.Getenv("SIMULATION_SEEDS"), 10, 64)
 	if err != nil {
-		t.Skip("STANDIN_SEEDS gives no number")
+		t.Skip("SIMULATION_SEEDS gives no number")
 	}
 	for seed := range n {
 		t.Run(strconv.FormatUint(10_000+seed, 10), func(t *testing.T) {
 			t.Parallel()
 			o := options(10_000+seed, true)
-			o.Falls = os.Getenv("STANDIN_FALLS") != ""
-			if os.Getenv("STANDIN_LINES") != "" {
+			o.CorrelatedFailures = os.Getenv("SIMULATION_CORRELATED_FAILURES") != ""
+			if os.Getenv("SIMULATION_PIPELINES") != "" {
 				o = pipelines(10_000 + seed)
 			}
 			if err := NewWorld(o).Run(); err != nil {
--- a/internal/standin/waits.go
+++ b/internal/simulation/starvation_check.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"time"
@@ -41,7 +41,7 @@
 
 // waits checks, again and again once all troubles are over, that no array or gang of
 // one task waits as a whole though a machine has room for a task of it.
-func (c *checker) waits() {
+func (c *checker) checkStarvation() {
 	for _, j := range c.w.jobs {
 		if !c.mayBegin(j) {
 			delete(c.waiting, j)
@@ -54,7 +54,7 @@
 			c.fail("left waiting: %s for %s though there is room: %+v", j.spec.Ref, c.w.now.Sub(since), j.spec)
 		}
 	}
-	c.w.after(5*time.Second, c.waits)
+	c.w.after(5*time.Second, c.checkStarvation)
 }
 
 // patience is how many failures of its tasks a job can have had without being held
--- a/internal/standin/users.go
+++ b/internal/simulation/users.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"errors"
@@ -264,7 +264,7 @@
 	w.after(w.o.Length, func() {
 		w.noNet, w.store.down, w.cloud.down, w.peersRefuse = true, false, false, false
 		w.peace = w.now
-		w.check.waits()
+		w.check.checkStarvation()
 		clear(w.cutZones)
 		clear(w.apart)
 		for _, n := range w.nodes {
--- a/internal/standin/worker.go
+++ b/internal/simulation/worker.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"fmt"
@@ -236,8 +236,8 @@
 		return
 	}
 	delay := w.between(time.Millisecond, 30*time.Millisecond)
-	if w.falls != nil {
-		delay += w.falls.standstill() // between the check of its right and the answer
+	if w.correlated != nil {
+		delay += w.correlated.stallBeforeAnswer() // between the check of its right and the answer
 	}
 	delay += w.script.linkDelay() + w.script.answerHeld(m, status, reply)
 	m.later(delay, func() {
--- a/internal/standin/world.go
+++ b/internal/simulation/world.go
@@ -1,8 +1,8 @@
-// Package standin plays the world around the service from its published
+// Package simulation plays the world around the service from its published
 // protocol: state service, cloud, workers and users in simulated time, with
 // faults, and a checker of PROTOCOL's rules that looks after every step. The
 // controllers in it run the real core and job store.
-package standin
+package simulation
 
 import (
 	"container/heap"
@@ -17,21 +17,21 @@
 
 // Options say what a world is like.
 type Options struct {
-	Seed     uint64
-	Length   time.Duration // troubles and users' calls end here
-	Drain    time.Duration // how long the world then goes on in peace
-	Nodes    int
-	Zones    int
-	Jobs     int
-	Faults   bool
-	Falls    bool // many machines fall together, and controllers stand still
-	Lines    int  // pipelines of jobs that wait for each other
-	Roll     bool // the version in production runs first, and is replaced node by node
-	Lower    bool // the state service lowers its limits at some moment after that
-	Report   time.Duration
-	Lease    time.Duration
-	Cancel   time.Duration
-	LeaseTTL time.Duration // of the leaders' right
+	Seed               uint64
+	Length             time.Duration // troubles and users' calls end here
+	Drain              time.Duration // how long the world then goes on in peace
+	Nodes              int
+	Zones              int
+	Jobs               int
+	Faults             bool
+	CorrelatedFailures bool // many machines fall together, and controllers stand still
+	Pipelines          int  // pipelines of jobs that wait for each other
+	Roll               bool // the version in production runs first, and is replaced node by node
+	Lower              bool // the state service lowers its limits at some moment after that
+	Report             time.Duration
+	Lease              time.Duration
+	Cancel             time.Duration
+	LeaseTTL           time.Duration // of the leaders' right
 }
 
 // World is a simulated deployment.
@@ -57,12 +57,12 @@
 	noNet bool // peace: no losses and delays any more
 	peace time.Time
 	// what the network between zones and nodes does
-	cutZones    map[string]bool    // cut off from everything
-	apart       map[[2]string]bool // two zones that can't reach each other
-	peersRefuse bool               // connections between controllers are refused
-	promised    int                // how often promises have carried a leader's right on
-	falls       *falls             // nil: none
-	lines       *lines
+	cutZones    map[string]bool     // cut off from everything
+	apart       map[[2]string]bool  // two zones that can't reach each other
+	peersRefuse bool                // connections between controllers are refused
+	promised    int                 // how often promises have carried a leader's right on
+	correlated  *correlatedFailures // nil: none
+	pipelines   *pipelinePlan
 	script      *script // nil: none
 }
 
@@ -112,12 +112,12 @@
 		w.cloud.create([]string{"small", "large"}[w.rng.IntN(2)], w.zones[w.rng.IntN(len(w.zones))], false, 0)
 	}
 	w.planUsers()
-	w.lines = newLines(w)
+	w.pipelines = newPipelinePlan(w)
 	if o.Faults {
 		w.planFaults()
 	}
-	if o.Falls {
-		w.planFalls()
+	if o.CorrelatedFailures {
+		w.planCorrelatedFailures()
 	}
 	return w
 }
