--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -243,7 +243,9 @@
 		if t, ok := e.catalog[m.Type]; ok {
 			limit = e.bootLimit(t.Boot)
 		}
-		if now.Sub(m.FirstSeen) > limit {
+		// A machine that was up and idle under the last leader stands in no record: until
+		// it has had a lease's time to report to this one, it looks the same.
+		if now.Sub(m.FirstSeen) > limit && now.Sub(e.started) > e.cfg.Lease {
 			e.release(now, m, "never came up")
 		}
 		next = now.Add(time.Second)
--- a/internal/core/silence_test.go
+++ b/internal/core/silence_test.go
@@ -42,3 +42,26 @@
 	}
 	t.Fatal("a machine that stays silent is kept for good")
 }
+
+// A machine that was up and idle under the last leader stands in no record, and the list
+// may come before its first report to the new one. It was then released as one whose boot
+// had failed: six machines at one takeover of an incident.
+func TestIdleMachineOutlivesItsLeader(t *testing.T) {
+	b := newBench(t, 2, Snapshot{})
+	up := ListedMachine{Name: "m-1", Addr: "m-1", Type: "big", Zone: "a", Status: ListRunning, Held: 10 * time.Minute}
+	b.e.Step(b.now, Listed{Machines: []ListedMachine{up}})
+	began := b.now
+	for b.now.Sub(began) < b.e.cfg.Lease {
+		b.now = b.now.Add(time.Second)
+		if eff := b.e.Step(b.now, Tick{}); len(eff.Release) > 0 {
+			t.Fatalf("released %s after the new leader's claim", b.now.Sub(began))
+		}
+	}
+	for b.now.Sub(began) < b.e.cfg.Lease+5*time.Second {
+		b.now = b.now.Add(time.Second)
+		if eff := b.e.Step(b.now, Tick{}); len(eff.Release) > 0 {
+			return
+		}
+	}
+	t.Fatal("a machine that never reports is kept for good")
+}
