--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -153,6 +153,7 @@
 	AnswerHeld             bool      // what is placed now goes with the answer to its last report
 	FirstSeen              time.Time
 	ListedAt               time.Time
+	ListedRunning          bool // the cloud's last list with it said that it is up
 	IdleSince              time.Time
 	NoticeAt               time.Time // when the cloud takes it, zero without a notice
 	Draining               bool      // gets no more starts
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -109,6 +109,7 @@
 			e.addMachine(now, m)
 		}
 		m.ListedAt = now
+		m.ListedRunning = lm.Status == ListRunning
 		if !m.Known {
 			m.Known = true
 			e.touch(m)
@@ -243,9 +244,7 @@
 		if t, ok := e.catalog[m.Type]; ok {
 			limit = e.bootLimit(t.Boot)
 		}
-		// A machine that was up and idle under the last leader stands in no record: until
-		// it has had a lease's time to report to this one, it looks the same.
-		if now.Sub(m.FirstSeen) > limit && now.Sub(e.started) > e.cfg.Lease {
+		if now.Sub(m.FirstSeen) > limit && now.Sub(e.started) > e.firstReportWithin(m) {
 			e.release(now, m, "never came up")
 		}
 		next = now.Add(time.Second)
@@ -299,6 +298,17 @@
 	return 4*boot + 2*e.cfg.ListLag + 10*time.Second
 }
 
+// firstReportWithin is how long after its claim a new leader waits for a machine that no
+// record names. One that was up and idle under the last leader looks just like one that
+// is still booting: it may take a lease's time to find the new leader. If the cloud lists
+// it as running, it may be in a zone that is cut off, and is kept like a silent one.
+func (e *Engine) firstReportWithin(m *fleet.Machine) time.Duration {
+	if m.ListedRunning {
+		return e.keepSilent(m)
+	}
+	return e.cfg.Lease
+}
+
 // owesForget tells whether results on a machine are not yet written.
 func (e *Engine) owesForget(m *fleet.Machine) bool {
 	for _, a := range m.Tasks {
