--- a/internal/core/capacity/capacity.go
+++ b/internal/core/capacity/capacity.go
@@ -2,7 +2,9 @@
 package capacity
 
 import (
+	"maps"
 	"math"
+	"slices"
 	"sort"
 	"time"
 
@@ -78,6 +80,14 @@
 	p.asking[o] += count
 }
 
+// askedOffers lists the offers that are being asked for, in a fixed order: which of the
+// coming machines a demand is booked on decides what is left for the next demand.
+func (p *Plan) askedOffers() []Offer {
+	offers := slices.Collect(maps.Keys(p.asking))
+	sort.Slice(offers, func(i, k int) bool { return before(offers[i], offers[k]) })
+	return offers
+}
+
 func (p *Plan) open(now time.Time, o Offer) bool {
 	return !p.refused[o].until.After(now) && p.asking[o] == 0
 }
@@ -87,9 +97,9 @@
 // count: the jobs that room is kept for are among the demand.
 func (p *Plan) Choose(now time.Time, demand []Demand, floor *placement.Floor, c placement.Catalog) []Order {
 	g := &planning{plan: p, now: now, catalog: c, floor: floor, copies: map[*placement.Slot]*placement.Slot{}, orders: map[Offer]int{}}
-	for o, n := range p.asking {
+	for _, o := range p.askedOffers() {
 		if t := c[o.Type]; t != nil {
-			g.add(t, o, n)
+			g.add(t, o, p.asking[o])
 		}
 	}
 	for _, d := range demand {
--- a/internal/core/capacity/capacity_test.go
+++ b/internal/core/capacity/capacity_test.go
@@ -1,6 +1,7 @@
 package capacity
 
 import (
+	"slices"
 	"testing"
 	"time"
 
@@ -92,3 +93,23 @@
 		t.Fatalf("orders %v", o)
 	}
 }
+
+// Which of the machines being asked for a demand is booked on doesn't depend on chance:
+// equal plans make equal orders.
+func TestEqualPlansMakeEqualOrders(t *testing.T) {
+	anywhere, onlyBig := job(t, pipeline.Spec{Tasks: 1, CPUs: 8}), job(t, pipeline.Spec{Tasks: 1, CPUs: 64, Spot: true})
+	demand := []Demand{{Job: anywhere, Tasks: 1}, {Job: onlyBig, Tasks: 1}}
+	var first []Order
+	for i := range 100 {
+		var p Plan
+		p.Asked(Offer{"cpu", "b", false}, 1)
+		p.Asked(Offer{"big", "a", false}, 1)
+		orders := p.Choose(now, demand, &placement.Floor{}, types)
+		if i == 0 {
+			first = orders
+		}
+		if !slices.Equal(orders, first) {
+			t.Fatalf("plan %d orders %v, the first %v", i, orders, first)
+		}
+	}
+}
