--- a/internal/core/fleet/pages.go
+++ b/internal/core/fleet/pages.go
@@ -108,7 +108,7 @@
 // Roomy tells whether at least half of so many bytes are free.
 func (p *Page) Roomy(maxBytes int) bool { return pageBytes+p.bytes <= maxBytes/2 }
 
-// Unwritten lists the attempts that the store isn't known to hold.
+// Unwritten lists the attempts that the store isn't known to hold, by machine and number.
 func (p *Page) Unwritten() []*Attempt {
 	var out []*Attempt
 	for a := range p.live {
@@ -116,21 +116,28 @@
 			out = append(out, a)
 		}
 	}
+	sortByMachine(out)
 	return out
 }
 
+// sortByMachine sorts attempts by machine, number and task.
+func sortByMachine(attempts []*Attempt) {
+	sort.Slice(attempts, func(i, k int) bool {
+		a, b := attempts[i], attempts[k]
+		if a.On.Name != b.On.Name {
+			return a.On.Name < b.On.Name
+		}
+		return a.Number < b.Number || a.Number == b.Number && a.Task < b.Task
+	})
+}
+
 // Record returns the page as it should now be written.
 func (p *Page) Record() Record {
 	at := make([]*Attempt, 0, len(p.live))
 	for a := range p.live {
 		at = append(at, a)
 	}
-	sort.Slice(at, func(i, k int) bool {
-		if at[i].On.Name != at[k].On.Name {
-			return at[i].On.Name < at[k].On.Name
-		}
-		return at[i].Number < at[k].Number || at[i].Number == at[k].Number && at[i].Task < at[k].Task
-	})
+	sortByMachine(at)
 	var r Record
 	for i, a := range at {
 		m := a.On
--- /dev/null
+++ b/internal/core/fleet/pages_test.go
@@ -0,0 +1,23 @@
+package fleet
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+// What is stopped when a page is refused is stopped in a fixed order.
+func TestUnwrittenInOrder(t *testing.T) {
+	now := time.Unix(100, 0)
+	m := NewMachine(now, "m-1", "cpu", "a", false, Live)
+	page := NewPage("p", 0)
+	for task := range 8 {
+		a := &Attempt{Key: Key{Ref: "j", Task: task}, Number: uint64(task)}
+		m.Add(now, a, Intended)
+		page.Add(a, false)
+	}
+	sorted := slices.IsSortedFunc(page.Unwritten(), func(a, b *Attempt) int { return a.Task - b.Task })
+	if !sorted {
+		t.Fatalf("the unwritten attempts come in any order")
+	}
+}
