--- a/cmd/gingertally/status.go
+++ b/cmd/gingertally/status.go
@@ -14,6 +14,7 @@
 
 	"github.com/valyala/fasthttp"
 
+	"gingertally/internal/core"
 	"gingertally/internal/daemon"
 )
 
@@ -44,45 +45,69 @@
 	return printStatus(os.Stdout, s)
 }
 
+// printStatus prints the status as aligned tables.
 func printStatus(out io.Writer, s daemon.Status) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	if _, err := io.WriteString(w, statusText(s)); err != nil {
+		return err
+	}
+	return w.Flush()
+}
+
+// statusText is the status with cells set off by tabs.
+func statusText(s daemon.Status) string {
+	var text strings.Builder
+	writeNodes(&text, s)
+	if s.Leading == nil {
+		fmt.Fprintln(&text, "\nThe leader can't be asked.")
+		return text.String()
+	}
+	writePools(&text, s.Leading)
+	writeWaiting(&text, s.Leading)
+	return text.String()
+}
+
+// writeNodes tells of the controllers.
+func writeNodes(text *strings.Builder, s daemon.Status) {
 	leader := s.Leader
 	if leader == "" {
 		leader = "unknown"
 	}
-	fmt.Fprintf(w, "leader\t%s\n", leader)
-	fmt.Fprintf(w, "told by\t%s, %s, serves users: %v\n", s.Node, s.Role, s.Serves)
+	fmt.Fprintf(text, "leader\t%s\n", leader)
+	fmt.Fprintf(text, "told by\t%s, %s, serves users: %v\n", s.Node, s.Role, s.Serves)
 	for _, name := range slices.Sorted(maps.Keys(s.Versions)) {
-		fmt.Fprintf(w, "version\t%s %s\n", name, s.Versions[name])
-	}
-	l := s.Leading
-	if l == nil {
-		fmt.Fprintln(w, "\nThe leader can't be asked.")
-		return w.Flush()
+		fmt.Fprintf(text, "version\t%s %s\n", name, s.Versions[name])
 	}
-	fmt.Fprintf(w, "term\t%d\n", l.Term)
-	fmt.Fprintf(w, "jobs\t%d active, %d waiting, %d starts not yet stored\n", l.Active, l.Waits, l.Unstored)
-	fmt.Fprintln(w, "\nTYPE\tZONE\tKIND\tMACHINES\tDRAINING\tATTEMPTS")
-	for _, p := range l.Pools {
+}
+
+// writePools tells of the machines by pool.
+func writePools(text *strings.Builder, leading *core.Status) {
+	fmt.Fprintf(text, "term\t%d\n", leading.Term)
+	fmt.Fprintf(text, "jobs\t%d active, %d waiting, %d starts not yet stored\n", leading.Active, leading.Waits, leading.Unstored)
+	fmt.Fprintln(text, "\nTYPE\tZONE\tKIND\tMACHINES\tDRAINING\tATTEMPTS")
+	for _, pool := range leading.Pools {
 		kind := "ordinary"
-		if p.Spot {
+		if pool.Spot {
 			kind = "spot"
 		}
 		var states []string
-		for st, n := range p.States {
-			states = append(states, fmt.Sprintf("%d %s", n, st))
+		for state, count := range pool.States {
+			states = append(states, fmt.Sprintf("%d %s", count, state))
 		}
 		sort.Strings(states)
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\n", p.Type, p.Zone, kind, strings.Join(states, ", "), p.Draining, p.Attempts)
+		fmt.Fprintf(text, "%s\t%s\t%s\t%s\t%d\t%d\n", pool.Type, pool.Zone, kind, strings.Join(states, ", "), pool.Draining, pool.Attempts)
 	}
-	if len(l.Waiting) > 0 {
-		fmt.Fprintln(w, "\nJOB\tCLASS\tTEAM\tWAITING\tFOR\tREASON")
+}
+
+// writeWaiting tells which jobs wait, and why.
+func writeWaiting(text *strings.Builder, leading *core.Status) {
+	if len(leading.Waiting) > 0 {
+		fmt.Fprintln(text, "\nJOB\tCLASS\tTEAM\tWAITING\tFOR\tREASON")
 	}
-	for _, j := range l.Waiting {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d of %d\t%s\t%s\n", j.Ref, j.Class, j.Team, j.Waiting, j.Tasks, j.Since.Round(time.Second), j.Reason)
+	for _, job := range leading.Waiting {
+		fmt.Fprintf(text, "%s\t%s\t%s\t%d of %d\t%s\t%s\n", job.Ref, job.Class, job.Team, job.Waiting, job.Tasks, job.Since.Round(time.Second), job.Reason)
 	}
-	if more := l.Waits - len(l.Waiting); more > 0 {
-		fmt.Fprintf(w, "and %d more\n", more)
+	if more := leading.Waits - len(leading.Waiting); more > 0 {
+		fmt.Fprintf(text, "and %d more\n", more)
 	}
-	return w.Flush()
 }
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -38,8 +38,8 @@
 			rc.Response.Header.Set("Retry-After", "7")
 		}
 	}}
-	go s.Serve(ln) //nolint:errcheck // ends with the listener
-	t.Cleanup(func() { ln.Close() })
+	go func() { _ = s.Serve(ln) }() // ends with the listener
+	t.Cleanup(func() { _ = ln.Close() })
 	pauses = new([]time.Duration)
 	return &Client{Addr: "service", Dial: func(string) (net.Conn, error) { return ln.Dial() },
 		Pause: func(_ context.Context, d time.Duration) error { *pauses = append(*pauses, d); return nil }}, pauses
--- a/internal/core/capacity/capacity.go
+++ b/internal/core/capacity/capacity.go
@@ -50,7 +50,7 @@
 const maxPerRequest = 50
 
 // Answered takes in the answer to a request.
-func (p *Plan) Answered(now time.Time, o Offer, asked, got int, refused, unknown bool) {
+func (p *Plan) Answered(now time.Time, o Offer, asked, got int, _, unknown bool) {
 	p.asking[o] -= asked
 	if p.asking[o] <= 0 {
 		delete(p.asking, o)
--- a/internal/core/consolidate.go
+++ b/internal/core/consolidate.go
@@ -174,7 +174,7 @@
 	return true
 }
 
-func (v *moving) restore(undo map[*placement.Slot]placement.Slot) {
+func (*moving) restore(undo map[*placement.Slot]placement.Slot) {
 	for s, was := range undo {
 		*s = was
 	}
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -298,7 +298,7 @@
 }
 
 // owesForget tells whether results on a machine are not yet written.
-func (e *Engine) owesForget(m *fleet.Machine) bool {
+func (*Engine) owesForget(m *fleet.Machine) bool {
 	for _, a := range m.Tasks {
 		if a.State() == fleet.Exited && !a.Handled {
 			return true
--- a/internal/core/pipeline/graph_test.go
+++ b/internal/core/pipeline/graph_test.go
@@ -180,8 +180,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if j.Met("j-2", time.UnixMilli(9000)) || j.Met("j-2", time.UnixMilli(9000)) || !j.Met("j-3", time.UnixMilli(7000)) {
-		t.Fatal("let go at the wrong moment")
+	for range 2 { // told twice of the same end
+		if j.Met("j-2", time.UnixMilli(9000)) {
+			t.Fatal("let go before the last end")
+		}
+	}
+	if !j.Met("j-3", time.UnixMilli(7000)) {
+		t.Fatal("not let go at the last end")
 	}
 	again, err := NewJob(j.Record(4000), 2, nil)
 	if err != nil || again.Phase() != Active || again.Since.UnixMilli() != 9000 || again.Submitted.UnixMilli() != 5000 {
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -227,7 +227,7 @@
 
 // unforgotten handles an exit that left the reports before it was dealt with
 // (the worker's lease ended): a result was noted already, all else is handled.
-func (e *Engine) unforgotten(now time.Time, a *fleet.Attempt) {
+func (e *Engine) unforgotten(_ time.Time, a *fleet.Attempt) {
 	if !a.Handled && a.Cause != fleet.CauseDone {
 		e.requeue(a)
 	}
--- a/internal/daemon/http.go
+++ b/internal/daemon/http.go
@@ -69,6 +69,7 @@
 // quiet drops fasthttp's lines about broken connections, which are the peers' affair.
 type quiet struct{}
 
+// Printf takes fasthttp's line.
 func (quiet) Printf(string, ...any) {}
 
 // badRequest answers what fasthttp couldn't read: too large, or not HTTP.
--- a/internal/daemon/reign.go
+++ b/internal/daemon/reign.go
@@ -380,7 +380,7 @@
 	return r.ctx.Err()
 }
 
-// Report hands a worker's report to the engine, if this node may act, and
+// report hands a worker's report to the engine, if this node may act, and
 // checks the right once more at the moment of answering.
 func (r *reign) report(rep fleet.Report) (core.Reply, bool) {
 	if !r.entitled() {
@@ -406,6 +406,7 @@
 // agentLeader is the daemon as the workers' service sees it.
 type agentLeader struct{ d *Daemon }
 
+// Report hands a worker's report to the engine, if this node leads.
 func (a agentLeader) Report(rep fleet.Report) (core.Reply, bool) {
 	r := a.d.reign.Load()
 	if r == nil {
@@ -423,6 +424,7 @@
 	return a.d.lead.Leader()
 }
 
+// RelayReport passes a worker's report on to the leader.
 func (a agentLeader) RelayReport(ctx context.Context, body []byte) (int, []byte, error) {
 	return a.d.peers.Relay(ctx, a.d.lead.Leader(), "POST", beatPath, append([]byte(nil), body...))
 }
--- a/internal/leadership/leadership_test.go
+++ b/internal/leadership/leadership_test.go
@@ -178,7 +178,7 @@
 			Resumed: func() {}, Deaf: func() bool { return false },
 		}})
 		tr.leads = append(tr.leads, l)
-		go l.Run(ctx) //nolint:errcheck // ends with ctx
+		go func() { _ = l.Run(ctx) }() // ends with ctx
 	}
 	return tr
 }
--- a/internal/leadership/promise_test.go
+++ b/internal/leadership/promise_test.go
@@ -136,7 +136,7 @@
 		tr := &trio{store: store}
 		first := New(client{tr.store, "b"}, Options{Member: "b", TTL: 3 * time.Second, Hooks: Hooks{
 			Elected: func(context.Context, Term) {}, Resumed: func() {}, Deaf: func() bool { return false }}})
-		go first.Run(ctx) //nolint:errcheck // ends with ctx
+		go func() { _ = first.Run(ctx) }() // ends with ctx
 		time.Sleep(time.Second)
 		cancel()
 		time.Sleep(10 * time.Second)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -28,6 +28,7 @@
 	handle Handler
 }
 
+// Relay serves a request that another node passed on.
 func (s *server) Relay(ctx context.Context, r *peerpb.Request) (*peerpb.Reply, error) {
 	status, body := s.handle(ctx, r.From, r.Method, r.Path, r.Body)
 	return &peerpb.Reply{Status: int32(status), Body: body}, nil
--- a/internal/simulation/consistency_probes.go
+++ b/internal/simulation/consistency_probes.go
@@ -57,6 +57,7 @@
 // leaderView is the leader as a node's users' calls see it.
 type leaderView struct{ n *node }
 
+// View is what this node, leading with a valid lease, knows of a job.
 func (l leaderView) View(ref string) (v core.JobView, ok bool) {
 	if !l.n.entitled() {
 		return v, false
@@ -64,6 +65,7 @@
 	return l.n.eng.Lookup(ref)
 }
 
+// Ask asks the other nodes that this one reaches.
 func (l leaderView) Ask(_ context.Context, ref string) (v core.JobView, ok bool) {
 	for _, o := range l.n.w.nodes {
 		if o != l.n && l.n.reaches(o) && o.entitled() {
@@ -74,7 +76,7 @@
 }
 
 // Cancel isn't called here: cancellations have their own way.
-func (l leaderView) Cancel(context.Context, string) (pipeline.Phase, error) {
+func (leaderView) Cancel(context.Context, string) (pipeline.Phase, error) {
 	return pipeline.Active, context.Canceled
 }
 
@@ -83,7 +85,7 @@
 }
 
 // post sends a submission's body to a node; status 0: no answer.
-func (s *script) post(n *node, body any) userapi.Answer {
+func (*script) post(n *node, body any) userapi.Answer {
 	if n.down || n.still() || n.cutOff() {
 		return userapi.Answer{}
 	}
--- a/internal/simulation/fault_scenarios.go
+++ b/internal/simulation/fault_scenarios.go
@@ -232,7 +232,7 @@
 
 // takes sees a report on its way: copies of it may arrive again, and it may itself be
 // held back until a new leader has acted.
-func (s *script) takes(m *machine, n *node, r fleet.Report, sent time.Time) bool {
+func (s *script) takes(m *machine, _ *node, r fleet.Report, sent time.Time) bool {
 	if s == nil || s.over() {
 		return false
 	}
@@ -321,6 +321,7 @@
 	n *node
 }
 
+// Get refuses the nodes that the state service refuses.
 func (v nodeView) Get(ctx context.Context, key string) (statestore.Item, bool, error) {
 	if v.n.refused {
 		v.n.w.script.note("refused calls")
@@ -329,6 +330,7 @@
 	return v.Store.Get(ctx, key)
 }
 
+// List refuses the nodes that the state service refuses.
 func (v nodeView) List(ctx context.Context, prefix string) ([]statestore.Item, uint64, error) {
 	if v.n.refused {
 		v.n.w.script.note("refused calls")
@@ -337,6 +339,7 @@
 	return v.Store.List(ctx, prefix)
 }
 
+// Commit refuses the nodes that the state service refuses.
 func (v nodeView) Commit(ctx context.Context, conds []wire.Condition, changes []wire.Change) (uint64, error) {
 	s := v.n.w.script
 	if v.n.refused {
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -82,7 +82,11 @@
 	return e[i].seq < e[k].seq
 }
 func (e events) Swap(i, k int) { e[i], e[k] = e[k], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
+
+// Push adds an event at the end.
+func (e *events) Push(x any) { *e = append(*e, x.(event)) }
+
+// Pop takes the last event out.
 func (e *events) Pop() any {
 	old := *e
 	x := old[len(old)-1]
--- a/internal/userapi/userapi_test.go
+++ b/internal/userapi/userapi_test.go
@@ -57,13 +57,13 @@
 	return w.jobs[ref], nil
 }
 
-func (w *world) InDoubt(_ context.Context, st jobstore.State, _ time.Time) (bool, error) {
+func (*world) InDoubt(_ context.Context, st jobstore.State, _ time.Time) (bool, error) {
 	return st.Record.Held(), nil
 }
 
 func (w *world) View(ref string) (core.JobView, bool) { v, ok := w.view[ref]; return v, ok }
 
-func (w *world) Ask(context.Context, string) (core.JobView, bool) { return core.JobView{}, false }
+func (*world) Ask(context.Context, string) (core.JobView, bool) { return core.JobView{}, false }
 
 func (w *world) Cancel(context.Context, string) (pipeline.Phase, error) {
 	return pipeline.Cancelled, w.cancel
