--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -39,7 +39,7 @@
 	records *jobstore.Jobs // the same store for the leader's own writes
 	cloud   *cloud.Client
 	peers   *peer.Client
-	lead    *leadership.Lead
+	lead    *leadership.Elector
 	users   *userapi.Service
 	agents  *agentapi.Service
 	orders  *orderSender
@@ -132,7 +132,7 @@
 	d.passer.answered = func() { d.health.PeerAnswered(time.Now()) }
 	// Claims wait for nobody's part of the rates.
 	d.lead = leadership.New(d.store.Part(state.RPS, state.WriteRPS), leadership.Options{Member: cfg.Member, Others: d.peersFirstOf(""), TTL: leaseTTL,
-		Hooks: leadership.Hooks{Elected: d.elected, Resumed: d.resumed, Deaf: d.deaf, Ask: d.askPromise}})
+		Hooks: leadership.Hooks{Elected: d.elected, Resumed: d.resumed, Unreached: d.unreached, RequestExtension: d.requestExtension}})
 	d.users = &userapi.Service{Jobs: d.jobs, Leader: d, Catalog: d.types, Teams: d.core.Teams}
 	d.agents = &agentapi.Service{Self: cfg.Member, Leader: agentLeader{d}}
 	return d, nil
@@ -199,9 +199,9 @@
 	return g.Wait()
 }
 
-// deaf tells whether no worker has reached this node of late, as when it is cut
+// unreached tells whether no worker has reached this node of late, as when it is cut
 // off from them: it then leaves the lead to others.
-func (d *Daemon) deaf() bool {
+func (d *Daemon) unreached() bool {
 	quiet := 3*d.core.ReportEvery + 2*time.Second
 	if time.Since(d.started) < quiet {
 		return false
@@ -226,7 +226,7 @@
 	}
 	v, ok := r.lookup(ref)
 	// A final state never changes; any other only the entitled owner may tell.
-	return v, ok && d.lead.Entitled(time.Now())
+	return v, ok && d.lead.HoldsLease(time.Now())
 }
 
 // askTimeout is short: the store answers as well.
--- a/internal/daemon/elsewhere.go
+++ b/internal/daemon/elsewhere.go
@@ -47,7 +47,7 @@
 	probeFor = 300 * time.Millisecond
 )
 
-func (d *Daemon) askPromise(ctx context.Context, member string) bool {
+func (d *Daemon) requestExtension(ctx context.Context, member string) bool {
 	status, _, err := d.peers.Relay(ctx, member, "POST", promisePath, nil)
 	if err == nil {
 		d.health.PeerAnswered(time.Now())
@@ -55,15 +55,15 @@
 	return err == nil && status == 200
 }
 
-// promise is the answer to a leader that can't renew its lease: a node that the state
+// grantExtension is the answer to a leader that can't renew its lease: a node that the state
 // service serves keeps the place open for the case that it is the leader alone that isn't.
-func (d *Daemon) promise(ctx context.Context) int {
+func (d *Daemon) grantExtension(ctx context.Context) int {
 	if d.health.StoreFresh(time.Now(), time.Second) {
 		return 409
 	}
 	ctx, cancel := context.WithTimeout(ctx, probeFor)
 	defer cancel()
-	if _, _, err := d.store.Get(ctx, leadership.HolderKey); err == nil || !d.lead.Promise() {
+	if _, _, err := d.store.Get(ctx, leadership.HolderKey); err == nil || !d.lead.GrantExtension() {
 		return 409
 	}
 	return 200
--- a/internal/daemon/http.go
+++ b/internal/daemon/http.go
@@ -190,7 +190,7 @@
 	case pingPath:
 		return 200, nil
 	case promisePath:
-		return d.promise(ctx), nil
+		return d.grantExtension(ctx), nil
 	case statusPath:
 		return 200, d.status(time.Now()).encode()
 	}
--- a/internal/daemon/reign.go
+++ b/internal/daemon/reign.go
@@ -53,7 +53,7 @@
 	}
 }
 
-func (r *reign) entitled() bool { return r.d.lead.Entitled(time.Now()) }
+func (r *reign) entitled() bool { return r.d.lead.HoldsLease(time.Now()) }
 
 func (r *reign) hear() {
 	r.heardMu.Lock()
--- a/internal/leadership/leadership_test.go
+++ b/internal/leadership/elector_test.go
@@ -152,15 +152,15 @@
 }
 
 type trio struct {
-	store *fakeStore
-	leads []*Lead
-	terms []uint64
-	mu    sync.Mutex
+	store    *fakeStore
+	electors []*Elector
+	terms    []uint64
+	mu       sync.Mutex
 }
 
-func start(ctx context.Context, ttl time.Duration) *trio { return startAsking(ctx, ttl, nil) }
+func start(ctx context.Context, ttl time.Duration) *trio { return startWithPeers(ctx, ttl, nil) }
 
-func startAsking(ctx context.Context, ttl time.Duration, ask func(ctx context.Context, tr *trio, from, to string) bool) *trio {
+func startWithPeers(ctx context.Context, ttl time.Duration, ask func(ctx context.Context, tr *trio, from, to string) bool) *trio {
 	tr := &trio{store: newFake()}
 	names := []string{"a", "b", "c"}
 	for i, name := range names {
@@ -169,28 +169,28 @@
 			hook = func(ctx context.Context, to string) bool { return ask(ctx, tr, name, to) }
 		}
 		others := append(append([]string{}, names[:i]...), names[i+1:]...)
-		l := New(client{tr.store, name}, Options{Member: name, Others: others, TTL: ttl, Hooks: Hooks{Ask: hook,
+		l := New(client{tr.store, name}, Options{Member: name, Others: others, TTL: ttl, Hooks: Hooks{RequestExtension: hook,
 			Elected: func(_ context.Context, t Term) {
 				tr.mu.Lock()
 				defer tr.mu.Unlock()
 				tr.terms = append(tr.terms, t.N)
 			},
-			Resumed: func() {}, Deaf: func() bool { return false },
+			Resumed: func() {}, Unreached: func() bool { return false },
 		}})
-		tr.leads = append(tr.leads, l)
+		tr.electors = append(tr.electors, l)
 		go func() { _ = l.Run(ctx) }() // ends with ctx
 	}
 	return tr
 }
 
-// entitled counts the nodes that may act; more than one is never right.
-func (tr *trio) entitled(t *testing.T) (who int) {
+// holder is the node that holds a valid lease, -1 if none; more than one is never allowed.
+func (tr *trio) holder(t *testing.T) (who int) {
 	t.Helper()
 	who = -1
-	for i, l := range tr.leads {
-		if l.Entitled(time.Now()) {
+	for i, l := range tr.electors {
+		if l.HoldsLease(time.Now()) {
 			if who >= 0 {
-				t.Fatalf("nodes %d and %d are entitled at once", who, i)
+				t.Fatalf("nodes %d and %d hold a valid lease at once", who, i)
 			}
 			who = i
 		}
@@ -200,12 +200,12 @@
 
 func (tr *trio) watch(t *testing.T, d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		tr.entitled(t)
+		tr.holder(t)
 	}
 }
 
 // TestOneLeader: never two at once, terms only rise, and a leader cut off from
-// the store loses its right before anybody else gets it.
+// the store loses its lease before anybody else gets it.
 func TestOneLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -213,7 +213,7 @@
 		const ttl = 3 * time.Second
 		tr := start(ctx, ttl)
 		tr.watch(t, 2*time.Second)
-		first := tr.entitled(t)
+		first := tr.holder(t)
 		if first < 0 {
 			t.Fatal("nobody leads")
 		}
@@ -221,16 +221,16 @@
 		tr.store.cut["abc"[first:first+1]] = true
 		tr.store.mu.Unlock()
 		tr.watch(t, 2*ttl)
-		second := tr.entitled(t)
+		second := tr.holder(t)
 		if second < 0 || second == first {
 			t.Fatalf("node %d leads after node %d was cut off", second, first)
 		}
-		tr.leads[second].Resign("test")
-		if tr.leads[second].Entitled(time.Now()) {
-			t.Fatal("entitled after resigning")
+		tr.electors[second].Resign("test")
+		if tr.electors[second].HoldsLease(time.Now()) {
+			t.Fatal("holds the lease after resigning")
 		}
 		tr.watch(t, ttl)
-		if third := tr.entitled(t); third < 0 || third == second {
+		if third := tr.holder(t); third < 0 || third == second {
 			t.Fatalf("node %d leads after node %d resigned", third, second)
 		}
 		tr.mu.Lock()
@@ -253,14 +253,14 @@
 		defer cancel()
 		tr := start(ctx, 3*time.Second)
 		tr.watch(t, 2*time.Second)
-		before := tr.entitled(t)
+		before := tr.holder(t)
 		go tr.store.outage(10 * time.Second)
 		time.Sleep(4 * time.Second)
-		if who := tr.entitled(t); who >= 0 {
-			t.Fatalf("node %d is entitled in an outage", who)
+		if who := tr.holder(t); who >= 0 {
+			t.Fatalf("node %d holds a valid lease in an outage", who)
 		}
 		tr.watch(t, 8*time.Second)
-		if after := tr.entitled(t); after != before {
+		if after := tr.holder(t); after != before {
 			t.Fatalf("node %d leads after the outage, %d before", after, before)
 		}
 		tr.mu.Lock()
--- a/internal/simulation/promise.go
+++ b/internal/simulation/promise.go
@@ -33,7 +33,7 @@
 		return false
 	}
 	led := n.w.store.items[leadership.TermKey] != nil
-	return n.old || !led || n.local().Sub(n.booted) >= leadership.PromiseFor
+	return n.old || !led || n.local().Sub(n.booted) >= leadership.ExtensionFor
 }
 
 // askPromises asks all others, if the lease isn't renewed. Nodes of the version in
@@ -59,7 +59,7 @@
 				w.after(back, func() {
 					n.run(life, func() {
 						if n.eng == eng {
-							n.promisedBy(o, sent.Add(leadership.PromiseFor-leadership.PromiseFor/500-100*time.Millisecond))
+							n.promisedBy(o, sent.Add(leadership.ExtensionCounted))
 						}
 					})
 				})
@@ -77,6 +77,6 @@
 	if served := !n.storeDown() && !n.cutOff(); served && !n.w.script.promisesAnyway() && !n.w.chance(0.2) {
 		return false
 	}
-	n.promised = n.local().Add(leadership.PromiseFor)
+	n.promised = n.local().Add(leadership.ExtensionFor)
 	return true
 }
