--- /dev/null
+++ b/internal/daemon/forward.go
@@ -0,0 +1,89 @@
+package daemon
+
+import (
+	"context"
+	"net/http"
+	"sync/atomic"
+	"time"
+)
+
+// This file forwards calls that a node can't serve to a peer: at once where it can, and
+// always within the time that the user waits.
+
+const (
+	// nextPeerAfter is how long one node is waited for before the next is asked too.
+	nextPeerAfter = 250 * time.Millisecond
+	// forwardPause is how long no peer is asked after none could serve a call.
+	forwardPause = time.Second
+)
+
+// peerAnswer is a peer's answer to a forwarded call.
+type peerAnswer struct {
+	status int
+	body   []byte
+}
+
+// relayer carries a call to another node.
+type relayer interface {
+	Relay(ctx context.Context, to, method, path string, body []byte) (status int, reply []byte, err error)
+}
+
+// forwarder forwards calls to the other nodes.
+type forwarder struct {
+	peers       relayer
+	answered    func()       // another node has answered
+	pausedUntil atomic.Int64 // until when no peer is asked, in Unix nanoseconds
+}
+
+// forwardedCall is a call that this node couldn't serve.
+type forwardedCall struct {
+	method, path string
+	body         []byte
+}
+
+// forward asks the named nodes to serve a call, one a little after the other,
+// and takes the first answer that settles it. When none could a moment ago, as in
+// an outage that all see, they aren't asked.
+func (f *forwarder) forward(ctx context.Context, names []string, call forwardedCall) (peerAnswer, bool) {
+	if time.Now().UnixNano() < f.pausedUntil.Load() {
+		return peerAnswer{}, false
+	}
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	call.body = append([]byte(nil), call.body...) // the server reuses its buffer
+	answers := make(chan peerAnswer, len(names))
+	next := time.NewTimer(0)
+	defer next.Stop()
+	asked, failed := 0, 0
+	for failed < len(names) {
+		select {
+		case <-ctx.Done():
+			return peerAnswer{}, false
+		case answer := <-answers:
+			if answer.status != http.StatusServiceUnavailable {
+				return answer, true
+			}
+			if failed++; failed == asked {
+				next.Reset(0)
+			}
+		case <-next.C:
+			if asked < len(names) {
+				go func(name string) { answers <- f.ask(ctx, name, call) }(names[asked])
+				asked++
+				next.Reset(nextPeerAfter)
+			}
+		}
+	}
+	f.pausedUntil.Store(time.Now().Add(forwardPause).UnixNano())
+	return peerAnswer{}, false
+}
+
+// ask has one node serve a call; one that can't be reached can't serve it.
+func (f *forwarder) ask(ctx context.Context, name string, call forwardedCall) peerAnswer {
+	status, body, err := f.peers.Relay(ctx, name, call.method, call.path, call.body)
+	if err != nil {
+		return peerAnswer{status: http.StatusServiceUnavailable}
+	}
+	f.answered()
+	return peerAnswer{status: status, body: body}
+}
--- a/internal/daemon/elsewhere_test.go
+++ b/internal/daemon/forward_test.go
@@ -27,10 +27,10 @@
 	return 0, nil, ctx.Err()
 }
 
-// A call that a node can't serve is passed on within the time that its user
+// A call that a node can't serve is forwarded within the time that its user
 // waits, however many other nodes hang: asked one after the other for a second
 // each, seven nodes once took longer than the two seconds of a poll.
-func TestElsewhereIsBounded(t *testing.T) {
+func TestForwardingIsBounded(t *testing.T) {
 	names := []string{"n-1", "n-2", "n-3", "n-4", "n-5", "n-6"}
 	for _, c := range []struct {
 		name   string
@@ -40,20 +40,20 @@
 		asked  int32
 	}{
 		{"the first serves", map[string]int{"n-1": 200}, 200, 0, 1},
-		{"all but the last hang", map[string]int{"n-6": 404}, 404, 5 * nextPeer, 6},
+		{"all but the last hang", map[string]int{"n-6": 404}, 404, 5 * nextPeerAfter, 6},
 		{"refused, then served", map[string]int{"n-1": 0, "n-2": 0, "n-3": 200}, 200, 0, 3},
 		{"all hang", nil, 0, pollTimeout, 6},
 		{"an outage", map[string]int{"n-1": 503, "n-2": 503, "n-3": 503, "n-4": 503, "n-5": 503, "n-6": 503}, 0, 0, 6},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			n := &nodes{status: c.status}
-			p := &passer{peers: n, answered: func() {}}
+			f := &forwarder{peers: n, answered: func() {}}
 			ctx, cancel := context.WithTimeout(context.Background(), pollTimeout)
 			defer cancel()
 			begun := time.Now()
-			status, _, ok := p.elsewhere(ctx, names, "GET", runsPath+"/j-1", nil)
-			if ok != (c.want != 0) || status != c.want || time.Since(begun) > c.within || n.asked.Load() != c.asked {
-				t.Errorf("%s: %d, %v after %s, %d asked", c.name, status, ok, time.Since(begun), n.asked.Load())
+			answer, ok := f.forward(ctx, names, forwardedCall{method: "GET", path: runsPath + "/j-1"})
+			if ok != (c.want != 0) || answer.status != c.want || time.Since(begun) > c.within || n.asked.Load() != c.asked {
+				t.Errorf("%s: %d, %v after %s, %d asked", c.name, answer.status, ok, time.Since(begun), n.asked.Load())
 			}
 		})
 	}
@@ -61,17 +61,19 @@
 
 // In an outage that all see, the nodes don't go on asking each other for each
 // call of each user.
-func TestElsewhereGivesTheOthersARest(t *testing.T) {
+func TestForwardingPausesInOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := &nodes{status: map[string]int{"n-1": 503}}
-		p := &passer{peers: n, answered: func() {}}
-		ask := func() { p.elsewhere(context.Background(), []string{"n-1"}, "GET", runsPath+"/j-1", nil) }
+		f := &forwarder{peers: n, answered: func() {}}
+		ask := func() {
+			f.forward(context.Background(), []string{"n-1"}, forwardedCall{method: "GET", path: runsPath + "/j-1"})
+		}
 		ask()
 		ask()
 		if n.asked.Load() != 1 {
 			t.Errorf("asked %d times at once", n.asked.Load())
 		}
-		time.Sleep(nobodyFor)
+		time.Sleep(forwardPause)
 		ask()
 		if n.asked.Load() != 2 {
 			t.Errorf("asked %d times after a rest", n.asked.Load())
--- a/internal/daemon/http.go
+++ b/internal/daemon/http.go
@@ -9,63 +9,65 @@
 
 	"github.com/valyala/fasthttp"
 
-	"gingertally/internal/core"
-	"gingertally/internal/core/pipeline"
-	"gingertally/internal/userapi"
 	"gingertally/internal/wire"
 )
 
+// Paths of the interfaces to users, workers and operators.
 const (
-	runsPath = "/v2/runs"
-	beatPath = "/agent/beat"
-	viewPath = "/view/" // between nodes only
+	runsPath    = "/v2/runs"
+	cancelVerb  = "/withdraw" // after a job's id
+	beatPath    = "/agent/beat"
+	healthPath  = "/healthz"
+	metricsPath = "/metrics"
 )
 
-// How long a call is worked on in all: a user waits 5 s for a submission and 2 s
-// for a poll. Of that, ownPart of it is this node's own try, or, while the state
-// service doesn't serve it, no more than ownTryInTrouble.
+// Content types of bodies.
 const (
-	submitTimeout   = 4 * time.Second
-	pollTimeout     = 1700 * time.Millisecond
-	ownPart         = 0.5
-	ownTryInTrouble = 300 * time.Millisecond
+	contentTypeCBOR = "application/cbor"
+	contentTypeJSON = "application/json"
 )
 
-// idleReports is for how many report periods a connection may be idle: those of
-// machines that are gone without a word must not take the sockets of others.
-const idleReports = 4
+// idleReports is for how many report periods a connection may be idle, and idleSlack
+// what is added: those of machines that are gone without a word must not take the
+// sockets of others.
+const (
+	idleReports = 4
+	idleSlack   = 10 * time.Second
+)
+
+const (
+	httpReadTimeout  = 30 * time.Second
+	httpWriteTimeout = 10 * time.Second
+)
 
-func (d *Daemon) serveHTTP(ctx context.Context, ln net.Listener) error {
-	var s *fasthttp.Server
-	s = &fasthttp.Server{
-		Handler: func(rc *fasthttp.RequestCtx) {
-			d.handle(ctx, rc)
-			if crowded(int(s.GetOpenConnectionsCount()), s.Concurrency) && string(rc.Path()) != beatPath {
-				rc.SetConnectionClose()
+// serveHTTP serves users, workers and operators.
+func (d *Daemon) serveHTTP(ctx context.Context, listener net.Listener) error {
+	var server *fasthttp.Server
+	server = &fasthttp.Server{
+		Handler: func(request *fasthttp.RequestCtx) {
+			d.handle(ctx, request)
+			if crowded(int(server.GetOpenConnectionsCount()), server.Concurrency) && string(request.Path()) != beatPath {
+				request.SetConnectionClose()
 			}
 		},
 		MaxRequestBodySize:    wire.MaxBody,
 		Concurrency:           d.clientConns(),
-		IdleTimeout:           idleReports*d.core.ReportEvery + 10*time.Second,
-		ReadTimeout:           30 * time.Second,
-		WriteTimeout:          10 * time.Second,
+		IdleTimeout:           idleReports*d.coreConfig.ReportEvery + idleSlack,
+		ReadTimeout:           httpReadTimeout,
+		WriteTimeout:          httpWriteTimeout,
 		NoDefaultServerHeader: true,
 		NoDefaultDate:         true,
 		ErrorHandler:          badRequest,
 		Logger:                quiet{},
 	}
-	stop := context.AfterFunc(ctx, func() { _ = s.Shutdown() })
+	stop := context.AfterFunc(ctx, func() { _ = server.Shutdown() })
 	defer stop()
-	if err := s.Serve(ln); err != nil && ctx.Err() == nil {
+	if err := server.Serve(listener); err != nil && ctx.Err() == nil {
 		return fmt.Errorf("serve clients: %w", err)
 	}
 	return nil
 }
 
-// crowded tells whether what is left of a node's connections is wanted by workers:
-// users' are then closed once answered, and spread over the other nodes.
-func crowded(open, most int) bool { return open > most*9/10 }
-
 // quiet drops fasthttp's lines about broken connections, which are the peers' affair.
 type quiet struct{}
 
@@ -73,150 +75,56 @@
 func (quiet) Printf(string, ...any) {}
 
 // badRequest answers what fasthttp couldn't read: too large, or not HTTP.
-func badRequest(rc *fasthttp.RequestCtx, _ error) { rc.SetStatusCode(400) }
-
-func (d *Daemon) handle(ctx context.Context, rc *fasthttp.RequestCtx) {
-	path, method := string(rc.Path()), string(rc.Method())
-	switch path {
-	case "/healthz":
-		rc.SetStatusCode(d.healthz())
-		return
-	case "/metrics":
-		d.metrics.handler(rc)
-		return
-	case statusPath:
-		rc.SetContentType("application/json")
-		rc.SetBody(d.statusAnywhere(ctx))
-		return
-	}
-	body := rc.PostBody()
-	if method == "POST" && path == beatPath {
-		a := d.agents.Beat(ctx, body, false)
-		d.metrics.report(a.Status)
-		rc.SetStatusCode(a.Status)
-		if a.Body != nil {
-			rc.SetContentType("application/cbor")
-			rc.SetBody(a.Body)
-		}
-		return
-	}
-	if !strings.HasPrefix(path, runsPath) {
-		rc.SetStatusCode(404)
-		return
-	}
-	begun := time.Now()
-	d.userCall(ctx, rc, method, path, body)
-	d.metrics.call(knownMethod(method), rc.Response.StatusCode(), time.Since(begun))
+func badRequest(request *fasthttp.RequestCtx, _ error) {
+	request.SetStatusCode(fasthttp.StatusBadRequest)
 }
 
-// userCall serves a user's call here, or has another node serve it.
-func (d *Daemon) userCall(ctx context.Context, rc *fasthttp.RequestCtx, method, path string, body []byte) {
-	limit := submitTimeout
-	if method == "GET" {
-		limit = pollTimeout
-	}
-	ctx, cancel := context.WithTimeout(ctx, limit)
-	defer cancel()
-	own := time.Duration(float64(limit) * ownPart)
-	fresh := d.health.StoreFresh(time.Now(), storeFresh)
-	if !fresh {
-		own = ownTryInTrouble
-	}
-	a := d.ownTry(ctx, own, method, path, body)
-	if a.Status == 503 {
-		if status, reply, ok := d.passer.elsewhere(ctx, d.peersFirst(), method, path, body); ok {
-			rc.SetStatusCode(status)
-			rc.SetContentType("application/cbor")
-			rc.SetBody(reply)
-			return
-		}
-		if !fresh {
-			rc.SetConnectionClose() // the next try may reach a node that is better off
-		}
-	}
-	rc.SetStatusCode(a.Status)
-	if a.RetryAfter {
-		rc.Response.Header.Set("Retry-After", "1")
-	}
-	if a.Body != nil {
-		rc.SetContentType("application/cbor")
-		rc.SetBody(wire.MustMarshal(a.Body))
+// handle serves one call by its path.
+func (d *Daemon) handle(ctx context.Context, request *fasthttp.RequestCtx) {
+	path, method := string(request.Path()), string(request.Method())
+	switch {
+	case path == healthPath:
+		request.SetStatusCode(d.healthStatus())
+	case path == metricsPath:
+		d.metrics.handler(request)
+	case path == statusPath:
+		request.SetContentType(contentTypeJSON)
+		request.SetBody(d.statusAnywhere(ctx))
+	case path == beatPath && method == fasthttp.MethodPost:
+		d.handleReport(ctx, request)
+	case strings.HasPrefix(path, runsPath):
+		began := time.Now()
+		d.handleUserCall(ctx, request, method, path)
+		d.metrics.countCall(knownMethod(method), request.Response.StatusCode(), time.Since(began))
+	default:
+		request.SetStatusCode(fasthttp.StatusNotFound)
 	}
 }
 
-// knownMethod keeps what clients make up out of the counters' labels.
-func knownMethod(m string) string {
-	if m == "GET" || m == "POST" {
-		return m
+// handleReport serves a worker's report.
+func (d *Daemon) handleReport(ctx context.Context, request *fasthttp.RequestCtx) {
+	answer := d.agents.Beat(ctx, request.PostBody(), false)
+	d.metrics.countReport(answer.Status)
+	request.SetStatusCode(answer.Status)
+	if answer.Body != nil {
+		request.SetContentType(contentTypeCBOR)
+		request.SetBody(answer.Body)
 	}
-	return "other"
-}
-
-func (d *Daemon) ownTry(ctx context.Context, limit time.Duration, method, path string, body []byte) userapi.Answer {
-	ctx, cancel := context.WithTimeout(ctx, limit)
-	defer cancel()
-	return d.user(ctx, method, path, body)
 }
 
-// healthz is 200 once this node can judge submissions, and while it can serve
+// healthStatus is 200 once this node can judge submissions, and while it can serve
 // users or knows a node that may.
-func (d *Daemon) healthz() int {
+func (d *Daemon) healthStatus() int {
 	if len(d.types()) == 0 || !d.health.Serves(time.Now()) {
-		return 503
-	}
-	return 200
-}
-
-// user serves a user's call at this node.
-func (d *Daemon) user(ctx context.Context, method, path string, body []byte) userapi.Answer {
-	rest := strings.TrimPrefix(path, runsPath)
-	switch {
-	case method == "POST" && rest == "":
-		return d.users.Submit(ctx, body)
-	case method == "GET" && strings.HasPrefix(rest, "/"):
-		return d.users.Get(ctx, rest[1:])
-	case method == "POST" && strings.HasPrefix(rest, "/") && strings.HasSuffix(rest, "/withdraw"):
-		return d.users.Withdraw(ctx, strings.TrimSuffix(rest[1:], "/withdraw"))
+		return fasthttp.StatusServiceUnavailable
 	}
-	return userapi.Answer{Status: 404}
+	return fasthttp.StatusOK
 }
 
-// relayed serves what another node passed on.
-func (d *Daemon) relayed(ctx context.Context, _, method, path string, body []byte) (int, []byte) {
-	switch path {
-	case beatPath:
-		a := d.agents.Beat(ctx, body, true)
-		return a.Status, a.Body
-	case pingPath:
-		return 200, nil
-	case promisePath:
-		return d.grantExtension(ctx), nil
-	case statusPath:
-		return 200, d.status(time.Now()).encode()
-	}
-	if ref, ok := strings.CutPrefix(path, viewPath); ok {
-		v, ok := d.View(ref)
-		if !ok {
-			return 404, nil
-		}
-		return 200, encodeView(v)
-	}
-	a := d.ownTry(ctx, submitTimeout, method, path, body)
-	if a.Body == nil {
-		return a.Status, nil
+// knownMethod keeps what clients make up out of the counters' labels.
+func knownMethod(method string) string {
+	if method == fasthttp.MethodGet || method == fasthttp.MethodPost {
+		return method
 	}
-	return a.Status, wire.MustMarshal(a.Body)
-}
-
-type view struct {
-	Phase         pipeline.Phase `cbor:"p"`
-	Done, Running int
-}
-
-func encodeView(v core.JobView) []byte { return wire.MustMarshal(view(v)) }
-
-func decodeView(b []byte) (core.JobView, bool) {
-	var v view
-	err := wire.Unmarshal(b, &v)
-	return core.JobView(v), err == nil
+	return "other"
 }
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -29,7 +29,7 @@
 var latencies = prometheus.ExponentialBuckets(0.001, 2, 14)
 
 func newMetrics() *metrics {
-	reg := prometheus.NewRegistry()
+	registry := prometheus.NewRegistry()
 	m := &metrics{
 		reports: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "gingertally_reports_total",
 			Help: "Workers' reports, by the status of the answer."}, []string{"status"}),
@@ -49,20 +49,23 @@
 	for op, name := range map[fleet.Op]string{fleet.Start: "start", fleet.Stop: "stop", fleet.Forget: "forget"} {
 		m.commands[op] = commands.WithLabelValues(name)
 	}
-	reg.MustRegister(m.reports, m.calls, m.callTime, m.round, m.store, m.leading, m.term, commands)
-	m.handler = fasthttpadaptor.NewFastHTTPHandler(promhttp.HandlerFor(reg, promhttp.HandlerOpts{}))
+	registry.MustRegister(m.reports, m.calls, m.callTime, m.round, m.store, m.leading, m.term, commands)
+	m.handler = fasthttpadaptor.NewFastHTTPHandler(promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
 	return m
 }
 
-func (m *metrics) report(status int) { m.reports.WithLabelValues(strconv.Itoa(status)).Inc() }
+// countReport counts a worker's report.
+func (m *metrics) countReport(status int) { m.reports.WithLabelValues(strconv.Itoa(status)).Inc() }
 
-func (m *metrics) call(method string, status int, took time.Duration) {
+// countCall counts a user's call.
+func (m *metrics) countCall(method string, status int, took time.Duration) {
 	m.calls.WithLabelValues(method, strconv.Itoa(status)).Inc()
 	m.callTime.WithLabelValues(method).Observe(took.Seconds())
 }
 
-func (m *metrics) told(cmds []fleet.Command) {
-	for _, c := range cmds {
-		m.commands[c.Op].Inc()
+// countCommands counts the commands of an answer to a report.
+func (m *metrics) countCommands(commands []fleet.Command) {
+	for _, command := range commands {
+		m.commands[command.Op].Inc()
 	}
 }
--- /dev/null
+++ b/internal/daemon/rentals.go
@@ -0,0 +1,118 @@
+package daemon
+
+import (
+	"errors"
+	"log/slog"
+	"time"
+
+	"gingertally/internal/cloud"
+	"gingertally/internal/core"
+	"gingertally/internal/wire"
+)
+
+const (
+	// rentTries is how often a rental is asked for again when there is no answer.
+	rentTries = 4
+	rentRetry = time.Second
+)
+
+// rent asks the cloud for machines, and brings the engine the answer.
+func (s *leaderSession) rent(rent core.Rent) {
+	request := wire.RentalRequest{Hire: rent.Name, Build: rent.Type, Yard: rent.Zone, Loaners: rent.Spot, Count: rent.Count}
+	result := core.Rented{Rent: rent, Unknown: true}
+	for try := 0; try < rentTries && s.holdsLease(); try++ {
+		names, err := s.daemon.cloud.Rent(s.ctx, request)
+		if err == nil || errors.Is(err, cloud.ErrNoCapacity) {
+			result.Machines, result.Refused, result.Unknown = names, err != nil, false
+			break
+		}
+		slog.Debug("rent", "error", err)
+		if !sleep(s.ctx, rentRetry) {
+			break
+		}
+	}
+	s.step(result)
+}
+
+// release gives machines back, and brings the engine the outcome.
+func (s *leaderSession) release(names []string) {
+	released := false
+	if s.holdsLease() {
+		err := s.daemon.cloud.Release(s.ctx, names)
+		released = err == nil
+		if !released {
+			slog.Debug("release", "error", err)
+		}
+	}
+	s.step(core.Released{Machines: names, OK: released})
+}
+
+const (
+	// listLeast is how often the cloud's list is read at the most.
+	listLeast = 2 * time.Second
+	// pricesEvery is how often the present prices are read.
+	pricesEvery = 20 * time.Second
+)
+
+// listLoop reads the cloud's list and the present prices.
+func (s *leaderSession) listLoop() error {
+	// More often than the list's lag says little new, and takes calls from rentals.
+	every := max(listLeast, s.daemon.coreConfig.ListLag/2)
+	var pricesRead time.Time
+	for {
+		if s.holdsLease() {
+			if time.Since(pricesRead) > pricesEvery && s.readPrices() {
+				pricesRead = time.Now()
+			}
+			s.readList()
+		}
+		if !sleep(s.ctx, every) {
+			return s.ctx.Err()
+		}
+	}
+}
+
+// readPrices brings the engine the machine types with present prices; false if they
+// can't be had.
+func (s *leaderSession) readPrices() bool {
+	if s.daemon.fetchCatalog(s.ctx) != nil {
+		return false
+	}
+	s.step(core.Catalog{Types: s.daemon.types()})
+	s.daemon.shareCatalog(s.ctx, s.term)
+	return true
+}
+
+// readList brings the engine the cloud's list of machines.
+func (s *leaderSession) readList() {
+	rentals, err := s.daemon.cloud.List(s.ctx)
+	if err != nil {
+		slog.Debug("list machines", "error", err)
+		return
+	}
+	s.step(core.Listed{Machines: listedMachines(rentals)})
+}
+
+// listStatuses are the cloud's words for a machine's state.
+var listStatuses = map[string]core.ListStatus{
+	wire.RentalStarting: core.ListStarting,
+	wire.RentalRunning:  core.ListRunning,
+	wire.RentalFailed:   core.ListFailed,
+}
+
+// listedMachines is the cloud's list as the engine takes it. Machines in a state that
+// isn't known here are left out.
+func listedMachines(rentals []wire.Rental) []core.ListedMachine {
+	machines := make([]core.ListedMachine, 0, len(rentals))
+	for _, rental := range rentals {
+		status, known := listStatuses[rental.Status]
+		if !known {
+			continue
+		}
+		machines = append(machines, core.ListedMachine{
+			Name: rental.Ref, Addr: rental.Endpoint, Type: rental.Build, Zone: rental.Yard, Spot: rental.Loaners,
+			Status: status, Held: time.Duration(rental.HeldS * float64(time.Second)),
+		})
+	}
+	return machines
+}
--- /dev/null
+++ b/internal/daemon/session.go
@@ -0,0 +1,215 @@
+package daemon
+
+import (
+	"context"
+	"log/slog"
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"gingertally/internal/core"
+	"gingertally/internal/leadership"
+)
+
+// leaderSession is this node's work as leader during one term: it drives the core's
+// engine by events, and carries out the effects that the engine asks for.
+type leaderSession struct {
+	daemon *Daemon
+	ctx    context.Context
+	term   leadership.Term
+	ledger uint64        // the store's revision to watch on from
+	wake   chan struct{} // there may be something to write
+
+	mu     sync.Mutex
+	engine *core.Engine
+
+	contactMu   sync.Mutex
+	lastContact time.Time // when a report last arrived, or the lease last became valid again
+}
+
+// elected starts a leader's session; it ends with ctx.
+func (d *Daemon) elected(ctx context.Context, term leadership.Term) {
+	go func() {
+		s := &leaderSession{daemon: d, ctx: ctx, term: term, wake: make(chan struct{}, 1)}
+		d.metrics.leading.Set(1)
+		d.metrics.term.Set(float64(term.N))
+		err := s.run()
+		d.session.CompareAndSwap(s, nil)
+		d.metrics.leading.Set(0)
+		slog.Info("leader session over", "term", term.N, "reason", err)
+	}()
+}
+
+// resumed tells the session that the leader's lease is valid again.
+func (d *Daemon) resumed() {
+	if s := d.session.Load(); s != nil {
+		s.noteContact()
+		s.step(core.Resumed{})
+	}
+}
+
+// holdsLease tells whether this node still holds a valid leader's lease.
+func (s *leaderSession) holdsLease() bool { return s.daemon.elector.HoldsLease(time.Now()) }
+
+// noteContact notes that a worker has reached this node.
+func (s *leaderSession) noteContact() {
+	s.contactMu.Lock()
+	defer s.contactMu.Unlock()
+	s.lastContact = time.Now()
+}
+
+// sinceContact is for how long no worker has reached this node.
+func (s *leaderSession) sinceContact() time.Duration {
+	s.contactMu.Lock()
+	defer s.contactMu.Unlock()
+	return time.Since(s.lastContact)
+}
+
+// run takes over from the leader before, and works until the term ends.
+func (s *leaderSession) run() error {
+	if err := s.takeOver(); err != nil {
+		return err
+	}
+	if types := s.daemon.types(); types != nil {
+		s.engine.Step(time.Now(), core.Catalog{Types: types})
+	}
+	s.noteContact()
+	s.daemon.session.Store(s)
+	group, ctx := errgroup.WithContext(s.ctx)
+	s.ctx = ctx
+	group.Go(s.tickLoop)
+	group.Go(s.writeLoop)
+	group.Go(s.watchLoop)
+	group.Go(s.listLoop)
+	group.Go(s.askLoop)
+	return group.Wait()
+}
+
+// snapshotRetry is the pause after records that couldn't be read.
+const snapshotRetry = 200 * time.Millisecond
+
+// takeOver reads all records and builds the engine from them.
+func (s *leaderSession) takeOver() error {
+	for {
+		snapshot, ledger, err := s.daemon.records.Snapshot(s.ctx)
+		if err == nil {
+			s.ledger = ledger
+			slog.Info("takeover", "term", s.term.N, "jobs", len(snapshot.Jobs), "pages", len(snapshot.Pages))
+			// All earlier leases ended before the claim, so before now
+			// (docs/design.md, "Safety arguments" 1; TestOneLeader).
+			s.engine = core.New(time.Now(), s.daemon.coreConfig, s.term.N, snapshot, newRand())
+			return nil
+		}
+		slog.Warn("read records", "error", err)
+		if !sleep(s.ctx, snapshotRetry) {
+			return s.ctx.Err()
+		}
+	}
+}
+
+// newRand is a generator with a seed of its own.
+func newRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
+
+// sleep waits; false if ctx ended.
+func sleep(ctx context.Context, d time.Duration) bool {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+		return false
+	case <-timer.C:
+		return true
+	}
+}
+
+// step moves the engine on by an event and carries out its effects.
+func (s *leaderSession) step(event core.Event) core.Effects {
+	s.mu.Lock()
+	effects := s.engine.Step(time.Now(), event)
+	pressing := s.engine.Pressing()
+	s.mu.Unlock()
+	if pressing {
+		s.wakeWriter()
+	}
+	logNotes(effects.Notes)
+	if effects.Deposed {
+		slog.Warn("a higher token exists", "term", s.term.N)
+		s.daemon.elector.Deposed()
+		return effects
+	}
+	for _, command := range effects.Direct {
+		s.daemon.commands.send(s, command)
+	}
+	for _, request := range effects.Rent {
+		go s.rent(request)
+	}
+	for _, names := range effects.Release {
+		go s.release(names)
+	}
+	return effects
+}
+
+// logNotes logs what the engine has to tell the operators.
+func logNotes(notes []core.Note) {
+	for _, note := range notes {
+		if note.Debug {
+			slog.Debug(note.Text, note.Args...)
+		} else {
+			slog.Info(note.Text, note.Args...)
+		}
+	}
+}
+
+// lookup is what the engine knows of a job.
+func (s *leaderSession) lookup(ref string) (core.JobView, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.engine.Lookup(ref)
+}
+
+// mayBeOnMachines tells whether tasks of a job may still run.
+func (s *leaderSession) mayBeOnMachines(ref string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.engine.MayBeOnMachines(ref)
+}
+
+// tickEvery is how often time passes for the engine.
+const tickEvery = 100 * time.Millisecond
+
+// silentReports is after how many report periods without any worker's report a leader
+// resigns, though machines should report.
+const silentReports = 3
+
+// tickLoop has the engine decide, or resigns if no worker reaches this node.
+func (s *leaderSession) tickLoop() error {
+	unreachedAfter := silentReports * s.daemon.coreConfig.ReportEvery
+	for sleep(s.ctx, tickEvery) {
+		if !s.holdsLease() {
+			continue
+		}
+		if s.expectsReports() && s.sinceContact() > unreachedAfter {
+			s.daemon.elector.Resign("no worker has reported")
+			continue
+		}
+		s.decide()
+	}
+	return s.ctx.Err()
+}
+
+// expectsReports tells whether any machine is believed to report.
+func (s *leaderSession) expectsReports() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.engine.HasLive()
+}
+
+// decide has the engine run a round of decisions, within its budget of time.
+func (s *leaderSession) decide() {
+	began := time.Now()
+	end := began.Add(s.daemon.operator.RoundBudget)
+	defer func() { s.daemon.metrics.round.Observe(time.Since(began).Seconds()) }()
+	s.step(core.Tick{Spent: func() bool { return time.Now().After(end) }})
+}
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -3,10 +3,10 @@
 import (
 	"context"
 	"encoding/json"
+	"net/http"
+	"sync"
 	"time"
 
-	"golang.org/x/sync/errgroup"
-
 	"gingertally/internal/core"
 )
 
@@ -30,68 +30,78 @@
 	Role    string       `json:"role"`             // its part in leadership
 	Leader  string       `json:"leader,omitempty"` // as far as that node knows
 	Serves  bool         `json:"serves_users"`
-	Leading *core.Status `json:"leading,omitempty"` // what it knows as the entitled leader
+	Leading *core.Status `json:"leading,omitempty"` // what it knows as the leader, while its lease is valid
 	// Versions of all controllers, as far as the node that was asked could find out.
 	Versions map[string]string `json:"versions,omitempty"`
 }
 
+// statusTimeout bounds the wait for the other nodes' status.
+const statusTimeout = time.Second
+
 // status tells of this node, and of the deployment if it leads.
 func (d *Daemon) status(now time.Time) Status {
-	s := Status{Node: d.cfg.Member, Version: Version, Role: d.lead.Role().String(), Leader: d.lead.Leader(), Serves: d.healthz() == 200}
-	if r := d.reign.Load(); r != nil && r.entitled() {
-		r.mu.Lock()
-		st := r.eng.Status(now)
-		r.mu.Unlock()
-		s.Leading = &st
+	status := Status{
+		Node: d.settings.Member, Version: Version, Role: d.elector.Role().String(), Leader: d.elector.Leader(),
+		Serves: d.healthStatus() == http.StatusOK,
 	}
-	return s
+	if s := d.session.Load(); s != nil && s.holdsLease() {
+		s.mu.Lock()
+		leading := s.engine.Status(now)
+		s.mu.Unlock()
+		status.Leading = &leading
+	}
+	return status
 }
 
 // statusAnywhere is the leader's status if it can be had, else this node's, with
 // the versions of all controllers.
 func (d *Daemon) statusAnywhere(ctx context.Context) []byte {
 	own := d.status(time.Now())
-	ctx, cancel := context.WithTimeout(ctx, time.Second)
-	defer cancel()
 	names := d.peersFirst()
-	told := make([]*Status, len(names))
-	var g errgroup.Group
-	for i, name := range names {
-		g.Go(func() error {
-			var s Status
-			code, body, err := d.peers.Relay(ctx, name, "GET", statusPath, nil)
-			if err != nil || code != 200 || json.Unmarshal(body, &s) != nil {
-				return nil // shown as no answer
-			}
-			told[i] = &s
-			return nil
-		})
-	}
-	_ = g.Wait()
 	shown := own
 	versions := map[string]string{own.Node: own.Version}
-	for i, s := range told {
+	for i, status := range d.peersStatus(ctx, names) {
 		switch {
-		case s == nil:
+		case status == nil:
 			versions[names[i]] = noAnswer
 			continue
-		case s.Version == "":
+		case status.Version == "":
 			versions[names[i]] = olderVersion
 		default:
-			versions[names[i]] = s.Version
+			versions[names[i]] = status.Version
 		}
-		if own.Leading == nil && s.Leading != nil {
-			shown = *s
+		if own.Leading == nil && status.Leading != nil {
+			shown = *status
 		}
 	}
 	shown.Versions = versions
 	return shown.encode()
 }
 
+// peersStatus asks the other nodes for their status, in the order of their names; nil
+// stands for no answer.
+func (d *Daemon) peersStatus(ctx context.Context, names []string) []*Status {
+	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
+	defer cancel()
+	answers := make([]*Status, len(names))
+	var asking sync.WaitGroup
+	for i, name := range names {
+		asking.Go(func() {
+			var status Status
+			code, body, err := d.peers.Relay(ctx, name, http.MethodGet, statusPath, nil)
+			if err == nil && code == http.StatusOK && json.Unmarshal(body, &status) == nil {
+				answers[i] = &status
+			}
+		})
+	}
+	asking.Wait()
+	return answers
+}
+
 func (s Status) encode() []byte {
-	b, err := json.Marshal(s)
+	body, err := json.Marshal(s)
 	if err != nil {
 		return []byte("{}") // plain data; can't happen
 	}
-	return b
+	return body
 }
