--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -81,7 +81,7 @@
 	return d, nil
 }
 
-// roundBudget is how many placements a round of decisions tries at the most.
+// roundBudget is how many tasks one round of decisions looks at.
 const roundBudget = 2000
 
 // coreConfig is the core's configuration for a deployment.
@@ -142,7 +142,7 @@
 	})
 	limits := jobstore.Limits{
 		ValueBytes: d.coreConfig.MaxPerValue, TxnOps: state.TxnOps,
-		SureFor: d.coreConfig.CancelWithin / notCancelledParts,
+		NotCancelledFor: d.coreConfig.CancelWithin / notCancelledParts,
 	}
 	d.jobs = jobstore.New(d.store, limits)
 	d.records = jobstore.New(d.store.Part(state.RPS*leaderPart, state.WriteRPS*leaderPart), limits)
--- a/internal/daemon/leader_view.go
+++ b/internal/daemon/leader_view.go
@@ -72,7 +72,7 @@
 	case !state.Found:
 		err = jobstore.ErrUnknownJob
 	case state.Phase == pipeline.Active:
-		err = jobstore.ErrNotOurs
+		err = jobstore.ErrNotLeader
 	}
 	return state.Phase, err
 }
--- a/internal/daemon/session_watch.go
+++ b/internal/daemon/session_watch.go
@@ -124,7 +124,7 @@
 		s.mu.Unlock()
 		pause = askEvery
 		for _, ref := range refs {
-			if !s.loadJob(ref, s.daemon.records.LoadOver) {
+			if !s.loadJob(ref, s.daemon.records.LoadFinished) {
 				s.step(core.NotLearnt{Ref: ref})
 				pause = askRetry
 			}
--- a/internal/jobstore/awaits_test.go
+++ b/internal/jobstore/dependencies_test.go
@@ -20,7 +20,7 @@
 
 // A job may wait for jobs that were accepted, whatever became of them, and for
 // nothing else; a job that is known was accepted with the list it had then.
-func TestCheckParents(t *testing.T) {
+func TestCheckDependencies(t *testing.T) {
 	m, j, term := setup(t)
 	for ref, shape := range map[string]pipeline.Shape{"j-2": pipeline.Array, "j-3": pipeline.Service} {
 		if err := j.Create(ctx, pipeline.Spec{Ref: ref, Tasks: 1, Shape: shape}, nil, time.Now()); err != nil {
@@ -42,18 +42,18 @@
 	}{
 		{"j-5", nil, nil},
 		{"j-5", []string{"j-1", "j-2"}, nil},
-		{"j-5", []string{"j-1", "j-4"}, ErrParent},
-		{"j-5", []string{"j-3"}, ErrParent},
-		{"j-5", []string{"j-5"}, ErrParent},
-		{"j-5", []string{"nonsense"}, ErrParent},
+		{"j-5", []string{"j-1", "j-4"}, ErrBadDependency},
+		{"j-5", []string{"j-3"}, ErrBadDependency},
+		{"j-5", []string{"j-5"}, ErrBadDependency},
+		{"j-5", []string{"nonsense"}, ErrBadDependency},
 		{"j-1", []string{"j-4"}, ErrExists},
 		{"j-2", []string{"j-2"}, ErrExists},
 		{"j-5", many, nil},
-		{"j-5", append(many[:9:9], "j-4"), ErrParent},
-		{"j-5", append(many[:9:9], "j-3"), ErrParent},
+		{"j-5", append(many[:9:9], "j-4"), ErrBadDependency},
+		{"j-5", append(many[:9:9], "j-3"), ErrBadDependency},
 	} {
 		fresh := New(m, Limits{ValueBytes: 4000, TxnOps: 2}) // knows nothing yet
-		if err := fresh.CheckParents(ctx, c.ref, c.awaits); !errors.Is(err, c.want) || c.want == nil && err != nil {
+		if err := fresh.CheckDependencies(ctx, c.ref, c.awaits); !errors.Is(err, c.want) || c.want == nil && err != nil {
 			t.Errorf("%s after %v: %v, want %v", c.ref, c.awaits, err, c.want)
 		}
 	}
@@ -63,7 +63,7 @@
 // cancelled it yet. The state service once failed for longer than cancel_s right after
 // a user was told of a cancellation; when it was back, nodes told those after it that
 // they were queued.
-func TestInDoubt(t *testing.T) {
+func TestDependencyCancelled(t *testing.T) {
 	m, j, term := setup(t)
 	for i, awaits := range [][]string{{"j-1"}, {"j-2"}, {"j-2", "j-3"}} {
 		if err := j.Create(ctx, pipeline.Spec{Ref: fmt.Sprintf("j-%d", i+2), Tasks: 1}, awaits, time.Now()); err != nil {
@@ -71,14 +71,14 @@
 		}
 	}
 	now := time.Unix(1000, 0)
-	asked := New(m, Limits{ValueBytes: 4000, TxnOps: 8, SureFor: 10 * time.Second})
+	asked := New(m, Limits{ValueBytes: 4000, TxnOps: 8, NotCancelledFor: 10 * time.Second})
 	doubt := func(ref string) bool {
 		t.Helper()
 		st, err := asked.Load(ctx, ref)
 		if err != nil || !st.Found {
 			t.Fatalf("%s: %+v, %v", ref, st, err)
 		}
-		d, err := asked.InDoubt(ctx, st, now)
+		d, err := asked.DependencyCancelled(ctx, st, now)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/jobstore/jobstore_test.go
+++ b/internal/jobstore/jobstore_test.go
@@ -110,7 +110,7 @@
 	if _, _, err := j.Apply(ctx, term, []core.Write{w}); !errors.Is(err, ErrDeposed) {
 		t.Fatalf("error %v", err)
 	}
-	if _, err := j.Cancel(ctx, "j-1", time.Now(), UnderTerm(term)); !errors.Is(err, ErrNotOurs) {
+	if _, err := j.Cancel(ctx, "j-1", time.Now(), UnderTerm(term)); !errors.Is(err, ErrNotLeader) {
 		t.Fatalf("cancellation under an old term: %v", err)
 	}
 }
@@ -132,13 +132,13 @@
 	before, _ := j.Load(ctx, "j-1")
 	st, err := New(unanswered{m}, j.limits).Cancel(ctx, "j-1", time.Now(), UnderTerm(term))
 	want := core.CancelOutcome{Ref: "j-1", Unknown: true, Version: before.Version}
-	if got := CancelEvent("j-1", st, err); !errors.Is(err, ErrInDoubt) || got != want {
+	if got := CancelEvent("j-1", st, err); !errors.Is(err, ErrUnknownOutcome) || got != want {
 		t.Fatalf("%+v, %v", got, err)
 	}
 	if now, _ := j.Load(ctx, "j-1"); now.Phase != pipeline.Cancelled {
 		t.Fatalf("%+v", now)
 	}
-	if got := CancelEvent("j-1", st, ErrNotOurs); got != (core.CancelOutcome{Ref: "j-1", Version: before.Version}) {
+	if got := CancelEvent("j-1", st, ErrNotLeader); got != (core.CancelOutcome{Ref: "j-1", Version: before.Version}) {
 		t.Fatalf("%+v", got)
 	}
 }
@@ -164,7 +164,7 @@
 	if err := j.Create(ctx, pipeline.Spec{Ref: "j-2", Tasks: 1}, nil, time.Now()); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := j.Cancel(ctx, "j-2", time.Now(), nobodyLeads); !errors.Is(err, ErrNotOurs) {
+	if _, err := j.Cancel(ctx, "j-2", time.Now(), nobodyLeads); !errors.Is(err, ErrNotLeader) {
 		t.Fatalf("cancellation past the leader: %v", err)
 	}
 	if _, err := j.Cancel(ctx, "j-3", time.Now(), UnderTerm(term)); !errors.Is(err, ErrUnknownJob) {
--- /dev/null
+++ b/internal/jobstore/writes.go
@@ -0,0 +1,127 @@
+package jobstore
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"slices"
+
+	"gingertally/internal/core"
+	"gingertally/internal/leadership"
+	"gingertally/internal/statestore"
+	"gingertally/internal/wire"
+)
+
+// maxTxnBytes keeps a transaction below the state service's limit (PROTOCOL:
+// 64 KiB in its JSON form, which is somewhat larger than CBOR).
+const maxTxnBytes = 40 << 10
+
+// transaction is what one commit asks for.
+type transaction struct {
+	conditions []wire.Condition
+	changes    []wire.Change
+}
+
+// bytes is the size of the transaction's keys and values.
+func (t *transaction) bytes() int {
+	size := 0
+	for _, change := range t.changes {
+		size += len(change.V) + len(change.Put) + len(change.Drop)
+	}
+	return size
+}
+
+// add joins another transaction to this one.
+func (t *transaction) add(other transaction) {
+	t.conditions = append(t.conditions, other.conditions...)
+	t.changes = append(t.changes, other.changes...)
+}
+
+// Apply writes as many of the leader's writes, in order, as one transaction
+// takes. It returns those it covered, and their revision. On a conflict over
+// the term, ErrDeposed (docs/design.md, "Safety arguments" 2;
+// TestDeposedLeaderCannotWrite).
+func (j *Jobs) Apply(ctx context.Context, term leadership.Term, writes []core.Write) ([]core.Write, uint64, error) {
+	txn := transaction{conditions: []wire.Condition{UnderTerm(term)}}
+	size, count := 0, 0
+	for _, write := range writes {
+		part, err := encode(write)
+		if err != nil {
+			return nil, 0, err
+		}
+		size += part.bytes()
+		if size > maxTxnBytes && count > 0 {
+			break
+		}
+		txn.add(part)
+		count++
+	}
+	sent := writes[:count]
+	revision, err := j.store.Commit(ctx, txn.conditions, txn.changes)
+	if errors.Is(err, statestore.ErrRefused) && count > 1 {
+		return j.Apply(ctx, term, writes[:1]) // one that is refused mustn't stop the others
+	}
+	var conflict *statestore.ConflictError
+	if errors.As(err, &conflict) && slices.Contains(conflict.Failed, leadership.TermKey) {
+		return sent, 0, ErrDeposed
+	}
+	return sent, revision, err
+}
+
+// encode puts one of the leader's writes into the store's form.
+func encode(write core.Write) (transaction, error) {
+	switch write.Kind {
+	case core.WritePage:
+		return putVersion(pageKey(write.Name), write.Page, write.Version)
+	case core.DropPage:
+		key := pageKey(write.Name)
+		return transaction{[]wire.Condition{{Path: key, Stamp: write.Version}}, []wire.Change{{Drop: key}}}, nil
+	case core.WriteJob:
+		return putVersion(JobPrefix+write.Name, write.Job, write.Version)
+	case core.WriteFinal:
+		return encodeFinal(write)
+	case core.WriteChunk:
+		return put(chunkKey(write.Name, write.Chunk), write.Runs)
+	case core.WriteImages: // only the leader writes these, one after the other
+		return put(imagePrefix+write.Name, write.Images)
+	case core.DropImages:
+		return drop(imagePrefix + write.Name), nil
+	case core.DropChunk:
+		return drop(chunkKey(write.Name, write.Chunk)), nil
+	case core.DropAwaits:
+		return drop(dependencyKey(write.Name, write.Sum, write.Chunk)), nil
+	}
+	return transaction{}, fmt.Errorf("unknown write %d", write.Kind)
+}
+
+// encodeFinal puts a job's final entry in place of its record.
+func encodeFinal(write core.Write) (transaction, error) {
+	txn, err := putVersion(finalPrefix+write.Name, write.Final, 0)
+	key := JobPrefix + write.Name
+	txn.add(transaction{[]wire.Condition{{Path: key, Stamp: write.Version}}, []wire.Change{{Drop: key}}})
+	return txn, err
+}
+
+// putVersion writes a value over a version of it; 0 stands for none.
+func putVersion(key string, value any, version uint64) (transaction, error) {
+	txn, err := put(key, value)
+	txn.conditions = []wire.Condition{{Path: key, Stamp: version}}
+	return txn, err
+}
+
+// put writes a value whatever was there.
+func put(key string, value any) (transaction, error) {
+	encoded, err := wire.Marshal(value)
+	return transaction{changes: []wire.Change{{Put: key, V: encoded}}}, err
+}
+
+// drop deletes a key whatever was there.
+func drop(key string) transaction {
+	return transaction{changes: []wire.Change{{Drop: key}}}
+}
+
+// PageVersion reads the version of a page of the start log; 0 if there is none.
+func (j *Jobs) PageVersion(ctx context.Context, name string) (uint64, error) {
+	item, _, err := j.store.Get(ctx, pageKey(name))
+	return item.Stamp, err
+}
--- a/internal/simulation/cancel.go
+++ b/internal/simulation/cancel.go
@@ -41,7 +41,7 @@
 			confirmed(st)
 		}
 	}
-	if !errors.Is(err, jobstore.ErrInDoubt) {
+	if !errors.Is(err, jobstore.ErrUnknownOutcome) {
 		outcome()
 		return
 	}
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -68,7 +68,7 @@
 	n.claiming, n.promised, n.booted, n.promises = 0, time.Time{}, n.local(), map[*node]time.Time{}
 	n.health = health.New(n.local())
 	limits := n.limits()
-	limits.SureFor = n.w.o.Cancel / sureParts
+	limits.NotCancelledFor = n.w.o.Cancel / sureParts
 	n.jobs = jobstore.New(n.storeView(), limits)
 	n.loop(n.life, 500*time.Millisecond, n.ask)
 	n.loop(n.life, time.Second, n.keepContact)
@@ -406,7 +406,7 @@
 		answered := false
 		var st jobstore.State
 		err := statestore.ErrUnknown
-		n.call(func() { st, err = jobs.LoadOver(bg, ref) }, func() {
+		n.call(func() { st, err = jobs.LoadFinished(bg, ref) }, func() {
 			if err == nil && st.Found && n.eng == eng {
 				answered = true
 				n.learnt(st, ref)
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -145,7 +145,7 @@
 		create()
 	} else { // the check and the write are two calls, between which anything may happen
 		err := statestore.ErrUnknown
-		n.call(func() { err = jobs.CheckParents(bg, j.spec.Ref, j.awaits()) }, func() {
+		n.call(func() { err = jobs.CheckDependencies(bg, j.spec.Ref, j.awaits()) }, func() {
 			if j.taken(err) {
 				create()
 			}
@@ -177,7 +177,7 @@
 
 // taken tells whether the outcome of a submission means that the job is accepted.
 func (j *userJob) taken(err error) bool {
-	if errors.Is(err, jobstore.ErrParent) || errors.Is(err, jobstore.ErrTooLarge) {
+	if errors.Is(err, jobstore.ErrBadDependency) || errors.Is(err, jobstore.ErrTooLarge) {
 		j.w.check.fail("%s refused: %v", j.spec.Ref, err)
 	}
 	return err == nil || errors.Is(err, jobstore.ErrExists)
@@ -219,7 +219,7 @@
 	if err != nil {
 		return v, false, false
 	}
-	if doubt, err := n.jobs.InDoubt(bg, st, n.local()); err != nil || doubt {
+	if doubt, err := n.jobs.DependencyCancelled(bg, st, n.local()); err != nil || doubt {
 		return v, false, false
 	}
 	return core.JobView{Phase: st.Phase, Done: st.Done}, st.Found, true
--- a/internal/userapi/userapi.go
+++ b/internal/userapi/userapi.go
@@ -17,11 +17,11 @@
 
 // Jobs is the store of jobs.
 type Jobs interface {
-	CheckParents(ctx context.Context, ref string, awaits []string) error
+	CheckDependencies(ctx context.Context, ref string, awaits []string) error
 	Create(ctx context.Context, spec pipeline.Spec, awaits []string, now time.Time) error
 	Load(ctx context.Context, ref string) (jobstore.State, error)
-	// InDoubt tells whether a job that the store says waits may have to be cancelled.
-	InDoubt(ctx context.Context, st jobstore.State, now time.Time) (bool, error)
+	// DependencyCancelled tells whether a job that the store says waits may have to be cancelled.
+	DependencyCancelled(ctx context.Context, st jobstore.State, now time.Time) (bool, error)
 }
 
 // Leader is the leader's view of jobs, here or on another node.
@@ -81,7 +81,7 @@
 		return failure(422, errNever)
 	}
 	spec.Types = knownTypes(spec.Types, catalog)
-	if err = s.Jobs.CheckParents(ctx, spec.Ref, awaits); err == nil {
+	if err = s.Jobs.CheckDependencies(ctx, spec.Ref, awaits); err == nil {
 		err = s.Jobs.Create(ctx, spec, awaits, time.Now())
 	}
 	switch {
@@ -89,7 +89,7 @@
 		return Answer{Status: 201, Body: wire.State(spec.Ref, pipeline.Active, 0, 0)}
 	case errors.Is(err, jobstore.ErrExists):
 		return s.state(ctx, spec.Ref)
-	case errors.Is(err, jobstore.ErrParent), errors.Is(err, jobstore.ErrTooLarge):
+	case errors.Is(err, jobstore.ErrBadDependency), errors.Is(err, jobstore.ErrTooLarge):
 		return failure(422, err)
 	}
 	return later()
@@ -134,7 +134,7 @@
 	if !st.Found {
 		return Answer{Status: 404}
 	}
-	if doubt, err := s.Jobs.InDoubt(ctx, st, time.Now()); err != nil || doubt {
+	if doubt, err := s.Jobs.DependencyCancelled(ctx, st, time.Now()); err != nil || doubt {
 		return later()
 	}
 	return tell(ref, core.JobView{Phase: st.Phase, Done: st.Done})
--- a/internal/userapi/userapi_test.go
+++ b/internal/userapi/userapi_test.go
@@ -24,7 +24,7 @@
 
 var errDown = errors.New("store is down")
 
-func (w *world) CheckParents(_ context.Context, ref string, awaits []string) error {
+func (w *world) CheckDependencies(_ context.Context, ref string, awaits []string) error {
 	if w.down {
 		return errDown
 	}
@@ -33,7 +33,7 @@
 		case w.jobs[ref].Found:
 			return jobstore.ErrExists
 		case !w.jobs[a].Found:
-			return jobstore.ErrParent
+			return jobstore.ErrBadDependency
 		}
 	}
 	return nil
@@ -57,7 +57,7 @@
 	return w.jobs[ref], nil
 }
 
-func (*world) InDoubt(_ context.Context, st jobstore.State, _ time.Time) (bool, error) {
+func (*world) DependencyCancelled(_ context.Context, st jobstore.State, _ time.Time) (bool, error) {
 	return st.Record.Held(), nil
 }
 
@@ -159,7 +159,7 @@
 	if a := s.Get(ctx, "j-000009"); a.Status != 503 {
 		t.Errorf("404 without asking the store: %d", a.Status)
 	}
-	for err, want := range map[error]int{nil: 200, jobstore.ErrUnknownJob: 404, jobstore.ErrNotOurs: 503, errDown: 503} {
+	for err, want := range map[error]int{nil: 200, jobstore.ErrUnknownJob: 404, jobstore.ErrNotLeader: 503, errDown: 503} {
 		w.cancel = err
 		if a := s.Withdraw(ctx, "j-000002"); a.Status != want {
 			t.Errorf("withdraw with %v: %d, want %d", err, a.Status, want)
