--- a/internal/wire/agent.go
+++ b/internal/wire/agent.go
@@ -41,57 +41,83 @@
 	"busy": fleet.CauseBusy, "no_such": fleet.CauseUnknown,
 }
 
-// ParseReport decodes and checks a worker's report.
+// ParseReport decodes and checks a worker's report. Every error is ErrMalformed.
 func ParseReport(body []byte) (fleet.Report, error) {
-	var r fleet.Report
 	if len(body) > MaxBody || !isMap(body) {
-		return r, fmt.Errorf("%w: not a map within the size limit", ErrMalformed)
+		return fleet.Report{}, fmt.Errorf("%w: not a map within the size limit", ErrMalformed)
 	}
-	var m Beat
-	if err := Unmarshal(body, &m); err != nil {
-		return r, err
+	var beat Beat
+	if err := Unmarshal(body, &beat); err != nil {
+		return fleet.Report{}, err
 	}
-	if m.Stall == nil || *m.Stall == "" || m.Endpoint == nil || m.Build == nil || m.Yard == nil ||
-		m.Loaners == nil || m.Shift == nil || m.Tick == nil || m.Gavel == nil {
-		return r, fmt.Errorf("%w: a field of the report is missing", ErrMalformed)
+	report, err := parseMachine(&beat)
+	if err != nil {
+		return report, err
 	}
-	r = fleet.Report{Machine: *m.Stall, Addr: *m.Endpoint, Type: *m.Build, Zone: *m.Yard, Spot: *m.Loaners,
-		Session: *m.Shift, Seq: *m.Tick, Token: *m.Gavel, Notice: -1}
-	if m.WarningS != nil {
-		if math.IsNaN(*m.WarningS) || math.IsInf(*m.WarningS, 0) {
-			return r, fmt.Errorf("%w: warning_s", ErrMalformed)
-		}
-		r.Notice = max(0, time.Duration(*m.WarningS*float64(time.Second)))
-	}
-	for _, l := range m.Lots {
-		if l.Lot == nil || l.Try == nil || l.Status == nil {
-			return r, fmt.Errorf("%w: a field of a reported task is missing", ErrMalformed)
-		}
-		ref, task, err := ParseTaskName(*l.Lot)
+	for i := range beat.Lots {
+		task, err := parseTask(&beat.Lots[i])
 		if err != nil {
-			return r, err
-		}
-		st, ok := taskStates[*l.Status]
-		if !ok {
-			return r, fmt.Errorf("%w: task state %q", ErrMalformed, *l.Status)
-		}
-		t := fleet.TaskReport{Ref: ref, Task: task, Attempt: *l.Try, State: st}
-		if st == fleet.Exited {
-			if l.Cause == nil {
-				return r, fmt.Errorf("%w: exit without a cause", ErrMalformed)
-			}
-			if t.Cause, ok = exitCauses[*l.Cause]; !ok {
-				t.Cause = fleet.CauseError // an unknown cause is a bad exit
-			}
-			t.Saved = l.Kept != nil && *l.Kept
+			return report, err
 		}
-		r.Tasks = append(r.Tasks, t)
+		report.Tasks = append(report.Tasks, task)
+	}
+	return report, nil
+}
+
+// noNotice stands for a machine that its cloud hasn't announced to take away.
+const noNotice = -1
+
+// parseMachine reads what a report says of the machine itself.
+func parseMachine(beat *Beat) (fleet.Report, error) {
+	named := beat.Stall != nil && *beat.Stall != "" && beat.Endpoint != nil && beat.Build != nil && beat.Yard != nil && beat.Loaners != nil
+	ordered := beat.Shift != nil && beat.Tick != nil && beat.Gavel != nil
+	if !named || !ordered {
+		return fleet.Report{}, fmt.Errorf("%w: a field of the report is missing", ErrMalformed)
+	}
+	report := fleet.Report{
+		Machine: *beat.Stall, Addr: *beat.Endpoint, Type: *beat.Build, Zone: *beat.Yard, Spot: *beat.Loaners,
+		Session: *beat.Shift, Seq: *beat.Tick, Token: *beat.Gavel, Notice: noNotice,
+	}
+	if beat.WarningS == nil {
+		return report, nil
+	}
+	if math.IsNaN(*beat.WarningS) || math.IsInf(*beat.WarningS, 0) {
+		return report, fmt.Errorf("%w: warning_s", ErrMalformed)
+	}
+	report.Notice = max(0, time.Duration(*beat.WarningS*float64(time.Second)))
+	return report, nil
+}
+
+// parseTask reads what a report says of one task.
+func parseTask(lot *beatLot) (fleet.TaskReport, error) {
+	var task fleet.TaskReport
+	if lot.Lot == nil || lot.Try == nil || lot.Status == nil {
+		return task, fmt.Errorf("%w: a field of a reported task is missing", ErrMalformed)
+	}
+	ref, number, err := ParseTaskName(*lot.Lot)
+	if err != nil {
+		return task, err
+	}
+	state, known := taskStates[*lot.Status]
+	if !known {
+		return task, fmt.Errorf("%w: task state %q", ErrMalformed, *lot.Status)
+	}
+	task = fleet.TaskReport{Ref: ref, Task: number, Attempt: *lot.Try, State: state}
+	if state != fleet.Exited {
+		return task, nil
+	}
+	if lot.Cause == nil {
+		return task, fmt.Errorf("%w: exit without a cause", ErrMalformed)
+	}
+	if task.Cause, known = exitCauses[*lot.Cause]; !known {
+		task.Cause = fleet.CauseError // an unknown cause is a bad exit
 	}
-	return r, nil
+	task.Saved = lot.Kept != nil && *lot.Kept
+	return task, nil
 }
 
-// Orders is the answer to a report, and without Gavel's session the core of a
-// direct command.
+// Orders is the answer to a report, and, with the worker's session in Shift, a direct
+// command.
 type Orders struct {
 	Gavel  uint64  `cbor:"gavel"`
 	Shift  uint64  `cbor:"shift,omitempty"`
@@ -112,21 +138,21 @@
 }
 
 // OrdersOf puts commands into their wire form.
-func OrdersOf(cmds []fleet.Command) []Order {
-	out := make([]Order, 0, len(cmds))
-	for _, c := range cmds {
-		o := Order{Lot: TaskName(c.Ref, c.Task), Try: c.Attempt}
-		switch c.Op {
+func OrdersOf(commands []fleet.Command) []Order {
+	orders := make([]Order, 0, len(commands))
+	for _, command := range commands {
+		order := Order{Lot: TaskName(command.Ref, command.Task), Try: command.Attempt}
+		switch command.Op {
 		case fleet.Start:
-			o.Verb = "start"
+			order.Verb = "start"
 		case fleet.Stop:
-			o.Verb = "halt"
-			g := c.Grace.Seconds()
-			o.Leeway = &g
+			order.Verb = "halt"
+			grace := command.Grace.Seconds()
+			order.Leeway = &grace
 		case fleet.Forget:
-			o.Verb = "clear"
+			order.Verb = "clear"
 		}
-		out = append(out, o)
+		orders = append(orders, order)
 	}
-	return out
+	return orders
 }
