--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -310,7 +310,7 @@
 }
 
 // owesForget tells whether results on a machine are not yet written.
-func (e *Engine) owesForget(m *fleet.Machine) bool {
+func (*Engine) owesForget(m *fleet.Machine) bool {
 	for _, a := range m.Tasks {
 		if a.State() == fleet.Exited && !a.Handled {
 			return true
