--- a/internal/core/decide.go
+++ b/internal/core/decide.go
@@ -108,7 +108,7 @@
 		delete(e.changed, m)
 		t := e.catalog[m.Type]
 		switch {
-		case t == nil || m.Draining || m.Sick || e.deaf[m]:
+		case t == nil || m.Draining || m.Sick || e.unreachable[m]:
 			e.floor.Remove(m)
 		case m.State() == fleet.Booting && m.Known && now.Sub(m.FirstSeen) <= e.slowBoot(t):
 			e.floor.Set(m, t, true)
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -90,8 +90,8 @@
 	Number     uint64
 	state      TaskState
 	Cause      Cause
-	ToldSeq    uint64 // the report in answer to which the machine was last told something about it
-	Inherit    bool   // from an earlier term: only a report under this term's token proves it gone
+	CommandSeq uint64 // the report in answer to which the machine was last told something about it
+	Inherited  bool   // from an earlier term: only a report under this term's token proves it gone
 	Foreign    bool   // not wanted here; stopped and never counted as a result of ours
 	StopAt     time.Time
 	Stopping   bool
@@ -160,8 +160,8 @@
 	HoldUntil              time.Time // gets no starts until then
 	CheckAt                time.Time // when it is to be looked at next
 	Known                  bool      // listed by the cloud, rented, or heard under this term's token: not just an old copy's word
-	Deaf                   Deafness
-	Regress                Regress
+	OneWayLoss             OneWayLoss
+	StaleReports           StaleReports
 	ErrorJobs              map[string]bool
 	Errors                 int
 	ReleaseTries           int
@@ -212,21 +212,14 @@
 	return max(0, every-now.Sub(m.LastHeard))
 }
 
-// Newer tells whether a report is newer than all seen of this machine. A worker's
-// token, session and sequence only rise, until it starts anew and counts from
-// one: only the token then tells its reports from late copies of former ones.
-func (m *Machine) Newer(r *Report) bool {
-	if r.Token != m.Token {
-		return r.Token > m.Token
-	}
-	return r.Session > m.Session || (r.Session == m.Session && r.Seq > m.Seq)
-}
+// Newer tells whether a report is newer than all that have been taken in.
+func (m *Machine) Newer(r *Report) bool { return r.Epoch().After(m.Epoch()) }
 
-// LeaseOver tells whether the worker's lease has certainly ended: nobody can
-// have answered it after LeaseBase, and its clock drifts by no more than that
-// of ours does.
+// LeaseOver tells whether the worker's lease has certainly ended: nobody can have
+// answered it after LeaseBase, and the drift of the two clocks is allowed for
+// (docs/design.md, safety argument 5; TestInheritedAttemptUntilLeaseOver).
 func (m *Machine) LeaseOver(now time.Time, lease time.Duration) bool {
-	return !m.LeaseBase.IsZero() && now.Sub(m.LeaseBase) > lease+lease/500+time.Second
+	return !m.LeaseBase.IsZero() && now.Sub(m.LeaseBase) > lease+leaseDrift(lease)+time.Second
 }
 
 // Used returns what all that may be on the machine takes of it. Exited tasks
--- /dev/null
+++ b/internal/core/fleet/stale_reports.go
@@ -0,0 +1,61 @@
+package fleet
+
+import "time"
+
+// Epoch orders the reports of one machine: by token, then session, then sequence number.
+// A worker's token only rises, but a worker that restarts counts its sessions and
+// sequence numbers from one again.
+type Epoch struct{ Token, Session, Seq uint64 }
+
+// Epoch returns the report's place in the order of its machine's reports.
+func (r *Report) Epoch() Epoch { return Epoch{r.Token, r.Session, r.Seq} }
+
+// Epoch returns the place of the newest report known of the machine.
+func (m *Machine) Epoch() Epoch { return Epoch{m.Token, m.Session, m.Seq} }
+
+// After tells whether an epoch is later than another. The token comes first: it alone
+// tells the reports of a restarted worker from late copies of its former ones
+// (docs/design.md, safety argument 5; TestCopyFromFormerLife).
+func (p Epoch) After(o Epoch) bool {
+	if p.Token != o.Token {
+		return p.Token > o.Token
+	}
+	return p.CountsPast(o)
+}
+
+// CountsPast tells whether session and sequence number alone are past another epoch's.
+func (p Epoch) CountsPast(o Epoch) bool {
+	return p.Session > o.Session || p.Session == o.Session && p.Seq > o.Seq
+}
+
+// Restarted tells whether a report of this epoch, which is after the other, can only
+// come from a worker that has restarted in between: its token is higher, but it
+// counts from lower numbers. What was known before are late copies.
+func (p Epoch) Restarted(o Epoch) bool { return p.Token > o.Token && !p.CountsPast(o) }
+
+// StaleReports follows the reports of a machine that are not newer than the newest one
+// known. They are late or duplicate copies, or come from a worker that has restarted
+// and counts from one again (docs/design.md, safety argument 5; TestWorkerStartsAnew).
+type StaleReports struct {
+	last        Epoch
+	risingSince time.Time
+	rising      int // stale reports in a row, each later than the one before
+}
+
+// restartReports is how many stale reports must rise steadily to show a restart.
+const restartReports = 3
+
+// NoteStale takes in a stale report. It tells whether such reports have risen steadily
+// for at least the given time, so that the worker must have restarted.
+func (s *StaleReports) NoteStale(now time.Time, r *Report, atLeast time.Duration) (restarted bool) {
+	if r.Epoch().CountsPast(s.last) {
+		s.rising++
+	} else {
+		s.rising = 1
+	}
+	if s.rising == 1 {
+		s.risingSince = now
+	}
+	s.last = r.Epoch()
+	return s.rising >= restartReports && now.Sub(s.risingSince) >= atLeast
+}
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -222,7 +222,7 @@
 	case fleet.Exited:
 		return
 	case fleet.Intended, fleet.Recorded:
-		if !a.Inherit {
+		if !a.Inherited {
 			e.detach(now, m, a)
 			e.requeue(a)
 			return
@@ -234,7 +234,7 @@
 	a.Stopping, a.StopAt, a.Grace = true, now, grace
 	e.touch(m)
 	if a.State() != fleet.Sent {
-		a.ToldSeq = 0
+		a.CommandSeq = 0
 	}
 	if a.State() == fleet.Sent || m.Session == 0 {
 		return // goes with the next report's response, once it is there
@@ -310,7 +310,7 @@
 	current := j != nil && a.Task < len(j.Tasks) && j.Tasks[a.Task].Attempt == a.Number
 	ran := a.RunStart
 	e.moveAttempt(now, m, a, fleet.Exited)
-	a.Cause, a.ToldSeq = t.Cause, 0
+	a.Cause, a.CommandSeq = t.Cause, 0
 	if t.Cause == fleet.CauseDone {
 		e.debug("attempt done", "job", a.Ref, "task", a.Task, "machine", m.Name)
 		m.Forgive()
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -44,7 +44,7 @@
 			e.addMachine(now, m)
 			e.unheard++
 		}
-		a := &fleet.Attempt{Key: k, Number: p.n, Inherit: true, CPUs: j.CPUs, GPUs: j.GPUs, MemGB: j.MemGB, Image: j.Image}
+		a := &fleet.Attempt{Key: k, Number: p.n, Inherited: true, CPUs: j.CPUs, GPUs: j.GPUs, MemGB: j.MemGB, Image: j.Image}
 		e.attach(now, m, a, fleet.Recorded)
 		p.page.Add(a, true)
 		j.Assign(k.Task, m.Name, p.n)
@@ -179,7 +179,7 @@
 		e.lost(now, m, a, "machine gone")
 	}
 	delete(e.machines, m.Name)
-	delete(e.deaf, m)
+	delete(e.unreachable, m)
 	e.imagesGone(m.Name)
 	e.gone[m.Name] = now
 	e.note("machine gone", "machine", m.Name)
@@ -249,15 +249,15 @@
 		next = now.Add(time.Second)
 	case fleet.Live, fleet.Silent, fleet.Unheard:
 		e.watchSilence(now, m)
-		e.watchDeaf(now, m)
+		e.releaseUnreachable(now, m)
 		switch {
-		case m.State() == fleet.Live && !m.Sick && !m.Draining && !e.deaf[m]:
+		case m.State() == fleet.Live && !m.Sick && !m.Draining && !e.unreachable[m]:
 			next = m.LastHeard.Add(e.silentAfter() + time.Millisecond)
 		case m.State() == fleet.Silent && len(m.Tasks) == 0:
 			next = now.Add(time.Second)
 		}
 	}
-	if m.Sick || m.Draining || e.deaf[m] || m.State() == fleet.Silent {
+	if m.Sick || m.Draining || e.unreachable[m] || m.State() == fleet.Silent {
 		e.withdrawUnsent(now, m)
 	}
 	if m.State() == fleet.Live && (m.Sick || m.Draining) && m.Busy() == 0 && !e.owesForget(m) {
@@ -280,7 +280,7 @@
 // no more of them; they would wait there for good.
 func (e *Engine) withdrawUnsent(now time.Time, m *fleet.Machine) {
 	for _, a := range sortedAttempts(m) {
-		if a.State() <= fleet.Recorded && !a.Inherit {
+		if a.State() <= fleet.Recorded && !a.Inherited {
 			e.stop(now, m, a, 0)
 			e.gangBroken(now, a)
 		}
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -29,8 +29,8 @@
 		e.note("machine reports unexpectedly", "machine", m.Name, "type", m.Type, "zone", m.Zone)
 	}
 	if !m.Newer(&rep) {
-		e.older(now, m, &rep)
-		return // an old copy proves nothing and must not renew the lease
+		e.staleReport(now, m, &rep)
+		return // a stale copy proves nothing and must not renew the lease
 	}
 	busy := m.Busy()
 	e.hear(now, m, &rep)
@@ -44,13 +44,13 @@
 	m.LeaseBase = now
 }
 
-// older handles a report that isn't newer than all known ones. Mostly it is a
-// late copy. If such reports rise steadily while nothing newer comes, the
-// machine's worker has started anew and counts from one: all that was there is
-// lost, and since nothing tells its reports from copies, the machine goes back.
-func (e *Engine) older(now time.Time, m *fleet.Machine, r *fleet.Report) {
-	again := m.Regress.Note(now, r, e.cfg.ReportEvery)
-	if again && now.Sub(m.LastHeard) > e.silentAfter() {
+// staleReport handles a report that isn't newer than all known ones. Mostly it is a
+// late or duplicate copy. If such reports rise steadily while nothing newer comes, the
+// machine's worker has restarted and counts from one again: all that was there is
+// lost, and since nothing tells its reports from copies, the machine is released.
+func (e *Engine) staleReport(now time.Time, m *fleet.Machine, r *fleet.Report) {
+	restarted := m.StaleReports.NoteStale(now, r, e.cfg.ReportEvery)
+	if restarted && now.Sub(m.LastHeard) > e.silentAfter() {
 		e.release(now, m, "started anew")
 	}
 }
@@ -99,10 +99,7 @@
 
 // hear takes in a report that is newer than all before it.
 func (e *Engine) hear(now time.Time, m *fleet.Machine, r *fleet.Report) {
-	// A higher token under a lower count: the worker has started anew, and what was
-	// known of it are late copies of its former reports.
-	anew := r.Token > m.Token && (r.Session < m.Session || r.Session == m.Session && r.Seq <= m.Seq)
-	newSession := r.Session > m.Session || anew
+	newSession := r.Session > m.Session || r.Epoch().Restarted(m.Epoch())
 	was, quiet := m.State(), now.Sub(m.LastHeard)
 	if was == fleet.Booting || was == fleet.Silent {
 		m.IdleSince = now // it couldn't be used before
@@ -110,7 +107,7 @@
 	if was != fleet.Releasing && e.moveMachine(now, m, fleet.Live) {
 		e.note("machine live", "machine", m.Name, "type", m.Type, "zone", m.Zone, "spot", m.Spot, "was", was.String(), "after", now.Sub(m.FirstSeen))
 	}
-	e.judgeHearing(now, m, r, newSession && was == fleet.Live && quiet < e.cfg.Lease/2)
+	e.detectOneWayLoss(now, m, r, newSession && was == fleet.Live && quiet < e.cfg.Lease/2)
 	m.Addr, m.LastHeard = r.Addr, now
 	m.Session, m.Seq, m.Token = r.Session, r.Seq, r.Token
 	if r.Token == e.term && (!m.Confirmed || !m.Known) {
@@ -122,7 +119,7 @@
 		// earlier terms had started. Whatever is there now is in the list below;
 		// of earlier terms' late starts only a confirmed report can speak.
 		for _, a := range sortedAttempts(m) {
-			if !lists(r, a) && (!a.Inherit || m.Confirmed) {
+			if !lists(r, a) && (!a.Inherited || m.Confirmed) {
 				e.lost(now, m, a, "session over")
 			}
 		}
@@ -136,51 +133,71 @@
 	e.notice(now, m, r.Notice)
 }
 
-// judgeHearing looks for traces of what the machine was last told.
-func (e *Engine) judgeHearing(now time.Time, m *fleet.Machine, r *fleet.Report, leaseEnded bool) {
-	heeded, ignored := r.Session == m.Session && m.Deaf.Over(now, e.cfg.Lease), leaseEnded
-	if m.Deaf.Told {
-		heeded, ignored = heeded || r.Token == e.term, ignored || r.Token != e.term
+// delivery is what a report shows about the answers that its machine was sent.
+type delivery struct {
+	delivered   bool // an answer has shown its effect
+	undelivered bool // an answer should have, and hasn't
+}
+
+// detectOneWayLoss looks in a report for traces of what the machine was last told.
+func (e *Engine) detectOneWayLoss(now time.Time, m *fleet.Machine, r *fleet.Report, leaseEnded bool) {
+	switch d := e.deliveryShown(now, m, r, leaseEnded); {
+	case d.delivered:
+		if m.OneWayLoss.Undelivered > 1 {
+			e.touch(m)
+		}
+		m.OneWayLoss.NoteDelivered()
+		delete(e.unreachable, m)
+	case d.undelivered:
+		m.OneWayLoss.NoteUndelivered(now)
+		m.HoldUntil = now.Add(undeliveredPause)
+		e.touch(m)
+		if m.OneWayLoss.Undelivered > 1 {
+			e.unreachable[m] = true
+			e.watch.set(m, now)
+		}
+	}
+}
+
+// deliveryShown compares a report with the commands and the token that the machine was
+// last told. LeaseEnded says that the worker's lease has ended although its reports
+// were answered.
+func (e *Engine) deliveryShown(now time.Time, m *fleet.Machine, r *fleet.Report, leaseEnded bool) delivery {
+	d := delivery{
+		delivered:   r.Session == m.Session && m.OneWayLoss.MustHaveDelivered(now, e.cfg.Lease),
+		undelivered: leaseEnded,
+	}
+	if m.OneWayLoss.Expecting {
+		if r.Token == e.term {
+			d.delivered = true
+		} else {
+			d.undelivered = true
+		}
 	}
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
 		a := m.Tasks[fleet.Key{Ref: t.Ref, Task: t.Task}]
-		if a == nil || a.Number != t.Attempt || a.ToldSeq == 0 || a.ToldSeq >= r.Seq {
+		if a == nil || a.Number != t.Attempt || a.CommandSeq == 0 || a.CommandSeq >= r.Seq {
 			continue
 		}
 		switch {
 		case a.State() == fleet.Sent:
-			heeded = true
+			d.delivered = true
 		case t.State == fleet.Exited && a.State() == fleet.Exited, a.Stopping && a.Grace == 0 && t.State < fleet.Saving:
-			ignored = true // a clear, or a stop that asks for no saving
+			d.undelivered = true // a forget, or a stop that asks for no saving
 		}
 	}
 	for _, a := range m.Tasks {
-		if a.State() == fleet.Sent && a.ToldSeq < r.Seq && !lists(r, a) {
-			ignored = true
-		}
-	}
-	switch {
-	case heeded:
-		if m.Deaf.Count > 1 {
-			e.touch(m)
-		}
-		m.Deaf.Heeded()
-		delete(e.deaf, m)
-	case ignored:
-		m.Deaf.Ignored(now)
-		m.HoldUntil = now.Add(deafPause)
-		e.touch(m)
-		if m.Deaf.Count > 1 {
-			e.deaf[m] = true
-			e.watch.set(m, now)
+		if a.State() == fleet.Sent && a.CommandSeq < r.Seq && !lists(r, a) {
+			d.undelivered = true
 		}
 	}
+	return d
 }
 
-// deafPause is how long a machine gets no starts after an answer that it seems
-// not to have had. After the second in a row it gets none until it heeds one.
-const deafPause = 2 * time.Second
+// undeliveredPause is how long a machine gets no starts after an answer that it seems
+// not to have received. After the second in a row it gets none until one is delivered.
+const undeliveredPause = 2 * time.Second
 
 func lists(r *fleet.Report, a *fleet.Attempt) bool {
 	for i := range r.Tasks {
@@ -191,11 +208,16 @@
 	return false
 }
 
-// watchDeaf gives a machine back that has heeded nothing for long: its worker's
-// lease isn't renewed by answers that don't arrive, so all on it is as good as
-// lost. When many seem deaf at once, it is this node that can't be heard.
-func (e *Engine) watchDeaf(now time.Time, m *fleet.Machine) {
-	if !e.deaf[m] || now.Sub(m.Deaf.Since) < e.cfg.Lease/2 || len(e.deaf) > max(2, len(e.machines)/4) {
+// releaseUnreachable releases a machine to which no answer was delivered for half a
+// lease: its worker's lease isn't renewed by answers that don't arrive, so all on it is
+// as good as lost. When many machines seem unreachable at once, it is this node whose
+// answers are lost, and none is released (docs/design.md, safety argument 6;
+// TestOneWayLossOfAllIsOurs).
+func (e *Engine) releaseUnreachable(now time.Time, m *fleet.Machine) {
+	if !e.unreachable[m] || now.Sub(m.OneWayLoss.FirstUndelivered) < e.cfg.Lease/2 {
+		return
+	}
+	if len(e.unreachable) > max(2, len(e.machines)/4) {
 		return
 	}
 	e.release(now, m, "hears nothing")
@@ -211,11 +233,11 @@
 		case a.State() == fleet.Exited:
 			e.drop(now, m, a)
 			e.unforgotten(now, a)
-		case a.Inherit:
+		case a.Inherited:
 			if m.Confirmed {
 				e.lost(now, m, a, "not reported under this term")
 			}
-		case a.State() == fleet.Sent && r.Seq > a.ToldSeq:
+		case a.State() == fleet.Sent && r.Seq > a.CommandSeq:
 			// The response with the start was answered or dropped before this
 			// report was sent; the worker never executes it later.
 			e.lost(now, m, a, "start dropped")
@@ -239,9 +261,9 @@
 	a := m.Tasks[k]
 	if a != nil && a.Number != t.Attempt {
 		switch {
-		case a.Inherit && t.Attempt > a.Number:
+		case a.Inherited && t.Attempt > a.Number:
 			e.lost(now, m, a, "a newer attempt is there") // placed only once this one was proven gone
-		case a.State() <= fleet.Recorded && !a.Inherit:
+		case a.State() <= fleet.Recorded && !a.Inherited:
 			e.stop(now, m, a, 0) // the start hasn't left; the old attempt goes first
 		}
 		if a = m.Tasks[k]; a != nil {
@@ -256,7 +278,7 @@
 		}
 		a = e.adopt(now, m, t)
 	}
-	a.Inherit = false
+	a.Inherited = false
 	if t.State == fleet.Exited {
 		e.exited(now, m, a, t)
 		return
@@ -295,7 +317,7 @@
 // commands is what the worker is told in answer to the report just heard: first
 // what it may forget, then stops, then starts.
 func (e *Engine) commands(now time.Time, m *fleet.Machine) []fleet.Command {
-	m.Deaf.Told = m.Token != e.term
+	m.OneWayLoss.Expecting = m.Token != e.term
 	if len(m.Tasks) == 0 {
 		return nil
 	}
@@ -306,7 +328,7 @@
 		case st == fleet.Exited:
 			if a.Handled {
 				c.Op = fleet.Forget
-				a.ToldSeq = m.Seq
+				a.CommandSeq = m.Seq
 				clears = append(clears, c)
 			}
 		case a.Stopping:
@@ -314,11 +336,11 @@
 				continue // it saves; a second stop could end that
 			}
 			c.Op, c.Grace = fleet.Stop, a.Grace
-			a.ToldSeq = m.Seq
+			a.CommandSeq = m.Seq
 			stops = append(stops, c)
-		case st == fleet.Recorded && !a.Inherit && e.mayStart(m) && !now.Before(a.NotBefore):
+		case st == fleet.Recorded && !a.Inherited && e.mayStart(m) && !now.Before(a.NotBefore):
 			c.Op = fleet.Start
-			a.ToldSeq = m.Seq
+			a.CommandSeq = m.Seq
 			e.moveAttempt(now, m, a, fleet.Sent)
 			cache, rate := e.catalog.Images(m.Type)
 			a.SentAt, a.FetchGuess = now, m.FetchLeft(now, a.Image, e.imageGB(a.Ref), rate)
@@ -333,7 +355,7 @@
 
 // mayStart tells whether a machine may be given starts.
 func (e *Engine) mayStart(m *fleet.Machine) bool {
-	return m.Confirmed && !m.Draining && !m.Sick && !e.deaf[m] && m.State() == fleet.Live
+	return m.Confirmed && !m.Draining && !m.Sick && !e.unreachable[m] && m.State() == fleet.Live
 }
 
 func (e *Engine) imageGB(ref string) float64 {
--- a/internal/core/safety_test.go
+++ b/internal/core/safety_test.go
@@ -195,7 +195,7 @@
 func TestDroppedStart(t *testing.T) {
 	b, c := started(t)
 	b.report("m-1", 2)
-	b.pass(deafPause+time.Second, true)
+	b.pass(undeliveredPause+time.Second, true)
 	s := starts(b.report("m-1", 2))
 	if len(s) != 1 || s[0].Attempt <= c.Attempt {
 		t.Fatalf("after a dropped start: %v, before %v", s, c)
@@ -413,7 +413,7 @@
 
 // Starts on a machine whose reports arrive but that hears nothing come to nothing
 // again and again: it gets no more of them and is given back.
-func TestDeafMachine(t *testing.T) {
+func TestOneWayLoss(t *testing.T) {
 	b, _ := started(t)
 	at := b.now
 	sent := 0
@@ -433,15 +433,15 @@
 	t.Fatal("kept although it hears nothing")
 }
 
-// A machine that seemed deaf and keeps its session for longer than a lease must
+// A machine that seemed unreachable and keeps its session for longer than a lease must
 // have had answers: six such machines, idle, were once kept and never used again.
-func TestDeafnessEnds(t *testing.T) {
+func TestOneWayLossEnds(t *testing.T) {
 	b := newBench(t, 2, Snapshot{})
 	names := []string{"m-1", "m-2", "m-3", "m-4"}
 	for _, m := range names {
 		b.up(m)
-		b.e.machines[m].Deaf = fleet.Deafness{Since: b.now, Last: b.now, Count: 2}
-		b.e.deaf[b.e.machines[m]] = true // so many that none is given back
+		b.e.machines[m].OneWayLoss = fleet.OneWayLoss{FirstUndelivered: b.now, LastUndelivered: b.now, Undelivered: 2}
+		b.e.unreachable[b.e.machines[m]] = true // so many that none is given back
 	}
 	b.e.Step(b.now, JobStored{job("j-2", 32)})
 	used := map[string]bool{}
@@ -460,7 +460,7 @@
 
 // When all machines seem to hear nothing, it is this node that isn't heard, and
 // giving the machines back would end all work.
-func TestDeafnessOfAllIsOurs(t *testing.T) {
+func TestOneWayLossOfAllIsOurs(t *testing.T) {
 	b := newBench(t, 2, Snapshot{Jobs: []StoredJob{job("j-1", 40)}})
 	names := []string{"m-1", "m-2", "m-3", "m-4", "m-5"}
 	for _, m := range names {
