--- a/internal/core/consolidate.go
+++ b/internal/core/consolidate.go
@@ -70,10 +70,10 @@
 		e.note("machine emptied", "machine", m.Name, "type", m.Type, "tasks", m.Busy(), "saves", math.Round(c.gain*100)/100)
 		for _, a := range sortedAttempts(m) {
 			if j := e.jobs[a.Ref]; j != nil && a.State() != fleet.Exited {
-				e.stopOrderly(now, m, a, j)
+				e.stopWithSave(now, m, a, j)
 			}
 		}
-		e.drainMachine(now, m)
+		e.startDraining(now, m)
 	}
 }
 
--- a/internal/core/decide.go
+++ b/internal/core/decide.go
@@ -186,7 +186,7 @@
 // preempt stops an attempt to make room.
 func (e *Engine) preempt(now time.Time, a *fleet.Attempt) {
 	e.note("preempted", "job", a.Ref, "task", a.Task, "machine", a.On.Name)
-	e.stopOrderly(now, a.On, a, e.jobs[a.Ref])
+	e.stopWithSave(now, a.On, a, e.jobs[a.Ref])
 }
 
 func hasForeign(m *fleet.Machine) bool {
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -73,7 +73,7 @@
 	graph       *pipeline.Graph // which of them wait for which
 	order       []*pipeline.Job // unfinished jobs in ready order
 	machines    map[string]*fleet.Machine
-	watch       watchList               // when machines are to be looked at
+	timers      timerQueue              // when machines are to be looked at
 	unheard     int                     // machines on record that have not been heard of yet
 	gone        map[string]time.Time    // names of machines proven gone
 	use         map[string]*jobUse      // what may be on machines, by job
@@ -194,11 +194,11 @@
 	e.graph = pipeline.NewGraph(e.stageTime)
 	e.writes.init()
 	e.images.init()
-	e.inheritImages(snap.Images) // before the machines that it speaks of
+	e.recoverImageLog(snap.Images) // before the machines that it speaks of
 	for _, s := range snap.Jobs {
 		e.addJob(now, s)
 	}
-	e.inherit(now, snap.Pages)
+	e.recoverStartLog(now, snap.Pages)
 	for _, j := range sortedJobs(e.cancelled) {
 		e.stopJob(now, j, "cancelled before this term") // the first answer already says so
 	}
@@ -303,11 +303,11 @@
 		e.writes.pageChanged(p)
 	}
 	e.touch(m)
-	e.dropUse(a.Ref)
+	e.forgetUse(a.Ref)
 }
 
-// dropUse forgets the use of a job that is over and nowhere any more.
-func (e *Engine) dropUse(ref string) {
+// forgetUse forgets the use of a job that is over and nowhere any more.
+func (e *Engine) forgetUse(ref string) {
 	if u := e.use[ref]; u != nil && len(u.attempts)+len(u.results) == 0 && e.jobs[ref] == nil {
 		delete(e.use, ref)
 	}
@@ -323,7 +323,7 @@
 	m.Drop(now, a.Key)
 	if u := e.use[a.Ref]; u != nil {
 		delete(u.results, a)
-		e.dropUse(a.Ref)
+		e.forgetUse(a.Ref)
 	}
 }
 
@@ -335,8 +335,8 @@
 
 func (t Tick) apply(e *Engine, now time.Time) {
 	e.lastTick = now
-	e.watchMachines(now)
-	e.chaseCancelled(now)
+	e.checkMachines(now)
+	e.enforceCancellations(now)
 	e.decide(now, t.Spent)
 }
 
--- a/internal/core/imagelog.go
+++ b/internal/core/imagelog.go
@@ -65,8 +65,8 @@
 // pageMachines is how many machines a page takes.
 func (e *Engine) pageMachines() int { return min(100, max(8, e.cfg.MaxPerValue/120)) }
 
-// inheritImages takes over what the image log says.
-func (e *Engine) inheritImages(stored []StoredImages) {
+// recoverImageLog takes over what the image log says.
+func (e *Engine) recoverImageLog(stored []StoredImages) {
 	l := &e.images
 	for _, s := range stored {
 		p := l.page(s.Name)
--- a/internal/core/images_test.go
+++ b/internal/core/images_test.go
@@ -202,13 +202,13 @@
 	b.e.Step(b.now, ReportIn{idle})
 	reported = b.now
 	for b.e.Step(b.now, Collect{idle}).Reply.Hold {
-		if b.pass(200*time.Millisecond, true); b.now.Sub(reported) > heldMost+time.Second {
+		if b.pass(200*time.Millisecond, true); b.now.Sub(reported) > maxReplyHold+time.Second {
 			t.Fatalf("held for %s; workers wait 4 s", b.now.Sub(reported))
 		}
 	}
 	b = newBench(t, 2, Snapshot{})
 	b.e.Step(b.now, Tick{})
-	b.now = b.now.Add(2 * behind)
+	b.now = b.now.Add(2 * maxTickLag)
 	if eff := b.e.Step(b.now, ReportIn{idle}); eff.Reply.Hold {
 		t.Fatal("held by a leader that falls behind")
 	}
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -144,7 +144,7 @@
 func (e *Engine) removeJob(j *pipeline.Job) {
 	delete(e.jobs, j.Ref)
 	e.graph.Remove(j)
-	e.dropUse(j.Ref)
+	e.forgetUse(j.Ref)
 	if i := slices.Index(e.order, j); i >= 0 {
 		e.order = slices.Delete(e.order, i, i+1)
 	}
@@ -259,9 +259,9 @@
 	}
 }
 
-// chaseCancelled makes sure that the tasks of cancelled jobs are gone in time,
+// enforceCancellations makes sure that the tasks of cancelled jobs are gone in time,
 // also on machines that don't answer: those are released.
-func (e *Engine) chaseCancelled(now time.Time) {
+func (e *Engine) enforceCancellations(now time.Time) {
 	for _, j := range sortedJobs(e.cancelled) {
 		left := e.attemptsOf(j.Ref)
 		if len(left) == 0 {
@@ -279,17 +279,17 @@
 	}
 }
 
-// lost handles an attempt that is proven gone without a reported exit.
-func (e *Engine) lost(now time.Time, m *fleet.Machine, a *fleet.Attempt, why string) {
+// attemptLost handles an attempt that is proven gone without a reported exit.
+func (e *Engine) attemptLost(now time.Time, m *fleet.Machine, a *fleet.Attempt, why string) {
 	e.detach(now, m, a)
 	e.debug("attempt gone", "job", a.Ref, "task", a.Task, "machine", m.Name, "why", why)
 	e.requeue(a)
-	e.gangBroken(now, a)
+	e.stopBrokenGang(now, a)
 }
 
-// gangBroken stops the rest of a gang that has lost a task: an attempt of a
+// stopBrokenGang stops the rest of a gang that has lost a task: an attempt of a
 // gang runs whole or not at all.
-func (e *Engine) gangBroken(now time.Time, a *fleet.Attempt) {
+func (e *Engine) stopBrokenGang(now time.Time, a *fleet.Attempt) {
 	j := e.jobs[a.Ref]
 	if j == nil || j.Shape != pipeline.Gang || j.Tasks[0].State() == pipeline.Finished || len(j.Tasks) == 1 {
 		return
@@ -301,8 +301,8 @@
 	}
 }
 
-// exited handles a reported exit, once.
-func (e *Engine) exited(now time.Time, m *fleet.Machine, a *fleet.Attempt, t fleet.TaskReport) {
+// taskExited handles a reported exit, once.
+func (e *Engine) taskExited(now time.Time, m *fleet.Machine, a *fleet.Attempt, t fleet.TaskReport) {
 	if a.State() == fleet.Exited {
 		return // reported again, until the worker is told to forget it
 	}
@@ -319,7 +319,7 @@
 			return
 		}
 		if !ran.IsZero() && j.Estimate > 0 {
-			e.learn(j, now.Sub(ran))
+			e.learnRunTime(j, now.Sub(ran))
 		}
 		e.useOf(a.Ref).results[a] = true // may be forgotten once written
 		j.Finish(a.Task)
@@ -336,7 +336,7 @@
 	}
 	switch t.Cause {
 	case fleet.CauseError:
-		e.blame(now, m, j, a.Task)
+		e.taskFailed(now, m, j, a.Task)
 	case fleet.CauseNoRoom, fleet.CauseBusy:
 		m.HoldUntil = now.Add(min(e.cfg.ReportEvery, 3*time.Second))
 		m.DropImage(a.Image)
@@ -344,26 +344,26 @@
 		j.Tasks[a.Task].NotUntil = now.Add(2 * time.Second)
 	}
 	j.Requeue(a.Task)
-	e.gangBroken(now, a)
+	e.stopBrokenGang(now, a)
 	e.replan = true
 }
 
-// sickJobs is how many different jobs must fail on a machine, with no success
-// between, before the machine is blamed; sickErrors the same for bad exits.
+// sickAfterJobs is how many different jobs must fail on a machine, with no success
+// between, before the machine is blamed; sickAfterErrors the same for bad exits.
 const (
-	sickJobs   = 2
-	sickErrors = 3
+	sickAfterJobs   = 2
+	sickAfterErrors = 3
 )
 
-// blame weighs an exit with an error against the machine before the job.
-func (e *Engine) blame(now time.Time, m *fleet.Machine, j *pipeline.Job, task int) {
+// taskFailed weighs an exit with an error against the machine before the job.
+func (e *Engine) taskFailed(now time.Time, m *fleet.Machine, j *pipeline.Job, task int) {
 	m.Blame(j.Ref)
 	j.Abort(now, task, e.cfg.RestartLimit)
 	e.writes.jobChanged(j)
 	e.touch(m)
-	if !m.Sick && (len(m.ErrorJobs) >= sickJobs || m.Errors >= sickErrors && len(j.BadOn) == 0) {
+	if !m.Sick && (len(m.ErrorJobs) >= sickAfterJobs || m.Errors >= sickAfterErrors && len(j.BadOn) == 0) {
 		m.Sick = true
-		e.watch.set(m, now)
+		e.timers.schedule(m, now)
 		e.note("machine taken for sick", "machine", m.Name, "errors", m.Errors)
 		for ref := range m.ErrorJobs {
 			if o := e.jobs[ref]; o != nil {
@@ -377,8 +377,8 @@
 	}
 }
 
-// learn takes in how long a task ran against its estimate.
-func (e *Engine) learn(j *pipeline.Job, ran time.Duration) {
+// learnRunTime takes in how long a task ran against its estimate.
+func (e *Engine) learnRunTime(j *pipeline.Job, ran time.Duration) {
 	c := e.class(j.Class)
 	r := min(max(float64(ran)/float64(j.Estimate), 0.1), 10)
 	c.runs++
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -9,10 +9,10 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// inherit takes over what the start log says may be on machines. Of several
+// recoverStartLog takes over what the start log says may be on machines. Of several
 // entries for one task only the highest attempt can be current: it was written
 // only after the ones before it were proven gone.
-func (e *Engine) inherit(now time.Time, stored []StoredPage) {
+func (e *Engine) recoverStartLog(now time.Time, stored []StoredPage) {
 	type place struct {
 		on   fleet.Placed
 		page *fleet.Page
@@ -55,7 +55,7 @@
 func (e *Engine) addMachine(now time.Time, m *fleet.Machine) {
 	e.machines[m.Name] = m
 	m.Images = e.imagesLeft(m.Name)
-	e.watch.set(m, now)
+	e.timers.schedule(m, now)
 	e.touch(m)
 }
 
@@ -68,7 +68,7 @@
 	if was == fleet.Unheard {
 		e.unheard--
 	}
-	e.watch.set(m, now)
+	e.timers.schedule(m, now)
 	e.touch(m)
 	return true
 }
@@ -163,20 +163,20 @@
 			m.HoldUntil = now.Add(time.Second)
 			continue
 		}
-		e.bury(now, m)
+		e.removeMachine(now, m)
 	}
 }
 
-// bury removes a machine that is proven gone with all on it.
-func (e *Engine) bury(now time.Time, m *fleet.Machine) {
+// removeMachine forgets a machine that is proven gone with all on it.
+func (e *Engine) removeMachine(now time.Time, m *fleet.Machine) {
 	e.moveMachine(now, m, fleet.Gone)
 	for _, a := range sortedAttempts(m) {
 		if a.State() == fleet.Exited {
 			e.drop(now, m, a)
-			e.unforgotten(now, a)
+			e.exitNoLongerReported(now, a)
 			continue
 		}
-		e.lost(now, m, a, "machine gone")
+		e.attemptLost(now, m, a, "machine gone")
 	}
 	delete(e.machines, m.Name)
 	delete(e.unreachable, m)
@@ -205,13 +205,13 @@
 // maxRelease is how many machines one release may name (PROTOCOL).
 const maxRelease = 100
 
-// watchMachines looks at the machines for which it is time: silence, ended
+// checkMachines looks at the machines for which it is time: silence, ended
 // leases, boots that take too long.
-func (e *Engine) watchMachines(now time.Time) {
-	for m := e.watch.due(now); m != nil; m = e.watch.due(now) {
-		next := e.watchMachine(now, m)
+func (e *Engine) checkMachines(now time.Time) {
+	for m := e.timers.expired(now); m != nil; m = e.timers.expired(now) {
+		next := e.checkMachine(now, m)
 		if m.State() != fleet.Gone {
-			e.watch.set(m, next)
+			e.timers.schedule(m, next)
 		}
 	}
 	if now.Sub(e.prunedAt) < time.Minute {
@@ -219,19 +219,19 @@
 	}
 	e.prunedAt = now
 	for name, at := range e.gone {
-		if now.Sub(at) > goneMemory {
+		if now.Sub(at) > keepGoneNames {
 			delete(e.gone, name)
 		}
 	}
 }
 
-// watchAgain is how soon a machine is looked at again on which something is
+// recheckEvery is how soon a machine is looked at again on which something is
 // going on.
-const watchAgain = 200 * time.Millisecond
+const recheckEvery = 200 * time.Millisecond
 
-// watchMachine looks at one machine and says when to do so again.
-func (e *Engine) watchMachine(now time.Time, m *fleet.Machine) time.Time {
-	next := now.Add(watchAgain)
+// checkMachine looks at one machine and says when to do so again.
+func (e *Engine) checkMachine(now time.Time, m *fleet.Machine) time.Time {
+	next := now.Add(recheckEvery)
 	switch m.State() {
 	case fleet.Releasing:
 		if m.ReleaseTries > 0 {
@@ -248,7 +248,7 @@
 		}
 		next = now.Add(time.Second)
 	case fleet.Live, fleet.Silent, fleet.Unheard:
-		e.watchSilence(now, m)
+		e.checkSilence(now, m)
 		e.releaseUnreachable(now, m)
 		switch {
 		case m.State() == fleet.Live && !m.Sick && !m.Draining && !e.unreachable[m]:
@@ -258,38 +258,38 @@
 		}
 	}
 	if m.Sick || m.Draining || e.unreachable[m] || m.State() == fleet.Silent {
-		e.withdrawUnsent(now, m)
+		e.withdrawUnsentStarts(now, m)
 	}
-	if m.State() == fleet.Live && (m.Sick || m.Draining) && m.Busy() == 0 && !e.owesForget(m) {
+	if m.State() == fleet.Live && (m.Sick || m.Draining) && m.Busy() == 0 && !e.hasUnstoredResults(m) {
 		e.release(now, m, "drained")
 	}
 	if !next.After(now) {
-		next = now.Add(watchAgain)
+		next = now.Add(recheckEvery)
 	}
 	return next
 }
 
-// drainMachine keeps a machine from getting more starts; it goes back once empty.
-func (e *Engine) drainMachine(now time.Time, m *fleet.Machine) {
+// startDraining keeps a machine from getting more starts; it goes back once empty.
+func (e *Engine) startDraining(now time.Time, m *fleet.Machine) {
 	m.Draining = true
-	e.watch.set(m, now)
+	e.timers.schedule(m, now)
 	e.touch(m)
 }
 
-// withdrawUnsent takes back starts that haven't left from a machine that gets
+// withdrawUnsentStarts takes back starts that haven't left from a machine that gets
 // no more of them; they would wait there for good.
-func (e *Engine) withdrawUnsent(now time.Time, m *fleet.Machine) {
+func (e *Engine) withdrawUnsentStarts(now time.Time, m *fleet.Machine) {
 	for _, a := range sortedAttempts(m) {
 		if a.State() <= fleet.Recorded && !a.Inherited {
 			e.stop(now, m, a, 0)
-			e.gangBroken(now, a)
+			e.stopBrokenGang(now, a)
 		}
 	}
 }
 
-// goneMemory is how long the names of machines that are gone are kept, for
+// keepGoneNames is how long the names of machines that are gone are kept, for
 // messages and lists that are late.
-const goneMemory = 15 * time.Minute
+const keepGoneNames = 15 * time.Minute
 
 // bootLimit is after how long a boot is given up: boots usually take up to one
 // and a half times the nominal time, some several times as long.
@@ -297,8 +297,8 @@
 	return 4*boot + 2*e.cfg.ListLag + 10*time.Second
 }
 
-// owesForget tells whether results on a machine are not yet written.
-func (e *Engine) owesForget(m *fleet.Machine) bool {
+// hasUnstoredResults tells whether results on a machine are not yet written.
+func (e *Engine) hasUnstoredResults(m *fleet.Machine) bool {
 	for _, a := range m.Tasks {
 		if a.State() == fleet.Exited && !a.Handled {
 			return true
@@ -307,10 +307,10 @@
 	return false
 }
 
-// vanished tells whether the cloud no longer lists a machine that it did: hint
+// missingFromList tells whether the cloud no longer lists a machine that it did: hint
 // enough to release it before its worker's lease has ended, which proves all on
 // it gone. Machines that only hang stay listed, and are waited for.
-func (e *Engine) vanished(m *fleet.Machine) bool {
+func (e *Engine) missingFromList(m *fleet.Machine) bool {
 	return !m.ListedAt.IsZero() && e.lastList.Sub(m.ListedAt) > 2*e.cfg.ListLag+4*time.Second
 }
 
@@ -318,12 +318,12 @@
 // reports have then failed to arrive, with a change of node between them.
 func (e *Engine) silentAfter() time.Duration { return 2*e.cfg.ReportEvery + 5*time.Second }
 
-func (e *Engine) watchSilence(now time.Time, m *fleet.Machine) {
+func (e *Engine) checkSilence(now time.Time, m *fleet.Machine) {
 	quiet := now.Sub(m.LastHeard)
 	if m.State() == fleet.Live && quiet > e.silentAfter() && e.moveMachine(now, m, fleet.Silent) {
 		e.note("machine silent", "machine", m.Name, "busy", m.Busy())
 	}
-	if m.State() != fleet.Live && quiet > e.silentAfter() && e.vanished(m) {
+	if m.State() != fleet.Live && quiet > e.silentAfter() && e.missingFromList(m) {
 		e.release(now, m, fmt.Sprintf("silent for %s", quiet.Round(time.Second)))
 		return
 	}
@@ -336,20 +336,20 @@
 	}
 	for _, a := range sortedAttempts(m) {
 		if a.State() != fleet.Exited {
-			e.lost(now, m, a, "lease over")
+			e.attemptLost(now, m, a, "lease over")
 		}
 	}
-	if quiet > e.keepSilent(m) {
+	if quiet > e.silentLimit(m) {
 		e.release(now, m, fmt.Sprintf("silent for %s", quiet.Round(time.Second)))
 	}
 }
 
-// keepSilent is how long a machine is kept that doesn't report but stays listed:
+// silentLimit is how long a machine is kept that doesn't report but stays listed:
 // beyond its worker's lease, which ends all on it, for about as long as another
 // would take to be of use. A zone that is cut off, or many machines that hang,
 // mostly come back sooner, with their images; and while they are away, what waits
 // is placed and rented for elsewhere.
-func (e *Engine) keepSilent(m *fleet.Machine) time.Duration {
+func (e *Engine) silentLimit(m *fleet.Machine) time.Duration {
 	boot := time.Minute
 	if t := e.catalog[m.Type]; t != nil {
 		boot = t.Boot
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -33,10 +33,10 @@
 		return // a stale copy proves nothing and must not renew the lease
 	}
 	busy := m.Busy()
-	e.hear(now, m, &rep)
+	e.applyReport(now, m, &rep)
 	// Room has become free, or a new leader is about to place: a start decided now
 	// would otherwise wait for the worker's next report.
-	soon := m.Busy() < busy || e.fresh(now, m)
+	soon := m.Busy() < busy || e.emptyUnderNewLeader(now, m)
 	e.out.Reply = &Reply{OK: true, Token: e.term, Hold: soon && e.mayStart(m)}
 	if m.AnswerHeld = e.out.Reply.Hold; !m.AnswerHeld {
 		e.out.Reply.Commands = e.commands(now, m)
@@ -55,23 +55,23 @@
 	}
 }
 
-// fresh tells whether a machine stands empty under a leader that is new itself, so
+// emptyUnderNewLeader tells whether a machine stands empty under a leader that is new itself, so
 // that much is to be placed at once, and that doesn't fall behind.
-func (e *Engine) fresh(now time.Time, m *fleet.Machine) bool {
-	return len(m.Tasks) == 0 && now.Sub(e.started) < e.cfg.ReportEvery && now.Sub(e.lastTick) < behind
+func (e *Engine) emptyUnderNewLeader(now time.Time, m *fleet.Machine) bool {
+	return len(m.Tasks) == 0 && now.Sub(e.started) < e.cfg.ReportEvery && now.Sub(e.lastTick) < maxTickLag
 }
 
-// heldMost is how long a reply may be held in all, behind how late a tick may be
+// maxReplyHold is how long a reply may be held in all, maxTickLag how late a tick may be
 // while replies are held.
 const (
-	heldMost = 2 * time.Second
-	behind   = 300 * time.Millisecond
+	maxReplyHold = 2 * time.Second
+	maxTickLag   = 300 * time.Millisecond
 )
 
-// holdAgain tells whether a reply that was held had better be held once more: the
+// keepHolding tells whether a reply that was held had better be held once more: the
 // machine is still empty, or what was placed there isn't written yet.
-func (e *Engine) holdAgain(now time.Time, m *fleet.Machine) bool {
-	if !e.mayStart(m) || now.Sub(m.LastHeard) > heldMost {
+func (e *Engine) keepHolding(now time.Time, m *fleet.Machine) bool {
+	if !e.mayStart(m) || now.Sub(m.LastHeard) > maxReplyHold {
 		return false
 	}
 	for _, a := range m.Tasks {
@@ -79,7 +79,7 @@
 			return true
 		}
 	}
-	return e.fresh(now, m)
+	return e.emptyUnderNewLeader(now, m)
 }
 
 // Collect completes the reply to a report that was held for a moment.
@@ -91,14 +91,14 @@
 	if m == nil || m.Session != c.Report.Session || m.Seq != c.Report.Seq {
 		return // a newer report has come; only its answer may start anything
 	}
-	e.out.Reply = &Reply{OK: true, Token: e.term, Hold: e.holdAgain(now, m)}
+	e.out.Reply = &Reply{OK: true, Token: e.term, Hold: e.keepHolding(now, m)}
 	if m.AnswerHeld = e.out.Reply.Hold; !m.AnswerHeld {
 		e.out.Reply.Commands = e.commands(now, m)
 	}
 }
 
-// hear takes in a report that is newer than all before it.
-func (e *Engine) hear(now time.Time, m *fleet.Machine, r *fleet.Report) {
+// applyReport takes in a report that is newer than all before it.
+func (e *Engine) applyReport(now time.Time, m *fleet.Machine, r *fleet.Report) {
 	newSession := r.Session > m.Session || r.Epoch().Restarted(m.Epoch())
 	was, quiet := m.State(), now.Sub(m.LastHeard)
 	if was == fleet.Booting || was == fleet.Silent {
@@ -119,18 +119,18 @@
 		// earlier terms had started. Whatever is there now is in the list below;
 		// of earlier terms' late starts only a confirmed report can speak.
 		for _, a := range sortedAttempts(m) {
-			if !lists(r, a) && (!a.Inherited || m.Confirmed) {
-				e.lost(now, m, a, "session over")
+			if !listsAttempt(r, a) && (!a.Inherited || m.Confirmed) {
+				e.attemptLost(now, m, a, "session over")
 			}
 		}
 	}
 	for i := range r.Tasks {
-		e.hearTask(now, m, r.Token, r.Tasks[i])
+		e.applyTaskReport(now, m, r.Token, r.Tasks[i])
 	}
 	if len(m.Tasks) > 0 {
-		e.hearMissing(now, m, r)
+		e.applyUnlisted(now, m, r)
 	}
-	e.notice(now, m, r.Notice)
+	e.interruptionNotice(now, m, r.Notice)
 }
 
 // delivery is what a report shows about the answers that its machine was sent.
@@ -154,7 +154,7 @@
 		e.touch(m)
 		if m.OneWayLoss.Undelivered > 1 {
 			e.unreachable[m] = true
-			e.watch.set(m, now)
+			e.timers.schedule(m, now)
 		}
 	}
 }
@@ -188,7 +188,7 @@
 		}
 	}
 	for _, a := range m.Tasks {
-		if a.State() == fleet.Sent && a.CommandSeq < r.Seq && !lists(r, a) {
+		if a.State() == fleet.Sent && a.CommandSeq < r.Seq && !listsAttempt(r, a) {
 			d.undelivered = true
 		}
 	}
@@ -199,7 +199,7 @@
 // not to have received. After the second in a row it gets none until one is delivered.
 const undeliveredPause = 2 * time.Second
 
-func lists(r *fleet.Report, a *fleet.Attempt) bool {
+func listsAttempt(r *fleet.Report, a *fleet.Attempt) bool {
 	for i := range r.Tasks {
 		if t := &r.Tasks[i]; t.Attempt == a.Number && t.Task == a.Task && t.Ref == a.Ref {
 			return true
@@ -223,46 +223,46 @@
 	e.release(now, m, "hears nothing")
 }
 
-// hearMissing deals with attempts that a report doesn't list.
-func (e *Engine) hearMissing(now time.Time, m *fleet.Machine, r *fleet.Report) {
+// applyUnlisted deals with attempts that a report doesn't list.
+func (e *Engine) applyUnlisted(now time.Time, m *fleet.Machine, r *fleet.Report) {
 	for _, a := range sortedAttempts(m) {
-		if lists(r, a) {
+		if listsAttempt(r, a) {
 			continue
 		}
 		switch {
 		case a.State() == fleet.Exited:
 			e.drop(now, m, a)
-			e.unforgotten(now, a)
+			e.exitNoLongerReported(now, a)
 		case a.Inherited:
 			if m.Confirmed {
-				e.lost(now, m, a, "not reported under this term")
+				e.attemptLost(now, m, a, "not reported under this term")
 			}
 		case a.State() == fleet.Sent && r.Seq > a.CommandSeq:
 			// The response with the start was answered or dropped before this
 			// report was sent; the worker never executes it later.
-			e.lost(now, m, a, "start dropped")
+			e.attemptLost(now, m, a, "start dropped")
 		case a.State() >= fleet.Fetching:
-			e.lost(now, m, a, "no longer reported")
+			e.attemptLost(now, m, a, "no longer reported")
 		}
 	}
 }
 
-// unforgotten handles an exit that left the reports before it was dealt with
+// exitNoLongerReported handles an exit that left the reports before it was dealt with
 // (the worker's lease ended): a result was noted already, all else is handled.
-func (e *Engine) unforgotten(now time.Time, a *fleet.Attempt) {
+func (e *Engine) exitNoLongerReported(now time.Time, a *fleet.Attempt) {
 	if !a.Handled && a.Cause != fleet.CauseDone {
 		e.requeue(a)
 	}
 }
 
-// hearTask takes in one task of a report that was sent under a token.
-func (e *Engine) hearTask(now time.Time, m *fleet.Machine, token uint64, t fleet.TaskReport) {
+// applyTaskReport takes in one task of a report that was sent under a token.
+func (e *Engine) applyTaskReport(now time.Time, m *fleet.Machine, token uint64, t fleet.TaskReport) {
 	k := fleet.Key{Ref: t.Ref, Task: t.Task}
 	a := m.Tasks[k]
 	if a != nil && a.Number != t.Attempt {
 		switch {
 		case a.Inherited && t.Attempt > a.Number:
-			e.lost(now, m, a, "a newer attempt is there") // placed only once this one was proven gone
+			e.attemptLost(now, m, a, "a newer attempt is there") // placed only once this one was proven gone
 		case a.State() <= fleet.Recorded && !a.Inherited:
 			e.stop(now, m, a, 0) // the start hasn't left; the old attempt goes first
 		}
@@ -276,11 +276,11 @@
 			// doesn't name this one: the report is a late copy.
 			return
 		}
-		a = e.adopt(now, m, t)
+		a = e.adoptAttempt(now, m, t)
 	}
 	a.Inherited = false
 	if t.State == fleet.Exited {
-		e.exited(now, m, a, t)
+		e.taskExited(now, m, a, t)
 		return
 	}
 	e.moveAttempt(now, m, a, t.State)
@@ -292,9 +292,9 @@
 	}
 }
 
-// adopt takes in a reported attempt that nothing here speaks of: an exit that an
+// adoptAttempt takes in a reported attempt that nothing here speaks of: an exit that an
 // earlier leader hadn't dealt with, or what should have been gone and is stopped.
-func (e *Engine) adopt(now time.Time, m *fleet.Machine, t fleet.TaskReport) *fleet.Attempt {
+func (e *Engine) adoptAttempt(now time.Time, m *fleet.Machine, t fleet.TaskReport) *fleet.Attempt {
 	a := &fleet.Attempt{Key: fleet.Key{Ref: t.Ref, Task: t.Task}, Number: t.Attempt}
 	j := e.jobs[t.Ref]
 	if j != nil && t.Task < len(j.Tasks) {
@@ -302,7 +302,7 @@
 	}
 	st := t.State
 	if st == fleet.Exited {
-		st = fleet.Running // exited() moves it on, and settles the counts
+		st = fleet.Running // taskExited moves it on, and settles the counts
 	}
 	e.attach(now, m, a, st)
 	a.RunStart = time.Time{}
@@ -365,9 +365,9 @@
 	return 0
 }
 
-// notice handles the cloud's word that it takes the machine: what can save is
+// interruptionNotice handles the cloud's word that it takes the machine: what can save is
 // stopped in time and goes on elsewhere; the rest may still finish.
-func (e *Engine) notice(now time.Time, m *fleet.Machine, left time.Duration) {
+func (e *Engine) interruptionNotice(now time.Time, m *fleet.Machine, left time.Duration) {
 	if left < 0 {
 		return
 	}
@@ -375,12 +375,12 @@
 		e.note("machine will be taken", "machine", m.Name, "in", left)
 	}
 	m.NoticeAt = now.Add(left)
-	e.drainMachine(now, m)
-	e.drain(now, m, left)
+	e.startDraining(now, m)
+	e.stopTasksOn(now, m, left)
 }
 
-// drain stops what is on a machine that is to be left.
-func (e *Engine) drain(now time.Time, m *fleet.Machine, left time.Duration) {
+// stopTasksOn stops what is on a machine that is to be left.
+func (e *Engine) stopTasksOn(now time.Time, m *fleet.Machine, left time.Duration) {
 	for _, a := range sortedAttempts(m) {
 		j := e.jobs[a.Ref]
 		if a.Stopping || a.State() == fleet.Exited || j == nil {
@@ -389,12 +389,12 @@
 		if a.State() == fleet.Running && (j.Checkpoint == 0 || j.Save >= left) {
 			continue // can't save: it may as well go on
 		}
-		e.stopOrderly(now, m, a, j)
+		e.stopWithSave(now, m, a, j)
 	}
 }
 
-// stopOrderly stops an attempt so that it saves; of a gang, all tasks at once.
-func (e *Engine) stopOrderly(now time.Time, m *fleet.Machine, a *fleet.Attempt, j *pipeline.Job) {
+// stopWithSave stops an attempt so that it saves; of a gang, all tasks at once.
+func (e *Engine) stopWithSave(now time.Time, m *fleet.Machine, a *fleet.Attempt, j *pipeline.Job) {
 	grace := j.Save + time.Second
 	if j.Shape != pipeline.Gang {
 		e.stop(now, m, a, grace)
--- a/internal/core/silence_test.go
+++ b/internal/core/silence_test.go
@@ -13,7 +13,7 @@
 	b, c := started(t)
 	b.report("m-1", 2, running(c))
 	silent := b.now
-	lease, kept := b.e.cfg.Lease, b.e.keepSilent(b.e.machines["m-1"])
+	lease, kept := b.e.cfg.Lease, b.e.silentLimit(b.e.machines["m-1"])
 	for b.now.Sub(silent) < lease+5*time.Second {
 		b.now = b.now.Add(time.Second)
 		if eff := b.e.Step(b.now, Tick{}); len(eff.Release) > 0 {
--- /dev/null
+++ b/internal/core/timer_queue.go
@@ -0,0 +1,65 @@
+package core
+
+import (
+	"container/heap"
+	"time"
+
+	"gingertally/internal/core/fleet"
+)
+
+// timerQueue says which machine is to be checked next, and when, so that a tick costs
+// nothing for machines about which there is nothing to decide. Each machine has one
+// valid timer, the one that expires at its CheckAt; others are left in the queue and
+// ignored when they expire.
+type timerQueue struct{ timers timerHeap }
+
+type timer struct {
+	at      time.Time
+	machine *fleet.Machine
+}
+
+// schedule has a machine checked at the given time, or earlier if its present timer
+// expires before then.
+func (q *timerQueue) schedule(m *fleet.Machine, at time.Time) {
+	if m.CheckAt.IsZero() || at.Before(m.CheckAt) {
+		m.CheckAt = at
+		heap.Push(&q.timers, timer{at, m})
+	}
+}
+
+// expired takes a machine whose timer has expired off the queue, or returns nil.
+func (q *timerQueue) expired(now time.Time) *fleet.Machine {
+	for len(q.timers) > 0 && !q.timers[0].at.After(now) {
+		t := heap.Pop(&q.timers).(timer)
+		if t.machine.CheckAt.Equal(t.at) && t.machine.State() != fleet.Gone {
+			t.machine.CheckAt = time.Time{}
+			return t.machine
+		}
+	}
+	return nil
+}
+
+// timerHeap orders timers by time, then by machine name. It implements heap.Interface.
+type timerHeap []timer
+
+func (h timerHeap) Len() int { return len(h) }
+
+func (h timerHeap) Less(i, k int) bool {
+	if !h[i].at.Equal(h[k].at) {
+		return h[i].at.Before(h[k].at)
+	}
+	return h[i].machine.Name < h[k].machine.Name
+}
+
+func (h timerHeap) Swap(i, k int) { h[i], h[k] = h[k], h[i] }
+
+// Push appends a timer.
+func (h *timerHeap) Push(x any) { *h = append(*h, x.(timer)) }
+
+// Pop removes the last timer.
+func (h *timerHeap) Pop() any {
+	old := *h
+	last := old[len(old)-1]
+	*h = old[:len(old)-1]
+	return last
+}
--- /dev/null
+++ b/internal/core/timer_queue_test.go
@@ -0,0 +1,38 @@
+package core
+
+import (
+	"testing"
+	"time"
+
+	"gingertally/internal/core/fleet"
+)
+
+// Of a machine's timers only the earliest counts, and none of a machine that is gone.
+func TestTimerQueue(t *testing.T) {
+	start := time.Unix(5000, 0)
+	at := func(seconds int) time.Time { return start.Add(time.Duration(seconds) * time.Second) }
+	machine := func(name string) *fleet.Machine {
+		return fleet.NewMachine(start, name, "big", "a", false, fleet.Live)
+	}
+	a, b, gone := machine("m-a"), machine("m-b"), machine("m-gone")
+	var q timerQueue
+	q.schedule(b, at(5))
+	q.schedule(a, at(9))
+	q.schedule(a, at(5))
+	q.schedule(a, at(7)) // later than its present timer
+	q.schedule(gone, at(1))
+	gone.Move(fleet.Gone)
+	if m := q.expired(at(4)); m != nil {
+		t.Fatalf("%s expired early", m.Name)
+	}
+	if first, second := q.expired(at(20)), q.expired(at(20)); first != a || second != b {
+		t.Fatalf("expired in the order %v, %v", first, second)
+	}
+	if m := q.expired(at(20)); m != nil {
+		t.Fatalf("%s expired twice", m.Name)
+	}
+	q.schedule(a, at(30))
+	if q.expired(at(30)) != a {
+		t.Fatal("not checked again")
+	}
+}
--- a/internal/core/writes.go
+++ b/internal/core/writes.go
@@ -406,7 +406,7 @@
 			delete(u.results, a)
 		}
 	}
-	e.dropUse(j.Ref)
+	e.forgetUse(j.Ref)
 }
 
 func (e *Engine) unwritten(op Write, seen map[string]uint64) {
