--- a/internal/core/cancel.go
+++ b/internal/core/cancel.go
@@ -6,13 +6,14 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// The bound of a cancellation. From before its transaction is sent, whatever this
-// node answers a worker with tells it to stop the job's tasks (CancelAsked), or, if
-// an earlier leader's was confirmed, from this leader's first answer on (New). So a 200
-// that doesn't say so answers a report that was sent before the confirmation, and the
-// worker's lease, which counts from there, ends within CancelBound of it, whatever
-// happens next: hangs and delayed answers don't prolong it, since it counts from the
-// report and runs on while a machine hangs.
+// The bound of a cancellation (docs/design.md, "The bound of a cancellation"). From
+// before its transaction is sent, whatever this node answers a worker with tells it to
+// stop the job's tasks (CancelAsked; TestCancelAskedStopsFirst), or, if an earlier
+// leader's was confirmed, from this leader's first answer on (New;
+// TestFirstAnswerStopsCancelled). So a 200 that doesn't say so answers a report that was
+// sent before the confirmation, and the worker's lease, which counts from there, ends
+// within CancelBound of it, whatever happens next: hangs and delayed answers don't
+// prolong it, since it counts from the report and runs on while a machine hangs.
 
 // CancelBound is how long after its confirmation a cancelled task may be on its machine
 // at the most: the worker's lease, the drift of two clocks, and the steps of timers.
@@ -22,25 +23,89 @@
 // on machines. If not, they have to be proven gone first.
 func (c *Config) CancelKept() bool { return c.CancelBound() <= c.CancelWithin }
 
-// cancelling is what is open about a job's cancellation. Meanwhile nothing of the job
-// is started, what runs is stopped (it is useless to its user), and nobody is told of it
-// from memory: the store is asked.
-type cancelling struct {
-	open  int       // transactions under way
-	doubt uint64    // one without an answer may yet change the record, if it still has this version; 0: none
-	until time.Time // put off until then, for its user to ask again
+// cancellations holds the cancellations that are under way, of both kinds: those of
+// which it isn't known whether the store holds them, and those that are stored while
+// tasks of the job may still be on machines.
+type cancellations struct {
+	pending  map[string]*pendingCancellation // by job
+	stopping map[*pipeline.Job]bool
+}
+
+func newCancellations() cancellations {
+	return cancellations{pending: map[string]*pendingCancellation{}, stopping: map[*pipeline.Job]bool{}}
+}
+
+// pendingCancellation is what is not yet known about a job's cancellation. Meanwhile
+// nothing of the job is started, what runs is stopped (it is useless to its user), and
+// nobody is told of it from memory: the store is asked (TestNoAnswerInDoubt).
+type pendingCancellation struct {
+	transactions   int       // under way
+	unknownVersion uint64    // one without an answer may yet change the record if it still has this version; 0: none
+	deferredUntil  time.Time // put off until then, for its user to ask again
+}
+
+// undecided tells whether the store may hold the cancellation, or may yet come to hold
+// it. RecordVersion is that of the job's record, 0 if the job isn't known.
+func (p *pendingCancellation) undecided(recordVersion uint64) bool {
+	return p.transactions > 0 || p.unknownVersion != 0 && recordVersion <= p.unknownVersion
+}
+
+// begin counts a transaction that is about to be sent.
+func (c *cancellations) begin(ref string) {
+	p := c.pending[ref]
+	if p == nil {
+		p = &pendingCancellation{}
+		c.pending[ref] = p
+	}
+	p.transactions++
+}
+
+// resolve forgets what was pending: the store is known to hold the cancellation, or the
+// end of the job.
+func (c *cancellations) resolve(ref string) { delete(c.pending, ref) }
+
+// inTransaction tells whether a transaction is under way that cancels the job.
+func (c *cancellations) inTransaction(ref string) bool {
+	p := c.pending[ref]
+	return p != nil && p.transactions > 0
+}
+
+// undecided tells whether the store may hold a cancellation of the job that isn't known
+// here, and forgets what has been decided.
+func (c *cancellations) undecided(ref string, recordVersion uint64) bool {
+	p := c.pending[ref]
+	if p == nil {
+		return false
+	}
+	if p.undecided(recordVersion) {
+		return true
+	}
+	p.unknownVersion = 0
+	if p.deferredUntil.IsZero() {
+		c.resolve(ref)
+	}
+	return false
+}
+
+// deferred tells whether the job's cancellation is put off, and forgets it once its user
+// hasn't asked again in time.
+func (c *cancellations) deferred(now time.Time, ref string) bool {
+	p := c.pending[ref]
+	if p == nil {
+		return false
+	}
+	if now.Before(p.deferredUntil) {
+		return true
+	}
+	c.resolve(ref)
+	return false
 }
 
 // CancelAsked says that a transaction is about to be sent that cancels a job.
 type CancelAsked struct{ Ref string }
 
 func (c CancelAsked) apply(e *Engine, now time.Time) {
-	k := e.cancels[c.Ref]
-	if k == nil {
-		k = &cancelling{}
-		e.cancels[c.Ref] = k
-	}
-	k.open++
+	e.cancellations.begin(c.Ref)
 	if j := e.jobs[c.Ref]; j != nil {
 		e.stopJob(now, j, "its user cancels it")
 	}
@@ -56,74 +121,72 @@
 }
 
 func (c CancelOutcome) apply(e *Engine, now time.Time) {
-	k := e.cancels[c.Ref]
-	if k == nil {
-		return // settled meanwhile
+	p := e.cancellations.pending[c.Ref]
+	if p == nil {
+		return // resolved meanwhile
 	}
-	k.open = max(0, k.open-1)
+	p.transactions = max(0, p.transactions-1)
 	if c.PutOff {
-		k.until = now.Add(e.cfg.CancelWithin)
+		p.deferredUntil = now.Add(e.cfg.CancelWithin)
 	}
 	j := e.jobs[c.Ref]
 	if c.Unknown {
-		k.doubt = max(k.doubt, c.Version)
+		p.unknownVersion = max(p.unknownVersion, c.Version)
 		if j != nil {
-			e.settleDoubt(j)
+			e.resolveUnknownOutcome(j)
 		}
 	}
-	e.cancelOpen(c.Ref) // forgets what is settled
+	e.cancelUndecided(c.Ref) // forgets what is decided
 	e.replan = true
 }
 
-// settleDoubt has the record of a job written anew whose cancellation may yet be carried
-// out: what was meant for the version before then can't be any more.
-func (e *Engine) settleDoubt(j *pipeline.Job) {
-	if k := e.cancels[j.Ref]; k != nil && k.doubt >= j.Version {
+// resolveUnknownOutcome has the record of a job written anew whose cancellation may yet
+// be carried out: a transaction that was meant for an earlier version of the record fails
+// from then on (docs/design.md, "The bound of a cancellation", 1; TestCancelWithoutAnswer,
+// TestCancelInDoubt).
+func (e *Engine) resolveUnknownOutcome(j *pipeline.Job) {
+	if p := e.cancellations.pending[j.Ref]; p != nil && p.unknownVersion >= j.Version {
 		j.Touch(0)
 		e.writes.jobChanged(j)
 	}
 }
 
-// cancelAsked tells whether a transaction is under way that cancels the job.
-func (e *Engine) cancelAsked(ref string) bool {
-	k := e.cancels[ref]
-	return k != nil && k.open > 0
-}
-
-// cancelOpen tells whether the store may hold a cancellation that isn't known here, and
-// forgets what has been settled.
-func (e *Engine) cancelOpen(ref string) bool {
-	k := e.cancels[ref]
-	if k == nil {
+// cancelUndecided tells whether the store may hold a cancellation that isn't known here.
+func (e *Engine) cancelUndecided(ref string) bool {
+	if e.cancellations.pending[ref] == nil {
 		return false
 	}
-	if k.open > 0 {
-		return true
-	}
-	if j := e.jobs[ref]; k.doubt != 0 && (j == nil || j.Version <= k.doubt) {
-		return true
-	}
-	k.doubt = 0
-	if k.until.IsZero() {
-		delete(e.cancels, ref)
+	var version uint64
+	if j := e.jobs[ref]; j != nil {
+		version = j.Version
 	}
-	return false
+	return e.cancellations.undecided(ref, version)
 }
 
 // cancelHolds tells whether nothing of a job may be started because of its cancellation.
 func (e *Engine) cancelHolds(now time.Time, ref string) bool {
-	if e.cancelOpen(ref) {
-		return true
-	}
-	k := e.cancels[ref]
-	if k == nil {
-		return false
-	}
-	if now.Before(k.until) {
-		return true
+	return e.cancelUndecided(ref) || e.cancellations.deferred(now, ref)
+}
+
+// enforceCancellations makes sure that the tasks of cancelled jobs are gone in time,
+// also on machines that don't answer: those are released (docs/design.md, safety
+// argument 8; TestCancelIsFinalAndInTime).
+func (e *Engine) enforceCancellations(now time.Time) {
+	for _, j := range sortedJobs(e.cancellations.stopping) {
+		left := e.attemptsOf(j.Ref)
+		if len(left) == 0 {
+			delete(e.cancellations.stopping, j)
+			e.writes.jobChanged(j) // its final entry can be written
+			continue
+		}
+		late := now.Sub(j.CancelAt) > e.cfg.CancelWithin*6/10
+		for _, a := range left {
+			e.stop(now, a.On, a, 0)
+			if late {
+				e.release(now, a.On, "holds a cancelled task")
+			}
+		}
 	}
-	delete(e.cancels, ref)
-	return false
 }
 
 // MayBeOnMachines tells whether any task of a job may be on a machine.
--- a/internal/core/cancel_test.go
+++ b/internal/core/cancel_test.go
@@ -121,3 +121,35 @@
 		t.Fatalf("a job that wasn't cancelled doesn't go on: %+v", r)
 	}
 }
+
+// A pending cancellation is undecided while a transaction is under way, and after one
+// without an answer until the record is past the version that it was meant for.
+func TestPendingCancellation(t *testing.T) {
+	c := newCancellations()
+	if c.undecided("j-1", 0) || c.inTransaction("j-1") {
+		t.Fatal("undecided without a cancellation")
+	}
+	c.begin("j-1")
+	c.begin("j-1")
+	p := c.pending["j-1"]
+	if !c.inTransaction("j-1") || !c.undecided("j-1", 9) || p.transactions != 2 {
+		t.Fatalf("under way: %+v", p)
+	}
+	p.transactions, p.unknownVersion = 0, 7
+	if c.inTransaction("j-1") || !c.undecided("j-1", 7) || !c.undecided("j-1", 0) {
+		t.Fatalf("decided before the record is past the version: %+v", p)
+	}
+	if c.undecided("j-1", 8) || c.pending["j-1"] != nil {
+		t.Fatal("not forgotten once it is decided")
+	}
+	now := time.Unix(5000, 0)
+	c.begin("j-1")
+	p = c.pending["j-1"]
+	p.transactions, p.deferredUntil = 0, now.Add(time.Second)
+	if c.undecided("j-1", 1) || !c.deferred(now, "j-1") {
+		t.Fatalf("a deferred cancellation is forgotten early: %+v", p)
+	}
+	if c.deferred(now.Add(time.Second), "j-1") || c.pending["j-1"] != nil {
+		t.Fatal("a deferred cancellation is kept too long")
+	}
+}
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -64,42 +64,41 @@
 
 // Engine is a leader's state for one term. It isn't safe for concurrent use.
 type Engine struct {
-	cfg         Config
-	term        uint64
-	rng         *rand.Rand
-	started     time.Time // when the term was claimed, by this node's clock
-	lastTick    time.Time
-	jobs        map[string]*pipeline.Job
-	graph       *pipeline.Graph // which of them wait for which
-	order       []*pipeline.Job // unfinished jobs in ready order
-	machines    map[string]*fleet.Machine
-	timers      timerQueue              // when machines are to be looked at
-	unheard     int                     // machines on record that have not been heard of yet
-	gone        map[string]time.Time    // names of machines proven gone
-	use         map[string]*jobUse      // what may be on machines, by job
-	teamUse     map[string]fleet.Amount // the same by team
-	catalog     placement.Catalog
-	counter     uint64
-	floor       placement.Floor
-	cancelled   map[*pipeline.Job]bool  // cancelled jobs that may have tasks on machines
-	cancels     map[string]*cancelling  // cancellations that aren't known to be stored, or not to be
-	unreachable map[*fleet.Machine]bool // machines that seem to hear nothing
-	changed     map[*fleet.Machine]bool // since the floor last saw them
-	round       placement.Round
-	demand      []capacity.Demand // what the present round found no room for
-	plan        capacity.Plan
-	replan      bool // something changed that placement may use
-	placedAt    time.Time
-	plannedAt   time.Time
-	prunedAt    time.Time
-	lastList    time.Time
-	movedAt     time.Time // when machines to be emptied were last looked for
-	emptying    map[*fleet.Machine]bool
-	finals      map[string]pipeline.Final // told for good
-	writes      writeQueue
-	images      imageLog
-	classes     map[string]*classStats
-	out         Effects
+	cfg           Config
+	term          uint64
+	rng           *rand.Rand
+	started       time.Time // when the term was claimed, by this node's clock
+	lastTick      time.Time
+	jobs          map[string]*pipeline.Job
+	graph         *pipeline.Graph // which of them wait for which
+	order         []*pipeline.Job // unfinished jobs in ready order
+	machines      map[string]*fleet.Machine
+	timers        timerQueue              // when machines are to be looked at
+	unheard       int                     // machines on record that have not been heard of yet
+	gone          map[string]time.Time    // names of machines proven gone
+	use           map[string]*jobUse      // what may be on machines, by job
+	teamUse       map[string]fleet.Amount // the same by team
+	catalog       placement.Catalog
+	counter       uint64
+	floor         placement.Floor
+	cancellations cancellations
+	unreachable   map[*fleet.Machine]bool // machines that seem to hear nothing
+	changed       map[*fleet.Machine]bool // since the floor last saw them
+	round         placement.Round
+	demand        []capacity.Demand // what the present round found no room for
+	plan          capacity.Plan
+	replan        bool // something changed that placement may use
+	placedAt      time.Time
+	plannedAt     time.Time
+	prunedAt      time.Time
+	lastList      time.Time
+	movedAt       time.Time // when machines to be emptied were last looked for
+	emptying      map[*fleet.Machine]bool
+	finals        map[string]pipeline.Final // told for good
+	writes        writeQueue
+	images        imageLog
+	classes       map[string]*classStats
+	out           Effects
 }
 
 // jobUse is what of a job may be on machines.
@@ -189,7 +188,7 @@
 func New(now time.Time, cfg Config, term uint64, snap Snapshot, rng *rand.Rand) *Engine {
 	e := &Engine{cfg: cfg, term: term, rng: rng, started: now, jobs: map[string]*pipeline.Job{},
 		machines: map[string]*fleet.Machine{}, gone: map[string]time.Time{}, use: map[string]*jobUse{},
-		teamUse: map[string]fleet.Amount{}, changed: map[*fleet.Machine]bool{}, unreachable: map[*fleet.Machine]bool{}, emptying: map[*fleet.Machine]bool{}, cancelled: map[*pipeline.Job]bool{}, cancels: map[string]*cancelling{},
+		teamUse: map[string]fleet.Amount{}, changed: map[*fleet.Machine]bool{}, unreachable: map[*fleet.Machine]bool{}, emptying: map[*fleet.Machine]bool{}, cancellations: newCancellations(),
 		finals: map[string]pipeline.Final{}, classes: map[string]*classStats{}, replan: true}
 	e.graph = pipeline.NewGraph(e.stageTime)
 	e.writes.init()
@@ -199,7 +198,7 @@
 		e.addJob(now, s)
 	}
 	e.recoverStartLog(now, snap.Pages)
-	for _, j := range sortedJobs(e.cancelled) {
+	for _, j := range sortedJobs(e.cancellations.stopping) {
 		e.stopJob(now, j, "cancelled before this term") // the first answer already says so
 	}
 	return e
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -37,13 +37,13 @@
 	}
 	j.Version = s.Job.Version
 	if s.Job.Record.Phase == pipeline.Cancelled {
-		delete(e.cancels, ref)
+		e.cancellations.resolve(ref)
 	}
 	awaits := j.Awaits()
 	if s.Job.Record.Phase == pipeline.Cancelled && j.Cancel(time.UnixMilli(s.Job.Record.CancelledMS)) {
 		e.graph.Leave(j, awaits)
 		e.note("job cancelled", "job", ref)
-		e.cancelled[j] = true
+		e.cancellations.stopping[j] = true
 		e.stopJob(now, j, "cancelled")
 		e.cancelAfter(now, ref)
 	}
@@ -64,7 +64,7 @@
 		clear(e.finals) // the store still knows them
 	}
 	e.finals[ref] = f
-	delete(e.cancels, ref)
+	e.cancellations.resolve(ref)
 	e.settleAfter(now, ref, f)
 	j := e.jobs[ref]
 	if j == nil {
@@ -72,7 +72,7 @@
 	}
 	j.SetWritten(f.Phase)
 	e.settleResults(j)
-	delete(e.cancelled, j)
+	delete(e.cancellations.stopping, j)
 	e.removeJob(j)
 	e.writes.jobOver(j)
 	e.note("job over", "job", ref, "phase", f.Phase)
@@ -99,13 +99,13 @@
 	case pipeline.Held:
 		e.weigh(now, j)
 	case pipeline.Cancelled:
-		delete(e.cancels, j.Ref)
-		e.cancelled[j] = true
+		e.cancellations.resolve(j.Ref)
+		e.cancellations.stopping[j] = true
 		e.cancelAfter(now, j.Ref)
 	default:
 		e.arrived(now, j)
 	}
-	e.settleDoubt(j)
+	e.resolveUnknownOutcome(j)
 	e.writes.jobChanged(j)
 }
 
@@ -165,7 +165,7 @@
 	if j == nil {
 		return JobView{}, false
 	}
-	if j.Phase() != j.Written() || e.cancelOpen(ref) || !e.graph.Sure(j) {
+	if j.Phase() != j.Written() || e.cancelUndecided(ref) || !e.graph.Sure(j) {
 		// The store may hold more than is known here; a node that reads it there
 		// must not be contradicted.
 		return JobView{}, false
@@ -259,26 +259,6 @@
 	}
 }
 
-// enforceCancellations makes sure that the tasks of cancelled jobs are gone in time,
-// also on machines that don't answer: those are released.
-func (e *Engine) enforceCancellations(now time.Time) {
-	for _, j := range sortedJobs(e.cancelled) {
-		left := e.attemptsOf(j.Ref)
-		if len(left) == 0 {
-			delete(e.cancelled, j)
-			e.writes.jobChanged(j) // its final entry can be written
-			continue
-		}
-		late := now.Sub(j.CancelAt) > e.cfg.CancelWithin*6/10
-		for _, a := range left {
-			e.stop(now, a.On, a, 0)
-			if late {
-				e.release(now, a.On, "holds a cancelled task")
-			}
-		}
-	}
-}
-
 // attemptLost handles an attempt that is proven gone without a reported exit.
 func (e *Engine) attemptLost(now time.Time, m *fleet.Machine, a *fleet.Attempt, why string) {
 	e.detach(now, m, a)
--- a/internal/core/writes.go
+++ b/internal/core/writes.go
@@ -196,7 +196,7 @@
 			}
 		case j.Over() || !j.Dirty():
 			delete(e.writes.jobs, j)
-		case e.cancelAsked(j.Ref):
+		case e.cancellations.inTransaction(j.Ref):
 			// A new version of the record would only be in the cancellation's way.
 		case !j.Fits(e.cfg.MaxPerValue):
 			// Only its end is written; until then its workers keep its results.
