--- /dev/null
+++ b/internal/core/batch.go
@@ -0,0 +1,86 @@
+package core
+
+import (
+	"time"
+
+	"gingertally/internal/core/fleet"
+	"gingertally/internal/core/pipeline"
+)
+
+// WriteKind says what a write is about.
+type WriteKind uint8
+
+// Kinds of writes.
+const (
+	WritePage   WriteKind = iota // a page of the start log
+	DropPage                     // a page on which nothing is left
+	WriteJob                     // a job's record
+	WriteChunk                   // further done ranges of a job
+	WriteFinal                   // a job's final entry, in place of its record
+	DropChunk                    // done ranges of a job that is over
+	WriteImages                  // a page of the image log
+	DropImages                   // one that speaks of no machine any more
+	DropAwaits                   // a page of a long list of dependencies
+)
+
+// Write is one change to the store. Its condition is Version (0: the key
+// doesn't exist); chunks are covered by the version of their job's record.
+type Write struct {
+	Kind    WriteKind
+	Name    string // job or page
+	Chunk   int
+	Sum     string // which list a page of dependencies belongs to
+	Version uint64
+	Page    fleet.Record
+	Job     pipeline.Record
+	Final   pipeline.Final
+	Runs    []int
+	Images  fleet.ImageRecord
+}
+
+// changes is how many puts and drops the write makes.
+func (w *Write) changes() int {
+	if w.Kind == WriteFinal {
+		return 2 // puts the final entry and drops the record
+	}
+	return 1
+}
+
+// batch collects writes for one transaction, up to a limit of puts and drops.
+type batch struct {
+	writes []Write
+	room   int // puts and drops that may be added
+}
+
+func (b *batch) add(w Write) {
+	b.writes = append(b.writes, w)
+	b.room -= w.changes()
+}
+
+func (b *batch) empty() bool { return len(b.writes) == 0 }
+
+// WritesPending tells whether a start or a job's end waits for a write.
+func (e *Engine) WritesPending() bool { return e.startLog.pending() || e.jobWrites.pending() }
+
+// Batch asks for the most pressing writes, at most `limit` puts and drops: starts and
+// jobs' ends, taking turns at going first (TestStartsAndEndsTakeTurns), then partial
+// progress, and last what only tidies.
+func (e *Engine) Batch(now time.Time, limit int) []Write {
+	b := &batch{room: limit}
+	due := e.dueJobWrites(now)
+	e.jobEndsFirst = !e.jobEndsFirst
+	if e.jobEndsFirst {
+		e.addJobEnds(now, b, due.ends)
+		e.startLog.addWrites(b)
+	} else {
+		e.startLog.addWrites(b)
+		e.addJobEnds(now, b, due.ends)
+	}
+	e.addProgress(b, due.progress)
+	if b.empty() {
+		e.jobWrites.addCleanup(b)
+		e.startLog.addTrim(now, b)
+	}
+	e.images.addWrite(now, b)
+	return b.writes
+}
--- a/internal/core/cancel.go
+++ b/internal/core/cancel.go
@@ -147,7 +147,7 @@
 func (e *Engine) resolveUnknownOutcome(j *pipeline.Job) {
 	if p := e.cancellations.pending[j.Ref]; p != nil && p.unknownVersion >= j.Version {
 		j.Touch(0)
-		e.writes.jobChanged(j)
+		e.jobWrites.jobChanged(j)
 	}
 }
 
@@ -176,7 +176,7 @@
 		left := e.attemptsOf(j.Ref)
 		if len(left) == 0 {
 			delete(e.cancellations.stopping, j)
-			e.writes.jobChanged(j) // its final entry can be written
+			e.jobWrites.jobChanged(j) // its final entry can be written
 			continue
 		}
 		late := now.Sub(j.CancelAt) > e.cfg.CancelWithin*6/10
--- a/internal/core/decide.go
+++ b/internal/core/decide.go
@@ -326,7 +326,7 @@
 	a := &fleet.Attempt{Key: fleet.Key{Ref: j.Ref, Task: d.Task}, Number: n, CPUs: j.CPUs, GPUs: j.GPUs, MemGB: j.MemGB, Image: j.Image,
 		NotBefore: now.Add(d.Delay)}
 	e.attach(now, d.Slot.Machine, a, fleet.Intended)
-	e.writes.fresh = append(e.writes.fresh, a)
+	e.startLog.addAttempt(a)
 	j.Assign(d.Task, d.Slot.Machine.Name, n)
 	e.debug("placed", "job", j.Ref, "task", d.Task, "machine", d.Slot.Machine.Name, "type", d.Slot.Machine.Type)
 }
--- a/internal/core/dependents.go
+++ b/internal/core/dependents.go
@@ -44,7 +44,7 @@
 	for _, j := range e.graph.Done(ref, end) {
 		e.note("job let go", "job", j.Ref, "after", now.Sub(j.Submitted))
 		e.arrived(now, j)
-		e.writes.jobChanged(j)
+		e.jobWrites.jobChanged(j)
 	}
 }
 
@@ -53,7 +53,7 @@
 func (e *Engine) cancelAfter(now time.Time, ref string) {
 	for _, j := range e.graph.Cancelled(ref, now) {
 		e.note("job cancelled with one that it needs", "job", j.Ref, "first", ref)
-		e.writes.jobChanged(j)
+		e.jobWrites.jobChanged(j)
 	}
 }
 
--- a/internal/core/dependents_test.go
+++ b/internal/core/dependents_test.go
@@ -199,6 +199,14 @@
 	}
 }
 
+// changes is how many puts and drops a batch makes.
+func changes(batch []Write) (n int) {
+	for i := range batch {
+		n += batch[i].changes()
+	}
+	return n
+}
+
 // Starts and jobs' ends take turns at the store: neither waits for the other for
 // long when it takes few changes at a time.
 func TestStartsAndEndsTakeTurns(t *testing.T) {
@@ -210,8 +218,8 @@
 		e.jobs[ref].Settle()
 		p := fleet.NewPage(ref, 0)
 		p.Dirty = true
-		e.writes.addPage(p)
-		e.writes.pageChanged(p)
+		e.startLog.addPage(p)
+		e.startLog.pageChanged(p)
 	}
 	seen := map[WriteKind]int{}
 	for range 2 {
@@ -235,10 +243,10 @@
 	b := newBench(t, 2, Snapshot{Jobs: []StoredJob{job("j-1", 1), job("j-2", 1), job("j-5", 1), after("j-9", "j-8")}})
 	for _, ref := range []string{"j-5", "j-1", "j-2"} {
 		j := b.e.jobs[ref]
-		delete(b.e.writes.jobs, j)
+		delete(b.e.jobWrites.changed, j)
 		j.Finish(0)
 		j.Settle()
-		b.e.writes.jobChanged(j)
+		b.e.jobWrites.jobChanged(j)
 	}
 	b.e.Step(b.now, JobFinal{Ref: "j-8", Final: pipeline.Final{Phase: pipeline.Cancelled}})
 	var order []string
@@ -262,7 +270,7 @@
 	b := newBenchWith(t, cfg, 2, Snapshot{Jobs: []StoredJob{large, job("j-2", 2)}})
 	for _, ref := range []string{"j-1", "j-2"} {
 		b.e.jobs[ref].Finish(0)
-		b.e.writes.jobChanged(b.e.jobs[ref])
+		b.e.jobWrites.jobChanged(b.e.jobs[ref])
 	}
 	if batch := b.e.Batch(b.now, 10); len(batch) != 1 || batch[0].Name != "j-2" {
 		t.Fatalf("writes %+v", batch)
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -4,6 +4,7 @@
 package core
 
 import (
+	"fmt"
 	"math/rand/v2"
 	"reflect"
 	"time"
@@ -95,7 +96,9 @@
 	movedAt       time.Time // when machines to be emptied were last looked for
 	emptying      map[*fleet.Machine]bool
 	finals        map[string]pipeline.Final // told for good
-	writes        writeQueue
+	startLog      startLog
+	jobWrites     jobWrites
+	jobEndsFirst  bool // whose turn it is in the next batch
 	images        imageLog
 	classes       map[string]*classStats
 	out           Effects
@@ -191,9 +194,10 @@
 		teamUse: map[string]fleet.Amount{}, changed: map[*fleet.Machine]bool{}, unreachable: map[*fleet.Machine]bool{}, emptying: map[*fleet.Machine]bool{}, cancellations: newCancellations(),
 		finals: map[string]pipeline.Final{}, classes: map[string]*classStats{}, replan: true}
 	e.graph = pipeline.NewGraph(e.stageTime)
-	e.writes.init()
-	e.images.init()
-	e.recoverImageLog(snap.Images) // before the machines that it speaks of
+	e.startLog = newStartLog(&e.cfg, e.newPageName)
+	e.jobWrites = newJobWrites()
+	e.images = newImageLog(&e.cfg, now, e.newPageName, e.imagesOn)
+	e.images.recover(snap.Images) // before the machines that it speaks of
 	for _, s := range snap.Jobs {
 		e.addJob(now, s)
 	}
@@ -234,6 +238,21 @@
 	return e.term<<attemptBits | e.counter
 }
 
+// newPageName makes a name for a page of the start log or image log that no other term
+// can have made.
+func (e *Engine) newPageName() string {
+	e.counter++
+	return fmt.Sprintf("%d-%d", e.term, e.counter)
+}
+
+// imagesOn is which images a machine is believed to have, if it has been heard of.
+func (e *Engine) imagesOn(machine string) ([]fleet.Image, bool) {
+	if m := e.machines[machine]; m != nil {
+		return m.Images, true
+	}
+	return nil, false
+}
+
 func (e *Engine) useOf(ref string) *jobUse {
 	u := e.use[ref]
 	if u == nil {
@@ -291,16 +310,13 @@
 	}
 	if was == fleet.Sent || was == fleet.Fetching {
 		if m.FetchGivenUp(now, a.Image, was == fleet.Fetching) {
-			e.imagesChanged(m)
+			e.images.machineChanged(m.Name)
 		}
 	}
 	delete(u.attempts, a)
 	u.zones[m.Zone]--
 	e.addUse(u.team, a, -1)
-	if p := a.Page; p != nil {
-		p.Remove(a)
-		e.writes.pageChanged(p)
-	}
+	e.startLog.removeAttempt(a)
 	e.touch(m)
 	e.forgetUse(a.Ref)
 }
--- a/internal/core/fleet/pages.go
+++ b/internal/core/fleet/start_log.go
@@ -35,8 +35,8 @@
 	pageBytes   = 16
 )
 
-// takes is what an attempt takes of a page at the most, on a machine of its own.
-func takes(a *Attempt) int {
+// maxEntryBytes is what an attempt takes of a page at the most, on a machine of its own.
+func maxEntryBytes(a *Attempt) int {
 	m := a.On
 	return placedBytes + len(m.Name) + len(m.Type) + len(m.Zone) + entryBytes + len(a.Ref)
 }
@@ -61,19 +61,25 @@
 	return &Page{Name: name, Version: version, live: map[*Attempt]bool{}}
 }
 
-// Add puts an attempt on the page: a new one, which makes it dirty, or one that
-// AddStale has counted and that turns out to be current.
-func (p *Page) Add(a *Attempt, stored bool) {
+// Add puts a new attempt on the page, which has to be written then.
+func (p *Page) Add(a *Attempt) {
+	p.put(a)
+	p.Dirty = true
+}
+
+// Recover puts an attempt on the page that the store already has there: AddStale has
+// counted it, and it turns out to be current.
+func (p *Page) Recover(a *Attempt) {
+	p.put(a)
+	p.stale--
+}
+
+func (p *Page) put(a *Attempt) {
 	if !p.live[a] {
 		p.live[a] = true
-		p.bytes += takes(a)
+		p.bytes += maxEntryBytes(a)
 	}
 	a.Page = p
-	if stored {
-		p.stale--
-	} else {
-		p.Dirty = true
-	}
 }
 
 // AddStale notes an entry in the store whose attempt isn't known to be current.
@@ -83,13 +89,12 @@
 func (p *Page) Remove(a *Attempt) {
 	if p.live[a] {
 		delete(p.live, a)
-		p.bytes -= takes(a)
+		p.bytes -= maxEntryBytes(a)
 		p.stale++
 	}
 }
 
-// Live counts the attempts on the page that may be on machines, Stale the
-// entries in the store that may not.
+// Live counts the attempts on the page that may be on machines.
 func (p *Page) Live() int { return len(p.live) }
 
 // Stale counts the entries in the store whose attempts are gone.
@@ -100,13 +105,13 @@
 func (p *Page) Fits(a *Attempt, maxBytes int) bool {
 	n := pageBytes + p.bytes
 	if a != nil {
-		n += takes(a)
+		n += maxEntryBytes(a)
 	}
 	return n <= maxBytes || a != nil && len(p.live) == 0
 }
 
-// Roomy tells whether at least half of so many bytes are free.
-func (p *Page) Roomy(maxBytes int) bool { return pageBytes+p.bytes <= maxBytes/2 }
+// HalfEmpty tells whether at least half of so many bytes are free.
+func (p *Page) HalfEmpty(maxBytes int) bool { return pageBytes+p.bytes <= maxBytes/2 }
 
 // Unwritten lists the attempts that the store isn't known to hold.
 func (p *Page) Unwritten() []*Attempt {
@@ -143,8 +148,8 @@
 	return r
 }
 
-// Sent notes that the page's present content is on its way to the store.
-func (p *Page) Sent() { p.Sending, p.Dirty, p.stale = true, false, 0 }
+// WriteStarted notes that the page's present content is on its way to the store.
+func (p *Page) WriteStarted() { p.Sending, p.Dirty, p.stale = true, false, 0 }
 
 // Stored notes that the store holds a record: attempts in it that were only
 // intended may now be started.
@@ -163,18 +168,14 @@
 	}
 }
 
-// Failed notes that a write isn't known to have happened; seen is the version
-// that the store has now, if known.
-func (p *Page) Failed(seen uint64, known bool) {
+// WriteFailed notes that a write isn't known to have happened.
+func (p *Page) WriteFailed() {
 	p.Sending, p.Dirty = false, len(p.live) > 0
-	if known {
-		p.Version = seen
-	}
 	p.stale++ // what the store holds may differ
 }
 
-// Refused notes that the store won't take the page as it was sent.
-func (p *Page) Refused(now time.Time) {
+// WriteRefused notes that the store won't take the page as it was sent.
+func (p *Page) WriteRefused(now time.Time) {
 	p.Sending, p.Dirty, p.Trimmed = false, false, now
 	p.stale++
 }
--- a/internal/core/images_test.go
+++ b/internal/core/images_test.go
@@ -233,7 +233,7 @@
 	logged := map[string]fleet.ImageRecord{}
 	for name := range has {
 		b.up(name)
-		b.e.imagesChanged(b.e.machines[name])
+		b.e.images.machineChanged(name)
 	}
 	for range 120 {
 		b.now = b.now.Add(time.Second)
--- /dev/null
+++ b/internal/core/job_writes.go
@@ -0,0 +1,199 @@
+package core
+
+import (
+	"sort"
+	"time"
+
+	"gingertally/internal/core/pipeline"
+)
+
+// jobWrites is what the store doesn't hold yet of jobs, and what it still holds of jobs
+// that are over.
+type jobWrites struct {
+	changed   map[*pipeline.Job]int // jobs with something that may have to be written, in order of change
+	changes   int                   // counts the changes
+	lastWrite map[string]time.Time  // when a job's record was last written, or until when it isn't tried again
+	cleanup   []jobKey              // keys of jobs that are over
+}
+
+// jobKey names one of the further keys of a job in the store: done ranges past the first
+// chunk, or a page of its list of dependencies.
+type jobKey struct {
+	drop  WriteKind // the kind of write that drops it
+	ref   string
+	sum   string
+	chunk int
+}
+
+func newJobWrites() jobWrites {
+	return jobWrites{changed: map[*pipeline.Job]int{}, lastWrite: map[string]time.Time{}}
+}
+
+// jobChanged notes that something of a job may have to be written.
+func (w *jobWrites) jobChanged(j *pipeline.Job) {
+	if _, known := w.changed[j]; !known {
+		w.changes++
+		w.changed[j] = w.changes
+	}
+}
+
+// jobOver notes that the store holds a job's final entry. Its further keys are dropped
+// when there is nothing else to write.
+func (w *jobWrites) jobOver(j *pipeline.Job) {
+	delete(w.changed, j)
+	delete(w.lastWrite, j.Ref)
+	for c := 1; c*pipeline.ChunkTasks < len(j.Tasks); c++ {
+		w.cleanup = append(w.cleanup, jobKey{drop: DropChunk, ref: j.Ref, chunk: c})
+	}
+	sum, pages := j.AwaitPages()
+	for i := range pages {
+		w.cleanup = append(w.cleanup, jobKey{drop: DropAwaits, ref: j.Ref, sum: sum, chunk: i})
+	}
+}
+
+// pending tells whether anything of a job waits for a write.
+func (w *jobWrites) pending() bool { return len(w.changed) > 0 }
+
+// addCleanup adds drops of keys of jobs that are over.
+func (w *jobWrites) addCleanup(b *batch) {
+	for _, k := range w.cleanup {
+		if b.room > 0 {
+			b.add(Write{Kind: k.drop, Name: k.ref, Sum: k.sum, Chunk: k.chunk})
+		}
+	}
+}
+
+// dropped notes that a key of a job that is over is gone.
+func (w *jobWrites) dropped(op Write) {
+	for i, k := range w.cleanup {
+		if k.drop == op.Kind && k.ref == op.Name && k.chunk == op.Chunk {
+			w.cleanup = append(w.cleanup[:i], w.cleanup[i+1:]...)
+			return
+		}
+	}
+}
+
+// dueJobs are the jobs of which something is to be written now.
+type dueJobs struct {
+	ends     []*pipeline.Job // final entries, in place of records
+	progress []*pipeline.Job // records with partial progress
+}
+
+// dueJobWrites are the jobs that are over, and those of which progress is due to be
+// written, in the order in which they are to be written.
+func (e *Engine) dueJobWrites(now time.Time) dueJobs {
+	w := &e.jobWrites
+	var due dueJobs
+	for j := range w.changed {
+		switch {
+		case e.over(j):
+			if !w.lastWrite[j.Ref].After(now) { // else it was refused
+				due.ends = append(due.ends, j)
+			}
+		case j.Over() || !j.Dirty():
+			delete(w.changed, j)
+		case e.cancellations.inTransaction(j.Ref):
+			// A new version of the record would only be in the cancellation's way.
+		case !j.Fits(e.cfg.MaxPerValue):
+			// Only its end is written; until then its workers keep its results.
+		case now.Sub(w.lastWrite[j.Ref]) >= e.cfg.BatchEvery:
+			due.progress = append(due.progress, j)
+		}
+	}
+	w.sortEnds(due.ends)
+	w.sortProgress(due.progress)
+	return due
+}
+
+// sortEnds puts those jobs first that are cancelled with others: their users are told
+// nothing until that is written, and can't be told for long that they wait (docs/design.md,
+// safety argument 15; TestCancelledWithOthersAreWrittenFirst). Of the others, what has
+// waited longest comes first.
+func (w *jobWrites) sortEnds(ends []*pipeline.Job) {
+	sort.Slice(ends, func(i, k int) bool {
+		a, b := ends[i], ends[k]
+		if cancelledWithOthers(a) != cancelledWithOthers(b) {
+			return cancelledWithOthers(a)
+		}
+		return w.changed[a] < w.changed[b]
+	})
+}
+
+// sortProgress puts the job first whose record was written longest ago.
+func (w *jobWrites) sortProgress(progress []*pipeline.Job) {
+	sort.Slice(progress, func(i, k int) bool {
+		a, b := progress[i], progress[k]
+		if at, bt := w.lastWrite[a.Ref], w.lastWrite[b.Ref]; !at.Equal(bt) {
+			return at.Before(bt)
+		}
+		return w.changed[a] < w.changed[b]
+	})
+}
+
+// cancelledWithOthers tells whether a job is cancelled with one of its dependencies, and
+// the store doesn't hold that yet.
+func cancelledWithOthers(j *pipeline.Job) bool {
+	return j.Phase() == pipeline.Cancelled && j.Written() != pipeline.Cancelled
+}
+
+// over tells whether a job's final entry can take the place of its record: all
+// done, or cancelled with nothing left on any machine.
+func (e *Engine) over(j *pipeline.Job) bool {
+	switch j.Phase() {
+	case pipeline.Done:
+		return true
+	case pipeline.Cancelled:
+		u := e.use[j.Ref]
+		return u == nil || len(u.attempts) == 0
+	}
+	return false
+}
+
+// addJobEnds adds final entries that take the place of jobs' records.
+func (e *Engine) addJobEnds(now time.Time, b *batch, ends []*pipeline.Job) {
+	for _, j := range ends {
+		f := j.FinalEntry()
+		if e.graph.Awaited(j.Ref) {
+			f.EndMS = now.UnixMilli()
+		}
+		w := Write{Kind: WriteFinal, Name: j.Ref, Version: j.Version, Final: f}
+		if w.changes() > b.room {
+			return
+		}
+		b.add(w)
+	}
+}
+
+// addProgress adds records with partial progress, and done ranges that have changed.
+func (e *Engine) addProgress(b *batch, progress []*pipeline.Job) {
+	limit := e.cfg.MaxPerValue
+	for _, j := range progress {
+		if b.room <= 0 {
+			return
+		}
+		b.add(Write{Kind: WriteJob, Name: j.Ref, Version: j.Version, Job: j.Record(limit)})
+		chunks := j.DirtyChunks()
+		sort.Ints(chunks)
+		for _, c := range chunks {
+			if c > 0 && b.room > 0 {
+				b.add(Write{Kind: WriteChunk, Name: j.Ref, Chunk: c, Runs: pipeline.FitRuns(j.Chunk(c), limit)})
+			}
+		}
+	}
+}
+
+// forgetStoredResults lets workers forget results that the store now holds (docs/design.md,
+// safety argument 7; TestClearOnlyAfterWritten).
+func (e *Engine) forgetStoredResults(j *pipeline.Job) {
+	u := e.use[j.Ref]
+	if u == nil {
+		return
+	}
+	for a := range u.results {
+		if j.Written() == pipeline.Done || j.Written() == pipeline.Cancelled || j.Stored(a.Task) {
+			a.Handled = true
+			delete(u.results, a)
+		}
+	}
+	e.forgetUse(j.Ref)
+}
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -47,7 +47,7 @@
 		e.stopJob(now, j, "cancelled")
 		e.cancelAfter(now, ref)
 	}
-	e.writes.jobChanged(j)
+	e.jobWrites.jobChanged(j)
 }
 
 // JobFinal says that the store holds a job's final entry.
@@ -71,10 +71,10 @@
 		return
 	}
 	j.SetWritten(f.Phase)
-	e.settleResults(j)
+	e.forgetStoredResults(j)
 	delete(e.cancellations.stopping, j)
 	e.removeJob(j)
-	e.writes.jobOver(j)
+	e.jobWrites.jobOver(j)
 	e.note("job over", "job", ref, "phase", f.Phase)
 }
 
@@ -106,7 +106,7 @@
 		e.arrived(now, j)
 	}
 	e.resolveUnknownOutcome(j)
-	e.writes.jobChanged(j)
+	e.jobWrites.jobChanged(j)
 }
 
 func sortedJobs(set map[*pipeline.Job]bool) []*pipeline.Job {
@@ -306,7 +306,7 @@
 		if j.Settle() {
 			e.note("job complete", "job", j.Ref)
 		}
-		e.writes.jobChanged(j)
+		e.jobWrites.jobChanged(j)
 		return
 	}
 	a.Handled = true
@@ -339,7 +339,7 @@
 func (e *Engine) taskFailed(now time.Time, m *fleet.Machine, j *pipeline.Job, task int) {
 	m.Blame(j.Ref)
 	j.Abort(now, task, e.cfg.RestartLimit)
-	e.writes.jobChanged(j)
+	e.jobWrites.jobChanged(j)
 	e.touch(m)
 	if !m.Sick && (len(m.ErrorJobs) >= sickAfterJobs || m.Errors >= sickAfterErrors && len(j.BadOn) == 0) {
 		m.Sick = true
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -21,7 +21,7 @@
 	newest := map[fleet.Key]place{}
 	for _, s := range stored {
 		p := fleet.NewPage(s.Name, s.Version)
-		e.writes.addPage(p)
+		e.startLog.addPage(p)
 		for _, pl := range s.Record.Placed {
 			for _, en := range pl.Entries {
 				k := fleet.Key{Ref: en.Ref, Task: en.Task}
@@ -46,7 +46,7 @@
 		}
 		a := &fleet.Attempt{Key: k, Number: p.n, Inherited: true, CPUs: j.CPUs, GPUs: j.GPUs, MemGB: j.MemGB, Image: j.Image}
 		e.attach(now, m, a, fleet.Recorded)
-		p.page.Add(a, true)
+		p.page.Recover(a)
 		j.Assign(k.Task, m.Name, p.n)
 	}
 }
@@ -54,7 +54,7 @@
 // addMachine takes in a machine that is new here.
 func (e *Engine) addMachine(now time.Time, m *fleet.Machine) {
 	e.machines[m.Name] = m
-	m.Images = e.imagesLeft(m.Name)
+	m.Images = e.images.takeInherited(m.Name)
 	e.timers.schedule(m, now)
 	e.touch(m)
 }
@@ -180,7 +180,7 @@
 	}
 	delete(e.machines, m.Name)
 	delete(e.unreachable, m)
-	e.imagesGone(m.Name)
+	e.images.machineGone(m.Name)
 	e.gone[m.Name] = now
 	e.note("machine gone", "machine", m.Name)
 }
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -285,7 +285,7 @@
 	}
 	e.moveAttempt(now, m, a, t.State)
 	if t.State != fleet.Fetching && a.Image != "" && m.ImageThere(now, a.Image, e.imageGB(a.Ref)) {
-		e.imagesChanged(m)
+		e.images.machineChanged(m.Name)
 	}
 	if j := e.jobs[t.Ref]; j != nil && t.State == fleet.Running {
 		j.Started = true
@@ -345,7 +345,7 @@
 			cache, rate := e.catalog.Images(m.Type)
 			a.SentAt, a.FetchGuess = now, m.FetchLeft(now, a.Image, e.imageGB(a.Ref), rate)
 			m.UseImage(now, a.Image, e.imageGB(a.Ref), cache, rate)
-			e.imagesChanged(m)
+			e.images.machineChanged(m.Name)
 			starts = append(starts, c)
 			e.debug("start", "job", a.Ref, "task", a.Task, "machine", m.Name, "attempt", a.Number)
 		}
--- /dev/null
+++ b/internal/core/start_log.go
@@ -0,0 +1,208 @@
+package core
+
+import (
+	"sort"
+	"time"
+
+	"gingertally/internal/core/fleet"
+)
+
+// startLog is this leader's view of the start log: which page names which attempt, and
+// which pages the store doesn't hold as they are here. An attempt's start may leave only
+// once the store holds a page that names it (docs/design.md, safety argument 4;
+// TestStartOnlyAfterRecord).
+type startLog struct {
+	cfg       *Config
+	newName   func() string // makes names for new pages
+	pages     map[string]*fleet.Page
+	unpaged   []*fleet.Attempt // decided, but on no page yet
+	open      *fleet.Page      // the page that takes new attempts
+	dirty     map[*fleet.Page]bool
+	trimmedAt time.Time
+}
+
+func newStartLog(cfg *Config, newName func() string) startLog {
+	return startLog{cfg: cfg, newName: newName, pages: map[string]*fleet.Page{}, dirty: map[*fleet.Page]bool{}}
+}
+
+// trimEvery is how often a page is trimmed of attempts that are gone, trimPause how much
+// time lies between the trims of two pages. An untrimmed entry costs a later leader the
+// wait for that machine's word.
+const (
+	trimEvery = 10 * time.Second
+	trimPause = trimEvery / 10
+)
+
+// addPage takes in a page.
+func (l *startLog) addPage(p *fleet.Page) { l.pages[p.Name] = p }
+
+// addAttempt takes in an attempt that has been decided. It goes on a page with the next
+// batch.
+func (l *startLog) addAttempt(a *fleet.Attempt) { l.unpaged = append(l.unpaged, a) }
+
+// removeAttempt takes an attempt that is proven gone off its page.
+func (l *startLog) removeAttempt(a *fleet.Attempt) {
+	if p := a.Page; p != nil {
+		p.Remove(a)
+		l.pageChanged(p)
+	}
+}
+
+// pageChanged notes anew whether a page is to be written.
+func (l *startLog) pageChanged(p *fleet.Page) {
+	if p.Dirty {
+		l.dirty[p] = true
+	} else {
+		delete(l.dirty, p)
+	}
+}
+
+// pending tells whether a start waits for a write.
+func (l *startLog) pending() bool { return len(l.unpaged) > 0 || len(l.dirty) > 0 }
+
+// addWrites puts new attempts on pages, and adds the pages that are to be written.
+func (l *startLog) addWrites(b *batch) {
+	l.assignPages(b.room)
+	for _, p := range sortedPages(l.dirty) {
+		if b.room > 0 && !p.Sending {
+			b.add(pageWrite(p))
+		}
+	}
+}
+
+// assignPages puts new attempts on pages, until as many pages are dirty as may be
+// written. Attempts beyond that wait for the next batch.
+func (l *startLog) assignPages(maxDirty int) {
+	for i, a := range l.unpaged {
+		if a.State() != fleet.Intended {
+			continue // withdrawn meanwhile
+		}
+		if l.open == nil || l.open.Sending || !l.open.Fits(a, l.cfg.MaxPerValue) {
+			if len(l.dirty) >= maxDirty {
+				l.unpaged = append(l.unpaged[:0], l.unpaged[i:]...)
+				return
+			}
+			l.open = l.leastFilledPage()
+		}
+		l.open.Add(a)
+		l.pageChanged(l.open)
+	}
+	l.unpaged = l.unpaged[:0]
+}
+
+// leastFilledPage is the page with the least on it that still has room for some, or
+// a new one. Writing it again drops what is gone from it.
+func (l *startLog) leastFilledPage() *fleet.Page {
+	var best *fleet.Page
+	for _, p := range l.pages {
+		if p.Sending || !p.HalfEmpty(l.cfg.MaxPerValue) {
+			continue
+		}
+		if best == nil || p.Live() < best.Live() || p.Live() == best.Live() && p.Name < best.Name {
+			best = p
+		}
+	}
+	if best == nil {
+		best = fleet.NewPage(l.newName(), 0)
+		l.addPage(best)
+	}
+	return best
+}
+
+// addTrim adds the page with the most entries that are gone, if it is time to write one
+// anew without them, or to drop it if nothing is left.
+func (l *startLog) addTrim(now time.Time, b *batch) {
+	if now.Sub(l.trimmedAt) < trimPause {
+		return
+	}
+	l.trimmedAt = now
+	p := l.stalestPage(now)
+	if p == nil || b.room <= 0 {
+		return
+	}
+	p.Trimmed = now
+	if p.Live() > 0 || p.Version == 0 {
+		b.add(pageWrite(p))
+		return
+	}
+	b.add(Write{Kind: DropPage, Name: p.Name, Version: p.Version})
+}
+
+// stalestPage is the page with the most entries that are gone, of those that may be
+// trimmed; nil if none may.
+func (l *startLog) stalestPage(now time.Time) *fleet.Page {
+	var worst *fleet.Page
+	for _, p := range l.pages {
+		if p.Sending || p == l.open || p.Stale() == 0 || now.Sub(p.Trimmed) < trimEvery || !p.Fits(nil, l.cfg.MaxPerValue) {
+			continue
+		}
+		if worst == nil || p.Stale() > worst.Stale() || p.Stale() == worst.Stale() && p.Name < worst.Name {
+			worst = p
+		}
+	}
+	return worst
+}
+
+// writeStarted notes that a page is on its way to the store.
+func (l *startLog) writeStarted(name string) {
+	if p := l.pages[name]; p != nil {
+		p.WriteStarted()
+		l.pageChanged(p)
+	}
+}
+
+// written notes that the store holds a page as it was sent.
+func (l *startLog) written(now time.Time, w Write, version uint64) {
+	if p := l.pages[w.Name]; p != nil {
+		p.Stored(now, w.Page, version)
+		l.pageChanged(p)
+	}
+}
+
+// dropped notes that the store no longer holds a page.
+func (l *startLog) dropped(now time.Time, name string) {
+	p := l.pages[name]
+	p.Stored(now, fleet.Record{}, 0)
+	if p.Live() == 0 && p != l.open {
+		delete(l.pages, name)
+	}
+}
+
+// writeFailed notes that a page isn't known to have been written. Seen holds the versions
+// of the pages that were read afterwards.
+func (l *startLog) writeFailed(name string, seen map[string]uint64) {
+	p := l.pages[name]
+	if p == nil {
+		return
+	}
+	if version, read := seen[name]; read {
+		p.Version = version
+	}
+	p.WriteFailed()
+	l.pageChanged(p)
+}
+
+// refused notes that the store takes a page under no circumstances.
+func (l *startLog) refused(now time.Time, p *fleet.Page) {
+	p.WriteRefused(now)
+	l.pageChanged(p)
+	if l.open == p {
+		l.open = nil
+	}
+}
+
+func pageWrite(p *fleet.Page) Write {
+	return Write{Kind: WritePage, Name: p.Name, Version: p.Version, Page: p.Record()}
+}
+
+func sortedPages(set map[*fleet.Page]bool) []*fleet.Page {
+	if len(set) == 0 {
+		return nil
+	}
+	out := make([]*fleet.Page, 0, len(set))
+	for p := range set {
+		out = append(out, p)
+	}
+	sort.Slice(out, func(i, k int) bool { return out[i].Name < out[k].Name })
+	return out
+}
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -56,7 +56,7 @@
 
 // Status tells of machines and of jobs that wait.
 func (e *Engine) Status(now time.Time) Status {
-	s := Status{Term: e.term, Settled: e.settled(now), Active: len(e.order), Unstored: len(e.writes.fresh)}
+	s := Status{Term: e.term, Settled: e.settled(now), Active: len(e.order), Unstored: len(e.startLog.unpaged)}
 	pools := map[placement.PoolKey]*PoolStatus{}
 	for _, m := range e.machines {
 		k := placement.PoolKey{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
--- /dev/null
+++ b/internal/core/write_outcome.go
@@ -0,0 +1,141 @@
+package core
+
+import "time"
+
+// Sending notes that a batch is on its way: its content counts as clean unless
+// it changes again or the batch fails.
+type Sending struct{ Batch []Write }
+
+func (s Sending) apply(e *Engine, now time.Time) {
+	for _, w := range s.Batch {
+		e.writeStarted(now, w)
+	}
+}
+
+func (e *Engine) writeStarted(now time.Time, w Write) {
+	switch w.Kind {
+	case WritePage, DropPage:
+		e.startLog.writeStarted(w.Name)
+	case WriteJob:
+		if j := e.jobs[w.Name]; j != nil {
+			j.Clean(0, w.Job.Done)
+			e.jobWrites.lastWrite[j.Ref] = now
+		}
+	case WriteChunk:
+		if j := e.jobs[w.Name]; j != nil {
+			j.Clean(w.Chunk, w.Runs)
+		}
+	case WriteImages, DropImages:
+		e.images.writeStarted(w.Name)
+	}
+}
+
+// Written brings a batch's outcome. Version is that of all its keys if OK.
+// Otherwise nothing is known to have changed, and Seen holds the versions of
+// the pages that were read afterwards.
+type Written struct {
+	Batch   []Write
+	OK      bool
+	Version uint64
+	Seen    map[string]uint64
+}
+
+func (o Written) apply(e *Engine, now time.Time) {
+	for _, w := range o.Batch {
+		if o.OK {
+			e.writeSucceeded(now, w, o.Version)
+		} else {
+			e.writeFailed(w, o.Seen)
+		}
+	}
+}
+
+func (e *Engine) writeSucceeded(now time.Time, w Write, version uint64) {
+	switch w.Kind {
+	case WritePage:
+		e.startLog.written(now, w, version)
+	case DropPage:
+		e.startLog.dropped(now, w.Name)
+	case WriteJob:
+		if j := e.jobs[w.Name]; j != nil {
+			j.Version = version
+			e.forgetStoredResults(j)
+		}
+	case WriteChunk:
+		if j := e.jobs[w.Name]; j != nil {
+			e.forgetStoredResults(j)
+		}
+	case WriteFinal:
+		e.finished(now, w.Name, w.Final)
+	case DropImages:
+		e.images.dropped(w.Name)
+	case DropChunk, DropAwaits:
+		e.jobWrites.dropped(w)
+	}
+}
+
+// writeFailed has what a write was to store written again.
+func (e *Engine) writeFailed(w Write, seen map[string]uint64) {
+	switch w.Kind {
+	case WritePage, DropPage:
+		e.startLog.writeFailed(w.Name, seen)
+	case WriteJob:
+		e.rewriteChunk(w.Name, 0)
+	case WriteChunk:
+		e.rewriteChunk(w.Name, w.Chunk)
+	case WriteImages, DropImages:
+		e.images.writeFailed(w.Name)
+	}
+}
+
+// rewriteChunk has a chunk of a job's done ranges written again; chunk 0 is part of the
+// job's record.
+func (e *Engine) rewriteChunk(ref string, chunk int) {
+	if j := e.jobs[ref]; j != nil {
+		j.Touch(chunk)
+		e.jobWrites.jobChanged(j)
+	}
+}
+
+// Refused says that the store takes a write under no circumstances: its limits are
+// lower than the settings say (TestRefusedWriteIsMadeSmaller).
+type Refused struct{ Write Write }
+
+const (
+	// refusedPart is the factor by which values are made smaller after a refusal.
+	refusedPart = 0.75
+	// minValueBytes is the size below which values aren't made smaller.
+	minValueBytes = 400
+	// refusedPause is how long what was refused of a job isn't tried again.
+	refusedPause = 30 * time.Second
+)
+
+func (r Refused) apply(e *Engine, now time.Time) {
+	w := r.Write
+	e.note("write refused by the state service", "kind", w.Kind, "name", w.Name, "value_bytes", e.cfg.MaxPerValue)
+	e.cfg.MaxPerValue = max(minValueBytes, int(float64(e.cfg.MaxPerValue)*refusedPart))
+	switch w.Kind {
+	case WritePage, DropPage:
+		e.pageRefused(now, w.Name)
+	case WriteJob, WriteChunk, WriteFinal:
+		e.writeFailed(w, nil)
+		e.jobWrites.lastWrite[w.Name] = now.Add(refusedPause)
+	case WriteImages, DropImages:
+		// Left as it is until something on it changes.
+	default:
+		e.writeFailed(w, nil)
+	}
+}
+
+// pageRefused withdraws the starts that wait for a page of the start log which the store
+// won't take. They are placed again, on a page with less on it.
+func (e *Engine) pageRefused(now time.Time, name string) {
+	p := e.startLog.pages[name]
+	if p == nil {
+		return
+	}
+	for _, a := range p.Unwritten() {
+		e.stop(now, a.On, a, 0)
+	}
+	e.startLog.refused(now, p)
+}
--- a/internal/daemon/reign.go
+++ b/internal/daemon/reign.go
@@ -113,7 +113,7 @@
 func (r *reign) step(ev core.Event) core.Effects {
 	r.mu.Lock()
 	eff := r.eng.Step(time.Now(), ev)
-	pressing := r.eng.Pressing()
+	pressing := r.eng.WritesPending()
 	r.mu.Unlock()
 	if pressing {
 		r.kick()
