--- a/internal/core/decide.go
+++ b/internal/core/decide.go
@@ -108,7 +108,7 @@
 		delete(e.changed, m)
 		t := e.catalog[m.Type]
 		switch {
-		case t == nil || m.Draining || m.Sick || e.deaf[m]:
+		case t == nil || m.Draining || m.Sick || e.unreachable[m]:
 			e.floor.Remove(m)
 		case m.State() == fleet.Booting && m.Known && now.Sub(m.FirstSeen) <= e.slowBoot(t):
 			e.floor.Set(m, t, true)
@@ -186,7 +186,7 @@
 // preempt stops an attempt to make room.
 func (e *Engine) preempt(now time.Time, a *fleet.Attempt) {
 	e.note("preempted", "job", a.Ref, "task", a.Task, "machine", a.On.Name)
-	e.stopOrderly(now, a.On, a, e.jobs[a.Ref])
+	e.stopWithSave(now, a.On, a, e.jobs[a.Ref])
 }
 
 func hasForeign(m *fleet.Machine) bool {
@@ -326,7 +326,7 @@
 	a := &fleet.Attempt{Key: fleet.Key{Ref: j.Ref, Task: d.Task}, Number: n, CPUs: j.CPUs, GPUs: j.GPUs, MemGB: j.MemGB, Image: j.Image,
 		NotBefore: now.Add(d.Delay)}
 	e.attach(now, d.Slot.Machine, a, fleet.Intended)
-	e.writes.fresh = append(e.writes.fresh, a)
+	e.startLog.addAttempt(a)
 	j.Assign(d.Task, d.Slot.Machine.Name, n)
 	e.debug("placed", "job", j.Ref, "task", d.Task, "machine", d.Slot.Machine.Name, "type", d.Slot.Machine.Type)
 }
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -4,6 +4,7 @@
 package core
 
 import (
+	"fmt"
 	"math/rand/v2"
 	"reflect"
 	"time"
@@ -64,42 +65,43 @@
 
 // Engine is a leader's state for one term. It isn't safe for concurrent use.
 type Engine struct {
-	cfg       Config
-	term      uint64
-	rng       *rand.Rand
-	started   time.Time // when the term was claimed, by this node's clock
-	lastTick  time.Time
-	jobs      map[string]*pipeline.Job
-	graph     *pipeline.Graph // which of them wait for which
-	order     []*pipeline.Job // unfinished jobs in ready order
-	machines  map[string]*fleet.Machine
-	watch     watchList               // when machines are to be looked at
-	unheard   int                     // machines on record that have not been heard of yet
-	gone      map[string]time.Time    // names of machines proven gone
-	use       map[string]*jobUse      // what may be on machines, by job
-	teamUse   map[string]fleet.Amount // the same by team
-	catalog   placement.Catalog
-	counter   uint64
-	floor     placement.Floor
-	cancelled map[*pipeline.Job]bool  // cancelled jobs that may have tasks on machines
-	cancels   map[string]*cancelling  // cancellations that aren't known to be stored, or not to be
-	deaf      map[*fleet.Machine]bool // machines that seem to hear nothing
-	changed   map[*fleet.Machine]bool // since the floor last saw them
-	round     placement.Round
-	demand    []capacity.Demand // what the present round found no room for
-	plan      capacity.Plan
-	replan    bool // something changed that placement may use
-	placedAt  time.Time
-	plannedAt time.Time
-	prunedAt  time.Time
-	lastList  time.Time
-	movedAt   time.Time // when machines to be emptied were last looked for
-	emptying  map[*fleet.Machine]bool
-	finals    map[string]pipeline.Final // told for good
-	writes    writeQueue
-	images    imageLog
-	classes   map[string]*classStats
-	out       Effects
+	cfg           Config
+	term          uint64
+	rng           *rand.Rand
+	started       time.Time // when the term was claimed, by this node's clock
+	lastTick      time.Time
+	jobs          map[string]*pipeline.Job
+	graph         *pipeline.Graph // which of them wait for which
+	order         []*pipeline.Job // unfinished jobs in ready order
+	machines      map[string]*fleet.Machine
+	timers        timerQueue              // when machines are to be looked at
+	unheard       int                     // machines on record that have not been heard of yet
+	gone          map[string]time.Time    // names of machines proven gone
+	use           map[string]*jobUse      // what may be on machines, by job
+	teamUse       map[string]fleet.Amount // the same by team
+	catalog       placement.Catalog
+	counter       uint64
+	floor         placement.Floor
+	cancellations cancellations
+	unreachable   map[*fleet.Machine]bool // machines that seem to hear nothing
+	changed       map[*fleet.Machine]bool // since the floor last saw them
+	round         placement.Round
+	demand        []capacity.Demand // what the present round found no room for
+	plan          capacity.Plan
+	replan        bool // something changed that placement may use
+	placedAt      time.Time
+	plannedAt     time.Time
+	prunedAt      time.Time
+	lastList      time.Time
+	movedAt       time.Time // when machines to be emptied were last looked for
+	emptying      map[*fleet.Machine]bool
+	finals        map[string]pipeline.Final // told for good
+	startLog      startLog
+	jobWrites     jobWrites
+	jobEndsFirst  bool // whose turn it is in the next batch
+	images        imageLog
+	classes       map[string]*classStats
+	out           Effects
 }
 
 // jobUse is what of a job may be on machines.
@@ -189,17 +191,18 @@
 func New(now time.Time, cfg Config, term uint64, snap Snapshot, rng *rand.Rand) *Engine {
 	e := &Engine{cfg: cfg, term: term, rng: rng, started: now, jobs: map[string]*pipeline.Job{},
 		machines: map[string]*fleet.Machine{}, gone: map[string]time.Time{}, use: map[string]*jobUse{},
-		teamUse: map[string]fleet.Amount{}, changed: map[*fleet.Machine]bool{}, deaf: map[*fleet.Machine]bool{}, emptying: map[*fleet.Machine]bool{}, cancelled: map[*pipeline.Job]bool{}, cancels: map[string]*cancelling{},
+		teamUse: map[string]fleet.Amount{}, changed: map[*fleet.Machine]bool{}, unreachable: map[*fleet.Machine]bool{}, emptying: map[*fleet.Machine]bool{}, cancellations: newCancellations(),
 		finals: map[string]pipeline.Final{}, classes: map[string]*classStats{}, replan: true}
 	e.graph = pipeline.NewGraph(e.stageTime)
-	e.writes.init()
-	e.images.init()
-	e.inheritImages(snap.Images) // before the machines that it speaks of
+	e.startLog = newStartLog(&e.cfg, e.newPageName)
+	e.jobWrites = newJobWrites()
+	e.images = newImageLog(&e.cfg, now, e.newPageName, e.imagesOn)
+	e.images.recover(snap.Images) // before the machines that it speaks of
 	for _, s := range snap.Jobs {
 		e.addJob(now, s)
 	}
-	e.inherit(now, snap.Pages)
-	for _, j := range sortedJobs(e.cancelled) {
+	e.recoverStartLog(now, snap.Pages)
+	for _, j := range sortedJobs(e.cancellations.stopping) {
 		e.stopJob(now, j, "cancelled before this term") // the first answer already says so
 	}
 	return e
@@ -235,6 +238,21 @@
 	return e.term<<attemptBits | e.counter
 }
 
+// newPageName makes a name for a page of the start log or image log that no other term
+// can have made.
+func (e *Engine) newPageName() string {
+	e.counter++
+	return fmt.Sprintf("%d-%d", e.term, e.counter)
+}
+
+// imagesOn is which images a machine is believed to have, if it has been heard of.
+func (e *Engine) imagesOn(machine string) ([]fleet.Image, bool) {
+	if m := e.machines[machine]; m != nil {
+		return m.Images, true
+	}
+	return nil, false
+}
+
 func (e *Engine) useOf(ref string) *jobUse {
 	u := e.use[ref]
 	if u == nil {
@@ -292,22 +310,19 @@
 	}
 	if was == fleet.Sent || was == fleet.Fetching {
 		if m.FetchGivenUp(now, a.Image, was == fleet.Fetching) {
-			e.imagesChanged(m)
+			e.images.machineChanged(m.Name)
 		}
 	}
 	delete(u.attempts, a)
 	u.zones[m.Zone]--
 	e.addUse(u.team, a, -1)
-	if p := a.Page; p != nil {
-		p.Remove(a)
-		e.writes.pageChanged(p)
-	}
+	e.startLog.removeAttempt(a)
 	e.touch(m)
-	e.dropUse(a.Ref)
+	e.forgetUse(a.Ref)
 }
 
-// dropUse forgets the use of a job that is over and nowhere any more.
-func (e *Engine) dropUse(ref string) {
+// forgetUse forgets the use of a job that is over and nowhere any more.
+func (e *Engine) forgetUse(ref string) {
 	if u := e.use[ref]; u != nil && len(u.attempts)+len(u.results) == 0 && e.jobs[ref] == nil {
 		delete(e.use, ref)
 	}
@@ -323,7 +338,7 @@
 	m.Drop(now, a.Key)
 	if u := e.use[a.Ref]; u != nil {
 		delete(u.results, a)
-		e.dropUse(a.Ref)
+		e.forgetUse(a.Ref)
 	}
 }
 
@@ -335,8 +350,8 @@
 
 func (t Tick) apply(e *Engine, now time.Time) {
 	e.lastTick = now
-	e.watchMachines(now)
-	e.chaseCancelled(now)
+	e.checkMachines(now)
+	e.enforceCancellations(now)
 	e.decide(now, t.Spent)
 }
 
--- a/internal/core/fleet/pages_test.go
+++ b/internal/core/fleet/start_log_test.go
@@ -14,7 +14,7 @@
 	for task := range 8 {
 		a := &Attempt{Key: Key{Ref: "j", Task: task}, Number: uint64(task)}
 		m.Add(now, a, Intended)
-		page.Add(a, false)
+		page.Add(a)
 	}
 	sorted := slices.IsSortedFunc(page.Unwritten(), func(a, b *Attempt) int { return a.Task - b.Task })
 	if !sorted {
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -37,17 +37,17 @@
 	}
 	j.Version = s.Job.Version
 	if s.Job.Record.Phase == pipeline.Cancelled {
-		delete(e.cancels, ref)
+		e.cancellations.resolve(ref)
 	}
 	awaits := j.Awaits()
 	if s.Job.Record.Phase == pipeline.Cancelled && j.Cancel(time.UnixMilli(s.Job.Record.CancelledMS)) {
 		e.graph.Leave(j, awaits)
 		e.note("job cancelled", "job", ref)
-		e.cancelled[j] = true
+		e.cancellations.stopping[j] = true
 		e.stopJob(now, j, "cancelled")
 		e.cancelAfter(now, ref)
 	}
-	e.writes.jobChanged(j)
+	e.jobWrites.jobChanged(j)
 }
 
 // JobFinal says that the store holds a job's final entry.
@@ -64,17 +64,17 @@
 		clear(e.finals) // the store still knows them
 	}
 	e.finals[ref] = f
-	delete(e.cancels, ref)
+	e.cancellations.resolve(ref)
 	e.settleAfter(now, ref, f)
 	j := e.jobs[ref]
 	if j == nil {
 		return
 	}
 	j.SetWritten(f.Phase)
-	e.settleResults(j)
-	delete(e.cancelled, j)
+	e.forgetStoredResults(j)
+	delete(e.cancellations.stopping, j)
 	e.removeJob(j)
-	e.writes.jobOver(j)
+	e.jobWrites.jobOver(j)
 	e.note("job over", "job", ref, "phase", f.Phase)
 }
 
@@ -99,14 +99,14 @@
 	case pipeline.Held:
 		e.weigh(now, j)
 	case pipeline.Cancelled:
-		delete(e.cancels, j.Ref)
-		e.cancelled[j] = true
+		e.cancellations.resolve(j.Ref)
+		e.cancellations.stopping[j] = true
 		e.cancelAfter(now, j.Ref)
 	default:
 		e.arrived(now, j)
 	}
-	e.settleDoubt(j)
-	e.writes.jobChanged(j)
+	e.resolveUnknownOutcome(j)
+	e.jobWrites.jobChanged(j)
 }
 
 func sortedJobs(set map[*pipeline.Job]bool) []*pipeline.Job {
@@ -144,7 +144,7 @@
 func (e *Engine) removeJob(j *pipeline.Job) {
 	delete(e.jobs, j.Ref)
 	e.graph.Remove(j)
-	e.dropUse(j.Ref)
+	e.forgetUse(j.Ref)
 	if i := slices.Index(e.order, j); i >= 0 {
 		e.order = slices.Delete(e.order, i, i+1)
 	}
@@ -165,7 +165,7 @@
 	if j == nil {
 		return JobView{}, false
 	}
-	if j.Phase() != j.Written() || e.cancelOpen(ref) || !e.graph.Sure(j) {
+	if j.Phase() != j.Written() || e.cancelUndecided(ref) || !e.graph.Sure(j) {
 		// The store may hold more than is known here; a node that reads it there
 		// must not be contradicted.
 		return JobView{}, false
@@ -222,7 +222,7 @@
 	case fleet.Exited:
 		return
 	case fleet.Intended, fleet.Recorded:
-		if !a.Inherit {
+		if !a.Inherited {
 			e.detach(now, m, a)
 			e.requeue(a)
 			return
@@ -234,7 +234,7 @@
 	a.Stopping, a.StopAt, a.Grace = true, now, grace
 	e.touch(m)
 	if a.State() != fleet.Sent {
-		a.ToldSeq = 0
+		a.CommandSeq = 0
 	}
 	if a.State() == fleet.Sent || m.Session == 0 {
 		return // goes with the next report's response, once it is there
@@ -259,37 +259,17 @@
 	}
 }
 
-// chaseCancelled makes sure that the tasks of cancelled jobs are gone in time,
-// also on machines that don't answer: those are released.
-func (e *Engine) chaseCancelled(now time.Time) {
-	for _, j := range sortedJobs(e.cancelled) {
-		left := e.attemptsOf(j.Ref)
-		if len(left) == 0 {
-			delete(e.cancelled, j)
-			e.writes.jobChanged(j) // its final entry can be written
-			continue
-		}
-		late := now.Sub(j.CancelAt) > e.cfg.CancelWithin*6/10
-		for _, a := range left {
-			e.stop(now, a.On, a, 0)
-			if late {
-				e.release(now, a.On, "holds a cancelled task")
-			}
-		}
-	}
-}
-
-// lost handles an attempt that is proven gone without a reported exit.
-func (e *Engine) lost(now time.Time, m *fleet.Machine, a *fleet.Attempt, why string) {
+// attemptLost handles an attempt that is proven gone without a reported exit.
+func (e *Engine) attemptLost(now time.Time, m *fleet.Machine, a *fleet.Attempt, why string) {
 	e.detach(now, m, a)
 	e.debug("attempt gone", "job", a.Ref, "task", a.Task, "machine", m.Name, "why", why)
 	e.requeue(a)
-	e.gangBroken(now, a)
+	e.stopBrokenGang(now, a)
 }
 
-// gangBroken stops the rest of a gang that has lost a task: an attempt of a
+// stopBrokenGang stops the rest of a gang that has lost a task: an attempt of a
 // gang runs whole or not at all.
-func (e *Engine) gangBroken(now time.Time, a *fleet.Attempt) {
+func (e *Engine) stopBrokenGang(now time.Time, a *fleet.Attempt) {
 	j := e.jobs[a.Ref]
 	if j == nil || j.Shape != pipeline.Gang || j.Tasks[0].State() == pipeline.Finished || len(j.Tasks) == 1 {
 		return
@@ -301,8 +281,8 @@
 	}
 }
 
-// exited handles a reported exit, once.
-func (e *Engine) exited(now time.Time, m *fleet.Machine, a *fleet.Attempt, t fleet.TaskReport) {
+// taskExited handles a reported exit, once.
+func (e *Engine) taskExited(now time.Time, m *fleet.Machine, a *fleet.Attempt, t fleet.TaskReport) {
 	if a.State() == fleet.Exited {
 		return // reported again, until the worker is told to forget it
 	}
@@ -310,7 +290,7 @@
 	current := j != nil && a.Task < len(j.Tasks) && j.Tasks[a.Task].Attempt == a.Number
 	ran := a.RunStart
 	e.moveAttempt(now, m, a, fleet.Exited)
-	a.Cause, a.ToldSeq = t.Cause, 0
+	a.Cause, a.CommandSeq = t.Cause, 0
 	if t.Cause == fleet.CauseDone {
 		e.debug("attempt done", "job", a.Ref, "task", a.Task, "machine", m.Name)
 		m.Forgive()
@@ -319,14 +299,14 @@
 			return
 		}
 		if !ran.IsZero() && j.Estimate > 0 {
-			e.learn(j, now.Sub(ran))
+			e.learnRunTime(j, now.Sub(ran))
 		}
 		e.useOf(a.Ref).results[a] = true // may be forgotten once written
 		j.Finish(a.Task)
 		if j.Settle() {
 			e.note("job complete", "job", j.Ref)
 		}
-		e.writes.jobChanged(j)
+		e.jobWrites.jobChanged(j)
 		return
 	}
 	a.Handled = true
@@ -336,7 +316,7 @@
 	}
 	switch t.Cause {
 	case fleet.CauseError:
-		e.blame(now, m, j, a.Task)
+		e.taskFailed(now, m, j, a.Task)
 	case fleet.CauseNoRoom, fleet.CauseBusy:
 		m.HoldUntil = now.Add(min(e.cfg.ReportEvery, 3*time.Second))
 		m.DropImage(a.Image)
@@ -344,26 +324,26 @@
 		j.Tasks[a.Task].NotUntil = now.Add(2 * time.Second)
 	}
 	j.Requeue(a.Task)
-	e.gangBroken(now, a)
+	e.stopBrokenGang(now, a)
 	e.replan = true
 }
 
-// sickJobs is how many different jobs must fail on a machine, with no success
-// between, before the machine is blamed; sickErrors the same for bad exits.
+// sickAfterJobs is how many different jobs must fail on a machine, with no success
+// between, before the machine is blamed; sickAfterErrors the same for bad exits.
 const (
-	sickJobs   = 2
-	sickErrors = 3
+	sickAfterJobs   = 2
+	sickAfterErrors = 3
 )
 
-// blame weighs an exit with an error against the machine before the job.
-func (e *Engine) blame(now time.Time, m *fleet.Machine, j *pipeline.Job, task int) {
+// taskFailed weighs an exit with an error against the machine before the job.
+func (e *Engine) taskFailed(now time.Time, m *fleet.Machine, j *pipeline.Job, task int) {
 	m.Blame(j.Ref)
 	j.Abort(now, task, e.cfg.RestartLimit)
-	e.writes.jobChanged(j)
+	e.jobWrites.jobChanged(j)
 	e.touch(m)
-	if !m.Sick && (len(m.ErrorJobs) >= sickJobs || m.Errors >= sickErrors && len(j.BadOn) == 0) {
+	if !m.Sick && (len(m.ErrorJobs) >= sickAfterJobs || m.Errors >= sickAfterErrors && len(j.BadOn) == 0) {
 		m.Sick = true
-		e.watch.set(m, now)
+		e.timers.schedule(m, now)
 		e.note("machine taken for sick", "machine", m.Name, "errors", m.Errors)
 		for ref := range m.ErrorJobs {
 			if o := e.jobs[ref]; o != nil {
@@ -377,8 +357,8 @@
 	}
 }
 
-// learn takes in how long a task ran against its estimate.
-func (e *Engine) learn(j *pipeline.Job, ran time.Duration) {
+// learnRunTime takes in how long a task ran against its estimate.
+func (e *Engine) learnRunTime(j *pipeline.Job, ran time.Duration) {
 	c := e.class(j.Class)
 	r := min(max(float64(ran)/float64(j.Estimate), 0.1), 10)
 	c.runs++
--- a/internal/daemon/session.go
+++ b/internal/daemon/session.go
@@ -128,7 +128,7 @@
 func (s *leaderSession) step(event core.Event) core.Effects {
 	s.mu.Lock()
 	effects := s.engine.Step(time.Now(), event)
-	pressing := s.engine.Pressing()
+	pressing := s.engine.WritesPending()
 	s.mu.Unlock()
 	if pressing {
 		s.wakeWriter()
