--- a/internal/core/placement/floor.go
+++ b/internal/core/placement/floor.go
@@ -165,6 +165,20 @@
 	}
 }
 
+// byPrice lists the pools that the job may use, the cheapest machines first.
+func (f *Floor) byPrice(sp *pipeline.Spec) []*Pool {
+	var pools []*Pool
+	for _, p := range f.Pools {
+		if p.Allowed(sp) {
+			pools = append(pools, p)
+		}
+	}
+	sort.SliceStable(pools, func(i, k int) bool {
+		return pools[i].Type.Price(pools[i].Key.Spot) < pools[k].Type.Price(pools[k].Key.Spot)
+	})
+	return pools
+}
+
 // Zones lists the zones that have slots.
 func (f *Floor) Zones() []string {
 	var out []string
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -280,9 +280,12 @@
 		if j.Phase() != pipeline.Active || j.Count(pipeline.Waiting) == 0 {
 			continue
 		}
-		if j.Shape == pipeline.Gang {
+		switch j.Shape {
+		case pipeline.Gang:
 			b.placeGang(j)
-		} else {
+		case pipeline.Service:
+			b.placeReplicas(t)
+		default:
 			b.placeTasks(t)
 		}
 	}
@@ -337,7 +340,7 @@
 	return out
 }
 
-// placeTasks places as many tasks as there is room for, and at most so many.
+// placeTasks places as many tasks of an array as there is room for, and at most so many.
 // Slots are filled one after the other, since a task more on a machine that has
 // the image, or is in use, costs nothing more.
 func (b *Board) placeTasks(t Turn) {
--- a/internal/core/placement/preempt.go
+++ b/internal/core/placement/preempt.go
@@ -146,19 +146,10 @@
 	var best []place
 	low := 0.0
 	for _, z := range b.gangZones(j) {
-		var all []place
-		b.Floor.EachAllowed(&j.Spec, z, func(s *Slot) {
-			if !b.usable(s, j, zones) {
-				return
-			}
-			if p, ok := b.victims(s, j); ok {
-				all = append(all, p)
-			}
-		})
+		all := b.preemptible(j, z, zones)
 		if len(all) < n {
 			continue
 		}
-		sort.SliceStable(all, func(i, k int) bool { return all[i].cost < all[k].cost })
 		sum := 0.0
 		for _, p := range all[:n] {
 			sum += p.cost
@@ -168,14 +159,35 @@
 		}
 	}
 	for _, p := range best {
-		b.Floor.reserve(p.slot, p.left)
-		for _, a := range p.victims {
-			b.Stop(a)
-		}
+		b.clear(p)
 	}
 	return best != nil
 }
 
+// preemptible are the places in a zone (empty: in all) where one task of the job has room
+// once what may be stopped for it is stopped, those where that loses the least first.
+func (b *Board) preemptible(j *pipeline.Job, zone string, zones map[string]int) []place {
+	var all []place
+	b.Floor.EachAllowed(&j.Spec, zone, func(s *Slot) {
+		if !b.usable(s, j, zones) {
+			return
+		}
+		if p, ok := b.victims(s, j); ok {
+			all = append(all, p)
+		}
+	})
+	sort.SliceStable(all, func(i, k int) bool { return all[i].cost < all[k].cost })
+	return all
+}
+
+// clear stops what occupies a place and keeps the room for its task.
+func (b *Board) clear(p place) {
+	b.Floor.reserve(p.slot, p.left)
+	for _, a := range p.victims {
+		b.Stop(a)
+	}
+}
+
 // victims are the attempts on a slot to stop for a task of the job, what that
 // costs in seconds of delay and lost work, and what room it leaves.
 func (b *Board) victims(s *Slot, j *pipeline.Job) (place, bool) {
--- /dev/null
+++ b/internal/core/placement/replicas_test.go
@@ -0,0 +1,59 @@
+package placement
+
+import (
+	"testing"
+
+	"gingertally/internal/core/fleet"
+	"gingertally/internal/core/pipeline"
+)
+
+// countingZones has a board count what it places by zone, as the engine does.
+func countingZones(b *board) {
+	zones := map[string]int{}
+	b.InZones = func(string) map[string]int { return zones }
+	commit := b.Commit
+	b.Commit = func(d Decision) {
+		zones[d.Slot.Zone]++
+		commit(d)
+	}
+}
+
+func service(t *testing.T, replicas int) *pipeline.Job {
+	t.Helper()
+	return job(t, pipeline.Spec{Ref: "j-1", Tasks: replicas, CPUs: 4, Shape: pipeline.Service, Spread: true})
+}
+
+// Replicas missing after a zone was lost once waited for arrays' tasks to end, for 7 s on
+// the mean, since a service that had begun had no aim left to be late for.
+func TestMissingReplicasMakeRoom(t *testing.T) {
+	b := newBoard(t, []*pipeline.Job{service(t, 4)}, machine("m-1", "cpu", "a", "j-9", "j-8"),
+		machine("m-2", "cpu", "a", "j-9", "j-8"), machine("m-3", "cpu", "a", "j-9", "j-8"), machine("m-4", "cpu", "b", "j-9", "j-8"))
+	countingZones(b)
+	new(Round).Run(&b.Board)
+	byMachine := map[string]int{}
+	for _, a := range b.stopped {
+		byMachine[a.On.Name]++
+	}
+	if len(b.stopped) != 3 || byMachine["m-4"] != 1 || b.unmet != 4 {
+		t.Fatalf("stopped on %v, unmet %d; want two places in zone a, one in zone b", byMachine, b.unmet)
+	}
+}
+
+// The replicas of a service were once put on one machine, or in one zone, as far as its
+// limit of half of them allowed.
+func TestReplicasSpread(t *testing.T) {
+	var machines []*fleet.Machine
+	for _, name := range []string{"m-1", "m-2", "m-3", "m-4"} {
+		machines = append(machines, machine(name, "cpu", map[string]string{"m-1": "a", "m-2": "a", "m-3": "b", "m-4": "c"}[name]))
+	}
+	b := newBoard(t, []*pipeline.Job{service(t, 4)}, machines...)
+	countingZones(b)
+	new(Round).Run(&b.Board)
+	on := map[string]int{}
+	for _, d := range b.placed {
+		on[d.Slot.Machine.Name]++
+	}
+	if len(b.placed) != 4 || len(on) != 4 {
+		t.Fatalf("4 replicas on %v", on)
+	}
+}
--- a/internal/core/rank.go
+++ b/internal/core/rank.go
@@ -104,8 +104,9 @@
 
 // needsRoomBy is when a job must have room if it isn't to be late; one that has
 // waited for long is late already, whatever aim it can still keep.
+// A service is late with each replica that isn't running, since every second of it counts.
 func (e *Engine) needsRoomBy(now time.Time, j *pipeline.Job) time.Time {
-	if e.aged(now, j) {
+	if e.aged(now, j) || j.Shape == pipeline.Service {
 		return now
 	}
 	return e.dueStart(now, j)
--- a/internal/leadership/elector.go
+++ b/internal/leadership/elector.go
@@ -202,9 +202,26 @@
 	}
 }
 
-// yieldFor is how long a node that no worker reaches, or that has just resigned, lets
-// others claim first.
-const yieldFor = 2500 * time.Millisecond
+// A node that has just resigned, or that no worker reaches, lets others claim first. The
+// others learn that the place is free at the same moment and claim within a tenth of a
+// second. After a leader's end its workers reach none of the others for seconds, so a node
+// that none reaches mustn't yield for longer than that takes: the leases of all tasks on
+// machines that are lost count from the next leader's claim.
+const (
+	yieldAfterResigning = 2500 * time.Millisecond
+	yieldUnreached      = 500 * time.Millisecond
+)
+
+// yieldFor is how long the node lets others claim first.
+func (e *Elector) yieldFor() time.Duration {
+	switch {
+	case e.Role() == Resting:
+		return yieldAfterResigning
+	case e.options.Hooks.Unreached():
+		return yieldUnreached
+	}
+	return 0
+}
 
 // Pauses between tries; the random parts keep nodes from trying in step.
 const (
@@ -240,7 +257,7 @@
 		if freeSince.IsZero() {
 			freeSince = time.Now()
 		}
-		if (e.Role() == Resting || e.options.Hooks.Unreached()) && time.Since(freeSince) < yieldFor {
+		if time.Since(freeSince) < e.yieldFor() {
 			pause(ctx, yieldCheck)
 			continue
 		}
--- a/internal/leadership/elector_test.go
+++ b/internal/leadership/elector_test.go
@@ -272,3 +272,25 @@
 		time.Sleep(10 * time.Second) // for all nodes to end
 	})
 }
+
+// After a leader's end its workers reach no other node for seconds: a node that none reaches
+// lets others claim first, but once waited for so long that replicas in a lost zone were
+// replaced 2.5 s later than they could have been.
+func TestUnreachedNodeYieldsBriefly(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ctx, cancel := context.WithCancel(t.Context())
+		defer cancel()
+		began := time.Now()
+		var after time.Duration
+		e := New(client{newFake(), "a"}, Options{Member: "a", TTL: 3 * time.Second, Hooks: Hooks{
+			Elected: func(context.Context, Term) { after = time.Since(began) },
+			Resumed: func() {}, Unreached: func() bool { return true }}})
+		go func() { _ = e.Run(ctx) }() // ends with ctx
+		time.Sleep(5 * time.Second)
+		cancel()
+		time.Sleep(5 * time.Second)
+		if after < yieldUnreached || after > time.Second {
+			t.Fatalf("claimed %s after the place became free", after)
+		}
+	})
+}
