--- a/internal/simulation/checker.go
+++ b/internal/simulation/checker.go
@@ -247,7 +247,7 @@
 	if c.started == 0 {
 		return errors.New("nothing_ran")
 	}
-	for _, j := range c.w.jobs {
+	for _, j := range c.w.sortedJobs() {
 		if c.w.o.Jobs > 0 && j.accepted && !j.mistake && j.told == pipeline.Active && j.spec.Shape != pipeline.Service {
 			return fmt.Errorf("seed %d: job %s never came to an end: %+v", c.w.o.Seed, j.spec.Ref, j.spec)
 		}
--- a/internal/simulation/consistency_probes.go
+++ b/internal/simulation/consistency_probes.go
@@ -8,6 +8,7 @@
 	"gingertally/internal/core"
 	"gingertally/internal/core/pipeline"
 	"gingertally/internal/core/placement"
+	"gingertally/internal/jobstore"
 	"gingertally/internal/userapi"
 	"gingertally/internal/wire"
 )
@@ -78,8 +79,25 @@
 	return pipeline.Active, context.Canceled
 }
 
+// simulatedClock is a node's job store for its users' calls, which pass the time of the
+// machine that the simulation runs on: it goes by the world's time instead.
+type simulatedClock struct {
+	*jobstore.Jobs
+	n *node
+}
+
+// Create stores a submission as of the world's time.
+func (c simulatedClock) Create(ctx context.Context, spec pipeline.Spec, awaits []string, _ time.Time) error {
+	return c.Jobs.Create(ctx, spec, awaits, c.n.w.now)
+}
+
+// InDoubt asks as of the node's own clock.
+func (c simulatedClock) InDoubt(ctx context.Context, st jobstore.State, _ time.Time) (bool, error) {
+	return c.Jobs.InDoubt(ctx, st, c.n.local())
+}
+
 func (n *node) service() *userapi.Service {
-	return &userapi.Service{Jobs: n.jobs, Leader: leaderView{n}, Teams: n.w.teams, Catalog: func() placement.Catalog { return n.w.catalog }}
+	return &userapi.Service{Jobs: simulatedClock{n.jobs, n}, Leader: leaderView{n}, Teams: n.w.teams, Catalog: func() placement.Catalog { return n.w.catalog }}
 }
 
 // post sends a submission's body to a node; status 0: no answer.
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -283,6 +283,7 @@
 		n.w.check.fail("%s acts while it stands still", n.name)
 	}
 	eff := n.eng.Step(n.local(), ev)
+	n.w.digest.addStep(n, ev, eff)
 	if n.w.Trace != nil {
 		for _, x := range eff.Notes {
 			n.w.Trace(n.w.now.Sub(n.w.start), n.name, x.Text, x.Args)
@@ -322,6 +323,7 @@
 		return
 	}
 	n.writing = true
+	n.w.digest.add(n.w, "batch", n.name, batch)
 	eng, term, jobs := n.eng, n.term, n.jobs
 	n.step(core.Sending{Batch: batch})
 	var sent []core.Write
--- a/internal/simulation/random_test.go
+++ b/internal/simulation/random_test.go
@@ -41,15 +41,20 @@
 	}
 }
 
+// manyFall are the options of a world in which many machines fall together.
+func manyFall(seed uint64) Options {
+	o := options(seed, seed%4 != 0)
+	o.CorrelatedFailures, o.Jobs = true, 20
+	return o
+}
+
 // TestManyFallTogether plays worlds in which, on top of all other troubles, many
 // machines stop, hang, start anew or go deaf at once, with the leader or all
 // controllers, and controllers stand still with their clocks running on.
 func TestManyFallTogether(t *testing.T) {
 	started, done := 0, 0
 	for seed := range uint64(80) {
-		o := options(3000+seed, seed%4 != 0)
-		o.CorrelatedFailures, o.Jobs = true, 20
-		w := NewWorld(o)
+		w := NewWorld(manyFall(3000 + seed))
 		if err := w.Run(); err != nil {
 			t.Error(err)
 		}
--- a/internal/simulation/starvation_check.go
+++ b/internal/simulation/starvation_check.go
@@ -42,7 +42,7 @@
 // waits checks, again and again once all troubles are over, that no array or gang of
 // one task waits as a whole though a machine has room for a task of it.
 func (c *checker) checkStarvation() {
-	for _, j := range c.w.jobs {
+	for _, j := range c.w.sortedJobs() {
 		if !c.mayBegin(j) {
 			delete(c.waiting, j)
 			continue
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -117,6 +117,7 @@
 	if failed != nil {
 		return 0, &statestore.ConflictError{Failed: failed}
 	}
+	s.w.digest.add(s.w, "commit", "store", changes)
 	if len(changes) > 0 {
 		s.rev++
 	}
--- a/internal/simulation/troubles.go
+++ b/internal/simulation/troubles.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"sort"
 	"time"
 
 	"gingertally/internal/core/fleet"
@@ -293,14 +292,7 @@
 	}
 }
 
-func (s *script) sortedJobs() []*userJob {
-	var out []*userJob
-	for _, j := range s.w.jobs {
-		out = append(out, j)
-	}
-	sort.Slice(out, func(i, k int) bool { return out[i].spec.Ref < out[k].spec.Ref })
-	return out
-}
+func (s *script) sortedJobs() []*userJob { return s.w.sortedJobs() }
 
 // tasksOf counts the tasks of a job that are on machines.
 func (s *script) tasksOf(j *userJob) int {
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -57,6 +57,15 @@
 	return out
 }
 
+func (w *World) sortedJobs() []*userJob {
+	out := make([]*userJob, 0, len(w.jobs))
+	for _, j := range w.jobs {
+		out = append(out, j)
+	}
+	sort.Slice(out, func(i, k int) bool { return out[i].spec.Ref < out[k].spec.Ref })
+	return out
+}
+
 func (w *World) planUsers() {
 	for i := range w.o.Jobs {
 		j := &userJob{w: w, done: map[int]bool{}, run: w.between(2*time.Second, 25*time.Second), mistake: w.chance(0.05)}
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -171,6 +171,7 @@
 
 func (m *machine) deliver(n *node, r fleet.Report, sent time.Time) {
 	w := m.w
+	w.digest.add(w, "report", m.name, r)
 	delay := w.between(time.Millisecond, 20*time.Millisecond) + w.script.linkDelay()
 	if m.mute {
 		w.script.note("reports of mute machines")
@@ -269,6 +270,7 @@
 		return // given up, or from an earlier session
 	}
 	m.outstanding = 0
+	m.w.digest.add(m.w, "answer", m.name, reply)
 	switch status {
 	case 200:
 		if reply.Token < m.token {
@@ -307,6 +309,7 @@
 	}
 	delay += w.script.linkDelay() + w.script.ordersHeld(m)
 	m.later(delay, func() {
+		m.w.digest.add(m.w, "orders", m.name, d)
 		if m.isUp && d.Token >= m.token && d.Session == m.session {
 			m.token = d.Token
 			m.seq++
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -64,6 +64,7 @@
 	correlated  *correlatedFailures // nil: none
 	pipelines   *pipelinePlan
 	script      *script // nil: none
+	digest      *digest // nil: none
 }
 
 type event struct {
@@ -152,6 +153,7 @@
 			break
 		}
 		w.now = e.at
+		w.digest.add(w, "event", "world", e.seq)
 		e.fn()
 		w.check.leaders()
 		w.script.look()
