--- a/internal/simulation/checker.go
+++ b/internal/simulation/checker.go
@@ -248,7 +248,7 @@
 		return errors.New("nothing_ran")
 	}
 	for _, j := range c.w.sortedJobs() {
-		if c.w.o.Jobs > 0 && j.accepted && !j.mistake && j.told == pipeline.Active && j.spec.Shape != pipeline.Service {
+		if (c.w.o.Jobs > 0 || c.w.o.ShortLease) && j.accepted && !j.mistake && j.told == pipeline.Active && j.spec.Shape != pipeline.Service {
 			return fmt.Errorf("seed %d: job %s never came to an end: %+v", c.w.o.Seed, j.spec.Ref, j.spec)
 		}
 	}
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -29,7 +29,7 @@
 	name := fmt.Sprintf("m-%06d", c.made)
 	c.made++
 	m := &machine{w: c.w, name: name, typ: typ, zone: zone, spot: spot, born: c.w.now,
-		rate: 1 + (c.w.rng.Float64()-0.5)*0.001, images: map[string]bool{}, tasks: map[string]*task{}}
+		rate: c.w.shortLease.clockRate(1 + (c.w.rng.Float64()-0.5)*0.001), images: map[string]bool{}, tasks: map[string]*task{}}
 	c.w.machines[name] = m
 	c.w.after(boot, m.up)
 	return name
@@ -48,7 +48,7 @@
 			have++
 		}
 	}
-	n := min(r.Count, maxOffer-have)
+	n := min(r.Count, c.w.shortLease.offer()-have)
 	if n <= 0 {
 		return nil, true, true
 	}
--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -22,6 +22,7 @@
 	{"troubles", func(seed uint64) Options { return options(seed, true) }, []uint64{1000, 1001, 3002, 3018, 3068}},
 	{"many fall together", manyFall, []uint64{3008, 3011, 3020, 3034, 3043, 3073}},
 	{"pipelines", pipelines, []uint64{3000, 3005, 3009, 3010, 3015, 3026, 3042, 3045, 3053, 3054, 3062, 3064}},
+	{"short leases", shortLeases, []uint64{7000, 7001, 7002, 7005}},
 }
 
 // trace is what happened in a run, line by line.
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -27,6 +27,8 @@
 	jobs       *jobstore.Jobs
 	down       bool
 	stillUntil time.Time     // stands still until then, its clocks running on
+	slowUntil  time.Time     // computes slowly until then
+	busyUntil  time.Time     // is busy with a step until then
 	noStore    bool          // cut off from the state service
 	refused    bool          // refused by the state service, alone
 	unanswered bool          // what it is just sending gets no answer
@@ -117,6 +119,8 @@
 	case n.life != life || n.down:
 	case n.still():
 		n.w.after(n.stillUntil.Sub(n.w.now)+n.w.between(0, 50*time.Millisecond), func() { n.run(life, fn) })
+	case n.busyFor() > 0:
+		n.w.after(n.busyFor(), func() { n.run(life, fn) })
 	default:
 		fn()
 	}
@@ -125,7 +129,7 @@
 func (n *node) still() bool { return n.w.now.Before(n.stillUntil) }
 
 func (n *node) crash(back time.Duration) {
-	n.down, n.eng, n.stillUntil = true, nil, time.Time{}
+	n.down, n.eng, n.stillUntil, n.busyUntil = true, nil, time.Time{}, time.Time{}
 	n.life++
 	n.w.after(back, n.boot)
 }
@@ -284,6 +288,8 @@
 	}
 	eff := n.eng.Step(n.local(), ev)
 	n.w.digest.addStep(n, ev, eff)
+	n.w.shortLease.saw(eff.Notes)
+	n.compute(ev)
 	if n.w.Trace != nil {
 		for _, x := range eff.Notes {
 			n.w.Trace(n.w.now.Sub(n.w.start), n.name, x.Text, x.Args)
--- a/internal/simulation/random_test.go
+++ b/internal/simulation/random_test.go
@@ -105,6 +105,9 @@
 	if os.Getenv("SIMULATION_PIPELINES") != "" {
 		o = pipelines(seed)
 	}
+	if os.Getenv("SIMULATION_SHORT_LEASE") != "" {
+		o = shortLeases(seed)
+	}
 	w := NewWorld(o)
 	w.Trace = func(at time.Duration, node, text string, args []any) {
 		t.Log(at.Seconds(), node, text, args)
@@ -129,6 +132,9 @@
 			if os.Getenv("SIMULATION_PIPELINES") != "" {
 				o = pipelines(10_000 + seed)
 			}
+			if os.Getenv("SIMULATION_SHORT_LEASE") != "" {
+				o = shortLeases(10_000 + seed)
+			}
 			if err := NewWorld(o).Run(); err != nil {
 				t.Error(err)
 			}
--- /dev/null
+++ b/internal/simulation/short_lease.go
@@ -0,0 +1,155 @@
+package simulation
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"gingertally/internal/core"
+	"gingertally/internal/core/pipeline"
+	"gingertally/internal/core/placement"
+)
+
+// shortLease adds to a world what a deployment with short leases meets: nodes that
+// compute slowly, stall, refuse each other or are refused by the state service alone,
+// zones cut off for longer than a worker's lease, and clocks at the bound of their drift;
+// in a small cloud that several teams with guarantees and limits share. It draws luck of
+// its own, so that the other worlds of the same seed stay what they are. A nil shortLease
+// does nothing.
+type shortLease struct {
+	w     *World
+	rng   *rand.Rand
+	notes map[string]int // what came about, and how often
+	jobs  int            // submitted so far
+}
+
+// maxDrift is the most that a steady clock gains or loses, as a share of the time.
+const maxDrift = 0.0005
+
+// shortLeaseOffer is the capacity of each type, zone and kind in these worlds: little
+// enough for teams to be in each other's way.
+const shortLeaseOffer = 1
+
+// borrowed is the class of the jobs that fill what other teams don't use. They are the
+// most urgent of all, so that only a guarantee can stop one.
+const borrowed = "borrowed"
+
+func newShortLease(w *World) *shortLease {
+	s := &shortLease{w: w, rng: rand.New(rand.NewPCG(w.o.Seed, 19)), notes: map[string]int{}}
+	w.teams = map[string]placement.Team{
+		"red":   {CPUs: 8, GPUs: 2, CPUsMax: 24, GPUsMax: 4},
+		"blue":  {CPUs: 12, CPUsMax: 30},
+		"amber": {CPUs: 4, CPUsMax: 16, GPUsMax: 2},
+		"green": {},
+	}
+	return s
+}
+
+// start plans the jobs and the faults, once the world has its nodes.
+func (s *shortLease) start() {
+	if s == nil {
+		return
+	}
+	s.planServices()
+	s.planBorrowing()
+	s.planOrdinary()
+	for i := range 7 + s.rng.IntN(5) {
+		s.w.after(s.between(8*time.Second, s.w.o.Length-5*time.Second), func() { s.fault(i + int(s.w.o.Seed)) })
+	}
+	if !s.w.o.Faults {
+		s.w.after(s.w.o.Length, s.w.endTroubles)
+	}
+}
+
+func (s *shortLease) between(lo, hi time.Duration) time.Duration {
+	return lo + time.Duration(s.rng.Int64N(int64(hi-lo)+1))
+}
+
+func (s *shortLease) note(what string) { s.notes[what]++ }
+
+// clockRate is the rate of a steady clock: at its bound, in either direction.
+func (s *shortLease) clockRate(otherwise float64) float64 {
+	switch {
+	case s == nil:
+		return otherwise
+	case s.rng.IntN(2) == 0:
+		s.note("slow clocks")
+		return 1 - maxDrift
+	}
+	s.note("fast clocks")
+	return 1 + maxDrift
+}
+
+// offer is the capacity of each type, zone and kind.
+func (s *shortLease) offer() int {
+	if s == nil {
+		return maxOffer
+	}
+	return shortLeaseOffer
+}
+
+// saw looks at what an engine wanted done.
+func (s *shortLease) saw(notes []core.Note) {
+	if s == nil {
+		return
+	}
+	for _, x := range notes {
+		if x.Text != "preempted" {
+			continue
+		}
+		if j := s.w.jobs[fmt.Sprint(x.Args[1])]; j != nil && j.spec.Class == borrowed {
+			s.note("borrowing taken back")
+		}
+	}
+}
+
+// add submits a job at some moment.
+func (s *shortLease) add(at time.Duration, sp pipeline.Spec, run time.Duration) *userJob {
+	s.jobs++
+	sp.Ref, sp.Image, sp.ImageGB, sp.Estimate = fmt.Sprintf("j-6%05d", s.jobs), fmt.Sprintf("img-%d", s.rng.IntN(3)), 1, run
+	if sp.Class == "" {
+		sp.Class = "c"
+	}
+	j := &userJob{w: s.w, spec: sp, run: run, done: map[int]bool{}}
+	s.w.jobs[sp.Ref] = j
+	s.w.after(at, j.submit)
+	return j
+}
+
+// planServices submits services, spread over zones; they go on long into the peace.
+func (s *shortLease) planServices() {
+	for _, team := range []string{"red", "blue", "amber"} {
+		j := s.add(s.between(0, 20*time.Second), pipeline.Spec{Shape: pipeline.Service, Team: team, Tasks: 2 + s.rng.IntN(3), CPUs: 1, MemGB: 2,
+			Priority: pipeline.High, Spread: true, Spot: s.rng.IntN(2) == 0}, endless)
+		s.w.after(s.w.o.Length+s.w.o.Drain*3/5, j.cancel)
+	}
+}
+
+// planBorrowing has a team without a guarantee take whatever is free, while those with
+// one come and go.
+func (s *shortLease) planBorrowing() {
+	for i := range 4 {
+		at := time.Duration(i) * s.w.o.Length / 5
+		s.add(at+s.between(0, 5*time.Second), pipeline.Spec{Class: borrowed, Team: "green", Tasks: 14, CPUs: 2, MemGB: 4,
+			Priority: pipeline.Production, Spot: true, Checkpoint: 3 * time.Second, Save: 2 * time.Second}, s.between(40*time.Second, 60*time.Second))
+	}
+}
+
+// planOrdinary submits arrays and gangs of the teams with guarantees.
+func (s *shortLease) planOrdinary() {
+	for i := range 18 {
+		sp := pipeline.Spec{Team: []string{"red", "blue", "amber"}[s.rng.IntN(3)], Tasks: 1 + s.rng.IntN(4), CPUs: 2, MemGB: 4,
+			Priority: pipeline.Normal, Spot: s.rng.IntN(3) > 0}
+		if s.rng.IntN(3) == 0 {
+			sp.Shape, sp.Tasks = pipeline.Gang, 2+s.rng.IntN(2)
+		}
+		if sp.Team == "red" && s.rng.IntN(3) == 0 {
+			sp.GPUs, sp.Tasks = 1, min(sp.Tasks, 2)
+		}
+		if s.rng.IntN(2) == 0 {
+			sp.Checkpoint, sp.Save = 3*time.Second, 2*time.Second
+		}
+		j := s.add(s.between(0, s.w.o.Length*4/5), sp, s.between(3*time.Second, 30*time.Second))
+		j.wantsCancel = i%4 == 0
+	}
+}
--- /dev/null
+++ b/internal/simulation/short_lease_faults.go
@@ -0,0 +1,128 @@
+package simulation
+
+import (
+	"time"
+
+	"gingertally/internal/core"
+)
+
+// fault brings one fault about; those of a world begin with a kind that its seed chooses
+// and go on from there, so that each kind gets its share.
+func (s *shortLease) fault(kind int) {
+	lease := s.w.o.Lease
+	switch kind % 7 {
+	case 0:
+		s.slowDown(s.nodeOrLeader(), s.between(10*time.Second, 40*time.Second))
+	case 1:
+		s.stall(s.nodeOrLeader(), s.w.o.LeaseTTL+s.between(time.Second, 25*time.Second))
+	case 2:
+		s.cutZone(true, lease+s.between(2*time.Second, 15*time.Second))
+	case 3:
+		s.cutZone(false, lease+s.between(2*time.Second, 15*time.Second))
+	case 4:
+		s.refusePeers(s.between(10*time.Second, 40*time.Second))
+	case 5:
+		s.refuse(s.nodeOrLeader(), s.between(5*time.Second, 40*time.Second))
+	case 6: // the state service is out, and the right is carried on by promises, if at all
+		s.note("outages")
+		s.w.outage(s.between(5*time.Second, lease+5*time.Second))
+	}
+}
+
+// leader is the node that may act now, nil if none does.
+func (w *World) leader() *node {
+	for _, n := range w.nodes {
+		if n.entitled() {
+			return n
+		}
+	}
+	return nil
+}
+
+// nodeOrLeader is mostly the leader, else any node.
+func (s *shortLease) nodeOrLeader() *node {
+	n := s.w.nodes[s.rng.IntN(len(s.w.nodes))]
+	if l := s.w.leader(); l != nil && s.rng.IntN(4) > 0 {
+		return l
+	}
+	return n
+}
+
+// slowDown has a node compute several times slower.
+func (s *shortLease) slowDown(n *node, d time.Duration) {
+	s.note("slow nodes")
+	n.slowUntil = s.w.now.Add(d)
+}
+
+// stall has a node stand still for longer than its lease, and then go on.
+func (s *shortLease) stall(n *node, d time.Duration) {
+	if n.down {
+		return
+	}
+	if n.entitled() {
+		s.note("leaders stalled beyond their lease")
+	}
+	n.stillUntil = s.w.now.Add(d)
+}
+
+// cutZone cuts a zone off with all in it, the leader's or another.
+func (s *shortLease) cutZone(leaders bool, d time.Duration) {
+	zone, what := s.w.zones[s.rng.IntN(len(s.w.zones))], "zones cut without a leader"
+	if l := s.w.leader(); l != nil {
+		for !leaders && zone == l.zone {
+			zone = s.w.zones[s.rng.IntN(len(s.w.zones))]
+		}
+		if leaders {
+			zone, what = l.zone, "zones cut with the leader"
+		}
+	}
+	s.note(what)
+	s.w.cutZones[zone] = true
+	s.w.after(d, func() { delete(s.w.cutZones, zone) })
+}
+
+// refusePeers has all nodes refuse each other, or one and the others.
+func (s *shortLease) refusePeers(d time.Duration) {
+	s.note("nodes that refuse each other")
+	if s.rng.IntN(2) == 0 {
+		s.w.peersRefuse = true
+		s.w.after(d, func() { s.w.peersRefuse = false })
+		return
+	}
+	n := s.nodeOrLeader()
+	n.noPeers = true
+	s.w.after(d, func() { n.noPeers = false })
+}
+
+// refuse has the state service refuse one node alone.
+func (s *shortLease) refuse(n *node, d time.Duration) {
+	s.note("nodes refused alone")
+	n.refused = true
+	s.w.after(d, func() { n.refused = false })
+}
+
+// How long a slow node computes: a round of decisions, and anything else.
+const (
+	slowRound = 600 * time.Millisecond
+	slowStep  = 50 * time.Millisecond
+)
+
+// compute lets a slow node be busy with a step for a while.
+func (n *node) compute(ev core.Event) {
+	s := n.w.shortLease
+	if s == nil || !n.w.now.Before(n.slowUntil) {
+		return
+	}
+	s.note("slow steps")
+	most := slowStep
+	if _, round := ev.(core.Tick); round {
+		most = slowRound
+	}
+	if n.busyUntil.Before(n.w.now) {
+		n.busyUntil = n.w.now
+	}
+	n.busyUntil = n.busyUntil.Add(s.between(most/8, most))
+}
+
+// busyFor is for how long the node is still busy.
+func (n *node) busyFor() time.Duration { return max(0, n.busyUntil.Sub(n.w.now)) }
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -270,20 +270,26 @@
 	for range 4 + w.rng.IntN(10) {
 		w.after(w.between(0, w.o.Length), w.trouble)
 	}
-	w.after(w.o.Length, func() {
-		w.noNet, w.store.down, w.cloud.down, w.peersRefuse = true, false, false, false
-		w.peace = w.now
-		w.check.checkStarvation()
-		clear(w.cutZones)
-		clear(w.apart)
-		for _, n := range w.nodes {
-			n.noStore, n.noWorkers, n.noPeers = false, false, false
-		}
-		for _, m := range w.machines {
-			m.sick, m.deaf = false, false
-			clear(m.cut)
+	w.after(w.o.Length, w.endTroubles)
+}
+
+// endTroubles ends all troubles that have no end of their own: from now on there is peace.
+func (w *World) endTroubles() {
+	w.noNet, w.store.down, w.cloud.down, w.peersRefuse = true, false, false, false
+	w.peace = w.now
+	w.check.checkStarvation()
+	clear(w.cutZones)
+	clear(w.apart)
+	for _, n := range w.nodes {
+		n.noStore, n.noWorkers, n.noPeers = false, false, false
+		if w.shortLease != nil {
+			n.refused, n.slowUntil = false, time.Time{}
 		}
-	})
+	}
+	for _, m := range w.machines {
+		m.sick, m.deaf = false, false
+		clear(m.cut)
+	}
 }
 
 func (w *World) anyMachine() *machine {
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -240,7 +240,7 @@
 	if w.correlated != nil {
 		delay += w.correlated.stallBeforeAnswer() // between the check of its right and the answer
 	}
-	delay += w.script.linkDelay() + w.script.answerHeld(m, status, reply)
+	delay += w.script.linkDelay() + w.script.answerHeld(m, status, reply) + n.busyFor()
 	m.later(delay, func() {
 		if m.life == life {
 			m.response(r, sent, status, reply, leader)
@@ -307,7 +307,7 @@
 	if m.blocked(n) || (w.o.Faults && !w.noNet && w.chance(0.05)) {
 		delay = w.between(0, 30*time.Second)
 	}
-	delay += w.script.linkDelay() + w.script.ordersHeld(m)
+	delay += w.script.linkDelay() + w.script.ordersHeld(m) + n.busyFor()
 	m.later(delay, func() {
 		m.w.digest.add(m.w, "orders", m.name, d)
 		if m.isUp && d.Token >= m.token && d.Session == m.session {
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -32,6 +32,7 @@
 	Lease              time.Duration
 	Cancel             time.Duration
 	LeaseTTL           time.Duration // of the leaders' right
+	ShortLease         bool          // the jobs and faults of a deployment with short leases
 }
 
 // World is a simulated deployment.
@@ -63,8 +64,9 @@
 	promised    int                 // how often promises have carried a leader's right on
 	correlated  *correlatedFailures // nil: none
 	pipelines   *pipelinePlan
-	script      *script // nil: none
-	digest      *digest // nil: none
+	script      *script     // nil: none
+	shortLease  *shortLease // nil: none
+	digest      *digest     // nil: none
 }
 
 type event struct {
@@ -102,10 +104,13 @@
 		"large": {Name: "large", CPUs: 16, GPUs: 4, MemGB: 64, CacheGB: 10, FetchGBPerS: 1, Hourly: 6, SpotHour: 2, Boot: 10 * time.Second, Zones: w.zones},
 	}
 	w.teams = map[string]placement.Team{"red": {CPUsMax: 20, GPUs: 2, GPUsMax: 4}, "blue": {CPUs: 8}, "green": {}}
+	if o.ShortLease {
+		w.shortLease = newShortLease(w)
+	}
 	w.check = newChecker(w)
 	w.cloud = &cloudSim{w: w, answered: map[string][]string{}}
 	for i := range o.Nodes {
-		n := &node{w: w, old: o.Roll, name: fmt.Sprintf("node-%d", i), zone: w.zones[i%len(w.zones)], rate: 1 + (w.rng.Float64()-0.5)*0.001}
+		n := &node{w: w, old: o.Roll, name: fmt.Sprintf("node-%d", i), zone: w.zones[i%len(w.zones)], rate: w.shortLease.clockRate(1 + (w.rng.Float64()-0.5)*0.001)}
 		w.nodes = append(w.nodes, n)
 		n.boot()
 	}
@@ -114,6 +119,7 @@
 	}
 	w.planUsers()
 	w.pipelines = newPipelinePlan(w)
+	w.shortLease.start()
 	if o.Faults {
 		w.planFaults()
 	}
