--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -57,6 +57,15 @@
 	return out
 }
 
+func (w *World) sortedJobs() []*userJob {
+	out := make([]*userJob, 0, len(w.jobs))
+	for _, j := range w.jobs {
+		out = append(out, j)
+	}
+	sort.Slice(out, func(i, k int) bool { return out[i].spec.Ref < out[k].spec.Ref })
+	return out
+}
+
 func (w *World) planUsers() {
 	for i := range w.o.Jobs {
 		j := &userJob{w: w, done: map[int]bool{}, run: w.between(2*time.Second, 25*time.Second), mistake: w.chance(0.05)}
@@ -261,20 +270,26 @@
 	for range 4 + w.rng.IntN(10) {
 		w.after(w.between(0, w.o.Length), w.trouble)
 	}
-	w.after(w.o.Length, func() {
-		w.noNet, w.store.down, w.cloud.down, w.peersRefuse = true, false, false, false
-		w.peace = w.now
-		w.check.checkStarvation()
-		clear(w.cutZones)
-		clear(w.apart)
-		for _, n := range w.nodes {
-			n.noStore, n.noWorkers, n.noPeers = false, false, false
-		}
-		for _, m := range w.machines {
-			m.sick, m.deaf = false, false
-			clear(m.cut)
+	w.after(w.o.Length, w.endTroubles)
+}
+
+// endTroubles ends all troubles that have no end of their own: from now on there is peace.
+func (w *World) endTroubles() {
+	w.noNet, w.store.down, w.cloud.down, w.peersRefuse = true, false, false, false
+	w.peace = w.now
+	w.check.checkStarvation()
+	clear(w.cutZones)
+	clear(w.apart)
+	for _, n := range w.nodes {
+		n.noStore, n.noWorkers, n.noPeers = false, false, false
+		if w.shortLease != nil {
+			n.refused, n.slowUntil = false, time.Time{}
 		}
-	})
+	}
+	for _, m := range w.machines {
+		m.sick, m.deaf = false, false
+		clear(m.cut)
+	}
 }
 
 func (w *World) anyMachine() *machine {
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -171,6 +171,7 @@
 
 func (m *machine) deliver(n *node, r fleet.Report, sent time.Time) {
 	w := m.w
+	w.digest.add(w, "report", m.name, r)
 	delay := w.between(time.Millisecond, 20*time.Millisecond) + w.script.linkDelay()
 	if m.mute {
 		w.script.note("reports of mute machines")
@@ -239,7 +240,7 @@
 	if w.correlated != nil {
 		delay += w.correlated.stallBeforeAnswer() // between the check of its right and the answer
 	}
-	delay += w.script.linkDelay() + w.script.answerHeld(m, status, reply)
+	delay += w.script.linkDelay() + w.script.answerHeld(m, status, reply) + n.busyFor()
 	m.later(delay, func() {
 		if m.life == life {
 			m.response(r, sent, status, reply, leader)
@@ -269,6 +270,7 @@
 		return // given up, or from an earlier session
 	}
 	m.outstanding = 0
+	m.w.digest.add(m.w, "answer", m.name, reply)
 	switch status {
 	case 200:
 		if reply.Token < m.token {
@@ -305,8 +307,9 @@
 	if m.blocked(n) || (w.o.Faults && !w.noNet && w.chance(0.05)) {
 		delay = w.between(0, 30*time.Second)
 	}
-	delay += w.script.linkDelay() + w.script.ordersHeld(m)
+	delay += w.script.linkDelay() + w.script.ordersHeld(m) + n.busyFor()
 	m.later(delay, func() {
+		m.w.digest.add(m.w, "orders", m.name, d)
 		if m.isUp && d.Token >= m.token && d.Session == m.session {
 			m.token = d.Token
 			m.seq++
