--- a/internal/daemon/user_calls.go
+++ b/internal/daemon/user_calls.go
@@ -80,7 +80,7 @@
 	case method == fasthttp.MethodGet && named:
 		return d.users.Get(ctx, job)
 	case method == fasthttp.MethodPost && named && strings.HasSuffix(rest, cancelVerb):
-		return d.users.Withdraw(ctx, strings.TrimSuffix(job, cancelVerb))
+		return d.users.Cancel(ctx, strings.TrimSuffix(job, cancelVerb))
 	}
 	return userapi.Answer{Status: fasthttp.StatusNotFound}
 }
--- a/internal/userapi/userapi.go
+++ b/internal/userapi/userapi.go
@@ -6,6 +6,7 @@
 import (
 	"context"
 	"errors"
+	"net/http"
 	"time"
 
 	"gingertally/internal/core"
@@ -17,21 +18,24 @@
 
 // Jobs is the store of jobs.
 type Jobs interface {
+	// CheckDependencies makes sure that a job may wait for others.
 	CheckDependencies(ctx context.Context, ref string, awaits []string) error
+	// Create writes a new job.
 	Create(ctx context.Context, spec pipeline.Spec, awaits []string, now time.Time) error
+	// Load reads a job.
 	Load(ctx context.Context, ref string) (jobstore.State, error)
 	// DependencyCancelled tells whether a job that the store says waits may have to be cancelled.
-	DependencyCancelled(ctx context.Context, st jobstore.State, now time.Time) (bool, error)
+	DependencyCancelled(ctx context.Context, state jobstore.State, now time.Time) (bool, error)
 }
 
 // Leader is the leader's view of jobs, here or on another node.
 type Leader interface {
-	// View tells of a job what this node, entitled, knows of it.
-	View(ref string) (v core.JobView, ok bool)
+	// View is what this node, as the leader with a valid lease, knows of a job.
+	View(ref string) (view core.JobView, ok bool)
 	// Ask asks the leading node; ok is false if it can't be asked or doesn't know.
-	Ask(ctx context.Context, ref string) (v core.JobView, ok bool)
-	// Cancel cancels a job as the leader, or while nobody leads. Any other node
-	// would leave the leader telling users an older state.
+	Ask(ctx context.Context, ref string) (view core.JobView, ok bool)
+	// Cancel cancels a job as the leader. Any other node would leave the leader
+	// telling users an older state (docs/design.md, "The bound of a cancellation").
 	Cancel(ctx context.Context, ref string) (pipeline.Phase, error)
 }
 
@@ -50,19 +54,29 @@
 	RetryAfter bool
 }
 
-func later() Answer { return Answer{Status: 503, RetryAfter: true} }
+// later has the user come back: nothing is decided yet.
+func later() Answer { return Answer{Status: http.StatusServiceUnavailable, RetryAfter: true} }
 
+// notFound says that no such job was accepted.
+func notFound() Answer { return Answer{Status: http.StatusNotFound} }
+
+// failure says why a call is refused for good.
 func failure(status int, err error) Answer {
-	return Answer{Status: status, Body: map[string]string{"error": err.Error()}}
+	return Answer{Status: status, Body: failureMessage{Error: err.Error()}}
+}
+
+// failureMessage is the body of a refusal.
+type failureMessage struct {
+	Error string `cbor:"error"`
 }
 
-var errNever = errors.New("no allowed machine type fits, or the team's limit is too low")
+var errNeverPlaced = errors.New("no allowed machine type fits, or the team's limit is too low")
 
 // Submit accepts a job.
 func (s *Service) Submit(ctx context.Context, body []byte) Answer {
 	spec, awaits, err := wire.ParseSubmission(body)
 	if err != nil {
-		return failure(400, err)
+		return failure(http.StatusBadRequest, err)
 	}
 	catalog := s.Catalog()
 	if len(catalog) == 0 {
@@ -70,15 +84,7 @@
 	}
 	team, known := s.Teams[spec.Team]
 	if !known || !placement.Possible(&spec, team, catalog) {
-		// A job accepted earlier must never be refused, whatever changed since.
-		st, err := s.Jobs.Load(ctx, spec.Ref)
-		switch {
-		case err != nil:
-			return later()
-		case st.Found:
-			return s.state(ctx, spec.Ref)
-		}
-		return failure(422, errNever)
+		return s.refuse(ctx, spec.Ref)
 	}
 	spec.Types = knownTypes(spec.Types, catalog)
 	if err = s.Jobs.CheckDependencies(ctx, spec.Ref, awaits); err == nil {
@@ -86,78 +92,96 @@
 	}
 	switch {
 	case err == nil:
-		return Answer{Status: 201, Body: wire.State(spec.Ref, pipeline.Active, 0, 0)}
+		return Answer{Status: http.StatusCreated, Body: wire.State(spec.Ref, pipeline.Active, 0, 0)}
 	case errors.Is(err, jobstore.ErrExists):
 		return s.state(ctx, spec.Ref)
 	case errors.Is(err, jobstore.ErrBadDependency), errors.Is(err, jobstore.ErrTooLarge):
-		return failure(422, err)
+		return failure(http.StatusUnprocessableEntity, err)
 	}
 	return later()
 }
 
+// refuse is the answer for a job that can never be placed. One that was accepted earlier
+// must never be refused, whatever changed since.
+func (s *Service) refuse(ctx context.Context, ref string) Answer {
+	state, err := s.Jobs.Load(ctx, ref)
+	switch {
+	case err != nil:
+		return later()
+	case state.Found:
+		return s.state(ctx, ref)
+	}
+	return failure(http.StatusUnprocessableEntity, errNeverPlaced)
+}
+
 // knownTypes leaves out names of types that don't exist: they allow nothing,
-// and a record has to stay small.
-func knownTypes(types []string, c placement.Catalog) []string {
+// and a record has to stay small. Nil allows all types, and stays nil.
+func knownTypes(types []string, catalog placement.Catalog) []string {
 	if types == nil {
 		return nil
 	}
-	out := []string{}
+	known := []string{}
 	seen := map[string]bool{}
-	for _, t := range types {
-		if c[t] != nil && !seen[t] {
-			seen[t] = true
-			out = append(out, t)
+	for _, name := range types {
+		if catalog[name] != nil && !seen[name] {
+			seen[name] = true
+			known = append(known, name)
 		}
 	}
-	return out
+	return known
 }
 
 // Get tells a job's state.
 func (s *Service) Get(ctx context.Context, ref string) Answer {
 	if !wire.ValidRef(ref) {
-		return Answer{Status: 404}
+		return notFound()
 	}
 	return s.state(ctx, ref)
 }
 
+// state is the answer about a job: from the leader if that can be asked, else from the
+// store (docs/design.md, "Safety arguments" 9; TestNoAnswerInDoubt).
 func (s *Service) state(ctx context.Context, ref string) Answer {
-	if v, ok := s.Leader.View(ref); ok {
-		return tell(ref, v)
+	if view, ok := s.Leader.View(ref); ok {
+		return stateAnswer(ref, view)
 	}
-	if v, ok := s.Leader.Ask(ctx, ref); ok {
-		return tell(ref, v)
+	if view, ok := s.Leader.Ask(ctx, ref); ok {
+		return stateAnswer(ref, view)
 	}
-	st, err := s.Jobs.Load(ctx, ref)
+	state, err := s.Jobs.Load(ctx, ref)
 	if err != nil {
 		return later()
 	}
-	if !st.Found {
-		return Answer{Status: 404}
+	if !state.Found {
+		return notFound()
 	}
-	if doubt, err := s.Jobs.DependencyCancelled(ctx, st, time.Now()); err != nil || doubt {
+	if cancelled, err := s.Jobs.DependencyCancelled(ctx, state, time.Now()); err != nil || cancelled {
 		return later()
 	}
-	return tell(ref, core.JobView{Phase: st.Phase, Done: st.Done})
+	return stateAnswer(ref, core.JobView{Phase: state.Phase, Done: state.Done})
+}
+
+func stateAnswer(ref string, view core.JobView) Answer {
+	return Answer{Status: http.StatusOK, Body: wire.State(ref, view.Phase, view.Done, view.Running)}
 }
 
-func tell(ref string, v core.JobView) Answer {
-	return Answer{Status: 200, Body: wire.State(ref, v.Phase, v.Done, v.Running)}
+// cancelledMessage is the body of the answer to a cancellation.
+type cancelledMessage struct {
+	Ref    string `cbor:"ref"`
+	Status string `cbor:"status"`
 }
 
-// Withdraw cancels a job, unless it is done.
-func (s *Service) Withdraw(ctx context.Context, ref string) Answer {
+// Cancel cancels a job, unless it is done.
+func (s *Service) Cancel(ctx context.Context, ref string) Answer {
 	if !wire.ValidRef(ref) {
-		return Answer{Status: 404}
+		return notFound()
 	}
-	p, err := s.Leader.Cancel(ctx, ref)
+	phase, err := s.Leader.Cancel(ctx, ref)
 	switch {
 	case errors.Is(err, jobstore.ErrUnknownJob):
-		return Answer{Status: 404}
+		return notFound()
 	case err != nil:
 		return later()
 	}
-	return Answer{Status: 200, Body: struct {
-		Ref    string `cbor:"ref"`
-		Status string `cbor:"status"`
-	}{ref, wire.StatusOf(p, 0)}}
+	return Answer{Status: http.StatusOK, Body: cancelledMessage{Ref: ref, Status: wire.StatusOf(phase, 0)}}
 }
--- a/internal/userapi/userapi_test.go
+++ b/internal/userapi/userapi_test.go
@@ -134,7 +134,7 @@
 	}
 }
 
-func TestGetAndWithdraw(t *testing.T) {
+func TestGetAndCancel(t *testing.T) {
 	ctx := context.Background()
 	w := &world{jobs: map[string]jobstore.State{"j-000002": {Found: true, Phase: pipeline.Cancelled}},
 		view: map[string]core.JobView{"j-000003": {Phase: pipeline.Active, Running: 1, Done: 4}}}
@@ -161,8 +161,8 @@
 	}
 	for err, want := range map[error]int{nil: 200, jobstore.ErrUnknownJob: 404, jobstore.ErrNotLeader: 503, errDown: 503} {
 		w.cancel = err
-		if a := s.Withdraw(ctx, "j-000002"); a.Status != want {
-			t.Errorf("withdraw with %v: %d, want %d", err, a.Status, want)
+		if a := s.Cancel(ctx, "j-000002"); a.Status != want {
+			t.Errorf("cancel with %v: %d, want %d", err, a.Status, want)
 		}
 	}
 }
