--- a/internal/agentapi/agentapi.go
+++ b/internal/agentapi/agentapi.go
@@ -1,10 +1,11 @@
 // Package agentapi serves the workers' reports: the leader answers them, every
-// other node sends the worker there, or passes the report on for a worker that
+// other node redirects the worker to it, or relays the report for a worker that
 // evidently can't reach it.
 package agentapi
 
 import (
 	"context"
+	"net/http"
 	"sync"
 	"time"
 
@@ -13,11 +14,11 @@
 	"gingertally/internal/wire"
 )
 
-// Leader is the leading node, here or elsewhere.
+// Leader is the leading node, be it this one or another.
 type Leader interface {
-	// Report hands a report to this node's engine; ok is false if this node may
-	// not act.
-	Report(r fleet.Report) (reply core.Reply, ok bool)
+	// Report hands a report to this node's engine; ok is false if this node doesn't
+	// hold the leader's lease.
+	Report(report fleet.Report) (reply core.Reply, ok bool)
 	// Name names the node believed to lead; empty if unknown.
 	Name() string
 	// RelayReport passes a report on to the leader.
@@ -29,30 +30,30 @@
 	Self   string
 	Leader Leader
 
-	mu      sync.Mutex
-	sent    map[string]sentAway
-	lastAny time.Time
+	mu          sync.Mutex
+	redirects   map[string]redirect // by machine
+	lastContact time.Time           // when any worker last reached this node
 }
 
-// sentAway is what this node did with a machine's last reports.
-type sentAway struct {
-	leader     string    // which it was sent to
+// redirect is what this node did with a machine's last reports.
+type redirect struct {
+	leader     string    // which it was redirected to
 	at         time.Time // when
-	relayUntil time.Time // its reports are passed on until then
+	relayUntil time.Time // its reports are relayed until then
 }
 
 const (
-	// comesBack: a worker sent to a leader that is here again so soon, while that
-	// node still leads, hasn't reached it: it would have stayed. On its way it may
+	// returnWithin: a worker redirected to a leader that is here again so soon, while
+	// that node still leads, hasn't reached it: it would have stayed. On its way it may
 	// have tried several nodes in vain, each for 4 s and a second.
-	comesBack = 25 * time.Second
-	// relayFor is how long its reports are then passed on before it is sent to
+	returnWithin = 25 * time.Second
+	// relayFor is how long its reports are then relayed before it is redirected to
 	// the leader once more.
 	relayFor = time.Minute
 	// relayTimeout leaves the worker time to get the answer within its 4 s.
 	relayTimeout = 2500 * time.Millisecond
-	// maxSent bounds the machines remembered.
-	maxSent = 10_000
+	// maxRedirects bounds the machines remembered.
+	maxRedirects = 10_000
 )
 
 // Answer is the answer to a report.
@@ -61,62 +62,95 @@
 	Body   []byte
 }
 
+// unavailable has the worker try another node.
+func unavailable() Answer { return Answer{Status: http.StatusServiceUnavailable} }
+
 // LastContact is when any worker last reached this node.
 func (s *Service) LastContact() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.lastAny
+	return s.lastContact
+}
+
+// Report serves a report that a worker sent to this node.
+func (s *Service) Report(ctx context.Context, body []byte) Answer {
+	report, err := wire.ParseReport(body)
+	if err != nil {
+		return Answer{Status: http.StatusBadRequest}
+	}
+	s.noteContact()
+	if answer, ok := s.answerAsLeader(report); ok {
+		return answer
+	}
+	leader := s.Leader.Name()
+	if leader == "" || leader == s.Self {
+		return unavailable()
+	}
+	if s.shouldRelay(report.Machine, leader, time.Now()) {
+		return s.relay(ctx, body)
+	}
+	return Answer{http.StatusMisdirectedRequest, wire.MustMarshal(wire.Redirect{Clerk: leader})}
 }
 
-// Beat serves a report. A relayed one is never sent further.
-func (s *Service) Beat(ctx context.Context, body []byte, relayed bool) Answer {
-	rep, err := wire.ParseReport(body)
+// Relayed serves a report that another node relayed. It never goes further.
+func (s *Service) Relayed(body []byte) Answer {
+	report, err := wire.ParseReport(body)
 	if err != nil {
-		return Answer{Status: 400}
+		return Answer{Status: http.StatusBadRequest}
 	}
-	if !relayed {
-		s.mu.Lock()
-		s.lastAny = time.Now()
-		s.mu.Unlock()
+	if answer, ok := s.answerAsLeader(report); ok {
+		return answer
 	}
-	if reply, ok := s.Leader.Report(rep); ok {
-		if !reply.OK {
-			return Answer{Status: 503}
-		}
-		return Answer{200, wire.MustMarshal(wire.Orders{Gavel: reply.Token, Orders: wire.OrdersOf(reply.Commands)})}
+	return unavailable()
+}
+
+func (s *Service) noteContact() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.lastContact = time.Now()
+}
+
+// answerAsLeader answers a report if this node holds the leader's lease.
+func (s *Service) answerAsLeader(report fleet.Report) (Answer, bool) {
+	reply, ok := s.Leader.Report(report)
+	if !ok {
+		return Answer{}, false
 	}
-	name := s.Leader.Name()
-	if relayed || name == "" || name == s.Self {
-		return Answer{Status: 503}
+	if !reply.OK {
+		return unavailable(), true
 	}
-	if s.shouldRelay(rep.Machine, name, time.Now()) {
-		ctx, cancel := context.WithTimeout(ctx, relayTimeout)
-		defer cancel()
-		status, reply, err := s.Leader.RelayReport(ctx, body)
-		if err != nil || status != 200 {
-			return Answer{Status: 503}
-		}
-		return Answer{200, reply}
+	orders := wire.Orders{Gavel: reply.Token, Orders: wire.OrdersOf(reply.Commands)}
+	return Answer{http.StatusOK, wire.MustMarshal(orders)}, true
+}
+
+// relay passes a report on to the leader, and its answer back.
+func (s *Service) relay(ctx context.Context, body []byte) Answer {
+	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
+	defer cancel()
+	status, reply, err := s.Leader.RelayReport(ctx, body)
+	if err != nil || status != http.StatusOK {
+		return unavailable()
 	}
-	return Answer{421, wire.MustMarshal(wire.Redirect{Clerk: name})}
+	return Answer{http.StatusOK, reply}
 }
 
-// shouldRelay notes that a machine is about to be sent away, and tells whether
-// it was of late, in vain.
+// shouldRelay notes that a machine is about to be redirected, and tells whether
+// it was of late, in vain (docs/design.md, "Safety arguments" 13;
+// TestRelayForWorkersThatComeBack).
 func (s *Service) shouldRelay(machine, leader string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.sent == nil || len(s.sent) > maxSent {
-		s.sent = map[string]sentAway{}
+	if s.redirects == nil || len(s.redirects) > maxRedirects {
+		s.redirects = map[string]redirect{}
 	}
-	w := s.sent[machine]
-	if now.Before(w.relayUntil) {
+	last := s.redirects[machine]
+	if now.Before(last.relayUntil) {
 		return true
 	}
-	if w.leader == leader && now.Sub(w.at) < comesBack {
-		s.sent[machine] = sentAway{relayUntil: now.Add(relayFor)}
+	if last.leader == leader && now.Sub(last.at) < returnWithin {
+		s.redirects[machine] = redirect{relayUntil: now.Add(relayFor)}
 		return true
 	}
-	s.sent[machine] = sentAway{leader: leader, at: now}
+	s.redirects[machine] = redirect{leader: leader, at: now}
 	return false
 }
--- a/internal/agentapi/agentapi_test.go
+++ b/internal/agentapi/agentapi_test.go
@@ -42,28 +42,28 @@
 		"shift": 1, "tick": 1, "gavel": 0, "lots": []any{}})
 }
 
-func TestBeat(t *testing.T) {
+func TestReport(t *testing.T) {
 	ctx := context.Background()
 	l := &leader{}
 	s := &Service{Self: "n-0", Leader: l}
-	if a := s.Beat(ctx, []byte("nonsense"), false); a.Status != 400 || l.reports != 0 {
+	if a := s.Report(ctx, []byte("nonsense")); a.Status != 400 || l.reports != 0 {
 		t.Fatalf("malformed report: %d", a.Status)
 	}
-	// Not entitled, and no leader known: never a 200, which would keep the worker.
-	if a := s.Beat(ctx, beat("m-1"), false); a.Status != 503 {
+	// No valid lease, and no leader known: never a 200, which would keep the worker.
+	if a := s.Report(ctx, beat("m-1")); a.Status != 503 {
 		t.Fatalf("no leader: %d", a.Status)
 	}
-	l.name = "n-0" // this node, but not entitled at the moment
-	if a := s.Beat(ctx, beat("m-1"), false); a.Status != 503 {
-		t.Fatalf("not entitled: %d", a.Status)
+	l.name = "n-0" // this node, but without a valid lease at the moment
+	if a := s.Report(ctx, beat("m-1")); a.Status != 503 {
+		t.Fatalf("no valid lease: %d", a.Status)
 	}
 	l.here, l.reply = true, core.Reply{OK: true, Token: 7}
 	var o wire.Orders
-	if a := s.Beat(ctx, beat("m-1"), false); a.Status != 200 || wire.Unmarshal(a.Body, &o) != nil || o.Gavel != 7 {
-		t.Fatalf("entitled: %d, %+v", a.Status, o)
+	if a := s.Report(ctx, beat("m-1")); a.Status != 200 || wire.Unmarshal(a.Body, &o) != nil || o.Gavel != 7 {
+		t.Fatalf("valid lease: %d, %+v", a.Status, o)
 	}
 	l.reply = core.Reply{}
-	if a := s.Beat(ctx, beat("m-1"), false); a.Status != 503 {
+	if a := s.Report(ctx, beat("m-1")); a.Status != 503 {
 		t.Fatalf("refused by the core: %d", a.Status)
 	}
 }
@@ -75,14 +75,14 @@
 	l := &leader{name: "n-1"}
 	s := &Service{Self: "n-0", Leader: l}
 	var r wire.Redirect
-	if a := s.Beat(ctx, beat("m-1"), false); a.Status != 421 || wire.Unmarshal(a.Body, &r) != nil || r.Clerk != "n-1" {
+	if a := s.Report(ctx, beat("m-1")); a.Status != 421 || wire.Unmarshal(a.Body, &r) != nil || r.Clerk != "n-1" {
 		t.Fatalf("first report: %d, %+v", a.Status, r)
 	}
-	if a := s.Beat(ctx, beat("m-2"), false); a.Status != 421 {
+	if a := s.Report(ctx, beat("m-2")); a.Status != 421 {
 		t.Fatalf("another worker's first report: %d", a.Status)
 	}
 	for range 3 {
-		if a := s.Beat(ctx, beat("m-1"), false); a.Status != 200 {
+		if a := s.Report(ctx, beat("m-1")); a.Status != 200 {
 			t.Fatalf("back again: %d", a.Status)
 		}
 	}
@@ -90,16 +90,16 @@
 		t.Fatalf("%d relayed", l.relayed)
 	}
 	l.broken = true
-	if a := s.Beat(ctx, beat("m-1"), false); a.Status != 503 {
+	if a := s.Report(ctx, beat("m-1")); a.Status != 503 {
 		t.Fatalf("relay fails: %d", a.Status)
 	}
 	// What another node passed on goes no further.
-	if a := s.Beat(ctx, beat("m-2"), true); a.Status != 503 || l.relayed != 4 {
+	if a := s.Relayed(beat("m-2")); a.Status != 503 || l.relayed != 4 {
 		t.Fatalf("relayed twice: %d", a.Status)
 	}
 	// With a new leader it has to be sent there first.
 	l.name, l.broken = "n-2", false
-	if a := s.Beat(ctx, beat("m-2"), false); a.Status != 421 {
+	if a := s.Report(ctx, beat("m-2")); a.Status != 421 {
 		t.Fatalf("after a change of leader: %d", a.Status)
 	}
 }
--- a/internal/daemon/http.go
+++ b/internal/daemon/http.go
@@ -103,7 +103,7 @@
 
 // handleReport serves a worker's report.
 func (d *Daemon) handleReport(ctx context.Context, request *fasthttp.RequestCtx) {
-	answer := d.agents.Beat(ctx, request.PostBody(), false)
+	answer := d.agents.Report(ctx, request.PostBody())
 	d.metrics.countReport(answer.Status)
 	request.SetStatusCode(answer.Status)
 	if answer.Body != nil {
--- a/internal/daemon/peer_calls.go
+++ b/internal/daemon/peer_calls.go
@@ -18,7 +18,7 @@
 func (d *Daemon) servePeer(ctx context.Context, _, method, path string, body []byte) (int, []byte) {
 	switch path {
 	case beatPath:
-		answer := d.agents.Beat(ctx, body, true)
+		answer := d.agents.Relayed(body)
 		return answer.Status, answer.Body
 	case pingPath:
 		return http.StatusOK, nil
