--- a/internal/jobstore/jobstore.go
+++ b/internal/jobstore/jobstore.go
@@ -126,7 +126,8 @@
 	for i := 1; i < len(state.Record.Done); i += 2 { // pairs of a gap and a run
 		state.Done += state.Record.Done[i]
 	}
-	return state, j.readDependencies(ctx, &state.Record)
+	err = j.readDependencies(ctx, &state.Record)
+	return state, err
 }
 
 // LoadFinished reads a job that most likely is over.
@@ -165,5 +166,6 @@
 	if err := wire.Unmarshal(item.V, &job.Record); err != nil {
 		return job, fmt.Errorf("%s: %w", item.Path, err)
 	}
-	return job, j.readDependencies(ctx, &job.Record)
+	err := j.readDependencies(ctx, &job.Record)
+	return job, err
 }
--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -7,7 +7,6 @@
 	"errors"
 	"fmt"
 	"net"
-	"net/url"
 	"time"
 
 	"github.com/valyala/fasthttp"
@@ -41,11 +40,11 @@
 
 // Client is a client of the state service.
 type Client struct {
-	http    *fasthttp.HostClient
-	watch   *fasthttp.HostClient
-	reqs    *rate.Limiter
-	changes *rate.Limiter
-	contact func(served bool)
+	http     *fasthttp.HostClient
+	watches  *fasthttp.HostClient
+	requests *rate.Limiter
+	writes   *rate.Limiter
+	contact  func(served bool)
 }
 
 // Options bound what a client asks for.
@@ -58,234 +57,119 @@
 	Contact func(served bool)
 }
 
-// New makes a client.
-func New(o Options) *Client {
-	host := func(read time.Duration, conns int) *fasthttp.HostClient {
-		return &fasthttp.HostClient{Addr: o.Addr, MaxConns: conns, ReadTimeout: read, WriteTimeout: 2 * time.Second,
-			MaxIdleConnDuration: time.Minute, MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true,
-			DisablePathNormalizing: true, MaxResponseBodySize: 8 << 20,
-			Dial: func(addr string) (net.Conn, error) { return fasthttp.DialTimeout(addr, dialTimeout) }}
-	}
-	if o.Contact == nil {
-		o.Contact = func(bool) {}
-	}
-	return &Client{
-		contact: o.Contact,
-		http:    host(callTimeout, o.MaxConns),
-		watch:   host(watchBlock+3*time.Second, 4),
-		reqs:    rate.NewLimiter(rate.Limit(o.Requests), max(4, int(o.Requests/2))),
-		changes: rate.NewLimiter(rate.Limit(o.Writes), max(4, o.Burst)),
-	}
-}
-
-// Part is the same client with a part of the rates of its own, so that neither
-// user of the two waits for the other.
-func (c *Client) Part(requests, writes float64) *Client {
-	p := *c
-	p.reqs = rate.NewLimiter(rate.Limit(requests), max(4, int(requests/2)))
-	p.changes = rate.NewLimiter(rate.Limit(writes), max(4, int(writes)))
-	return &p
-}
-
 const (
-	dialTimeout = time.Second
+	dialTimeout  = time.Second
+	writeTimeout = 2 * time.Second
 	// callTimeout leaves room for the occasional few hundred milliseconds.
 	callTimeout = 1500 * time.Millisecond
-	watchBlock  = 5 * time.Second
+	// renewTimeout is short: a renewal that hangs is better sent again.
+	renewTimeout = 800 * time.Millisecond
+	listTimeout  = 2 * callTimeout
+	// watchBlock is how long the state service waits for news, watchTimeout for how
+	// long the answer is waited for, and watchReadTimeout how long a read may take.
+	watchBlock       = 5 * time.Second
+	watchTimeout     = watchBlock + 2*time.Second
+	watchReadTimeout = watchBlock + 3*time.Second
+	// rateWait bounds the wait for a node's part of a rate.
+	rateWait = time.Second
+	idleConn = time.Minute
 )
 
-// do sends a request; urgent ones don't wait for the node's part of the rate.
-func (c *Client) do(ctx context.Context, h *fasthttp.HostClient, method, uri string, body []byte, timeout time.Duration) (int, []byte, error) {
-	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	defer fasthttp.ReleaseRequest(req)
-	defer fasthttp.ReleaseResponse(resp)
-	req.Header.SetMethod(method)
-	req.SetRequestURI("http://" + c.http.Addr + uri)
-	if body != nil {
-		req.Header.SetContentType("application/cbor")
-		req.SetBodyRaw(body)
-	}
-	deadline := time.Now().Add(timeout)
-	if d, ok := ctx.Deadline(); ok && d.Before(deadline) {
-		deadline = d
-	}
-	if err := h.DoDeadline(req, resp, deadline); err != nil {
-		return 0, nil, fmt.Errorf("%w: %v", ErrUnknown, err)
+const (
+	// maxWatches bounds the watches at once.
+	maxWatches = 4
+	// maxResponse bounds an answer's body.
+	maxResponse = 8 << 20
+	// minBurst is how many requests may go at once however low the rate is.
+	minBurst = 4
+	// pageSize is how many keys a list asks for at a time.
+	pageSize = 500
+	// shownBytes is how much of a refusal's text is passed on.
+	shownBytes = 200
+)
+
+// New makes a client.
+func New(options Options) *Client {
+	if options.Contact == nil {
+		options.Contact = func(bool) {}
 	}
-	st := resp.StatusCode()
-	c.contact(st != fasthttp.StatusServiceUnavailable)
-	switch st {
-	case fasthttp.StatusServiceUnavailable, fasthttp.StatusTooManyRequests:
-		return st, nil, fmt.Errorf("%w: status %d", ErrUnavailable, st)
-	default:
-		return st, append([]byte(nil), resp.Body()...), nil
+	return &Client{
+		contact:  options.Contact,
+		http:     newHostClient(options.Addr, callTimeout, options.MaxConns),
+		watches:  newHostClient(options.Addr, watchReadTimeout, maxWatches),
+		requests: requestLimiter(options.Requests),
+		writes:   rate.NewLimiter(rate.Limit(options.Writes), max(minBurst, options.Burst)),
 	}
 }
 
-// take waits for the node's part of a rate, but not for long.
-func take(ctx context.Context, l *rate.Limiter, n int) error {
-	ctx, cancel := context.WithTimeout(ctx, time.Second)
-	defer cancel()
-	if err := l.WaitN(ctx, min(n, l.Burst())); err != nil {
-		return fmt.Errorf("%w: rate limit", ErrUnavailable)
+func newHostClient(addr string, readTimeout time.Duration, conns int) *fasthttp.HostClient {
+	return &fasthttp.HostClient{
+		Addr: addr, MaxConns: conns, ReadTimeout: readTimeout, WriteTimeout: writeTimeout,
+		MaxIdleConnDuration: idleConn, MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true,
+		DisablePathNormalizing: true, MaxResponseBodySize: maxResponse,
+		Dial: func(addr string) (net.Conn, error) { return fasthttp.DialTimeout(addr, dialTimeout) },
 	}
-	return nil
-}
-
-func unexpected(what string, status int) error {
-	return fmt.Errorf("%s: unexpected status %d", what, status)
 }
 
-// Get reads a key.
-func (c *Client) Get(ctx context.Context, key string) (Item, bool, error) {
-	var it Item
-	if err := take(ctx, c.reqs, 1); err != nil {
-		return it, false, err
-	}
-	st, b, err := c.do(ctx, c.http, "GET", "/store/"+key, nil, callTimeout)
-	switch {
-	case err != nil:
-		return it, false, err
-	case st == 404:
-		return it, false, nil
-	case st != 200:
-		return it, false, unexpected("get "+key, st)
-	}
-	if err := wire.Unmarshal(b, &it); err != nil {
-		return it, false, err
-	}
-	return it, true, nil
+// requestLimiter allows half a second's requests at once.
+func requestLimiter(perSecond float64) *rate.Limiter {
+	return rate.NewLimiter(rate.Limit(perSecond), max(minBurst, int(perSecond/2)))
 }
 
-// List reads all keys with a prefix, and the revision from which to watch on:
-// that of the first page, so that nothing is missed.
-func (c *Client) List(ctx context.Context, prefix string) ([]Item, uint64, error) {
-	var out []Item
-	var ledger uint64
-	after := ""
-	for {
-		if err := take(ctx, c.reqs, 1); err != nil {
-			return nil, 0, err
-		}
-		q := "/store?starts=" + url.QueryEscape(prefix) + "&most=500"
-		if after != "" {
-			q += "&since=" + url.QueryEscape(after)
-		}
-		st, b, err := c.do(ctx, c.http, "GET", q, nil, 2*callTimeout)
-		if err != nil {
-			return nil, 0, err
-		}
-		if st != 200 {
-			return nil, 0, unexpected("list "+prefix, st)
-		}
-		var page wire.StorePage
-		if err := wire.Unmarshal(b, &page); err != nil {
-			return nil, 0, err
-		}
-		if after == "" {
-			ledger = page.Ledger
-		}
-		out = append(out, page.Rows...)
-		if !page.HasNext || len(page.Rows) == 0 {
-			return out, ledger, nil
-		}
-		after = page.Rows[len(page.Rows)-1].Path
-	}
+// Part is the same client with a part of the rates of its own, so that neither
+// user of the two waits for the other.
+func (c *Client) Part(requests, writes float64) *Client {
+	part := *c
+	part.requests = requestLimiter(requests)
+	part.writes = rate.NewLimiter(rate.Limit(writes), max(minBurst, int(writes)))
+	return &part
 }
 
-// Commit applies changes if all conditions hold, and returns their revision.
-func (c *Client) Commit(ctx context.Context, conds []wire.Condition, changes []wire.Change) (uint64, error) {
-	if err := take(ctx, c.reqs, 1); err != nil {
-		return 0, err
-	}
-	if len(changes) > 0 {
-		if err := take(ctx, c.changes, len(changes)); err != nil {
-			return 0, err
-		}
-	}
-	body, err := wire.Marshal(wire.Commit{If: conds, Apply: changes})
-	if err != nil {
-		return 0, fmt.Errorf("commit: %w", err)
-	}
-	st, b, err := c.do(ctx, c.http, "POST", "/commit", body, callTimeout)
-	if err != nil {
-		return 0, err
-	}
-	var res wire.CommitResult
-	if st == 200 || st == 409 {
-		if err := wire.Unmarshal(b, &res); err != nil {
-			return 0, err
-		}
-	}
-	switch st {
-	case 200:
-		return res.Ledger, nil
-	case 409:
-		return 0, &ConflictError{Failed: res.Failed}
-	case 400:
-		return 0, fmt.Errorf("%w: commit: %.200s", ErrRefused, b)
-	}
-	return 0, unexpected("commit: "+string(b), st)
+// call is a request to the state service.
+type call struct {
+	http    *fasthttp.HostClient
+	method  string
+	uri     string
+	body    []byte
+	timeout time.Duration
 }
 
-// Grant makes a lease.
-func (c *Client) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
-	st, b, err := c.do(ctx, c.http, "POST", "/leases", wire.MustMarshal(wire.LeaseRequest{LifeMS: ttl.Milliseconds()}), callTimeout)
-	if err != nil {
-		return 0, err
-	}
-	if st != 200 {
-		return 0, unexpected("grant", st)
-	}
-	var g wire.LeaseGrant
-	if err := wire.Unmarshal(b, &g); err != nil {
-		return 0, err
-	}
-	return g.Hold, nil
+// do sends a request, without regard to the node's part of the rates.
+func (c *Client) do(ctx context.Context, call call) (status int, body []byte, err error) {
+	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(request)
+	defer fasthttp.ReleaseResponse(response)
+	request.Header.SetMethod(call.method)
+	request.SetRequestURI("http://" + c.http.Addr + call.uri)
+	if call.body != nil {
+		request.Header.SetContentType("application/cbor")
+		request.SetBodyRaw(call.body)
+	}
+	deadline := time.Now().Add(call.timeout)
+	if sooner, ok := ctx.Deadline(); ok && sooner.Before(deadline) {
+		deadline = sooner
+	}
+	if err := call.http.DoDeadline(request, response, deadline); err != nil {
+		return 0, nil, fmt.Errorf("%w: %w", ErrUnknown, err)
+	}
+	status = response.StatusCode()
+	c.contact(status != fasthttp.StatusServiceUnavailable)
+	if status == fasthttp.StatusServiceUnavailable || status == fasthttp.StatusTooManyRequests {
+		return status, nil, fmt.Errorf("%w: status %d", ErrUnavailable, status)
+	}
+	return status, append([]byte(nil), response.Body()...), nil
 }
 
-// Touch renews a lease; ErrNotFound says that it is over.
-func (c *Client) Touch(ctx context.Context, lease uint64) error {
-	st, _, err := c.do(ctx, c.http, "POST", fmt.Sprintf("/leases/%d/touch", lease), nil, touchTimeout)
-	switch {
-	case err != nil:
-		return err
-	case st == 404:
-		return ErrNotFound
-	case st != 200:
-		return unexpected("touch", st)
+// take waits for the node's part of a rate, but not for long.
+func take(ctx context.Context, limiter *rate.Limiter, n int) error {
+	ctx, cancel := context.WithTimeout(ctx, rateWait)
+	defer cancel()
+	if err := limiter.WaitN(ctx, min(n, limiter.Burst())); err != nil {
+		return fmt.Errorf("%w: rate limit", ErrUnavailable)
 	}
 	return nil
 }
 
-// touchTimeout is short: a renewal that hangs is better sent again.
-const touchTimeout = 800 * time.Millisecond
-
-// Revoke ends a lease.
-func (c *Client) Revoke(ctx context.Context, lease uint64) error {
-	st, _, err := c.do(ctx, c.http, "DELETE", fmt.Sprintf("/leases/%d", lease), nil, callTimeout)
-	if err == nil && st != 200 && st != 404 {
-		return unexpected("revoke", st)
-	}
-	return err
-}
-
-// Follow waits for changes with a prefix after a revision.
-func (c *Client) Follow(ctx context.Context, prefix string, since uint64) (wire.News, error) {
-	var n wire.News
-	if err := take(ctx, c.reqs, 1); err != nil {
-		return n, err
-	}
-	q := fmt.Sprintf("/follow?starts=%s&since=%d&block_ms=%d", url.QueryEscape(prefix), since, watchBlock.Milliseconds())
-	st, b, err := c.do(ctx, c.watch, "GET", q, nil, watchBlock+2*time.Second)
-	switch {
-	case err != nil:
-		return n, err
-	case st == 410:
-		return n, ErrCompacted
-	case st != 200:
-		return n, unexpected("follow", st)
-	}
-	err = wire.Unmarshal(b, &n)
-	return n, err
+func unexpected(what string, status int) error {
+	return fmt.Errorf("%s: unexpected status %d", what, status)
 }
