--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -27,16 +27,23 @@
 )
 
 const (
-	answerWithin = 5 * time.Second
-	retryAfter   = time.Second
-	retryMost    = 30 * time.Second
-	pollEvery    = 5 * time.Second
+	answerWithin  = 5 * time.Second // for one try
+	defaultBudget = time.Minute     // for all tries of one call
+	retryAfter    = time.Second     // unless the service says when to come back
+	maxRetryAfter = 30 * time.Second
+	pollEvery     = 5 * time.Second
+)
+
+// Paths of the users' interface.
+const (
+	runsPath   = "/v2/runs"
+	cancelPath = "/withdraw" // after a job's path
 )
 
 // Client talks to a service. The fields but Addr have usable zero values.
 type Client struct {
 	Addr   string
-	Budget time.Duration // for all tries of one call; 0: a minute
+	Budget time.Duration // for all tries of one call; 0: defaultBudget
 	// Pause waits between tries; nil: in real time.
 	Pause func(ctx context.Context, d time.Duration) error
 	// Dial connects; nil: over TCP.
@@ -53,7 +60,7 @@
 }
 
 // Over tells whether the job's state is final.
-func (r Run) Over() bool { return r.Status == "done" || r.Status == "aborted" }
+func (r Run) Over() bool { return r.Status == wire.StatusDone || r.Status == wire.StatusCancelled }
 
 // Submit submits a job described in JSON, with the fields of the protocol.
 func (c *Client) Submit(ctx context.Context, job []byte) (Run, error) {
@@ -61,29 +68,31 @@
 	if err != nil {
 		return Run{}, err
 	}
-	return c.call(ctx, "POST", "/v2/runs", body)
+	return c.call(ctx, request{fasthttp.MethodPost, runsPath, body})
 }
 
 // Get asks for a job's state.
 func (c *Client) Get(ctx context.Context, ref string) (Run, error) {
-	return c.call(ctx, "GET", "/v2/runs/"+ref, nil)
+	return c.call(ctx, request{fasthttp.MethodGet, jobPath(ref), nil})
 }
 
 // Cancel cancels a job, unless it is done already: the state says which.
 func (c *Client) Cancel(ctx context.Context, ref string) (Run, error) {
-	return c.call(ctx, "POST", "/v2/runs/"+ref+"/withdraw", nil)
+	return c.call(ctx, request{fasthttp.MethodPost, jobPath(ref) + cancelPath, nil})
 }
 
+func jobPath(ref string) string { return runsPath + "/" + ref }
+
 // Wait asks for a job's state until it is final. Times without an answer don't
 // end it.
 func (c *Client) Wait(ctx context.Context, ref string) (Run, error) {
 	for {
-		r, err := c.Get(ctx, ref)
-		if err != nil && !errors.Is(err, ErrGaveUp) || r.Over() {
-			return r, err
+		run, err := c.Get(ctx, ref)
+		if err != nil && !errors.Is(err, ErrGaveUp) || run.Over() {
+			return run, err
 		}
 		if err := c.pause(ctx, pollEvery); err != nil {
-			return r, err
+			return run, err
 		}
 	}
 }
@@ -92,107 +101,131 @@
 	if c.Pause != nil {
 		return c.Pause(ctx, d)
 	}
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-t.C:
+	case <-timer.C:
 		return nil
 	}
 }
 
+// request is one call to the service.
+type request struct {
+	method, path string
+	body         []byte
+}
+
 // call sends a request until it gets an answer that settles it.
-func (c *Client) call(ctx context.Context, method, path string, body []byte) (Run, error) {
+func (c *Client) call(ctx context.Context, request request) (Run, error) {
 	if c.http == nil {
 		c.http = &fasthttp.Client{Dial: c.Dial, MaxIdemponentCallAttempts: 1}
 	}
 	left := c.Budget
 	if left == 0 {
-		left = time.Minute
+		left = defaultBudget
 	}
 	for {
 		began := time.Now()
-		r, wait, err := c.once(method, path, body)
+		run, wait, err := c.try(request)
 		if err == nil || wait == 0 {
-			return r, err
+			return run, err
 		}
 		if left -= time.Since(began) + wait; left < 0 {
-			return r, fmt.Errorf("%w: %v", ErrGaveUp, err)
+			return run, fmt.Errorf("%w: %w", ErrGaveUp, err)
 		}
 		if err := c.pause(ctx, wait); err != nil {
-			return r, err
+			return run, err
 		}
 	}
 }
 
-// once sends a request; wait says after how long to try again, 0: never.
-func (c *Client) once(method, path string, body []byte) (r Run, wait time.Duration, err error) {
+// try sends a request once; wait says after how long to try again, 0: never.
+func (c *Client) try(request request) (run Run, wait time.Duration, err error) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	req.Header.SetMethod(method)
-	req.SetRequestURI("http://" + c.Addr + path)
-	if body != nil {
+	req.Header.SetMethod(request.method)
+	req.SetRequestURI("http://" + c.Addr + request.path)
+	if request.body != nil {
 		req.Header.SetContentType("application/cbor")
-		req.SetBody(body)
+		req.SetBody(request.body)
 	}
 	if err := c.http.DoTimeout(req, resp, answerWithin); err != nil {
-		return r, retryAfter, err
-	}
-	switch st := resp.StatusCode(); st {
-	case 200, 201:
-		return r, 0, wire.Unmarshal(resp.Body(), &r)
-	case 400, 422:
-		var why struct {
-			Error string `cbor:"error"`
-		}
-		_ = wire.Unmarshal(resp.Body(), &why) // the reason is a courtesy
-		return r, 0, fmt.Errorf("%w (%d): %s", ErrRefused, st, why.Error)
-	case 404:
-		return r, 0, ErrNotFound
+		return run, retryAfter, err
+	}
+	switch status := resp.StatusCode(); status {
+	case fasthttp.StatusOK, fasthttp.StatusCreated:
+		err = wire.Unmarshal(resp.Body(), &run)
+		return run, 0, err
+	case fasthttp.StatusBadRequest, fasthttp.StatusUnprocessableEntity:
+		return run, 0, fmt.Errorf("%w (%d): %s", ErrRefused, status, reason(resp.Body()))
+	case fasthttp.StatusNotFound:
+		return run, 0, ErrNotFound
 	default:
-		wait = retryAfter
-		if s, err := strconv.Atoi(string(resp.Header.Peek("Retry-After"))); err == nil {
-			wait = min(max(wait, time.Duration(s)*time.Second), retryMost)
-		}
-		return r, wait, fmt.Errorf("status %d", st)
+		return run, retryWait(resp), fmt.Errorf("status %d", status)
+	}
+}
+
+// reason is why the service refused a job; empty if it doesn't say.
+func reason(body []byte) string {
+	var refusal struct {
+		Error string `cbor:"error"`
 	}
+	if wire.Unmarshal(body, &refusal) != nil {
+		return ""
+	}
+	return refusal.Error
+}
+
+// retryWait is after how long the service wants the call again.
+func retryWait(resp *fasthttp.Response) time.Duration {
+	seconds, err := strconv.Atoi(string(resp.Header.Peek("Retry-After")))
+	if err != nil {
+		return retryAfter
+	}
+	return min(max(retryAfter, time.Duration(seconds)*time.Second), maxRetryAfter)
 }
 
 // toCBOR puts a JSON object into CBOR; whole numbers stay whole.
 func toCBOR(job []byte) ([]byte, error) {
-	dec := json.NewDecoder(bytes.NewReader(job))
-	dec.UseNumber()
-	var m map[string]any
-	if err := dec.Decode(&m); err != nil {
+	decoder := json.NewDecoder(bytes.NewReader(job))
+	decoder.UseNumber()
+	var fields map[string]any
+	if err := decoder.Decode(&fields); err != nil {
 		return nil, fmt.Errorf("job: %w", err)
 	}
-	if dec.More() {
+	if decoder.More() {
 		return nil, errors.New("job: more than one JSON value")
 	}
-	return wire.Marshal(plain(m))
+	return wire.Marshal(plain(fields))
 }
 
-func plain(v any) any {
-	switch x := v.(type) {
+// plain replaces JSON's numbers, at any depth, by whole numbers or floats.
+func plain(value any) any {
+	switch v := value.(type) {
 	case json.Number:
-		if n, err := x.Int64(); err == nil {
-			return n
-		}
-		f, err := x.Float64()
-		if err != nil {
-			return x.String()
-		}
-		return f
+		return plainNumber(v)
 	case map[string]any:
-		for k := range x {
-			x[k] = plain(x[k])
+		for key := range v {
+			v[key] = plain(v[key])
 		}
 	case []any:
-		for i := range x {
-			x[i] = plain(x[i])
+		for i := range v {
+			v[i] = plain(v[i])
 		}
 	}
-	return v
+	return value
+}
+
+func plainNumber(number json.Number) any {
+	if whole, err := number.Int64(); err == nil {
+		return whole
+	}
+	float, err := number.Float64()
+	if err != nil {
+		return number.String()
+	}
+	return float
 }
