--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -16,104 +16,135 @@
 
 // Errors of the cloud.
 var (
+	// ErrNoCapacity says that the cloud has no such machines at the moment.
 	ErrNoCapacity = errors.New("no capacity")
-	ErrTrouble    = errors.New("cloud unavailable") // certainly not executed
-	ErrUnknown    = errors.New("no answer from the cloud")
+	// ErrUnavailable says that the request was certainly not executed.
+	ErrUnavailable = errors.New("cloud unavailable")
+	// ErrUnknown says that the request may have been executed, or may yet be.
+	ErrUnknown = errors.New("no answer from the cloud")
 )
 
+// noCapacityText is the cloud's word for ErrNoCapacity.
+const noCapacityText = "no capacity"
+
 // Client is a client of the cloud's interface.
 type Client struct {
-	http *fasthttp.HostClient
-	reqs *rate.Limiter
+	http     *fasthttp.HostClient
+	requests *rate.Limiter
 }
 
-const callTimeout = 4 * time.Second
-
-// burst is how many seconds' worth of requests may go at once; the cloud allows two.
-const burst = 1.5
+const (
+	callTimeout = 4 * time.Second
+	idleConn    = time.Minute
+	maxConns    = 6
+	maxResponse = 4 << 20
+	// burstSeconds is how many seconds' worth of requests may go at once; the cloud
+	// allows two.
+	burstSeconds = 1.5
+	// pageSize is how many machines a list asks for at a time.
+	pageSize = 500
+)
 
 // New makes a client that stays within a rate.
-func New(addr string, rps float64) *Client {
+func New(addr string, perSecond float64) *Client {
 	return &Client{
-		http: &fasthttp.HostClient{Addr: addr, MaxConns: 6, ReadTimeout: callTimeout, WriteTimeout: callTimeout,
-			MaxIdleConnDuration: time.Minute, MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true,
-			MaxResponseBodySize: 4 << 20},
-		reqs: rate.NewLimiter(rate.Limit(rps), max(1, int(rps*burst))),
+		http: &fasthttp.HostClient{
+			Addr: addr, MaxConns: maxConns, ReadTimeout: callTimeout, WriteTimeout: callTimeout,
+			MaxIdleConnDuration: idleConn, MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true,
+			MaxResponseBodySize: maxResponse,
+		},
+		requests: rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond*burstSeconds))),
 	}
 }
 
-func (c *Client) do(ctx context.Context, method, uri string, body any, out any) error {
-	if err := c.reqs.Wait(ctx); err != nil {
-		return fmt.Errorf("%w: %v", ErrTrouble, err)
+// call is a request to the cloud; in and out are the messages, nil for none.
+type call struct {
+	method, uri string
+	in, out     any
+}
+
+// do sends a request and decodes its answer.
+func (c *Client) do(ctx context.Context, call call) error {
+	if err := c.requests.Wait(ctx); err != nil {
+		return fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
-	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	defer fasthttp.ReleaseRequest(req)
-	defer fasthttp.ReleaseResponse(resp)
-	req.Header.SetMethod(method)
-	req.SetRequestURI("http://" + c.http.Addr + uri)
-	if body != nil {
-		b, err := wire.Marshal(body)
+	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(request)
+	defer fasthttp.ReleaseResponse(response)
+	request.Header.SetMethod(call.method)
+	request.SetRequestURI("http://" + c.http.Addr + call.uri)
+	if call.in != nil {
+		body, err := wire.Marshal(call.in)
 		if err != nil {
-			return fmt.Errorf("%s %s: %w", method, uri, err)
+			return fmt.Errorf("%s %s: %w", call.method, call.uri, err)
 		}
-		req.Header.SetContentType("application/cbor")
-		req.SetBodyRaw(b)
+		request.Header.SetContentType("application/cbor")
+		request.SetBodyRaw(body)
 	}
-	if err := c.http.DoTimeout(req, resp, callTimeout); err != nil {
-		return fmt.Errorf("%w: %v", ErrUnknown, err)
+	if err := c.http.DoTimeout(request, response, callTimeout); err != nil {
+		return fmt.Errorf("%w: %w", ErrUnknown, err)
 	}
-	switch st := resp.StatusCode(); st {
-	case 200:
-		if out == nil {
-			return nil
-		}
-		return wire.Unmarshal(resp.Body(), out)
-	case 429:
-		return fmt.Errorf("%w: too many requests", ErrTrouble)
-	case 503:
-		var e struct {
+	if err := statusError(call, response); err != nil {
+		return err
+	}
+	if call.out == nil {
+		return nil
+	}
+	return wire.Unmarshal(response.Body(), call.out)
+}
+
+// statusError is what an answer's status says; nil if the request was executed.
+func statusError(call call, response *fasthttp.Response) error {
+	switch status := response.StatusCode(); status {
+	case fasthttp.StatusOK:
+		return nil
+	case fasthttp.StatusTooManyRequests:
+		return fmt.Errorf("%w: too many requests", ErrUnavailable)
+	case fasthttp.StatusServiceUnavailable:
+		var refusal struct {
 			Error string `cbor:"error"`
 		}
-		if wire.Unmarshal(resp.Body(), &e) == nil && e.Error == "no capacity" {
+		if wire.Unmarshal(response.Body(), &refusal) == nil && refusal.Error == noCapacityText {
 			return ErrNoCapacity
 		}
-		return fmt.Errorf("%w: status 503", ErrTrouble)
+		return fmt.Errorf("%w: status %d", ErrUnavailable, status)
 	default:
-		return fmt.Errorf("%s %s: unexpected status %d", method, uri, st)
+		return fmt.Errorf("%s %s: unexpected status %d", call.method, call.uri, status)
 	}
 }
 
 // Flavors reads the machine types with their present prices.
 func (c *Client) Flavors(ctx context.Context) ([]wire.Flavor, error) {
-	var f wire.Flavors
-	err := c.do(ctx, "GET", "/flavors", nil, &f)
-	return f.Builds, err
+	var flavors wire.Flavors
+	err := c.do(ctx, call{method: fasthttp.MethodGet, uri: "/flavors", out: &flavors})
+	return flavors.Builds, err
 }
 
 // Rent asks for machines. The same request may be repeated until answered.
-func (c *Client) Rent(ctx context.Context, r wire.RentalRequest) ([]string, error) {
-	var s wire.Stalls
-	err := c.do(ctx, "POST", "/rentals", r, &s)
-	return s.Stalls, err
+func (c *Client) Rent(ctx context.Context, request wire.RentalRequest) ([]string, error) {
+	var machines wire.Stalls
+	err := c.do(ctx, call{method: fasthttp.MethodPost, uri: "/rentals", in: request, out: &machines})
+	return machines.Stalls, err
 }
 
 // Release gives machines back; without an error they are gone.
 func (c *Client) Release(ctx context.Context, names []string) error {
-	return c.do(ctx, "POST", "/rentals/release", wire.Stalls{Stalls: names}, nil)
+	return c.do(ctx, call{method: fasthttp.MethodPost, uri: "/rentals/release", in: wire.Stalls{Stalls: names}})
 }
 
 // List reads the whole list of machines.
 func (c *Client) List(ctx context.Context) ([]wire.Rental, error) {
-	var out []wire.Rental
+	var rentals []wire.Rental
 	after := ""
 	for {
 		var page wire.RentalPage
-		if err := c.do(ctx, "GET", "/rentals?since="+url.QueryEscape(after)+"&most=500", nil, &page); err != nil {
+		uri := fmt.Sprintf("/rentals?since=%s&most=%d", url.QueryEscape(after), pageSize)
+		if err := c.do(ctx, call{method: fasthttp.MethodGet, uri: uri, out: &page}); err != nil {
 			return nil, err
 		}
-		out = append(out, page.Stalls...)
+		rentals = append(rentals, page.Stalls...)
 		if !page.HasNext || len(page.Stalls) == 0 {
-			return out, nil
+			return rentals, nil
 		}
 		after = page.Stalls[len(page.Stalls)-1].Ref
 	}
