--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -28,7 +28,10 @@
 
 // Default returns the settings of an empty file.
 func Default() Settings {
-	return Settings{RestartLimit: 3, BatchInterval: 2 * time.Second, RoundBudget: 60 * time.Millisecond, Weights: core.DefaultWeights()}
+	return Settings{
+		RestartLimit: 3, BatchInterval: 2 * time.Second, RoundBudget: 60 * time.Millisecond,
+		Weights: core.DefaultWeights(),
+	}
 }
 
 // Load reads a file; an empty path stands for an empty file.
@@ -43,25 +46,36 @@
 	return parse(path, string(text))
 }
 
+// Bounds of the settings.
+const (
+	maxRestartLimit  = 1000
+	minBatchInterval = 100 * time.Millisecond
+	maxBatchInterval = time.Minute
+	minRoundBudget   = time.Millisecond
+	maxRoundBudget   = 5 * time.Second
+	maxMoneyWeight   = 100  // of weights in seconds or dollars
+	maxPlainWeight   = 1000 // of weights without a unit
+)
+
 func parse(path, text string) (Settings, error) {
-	var p operatorpb.Settings
-	if err := prototext.Unmarshal([]byte(text), &p); err != nil {
-		return Settings{}, placed(path, text, err)
+	var message operatorpb.Settings
+	if err := prototext.Unmarshal([]byte(text), &message); err != nil {
+		return Settings{}, locate(path, text, err)
 	}
-	s := Default()
+	settings := Default()
 	c := checker{path: path, text: text}
-	if p.RestartLimit != nil {
-		s.RestartLimit = int(c.number("restart_limit", float64(p.GetRestartLimit()), 0, 1000))
+	if message.RestartLimit != nil {
+		settings.RestartLimit = int(c.number("restart_limit", float64(message.GetRestartLimit()), 0, maxRestartLimit))
 	}
-	c.duration("batch_interval", p.BatchInterval, &s.BatchInterval, 100*time.Millisecond, time.Minute)
-	c.duration("round_budget", p.RoundBudget, &s.RoundBudget, time.Millisecond, 5*time.Second)
-	if w := p.Weights; w != nil {
-		c.weight("seconds_per_dollar_hour", w.SecondsPerDollarHour, &s.Weights.SecondsPerDollarHour, 100)
-		c.weight("idle_dollars", w.IdleDollars, &s.Weights.IdleDollars, 100)
-		c.weight("move_gain", w.MoveGain, &s.Weights.MoveGain, 1000)
-		c.weight("small_first", w.SmallFirst, &s.Weights.SmallFirst, 1000)
+	c.duration("batch_interval", message.BatchInterval, &settings.BatchInterval, minBatchInterval, maxBatchInterval)
+	c.duration("round_budget", message.RoundBudget, &settings.RoundBudget, minRoundBudget, maxRoundBudget)
+	if weights := message.Weights; weights != nil {
+		c.weight("seconds_per_dollar_hour", weights.SecondsPerDollarHour, &settings.Weights.SecondsPerDollarHour, maxMoneyWeight)
+		c.weight("idle_dollars", weights.IdleDollars, &settings.Weights.IdleDollars, maxMoneyWeight)
+		c.weight("move_gain", weights.MoveGain, &settings.Weights.MoveGain, maxPlainWeight)
+		c.weight("small_first", weights.SmallFirst, &settings.Weights.SmallFirst, maxPlainWeight)
 	}
-	return s, c.err
+	return settings, c.err
 }
 
 var (
@@ -69,21 +83,23 @@
 	fieldName = regexp.MustCompile(`(\w+)\s*[:{]`)
 )
 
-// placed gives an error of the text format file, line and field. The library
+// locate gives an error of the text format its file, line and field. The library
 // mostly names the line, but not always the field, and varies its spaces.
-func placed(path, text string, err error) error {
-	msg := strings.Join(strings.Fields(strings.TrimPrefix(err.Error(), "proto:")), " ")
+func locate(path, text string, err error) error {
+	reason := strings.Join(strings.Fields(strings.TrimPrefix(err.Error(), "proto:")), " ")
 	lines := strings.Split(strings.TrimRight(text, "\n"), "\n")
 	line := len(lines) // where a file ends too soon
-	if m := position.FindStringSubmatch(msg); m != nil {
-		line, _ = strconv.Atoi(m[1])
-		msg = strings.Replace(msg, m[0], "", 1)
+	if match := position.FindStringSubmatch(reason); match != nil {
+		if number, err := strconv.Atoi(match[1]); err == nil {
+			line = number
+		}
+		reason = strings.Replace(reason, match[0], "", 1)
 	}
 	field := ""
-	if m := fieldName.FindAllStringSubmatch(lines[min(line, len(lines))-1], -1); m != nil {
-		field = m[len(m)-1][1] + ": "
+	if names := fieldName.FindAllStringSubmatch(lines[min(line, len(lines))-1], -1); names != nil {
+		field = names[len(names)-1][1] + ": "
 	}
-	return fmt.Errorf("%s:%d: %s%s", path, line, field, msg)
+	return fmt.Errorf("%s:%d: %s%s", path, line, field, reason)
 }
 
 // checker checks values and keeps the first complaint, with file, line and field.
@@ -107,25 +123,29 @@
 	return 1 + strings.Count(c.text[:at[1]], "\n")
 }
 
-func (c *checker) number(field string, v, least, most float64) float64 {
-	if math.IsNaN(v) || v < least || v > most {
-		c.fail(field, "must be from %g to %g, is %g", least, most, v)
+// number checks a value against its bounds, and returns it.
+func (c *checker) number(field string, value, low, high float64) float64 {
+	if math.IsNaN(value) || value < low || value > high {
+		c.fail(field, "must be from %g to %g, is %g", low, high, value)
 	}
-	return v
+	return value
 }
 
-func (c *checker) weight(field string, v *float64, to *float64, most float64) {
-	if v != nil {
-		*to = c.number(field, *v, 0, most)
+// weight checks a weight and takes it over, if it is set.
+func (c *checker) weight(field string, value *float64, target *float64, high float64) {
+	if value != nil {
+		*target = c.number(field, *value, 0, high)
 	}
 }
 
-func (c *checker) duration(field string, v *durationpb.Duration, to *time.Duration, least, most time.Duration) {
-	if v == nil {
+// duration checks a duration and takes it over, if it is set.
+func (c *checker) duration(field string, value *durationpb.Duration, target *time.Duration, low, high time.Duration) {
+	if value == nil {
 		return
 	}
-	if err := v.CheckValid(); err != nil || v.AsDuration() < least || v.AsDuration() > most {
-		c.fail(field, "must be from %s to %s, is %s", least, most, v.AsDuration())
+	duration := value.AsDuration()
+	if err := value.CheckValid(); err != nil || duration < low || duration > high {
+		c.fail(field, "must be from %s to %s, is %s", low, high, duration)
 	}
-	*to = v.AsDuration()
+	*target = duration
 }
