--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -4,6 +4,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"log/slog"
 	"net"
@@ -17,8 +18,26 @@
 	"gingertally/internal/peer/peerpb"
 )
 
-// maxMessage bounds a message between nodes: a user's or worker's body and a little.
-const maxMessage = 128 << 10
+const (
+	// maxMessage bounds a message between nodes: a user's or worker's body and a little.
+	maxMessage = 128 << 10
+	// maxStreams bounds the requests of one node at once.
+	maxStreams = 64
+	// bufferSize keeps the many mostly idle connections small.
+	bufferSize = 8 << 10
+)
+
+// Signs of life between nodes, and how a lost connection is made again.
+const (
+	keepaliveEvery   = 10 * time.Second
+	keepaliveTimeout = 4 * time.Second
+	keepaliveLeast   = 4 * time.Second // more often a client may not ask
+	connectTimeout   = 2 * time.Second
+	redialFirst      = 200 * time.Millisecond
+	redialMost       = 2 * time.Second
+	redialFactor     = 1.5
+	redialJitter     = 0.2
+)
 
 // Handler serves a relayed request.
 type Handler func(ctx context.Context, from, method, path string, body []byte) (status int, reply []byte)
@@ -29,21 +48,23 @@
 }
 
 // Relay serves a request that another node passed on.
-func (s *server) Relay(ctx context.Context, r *peerpb.Request) (*peerpb.Reply, error) {
-	status, body := s.handle(ctx, r.From, r.Method, r.Path, r.Body)
+func (s *server) Relay(ctx context.Context, request *peerpb.Request) (*peerpb.Reply, error) {
+	status, body := s.handle(ctx, request.From, request.Method, request.Path, request.Body)
 	return &peerpb.Reply{Status: int32(status), Body: body}, nil
 }
 
 // Serve answers the other nodes until ctx ends.
-func Serve(ctx context.Context, ln net.Listener, h Handler) error {
-	s := grpc.NewServer(grpc.MaxRecvMsgSize(maxMessage), grpc.MaxConcurrentStreams(64),
-		grpc.KeepaliveParams(keepalive.ServerParameters{Time: 10 * time.Second, Timeout: 4 * time.Second}),
-		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: 4 * time.Second, PermitWithoutStream: true}),
-		grpc.ReadBufferSize(8<<10), grpc.WriteBufferSize(8<<10))
-	peerpb.RegisterPeerServer(s, &server{handle: h})
+func Serve(ctx context.Context, listener net.Listener, handle Handler) error {
+	s := grpc.NewServer(
+		grpc.MaxRecvMsgSize(maxMessage), grpc.MaxConcurrentStreams(maxStreams),
+		grpc.KeepaliveParams(keepalive.ServerParameters{Time: keepaliveEvery, Timeout: keepaliveTimeout}),
+		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: keepaliveLeast, PermitWithoutStream: true}),
+		grpc.ReadBufferSize(bufferSize), grpc.WriteBufferSize(bufferSize),
+	)
+	peerpb.RegisterPeerServer(s, &server{handle: handle})
 	stop := context.AfterFunc(ctx, s.Stop)
 	defer stop()
-	if err := s.Serve(ln); err != nil && ctx.Err() == nil {
+	if err := s.Serve(listener); err != nil && ctx.Err() == nil {
 		return fmt.Errorf("serve peers: %w", err)
 	}
 	return nil
@@ -51,45 +72,55 @@
 
 // Client reaches the other nodes by name, over one connection each.
 type Client struct {
-	self  string
-	conns map[string]*grpc.ClientConn
+	self        string
+	connections map[string]*grpc.ClientConn
 }
 
 // NewClient makes a client; addrs are the other nodes' addresses by name.
 func NewClient(self string, addrs map[string]string) (*Client, error) {
-	c := &Client{self: self, conns: map[string]*grpc.ClientConn{}}
+	c := &Client{self: self, connections: map[string]*grpc.ClientConn{}}
 	for name, addr := range addrs {
-		conn, err := grpc.NewClient("passthrough:///"+addr,
-			grpc.WithTransportCredentials(insecure.NewCredentials()),
-			grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: 2 * time.Second,
-				Backoff: backoff.Config{BaseDelay: 200 * time.Millisecond, Multiplier: 1.5, Jitter: 0.2, MaxDelay: 2 * time.Second}}),
-			grpc.WithReadBufferSize(8<<10), grpc.WithWriteBufferSize(8<<10),
-			grpc.WithDisableServiceConfig(), grpc.WithNoProxy())
+		connection, err := dial(addr)
 		if err != nil {
 			return nil, fmt.Errorf("peer %s: %w", name, err)
 		}
-		c.conns[name] = conn
+		c.connections[name] = connection
 	}
 	return c, nil
 }
 
+// dial prepares a connection, which is made when it is first used.
+func dial(addr string) (*grpc.ClientConn, error) {
+	redial := backoff.Config{BaseDelay: redialFirst, Multiplier: redialFactor, Jitter: redialJitter, MaxDelay: redialMost}
+	return grpc.NewClient("passthrough:///"+addr,
+		grpc.WithTransportCredentials(insecure.NewCredentials()),
+		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: connectTimeout, Backoff: redial}),
+		grpc.WithReadBufferSize(bufferSize), grpc.WithWriteBufferSize(bufferSize),
+		grpc.WithDisableServiceConfig(), grpc.WithNoProxy(),
+	)
+}
+
+// ErrUnknownPeer says that no node has the name.
+var ErrUnknownPeer = errors.New("no such peer")
+
 // Relay passes a request on to a node.
 func (c *Client) Relay(ctx context.Context, to, method, path string, body []byte) (int, []byte, error) {
-	conn := c.conns[to]
-	if conn == nil {
-		return 0, nil, fmt.Errorf("no peer %q", to)
+	connection := c.connections[to]
+	if connection == nil {
+		return 0, nil, fmt.Errorf("%w: %q", ErrUnknownPeer, to)
 	}
-	r, err := peerpb.NewPeerClient(conn).Relay(ctx, &peerpb.Request{From: c.self, Method: method, Path: path, Body: body})
+	request := &peerpb.Request{From: c.self, Method: method, Path: path, Body: body}
+	reply, err := peerpb.NewPeerClient(connection).Relay(ctx, request)
 	if err != nil {
 		return 0, nil, fmt.Errorf("relay to %s: %w", to, err)
 	}
-	return int(r.Status), r.Body, nil
+	return int(reply.Status), reply.Body, nil
 }
 
 // Close ends all connections.
 func (c *Client) Close() {
-	for name, conn := range c.conns {
-		if err := conn.Close(); err != nil {
+	for name, connection := range c.connections {
+		if err := connection.Close(); err != nil {
 			slog.Debug("close peer", "peer", name, "error", err)
 		}
 	}
