--- a/cmd/gingertally/main.go
+++ b/cmd/gingertally/main.go
@@ -35,29 +35,31 @@
 	OperatorSettings string `placeholder:"FILE" env:"GINGERTALLY_OPERATOR_SETTINGS" help:"The operators' own settings (protobuf text format)."`
 }
 
+// load reads and checks both files.
 func (f *settingsFiles) load() (*config.Settings, operator.Settings, error) {
-	cfg, err := config.Load(f.Config)
+	settings, err := config.Load(f.Config)
 	if err != nil {
 		return nil, operator.Settings{}, err
 	}
-	op, err := operator.Load(f.OperatorSettings)
-	return cfg, op, err
+	operatorSettings, err := operator.Load(f.OperatorSettings)
+	return settings, operatorSettings, err
 }
 
 type serveCmd struct{ settingsFiles }
 
+// Run serves until the process is told to end.
 func (c *serveCmd) Run() error {
-	cfg, op, err := c.load()
+	settings, operatorSettings, err := c.load()
 	if err != nil {
 		return err
 	}
-	d, err := daemon.New(cfg, op)
+	controller, err := daemon.New(settings, operatorSettings)
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	if err := d.Run(ctx); !errors.Is(err, context.Canceled) {
+	if err := controller.Run(ctx); !errors.Is(err, context.Canceled) {
 		return err
 	}
 	return nil
@@ -65,6 +67,7 @@
 
 type checkConfigCmd struct{ settingsFiles }
 
+// Run checks the settings files.
 func (c *checkConfigCmd) Run() error {
 	if _, _, err := c.load(); err != nil {
 		return err
@@ -75,11 +78,13 @@
 
 type versionCmd struct{}
 
+// Run prints the version.
 func (versionCmd) Run() error {
 	fmt.Println("gingertally", daemon.Version)
 	return nil
 }
 
+// logLevel is the level that the environment asks for.
 func logLevel() slog.Level {
 	switch strings.ToLower(os.Getenv("LOG_LEVEL")) {
 	case "error":
@@ -92,13 +97,13 @@
 
 func main() {
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: logLevel()})))
-	var c cli
-	ctx := kong.Parse(&c, kong.Name("gingertally"), kong.Description("A cluster scheduler: pipelines of jobs on rented machines."))
+	var commands cli
+	ctx := kong.Parse(&commands, kong.Name("gingertally"), kong.Description("A cluster scheduler: pipelines of jobs on rented machines."))
 	if err := ctx.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "gingertally:", err)
-		var e exitError
-		if errors.As(err, &e) {
-			os.Exit(e.code)
+		var coded exitError
+		if errors.As(err, &coded) {
+			os.Exit(coded.code)
 		}
 		os.Exit(1)
 	}
--- a/cmd/gingertally/status.go
+++ b/cmd/gingertally/status.go
@@ -26,57 +26,58 @@
 // statusTimeout leaves the node asked time to ask the leader.
 const statusTimeout = 3 * time.Second
 
+// Run prints the status.
 func (c *statusCmd) Run() error {
-	code, body, err := fasthttp.GetTimeout(nil, "http://"+c.Server+"/statusz", statusTimeout)
+	code, body, err := fasthttp.GetTimeout(nil, "http://"+c.Server+daemon.StatusPath, statusTimeout)
 	switch {
 	case err != nil:
 		return exitError{fmt.Errorf("%s: %w", c.Server, err), exitGaveUp}
-	case code != 200:
+	case code != fasthttp.StatusOK:
 		return exitError{fmt.Errorf("%s: status %d", c.Server, code), exitGaveUp}
 	}
 	if c.JSON {
 		_, err := fmt.Println(string(body))
 		return err
 	}
-	var s daemon.Status
-	if err := json.Unmarshal(body, &s); err != nil {
+	var status daemon.Status
+	if err := json.Unmarshal(body, &status); err != nil {
 		return fmt.Errorf("%s: %w", c.Server, err)
 	}
-	return printStatus(os.Stdout, s)
+	return printStatus(os.Stdout, status)
 }
 
 // printStatus prints the status as aligned tables.
-func printStatus(out io.Writer, s daemon.Status) error {
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	if _, err := io.WriteString(w, statusText(s)); err != nil {
+func printStatus(out io.Writer, status daemon.Status) error {
+	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	if _, err := io.WriteString(table, statusText(status)); err != nil {
 		return err
 	}
-	return w.Flush()
+	return table.Flush()
 }
 
 // statusText is the status with cells set off by tabs.
-func statusText(s daemon.Status) string {
+func statusText(status daemon.Status) string {
 	var text strings.Builder
-	writeNodes(&text, s)
-	if s.Leading == nil {
+	writeNodes(&text, status)
+	if status.Leading == nil {
 		fmt.Fprintln(&text, "\nThe leader can't be asked.")
 		return text.String()
 	}
-	writePools(&text, s.Leading)
-	writeWaiting(&text, s.Leading)
+	writePools(&text, status.Leading)
+	writeWaiting(&text, status.Leading)
 	return text.String()
 }
 
 // writeNodes tells of the controllers.
-func writeNodes(text *strings.Builder, s daemon.Status) {
-	leader := s.Leader
+func writeNodes(text *strings.Builder, status daemon.Status) {
+	leader := status.Leader
 	if leader == "" {
 		leader = "unknown"
 	}
 	fmt.Fprintf(text, "leader\t%s\n", leader)
-	fmt.Fprintf(text, "told by\t%s, %s, serves users: %v\n", s.Node, s.Role, s.Serves)
-	for _, name := range slices.Sorted(maps.Keys(s.Versions)) {
-		fmt.Fprintf(text, "version\t%s %s\n", name, s.Versions[name])
+	fmt.Fprintf(text, "told by\t%s, %s, serves users: %v\n", status.Node, status.Role, status.Serves)
+	for _, name := range slices.Sorted(maps.Keys(status.Versions)) {
+		fmt.Fprintf(text, "version\t%s %s\n", name, status.Versions[name])
 	}
 }
 
--- a/cmd/gingertally/user.go
+++ b/cmd/gingertally/user.go
@@ -9,6 +9,7 @@
 	"os"
 
 	"gingertally/internal/client"
+	"gingertally/internal/wire"
 )
 
 // Exit codes of the users' commands, besides 0 and 1.
@@ -25,8 +26,10 @@
 	code int
 }
 
+// Unwrap is the error without its exit code.
 func (e exitError) Unwrap() error { return e.error }
 
+// serverFlag names the service that is asked.
 type serverFlag struct {
 	Server string `required:"" env:"GINGERTALLY_SERVER" placeholder:"HOST:PORT" help:"A controller, or the load balancer before them."`
 }
@@ -36,6 +39,7 @@
 	Job string `arg:"" help:"File with the job in JSON; - for standard input."`
 }
 
+// Run submits the job.
 func (c *submitCmd) Run() error {
 	job, err := readJob(c.Job)
 	if err != nil {
@@ -44,6 +48,7 @@
 	return show((&client.Client{Addr: c.Server}).Submit(context.Background(), job))
 }
 
+// readJob reads a job's description from a file or standard input.
 func readJob(name string) ([]byte, error) {
 	if name == "-" {
 		return io.ReadAll(os.Stdin)
@@ -56,6 +61,7 @@
 	Ref string `arg:"" help:"The job's id."`
 }
 
+// Run prints the job's state.
 func (c *getCmd) Run() error {
 	return show((&client.Client{Addr: c.Server}).Get(context.Background(), c.Ref))
 }
@@ -65,6 +71,7 @@
 	Ref string `arg:"" help:"The job's id."`
 }
 
+// Run cancels the job.
 func (c *cancelCmd) Run() error {
 	return show((&client.Client{Addr: c.Server}).Cancel(context.Background(), c.Ref))
 }
@@ -74,19 +81,20 @@
 	Ref string `arg:"" help:"The job's id."`
 }
 
+// Run waits for the job's end.
 func (c *waitCmd) Run() error {
-	r, err := (&client.Client{Addr: c.Server}).Wait(context.Background(), c.Ref)
-	if err := show(r, err); err != nil {
+	run, err := (&client.Client{Addr: c.Server}).Wait(context.Background(), c.Ref)
+	if err := show(run, err); err != nil {
 		return err
 	}
-	if r.Status == "aborted" {
+	if run.Status == wire.StatusCancelled {
 		return exitError{errors.New("the job was cancelled"), exitCancelled}
 	}
 	return nil
 }
 
 // show prints a job's state in JSON, or passes on the error with its exit code.
-func show(r client.Run, err error) error {
+func show(run client.Run, err error) error {
 	switch {
 	case errors.Is(err, client.ErrRefused):
 		return exitError{err, exitRefused}
@@ -97,10 +105,10 @@
 	case err != nil:
 		return err
 	}
-	b, err := json.Marshal(r)
+	text, err := json.Marshal(run)
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Println(string(b))
+	_, err = fmt.Println(string(text))
 	return err
 }
--- a/internal/daemon/http.go
+++ b/internal/daemon/http.go
@@ -87,7 +87,7 @@
 		request.SetStatusCode(d.healthStatus())
 	case path == metricsPath:
 		d.metrics.handler(request)
-	case path == statusPath:
+	case path == StatusPath:
 		request.SetContentType(contentTypeJSON)
 		request.SetBody(d.statusAnywhere(ctx))
 	case path == beatPath && method == fasthttp.MethodPost:
--- a/internal/daemon/peer_calls.go
+++ b/internal/daemon/peer_calls.go
@@ -24,7 +24,7 @@
 		return http.StatusOK, nil
 	case extensionPath:
 		return d.grantExtension(ctx), nil
-	case statusPath:
+	case StatusPath:
 		return http.StatusOK, d.status(time.Now()).encode()
 	}
 	if ref, ok := strings.CutPrefix(path, viewPath); ok {
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -19,8 +19,8 @@
 	noAnswer     = "no answer"
 )
 
-// statusPath is for operators: JSON, from whichever node is asked.
-const statusPath = "/statusz"
+// StatusPath is where operators ask any node for the status, in JSON.
+const StatusPath = "/statusz"
 
 // Status is what an operator is shown. All teams and machines are the leader's
 // share.
@@ -88,7 +88,7 @@
 	for i, name := range names {
 		asking.Go(func() {
 			var status Status
-			code, body, err := d.peers.Relay(ctx, name, http.MethodGet, statusPath, nil)
+			code, body, err := d.peers.Relay(ctx, name, http.MethodGet, StatusPath, nil)
 			if err == nil && code == http.StatusOK && json.Unmarshal(body, &status) == nil {
 				answers[i] = &status
 			}
