--- a/internal/daemon/session.go
+++ b/internal/daemon/session.go
@@ -76,9 +76,9 @@
 		s.engine.Step(time.Now(), core.Catalog{Types: types})
 	}
 	s.noteContact()
-	s.daemon.session.Store(s)
 	group, ctx := errgroup.WithContext(s.ctx)
 	s.ctx = ctx
+	s.daemon.session.Store(s) // from now on others call it
 	group.Go(s.tickLoop)
 	group.Go(s.writeLoop)
 	group.Go(s.watchLoop)
