--- a/internal/daemon/leader_view.go
+++ b/internal/daemon/leader_view.go
@@ -43,7 +43,7 @@
 	return decodeView(body)
 }
 
-// errNotInTime says that the job's tasks can't be promised to be gone in time.
+// errNotInTime says that it isn't certain that the job's tasks are gone in time.
 var errNotInTime = errors.New("its tasks have to be proven gone first")
 
 // Cancel cancels a job as the leader, whose engine knows of it before the store does. Any
--- a/internal/jobstore/dependencies_test.go
+++ b/internal/jobstore/dependencies_test.go
@@ -72,20 +72,20 @@
 	}
 	now := time.Unix(1000, 0)
 	asked := New(m, Limits{ValueBytes: 4000, TxnOps: 8, NotCancelledFor: 10 * time.Second})
-	doubt := func(ref string) bool {
+	cancelled := func(ref string) bool {
 		t.Helper()
 		st, err := asked.Load(ctx, ref)
 		if err != nil || !st.Found {
 			t.Fatalf("%s: %+v, %v", ref, st, err)
 		}
-		d, err := asked.DependencyCancelled(ctx, st, now)
+		is, err := asked.DependencyCancelled(ctx, st, now)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return d
+		return is
 	}
-	if doubt("j-1") || doubt("j-2") || doubt("j-4") {
-		t.Error("in doubt with nothing cancelled")
+	if cancelled("j-1") || cancelled("j-2") || cancelled("j-4") {
+		t.Error("to be cancelled with nothing cancelled")
 	}
 	st, err := j.Cancel(ctx, "j-1", time.Now(), nobodyLeads)
 	if err != nil {
@@ -93,11 +93,11 @@
 	}
 	check := func() {
 		t.Helper()
-		if doubt("j-1") || !doubt("j-2") || !doubt("j-3") || !doubt("j-4") {
+		if cancelled("j-1") || !cancelled("j-2") || !cancelled("j-3") || !cancelled("j-4") {
 			t.Error("said to wait behind a cancelled job")
 		}
 	}
-	if doubt("j-4") {
+	if cancelled("j-4") {
 		t.Error("looked up again within the time for which it counts")
 	}
 	now = now.Add(10 * time.Second)
--- a/internal/jobstore/jobstore_test.go
+++ b/internal/jobstore/jobstore_test.go
@@ -125,9 +125,9 @@
 	return 0, statestore.ErrUnknown
 }
 
-// Of a cancellation without an answer the leader hears that it is in doubt, and against
+// Of a cancellation without an answer the leader hears that its outcome is unknown, and against
 // which version; of one that was refused, that it wasn't carried out.
-func TestCancelInDoubt(t *testing.T) {
+func TestCancelUnknownOutcome(t *testing.T) {
 	m, j, term := setup(t)
 	before, _ := j.Load(ctx, "j-1")
 	st, err := New(unanswered{m}, j.limits).Cancel(ctx, "j-1", time.Now(), UnderTerm(term))
--- a/internal/leadership/elector.go
+++ b/internal/leadership/elector.go
@@ -365,6 +365,10 @@
 	return Follower
 }
 
+// resumedMessage is the log's line when a lapsed lease is valid again. Operators know it
+// (docs/operating.md), so its words stay as an earlier version had them.
+const resumedMessage = "right resumed"
+
 // renew asks for one renewal; false if the lease is lost.
 func (e *Elector) renew(ctx context.Context, t Term, lease uint64) bool {
 	sent := time.Now()
@@ -380,7 +384,7 @@
 	}
 	e.renewed(sent)
 	if lapsed && e.HoldsLease(time.Now()) {
-		slog.Info("right resumed", "term", t.N) // operators know this message
+		slog.Info(resumedMessage, "term", t.N)
 		e.options.Hooks.Resumed()
 	}
 	return true
--- a/internal/leadership/extension.go
+++ b/internal/leadership/extension.go
@@ -38,6 +38,10 @@
 // for it: what two clocks may drift is taken off.
 const ExtensionCounted = ExtensionFor - ExtensionFor/driftDivisor - timerStep
 
+// extendedMessage is the log's line when the peers first extend a lease. Operators know
+// it (docs/operating.md), so its words stay as an earlier version had them.
+const extendedMessage = "the state service doesn't renew the lease; going on by the others' promises"
+
 // needsExtension tells whether so little of a lease is left that renewals have failed:
 // less than 5/8 of its length, while it is renewed every quarter.
 func needsExtension(left, length time.Duration) bool { return left < length*5/8 }
@@ -93,8 +97,8 @@
 		return
 	}
 	e.validUntil = until
-	if !e.extended { // operators know this message
-		slog.Warn("the state service doesn't renew the lease; going on by the others' promises", "term", e.term.N)
+	if !e.extended {
+		slog.Warn(extendedMessage, "term", e.term.N)
 	}
 	e.extended = true
 }
