--- a/internal/daemon/peer_calls.go
+++ b/internal/daemon/peer_calls.go
@@ -18,13 +18,13 @@
 func (d *Daemon) servePeer(ctx context.Context, _, method, path string, body []byte) (int, []byte) {
 	switch path {
 	case beatPath:
-		answer := d.agents.Beat(ctx, body, true)
+		answer := d.agents.Relayed(body)
 		return answer.Status, answer.Body
 	case pingPath:
 		return http.StatusOK, nil
 	case extensionPath:
 		return d.grantExtension(ctx), nil
-	case statusPath:
+	case StatusPath:
 		return http.StatusOK, d.status(time.Now()).encode()
 	}
 	if ref, ok := strings.CutPrefix(path, viewPath); ok {
