--- a/internal/core/batch.go
+++ b/internal/core/batch.go
@@ -12,15 +12,15 @@
 
 // Kinds of writes.
 const (
-	WritePage   WriteKind = iota // a page of the start log
-	DropPage                     // a page on which nothing is left
-	WriteJob                     // a job's record
-	WriteChunk                   // further done ranges of a job
-	WriteFinal                   // a job's final entry, in place of its record
-	DropChunk                    // done ranges of a job that is over
-	WriteImages                  // a page of the image log
-	DropImages                   // one that speaks of no machine any more
-	DropAwaits                   // a page of a long list of dependencies
+	WritePage        WriteKind = iota // a page of the start log
+	DropPage                          // a page on which nothing is left
+	WriteJob                          // a job's record
+	WriteChunk                        // further done ranges of a job
+	WriteFinal                        // a job's final entry, in place of its record
+	DropChunk                         // done ranges of a job that is over
+	WriteImages                       // a page of the image log
+	DropImages                        // one that speaks of no machine any more
+	DropDependencies                  // a page of a long list of dependencies
 )
 
 // Write is one change to the store. Its condition is Version (0: the key
--- a/internal/core/cancel.go
+++ b/internal/core/cancel.go
@@ -146,7 +146,7 @@
 // TestCancelInDoubt).
 func (e *Engine) resolveUnknownOutcome(j *pipeline.Job) {
 	if p := e.cancellations.pending[j.Ref]; p != nil && p.unknownVersion >= j.Version {
-		j.Touch(0)
+		j.MarkDirty(0)
 		e.jobWrites.jobChanged(j)
 	}
 }
--- a/internal/core/capacity/capacity_test.go
+++ b/internal/core/capacity/capacity_test.go
@@ -75,7 +75,7 @@
 	if o := new(Plan).Choose(now, []Demand{{Job: j, Tasks: 1}}, floor, types); len(o) != 0 {
 		t.Fatalf("rents although there is room: %v", o)
 	}
-	j.BadOn["m-1"] = now.Add(time.Minute)
+	j.AvoidUntil["m-1"] = now.Add(time.Minute)
 	if o := new(Plan).Choose(now, []Demand{{Job: j, Tasks: 1}}, floor, types); len(o) != 1 {
 		t.Fatalf("waits for room that it won't use: %v", o)
 	}
--- a/internal/core/decide.go
+++ b/internal/core/decide.go
@@ -247,10 +247,10 @@
 		}
 		consider(d - fetch)
 	}
-	if l := j.Last; l.Job != nil {
+	if l := j.CriticalPath; l.Job != nil {
 		for _, a := range e.cfg.Aims[l.Job.Class] {
 			if a.Kind == AimDeadline {
-				consider(l.By(a.Times).Sub(j.Since) - run - fetch)
+				consider(l.EndBy(a.Times).Sub(j.Since) - run - fetch)
 			}
 		}
 	}
--- a/internal/core/dependents.go
+++ b/internal/core/dependents.go
@@ -11,67 +11,67 @@
 // follow from the records alone, so that a new leader comes to the same, wherever
 // the last one stopped.
 
-// arrived notes that a job's tasks may be placed from now on.
-func (e *Engine) arrived(now time.Time, j *pipeline.Job) {
+// becameReady notes that a job's tasks may be placed from now on.
+func (e *Engine) becameReady(now time.Time, j *pipeline.Job) {
 	c := e.class(j.Class)
 	c.arrived(now, j.Count(pipeline.Waiting))
 	c.spec = &j.Spec
 	e.replan = true
 }
 
-// weigh looks at what is known here of the jobs that a job waits for.
-func (e *Engine) weigh(now time.Time, j *pipeline.Job) {
-	for _, p := range j.Awaits() {
+// applyKnownDependencies looks at what is known here of the jobs that a job waits for.
+func (e *Engine) applyKnownDependencies(now time.Time, j *pipeline.Job) {
+	for _, p := range j.Dependencies() {
 		if f, over := e.finals[p]; over {
-			e.settleAfter(now, p, f)
+			e.dependencyOver(now, p, f)
 		} else if b := e.jobs[p]; b != nil && b.Phase() == pipeline.Cancelled {
-			e.cancelAfter(now, p)
+			e.cancelDependents(now, p)
 		}
 	}
 }
 
-// settleAfter takes in that the store holds the final entry of a job that others may
+// dependencyOver takes in that the store holds the final entry of a job that others may
 // be waiting for.
-func (e *Engine) settleAfter(now time.Time, ref string, f pipeline.Final) {
+func (e *Engine) dependencyOver(now time.Time, ref string, f pipeline.Final) {
 	if f.Phase == pipeline.Cancelled {
-		e.cancelAfter(now, ref)
+		e.cancelDependents(now, ref)
 		return
 	}
 	var end time.Time
 	if f.EndMS != 0 {
 		end = time.UnixMilli(f.EndMS)
 	}
-	for _, j := range e.graph.Done(ref, end) {
+	for _, j := range e.graph.JobDone(ref, end) {
 		e.note("job let go", "job", j.Ref, "after", now.Sub(j.Submitted))
-		e.arrived(now, j)
+		e.becameReady(now, j)
 		e.jobWrites.jobChanged(j)
 	}
 }
 
-// cancelAfter cancels all jobs that need one that is cancelled. Nothing of them
+// cancelDependents cancels all jobs that need one that is cancelled. Nothing of them
 // has been started, so their final entries can be written at once.
-func (e *Engine) cancelAfter(now time.Time, ref string) {
-	for _, j := range e.graph.Cancelled(ref, now) {
+func (e *Engine) cancelDependents(now time.Time, ref string) {
+	for _, j := range e.graph.JobCancelled(ref, now) {
 		e.note("job cancelled with one that it needs", "job", j.Ref, "first", ref)
 		e.jobWrites.jobChanged(j)
 	}
 }
 
-// Ask names jobs that others wait for and of which nothing is known here, at most
+// DependenciesToLookUp names jobs that others wait for and of which nothing is known here, at most
 // so many. What the store holds of each comes as JobFinal or JobStored, or, if
-// that can't be found out now, as NotLearnt.
-func (e *Engine) Ask(most int) []string { return e.graph.Ask(most) }
+// that can't be found out now, as DependencyUnknown.
+func (e *Engine) DependenciesToLookUp(most int) []string { return e.graph.ToLookUp(most) }
 
-// NotLearnt says that nothing could be learnt of a job that others wait for.
-type NotLearnt struct{ Ref string }
+// DependencyUnknown says that nothing could be learnt of a job that others wait for.
+type DependencyUnknown struct{ Ref string }
 
-func (n NotLearnt) apply(e *Engine, _ time.Time) { e.graph.AskAgain(n.Ref) }
+func (n DependencyUnknown) apply(e *Engine, _ time.Time) { e.graph.LookUpAgain(n.Ref) }
 
-// stageLag is what a job in a line takes besides the run of its tasks: until
+// stageOverhead is what a job in a line takes besides the run of its tasks: until
 // what it waits for is written, and until machines fetch their orders.
-func (e *Engine) stageLag() time.Duration { return e.cfg.ReportEvery/2 + time.Second }
+func (e *Engine) stageOverhead() time.Duration { return e.cfg.ReportEvery/2 + time.Second }
 
-// stageTime is how long a job in a line is expected to take once it is let go.
-func (e *Engine) stageTime(j *pipeline.Job) time.Duration {
-	return e.expectedRun(j)*5/4 + e.expectedFetch(j) + e.stageLag()
+// expectedDuration is how long a job in a line is expected to take once it is let go.
+func (e *Engine) expectedDuration(j *pipeline.Job) time.Duration {
+	return e.expectedRun(j)*5/4 + e.expectedFetch(j) + e.stageOverhead()
 }
--- a/internal/core/dependents_test.go
+++ b/internal/core/dependents_test.go
@@ -11,9 +11,9 @@
 )
 
 // after is a job that waits for others.
-func after(ref string, awaits ...string) StoredJob {
+func after(ref string, dependencies ...string) StoredJob {
 	j := job(ref, 1)
-	j.Record.Awaits = awaits
+	j.Record.Dependencies = dependencies
 	return j
 }
 
@@ -98,7 +98,7 @@
 // last one, wherever that stopped.
 func TestNewLeaderAsks(t *testing.T) {
 	b := newBench(t, 3, Snapshot{Jobs: []StoredJob{after("j-2", "j-1"), after("j-3", "j-2"), after("j-5", "j-4")}})
-	if a := b.e.Ask(9); len(a) != 2 || a[0] != "j-1" || a[1] != "j-4" {
+	if a := b.e.DependenciesToLookUp(9); len(a) != 2 || a[0] != "j-1" || a[1] != "j-4" {
 		t.Fatalf("asks for %v", a)
 	}
 	for _, ref := range []string{"j-2", "j-3", "j-5"} {
@@ -106,8 +106,8 @@
 			t.Errorf("%s is called queued before it is known whether a job before it is cancelled", ref)
 		}
 	}
-	b.e.Step(b.now, NotLearnt{"j-1"})
-	if a := b.e.Ask(9); len(a) != 1 || a[0] != "j-1" {
+	b.e.Step(b.now, DependencyUnknown{"j-1"})
+	if a := b.e.DependenciesToLookUp(9); len(a) != 1 || a[0] != "j-1" {
 		t.Fatalf("asks again for %v", a)
 	}
 	end := b.now.Add(-time.Minute).Truncate(time.Millisecond)
@@ -215,7 +215,7 @@
 		ref := "j-" + string(rune('a'+i))
 		e.addJob(time.Unix(0, 0), job(ref, 1))
 		e.jobs[ref].Finish(0)
-		e.jobs[ref].Settle()
+		e.jobs[ref].CompleteIfDone()
 		p := fleet.NewPage(ref, 0)
 		p.Dirty = true
 		e.startLog.addPage(p)
@@ -245,7 +245,7 @@
 		j := b.e.jobs[ref]
 		delete(b.e.jobWrites.changed, j)
 		j.Finish(0)
-		j.Settle()
+		j.CompleteIfDone()
 		b.e.jobWrites.jobChanged(j)
 	}
 	b.e.Step(b.now, JobFinal{Ref: "j-8", Final: pipeline.Final{Phase: pipeline.Cancelled}})
@@ -276,7 +276,7 @@
 		t.Fatalf("writes %+v", batch)
 	}
 	b.e.jobs["j-1"].Finish(1)
-	b.e.jobs["j-1"].Settle()
+	b.e.jobs["j-1"].CompleteIfDone()
 	if f, ok := b.ended("j-1"); !ok || f.Phase != pipeline.Done {
 		t.Fatalf("its end: %+v, %v", f, ok)
 	}
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -193,7 +193,7 @@
 		machines: map[string]*fleet.Machine{}, gone: map[string]time.Time{}, use: map[string]*jobUse{},
 		teamUse: map[string]fleet.Amount{}, changed: map[*fleet.Machine]bool{}, unreachable: map[*fleet.Machine]bool{}, emptying: map[*fleet.Machine]bool{}, cancellations: newCancellations(),
 		finals: map[string]pipeline.Final{}, classes: map[string]*classStats{}, replan: true}
-	e.graph = pipeline.NewGraph(e.stageTime)
+	e.graph = pipeline.NewGraph(e.expectedDuration)
 	e.startLog = newStartLog(&e.cfg, e.newPageName)
 	e.jobWrites = newJobWrites()
 	e.images = newImageLog(&e.cfg, now, e.newPageName, e.imagesOn)
--- a/internal/core/job_writes.go
+++ b/internal/core/job_writes.go
@@ -45,9 +45,9 @@
 	for c := 1; c*pipeline.ChunkTasks < len(j.Tasks); c++ {
 		w.cleanup = append(w.cleanup, jobKey{drop: DropChunk, ref: j.Ref, chunk: c})
 	}
-	sum, pages := j.AwaitPages()
+	sum, pages := j.DependencyPages()
 	for i := range pages {
-		w.cleanup = append(w.cleanup, jobKey{drop: DropAwaits, ref: j.Ref, sum: sum, chunk: i})
+		w.cleanup = append(w.cleanup, jobKey{drop: DropDependencies, ref: j.Ref, sum: sum, chunk: i})
 	}
 }
 
@@ -133,7 +133,7 @@
 // cancelledWithOthers tells whether a job is cancelled with one of its dependencies, and
 // the store doesn't hold that yet.
 func cancelledWithOthers(j *pipeline.Job) bool {
-	return j.Phase() == pipeline.Cancelled && j.Written() != pipeline.Cancelled
+	return j.Phase() == pipeline.Cancelled && j.StoredPhase() != pipeline.Cancelled
 }
 
 // over tells whether a job's final entry can take the place of its record: all
@@ -153,7 +153,7 @@
 func (e *Engine) addJobEnds(now time.Time, b *batch, ends []*pipeline.Job) {
 	for _, j := range ends {
 		f := j.FinalEntry()
-		if e.graph.Awaited(j.Ref) {
+		if e.graph.HasDependents(j.Ref) {
 			f.EndMS = now.UnixMilli()
 		}
 		w := Write{Kind: WriteFinal, Name: j.Ref, Version: j.Version, Final: f}
@@ -190,7 +190,7 @@
 		return
 	}
 	for a := range u.results {
-		if j.Written() == pipeline.Done || j.Written() == pipeline.Cancelled || j.Stored(a.Task) {
+		if j.StoredPhase() == pipeline.Done || j.StoredPhase() == pipeline.Cancelled || j.ResultStored(a.Task) {
 			a.Handled = true
 			delete(u.results, a)
 		}
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -39,13 +39,13 @@
 	if s.Job.Record.Phase == pipeline.Cancelled {
 		e.cancellations.resolve(ref)
 	}
-	awaits := j.Awaits()
+	dependencies := j.Dependencies()
 	if s.Job.Record.Phase == pipeline.Cancelled && j.Cancel(time.UnixMilli(s.Job.Record.CancelledMS)) {
-		e.graph.Leave(j, awaits)
+		e.graph.RemoveDependencies(j, dependencies)
 		e.note("job cancelled", "job", ref)
 		e.cancellations.stopping[j] = true
 		e.stopJob(now, j, "cancelled")
-		e.cancelAfter(now, ref)
+		e.cancelDependents(now, ref)
 	}
 	e.jobWrites.jobChanged(j)
 }
@@ -65,12 +65,12 @@
 	}
 	e.finals[ref] = f
 	e.cancellations.resolve(ref)
-	e.settleAfter(now, ref, f)
+	e.dependencyOver(now, ref, f)
 	j := e.jobs[ref]
 	if j == nil {
 		return
 	}
-	j.SetWritten(f.Phase)
+	j.SetStoredPhase(f.Phase)
 	e.forgetStoredResults(j)
 	delete(e.cancellations.stopping, j)
 	e.removeJob(j)
@@ -93,17 +93,17 @@
 	e.order = append(e.order, nil)
 	copy(e.order[at+1:], e.order[at:])
 	e.order[at] = j
-	j.Settle()
+	j.CompleteIfDone()
 	e.graph.Add(j)
 	switch j.Phase() {
 	case pipeline.Held:
-		e.weigh(now, j)
+		e.applyKnownDependencies(now, j)
 	case pipeline.Cancelled:
 		e.cancellations.resolve(j.Ref)
 		e.cancellations.stopping[j] = true
-		e.cancelAfter(now, j.Ref)
+		e.cancelDependents(now, j.Ref)
 	default:
-		e.arrived(now, j)
+		e.becameReady(now, j)
 	}
 	e.resolveUnknownOutcome(j)
 	e.jobWrites.jobChanged(j)
@@ -165,12 +165,12 @@
 	if j == nil {
 		return JobView{}, false
 	}
-	if j.Phase() != j.Written() || e.cancelUndecided(ref) || !e.graph.Sure(j) {
+	if j.Phase() != j.StoredPhase() || e.cancelUndecided(ref) || !e.graph.OutcomesKnown(j) {
 		// The store may hold more than is known here; a node that reads it there
 		// must not be contradicted.
 		return JobView{}, false
 	}
-	v := JobView{Phase: j.Written(), Done: j.Count(pipeline.Finished)}
+	v := JobView{Phase: j.StoredPhase(), Done: j.Count(pipeline.Finished)}
 	switch v.Phase {
 	case pipeline.Active:
 		v.Running = e.useOf(ref).running
@@ -303,7 +303,7 @@
 		}
 		e.useOf(a.Ref).results[a] = true // may be forgotten once written
 		j.Finish(a.Task)
-		if j.Settle() {
+		if j.CompleteIfDone() {
 			e.note("job complete", "job", j.Ref)
 		}
 		e.jobWrites.jobChanged(j)
@@ -338,16 +338,16 @@
 // taskFailed weighs an exit with an error against the machine before the job.
 func (e *Engine) taskFailed(now time.Time, m *fleet.Machine, j *pipeline.Job, task int) {
 	m.Blame(j.Ref)
-	j.Abort(now, task, e.cfg.RestartLimit)
+	j.TaskFailed(now, task, e.cfg.RestartLimit)
 	e.jobWrites.jobChanged(j)
 	e.touch(m)
-	if !m.Sick && (len(m.ErrorJobs) >= sickAfterJobs || m.Errors >= sickAfterErrors && len(j.BadOn) == 0) {
+	if !m.Sick && (len(m.ErrorJobs) >= sickAfterJobs || m.Errors >= sickAfterErrors && len(j.AvoidUntil) == 0) {
 		m.Sick = true
 		e.timers.schedule(m, now)
 		e.note("machine taken for sick", "machine", m.Name, "errors", m.Errors)
 		for ref := range m.ErrorJobs {
 			if o := e.jobs[ref]; o != nil {
-				delete(o.BadOn, m.Name)
+				delete(o.AvoidUntil, m.Name)
 			}
 		}
 		return
--- a/internal/core/pipeline/graph_test.go
+++ b/internal/core/pipeline/graph_test.go
@@ -90,7 +90,7 @@
 		if j.Urgency != urgency {
 			l.t.Fatalf("%s has urgency %d, want %d", j.Ref, j.Urgency, urgency)
 		}
-		if have := j.Last; by.IsZero() != (have.Job == nil) || have.Job != nil && !have.By(1).Equal(by) {
+		if have := j.CriticalPath; by.IsZero() != (have.Job == nil) || have.Job != nil && !have.EndBy(1).Equal(by) {
 			l.t.Fatalf("%s must end by %v, want %v", j.Ref, have, by)
 		}
 	}
@@ -116,7 +116,7 @@
 			if rng.IntN(3) == 0 {
 				s.Deadline = time.Duration(1+rng.IntN(200)) * time.Second
 			}
-			j, err := NewJob(Record{Spec: s, SubmittedMS: int64(1+rng.IntN(100)) * 1000, Awaits: refs}, 1, nil)
+			j, err := NewJob(Record{Spec: s, SubmittedMS: int64(1+rng.IntN(100)) * 1000, Dependencies: refs}, 1, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -134,16 +134,16 @@
 			switch {
 			case j.Over():
 			case rng.IntN(6) == 0:
-				awaits := j.Awaits()
+				dependencies := j.Dependencies()
 				j.Cancel(time.Unix(1, 0))
-				l.g.Leave(j, awaits)
+				l.g.RemoveDependencies(j, dependencies)
 				cancelled[i] = true
-				l.g.Cancelled(j.Ref, time.Unix(1, 0))
+				l.g.JobCancelled(j.Ref, time.Unix(1, 0))
 			case j.Phase() == Active:
 				j.Finish(0)
-				j.Settle()
+				j.CompleteIfDone()
 				done[i] = true
-				l.g.Done(j.Ref, time.Time{})
+				l.g.JobDone(j.Ref, time.Time{})
 				l.g.Remove(j)
 			}
 			l.check(cancelled, done)
@@ -156,19 +156,19 @@
 func TestAskOnce(t *testing.T) {
 	g := NewGraph(stage)
 	for i, refs := range [][]string{nil, {"j-0", "j-8"}, {"j-8", "j-9"}} {
-		j, err := NewJob(Record{Spec: Spec{Ref: fmt.Sprintf("j-%d", i), Tasks: 1}, Awaits: refs}, 1, nil)
+		j, err := NewJob(Record{Spec: Spec{Ref: fmt.Sprintf("j-%d", i), Tasks: 1}, Dependencies: refs}, 1, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		g.Add(j)
 	}
-	if a, b := g.Ask(1), g.Ask(9); len(a) != 1 || a[0] != "j-8" || len(b) != 1 || b[0] != "j-9" {
+	if a, b := g.ToLookUp(1), g.ToLookUp(9); len(a) != 1 || a[0] != "j-8" || len(b) != 1 || b[0] != "j-9" {
 		t.Fatalf("asked for %v, %v", a, b)
 	}
-	g.AskAgain("j-9")
-	g.Done("j-9", time.Time{})
-	g.AskAgain("j-8")
-	if a := g.Ask(9); len(a) != 1 || a[0] != "j-8" {
+	g.LookUpAgain("j-9")
+	g.JobDone("j-9", time.Time{})
+	g.LookUpAgain("j-8")
+	if a := g.ToLookUp(9); len(a) != 1 || a[0] != "j-8" {
 		t.Fatalf("asked again for %v", a)
 	}
 }
@@ -176,11 +176,11 @@
 // The moment at which the last job before it ended is when a job's times begin,
 // and the next leader reads it from its record.
 func TestTimesBeginWithTheLastEnd(t *testing.T) {
-	j, err := NewJob(Record{Spec: Spec{Ref: "j-1", Tasks: 2}, SubmittedMS: 5000, Awaits: []string{"j-2", "j-3", "j-2"}}, 1, nil)
+	j, err := NewJob(Record{Spec: Spec{Ref: "j-1", Tasks: 2}, SubmittedMS: 5000, Dependencies: []string{"j-2", "j-3", "j-2"}}, 1, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if j.Met("j-2", time.UnixMilli(9000)) || j.Met("j-2", time.UnixMilli(9000)) || !j.Met("j-3", time.UnixMilli(7000)) {
+	if j.DependencyDone("j-2", time.UnixMilli(9000)) || j.DependencyDone("j-2", time.UnixMilli(9000)) || !j.DependencyDone("j-3", time.UnixMilli(7000)) {
 		t.Fatal("let go at the wrong moment")
 	}
 	again, err := NewJob(j.Record(4000), 2, nil)
--- a/internal/core/pipeline/pipeline.go
+++ b/internal/core/pipeline/pipeline.go
@@ -106,27 +106,27 @@
 // Job is the state of one job, a pipeline with a single vital and forcible job.
 type Job struct {
 	Spec
-	Submitted  time.Time
-	Since      time.Time // from when its times count: submitted, or the end of the last job that it needs
-	Urgency    Priority  // the highest among its own and those of the jobs that need it
-	Last       Last      // the job with a deadline that makes it most pressing, of those that need it
-	CancelAt   time.Time
-	awaits     []string        // while Held
-	open       map[string]bool // those of them that aren't known to be done
-	awaitPages int             // of its list of jobs to wait for in the store, and which list they belong to
-	awaitSum   string
-	least      int         // bytes that its record takes at the least
-	cut        map[int]int // of chunks that were written cut short: from which task on
-	phase      Phase
-	written    Phase // the phase that the store is known to hold
-	Version    uint64
-	Tasks      []Task
-	counts     [3]int
-	Running    int                  // tasks reported as running, for display
-	Started    bool                 // a task of it has run
-	dirty      map[int]bool         // chunks to be written
-	BadOn      map[string]time.Time // machines where it failed, and until when it avoids them
-	cursor     int
+	Submitted         time.Time
+	Since             time.Time    // from when its times count: submitted, or the end of the last job that it needs
+	Urgency           Priority     // the highest among its own and those of the jobs that need it
+	CriticalPath      CriticalPath // the job with a deadline that makes it most pressing, of those that need it
+	CancelAt          time.Time
+	dependencies      []string        // while Held
+	openDependencies  map[string]bool // those of them that aren't known to be done
+	dependencyPages   int             // of its list of jobs to wait for in the store, and which list they belong to
+	dependencyListSum string
+	minRecordBytes    int         // bytes that its record takes at the least
+	truncatedAt       map[int]int // of chunks that were written cut short: from which task on
+	phase             Phase
+	storedPhase       Phase // the phase that the store is known to hold
+	Version           uint64
+	Tasks             []Task
+	counts            [3]int
+	Running           int                  // tasks reported as running, for display
+	Started           bool                 // a task of it has run
+	dirty             map[int]bool         // chunks to be written
+	AvoidUntil        map[string]time.Time // machines where it failed, and until when it avoids them
+	firstOpenTask     int
 }
 
 // NewJob builds a job's state from its record; chunks hold the done ranges past
@@ -135,11 +135,11 @@
 	if r.Spec.Tasks <= 0 {
 		return nil, fmt.Errorf("job %s: record without tasks", r.Spec.Ref)
 	}
-	if r.Held() && len(r.Awaits) == 0 {
+	if r.Held() && len(r.Dependencies) == 0 {
 		return nil, fmt.Errorf("job %s: record without the jobs that it waits for", r.Spec.Ref)
 	}
-	j := &Job{Spec: r.Spec, Submitted: time.UnixMilli(r.SubmittedMS), phase: r.Phase, written: r.Phase, Version: version,
-		Tasks: make([]Task, r.Spec.Tasks), dirty: map[int]bool{}, BadOn: map[string]time.Time{}}
+	j := &Job{Spec: r.Spec, Submitted: time.UnixMilli(r.SubmittedMS), phase: r.Phase, storedPhase: r.Phase, Version: version,
+		Tasks: make([]Task, r.Spec.Tasks), dirty: map[int]bool{}, AvoidUntil: map[string]time.Time{}}
 	if r.CancelledMS != 0 {
 		j.CancelAt = time.UnixMilli(r.CancelledMS)
 	}
@@ -147,15 +147,15 @@
 	if r.ReadyMS != 0 {
 		j.Since = time.UnixMilli(r.ReadyMS)
 	}
-	j.awaitPages, j.awaitSum = r.AwaitPages, r.AwaitSum
-	j.least = (&Record{Spec: r.Spec}).Bytes()
+	j.dependencyPages, j.dependencyListSum = r.DependencyPages, r.DependencyListSum
+	j.minRecordBytes = (&Record{Spec: r.Spec}).Bytes()
 	if r.Held() {
-		j.phase, j.written = Held, Held
-		j.open = map[string]bool{}
-		for _, p := range r.Awaits {
-			if !j.open[p] {
-				j.open[p] = true
-				j.awaits = append(j.awaits, p)
+		j.phase, j.storedPhase = Held, Held
+		j.openDependencies = map[string]bool{}
+		for _, p := range r.Dependencies {
+			if !j.openDependencies[p] {
+				j.openDependencies[p] = true
+				j.dependencies = append(j.dependencies, p)
 			}
 		}
 	}
@@ -172,8 +172,8 @@
 	return j, nil
 }
 
-// moveTask is the one place where a task changes state.
-func (j *Job) moveTask(i int, to TaskState) {
+// setTaskState is the one place where a task changes state.
+func (j *Job) setTaskState(i int, to TaskState) {
 	t := &j.Tasks[i]
 	if t.state == to || t.state == Finished {
 		return // a result, once known, stays
@@ -184,7 +184,7 @@
 	switch to {
 	case Waiting:
 		t.Machine, t.Attempt = "", 0
-		j.cursor = min(j.cursor, i)
+		j.firstOpenTask = min(j.firstOpenTask, i)
 	case Finished:
 		t.Machine, t.Attempt = "", 0
 		j.dirty[i/ChunkTasks] = true
@@ -193,33 +193,33 @@
 
 // Assign notes that an attempt of a waiting task is, or may be, on a machine.
 func (j *Job) Assign(i int, machine string, attempt uint64) {
-	j.moveTask(i, Assigned)
+	j.setTaskState(i, Assigned)
 	j.Tasks[i].Machine, j.Tasks[i].Attempt = machine, attempt
 }
 
 // Requeue notes that the attempt of an assigned task is gone without a result.
 func (j *Job) Requeue(i int) {
 	if j.Tasks[i].state == Assigned {
-		j.moveTask(i, Waiting)
+		j.setTaskState(i, Waiting)
 	}
 }
 
 // Finish notes a task's result. Tasks of a gang complete together.
 func (j *Job) Finish(i int) {
 	if j.Shape != Gang {
-		j.moveTask(i, Finished)
+		j.setTaskState(i, Finished)
 		return
 	}
 	for k := range j.Tasks {
-		j.moveTask(k, Finished)
+		j.setTaskState(k, Finished)
 	}
 }
 
-// Abort counts an exit with an error against the task's restart limit and says
+// TaskFailed counts an exit with an error against the task's restart limit and says
 // how long to hold the task back: a lone job is forcible, so past the limit it
 // is repeated at a slower and slower rate rather than failed. Once whatever made it fail
 // is over, it has to go on within a minute and a half (the users' check).
-func (j *Job) Abort(now time.Time, i, limit int) {
+func (j *Job) TaskFailed(now time.Time, i, limit int) {
 	t := &j.Tasks[i]
 	if t.restarts < 1<<16-1 {
 		t.restarts++
@@ -227,50 +227,50 @@
 	j.dirty[0] = true
 	wait := time.Second
 	if over := int(t.restarts) - limit; over > 0 {
-		wait = min(5*time.Second<<min(over, 6), abortWaitMost)
+		wait = min(5*time.Second<<min(over, 6), maxRetryDelay)
 	}
 	t.NotUntil = now.Add(wait)
 }
 
-// abortWaitMost is the longest that a task is held back after a bad exit, avoidFor how
+// maxRetryDelay is the longest that a task is held back after a bad exit, avoidFor how
 // long a job then avoids the machine: what made it fail there may be over.
 const (
-	abortWaitMost = time.Minute
+	maxRetryDelay = time.Minute
 	avoidFor      = time.Minute
 )
 
 // Avoid has the job keep away from a machine where it failed; Avoids tells whether it
 // still does.
-func (j *Job) Avoid(now time.Time, machine string) { j.BadOn[machine] = now.Add(avoidFor) }
+func (j *Job) Avoid(now time.Time, machine string) { j.AvoidUntil[machine] = now.Add(avoidFor) }
 
 // Avoids tells whether the job keeps away from a machine.
-func (j *Job) Avoids(now time.Time, machine string) bool { return now.Before(j.BadOn[machine]) }
+func (j *Job) Avoids(now time.Time, machine string) bool { return now.Before(j.AvoidUntil[machine]) }
 
-// HeldBack tells whether the job has failed so often on good machines that it
+// FailsRepeatedly tells whether the job has failed so often on good machines that it
 // goes behind all others.
-func (j *Job) HeldBack(limit int) bool { return len(j.BadOn) > limit }
+func (j *Job) FailsRepeatedly(limit int) bool { return len(j.AvoidUntil) > limit }
 
 // Phase returns the job's phase as decided here.
 func (j *Job) Phase() Phase { return j.phase }
 
-// Written returns the job's phase as the store is known to hold it: the only
+// StoredPhase returns the job's phase as the store is known to hold it: the only
 // one that a user may hear of.
-func (j *Job) Written() Phase { return j.written }
+func (j *Job) StoredPhase() Phase { return j.storedPhase }
 
 // Count returns how many tasks are in a state.
 func (j *Job) Count(s TaskState) int { return j.counts[s] }
 
-// moveJob is the one place where a job changes phase; final phases stay. A job
+// setPhase is the one place where a job changes phase; final phases stay. A job
 // that is held goes on once the jobs before it are done, and is done at once if
 // its results turn up: they prove that it had been let go before.
-func (j *Job) moveJob(to Phase) bool {
+func (j *Job) setPhase(to Phase) bool {
 	if j.phase != Active && j.phase != Held || to == j.phase || to == Held {
 		return false
 	}
 	if j.phase == Held {
-		j.awaits, j.open = nil, nil
-		if j.written == Held {
-			j.written = Active
+		j.dependencies, j.openDependencies = nil, nil
+		if j.storedPhase == Held {
+			j.storedPhase = Active
 		}
 	}
 	j.phase = to
@@ -280,75 +280,77 @@
 // Over tells whether the job's phase is final.
 func (j *Job) Over() bool { return j.phase == Done || j.phase == Cancelled }
 
-// Awaits are the jobs that the job waits for and that aren't known to be done.
-func (j *Job) Awaits() []string {
-	out := make([]string, 0, len(j.open))
-	for _, p := range j.awaits {
-		if j.open[p] {
+// Dependencies are the jobs that the job waits for and that aren't known to be done.
+func (j *Job) Dependencies() []string {
+	out := make([]string, 0, len(j.openDependencies))
+	for _, p := range j.dependencies {
+		if j.openDependencies[p] {
 			out = append(out, p)
 		}
 	}
 	return out
 }
 
-// AwaitPages names the pages of the list of jobs that it was submitted with.
-func (j *Job) AwaitPages() (sum string, pages int) { return j.awaitSum, j.awaitPages }
+// DependencyPages names the pages of the list of jobs that it was submitted with.
+func (j *Job) DependencyPages() (sum string, pages int) {
+	return j.dependencyListSum, j.dependencyPages
+}
 
-// Met notes that the store holds that a job before it is done, and since when;
+// DependencyDone notes that the store holds that a job before it is done, and since when;
 // it tells whether that was the last one.
-func (j *Job) Met(parent string, at time.Time) bool {
-	if !j.open[parent] {
+func (j *Job) DependencyDone(parent string, at time.Time) bool {
+	if !j.openDependencies[parent] {
 		return false
 	}
-	delete(j.open, parent)
+	delete(j.openDependencies, parent)
 	if at.After(j.Since) {
 		j.Since = at
 	}
-	if len(j.open) > 0 || !j.moveJob(Active) {
+	if len(j.openDependencies) > 0 || !j.setPhase(Active) {
 		return false
 	}
 	j.dirty[0] = true // so that the next leader needn't ask again
 	return true
 }
 
-// Doom cancels a job that waits for one that is cancelled. Nothing of it has ever
+// CancelAsDependent cancels a job that waits for one that is cancelled. Nothing of it has ever
 // been started.
-func (j *Job) Doom(at time.Time) bool {
-	if j.phase != Held || !j.moveJob(Cancelled) {
+func (j *Job) CancelAsDependent(at time.Time) bool {
+	if j.phase != Held || !j.setPhase(Cancelled) {
 		return false
 	}
 	j.CancelAt = at
 	return true
 }
 
-// Settle moves the job to Done once all its tasks are.
-func (j *Job) Settle() bool {
-	return j.Shape != Service && j.counts[Finished] == len(j.Tasks) && j.moveJob(Done)
+// CompleteIfDone moves the job to Done once all its tasks are.
+func (j *Job) CompleteIfDone() bool {
+	return j.Shape != Service && j.counts[Finished] == len(j.Tasks) && j.setPhase(Done)
 }
 
 // Cancel takes over a cancellation that the store holds.
 func (j *Job) Cancel(at time.Time) bool {
-	if j.phase == Done && j.written != Done {
+	if j.phase == Done && j.storedPhase != Done {
 		j.phase = Active // the cancellation was written before our result could be
 	}
-	if j.phase == Cancelled && j.written != Cancelled {
-		j.written = Cancelled // a cancellation was derived here that the store now holds
+	if j.phase == Cancelled && j.storedPhase != Cancelled {
+		j.storedPhase = Cancelled // a cancellation was derived here that the store now holds
 		return true
 	}
-	if !j.moveJob(Cancelled) {
+	if !j.setPhase(Cancelled) {
 		return false
 	}
 	j.CancelAt = at
-	j.written = Cancelled
+	j.storedPhase = Cancelled
 	return true
 }
 
-// SetWritten notes that the store holds a phase.
-func (j *Job) SetWritten(p Phase) { j.written = p }
+// SetStoredPhase notes that the store holds a phase.
+func (j *Job) SetStoredPhase(p Phase) { j.storedPhase = p }
 
 // NextWaiting returns the first task at or after `from` that may be placed now, or -1.
 func (j *Job) NextWaiting(now time.Time, from int) int {
-	from = max(from, j.cursor)
+	from = max(from, j.firstOpenTask)
 	first := true
 	for i := from; i < len(j.Tasks); i++ {
 		t := &j.Tasks[i]
@@ -357,8 +359,8 @@
 				return i
 			}
 			first = false
-		} else if first && i == j.cursor && t.state == Finished {
-			j.cursor = i + 1
+		} else if first && i == j.firstOpenTask && t.state == Finished {
+			j.firstOpenTask = i + 1
 		}
 	}
 	return -1
@@ -366,7 +368,7 @@
 
 // Fits tells whether the job's record fits so many bytes at all: one that was
 // written when values could be larger may not.
-func (j *Job) Fits(most int) bool { return j.least <= most }
+func (j *Job) Fits(most int) bool { return j.minRecordBytes <= most }
 
 // Dirty tells whether a chunk's done ranges (or the restart counts) have
 // changed since they were last written.
@@ -384,11 +386,11 @@
 // DirtyChunk tells whether one chunk is to be written.
 func (j *Job) DirtyChunk(chunk int) bool { return j.dirty[chunk] }
 
-// Clean notes that a chunk's present content is about to be written, perhaps cut
-// short; Touch puts it back if the write failed.
-func (j *Job) Clean(chunk int, runs []int) {
+// MarkWriting notes that a chunk's present content is about to be written, perhaps cut
+// short; MarkDirty puts it back if the write failed.
+func (j *Job) MarkWriting(chunk int, runs []int) {
 	delete(j.dirty, chunk)
-	delete(j.cut, chunk)
+	delete(j.truncatedAt, chunk)
 	if len(runs) == len(j.Chunk(chunk)) {
 		return
 	}
@@ -396,11 +398,11 @@
 	for _, n := range runs {
 		to += n
 	}
-	if j.cut == nil {
-		j.cut = map[int]int{}
+	if j.truncatedAt == nil {
+		j.truncatedAt = map[int]int{}
 	}
-	j.cut[chunk] = to
+	j.truncatedAt[chunk] = to
 }
 
-// Touch marks a chunk as not written.
-func (j *Job) Touch(chunk int) { j.dirty[chunk] = true }
+// MarkDirty marks a chunk as not written.
+func (j *Job) MarkDirty(chunk int) { j.dirty[chunk] = true }
--- a/internal/core/pipeline/pipeline_test.go
+++ b/internal/core/pipeline/pipeline_test.go
@@ -58,16 +58,16 @@
 	now := time.Unix(1000, 0)
 	j := newJob(t, Spec{Ref: "j-1", Tasks: 1})
 	j.Finish(0)
-	if !j.Settle() || j.Phase() != Done || j.Written() != Active {
+	if !j.CompleteIfDone() || j.Phase() != Done || j.StoredPhase() != Active {
 		t.Fatal("a finished job isn't done, or is told before it is written")
 	}
-	if !j.Cancel(now) || j.Written() != Cancelled {
+	if !j.Cancel(now) || j.StoredPhase() != Cancelled {
 		t.Fatal("a cancellation that the store holds lost against an unwritten result")
 	}
 	k := newJob(t, Spec{Ref: "j-2", Tasks: 1})
 	k.Finish(0)
-	k.Settle()
-	k.SetWritten(Done)
+	k.CompleteIfDone()
+	k.SetStoredPhase(Done)
 	if k.Cancel(now) || k.Phase() != Done {
 		t.Fatal("a written result was undone by a cancellation")
 	}
@@ -77,7 +77,7 @@
 	j := newJob(t, Spec{Ref: "j-1", Tasks: 3, Shape: Gang})
 	j.Assign(1, "m", 5)
 	j.Finish(1)
-	if !j.Settle() || j.Count(Finished) != 3 {
+	if !j.CompleteIfDone() || j.Count(Finished) != 3 {
 		t.Fatal("one task of a gang is done and the others are not")
 	}
 	j.Requeue(1)
@@ -93,7 +93,7 @@
 	var last time.Duration
 	for n := 1; n <= 12; n++ {
 		j.Assign(0, "m", uint64(n))
-		j.Abort(now, 0, 3)
+		j.TaskFailed(now, 0, 3)
 		j.Requeue(0)
 		wait := j.Tasks[0].NotUntil.Sub(now)
 		if n <= 3 && wait > time.Second || n > 3 && wait < last {
--- a/internal/core/pipeline/record.go
+++ b/internal/core/pipeline/record.go
@@ -14,15 +14,15 @@
 	// Of a job that names others: the jobs, here or, if that would be too large, on
 	// so many pages of their own, and, once the store holds that all are done, when
 	// the last one was.
-	Awaits     []string `cbor:"aw,omitempty"`
-	AwaitPages int      `cbor:"ap,omitempty"`
-	AwaitSum   string   `cbor:"as,omitempty"` // tells the pages of one list from those of another
-	ReadyMS    int64    `cbor:"rd,omitempty"`
+	Dependencies      []string `cbor:"aw,omitempty"`
+	DependencyPages   int      `cbor:"ap,omitempty"`
+	DependencyListSum string   `cbor:"as,omitempty"` // tells the pages of one list from those of another
+	ReadyMS           int64    `cbor:"rd,omitempty"`
 }
 
 // Held tells whether the job of the record waits for others, as far as it says.
 func (r *Record) Held() bool {
-	return r.Phase == Active && r.ReadyMS == 0 && (len(r.Awaits) > 0 || r.AwaitPages > 0)
+	return r.Phase == Active && r.ReadyMS == 0 && (len(r.Dependencies) > 0 || r.DependencyPages > 0)
 }
 
 // Final is what the state service keeps of a job that is over.
@@ -67,11 +67,11 @@
 	for _, t := range s.Types {
 		n += textBytes(t)
 	}
-	return n + AwaitBytes(r.Awaits)
+	return n + DependencyBytes(r.Dependencies)
 }
 
-// AwaitBytes bounds what a list of jobs takes in the store.
-func AwaitBytes(refs []string) int {
+// DependencyBytes bounds what a list of jobs takes in the store.
+func DependencyBytes(refs []string) int {
 	n := 2
 	for _, a := range refs {
 		n += textBytes(a)
@@ -98,7 +98,7 @@
 	for _, n := range runs {
 		for end := min(at+n, len(j.Tasks)); at < end; at++ {
 			if done {
-				j.moveTask(at, Finished)
+				j.setTaskState(at, Finished)
 			}
 		}
 		done = !done
@@ -127,17 +127,17 @@
 // many bytes.
 func (j *Job) Record(most int) Record {
 	r := Record{Spec: j.Spec, SubmittedMS: j.Submitted.UnixMilli(), Phase: j.phase,
-		AwaitPages: j.awaitPages, AwaitSum: j.awaitSum}
+		DependencyPages: j.dependencyPages, DependencyListSum: j.dependencyListSum}
 	switch j.phase {
 	case Done:
 		r.Phase = Active // done is written as the job's final entry only
 	case Held:
 		r.Phase = Active
-		if r.AwaitPages == 0 {
-			r.Awaits = j.awaits
+		if r.DependencyPages == 0 {
+			r.Dependencies = j.dependencies
 		}
 	}
-	if j.phase != Held && j.Since.After(j.Submitted) || j.phase == Active && r.AwaitPages > 0 {
+	if j.phase != Held && j.Since.After(j.Submitted) || j.phase == Active && r.DependencyPages > 0 {
 		r.ReadyMS = j.Since.UnixMilli()
 	}
 	if !j.CancelAt.IsZero() {
@@ -157,10 +157,10 @@
 	return r
 }
 
-// Stored tells whether the store holds a task's result, as far as is known.
-func (j *Job) Stored(task int) bool {
+// ResultStored tells whether the store holds a task's result, as far as is known.
+func (j *Job) ResultStored(task int) bool {
 	chunk := task / ChunkTasks
-	to, cut := j.cut[chunk]
+	to, cut := j.truncatedAt[chunk]
 	return !j.dirty[chunk] && (!cut || task < to)
 }
 
--- a/internal/core/rank.go
+++ b/internal/core/rank.go
@@ -57,7 +57,7 @@
 // the rest. The time that a place is held for a fetch is lost to all.
 func (e *Engine) turnsOf(out []rank, now time.Time, j *pipeline.Job, machines float64) []rank {
 	wait := now.Sub(j.Since)
-	held := j.HeldBack(e.cfg.RestartLimit)
+	held := j.FailsRepeatedly(e.cfg.RestartLimit)
 	if !held && e.aged(now, j) {
 		most := len(j.Tasks)
 		if j.Shape == pipeline.Array {
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -92,22 +92,22 @@
 		}
 		if s.Waits++; s.Waits <= statusJobs {
 			s.Waiting = append(s.Waiting, WaitingJob{Ref: j.Ref, Class: j.Class, Team: j.Team, Waiting: len(j.Tasks),
-				Tasks: len(j.Tasks), Since: now.Sub(j.Submitted), Reason: awaiting(j.Awaits())})
+				Tasks: len(j.Tasks), Since: now.Sub(j.Submitted), Reason: waitsForText(j.Dependencies())})
 		}
 	}
 	return s
 }
 
-// awaiting says which jobs one waits for.
-func awaiting(refs []string) string {
-	if more := len(refs) - awaitingMost; more > 0 {
-		return fmt.Sprintf("waits for %s and %d more", strings.Join(refs[:awaitingMost], ", "), more)
+// waitsForText says which jobs one waits for.
+func waitsForText(refs []string) string {
+	if more := len(refs) - maxNamedDependencies; more > 0 {
+		return fmt.Sprintf("waits for %s and %d more", strings.Join(refs[:maxNamedDependencies], ", "), more)
 	}
 	return "waits for " + strings.Join(refs, ", ")
 }
 
-// awaitingMost is how many jobs are named that one waits for.
-const awaitingMost = 5
+// maxNamedDependencies is how many jobs are named that one waits for.
+const maxNamedDependencies = 5
 
 func poolLess(a, b *PoolStatus) bool {
 	if a.Type != b.Type {
@@ -129,7 +129,7 @@
 	switch {
 	case !settled:
 		return ReasonTakeover
-	case j.HeldBack(e.cfg.RestartLimit):
+	case j.FailsRepeatedly(e.cfg.RestartLimit):
 		return ReasonFails
 	case j.NextWaiting(now, 0) < 0:
 		return ReasonPause
--- a/internal/core/write_outcome.go
+++ b/internal/core/write_outcome.go
@@ -18,12 +18,12 @@
 		e.startLog.writeStarted(w.Name)
 	case WriteJob:
 		if j := e.jobs[w.Name]; j != nil {
-			j.Clean(0, w.Job.Done)
+			j.MarkWriting(0, w.Job.Done)
 			e.jobWrites.lastWrite[j.Ref] = now
 		}
 	case WriteChunk:
 		if j := e.jobs[w.Name]; j != nil {
-			j.Clean(w.Chunk, w.Runs)
+			j.MarkWriting(w.Chunk, w.Runs)
 		}
 	case WriteImages, DropImages:
 		e.images.writeStarted(w.Name)
@@ -69,7 +69,7 @@
 		e.finished(now, w.Name, w.Final)
 	case DropImages:
 		e.images.dropped(w.Name)
-	case DropChunk, DropAwaits:
+	case DropChunk, DropDependencies:
 		e.jobWrites.dropped(w)
 	}
 }
@@ -92,7 +92,7 @@
 // job's record.
 func (e *Engine) rewriteChunk(ref string, chunk int) {
 	if j := e.jobs[ref]; j != nil {
-		j.Touch(chunk)
+		j.MarkDirty(chunk)
 		e.jobWrites.jobChanged(j)
 	}
 }
--- a/internal/daemon/reign.go
+++ b/internal/daemon/reign.go
@@ -333,12 +333,12 @@
 func (r *reign) askLoop() error {
 	for pause := askEvery; sleep(r.ctx, pause); {
 		r.mu.Lock()
-		refs := r.eng.Ask(askMost)
+		refs := r.eng.DependenciesToLookUp(askMost)
 		r.mu.Unlock()
 		pause = askEvery
 		for _, ref := range refs {
 			if !r.learn(ref, r.d.records.LoadOver) {
-				r.step(core.NotLearnt{Ref: ref})
+				r.step(core.DependencyUnknown{Ref: ref})
 				pause = askAgain
 			}
 		}
--- a/internal/jobstore/awaits.go
+++ b/internal/jobstore/awaits.go
@@ -131,7 +131,7 @@
 	if st.Over || !st.Record.Held() {
 		return false, nil
 	}
-	_, none, err := j.noneCancelled(ctx, st.Record.Awaits, now)
+	_, none, err := j.noneCancelled(ctx, st.Record.Dependencies, now)
 	return !none, err
 }
 
@@ -161,7 +161,7 @@
 	}
 	asOf, ok = now, true
 	if !p.Over && p.Record.Held() {
-		asOf, ok, err = j.noneCancelled(ctx, p.Record.Awaits, now)
+		asOf, ok, err = j.noneCancelled(ctx, p.Record.Dependencies, now)
 	}
 	if ok && err == nil {
 		j.mu.Lock()
@@ -207,22 +207,22 @@
 	if len(awaits) == 0 {
 		return nil
 	}
-	if rec.Bytes()+pipeline.AwaitBytes(awaits) <= j.limits.ValueBytes {
-		rec.Awaits = awaits
+	if rec.Bytes()+pipeline.DependencyBytes(awaits) <= j.limits.ValueBytes {
+		rec.Dependencies = awaits
 		return nil
 	}
 	sum := sha256.Sum256([]byte(strings.Join(awaits, " ")))
-	rec.AwaitSum = hex.EncodeToString(sum[:8])
+	rec.DependencyListSum = hex.EncodeToString(sum[:8])
 	var pages [][]string
 	for rest := awaits; len(rest) > 0; {
 		n := 1
-		for n < len(rest) && pipeline.AwaitBytes(rest[:n+1]) <= j.limits.ValueBytes {
+		for n < len(rest) && pipeline.DependencyBytes(rest[:n+1]) <= j.limits.ValueBytes {
 			n++
 		}
 		pages, rest = append(pages, rest[:n]), rest[n:]
 	}
-	rec.AwaitPages = len(pages)
-	there, _, err := j.store.List(ctx, awaitPrefix+rec.Spec.Ref+"/"+rec.AwaitSum+"-")
+	rec.DependencyPages = len(pages)
+	there, _, err := j.store.List(ctx, awaitPrefix+rec.Spec.Ref+"/"+rec.DependencyListSum+"-")
 	if err != nil {
 		return err
 	}
@@ -231,7 +231,7 @@
 		have[it.Path] = true
 	}
 	for i, p := range pages {
-		key := awaitKey(rec.Spec.Ref, rec.AwaitSum, i)
+		key := awaitKey(rec.Spec.Ref, rec.DependencyListSum, i)
 		if have[key] {
 			continue
 		}
@@ -245,23 +245,23 @@
 // readAwaits completes a record of a job that waits for others by the pages of its
 // list.
 func (j *Jobs) readAwaits(ctx context.Context, rec *pipeline.Record) error {
-	if !rec.Held() || rec.AwaitPages == 0 {
+	if !rec.Held() || rec.DependencyPages == 0 {
 		return nil
 	}
-	items, _, err := j.store.List(ctx, awaitPrefix+rec.Spec.Ref+"/"+rec.AwaitSum+"-")
+	items, _, err := j.store.List(ctx, awaitPrefix+rec.Spec.Ref+"/"+rec.DependencyListSum+"-")
 	if err != nil {
 		return err
 	}
-	if len(items) != rec.AwaitPages {
-		return fmt.Errorf("job %s: %d pages of jobs to wait for, not %d", rec.Spec.Ref, len(items), rec.AwaitPages)
+	if len(items) != rec.DependencyPages {
+		return fmt.Errorf("job %s: %d pages of jobs to wait for, not %d", rec.Spec.Ref, len(items), rec.DependencyPages)
 	}
-	rec.Awaits = nil
+	rec.Dependencies = nil
 	for _, it := range items {
 		var refs []string
 		if err := wire.Unmarshal(it.V, &refs); err != nil {
 			return fmt.Errorf("%s: %w", it.Path, err)
 		}
-		rec.Awaits = append(rec.Awaits, refs...)
+		rec.Dependencies = append(rec.Dependencies, refs...)
 	}
 	return nil
 }
--- a/internal/jobstore/awaits_test.go
+++ b/internal/jobstore/awaits_test.go
@@ -151,7 +151,7 @@
 		}
 	}
 	snap, _, err := New(m, limits).Snapshot(ctx)
-	if err != nil || len(snap.Jobs) != 1 || !slices.Equal(snap.Jobs[0].Record.Awaits, refs) {
+	if err != nil || len(snap.Jobs) != 1 || !slices.Equal(snap.Jobs[0].Record.Dependencies, refs) {
 		t.Fatalf("read back %d jobs, %v", len(snap.Jobs), err)
 	}
 }
@@ -171,12 +171,12 @@
 	}
 	late := m.items["j/j-9"]
 	s, err := j.ReadJob(ctx, late)
-	if err != nil || len(s.Record.Awaits) != 100 {
+	if err != nil || len(s.Record.Dependencies) != 100 {
 		t.Fatalf("%+v, %v", s, err)
 	}
 	writes := []core.Write{{Kind: core.WriteFinal, Name: "j-9", Version: late.Stamp, Final: pipeline.Final{Phase: pipeline.Cancelled}}}
-	for i := range s.Record.AwaitPages {
-		writes = append(writes, core.Write{Kind: core.DropAwaits, Name: "j-9", Sum: s.Record.AwaitSum, Chunk: i})
+	for i := range s.Record.DependencyPages {
+		writes = append(writes, core.Write{Kind: core.DropDependencies, Name: "j-9", Sum: s.Record.DependencyListSum, Chunk: i})
 	}
 	if sent, _, err := j.Apply(ctx, term, writes); err != nil || len(sent) != len(writes) {
 		t.Fatal(err)
@@ -206,7 +206,7 @@
 					j.Finish(i)
 				}
 				for range rng.IntN(3) {
-					j.Abort(time.Now(), i, 3)
+					j.TaskFailed(time.Now(), i, 3)
 				}
 			}
 			rec := j.Record(limit)
@@ -215,9 +215,9 @@
 			for c := 1; c*pipeline.ChunkTasks < spec.Tasks; c++ {
 				chunks[c] = pipeline.FitRuns(j.Chunk(c), limit)
 				write = append(write, chunks[c])
-				j.Clean(c, chunks[c])
+				j.MarkWriting(c, chunks[c])
 			}
-			j.Clean(0, rec.Done)
+			j.MarkWriting(0, rec.Done)
 			for _, v := range write {
 				if n, err := wire.JSONSize(wire.MustMarshal(v)); err != nil || n > limit {
 					t.Fatalf("limit %d: a value of %d bytes, %v", limit, n, err)
@@ -229,8 +229,8 @@
 			}
 			for i := range j.Tasks {
 				stored := again.Tasks[i].State() == pipeline.Finished
-				if j.Tasks[i].State() == pipeline.Finished && j.Stored(i) && !stored || stored && j.Tasks[i].State() != pipeline.Finished {
-					t.Fatalf("limit %d: task %d of %d is stored %v, and taken for %v", limit, i, spec.Tasks, stored, j.Stored(i))
+				if j.Tasks[i].State() == pipeline.Finished && j.ResultStored(i) && !stored || stored && j.Tasks[i].State() != pipeline.Finished {
+					t.Fatalf("limit %d: task %d of %d is stored %v, and taken for %v", limit, i, spec.Tasks, stored, j.ResultStored(i))
 				}
 			}
 		}
--- a/internal/jobstore/jobstore.go
+++ b/internal/jobstore/jobstore.go
@@ -250,7 +250,7 @@
 // could be larger.
 func (j *Jobs) cancelled(r *pipeline.Record, now time.Time) {
 	r.Phase, r.CancelledMS = pipeline.Cancelled, now.UnixMilli()
-	r.Done, r.Restarts, r.Awaits = nil, nil, nil
+	r.Done, r.Restarts, r.Dependencies = nil, nil, nil
 	if r.Bytes() > j.limits.ValueBytes {
 		r.Spec.Class, r.Spec.Image, r.Spec.Zone, r.Spec.Types = "", "", "", nil
 	}
@@ -426,7 +426,7 @@
 		return nil, []wire.Change{{Drop: imagePrefix + w.Name}}, nil
 	case core.DropChunk:
 		return nil, []wire.Change{{Drop: chunkKey(w)}}, nil
-	case core.DropAwaits:
+	case core.DropDependencies:
 		return nil, []wire.Change{{Drop: awaitKey(w.Name, w.Sum, w.Chunk)}}, nil
 	}
 	return nil, nil, fmt.Errorf("unknown write %d", w.Kind)
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -402,7 +402,7 @@
 		return
 	}
 	eng, life, jobs := n.eng, n.life, n.jobs
-	for _, ref := range eng.Ask(3) {
+	for _, ref := range eng.DependenciesToLookUp(3) {
 		answered := false
 		var st jobstore.State
 		err := statestore.ErrUnknown
@@ -415,7 +415,7 @@
 		n.w.after(callTimeout, func() {
 			n.run(life, func() {
 				if !answered && n.eng == eng {
-					n.step(core.NotLearnt{Ref: ref})
+					n.step(core.DependencyUnknown{Ref: ref})
 				}
 			})
 		})
--- a/internal/userapi/userapi_test.go
+++ b/internal/userapi/userapi_test.go
@@ -151,7 +151,7 @@
 	if a := s.Get(ctx, "nonsense"); a.Status != 404 {
 		t.Errorf("malformed id: %d", a.Status)
 	}
-	w.jobs["j-000004"] = jobstore.State{Found: true, Record: pipeline.Record{Awaits: []string{"j-000002"}}}
+	w.jobs["j-000004"] = jobstore.State{Found: true, Record: pipeline.Record{Dependencies: []string{"j-000002"}}}
 	if a := s.Get(ctx, "j-000004"); a.Status != 503 || !a.RetryAfter {
 		t.Errorf("a job behind a cancelled one is told of: %+v", a)
 	}
