--- a/internal/core/pipeline/graph.go
+++ b/internal/core/pipeline/graph.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// Graph is which unfinished jobs wait for which. Its work follows the edges that
-// change: each job that waits counts the jobs before it that are open, and each
-// job that is waited for knows those after it.
+// Graph is the dependency graph of the unfinished jobs. A change costs as much as it has
+// edges: each job knows its open dependencies, and the graph knows each job's dependents.
+// It is held against brute force by TestGraph (docs/design.md, safety argument 14).
 type Graph struct {
 	jobs       map[string]*Job          // that aren't over
 	dependents map[string]map[*Job]bool // jobs that wait, by what they wait for
-	unknown    map[string]bool          // jobs waited for of which nothing is known here
-	lookups    []string                 // the same in the order in which they came up
-	// ExpectedDuration is how long a job is expected to take once it is let go.
+	unknown    map[string]bool          // dependencies of which nothing is known here
+	lookups    []string                 // those of them that are to be looked up, in order
+	// ExpectedDuration is how long a job is expected to take once it is ready.
 	ExpectedDuration func(j *Job) time.Duration
 }
 
-// CriticalPath is a job with a deadline, at the end of a line of jobs, and how long the
-// line takes from the end of a job on it.
+// CriticalPath is the path from the end of a job to the end of the job with a deadline,
+// among its direct and indirect dependents, that leaves it the least time.
 type CriticalPath struct {
-	Job    *Job
-	Length time.Duration
+	Job    *Job          // the one with the deadline; nil: there is none
+	Length time.Duration // expected, of the jobs on the path past the first
 }
 
-// By is when the line must have come so far for its last job to be done so many
-// times its deadline after its submission.
-func (l CriticalPath) EndBy(times float64) time.Time {
-	return l.Job.Submitted.Add(time.Duration(float64(l.Job.Deadline)*times) - l.Length)
+// EndBy is when the path's first job must have ended for the last one to end within so
+// many times its deadline after its submission.
+func (c CriticalPath) EndBy(times float64) time.Time {
+	return c.Job.Submitted.Add(time.Duration(float64(c.Job.Deadline)*times) - c.Length)
 }
 
 // NewGraph makes an empty graph.
@@ -35,7 +35,7 @@
 	return &Graph{jobs: map[string]*Job{}, dependents: map[string]map[*Job]bool{}, unknown: map[string]bool{}, ExpectedDuration: duration}
 }
 
-// Add takes in a job that isn't over, in any order.
+// Add takes in a job that isn't over. Jobs may come in any order.
 func (g *Graph) Add(j *Job) {
 	g.jobs[j.Ref] = j
 	delete(g.unknown, j.Ref)
@@ -55,11 +55,11 @@
 	g.propagateUrgency(j)
 }
 
-// ToLookUp names jobs that are waited for and of which nothing is known here, at most
-// so many; those named aren't named again unless LookUpAgain says so.
-func (g *Graph) ToLookUp(most int) []string {
+// ToLookUp names dependencies of which nothing is known here, at most as many as the
+// limit. None is named twice unless LookUpAgain says so.
+func (g *Graph) ToLookUp(limit int) []string {
 	var out []string
-	for len(g.lookups) > 0 && len(out) < most {
+	for len(g.lookups) > 0 && len(out) < limit {
 		ref := g.lookups[0]
 		g.lookups = g.lookups[1:]
 		if g.unknown[ref] {
@@ -69,15 +69,15 @@
 	return out
 }
 
-// LookUpAgain notes that nothing could be learnt of a job.
+// LookUpAgain notes that the look-up of a dependency has failed.
 func (g *Graph) LookUpAgain(ref string) {
 	if g.unknown[ref] {
 		g.lookups = append(g.lookups, ref)
 	}
 }
 
-// OutcomesKnown tells whether it is known of all jobs that one needs, directly or through
-// others, what has become of them.
+// OutcomesKnown tells whether it is known what has become of all direct and indirect
+// dependencies of a job (docs/design.md, safety argument 15; TestNewLeaderAsks).
 func (g *Graph) OutcomesKnown(j *Job) bool {
 	if len(g.unknown) == 0 {
 		return true
@@ -96,10 +96,10 @@
 	return true
 }
 
-// HasDependents tells whether any job waits for one.
+// HasDependents tells whether any job waits for this one.
 func (g *Graph) HasDependents(ref string) bool { return len(g.dependents[ref]) > 0 }
 
-// Dependents lists the jobs that wait for one.
+// Dependents lists the jobs that wait for this one, by name.
 func (g *Graph) Dependents(ref string) []*Job {
 	set := g.dependents[ref]
 	if len(set) == 0 {
@@ -113,8 +113,8 @@
 	return out
 }
 
-// JobDone notes that the store holds that a job is done, and returns those that this
-// lets go.
+// JobDone notes that the store holds that a job is done. It returns the jobs that this
+// makes ready (TestStartsOnceTheParentIsStored).
 func (g *Graph) JobDone(ref string, at time.Time) (ready []*Job) {
 	for _, j := range g.Dependents(ref) {
 		if j.DependencyDone(ref, at) {
@@ -126,14 +126,15 @@
 	return ready
 }
 
-// JobCancelled notes that a job is cancelled, and cancels all that need it, through
-// any depth; it returns them.
-func (g *Graph) JobCancelled(ref string, at time.Time) (doomed []*Job) {
+// JobCancelled notes that a job is cancelled, and cancels its direct and indirect
+// dependents, which it returns (docs/design.md, safety argument 15;
+// TestCancelReachesAllAtOnce).
+func (g *Graph) JobCancelled(ref string, at time.Time) (cancelled []*Job) {
 	for refs := []string{ref}; len(refs) > 0; refs = refs[1:] {
 		for _, j := range g.Dependents(refs[0]) {
 			before := j.Dependencies()
 			if j.CancelAsDependent(at) {
-				doomed = append(doomed, j)
+				cancelled = append(cancelled, j)
 				refs = append(refs, j.Ref)
 				g.RemoveDependencies(j, before)
 			}
@@ -141,7 +142,7 @@
 		delete(g.dependents, refs[0])
 		delete(g.unknown, refs[0])
 	}
-	return doomed
+	return cancelled
 }
 
 // Remove takes out a job that is over.
@@ -151,8 +152,8 @@
 	}
 }
 
-// RemoveDependencies notes that a job no longer waits for some others: those are as pressing as
-// what is left makes them.
+// RemoveDependencies notes that a job no longer waits for some others. Their urgency is
+// what their remaining dependents give them.
 func (g *Graph) RemoveDependencies(j *Job, dependencies []string) {
 	for _, p := range dependencies {
 		delete(g.dependents[p], j)
@@ -166,32 +167,33 @@
 	}
 }
 
-// inheritUrgency makes a job as pressing as one that waits for it, if it isn't already; it
-// tells whether that changed anything.
-func (g *Graph) inheritUrgency(j, by *Job) bool {
-	changed := false
+// inheritUrgency gives a job the urgency and the critical path of one of its dependents,
+// if these are tighter than its own. It tells whether that changed anything.
+func (g *Graph) inheritUrgency(j, by *Job) (changed bool) {
 	if by.Urgency < j.Urgency {
 		j.Urgency, changed = by.Urgency, true
 	}
-	stage := g.ExpectedDuration(by)
+	duration := g.ExpectedDuration(by)
 	if by.Deadline > 0 {
-		changed = j.takeTighterPath(CriticalPath{by, stage}) || changed
+		changed = j.takeTighterPath(CriticalPath{by, duration}) || changed
 	}
-	if l := by.CriticalPath; l.Job != nil {
-		changed = j.takeTighterPath(CriticalPath{l.Job, l.Length + stage}) || changed
+	if path := by.CriticalPath; path.Job != nil {
+		changed = j.takeTighterPath(CriticalPath{path.Job, path.Length + duration}) || changed
 	}
 	return changed
 }
 
-func (j *Job) takeTighterPath(l CriticalPath) bool {
-	if j.CriticalPath.Job != nil && !l.EndBy(1).Before(j.CriticalPath.EndBy(1)) {
+// takeTighterPath takes over a critical path that leaves less time than the present one.
+func (j *Job) takeTighterPath(path CriticalPath) bool {
+	if j.CriticalPath.Job != nil && !path.EndBy(1).Before(j.CriticalPath.EndBy(1)) {
 		return false
 	}
-	j.CriticalPath = l
+	j.CriticalPath = path
 	return true
 }
 
-// propagateUrgency passes on to the jobs before one, as far as they go, what makes it pressing.
+// propagateUrgency passes a job's urgency and critical path on to its direct and indirect
+// dependencies.
 func (g *Graph) propagateUrgency(j *Job) {
 	for next := []*Job{j}; len(next) > 0; next = next[1:] {
 		for _, p := range next[0].Dependencies() {
@@ -202,16 +204,17 @@
 	}
 }
 
-// recomputeUrgency finds out anew what makes a job pressing, and those before it.
+// recomputeUrgency computes a job's urgency and critical path anew, and those of its
+// dependencies where they change.
 func (g *Graph) recomputeUrgency(j *Job) {
 	for next := []*Job{j}; len(next) > 0; next = next[1:] {
 		b := next[0]
-		urgency, last := b.Urgency, b.CriticalPath
+		urgency, path := b.Urgency, b.CriticalPath
 		b.Urgency, b.CriticalPath = b.Priority, CriticalPath{}
 		for _, c := range g.Dependents(b.Ref) {
 			g.inheritUrgency(b, c)
 		}
-		if b.Urgency == urgency && b.CriticalPath == last {
+		if b.Urgency == urgency && b.CriticalPath == path {
 			continue
 		}
 		for _, p := range b.Dependencies() {
--- a/internal/core/pipeline/pipeline.go
+++ b/internal/core/pipeline/pipeline.go
@@ -1,10 +1,11 @@
-// Package pipeline holds the state machines of jobs and their tasks, after
-// "Workflow Recovery" (Eder, Liebhart): what is ready, what is done, what an
-// aborted task costs, and what the store's record of it all says.
+// Package pipeline holds the state machines of jobs and tasks, their records in the
+// store, and the graph of jobs that depend on each other. The notions are those of
+// "Workflow Recovery" (Eder, Liebhart; see docs/design.md, "From the paper").
 package pipeline
 
 import (
 	"fmt"
+	"math"
 	"time"
 )
 
@@ -86,6 +87,8 @@
 	Waiting  TaskState = iota // may be placed
 	Assigned                  // an attempt is, or may be, on a machine
 	Finished                  // its result is known
+
+	taskStates = iota // how many there are
 )
 
 // Task is one task of a job.
@@ -103,30 +106,54 @@
 // Restarts returns how often the task ended with an error.
 func (t *Task) Restarts() int { return int(t.restarts) }
 
-// Job is the state of one job, a pipeline with a single vital and forcible job.
+// Job is the state of one job.
 type Job struct {
 	Spec
-	Submitted         time.Time
-	Since             time.Time    // from when its times count: submitted, or the end of the last job that it needs
-	Urgency           Priority     // the highest among its own and those of the jobs that need it
-	CriticalPath      CriticalPath // the job with a deadline that makes it most pressing, of those that need it
-	CancelAt          time.Time
-	dependencies      []string        // while Held
-	openDependencies  map[string]bool // those of them that aren't known to be done
-	dependencyPages   int             // of its list of jobs to wait for in the store, and which list they belong to
-	dependencyListSum string
-	minRecordBytes    int         // bytes that its record takes at the least
-	truncatedAt       map[int]int // of chunks that were written cut short: from which task on
-	phase             Phase
-	storedPhase       Phase // the phase that the store is known to hold
-	Version           uint64
-	Tasks             []Task
-	counts            [3]int
-	Running           int                  // tasks reported as running, for display
-	Started           bool                 // a task of it has run
-	dirty             map[int]bool         // chunks to be written
-	AvoidUntil        map[string]time.Time // machines where it failed, and until when it avoids them
-	firstOpenTask     int
+	Version        uint64 // of its record in the store
+	Submitted      time.Time
+	Since          time.Time    // from when its times count: submitted, or the end of its last dependency
+	CancelAt       time.Time    // zero unless it is cancelled
+	Started        bool         // a task of it has run
+	Urgency        Priority     // the highest among its own and those of its dependents
+	CriticalPath   CriticalPath // to the dependent with a deadline that leaves it the least time
+	Tasks          []Task
+	AvoidUntil     map[string]time.Time // machines where it failed, and until when it avoids them
+	phase          Phase
+	storedPhase    Phase // the phase that the store is known to hold
+	dependencies   dependencies
+	done           doneRanges
+	minRecordBytes int             // bytes that its record takes at the least
+	counts         [taskStates]int // tasks by state
+	firstOpenTask  int             // no task before it is waiting
+}
+
+// dependencies are the jobs that a job depends on.
+type dependencies struct {
+	refs    []string        // while the job is held
+	open    map[string]bool // those of refs that aren't known to be done
+	listSum string          // names the list in the store, if it has pages of its own
+	pages   int             // how many of them
+}
+
+// doneRanges is what of a job's results the store doesn't hold, by chunk.
+type doneRanges struct {
+	dirty       map[int]bool // chunks that are to be written
+	truncatedAt map[int]int  // chunks that were written cut short: from which task on
+}
+
+// stored tells whether the store holds a task's result, as far as is known.
+func (d *doneRanges) stored(task int) bool {
+	chunk := task / ChunkTasks
+	end, truncated := d.truncatedAt[chunk]
+	return !d.dirty[chunk] && (!truncated || task < end)
+}
+
+// truncate notes that a chunk was written up to a task only.
+func (d *doneRanges) truncate(chunk, end int) {
+	if d.truncatedAt == nil {
+		d.truncatedAt = map[int]int{}
+	}
+	d.truncatedAt[chunk] = end
 }
 
 // NewJob builds a job's state from its record; chunks hold the done ranges past
@@ -138,38 +165,51 @@
 	if r.Held() && len(r.Dependencies) == 0 {
 		return nil, fmt.Errorf("job %s: record without the jobs that it waits for", r.Spec.Ref)
 	}
-	j := &Job{Spec: r.Spec, Submitted: time.UnixMilli(r.SubmittedMS), phase: r.Phase, storedPhase: r.Phase, Version: version,
-		Tasks: make([]Task, r.Spec.Tasks), dirty: map[int]bool{}, AvoidUntil: map[string]time.Time{}}
+	j := &Job{Spec: r.Spec, Version: version, Submitted: time.UnixMilli(r.SubmittedMS), Urgency: r.Spec.Priority,
+		phase: r.Phase, storedPhase: r.Phase, Tasks: make([]Task, r.Spec.Tasks),
+		AvoidUntil: map[string]time.Time{}, done: doneRanges{dirty: map[int]bool{}}}
 	if r.CancelledMS != 0 {
 		j.CancelAt = time.UnixMilli(r.CancelledMS)
 	}
-	j.Since, j.Urgency = j.Submitted, j.Priority
+	j.Since = j.Submitted
 	if r.ReadyMS != 0 {
 		j.Since = time.UnixMilli(r.ReadyMS)
 	}
-	j.dependencyPages, j.dependencyListSum = r.DependencyPages, r.DependencyListSum
 	j.minRecordBytes = (&Record{Spec: r.Spec}).Bytes()
-	if r.Held() {
-		j.phase, j.storedPhase = Held, Held
-		j.openDependencies = map[string]bool{}
-		for _, p := range r.Dependencies {
-			if !j.openDependencies[p] {
-				j.openDependencies[p] = true
-				j.dependencies = append(j.dependencies, p)
-			}
-		}
-	}
+	j.loadDependencies(&r)
 	j.counts[Waiting] = r.Spec.Tasks
 	j.loadChunk(0, r.Done)
 	for c, runs := range chunks {
 		j.loadChunk(c, runs)
 	}
-	for i := 0; i+1 < len(r.Restarts); i += 2 {
-		if n := r.Restarts[i]; n >= 0 && n < len(j.Tasks) {
-			j.Tasks[n].restarts = uint16(min(r.Restarts[i+1], 1<<16-1))
+	j.loadRestarts(r.Restarts)
+	return j, nil
+}
+
+// loadDependencies takes over what a record says of a job's dependencies.
+func (j *Job) loadDependencies(r *Record) {
+	d := &j.dependencies
+	d.pages, d.listSum = r.DependencyPages, r.DependencyListSum
+	if !r.Held() {
+		return
+	}
+	j.phase, j.storedPhase = Held, Held
+	d.open = map[string]bool{}
+	for _, ref := range r.Dependencies {
+		if !d.open[ref] {
+			d.open[ref] = true
+			d.refs = append(d.refs, ref)
+		}
+	}
+}
+
+// loadRestarts takes over pairs of task and restart count.
+func (j *Job) loadRestarts(pairs []int) {
+	for i := 0; i+1 < len(pairs); i += 2 {
+		if task := pairs[i]; task >= 0 && task < len(j.Tasks) {
+			j.Tasks[task].restarts = uint16(min(pairs[i+1], math.MaxUint16))
 		}
 	}
-	return j, nil
 }
 
 // setTaskState is the one place where a task changes state.
@@ -187,7 +227,7 @@
 		j.firstOpenTask = min(j.firstOpenTask, i)
 	case Finished:
 		t.Machine, t.Attempt = "", 0
-		j.dirty[i/ChunkTasks] = true
+		j.done.dirty[i/ChunkTasks] = true
 	}
 }
 
@@ -215,39 +255,46 @@
 	}
 }
 
-// TaskFailed counts an exit with an error against the task's restart limit and says
-// how long to hold the task back: a lone job is forcible, so past the limit it
-// is repeated at a slower and slower rate rather than failed. Once whatever made it fail
-// is over, it has to go on within a minute and a half (the users' check).
+// TaskFailed counts an exit with an error against the task's restart limit, and holds the
+// task back for a while. Past the limit it is retried at a slower and slower rate rather
+// than failed; once whatever made it fail is over, it has to go on within a minute and a
+// half (the users' check; TestFailedMachineIsTriedAgain).
 func (j *Job) TaskFailed(now time.Time, i, limit int) {
 	t := &j.Tasks[i]
-	if t.restarts < 1<<16-1 {
+	if t.restarts < math.MaxUint16 {
 		t.restarts++
 	}
-	j.dirty[0] = true
-	wait := time.Second
-	if over := int(t.restarts) - limit; over > 0 {
-		wait = min(5*time.Second<<min(over, 6), maxRetryDelay)
+	j.done.dirty[0] = true // restart counts are part of the job's record
+	t.NotUntil = now.Add(retryDelay(int(t.restarts) - limit))
+}
+
+// retryDelay is how long a task is held back after a bad exit, by how many exits it is
+// beyond its restart limit.
+func retryDelay(beyond int) time.Duration {
+	if beyond <= 0 {
+		return minRetryDelay
 	}
-	t.NotUntil = now.Add(wait)
+	return min(slowRetryDelay<<min(beyond, maxDoublings), maxRetryDelay)
 }
 
-// maxRetryDelay is the longest that a task is held back after a bad exit, avoidFor how
-// long a job then avoids the machine: what made it fail there may be over.
 const (
-	maxRetryDelay = time.Minute
-	avoidFor      = time.Minute
+	minRetryDelay  = time.Second     // up to the restart limit
+	slowRetryDelay = 5 * time.Second // beyond it, doubled with each exit
+	maxDoublings   = 6
+	maxRetryDelay  = time.Minute
+	// avoidFor is how long a job avoids a machine where it failed: what made it fail
+	// there may be over.
+	avoidFor = time.Minute
 )
 
-// Avoid has the job keep away from a machine where it failed; Avoids tells whether it
-// still does.
+// Avoid has the job keep away from a machine where it failed.
 func (j *Job) Avoid(now time.Time, machine string) { j.AvoidUntil[machine] = now.Add(avoidFor) }
 
-// Avoids tells whether the job keeps away from a machine.
+// Avoids tells whether the job still keeps away from a machine.
 func (j *Job) Avoids(now time.Time, machine string) bool { return now.Before(j.AvoidUntil[machine]) }
 
-// FailsRepeatedly tells whether the job has failed so often on good machines that it
-// goes behind all others.
+// FailsRepeatedly tells whether the job has failed on so many good machines that it goes
+// behind all others.
 func (j *Job) FailsRepeatedly(limit int) bool { return len(j.AvoidUntil) > limit }
 
 // Phase returns the job's phase as decided here.
@@ -260,15 +307,16 @@
 // Count returns how many tasks are in a state.
 func (j *Job) Count(s TaskState) int { return j.counts[s] }
 
-// setPhase is the one place where a job changes phase; final phases stay. A job
-// that is held goes on once the jobs before it are done, and is done at once if
-// its results turn up: they prove that it had been let go before.
+// setPhase is the one place where a job changes phase; final phases stay. A job that is
+// held becomes active once its dependencies are done, and done at once if its results
+// turn up: they prove that an earlier leader had started it (docs/design.md, safety
+// argument 14; TestResultsOfAJobLetGoBefore).
 func (j *Job) setPhase(to Phase) bool {
 	if j.phase != Active && j.phase != Held || to == j.phase || to == Held {
 		return false
 	}
 	if j.phase == Held {
-		j.dependencies, j.openDependencies = nil, nil
+		j.dependencies.refs, j.dependencies.open = nil, nil
 		if j.storedPhase == Held {
 			j.storedPhase = Active
 		}
@@ -280,41 +328,42 @@
 // Over tells whether the job's phase is final.
 func (j *Job) Over() bool { return j.phase == Done || j.phase == Cancelled }
 
-// Dependencies are the jobs that the job waits for and that aren't known to be done.
+// Dependencies lists the jobs that the job waits for and that aren't known to be done.
 func (j *Job) Dependencies() []string {
-	out := make([]string, 0, len(j.openDependencies))
-	for _, p := range j.dependencies {
-		if j.openDependencies[p] {
+	out := make([]string, 0, len(j.dependencies.open))
+	for _, p := range j.dependencies.refs {
+		if j.dependencies.open[p] {
 			out = append(out, p)
 		}
 	}
 	return out
 }
 
-// DependencyPages names the pages of the list of jobs that it was submitted with.
+// DependencyPages names the pages of the list of dependencies that it was submitted with;
+// there are none if the list fits its record.
 func (j *Job) DependencyPages() (sum string, pages int) {
-	return j.dependencyListSum, j.dependencyPages
+	return j.dependencies.listSum, j.dependencies.pages
 }
 
-// DependencyDone notes that the store holds that a job before it is done, and since when;
-// it tells whether that was the last one.
-func (j *Job) DependencyDone(parent string, at time.Time) bool {
-	if !j.openDependencies[parent] {
+// DependencyDone notes that the store holds that a dependency is done, and since when. It
+// tells whether that was the last one, so that the job is ready.
+func (j *Job) DependencyDone(ref string, at time.Time) (ready bool) {
+	if !j.dependencies.open[ref] {
 		return false
 	}
-	delete(j.openDependencies, parent)
+	delete(j.dependencies.open, ref)
 	if at.After(j.Since) {
 		j.Since = at
 	}
-	if len(j.openDependencies) > 0 || !j.setPhase(Active) {
+	if len(j.dependencies.open) > 0 || !j.setPhase(Active) {
 		return false
 	}
-	j.dirty[0] = true // so that the next leader needn't ask again
+	j.done.dirty[0] = true // so that the next leader needn't ask again
 	return true
 }
 
-// CancelAsDependent cancels a job that waits for one that is cancelled. Nothing of it has ever
-// been started.
+// CancelAsDependent cancels a job that waits for one that is cancelled. No task of it has
+// ever been started (docs/design.md, safety argument 15).
 func (j *Job) CancelAsDependent(at time.Time) bool {
 	if j.phase != Held || !j.setPhase(Cancelled) {
 		return false
@@ -323,7 +372,7 @@
 	return true
 }
 
-// CompleteIfDone moves the job to Done once all its tasks are.
+// CompleteIfDone moves the job to Done once all its tasks are. It tells whether it did.
 func (j *Job) CompleteIfDone() bool {
 	return j.Shape != Service && j.counts[Finished] == len(j.Tasks) && j.setPhase(Done)
 }
@@ -372,37 +421,34 @@
 
 // Dirty tells whether a chunk's done ranges (or the restart counts) have
 // changed since they were last written.
-func (j *Job) Dirty() bool { return len(j.dirty) > 0 }
+func (j *Job) Dirty() bool { return len(j.done.dirty) > 0 }
 
 // DirtyChunks lists the chunks to be written.
 func (j *Job) DirtyChunks() []int {
-	out := make([]int, 0, len(j.dirty))
-	for c := range j.dirty {
+	out := make([]int, 0, len(j.done.dirty))
+	for c := range j.done.dirty {
 		out = append(out, c)
 	}
 	return out
 }
 
 // DirtyChunk tells whether one chunk is to be written.
-func (j *Job) DirtyChunk(chunk int) bool { return j.dirty[chunk] }
+func (j *Job) DirtyChunk(chunk int) bool { return j.done.dirty[chunk] }
 
-// MarkWriting notes that a chunk's present content is about to be written, perhaps cut
-// short; MarkDirty puts it back if the write failed.
+// MarkWriting notes that a chunk's present content, or as much of it as the runs say, is
+// about to be written. MarkDirty undoes it if the write fails.
 func (j *Job) MarkWriting(chunk int, runs []int) {
-	delete(j.dirty, chunk)
-	delete(j.truncatedAt, chunk)
+	delete(j.done.dirty, chunk)
+	delete(j.done.truncatedAt, chunk)
 	if len(runs) == len(j.Chunk(chunk)) {
 		return
 	}
-	to := chunk * ChunkTasks
+	end := chunk * ChunkTasks
 	for _, n := range runs {
-		to += n
-	}
-	if j.truncatedAt == nil {
-		j.truncatedAt = map[int]int{}
+		end += n
 	}
-	j.truncatedAt[chunk] = to
+	j.done.truncate(chunk, end)
 }
 
-// MarkDirty marks a chunk as not written.
-func (j *Job) MarkDirty(chunk int) { j.dirty[chunk] = true }
+// MarkDirty has a chunk written (again).
+func (j *Job) MarkDirty(chunk int) { j.done.dirty[chunk] = true }
--- a/internal/core/pipeline/record.go
+++ b/internal/core/pipeline/record.go
@@ -103,7 +103,7 @@
 		}
 		done = !done
 	}
-	delete(j.dirty, chunk)
+	delete(j.done.dirty, chunk)
 }
 
 // Chunk returns a chunk's done ranges as run lengths.
@@ -127,14 +127,14 @@
 // many bytes.
 func (j *Job) Record(most int) Record {
 	r := Record{Spec: j.Spec, SubmittedMS: j.Submitted.UnixMilli(), Phase: j.phase,
-		DependencyPages: j.dependencyPages, DependencyListSum: j.dependencyListSum}
+		DependencyPages: j.dependencies.pages, DependencyListSum: j.dependencies.listSum}
 	switch j.phase {
 	case Done:
 		r.Phase = Active // done is written as the job's final entry only
 	case Held:
 		r.Phase = Active
 		if r.DependencyPages == 0 {
-			r.Dependencies = j.dependencies
+			r.Dependencies = j.dependencies.refs
 		}
 	}
 	if j.phase != Held && j.Since.After(j.Submitted) || j.phase == Active && r.DependencyPages > 0 {
@@ -158,11 +158,7 @@
 }
 
 // ResultStored tells whether the store holds a task's result, as far as is known.
-func (j *Job) ResultStored(task int) bool {
-	chunk := task / ChunkTasks
-	to, cut := j.truncatedAt[chunk]
-	return !j.dirty[chunk] && (!cut || task < to)
-}
+func (j *Job) ResultStored(task int) bool { return j.done.stored(task) }
 
 // FinalEntry returns what stays of the job once it is over.
 func (j *Job) FinalEntry() Final { return Final{Phase: j.phase, Tasks: len(j.Tasks)} }
