--- a/internal/core/capacity/capacity.go
+++ b/internal/core/capacity/capacity.go
@@ -1,4 +1,4 @@
-// Package capacity plans what to rent and what to give back.
+// Package capacity plans which machines to rent.
 package capacity
 
 import (
--- a/internal/core/dependents.go
+++ b/internal/core/dependents.go
@@ -6,10 +6,10 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// What the jobs of a pipeline are to each other: a job is let go once the store
-// holds that all jobs before it are done, and cancelled once one of them is. Both
-// follow from the records alone, so that a new leader comes to the same, wherever
-// the last one stopped.
+// Jobs may depend on each other. A job is ready once the store holds that all its
+// dependencies are done, and cancelled once one of them is. Both follow from the records
+// alone, so that a new leader comes to the same, wherever the last one stopped
+// (docs/design.md, "Pipelines" and safety arguments 14 and 15).
 
 // becameReady notes that a job's tasks may be placed from now on.
 func (e *Engine) becameReady(now time.Time, j *pipeline.Job) {
@@ -19,19 +19,19 @@
 	e.replan = true
 }
 
-// applyKnownDependencies looks at what is known here of the jobs that a job waits for.
+// applyKnownDependencies takes in what is known here of a job's dependencies.
 func (e *Engine) applyKnownDependencies(now time.Time, j *pipeline.Job) {
-	for _, p := range j.Dependencies() {
-		if f, over := e.finals[p]; over {
-			e.dependencyOver(now, p, f)
-		} else if b := e.jobs[p]; b != nil && b.Phase() == pipeline.Cancelled {
-			e.cancelDependents(now, p)
+	for _, ref := range j.Dependencies() {
+		if f, over := e.finals[ref]; over {
+			e.dependencyOver(now, ref, f)
+		} else if d := e.jobs[ref]; d != nil && d.Phase() == pipeline.Cancelled {
+			e.cancelDependents(now, ref)
 		}
 	}
 }
 
 // dependencyOver takes in that the store holds the final entry of a job that others may
-// be waiting for.
+// depend on.
 func (e *Engine) dependencyOver(now time.Time, ref string, f pipeline.Final) {
 	if f.Phase == pipeline.Cancelled {
 		e.cancelDependents(now, ref)
@@ -48,8 +48,9 @@
 	}
 }
 
-// cancelDependents cancels all jobs that need one that is cancelled. Nothing of them
-// has been started, so their final entries can be written at once.
+// cancelDependents cancels all direct and indirect dependents of a job that is cancelled.
+// Nothing of them has been started, so their final entries can be written at once
+// (TestCancelReachesAllAtOnce).
 func (e *Engine) cancelDependents(now time.Time, ref string) {
 	for _, j := range e.graph.JobCancelled(ref, now) {
 		e.note("job cancelled with one that it needs", "job", j.Ref, "first", ref)
@@ -57,21 +58,23 @@
 	}
 }
 
-// DependenciesToLookUp names jobs that others wait for and of which nothing is known here, at most
-// so many. What the store holds of each comes as JobFinal or JobStored, or, if
-// that can't be found out now, as DependencyUnknown.
-func (e *Engine) DependenciesToLookUp(most int) []string { return e.graph.ToLookUp(most) }
+// DependenciesToLookUp names dependencies of which nothing is known here, at most as many
+// as the limit. What the store holds of each comes as JobFinal or JobStored, or, if that
+// can't be found out now, as DependencyUnknown.
+func (e *Engine) DependenciesToLookUp(limit int) []string { return e.graph.ToLookUp(limit) }
 
-// DependencyUnknown says that nothing could be learnt of a job that others wait for.
+// DependencyUnknown says that a dependency could not be looked up now.
 type DependencyUnknown struct{ Ref string }
 
-func (n DependencyUnknown) apply(e *Engine, _ time.Time) { e.graph.LookUpAgain(n.Ref) }
+func (d DependencyUnknown) apply(e *Engine, _ time.Time) { e.graph.LookUpAgain(d.Ref) }
 
-// stageOverhead is what a job in a line takes besides the run of its tasks: until
-// what it waits for is written, and until machines fetch their orders.
+// stageOverhead is what a job on a path of dependencies takes besides the run of its tasks:
+// until the end of its last dependency is written, and until machines fetch their commands.
 func (e *Engine) stageOverhead() time.Duration { return e.cfg.ReportEvery/2 + time.Second }
 
-// expectedDuration is how long a job in a line is expected to take once it is let go.
+// expectedDuration is how long a job is expected to take once it is ready: its tasks' run
+// with a quarter to spare, the fetch of its image, and the overhead of a stage
+// (docs/design.md, "Pipelines").
 func (e *Engine) expectedDuration(j *pipeline.Job) time.Duration {
 	return e.expectedRun(j)*5/4 + e.expectedFetch(j) + e.stageOverhead()
 }
