--- a/internal/daemon/session_watch.go
+++ b/internal/daemon/session_watch.go
@@ -120,12 +120,12 @@
 func (s *leaderSession) askLoop() error {
 	for pause := askEvery; sleep(s.ctx, pause); {
 		s.mu.Lock()
-		refs := s.engine.Ask(askMost)
+		refs := s.engine.DependenciesToLookUp(askMost)
 		s.mu.Unlock()
 		pause = askEvery
 		for _, ref := range refs {
 			if !s.loadJob(ref, s.daemon.records.LoadFinished) {
-				s.step(core.NotLearnt{Ref: ref})
+				s.step(core.DependencyUnknown{Ref: ref})
 				pause = askRetry
 			}
 		}
--- a/internal/jobstore/cancel.go
+++ b/internal/jobstore/cancel.go
@@ -78,7 +78,7 @@
 // could be larger.
 func (j *Jobs) cancelRecord(record *pipeline.Record, now time.Time) {
 	record.Phase, record.CancelledMS = pipeline.Cancelled, now.UnixMilli()
-	record.Done, record.Restarts, record.Awaits = nil, nil, nil
+	record.Done, record.Restarts, record.Dependencies = nil, nil, nil
 	if record.Bytes() > j.limits.ValueBytes {
 		record.Spec.Class, record.Spec.Image, record.Spec.Zone, record.Spec.Types = "", "", "", nil
 	}
--- a/internal/jobstore/cancelled_dependencies.go
+++ b/internal/jobstore/cancelled_dependencies.go
@@ -16,7 +16,7 @@
 	if state.Over || !state.Record.Held() {
 		return false, nil
 	}
-	_, none, err := j.noneCancelled(ctx, state.Record.Awaits, now)
+	_, none, err := j.noneCancelled(ctx, state.Record.Dependencies, now)
 	return !none, err
 }
 
@@ -47,7 +47,7 @@
 	}
 	asOf, ok = now, true
 	if !state.Over && state.Record.Held() {
-		asOf, ok, err = j.noneCancelled(ctx, state.Record.Awaits, now)
+		asOf, ok, err = j.noneCancelled(ctx, state.Record.Dependencies, now)
 	}
 	if ok && err == nil {
 		j.cache.noteNotCancelled(ref, asOf)
--- a/internal/jobstore/dependency_pages.go
+++ b/internal/jobstore/dependency_pages.go
@@ -22,20 +22,20 @@
 	if len(awaits) == 0 {
 		return nil
 	}
-	if record.Bytes()+pipeline.AwaitBytes(awaits) <= j.limits.ValueBytes {
-		record.Awaits = awaits
+	if record.Bytes()+pipeline.DependencyBytes(awaits) <= j.limits.ValueBytes {
+		record.Dependencies = awaits
 		return nil
 	}
 	sum := sha256.Sum256([]byte(strings.Join(awaits, " ")))
-	record.AwaitSum = hex.EncodeToString(sum[:sumBytes])
+	record.DependencyListSum = hex.EncodeToString(sum[:sumBytes])
 	pages := splitPages(awaits, j.limits.ValueBytes)
-	record.AwaitPages = len(pages)
+	record.DependencyPages = len(pages)
 	stored, err := j.storedPages(ctx, record)
 	if err != nil {
 		return err
 	}
 	for i, page := range pages {
-		key := dependencyKey(record.Spec.Ref, record.AwaitSum, i)
+		key := dependencyKey(record.Spec.Ref, record.DependencyListSum, i)
 		if stored[key] {
 			continue
 		}
@@ -51,7 +51,7 @@
 	var pages [][]string
 	for rest := awaits; len(rest) > 0; {
 		n := 1
-		for n < len(rest) && pipeline.AwaitBytes(rest[:n+1]) <= valueBytes {
+		for n < len(rest) && pipeline.DependencyBytes(rest[:n+1]) <= valueBytes {
 			n++
 		}
 		pages, rest = append(pages, rest[:n]), rest[n:]
@@ -61,7 +61,7 @@
 
 // storedPages are the keys of the pages of a record's list that the store has.
 func (j *Jobs) storedPages(ctx context.Context, record *pipeline.Record) (map[string]bool, error) {
-	items, _, err := j.store.List(ctx, dependencyPages(record.Spec.Ref, record.AwaitSum))
+	items, _, err := j.store.List(ctx, dependencyPages(record.Spec.Ref, record.DependencyListSum))
 	if err != nil {
 		return nil, err
 	}
@@ -75,23 +75,23 @@
 // readDependencies completes a record of a job that waits for others by the pages of its
 // list.
 func (j *Jobs) readDependencies(ctx context.Context, record *pipeline.Record) error {
-	if !record.Held() || record.AwaitPages == 0 {
+	if !record.Held() || record.DependencyPages == 0 {
 		return nil
 	}
-	items, _, err := j.store.List(ctx, dependencyPages(record.Spec.Ref, record.AwaitSum))
+	items, _, err := j.store.List(ctx, dependencyPages(record.Spec.Ref, record.DependencyListSum))
 	if err != nil {
 		return err
 	}
-	if len(items) != record.AwaitPages {
-		return fmt.Errorf("job %s: %d pages of jobs to wait for, not %d", record.Spec.Ref, len(items), record.AwaitPages)
+	if len(items) != record.DependencyPages {
+		return fmt.Errorf("job %s: %d pages of jobs to wait for, not %d", record.Spec.Ref, len(items), record.DependencyPages)
 	}
-	record.Awaits = nil
+	record.Dependencies = nil
 	for _, item := range items {
 		var refs []string
 		if err := wire.Unmarshal(item.V, &refs); err != nil {
 			return fmt.Errorf("%s: %w", item.Path, err)
 		}
-		record.Awaits = append(record.Awaits, refs...)
+		record.Dependencies = append(record.Dependencies, refs...)
 	}
 	return nil
 }
--- a/internal/jobstore/writes.go
+++ b/internal/jobstore/writes.go
@@ -88,7 +88,7 @@
 		return drop(imagePrefix + write.Name), nil
 	case core.DropChunk:
 		return drop(chunkKey(write.Name, write.Chunk)), nil
-	case core.DropAwaits:
+	case core.DropDependencies:
 		return drop(dependencyKey(write.Name, write.Sum, write.Chunk)), nil
 	}
 	return transaction{}, fmt.Errorf("unknown write %d", write.Kind)
--- a/internal/simulation/consistency_probes.go
+++ b/internal/simulation/consistency_probes.go
@@ -93,9 +93,9 @@
 	return c.Jobs.Create(ctx, spec, awaits, c.n.w.now)
 }
 
-// InDoubt asks as of the node's own clock.
-func (c simulatedClock) InDoubt(ctx context.Context, st jobstore.State, _ time.Time) (bool, error) {
-	return c.Jobs.InDoubt(ctx, st, c.n.local())
+// DependencyCancelled asks as of the node's own clock.
+func (c simulatedClock) DependencyCancelled(ctx context.Context, st jobstore.State, _ time.Time) (bool, error) {
+	return c.Jobs.DependencyCancelled(ctx, st, c.n.local())
 }
 
 func (n *node) service() *userapi.Service {
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -410,7 +410,7 @@
 		return
 	}
 	eng, life, jobs := n.eng, n.life, n.jobs
-	for _, ref := range eng.Ask(3) {
+	for _, ref := range eng.DependenciesToLookUp(3) {
 		answered := false
 		var st jobstore.State
 		err := statestore.ErrUnknown
@@ -423,7 +423,7 @@
 		n.w.after(callTimeout, func() {
 			n.run(life, func() {
 				if !answered && n.eng == eng {
-					n.step(core.NotLearnt{Ref: ref})
+					n.step(core.DependencyUnknown{Ref: ref})
 				}
 			})
 		})
