--- a/internal/core/consolidate.go
+++ b/internal/core/consolidate.go
@@ -54,7 +54,8 @@
 		}
 	}
 	atOnce := max(1, e.floor.Size()/emptiedPart) - len(e.emptying)
-	mv := &moving{e: e, now: now, copies: map[*placement.Slot]*placement.Slot{},
+	board := &placement.Board{Now: now, SecondsPerDollarHour: e.cfg.Weights.SecondsPerDollarHour, LargeGPUWork: e.largeGPUWork(now)}
+	mv := &moving{e: e, board: board, now: now, copies: map[*placement.Slot]*placement.Slot{},
 		left: map[*placement.Slot]bool{}, targets: map[*fleet.Machine]bool{}}
 	candidates := mv.candidates()
 	for _, c := range candidates[:min(len(candidates), 3*max(atOnce, 0))] {
@@ -80,6 +81,7 @@
 // moving is one look at what could be moved.
 type moving struct {
 	e       *Engine
+	board   *placement.Board // to score places
 	now     time.Time
 	copies  map[*placement.Slot]*placement.Slot // with what is to move there
 	left    map[*placement.Slot]bool            // slots that are being emptied
@@ -192,7 +194,7 @@
 			return
 		}
 		if c := v.copyOf(o); c.Free(&j.Spec) > 0 {
-			if sc := placement.Score(v.now, c, j, v.e.cfg.Weights.SecondsPerDollarHour, 0, time.Time{}); sc < low {
+			if sc := v.board.Score(c, j, time.Time{}); sc < low {
 				best, low = c, sc
 			}
 		}
--- a/internal/core/decide.go
+++ b/internal/core/decide.go
@@ -61,12 +61,13 @@
 		Unmet: func(j *pipeline.Job, n int) {
 			e.demand = append(e.demand, capacity.Demand{Job: j, Tasks: n, Zones: e.useOf(j.Ref).zones})
 		},
-		EndOf:    func(a *fleet.Attempt) time.Time { return e.endOf(now, a) },
-		Due:      func(j *pipeline.Job) time.Time { return e.needsRoomBy(now, j) },
-		StartBy:  func(j *pipeline.Job) time.Time { return e.startBy(now, j) },
-		MayStop:  func(by *pipeline.Job, a *fleet.Attempt) (float64, bool) { return e.mayStop(now, by, a) },
-		Stop:     func(a *fleet.Attempt) { e.preempt(now, a) },
-		Preempts: func(by *pipeline.Job) bool { return by.Urgency < lowest || teams > 1 },
+		EndOf:        func(a *fleet.Attempt) time.Time { return e.endOf(now, a) },
+		Due:          func(j *pipeline.Job) time.Time { return e.needsRoomBy(now, j) },
+		StartBy:      func(j *pipeline.Job) time.Time { return e.startBy(now, j) },
+		MayStop:      func(by *pipeline.Job, a *fleet.Attempt) (float64, bool) { return e.mayStop(now, by, a) },
+		Stop:         func(a *fleet.Attempt) { e.preempt(now, a) },
+		Preempts:     func(by *pipeline.Job) bool { return by.Urgency < lowest || teams > 1 },
+		LargeGPUWork: e.largeGPUWork(now),
 		Spent: func() bool {
 			looked++
 			return looked > e.cfg.RoundBudget || (spent != nil && spent())
@@ -90,6 +91,33 @@
 	}
 }
 
+// largeGPUWork finds the largest task of the recent classes that need GPUs, by type.
+func (e *Engine) largeGPUWork(now time.Time) func(t *placement.Type) *pipeline.Spec {
+	byType := map[*placement.Type]*pipeline.Spec{}
+	for _, t := range e.catalog {
+		if t.GPUs == 0 {
+			continue
+		}
+		for _, c := range e.classes {
+			if c.spec == nil || c.spec.GPUs == 0 || now.Sub(c.lastAt) > recentClass || !c.spec.AllowsType(t.Name) || !t.Fits(c.spec) {
+				continue
+			}
+			if large := byType[t]; large == nil || larger(t, c.spec, large) {
+				byType[t] = c.spec
+			}
+		}
+	}
+	return func(t *placement.Type) *pipeline.Spec { return byType[t] }
+}
+
+// larger orders tasks by the part of a machine that they take, and then by job.
+func larger(t *placement.Type, a, b *pipeline.Spec) bool {
+	if x, y := placement.Share(t, a), placement.Share(t, b); x != y {
+		return x > y
+	}
+	return a.Ref < b.Ref
+}
+
 // runningWork is the lowest priority of which anything may be on a machine, and
 // how many teams have work there.
 func (e *Engine) runningWork() (lowest pipeline.Priority, teams int) {
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -266,11 +266,12 @@
 // proven gone; moveAttempt what a machine reports. Together they keep the
 // counts that quotas, zones and gangs are checked against.
 func (e *Engine) attach(now time.Time, m *fleet.Machine, a *fleet.Attempt, st fleet.TaskState) {
-	m.Add(now, a, st)
 	u := e.useOf(a.Ref)
 	if j := e.jobs[a.Ref]; j != nil {
 		u.team = j.Team
+		a.Lasting = j.Shape == pipeline.Service
 	}
+	m.Add(now, a, st)
 	u.attempts[a] = true
 	u.zones[m.Zone]++
 	e.addUse(u.team, a, 1)
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -97,6 +97,7 @@
 	Stopping   bool
 	Grace      time.Duration
 	Handled    bool // the exit was dealt with; the worker may forget it
+	Lasting    bool // a service's: stays until the service is cancelled
 	CPUs       float64
 	GPUs       float64
 	MemGB      float64
@@ -169,6 +170,7 @@
 	Tasks                  map[Key]*Attempt
 	Images                 []Image // most recently used last
 	used                   Amount
+	lasting                Amount // the part of it that replicas of services take
 	busy                   int
 }
 
@@ -227,6 +229,16 @@
 // take nothing.
 func (m *Machine) Used() Amount { return m.used }
 
+// Lasting returns what replicas of services take of the machine.
+func (m *Machine) Lasting() Amount { return m.lasting }
+
+func (m *Machine) count(a *Attempt, by float64) {
+	m.used.add(a, by)
+	if a.Lasting {
+		m.lasting.add(a, by)
+	}
+}
+
 // Busy counts the attempts that may be on the machine.
 func (m *Machine) Busy() int { return m.busy }
 
@@ -239,7 +251,7 @@
 	m.Tasks[a.Key] = a
 	if st != Exited {
 		m.busy++
-		m.used.add(a, 1)
+		m.count(a, 1)
 	}
 }
 
@@ -250,9 +262,9 @@
 	}
 	if to == Exited {
 		m.busy--
-		m.used.add(a, -1)
+		m.count(a, -1)
 		if m.busy == 0 {
-			m.used = Amount{} // no rounding is carried on
+			m.used, m.lasting = Amount{}, Amount{} // no rounding is carried on
 		}
 	}
 	return true
--- a/internal/core/placement/floor.go
+++ b/internal/core/placement/floor.go
@@ -55,6 +55,7 @@
 	}
 	u := m.Used()
 	s.CPUs, s.GPUs, s.MemG, s.Future = t.CPUs-u.CPUs, t.GPUs-u.GPUs, t.MemGB-u.MemGB, future
+	s.lasting = m.Lasting()
 	s.pool.stale = true
 }
 
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -114,7 +114,8 @@
 	Zone             string
 	Spot             bool
 	CPUs, GPUs, MemG float64
-	Future           bool // is booting: counts as coming, takes no tasks yet
+	Future           bool         // is booting: counts as coming, takes no tasks yet
+	lasting          fleet.Amount // what replicas of services take of it
 	reserved         *spare
 	pool             *Pool
 }
@@ -122,6 +123,9 @@
 // Take books a task of the job.
 func (s *Slot) Take(sp *pipeline.Spec) {
 	s.CPUs, s.GPUs, s.MemG = s.CPUs-sp.CPUs, s.GPUs-sp.GPUs, s.MemG-sp.MemGB
+	if sp.Shape == pipeline.Service {
+		s.lasting.CPUs, s.lasting.GPUs, s.lasting.MemGB = s.lasting.CPUs+sp.CPUs, s.lasting.GPUs+sp.GPUs, s.lasting.MemGB+sp.MemGB
+	}
 	if s.pool != nil {
 		s.pool.stale = true
 	}
@@ -155,13 +159,21 @@
 	return share
 }
 
-// waste is how much of the slot's worth becomes unusable for others if the job
-// takes it: a task without GPUs on a machine with GPUs, say.
-func waste(s *Slot, sp *pipeline.Spec) float64 {
-	if sp.GPUs == 0 && s.Type.GPUs > 0 {
+// waste is the part of the slot that becomes unusable for others if the job takes it: a
+// task without GPUs on a machine with GPUs, say. Beside the replicas of services there is
+// often room for a task of the large work that needs the GPUs; only the replica that takes
+// the last such room wastes something, and that is the machine.
+func (b *Board) waste(s *Slot, sp *pipeline.Spec) float64 {
+	if sp.GPUs > 0 || s.Type.GPUs == 0 {
+		return 0
+	}
+	large := b.LargeGPUWork(s.Type)
+	if sp.Shape != pipeline.Service || large == nil {
 		return Share(s.Type, sp)
 	}
-	return 0
+	cpus, gpus, mem := s.Type.CPUs-s.lasting.CPUs, s.Type.GPUs-s.lasting.GPUs, s.Type.MemGB-s.lasting.MemGB
+	lost := HowMany(cpus, gpus, mem, large) - HowMany(cpus-sp.CPUs, gpus, mem-sp.MemGB, large)
+	return float64(lost) * Share(s.Type, large)
 }
 
 // fullerSeconds weighs an untouched machine against time lost on fetching: room
@@ -170,29 +182,31 @@
 
 // lateSeconds weighs a start that misses its aim, startLag is what a start takes besides
 // the wait for an answer and the fetch: the write before it, and the way there.
+// probationSeconds weighs a machine on which something failed.
 const (
-	lateSeconds = 15.0
-	startLag    = 100 * time.Millisecond
+	lateSeconds      = 15.0
+	startLag         = 100 * time.Millisecond
+	probationSeconds = 60.0
 )
 
-// Score ranks slots for a task; the lowest is best. It adds up the time until
-// the machine can be told and the image is there, what the place costs, and how
-// much of the machine is free, so that room stays whole and machines empty out.
-// Where a task would start too late for the aim of starting by a time (zero: there is none,
-// or it has passed), that counts too.
-func Score(now time.Time, s *Slot, j *pipeline.Job, secondsPerDollarHour float64, reportEvery time.Duration, startBy time.Time) float64 {
+// Score ranks slots for a task of a job that is best started by a time (zero: any); the
+// lowest is best. It adds up the time until the machine can be told and the image is there,
+// what the place costs, and how much of the machine is free, so that room stays whole and
+// machines empty out. Where a task would start too late for the aim of starting by a time
+// (zero: there is none, or it has passed), that counts too.
+func (b *Board) Score(s *Slot, j *pipeline.Job, startBy time.Time) float64 {
 	sp := &j.Spec
-	score := (Share(s.Type, sp) + waste(s, sp)) * s.Type.Price(s.Spot) * secondsPerDollarHour
+	score := (Share(s.Type, sp) + b.waste(s, sp)) * s.Type.Price(s.Spot) * b.SecondsPerDollarHour
 	if s.Machine != nil {
-		starts := s.Machine.FetchLeft(now, sp.Image, sp.ImageGB, s.Type.FetchGBPerS) + s.Machine.AnswerIn(now, reportEvery)
+		starts := s.Machine.FetchLeft(b.Now, sp.Image, sp.ImageGB, s.Type.FetchGBPerS) + s.Machine.AnswerIn(b.Now, b.ReportEvery)
 		score += starts.Seconds()
-		if now.Before(startBy) && now.Add(starts+startLag).After(startBy) {
+		if b.Now.Before(startBy) && b.Now.Add(starts+startLag).After(startBy) {
 			score += lateSeconds
 		}
 	}
 	score += fullerSeconds * s.CPUs / s.Type.CPUs
 	if s.Machine != nil && s.Machine.Errors > 0 {
-		score += 60 // on probation
+		score += probationSeconds
 	}
 	return score
 }
@@ -236,6 +250,8 @@
 	MayStop  func(by *pipeline.Job, a *fleet.Attempt) (cost float64, ok bool)
 	Stop     func(a *fleet.Attempt)
 	Preempts func(by *pipeline.Job) bool
+	// LargeGPUWork is the largest task of recent work that needs GPUs of a type; nil: none.
+	LargeGPUWork func(t *Type) *pipeline.Spec
 	// SecondsPerDollarHour weighs a dearer place against time lost on fetching.
 	SecondsPerDollarHour float64
 	ReportEvery          time.Duration
@@ -333,7 +349,7 @@
 	startBy := b.StartBy(j)
 	b.Floor.EachOpen(&j.Spec, zone, func(s *Slot) {
 		if !s.held(b.Now) && !j.Avoids(b.Now, s.Machine.Name) {
-			out = append(out, scored{s, Score(b.Now, s, j, b.SecondsPerDollarHour, b.ReportEvery, startBy)})
+			out = append(out, scored{s, b.Score(s, j, startBy)})
 		}
 	})
 	sort.SliceStable(out, func(i, k int) bool { return out[i].score < out[k].score })
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -64,6 +64,8 @@
 		MayStop:  func(_ *pipeline.Job, a *fleet.Attempt) (float64, bool) { return 1, a.Ref == "j-9" },
 		Stop:     func(a *fleet.Attempt) { b.stopped = append(b.stopped, a) },
 		Preempts: func(*pipeline.Job) bool { return true },
+
+		LargeGPUWork: func(*Type) *pipeline.Spec { return nil },
 	}
 	for _, j := range jobs {
 		b.Turns = append(b.Turns, Turn{Job: j, Most: len(j.Tasks)})
--- a/internal/core/placement/replicas_test.go
+++ b/internal/core/placement/replicas_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"testing"
+	"time"
 
 	"gingertally/internal/core/fleet"
 	"gingertally/internal/core/pipeline"
@@ -57,3 +58,33 @@
 		t.Fatalf("4 replicas on %v", on)
 	}
 }
+
+// Replicas were once strewn over machines with GPUs, on each a few more than fit beside the
+// tasks that need its GPUs: gangs waited for minutes while those machines stood idle. They
+// first take what is left beside such tasks, then fill machines that are lost to those already.
+func TestReplicasLeaveRoomForGPUWork(t *testing.T) {
+	large := &pipeline.Spec{Ref: "j-9", CPUs: 4, GPUs: 2}
+	on := map[string]int{}
+	for i := range 6 {
+		machines := []*fleet.Machine{machine("m-1", "gpu", "a"), machine("m-2", "gpu", "a"), machine("m-3", "gpu", "a")}
+		for k, m := range machines {
+			for n := range on[m.Name] {
+				m.Add(time.Unix(0, 0), &fleet.Attempt{Key: fleet.Key{Ref: "j-8", Task: 10*k + n}, CPUs: 2, Lasting: true}, fleet.Running)
+			}
+		}
+		replica := job(t, pipeline.Spec{Ref: "j-1", Tasks: 1, CPUs: 2, Shape: pipeline.Service})
+		b := newBoard(t, []*pipeline.Job{replica}, machines...)
+		b.LargeGPUWork = func(*Type) *pipeline.Spec { return large }
+		countingZones(b)
+		new(Round).Run(&b.Board)
+		if len(b.placed) != 1 {
+			t.Fatalf("replica %d isn't placed", i)
+		}
+		on[b.placed[0].Slot.Machine.Name]++
+	}
+	for name, n := range on {
+		if n != 2 {
+			t.Errorf("%d replicas on %s, of which 2 leave room for the work that needs GPUs", n, name)
+		}
+	}
+}
