--- a/internal/daemon/contact.go
+++ b/internal/daemon/contact.go
@@ -64,8 +64,7 @@
 func (d *Daemon) storeServes(ctx context.Context, timeout time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	_, _, err := d.store.Get(ctx, leadership.HolderKey)
-	return err == nil
+	return d.store.Serves(ctx, leadership.HolderKey)
 }
 
 // pingPeers notes whether any other node answers.
--- a/internal/daemon/extension.go
+++ b/internal/daemon/extension.go
@@ -15,8 +15,6 @@
 	extensionPath = "/promise"
 	// probeTimeout bounds a node's look at whether the state service serves it.
 	probeTimeout = 300 * time.Millisecond
-	// servedLately: a node that the state service has served so recently extends nothing.
-	servedLately = time.Second
 )
 
 // requestExtension asks a peer to extend this node's lease.
@@ -31,9 +29,11 @@
 
 // grantExtension is the answer to a leader that can't renew its lease. A node that the
 // state service serves refuses, for the case that it is the leader alone that isn't
-// served (docs/design.md, "Lease extension").
+// served (docs/design.md, "Lease extension"). It looks each time: that it was served a
+// moment ago says nothing about an outage that has just begun, and the leader's lease may
+// be over a moment later.
 func (d *Daemon) grantExtension(ctx context.Context) int {
-	if d.health.StoreFresh(time.Now(), servedLately) || d.storeServes(ctx, probeTimeout) || !d.elector.GrantExtension() {
+	if d.storeServes(ctx, probeTimeout) || !d.elector.GrantExtension() {
 		return http.StatusConflict
 	}
 	return http.StatusOK
--- a/internal/statestore/keys.go
+++ b/internal/statestore/keys.go
@@ -31,6 +31,14 @@
 	return item, true, nil
 }
 
+// Serves tells whether the state service serves this node at present, at the cost of a read.
+// It doesn't wait for the node's part of the rates, and an answer that a rate is used up
+// counts as service: either would make a busy node take itself for one in an outage.
+func (c *Client) Serves(ctx context.Context, key string) bool {
+	status, _, err := c.do(ctx, call{c.http, fasthttp.MethodGet, "/store/" + key, nil, callTimeout})
+	return err == nil || status == fasthttp.StatusTooManyRequests
+}
+
 // List reads all keys with a prefix, and the revision from which to watch on:
 // that of the first page, so that nothing is missed.
 func (c *Client) List(ctx context.Context, prefix string) ([]Item, uint64, error) {
