--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -225,6 +225,9 @@
 	Job  *pipeline.Job
 	Most int
 	Warm bool
+	// Overdue: the job has waited for so long that it comes before all others. What its
+	// team's limit lacks for it is kept for it.
+	Overdue bool
 }
 
 // warmWithin is how soon an image must be there for a place to count as warm.
@@ -261,11 +264,20 @@
 	// without any, what the last such round kept stays so.
 	Waits int
 	Spent func() bool
+	kept  map[string]keptQuota
 }
 
 // Round is a round of decisions that may take several goes.
 type Round struct {
-	resume string // the job it stopped before
+	resume string               // the job it stopped before
+	kept   map[string]keptQuota // by team
+}
+
+// keptQuota is the part of a team's limit that is kept for an overdue gang: without it, the
+// team's smaller jobs take every bit that becomes free, and the gang waits for their end.
+type keptQuota struct {
+	gang   *pipeline.Job
+	amount fleet.Amount
 }
 
 // Resumes tells whether the next go continues a round.
@@ -287,6 +299,10 @@
 	if b.Waits > 0 && from == 0 {
 		b.Floor.Clear()
 	}
+	if from == 0 || r.kept == nil {
+		r.kept = map[string]keptQuota{}
+	}
+	b.kept = r.kept
 	for _, t := range b.Turns[from:] {
 		j := t.Job
 		if b.Spent != nil && b.Spent() {
@@ -298,7 +314,7 @@
 		}
 		switch j.Shape {
 		case pipeline.Gang:
-			b.placeGang(j)
+			b.placeGang(t)
 		case pipeline.Service:
 			b.placeReplicas(t)
 		default:
@@ -311,6 +327,9 @@
 // quotaRoom is how many more tasks of the job its team's limit allows.
 func (b *Board) quotaRoom(j *pipeline.Job) int {
 	t, u := b.Team(j.Team), b.Usage(j.Team)
+	if kept, ok := b.kept[j.Team]; ok && kept.gang != j && j.Urgency >= kept.gang.Urgency {
+		u.CPUs, u.GPUs = u.CPUs+kept.amount.CPUs, u.GPUs+kept.amount.GPUs
+	}
 	n := maxPerMachine * 1000
 	if t.CPUsMax > 0 && j.CPUs > 0 {
 		n = min(n, int((t.CPUsMax-u.CPUs+slack)/j.CPUs))
@@ -392,9 +411,16 @@
 
 // placeGang places all tasks of a gang or none. Nothing of an earlier attempt
 // may be left anywhere.
-func (b *Board) placeGang(j *pipeline.Job) {
+func (b *Board) placeGang(t Turn) {
+	j := t.Job
 	n := len(j.Tasks)
-	if b.Busy(j.Ref) > 0 || j.Count(pipeline.Waiting) < n || b.quotaRoom(j) < n {
+	if b.Busy(j.Ref) > 0 || j.Count(pipeline.Waiting) < n {
+		return
+	}
+	if b.quotaRoom(j) < n {
+		if t.Overdue {
+			b.keepQuota(j)
+		}
 		return
 	}
 	for i := range j.Tasks {
@@ -417,6 +443,16 @@
 	b.Unmet(j, n)
 }
 
+// keepQuota keeps what a gang needs of its team's limit from the jobs that come after it,
+// for one gang of a team at a time.
+func (b *Board) keepQuota(j *pipeline.Job) {
+	if _, taken := b.kept[j.Team]; taken {
+		return
+	}
+	n := float64(len(j.Tasks))
+	b.kept[j.Team] = keptQuota{gang: j, amount: fleet.Amount{CPUs: n * j.CPUs, GPUs: n * j.GPUs, MemGB: n * j.MemGB}}
+}
+
 // startGang places a gang. A task that has its image waits only so long for the
 // others, so where the fetches differ by more, the quick ones are started later.
 // A fetch mostly takes less than expected, and the gang starts with its last one,
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -255,3 +255,29 @@
 		}
 	}
 }
+
+// A gang that needs most of its team's limit once waited for ten minutes, while the team's
+// smaller jobs took every bit of the limit that became free.
+func TestOverdueGangIsKeptItsQuota(t *testing.T) {
+	gang := job(t, pipeline.Spec{Ref: "j-1", Tasks: 4, CPUs: 8, Shape: pipeline.Gang, Priority: pipeline.High})
+	small := job(t, pipeline.Spec{Ref: "j-2", Tasks: 2, CPUs: 4, Priority: pipeline.Normal})
+	production := job(t, pipeline.Spec{Ref: "j-3", Tasks: 1, CPUs: 4, Priority: pipeline.Production})
+	var machines []*fleet.Machine
+	for _, name := range []string{"m-1", "m-2", "m-3", "m-4", "m-5"} {
+		machines = append(machines, machine(name, "cpu", "a"))
+	}
+	b := newBoard(t, []*pipeline.Job{gang, small, production}, machines...)
+	b.Usage = func(string) fleet.Amount { return fleet.Amount{CPUs: 16} } // of 40
+	b.Turns[0].Overdue = true
+	new(Round).Run(&b.Board)
+	if len(b.placed) != 1 || b.placed[0].Job != production {
+		t.Fatalf("placed %v, want the more urgent job only", b.placed)
+	}
+	b = newBoard(t, []*pipeline.Job{gang, small}, machines...)
+	b.Usage = func(string) fleet.Amount { return fleet.Amount{CPUs: 8} }
+	b.Turns[0].Overdue = true
+	new(Round).Run(&b.Board)
+	if len(b.placed) < 4 || b.placed[3].Job != gang {
+		t.Fatalf("placed %v, want the gang once its team's limit has room", b.placed)
+	}
+}
--- a/internal/core/rank.go
+++ b/internal/core/rank.go
@@ -63,7 +63,7 @@
 		if j.Shape == pipeline.Array {
 			most = 1 + most/agedPart
 		}
-		out = append(out, rank{Turn: placement.Turn{Job: j, Most: most}, aged: true, due: e.agedSince(j)})
+		out = append(out, rank{Turn: placement.Turn{Job: j, Most: most, Overdue: true}, aged: true, due: e.agedSince(j)})
 	}
 	size := time.Duration(float64(e.workLeft(j)) * e.cfg.Weights.SmallFirst / machines)
 	size = time.Duration(float64(size) * min(1, max(0, 2-float64(wait)/float64(sizeFades))))
