--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -70,6 +70,7 @@
 	rng           *rand.Rand
 	started       time.Time // when the term was claimed, by this node's clock
 	lastTick      time.Time
+	laggedAt      time.Time // when a tick last came too late
 	jobs          map[string]*pipeline.Job
 	graph         *pipeline.Graph // which of them wait for which
 	order         []*pipeline.Job // unfinished jobs in ready order
@@ -350,6 +351,9 @@
 }
 
 func (t Tick) apply(e *Engine, now time.Time) {
+	if !e.lastTick.IsZero() && now.Sub(e.lastTick) > lateTick {
+		e.laggedAt = now
+	}
 	e.lastTick = now
 	e.checkMachines(now)
 	e.enforceCancellations(now)
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -149,6 +149,9 @@
 		m.OneWayLoss.NoteDelivered()
 		delete(e.unreachable, m)
 	case d.undelivered:
+		if e.answersLate(now) || now.Sub(m.OneWayLoss.LastUndelivered) < e.cfg.ReportEvery/2 {
+			return
+		}
 		m.OneWayLoss.NoteUndelivered(now)
 		m.HoldUntil = now.Add(undeliveredPause)
 		e.touch(m)
@@ -159,6 +162,20 @@
 	}
 }
 
+// answerTimeout is after how long a worker drops an answer (PROTOCOL). A node whose ticks
+// come lateTick late may be answering so late.
+const (
+	answerTimeout = 4 * time.Second
+	lateTick      = 500 * time.Millisecond
+)
+
+// answersLate tells whether this node has been slow of late: answers that workers drop for
+// being late, or that meet reports held back and delivered together, are no sign that a
+// machine hears nothing (TestSlowLeaderReleasesNone, TestReportsDeliveredTogether).
+func (e *Engine) answersLate(now time.Time) bool {
+	return now.Sub(e.lastTick) > lateTick || now.Sub(e.laggedAt) < answerTimeout+e.cfg.ReportEvery
+}
+
 // deliveryShown compares a report with the commands and the token that the machine was
 // last told. LeaseEnded says that the worker's lease has ended although its reports
 // were answered.
