--- a/internal/core/capacity/capacity.go
+++ b/internal/core/capacity/capacity.go
@@ -29,71 +29,86 @@
 	Count int
 }
 
-// Plan remembers which offers were refused of late and what is being asked for.
+// Plan remembers which offers were refused of late, and which requests are under way.
 type Plan struct {
-	refused map[Offer]refusal
-	asking  map[Offer]int
+	backoffs  map[Offer]backoff
+	requested map[Offer]int // machines, by offer
 }
 
-type refusal struct {
-	until time.Time
-	times int
+// backoff is how long an offer is left alone after refusals.
+type backoff struct {
+	until    time.Time
+	refusals int // in a row
 }
 
-// How long an offer is left alone after a refusal: doubled each time.
+// An offer is left alone for minBackoff after a refusal, for twice as long after each
+// further one, and for maxBackoff at the most.
 const (
-	refusedFirst = 8 * time.Second
-	refusedMost  = 64 * time.Second
+	minBackoff   = 8 * time.Second
+	maxBackoff   = 64 * time.Second
+	maxDoublings = 4
 )
 
 // maxPerRequest is how many machines one request may name (PROTOCOL).
 const maxPerRequest = 50
 
-// Answered takes in the answer to a request.
-func (p *Plan) Answered(now time.Time, o Offer, asked, got int, refused, unknown bool) {
-	p.asking[o] -= asked
-	if p.asking[o] <= 0 {
-		delete(p.asking, o)
+// Answer is the outcome of a request for machines of an offer.
+type Answer struct {
+	Asked   int  // machines asked for
+	Rented  int  // machines rented
+	Unknown bool // given up without an answer
+}
+
+// Answered takes in the outcome of a request.
+func (p *Plan) Answered(now time.Time, o Offer, a Answer) {
+	p.requested[o] -= a.Asked
+	if p.requested[o] <= 0 {
+		delete(p.requested, o)
 	}
-	if unknown || got >= asked {
-		if got >= asked {
-			delete(p.refused, o)
-		}
-		return
+	switch {
+	case a.Rented >= a.Asked:
+		delete(p.backoffs, o)
+	case !a.Unknown:
+		p.backOff(now, o)
 	}
-	if p.refused == nil {
-		p.refused = map[Offer]refusal{}
+}
+
+// backOff leaves an offer alone for a while.
+func (p *Plan) backOff(now time.Time, o Offer) {
+	if p.backoffs == nil {
+		p.backoffs = map[Offer]backoff{}
 	}
-	r := p.refused[o]
-	r.until = now.Add(min(refusedFirst<<min(r.times, 4), refusedMost))
-	r.times++
-	p.refused[o] = r
+	b := p.backoffs[o]
+	b.until = now.Add(min(minBackoff<<min(b.refusals, maxDoublings), maxBackoff))
+	b.refusals++
+	p.backoffs[o] = b
 }
 
 // Asked notes a request that is under way.
 func (p *Plan) Asked(o Offer, count int) {
-	if p.asking == nil {
-		p.asking = map[Offer]int{}
+	if p.requested == nil {
+		p.requested = map[Offer]int{}
 	}
-	p.asking[o] += count
+	p.requested[o] += count
 }
 
-func (p *Plan) open(now time.Time, o Offer) bool {
-	return !p.refused[o].until.After(now) && p.asking[o] == 0
+// available tells whether an offer may be asked for now.
+func (p *Plan) available(now time.Time, o Offer) bool {
+	return !p.backoffs[o].until.After(now) && p.requested[o] == 0
 }
 
 // Choose plans what to rent for work that nothing has room for, after what the
 // machines on the floor, live and booting, will take of it. Reservations don't
 // count: the jobs that room is kept for are among the demand.
 func (p *Plan) Choose(now time.Time, demand []Demand, floor *placement.Floor, c placement.Catalog) []Order {
-	g := &planning{plan: p, now: now, catalog: c, floor: floor, copies: map[*placement.Slot]*placement.Slot{}, orders: map[Offer]int{}}
-	for o, n := range p.asking {
+	g := &planner{plan: p, now: now, catalog: c, floor: floor, copies: map[*placement.Slot]*placement.Slot{}, orders: map[Offer]int{}}
+	for o, n := range p.requested {
 		if t := c[o.Type]; t != nil {
-			g.add(t, o, n)
+			g.addMachines(t, o, n)
 		}
 	}
 	for _, d := range demand {
-		g.meet(d)
+		g.serve(d)
 	}
 	out := make([]Order, 0, len(g.orders))
 	for o, n := range g.orders {
@@ -103,8 +118,8 @@
 	return out
 }
 
-// planning is one plan in the making.
-type planning struct {
+// planner is one plan in the making.
+type planner struct {
 	plan    *Plan
 	now     time.Time
 	catalog placement.Catalog
@@ -114,15 +129,16 @@
 	orders  map[Offer]int
 }
 
-func (g *planning) add(t *placement.Type, o Offer, n int) {
+// addMachines counts on machines of an offer that are asked for, or about to be.
+func (g *planner) addMachines(t *placement.Type, o Offer, n int) {
 	for range n {
 		g.extra = append(g.extra, &placement.Slot{Type: t, Zone: o.Zone, Spot: o.Spot, CPUs: t.CPUs, GPUs: t.GPUs, MemG: t.MemGB, Future: true})
 	}
 }
 
-// each calls fn for each slot that may have room for a task of the job, until it
+// eachSlot calls fn for each slot that may have room for a task of the job, until it
 // returns false.
-func (g *planning) each(j *pipeline.Job, zone string, fn func(*placement.Slot) bool) {
+func (g *planner) eachSlot(j *pipeline.Job, zone string, fn func(*placement.Slot) bool) {
 	more := true
 	g.floor.EachRoomy(&j.Spec, zone, func(s *placement.Slot) bool {
 		if j.Avoids(g.now, s.Machine.Name) {
@@ -146,34 +162,34 @@
 	}
 }
 
-// meet books a demand on what is there or coming, and orders the rest.
-func (g *planning) meet(d Demand) {
+// serve books a demand on what is there or coming, and orders machines for the rest.
+func (g *planner) serve(d Demand) {
 	zones := map[string]int{}
 	for z, n := range d.Zones {
 		zones[z] = n
 	}
-	only := ""
+	zone := ""
 	if d.Job.OneZone {
-		only = g.zoneFor(d, zones)
+		zone = g.zoneFor(d, zones)
 	}
-	left := g.fill(d.Job, d.Tasks, zones, only)
+	left := g.book(d.Job, d.Tasks, zones, zone)
 	for left > 0 {
-		o, t, ok := g.cheapest(d.Job, left, zones, only)
-		if !ok {
+		offer := g.cheapest(d.Job, left, zones, zone)
+		if offer == nil {
 			return
 		}
-		per := t.Capacity(&d.Job.Spec)
-		want := min(left, placement.ZoneRoom(d.Job, o.Zone, zones))
-		n := min((want+per-1)/per, maxPerRequest-g.orders[o])
-		g.orders[o] += n
-		g.add(t, o, n)
-		left = g.fill(d.Job, left, zones, only)
+		perMachine := offer.machine.Capacity(&d.Job.Spec)
+		tasks := min(left, placement.ZoneRoom(d.Job, offer.Zone, zones))
+		n := min((tasks+perMachine-1)/perMachine, maxPerRequest-g.orders[offer.Offer])
+		g.orders[offer.Offer] += n
+		g.addMachines(offer.machine, offer.Offer, n)
+		left = g.book(d.Job, left, zones, zone)
 	}
 }
 
 // zoneFor picks the zone for a job that must stay in one: where its tasks are,
 // else where the least is missing of those where something can be had.
-func (g *planning) zoneFor(d Demand, zones map[string]int) string {
+func (g *planner) zoneFor(d Demand, zones map[string]int) string {
 	names := map[string]bool{}
 	for z, n := range zones {
 		if n > 0 {
@@ -193,12 +209,12 @@
 	best, least := "", math.MaxInt
 	for _, z := range sorted {
 		left := d.Tasks
-		g.each(d.Job, z, func(s *placement.Slot) bool {
+		g.eachSlot(d.Job, z, func(s *placement.Slot) bool {
 			left = max(0, left-s.Free(&d.Job.Spec))
 			return left > 0
 		})
 		if left > 0 {
-			if _, _, ok := g.cheapest(d.Job, left, nil, z); !ok {
+			if g.cheapest(d.Job, left, nil, z) == nil {
 				continue
 			}
 		}
@@ -209,9 +225,10 @@
 	return best
 }
 
-// fill books tasks of a job on slots and returns how many are left.
-func (g *planning) fill(j *pipeline.Job, left int, zones map[string]int, only string) int {
-	g.each(j, only, func(s *placement.Slot) bool {
+// book books tasks of a job on slots and returns how many are left. Zone, if not empty, is
+// where they have to be.
+func (g *planner) book(j *pipeline.Job, left int, zones map[string]int, zone string) int {
+	g.eachSlot(j, zone, func(s *placement.Slot) bool {
 		for left > 0 && s.Free(&j.Spec) > 0 && placement.ZoneRoom(j, s.Zone, zones) > 0 {
 			s.Take(&j.Spec)
 			zones[s.Zone]++
@@ -222,35 +239,47 @@
 	return left
 }
 
-// cheapest is the open offer with the least cost for each task of the job.
-func (g *planning) cheapest(j *pipeline.Job, left int, zones map[string]int, only string) (Offer, *placement.Type, bool) {
-	var best Offer
-	var bestType *placement.Type
-	low := math.Inf(1)
+// pricedOffer is an offer with its machine type.
+type pricedOffer struct {
+	Offer
+	machine *placement.Type
+}
+
+// cheapest is the available offer with the least cost for each task of the job, nil if
+// there is none. Zone, if not empty, is where it has to be.
+func (g *planner) cheapest(j *pipeline.Job, left int, zones map[string]int, zone string) *pricedOffer {
+	var best *pricedOffer
+	lowest := math.Inf(1)
 	for _, t := range g.catalog {
-		per := t.Capacity(&j.Spec)
-		if per == 0 || !j.AllowsType(t.Name) {
+		perMachine := t.Capacity(&j.Spec)
+		if perMachine == 0 || !j.AllowsType(t.Name) {
 			continue
 		}
-		for _, z := range t.Zones {
-			if (j.Zone != "" && j.Zone != z) || (only != "" && only != z) || placement.ZoneRoom(j, z, zones) < 1 {
+		for _, o := range offersOf(t) {
+			if !g.mayOrder(j, o, zones, zone) {
 				continue
 			}
-			for _, spot := range [2]bool{false, true} {
-				o := Offer{t.Name, z, spot}
-				if (spot && !j.Spot) || g.orders[o] >= maxPerRequest || !g.plan.open(g.now, o) {
-					continue
-				}
-				cost := t.Price(spot) / float64(min(per, left))
-				if cost < low || cost == low && before(o, best) {
-					best, bestType, low = o, t, cost
-				}
+			cost := t.Price(o.Spot) / float64(min(perMachine, left))
+			if cost < lowest || best != nil && cost == lowest && before(o, best.Offer) {
+				best, lowest = &pricedOffer{o, t}, cost
 			}
 		}
 	}
-	return best, bestType, bestType != nil
+	return best
+}
+
+// mayOrder tells whether one more machine of an offer may be ordered for a job.
+func (g *planner) mayOrder(j *pipeline.Job, o Offer, zones map[string]int, zone string) bool {
+	if j.Zone != "" && j.Zone != o.Zone || zone != "" && zone != o.Zone {
+		return false
+	}
+	if o.Spot && !j.Spot || g.orders[o] >= maxPerRequest {
+		return false
+	}
+	return placement.ZoneRoom(j, o.Zone, zones) >= 1 && g.plan.available(g.now, o)
 }
 
+// before orders offers, so that equal inputs give equal plans.
 func before(a, b Offer) bool {
 	if a.Type != b.Type {
 		return a.Type < b.Type
@@ -261,24 +290,36 @@
 	return !a.Spot && b.Spot
 }
 
-// Outlook tells whether machines that a job may use are being asked for, and
-// whether all such offers have been refused of late.
-func (p *Plan) Outlook(now time.Time, sp *pipeline.Spec, c placement.Catalog) (asked, refused bool) {
-	refused = true
+// Outlook is what may be expected for a job that finds no room.
+type Outlook struct {
+	Requested  bool // machines that it may use are being asked for
+	AllRefused bool // all offers that it may use have been refused of late
+}
+
+// Outlook looks at the offers that a job may use.
+func (p *Plan) Outlook(now time.Time, sp *pipeline.Spec, c placement.Catalog) Outlook {
+	out := Outlook{AllRefused: true}
 	for _, t := range c {
 		if !sp.AllowsType(t.Name) || !t.Fits(sp) {
 			continue
 		}
-		for _, z := range t.Zones {
-			for _, spot := range [2]bool{false, true} {
-				o := Offer{t.Name, z, spot}
-				if (sp.Zone != "" && sp.Zone != z) || (spot && !sp.Spot) {
-					continue
-				}
-				asked = asked || p.asking[o] > 0
-				refused = refused && p.refused[o].until.After(now)
+		for _, o := range offersOf(t) {
+			if (sp.Zone != "" && sp.Zone != o.Zone) || (o.Spot && !sp.Spot) {
+				continue
 			}
+			out.Requested = out.Requested || p.requested[o] > 0
+			out.AllRefused = out.AllRefused && p.backoffs[o].until.After(now)
 		}
 	}
-	return asked, refused
+	return out
+}
+
+// offersOf lists the offers of a machine type: in each of its zones an ordinary and a spot
+// one.
+func offersOf(t *placement.Type) []Offer {
+	out := make([]Offer, 0, 2*len(t.Zones))
+	for _, z := range t.Zones {
+		out = append(out, Offer{t.Name, z, false}, Offer{t.Name, z, true})
+	}
+	return out
 }
--- a/internal/core/capacity/capacity_test.go
+++ b/internal/core/capacity/capacity_test.go
@@ -36,11 +36,11 @@
 	if again := p.Choose(now, []Demand{{Job: j, Tasks: 3}}, &placement.Floor{}, types); len(again) != 0 {
 		t.Fatalf("asked again while asking: %v", again)
 	}
-	p.Answered(now, o[0].Offer, 3, 0, true, false)
+	p.Answered(now, o[0].Offer, Answer{Asked: 3})
 	if o := p.Choose(now, []Demand{{Job: j, Tasks: 3}}, &placement.Floor{}, types); len(o) != 1 || o[0].Offer != (Offer{"cpu", "b", true}) {
 		t.Fatalf("after a refusal: %v", o)
 	}
-	if o := p.Choose(now.Add(refusedFirst+time.Second), []Demand{{Job: j, Tasks: 3}}, &placement.Floor{}, types); o[0].Offer.Zone != "a" {
+	if o := p.Choose(now.Add(minBackoff+time.Second), []Demand{{Job: j, Tasks: 3}}, &placement.Floor{}, types); o[0].Offer.Zone != "a" {
 		t.Fatalf("after the pause: %v", o)
 	}
 }
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -132,7 +132,7 @@
 
 func (r Rented) apply(e *Engine, now time.Time) {
 	o := capacity.Offer{Type: r.Rent.Type, Zone: r.Rent.Zone, Spot: r.Rent.Spot}
-	e.plan.Answered(now, o, r.Rent.Count, len(r.Machines), r.Refused, r.Unknown)
+	e.plan.Answered(now, o, capacity.Answer{Asked: r.Rent.Count, Rented: len(r.Machines), Unknown: r.Unknown})
 	for _, name := range r.Machines {
 		if _, gone := e.gone[name]; gone || e.machines[name] != nil {
 			continue
--- a/internal/core/pipeline/pipeline.go
+++ b/internal/core/pipeline/pipeline.go
@@ -432,9 +432,6 @@
 	return out
 }
 
-// DirtyChunk tells whether one chunk is to be written.
-func (j *Job) DirtyChunk(chunk int) bool { return j.done.dirty[chunk] }
-
 // MarkWriting notes that a chunk's present content, or as much of it as the runs say, is
 // about to be written. MarkDirty undoes it if the write fails.
 func (j *Job) MarkWriting(chunk int, runs []int) {
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -144,10 +144,10 @@
 			return ReasonAsking
 		}
 	}
-	switch asked, refused := e.plan.Outlook(now, &j.Spec, e.catalog); {
-	case asked:
+	switch outlook := e.plan.Outlook(now, &j.Spec, e.catalog); {
+	case outlook.Requested:
 		return ReasonAsking
-	case refused:
+	case outlook.AllRefused:
 		return ReasonRefused
 	}
 	return ReasonRoom
