--- /dev/null
+++ b/internal/core/attempts.go
@@ -0,0 +1,326 @@
+package core
+
+// The life of attempts: from the moment at which one is, or may be, on a machine until it
+// is proven gone (docs/design.md, safety arguments 3 to 7 and 11).
+
+import (
+	"sort"
+	"time"
+
+	"gingertally/internal/core/fleet"
+	"gingertally/internal/core/pipeline"
+)
+
+// jobUse is what of a job may be on machines. Quotas, zones and gangs are checked against
+// it, also for jobs that are over (TestQuotaCountsJobsThatAreOver).
+type jobUse struct {
+	team     string
+	attempts map[*fleet.Attempt]bool
+	results  map[*fleet.Attempt]bool // that the store isn't known to hold
+	running  int
+	zones    map[string]int
+}
+
+// attemptBits is the room for the attempts of one term in an attempt's number.
+const attemptBits = 24
+
+// nextAttempt makes a number that no other term can have made (docs/design.md, safety
+// argument 3).
+func (e *Engine) nextAttempt() uint64 {
+	e.counter++
+	return e.term<<attemptBits | e.counter
+}
+
+// useOf returns the use of a job, empty if nothing of it may be on a machine.
+func (e *Engine) useOf(ref string) *jobUse {
+	u := e.use[ref]
+	if u == nil {
+		u = &jobUse{attempts: map[*fleet.Attempt]bool{}, results: map[*fleet.Attempt]bool{}, zones: map[string]int{}}
+		e.use[ref] = u
+	}
+	return u
+}
+
+// attach notes an attempt that is, or may be, on a machine. Together with moveAttempt and
+// detach it keeps the counts that quotas, zones and gangs are checked against.
+func (e *Engine) attach(now time.Time, m *fleet.Machine, a *fleet.Attempt, st fleet.TaskState) {
+	m.Add(now, a, st)
+	u := e.useOf(a.Ref)
+	if j := e.jobs[a.Ref]; j != nil {
+		u.team = j.Team
+	}
+	u.attempts[a] = true
+	u.zones[m.Zone]++
+	e.addUse(u.team, a, 1)
+	e.touch(m)
+	if st == fleet.Running {
+		u.running++
+	}
+}
+
+// addUse adds what an attempt takes to its team's use, by -1 takes it off.
+func (e *Engine) addUse(team string, a *fleet.Attempt, by float64) {
+	t := e.teamUse[team]
+	t.CPUs, t.GPUs, t.MemGB = t.CPUs+by*a.CPUs, t.GPUs+by*a.GPUs, t.MemGB+by*a.MemGB
+	e.teamUse[team] = t
+}
+
+// moveAttempt is the one place where an attempt that is attached changes state.
+func (e *Engine) moveAttempt(now time.Time, m *fleet.Machine, a *fleet.Attempt, to fleet.TaskState) {
+	was := a.State()
+	if !m.MoveAttempt(now, a, to) {
+		return
+	}
+	u := e.useOf(a.Ref)
+	if was == fleet.Running {
+		u.running--
+	}
+	if to == fleet.Running {
+		u.running++
+		e.debug("running", "job", a.Ref, "task", a.Task, "machine", m.Name, "after", now.Sub(a.SentAt), "fetch_expected", a.FetchGuess)
+	}
+	if to == fleet.Exited {
+		e.settleExit(now, m, a, was)
+	}
+}
+
+// settleExit takes an attempt that has exited out of all counts, and off its page of the
+// start log.
+func (e *Engine) settleExit(now time.Time, m *fleet.Machine, a *fleet.Attempt, was fleet.TaskState) {
+	if was == fleet.Sent || was == fleet.Fetching {
+		if m.FetchGivenUp(now, a.Image, was == fleet.Fetching) {
+			e.images.machineChanged(m.Name)
+		}
+	}
+	u := e.useOf(a.Ref)
+	delete(u.attempts, a)
+	u.zones[m.Zone]--
+	e.addUse(u.team, a, -1)
+	e.startLog.removeAttempt(a)
+	e.touch(m)
+	e.forgetUse(a.Ref)
+}
+
+// forgetUse forgets the use of a job that is over and nowhere any more.
+func (e *Engine) forgetUse(ref string) {
+	if u := e.use[ref]; u != nil && len(u.attempts)+len(u.results) == 0 && e.jobs[ref] == nil {
+		delete(e.use, ref)
+	}
+}
+
+// detach notes that an attempt is proven gone.
+func (e *Engine) detach(now time.Time, m *fleet.Machine, a *fleet.Attempt) {
+	e.moveAttempt(now, m, a, fleet.Exited)
+	e.drop(now, m, a)
+}
+
+// drop forgets an attempt that has exited.
+func (e *Engine) drop(now time.Time, m *fleet.Machine, a *fleet.Attempt) {
+	m.Drop(now, a.Key)
+	if u := e.use[a.Ref]; u != nil {
+		delete(u.results, a)
+		e.forgetUse(a.Ref)
+	}
+}
+
+// attemptsOf lists the attempts of a job that may be on machines, by machine.
+func (e *Engine) attemptsOf(ref string) []*fleet.Attempt {
+	u := e.use[ref]
+	if u == nil || len(u.attempts) == 0 {
+		return nil
+	}
+	out := make([]*fleet.Attempt, 0, len(u.attempts))
+	for a := range u.attempts {
+		out = append(out, a)
+	}
+	sort.Slice(out, func(i, k int) bool {
+		if out[i].On.Name != out[k].On.Name {
+			return out[i].On.Name < out[k].On.Name
+		}
+		return out[i].Task < out[k].Task
+	})
+	return out
+}
+
+// stopJob ends all attempts of a job at once: nothing they could save counts.
+func (e *Engine) stopJob(now time.Time, j *pipeline.Job, why string) {
+	for _, a := range e.attemptsOf(j.Ref) {
+		e.stop(now, a.On, a, 0)
+	}
+	e.debug("job stopped", "job", j.Ref, "why", why)
+}
+
+// stop has an attempt end, saving first if grace allows. A start that hasn't left is simply
+// withdrawn.
+func (e *Engine) stop(now time.Time, m *fleet.Machine, a *fleet.Attempt, grace time.Duration) {
+	switch a.State() {
+	case fleet.Exited:
+		return
+	case fleet.Intended, fleet.Recorded:
+		if !a.Inherited {
+			e.detach(now, m, a)
+			e.requeue(a)
+			return
+		}
+	}
+	if a.Stopping && a.Grace <= grace {
+		return
+	}
+	a.Stopping, a.StopAt, a.Grace = true, now, grace
+	e.touch(m)
+	if a.State() != fleet.Sent {
+		a.CommandSeq = 0
+	}
+	if a.State() == fleet.Sent || m.Session == 0 {
+		return // goes with the next report's response, once it is there
+	}
+	e.direct(m, fleet.Command{Op: fleet.Stop, Ref: a.Ref, Task: a.Task, Attempt: a.Number, Grace: grace})
+}
+
+// direct sends a command to a worker at once, outside the answers to its reports. Only
+// stops go this way: they name their attempt and are harmless late (docs/design.md, safety
+// argument 7).
+func (e *Engine) direct(m *fleet.Machine, c fleet.Command) {
+	for i := range e.out.Direct {
+		if d := &e.out.Direct[i]; d.Machine == m.Name {
+			d.Commands = append(d.Commands, c)
+			return
+		}
+	}
+	e.out.Direct = append(e.out.Direct, Direct{Machine: m.Name, Addr: m.Addr, Session: m.Session, Token: e.term, Commands: []fleet.Command{c}})
+}
+
+// requeue lets the task of a gone attempt be placed again.
+func (e *Engine) requeue(a *fleet.Attempt) {
+	if j := e.jobs[a.Ref]; j != nil && a.Task < len(j.Tasks) && j.Tasks[a.Task].Attempt == a.Number {
+		j.Requeue(a.Task)
+	}
+}
+
+// attemptLost handles an attempt that is proven gone without a reported exit.
+func (e *Engine) attemptLost(now time.Time, m *fleet.Machine, a *fleet.Attempt, why string) {
+	e.detach(now, m, a)
+	e.debug("attempt gone", "job", a.Ref, "task", a.Task, "machine", m.Name, "why", why)
+	e.requeue(a)
+	e.stopBrokenGang(now, a)
+}
+
+// stopBrokenGang stops the rest of a gang that has lost a task: an attempt of a
+// gang runs whole or not at all.
+func (e *Engine) stopBrokenGang(now time.Time, a *fleet.Attempt) {
+	j := e.jobs[a.Ref]
+	if j == nil || j.Shape != pipeline.Gang || j.Tasks[0].State() == pipeline.Finished || len(j.Tasks) == 1 {
+		return
+	}
+	for _, b := range e.attemptsOf(a.Ref) {
+		if !b.Stopping {
+			e.stop(now, b.On, b, 0)
+		}
+	}
+}
+
+// taskExited handles a reported exit, once.
+func (e *Engine) taskExited(now time.Time, m *fleet.Machine, a *fleet.Attempt, t fleet.TaskReport) {
+	if a.State() == fleet.Exited {
+		return // reported again, until the worker is told to forget it
+	}
+	j := e.jobs[a.Ref]
+	current := j != nil && a.Task < len(j.Tasks) && j.Tasks[a.Task].Attempt == a.Number
+	e.moveAttempt(now, m, a, fleet.Exited)
+	a.Cause, a.CommandSeq = t.Cause, 0
+	if t.Cause == fleet.CauseDone {
+		e.taskDone(now, m, a)
+		return
+	}
+	a.Handled = true
+	e.debug("attempt exited", "job", a.Ref, "task", a.Task, "machine", m.Name, "cause", t.Cause, "saved", t.Saved)
+	if !current {
+		return
+	}
+	switch t.Cause {
+	case fleet.CauseError:
+		e.taskFailed(now, m, j, a.Task)
+	case fleet.CauseNoRoom, fleet.CauseBusy:
+		m.HoldUntil = now.Add(min(e.cfg.ReportEvery, maxNoRoomPause))
+		m.DropImage(a.Image)
+	case fleet.CauseUnknown:
+		j.Tasks[a.Task].NotUntil = now.Add(unknownExitPause)
+	}
+	j.Requeue(a.Task)
+	e.stopBrokenGang(now, a)
+	e.replan = true
+}
+
+const (
+	// maxNoRoomPause bounds how long a machine gets no starts after it had no room for one.
+	maxNoRoomPause = 3 * time.Second
+	// unknownExitPause is how long a task is held back after an exit of unknown cause.
+	unknownExitPause = 2 * time.Second
+)
+
+// taskDone takes in a task's result. The worker may forget it only once the store holds it
+// (docs/design.md, safety argument 7; TestClearOnlyAfterWritten).
+func (e *Engine) taskDone(now time.Time, m *fleet.Machine, a *fleet.Attempt) {
+	e.debug("attempt done", "job", a.Ref, "task", a.Task, "machine", m.Name)
+	m.Forgive()
+	j := e.jobs[a.Ref]
+	if j == nil || j.Over() || a.Task >= len(j.Tasks) {
+		a.Handled = true
+		return
+	}
+	if !a.RunStart.IsZero() && j.Estimate > 0 {
+		e.learnRunTime(j, now.Sub(a.RunStart))
+	}
+	e.useOf(a.Ref).results[a] = true
+	j.Finish(a.Task)
+	if j.CompleteIfDone() {
+		e.note("job complete", "job", j.Ref)
+	}
+	e.jobWrites.jobChanged(j)
+}
+
+// A machine counts as sick once so many different jobs, or so many attempts, have failed on
+// it with no success between.
+const (
+	sickAfterJobs   = 2
+	sickAfterErrors = 3
+)
+
+// taskFailed weighs an exit with an error against the machine before the job.
+func (e *Engine) taskFailed(now time.Time, m *fleet.Machine, j *pipeline.Job, task int) {
+	m.Blame(j.Ref)
+	j.TaskFailed(now, task, e.cfg.RestartLimit)
+	e.jobWrites.jobChanged(j)
+	e.touch(m)
+	if !m.Sick && (len(m.ErrorJobs) >= sickAfterJobs || m.Errors >= sickAfterErrors && len(j.AvoidUntil) == 0) {
+		m.Sick = true
+		e.timers.schedule(m, now)
+		e.note("machine taken for sick", "machine", m.Name, "errors", m.Errors)
+		for ref := range m.ErrorJobs {
+			if o := e.jobs[ref]; o != nil {
+				delete(o.AvoidUntil, m.Name)
+			}
+		}
+		return
+	}
+	if !m.Sick {
+		j.Avoid(now, m.Name)
+	}
+}
+
+// learnRunTime smooths the ratio of run time to estimate that a class of jobs shows.
+func (e *Engine) learnRunTime(j *pipeline.Job, ran time.Duration) {
+	c := e.class(j.Class)
+	ratio := min(max(float64(ran)/float64(j.Estimate), minRunRatio), maxRunRatio)
+	c.runs++
+	weight := max(1/float64(c.runs), minRunWeight)
+	c.ratio += (ratio - c.ratio) * weight
+}
+
+const (
+	// minRunRatio and maxRunRatio bound what one run may show.
+	minRunRatio = 0.1
+	maxRunRatio = 10
+	// minRunWeight is the weight of a run once many have been seen.
+	minRunWeight = 0.1
+)
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -104,15 +104,6 @@
 	out           Effects
 }
 
-// jobUse is what of a job may be on machines.
-type jobUse struct {
-	team     string
-	attempts map[*fleet.Attempt]bool
-	results  map[*fleet.Attempt]bool // that the store isn't known to hold
-	running  int
-	zones    map[string]int
-}
-
 // Reply answers a report.
 type Reply struct {
 	OK       bool // 200; otherwise the report is refused with 503
@@ -229,15 +220,6 @@
 	e.out.Notes = append(e.out.Notes, Note{Debug: true, Text: text, Args: args})
 }
 
-// attemptBits is the room for the attempts of one term in an attempt's number.
-const attemptBits = 24
-
-// nextAttempt makes a number that no other term or restart can have made.
-func (e *Engine) nextAttempt() uint64 {
-	e.counter++
-	return e.term<<attemptBits | e.counter
-}
-
 // newPageName makes a name for a page of the start log or image log that no other term
 // can have made.
 func (e *Engine) newPageName() string {
@@ -253,95 +235,12 @@
 	return nil, false
 }
 
-func (e *Engine) useOf(ref string) *jobUse {
-	u := e.use[ref]
-	if u == nil {
-		u = &jobUse{attempts: map[*fleet.Attempt]bool{}, results: map[*fleet.Attempt]bool{}, zones: map[string]int{}}
-		e.use[ref] = u
-	}
-	return u
-}
-
-// attach notes an attempt that is, or may be, on a machine; detach that it is
-// proven gone; moveAttempt what a machine reports. Together they keep the
-// counts that quotas, zones and gangs are checked against.
-func (e *Engine) attach(now time.Time, m *fleet.Machine, a *fleet.Attempt, st fleet.TaskState) {
-	m.Add(now, a, st)
-	u := e.useOf(a.Ref)
-	if j := e.jobs[a.Ref]; j != nil {
-		u.team = j.Team
-	}
-	u.attempts[a] = true
-	u.zones[m.Zone]++
-	e.addUse(u.team, a, 1)
-	e.touch(m)
-	if st == fleet.Running {
-		u.running++
-	}
-}
-
-func (e *Engine) addUse(team string, a *fleet.Attempt, by float64) {
-	t := e.teamUse[team]
-	t.CPUs, t.GPUs, t.MemGB = t.CPUs+by*a.CPUs, t.GPUs+by*a.GPUs, t.MemGB+by*a.MemGB
-	e.teamUse[team] = t
-}
-
 // touch notes that what a machine may take has changed.
 func (e *Engine) touch(m *fleet.Machine) {
 	e.changed[m] = true
 	e.replan = true
 }
 
-func (e *Engine) moveAttempt(now time.Time, m *fleet.Machine, a *fleet.Attempt, to fleet.TaskState) {
-	was := a.State()
-	if !m.MoveAttempt(now, a, to) {
-		return
-	}
-	u := e.useOf(a.Ref)
-	if was == fleet.Running {
-		u.running--
-	}
-	if to == fleet.Running {
-		u.running++
-		e.debug("running", "job", a.Ref, "task", a.Task, "machine", m.Name, "after", now.Sub(a.SentAt), "fetch_expected", a.FetchGuess)
-	}
-	if to != fleet.Exited {
-		return
-	}
-	if was == fleet.Sent || was == fleet.Fetching {
-		if m.FetchGivenUp(now, a.Image, was == fleet.Fetching) {
-			e.images.machineChanged(m.Name)
-		}
-	}
-	delete(u.attempts, a)
-	u.zones[m.Zone]--
-	e.addUse(u.team, a, -1)
-	e.startLog.removeAttempt(a)
-	e.touch(m)
-	e.forgetUse(a.Ref)
-}
-
-// forgetUse forgets the use of a job that is over and nowhere any more.
-func (e *Engine) forgetUse(ref string) {
-	if u := e.use[ref]; u != nil && len(u.attempts)+len(u.results) == 0 && e.jobs[ref] == nil {
-		delete(e.use, ref)
-	}
-}
-
-func (e *Engine) detach(now time.Time, m *fleet.Machine, a *fleet.Attempt) {
-	e.moveAttempt(now, m, a, fleet.Exited)
-	e.drop(now, m, a)
-}
-
-// drop forgets an attempt that has exited.
-func (e *Engine) drop(now time.Time, m *fleet.Machine, a *fleet.Attempt) {
-	m.Drop(now, a.Key)
-	if u := e.use[a.Ref]; u != nil {
-		delete(u.results, a)
-		e.forgetUse(a.Ref)
-	}
-}
-
 // Tick lets time pass: silence, leases, cancellations, rounds of decisions.
 type Tick struct {
 	// Spent tells whether a round's time budget is used up; nil: never.
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -36,12 +36,18 @@
 	e.applyReport(now, m, &rep)
 	// Room has become free, or a new leader is about to place: a start decided now
 	// would otherwise wait for the worker's next report.
-	soon := m.Busy() < busy || e.emptyUnderNewLeader(now, m)
-	e.out.Reply = &Reply{OK: true, Token: e.term, Hold: soon && e.mayStart(m)}
-	if m.AnswerHeld = e.out.Reply.Hold; !m.AnswerHeld {
+	startExpected := m.Busy() < busy || e.emptyUnderNewLeader(now, m)
+	e.reply(now, m, startExpected && e.mayStart(m))
+	m.LeaseBase = now
+}
+
+// reply answers the newest report of a machine with 200, at once or after a hold.
+func (e *Engine) reply(now time.Time, m *fleet.Machine, hold bool) {
+	m.AnswerHeld = hold
+	e.out.Reply = &Reply{OK: true, Token: e.term, Hold: hold}
+	if !hold {
 		e.out.Reply.Commands = e.commands(now, m)
 	}
-	m.LeaseBase = now
 }
 
 // staleReport handles a report that isn't newer than all known ones. Mostly it is a
@@ -55,8 +61,9 @@
 	}
 }
 
-// emptyUnderNewLeader tells whether a machine stands empty under a leader that is new itself, so
-// that much is to be placed at once, and that doesn't fall behind.
+// emptyUnderNewLeader tells whether a machine is empty in the first report period of a
+// leader, which then has much to place at once, and which doesn't lag (docs/design.md,
+// "Safety arguments", last paragraph; TestNewLeaderHoldsAnswers).
 func (e *Engine) emptyUnderNewLeader(now time.Time, m *fleet.Machine) bool {
 	return len(m.Tasks) == 0 && now.Sub(e.started) < e.cfg.ReportEvery && now.Sub(e.lastTick) < maxTickLag
 }
@@ -91,23 +98,21 @@
 	if m == nil || m.Session != c.Report.Session || m.Seq != c.Report.Seq {
 		return // a newer report has come; only its answer may start anything
 	}
-	e.out.Reply = &Reply{OK: true, Token: e.term, Hold: e.keepHolding(now, m)}
-	if m.AnswerHeld = e.out.Reply.Hold; !m.AnswerHeld {
-		e.out.Reply.Commands = e.commands(now, m)
-	}
+	e.reply(now, m, e.keepHolding(now, m))
 }
 
 // applyReport takes in a report that is newer than all before it.
 func (e *Engine) applyReport(now time.Time, m *fleet.Machine, r *fleet.Report) {
 	newSession := r.Session > m.Session || r.Epoch().Restarted(m.Epoch())
 	was, quiet := m.State(), now.Sub(m.LastHeard)
+	leaseEnded := newSession && was == fleet.Live && quiet < e.cfg.Lease/2
 	if was == fleet.Booting || was == fleet.Silent {
 		m.IdleSince = now // it couldn't be used before
 	}
 	if was != fleet.Releasing && e.moveMachine(now, m, fleet.Live) {
 		e.note("machine live", "machine", m.Name, "type", m.Type, "zone", m.Zone, "spot", m.Spot, "was", was.String(), "after", now.Sub(m.FirstSeen))
 	}
-	e.detectOneWayLoss(now, m, r, newSession && was == fleet.Live && quiet < e.cfg.Lease/2)
+	e.detectOneWayLoss(now, m, r, leaseEnded)
 	m.Addr, m.LastHeard = r.Addr, now
 	m.Session, m.Seq, m.Token = r.Session, r.Seq, r.Token
 	if r.Token == e.term && (!m.Confirmed || !m.Known) {
@@ -115,14 +120,7 @@
 		e.touch(m)
 	}
 	if newSession {
-		// The worker killed and forgot all that earlier sessions held, also what
-		// earlier terms had started. Whatever is there now is in the list below;
-		// of earlier terms' late starts only a confirmed report can speak.
-		for _, a := range sortedAttempts(m) {
-			if !listsAttempt(r, a) && (!a.Inherited || m.Confirmed) {
-				e.attemptLost(now, m, a, "session over")
-			}
-		}
+		e.endSession(now, m, r)
 	}
 	for i := range r.Tasks {
 		e.applyTaskReport(now, m, r.Token, r.Tasks[i])
@@ -139,6 +137,18 @@
 	undelivered bool // an answer should have, and hasn't
 }
 
+// endSession takes in that a worker's session has ended: it killed and forgot all that
+// earlier sessions held, also what earlier terms had started. Whatever is there now is in
+// the report's list; of earlier terms' late starts only a confirmed report can speak
+// (docs/design.md, safety argument 5; TestInheritedAttemptNeedsConfirmedReport).
+func (e *Engine) endSession(now time.Time, m *fleet.Machine, r *fleet.Report) {
+	for _, a := range sortedAttempts(m) {
+		if !listsAttempt(r, a) && (!a.Inherited || m.Confirmed) {
+			e.attemptLost(now, m, a, "session over")
+		}
+	}
+}
+
 // detectOneWayLoss looks in a report for traces of what the machine was last told.
 func (e *Engine) detectOneWayLoss(now time.Time, m *fleet.Machine, r *fleet.Report, leaseEnded bool) {
 	switch d := e.deliveryShown(now, m, r, leaseEnded); {
@@ -199,6 +209,7 @@
 // not to have received. After the second in a row it gets none until one is delivered.
 const undeliveredPause = 2 * time.Second
 
+// listsAttempt tells whether a report names an attempt.
 func listsAttempt(r *fleet.Report, a *fleet.Attempt) bool {
 	for i := range r.Tasks {
 		if t := &r.Tasks[i]; t.Attempt == a.Number && t.Task == a.Task && t.Ref == a.Ref {
@@ -223,7 +234,8 @@
 	e.release(now, m, "hears nothing")
 }
 
-// applyUnlisted deals with attempts that a report doesn't list.
+// applyUnlisted deals with attempts that a report doesn't list (docs/design.md, safety
+// argument 5; TestDroppedStart, TestOldReportProvesNothing).
 func (e *Engine) applyUnlisted(now time.Time, m *fleet.Machine, r *fleet.Report) {
 	for _, a := range sortedAttempts(m) {
 		if listsAttempt(r, a) {
@@ -321,43 +333,51 @@
 	if len(m.Tasks) == 0 {
 		return nil
 	}
-	var clears, stops, starts []fleet.Command
+	var forgets, stops, starts []fleet.Command
 	for _, a := range sortedAttempts(m) {
 		c := fleet.Command{Ref: a.Ref, Task: a.Task, Attempt: a.Number}
-		switch st := a.State(); {
-		case st == fleet.Exited:
+		switch state := a.State(); {
+		case state == fleet.Exited:
 			if a.Handled {
 				c.Op = fleet.Forget
 				a.CommandSeq = m.Seq
-				clears = append(clears, c)
+				forgets = append(forgets, c)
 			}
 		case a.Stopping:
-			if st == fleet.Saving && a.Grace > 0 {
+			if state == fleet.Saving && a.Grace > 0 {
 				continue // it saves; a second stop could end that
 			}
 			c.Op, c.Grace = fleet.Stop, a.Grace
 			a.CommandSeq = m.Seq
 			stops = append(stops, c)
-		case st == fleet.Recorded && !a.Inherited && e.mayStart(m) && !now.Before(a.NotBefore):
+		case state == fleet.Recorded && !a.Inherited && e.mayStart(m) && !now.Before(a.NotBefore):
 			c.Op = fleet.Start
-			a.CommandSeq = m.Seq
-			e.moveAttempt(now, m, a, fleet.Sent)
-			cache, rate := e.catalog.Images(m.Type)
-			a.SentAt, a.FetchGuess = now, m.FetchLeft(now, a.Image, e.imageGB(a.Ref), rate)
-			m.UseImage(now, a.Image, e.imageGB(a.Ref), cache, rate)
-			e.images.machineChanged(m.Name)
+			e.startSent(now, m, a)
 			starts = append(starts, c)
-			e.debug("start", "job", a.Ref, "task", a.Task, "machine", m.Name, "attempt", a.Number)
 		}
 	}
-	return append(append(clears, stops...), starts...)
+	return append(append(forgets, stops...), starts...)
+}
+
+// startSent notes that an attempt's start goes out with the answer to the newest report.
+func (e *Engine) startSent(now time.Time, m *fleet.Machine, a *fleet.Attempt) {
+	a.CommandSeq = m.Seq
+	e.moveAttempt(now, m, a, fleet.Sent)
+	imageGB := e.imageGB(a.Ref)
+	cache, rate := e.catalog.Images(m.Type)
+	a.SentAt, a.FetchGuess = now, m.FetchLeft(now, a.Image, imageGB, rate)
+	m.UseImage(now, a.Image, imageGB, cache, rate)
+	e.images.machineChanged(m.Name)
+	e.debug("start", "job", a.Ref, "task", a.Task, "machine", m.Name, "attempt", a.Number)
 }
 
-// mayStart tells whether a machine may be given starts.
+// mayStart tells whether a machine may be given starts (docs/design.md, safety arguments 5
+// and 6; TestCopyRevivesNothing).
 func (e *Engine) mayStart(m *fleet.Machine) bool {
 	return m.Confirmed && !m.Draining && !m.Sick && !e.unreachable[m] && m.State() == fleet.Live
 }
 
+// imageGB is the size of a job's image, 0 if the job isn't known.
 func (e *Engine) imageGB(ref string) float64 {
 	if j := e.jobs[ref]; j != nil {
 		return j.ImageGB
@@ -405,6 +425,7 @@
 	}
 }
 
+// sortedAttempts lists a machine's attempts by job and task.
 func sortedAttempts(m *fleet.Machine) []*fleet.Attempt {
 	out := make([]*fleet.Attempt, 0, len(m.Tasks))
 	for _, a := range m.Tasks {
