--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -1,6 +1,7 @@
-// Package core is the deterministic heart of the service: a leader's view of
-// jobs and machines, moved on by Step. It does no input or output, starts no
-// goroutines, reads no clock, and gets its randomness from outside.
+// Package core is the deterministic part of a leader: its view of jobs and machines, and
+// the decisions that follow from it. Step applies an event and returns the effects to be
+// carried out. The package does no input or output, starts no goroutines, reads no clock,
+// and gets its randomness from outside.
 package core
 
 import (
@@ -65,43 +66,53 @@
 
 // Engine is a leader's state for one term. It isn't safe for concurrent use.
 type Engine struct {
-	cfg           Config
-	term          uint64
-	rng           *rand.Rand
-	started       time.Time // when the term was claimed, by this node's clock
-	lastTick      time.Time
-	jobs          map[string]*pipeline.Job
-	graph         *pipeline.Graph // which of them wait for which
-	order         []*pipeline.Job // unfinished jobs in ready order
-	machines      map[string]*fleet.Machine
-	timers        timerQueue              // when machines are to be looked at
-	unheard       int                     // machines on record that have not been heard of yet
-	gone          map[string]time.Time    // names of machines proven gone
-	use           map[string]*jobUse      // what may be on machines, by job
-	teamUse       map[string]fleet.Amount // the same by team
-	catalog       placement.Catalog
-	counter       uint64
-	floor         placement.Floor
-	cancellations cancellations
-	unreachable   map[*fleet.Machine]bool // machines that seem to hear nothing
-	changed       map[*fleet.Machine]bool // since the floor last saw them
-	round         placement.Round
-	demand        []capacity.Demand // what the present round found no room for
-	plan          capacity.Plan
-	replan        bool // something changed that placement may use
-	placedAt      time.Time
-	plannedAt     time.Time
-	prunedAt      time.Time
-	lastList      time.Time
-	movedAt       time.Time // when machines to be emptied were last looked for
-	emptying      map[*fleet.Machine]bool
-	finals        map[string]pipeline.Final // told for good
-	startLog      startLog
-	jobWrites     jobWrites
-	jobEndsFirst  bool // whose turn it is in the next batch
-	images        imageLog
-	classes       map[string]*classStats
-	out           Effects
+	cfg     Config
+	term    uint64
+	rng     *rand.Rand
+	started time.Time // when the term was claimed, by this node's clock
+	counter uint64    // of attempts, pages and rentals, which are numbered together
+	out     Effects   // of the present step
+
+	// Jobs.
+	jobs          map[string]*pipeline.Job  // that aren't over
+	order         []*pipeline.Job           // the same in ready order
+	finals        map[string]pipeline.Final // of jobs that are over, some of them
+	graph         *pipeline.Graph           // of their dependencies
+	classes       map[string]*classStats    // what is known of classes of jobs
+	cancellations cancellations             // under way
+
+	// Machines.
+	machines    map[string]*fleet.Machine
+	gone        map[string]time.Time    // names of machines proven gone, and since when
+	timers      timerQueue              // when machines are to be checked
+	unheard     int                     // machines on record that have not been heard of yet
+	unreachable map[*fleet.Machine]bool // machines that seem to receive no answers
+	lastList    time.Time               // of the cloud
+	prunedAt    time.Time               // when gone was last pruned
+
+	// What may be on machines.
+	use     map[string]*jobUse      // by job
+	teamUse map[string]fleet.Amount // by team
+
+	// Rounds of decisions.
+	catalog   placement.Catalog
+	floor     placement.Floor
+	changed   map[*fleet.Machine]bool // since the floor last saw them
+	round     placement.Round
+	replan    bool              // something changed that placement may use
+	demand    []capacity.Demand // what the present round found no room for
+	plan      capacity.Plan
+	lastTick  time.Time
+	placedAt  time.Time
+	plannedAt time.Time
+	movedAt   time.Time // when machines to be emptied were last looked for
+	emptying  map[*fleet.Machine]bool
+
+	// What the store doesn't hold yet.
+	startLog     startLog
+	jobWrites    jobWrites
+	images       imageLog
+	jobEndsFirst bool // whose turn it is in the next batch
 }
 
 // Reply answers a report.
@@ -177,13 +188,28 @@
 	Version uint64
 }
 
-// New makes the engine of a term claimed at `now`. All earlier rights have
-// ended by then, so no earlier leader has answered a worker after it.
+// New makes the engine of a term claimed at `now`. All earlier leaders' leases have ended
+// by then, so none of them has answered a worker after it (docs/design.md, safety arguments
+// 1 and 4).
 func New(now time.Time, cfg Config, term uint64, snap Snapshot, rng *rand.Rand) *Engine {
-	e := &Engine{cfg: cfg, term: term, rng: rng, started: now, jobs: map[string]*pipeline.Job{},
-		machines: map[string]*fleet.Machine{}, gone: map[string]time.Time{}, use: map[string]*jobUse{},
-		teamUse: map[string]fleet.Amount{}, changed: map[*fleet.Machine]bool{}, unreachable: map[*fleet.Machine]bool{}, emptying: map[*fleet.Machine]bool{}, cancellations: newCancellations(),
-		finals: map[string]pipeline.Final{}, classes: map[string]*classStats{}, replan: true}
+	e := &Engine{
+		cfg:           cfg,
+		term:          term,
+		rng:           rng,
+		started:       now,
+		jobs:          map[string]*pipeline.Job{},
+		finals:        map[string]pipeline.Final{},
+		classes:       map[string]*classStats{},
+		cancellations: newCancellations(),
+		machines:      map[string]*fleet.Machine{},
+		gone:          map[string]time.Time{},
+		unreachable:   map[*fleet.Machine]bool{},
+		use:           map[string]*jobUse{},
+		teamUse:       map[string]fleet.Amount{},
+		changed:       map[*fleet.Machine]bool{},
+		emptying:      map[*fleet.Machine]bool{},
+		replan:        true,
+	}
 	e.graph = pipeline.NewGraph(e.expectedDuration)
 	e.startLog = newStartLog(&e.cfg, e.newPageName)
 	e.jobWrites = newJobWrites()
@@ -194,7 +220,8 @@
 	}
 	e.recoverStartLog(now, snap.Pages)
 	for _, j := range sortedJobs(e.cancellations.stopping) {
-		e.stopJob(now, j, "cancelled before this term") // the first answer already says so
+		// The first answer already says so (TestFirstAnswerStopsCancelled).
+		e.stopJob(now, j, "cancelled before this term")
 	}
 	return e
 }
@@ -209,10 +236,12 @@
 // Term returns the engine's term, which is also its token.
 func (e *Engine) Term() uint64 { return e.term }
 
+// note adds a line for the log.
 func (e *Engine) note(text string, args ...any) {
 	e.out.Notes = append(e.out.Notes, Note{Text: text, Args: args})
 }
 
+// debug adds a line for the log at debug level, if such are wanted.
 func (e *Engine) debug(text string, args ...any) {
 	if !e.cfg.Debug {
 		return
@@ -254,8 +283,8 @@
 	e.decide(now, t.Spent)
 }
 
-// Resumed says that the right to act had lapsed and is proven again: silence
-// meanwhile says nothing about the machines.
+// Resumed says that the leader's lease had lapsed and holds again: silence meanwhile says
+// nothing about the machines.
 type Resumed struct{}
 
 func (Resumed) apply(e *Engine, now time.Time) {
@@ -279,12 +308,13 @@
 	}
 }
 
+// sameTypes tells whether two catalogs are equal.
 func sameTypes(a, b placement.Catalog) bool {
 	if len(a) != len(b) {
 		return false
 	}
 	for name, t := range a {
-		if o := b[name]; o == nil || !reflect.DeepEqual(t, o) {
+		if other := b[name]; other == nil || !reflect.DeepEqual(t, other) {
 			return false
 		}
 	}
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -56,7 +56,14 @@
 
 // Status tells of machines and of jobs that wait.
 func (e *Engine) Status(now time.Time) Status {
-	s := Status{Term: e.term, Settled: e.settled(now), Active: len(e.order), Unstored: len(e.startLog.unpaged)}
+	s := Status{Term: e.term, Settled: e.settled(now), Pools: e.poolStatus(), Active: len(e.order), Unstored: len(e.startLog.unpaged)}
+	e.addWaiting(now, &s)
+	e.addHeld(now, &s)
+	return s
+}
+
+// poolStatus counts the machines of each pool.
+func (e *Engine) poolStatus() []PoolStatus {
 	pools := map[placement.PoolKey]*PoolStatus{}
 	for _, m := range e.machines {
 		k := placement.PoolKey{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
@@ -71,21 +78,33 @@
 			p.Draining++
 		}
 	}
+	var out []PoolStatus
 	for _, p := range pools {
-		s.Pools = append(s.Pools, *p)
+		out = append(out, *p)
 	}
-	sort.Slice(s.Pools, func(i, k int) bool { return poolLess(&s.Pools[i], &s.Pools[k]) })
+	sort.Slice(out, func(i, k int) bool { return poolLess(&out[i], &out[k]) })
+	return out
+}
+
+// addWaiting adds the jobs with tasks that wait for room, in the order of priority.
+func (e *Engine) addWaiting(now time.Time, s *Status) {
 	seen := map[string]bool{}
 	for _, t := range e.ranked(now) {
-		if j := t.Job; !seen[j.Ref] {
-			seen[j.Ref] = true
-			if s.Waits++; s.Waits > statusJobs {
-				continue
-			}
-			s.Waiting = append(s.Waiting, WaitingJob{Ref: j.Ref, Class: j.Class, Team: j.Team, Waiting: j.Count(pipeline.Waiting),
-				Tasks: len(j.Tasks), Since: now.Sub(j.Since), Reason: e.reason(now, j, s.Settled)})
+		j := t.Job
+		if seen[j.Ref] {
+			continue
 		}
+		seen[j.Ref] = true
+		if s.Waits++; s.Waits > statusJobs {
+			continue
+		}
+		s.Waiting = append(s.Waiting, WaitingJob{Ref: j.Ref, Class: j.Class, Team: j.Team, Waiting: j.Count(pipeline.Waiting),
+			Tasks: len(j.Tasks), Since: now.Sub(j.Since), Reason: e.reason(now, j, s.Settled)})
 	}
+}
+
+// addHeld adds the jobs that wait for their dependencies.
+func (e *Engine) addHeld(now time.Time, s *Status) {
 	for _, j := range e.order {
 		if j.Phase() != pipeline.Held {
 			continue
@@ -95,10 +114,9 @@
 				Tasks: len(j.Tasks), Since: now.Sub(j.Submitted), Reason: waitsForText(j.Dependencies())})
 		}
 	}
-	return s
 }
 
-// waitsForText says which jobs one waits for.
+// waitsForText says which dependencies a job waits for.
 func waitsForText(refs []string) string {
 	if more := len(refs) - maxNamedDependencies; more > 0 {
 		return fmt.Sprintf("waits for %s and %d more", strings.Join(refs[:maxNamedDependencies], ", "), more)
