--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -9,46 +9,62 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// recoverStartLog takes over what the start log says may be on machines. Of several
-// entries for one task only the highest attempt can be current: it was written
-// only after the ones before it were proven gone.
+// loggedAttempt is what the start log says of one task: where its attempt may be.
+type loggedAttempt struct {
+	placed fleet.Placed
+	page   *fleet.Page
+	number uint64
+}
+
+// recoverStartLog takes over what the start log says may be on machines (docs/design.md,
+// safety argument 4).
 func (e *Engine) recoverStartLog(now time.Time, stored []StoredPage) {
-	type place struct {
-		on   fleet.Placed
-		page *fleet.Page
-		n    uint64
+	for task, logged := range e.newestLogged(stored) {
+		j := e.jobs[task.Ref]
+		if j == nil || task.Task >= len(j.Tasks) || j.Tasks[task.Task].State() == pipeline.Finished {
+			continue // should it still be there, the machine's report will say so
+		}
+		m := e.machines[logged.placed.Machine]
+		if m == nil {
+			m = e.addUnheard(now, logged.placed)
+		}
+		a := &fleet.Attempt{Key: task, Number: logged.number, Inherited: true,
+			CPUs: j.CPUs, GPUs: j.GPUs, MemGB: j.MemGB, Image: j.Image}
+		e.attach(now, m, a, fleet.Recorded)
+		logged.page.Recover(a)
+		j.Assign(task.Task, m.Name, logged.number)
 	}
-	newest := map[fleet.Key]place{}
+}
+
+// newestLogged takes in the pages of the start log and returns each task's highest attempt
+// in them. Of several entries for one task only that can be current: it was written only
+// after the ones before it were proven gone (TestHighestAttemptCounts).
+func (e *Engine) newestLogged(stored []StoredPage) map[fleet.Key]loggedAttempt {
+	newest := map[fleet.Key]loggedAttempt{}
 	for _, s := range stored {
 		p := fleet.NewPage(s.Name, s.Version)
 		e.startLog.addPage(p)
-		for _, pl := range s.Record.Placed {
-			for _, en := range pl.Entries {
-				k := fleet.Key{Ref: en.Ref, Task: en.Task}
-				p.AddStale()
-				if o, ok := newest[k]; !ok || en.Attempt > o.n {
-					newest[k] = place{pl, p, en.Attempt}
+		for _, placed := range s.Record.Placed {
+			for _, entry := range placed.Entries {
+				p.AddStale() // until it turns out to be current
+				task := fleet.Key{Ref: entry.Ref, Task: entry.Task}
+				if known, ok := newest[task]; !ok || entry.Attempt > known.number {
+					newest[task] = loggedAttempt{placed, p, entry.Attempt}
 				}
 			}
 		}
 	}
-	for k, p := range newest {
-		j := e.jobs[k.Ref]
-		if j == nil || k.Task >= len(j.Tasks) || j.Tasks[k.Task].State() == pipeline.Finished {
-			continue // should it still be there, the machine's report will say so
-		}
-		m := e.machines[p.on.Machine]
-		if m == nil {
-			m = fleet.NewMachine(now, p.on.Machine, p.on.Type, p.on.Zone, p.on.Spot, fleet.Unheard)
-			m.LastHeard, m.LeaseBase, m.Known = now, now, true
-			e.addMachine(now, m)
-			e.unheard++
-		}
-		a := &fleet.Attempt{Key: k, Number: p.n, Inherited: true, CPUs: j.CPUs, GPUs: j.GPUs, MemGB: j.MemGB, Image: j.Image}
-		e.attach(now, m, a, fleet.Recorded)
-		p.page.Recover(a)
-		j.Assign(k.Task, m.Name, p.n)
-	}
+	return newest
+}
+
+// addUnheard takes in a machine that the start log names and that has not been heard of
+// under this term.
+func (e *Engine) addUnheard(now time.Time, p fleet.Placed) *fleet.Machine {
+	m := fleet.NewMachine(now, p.Machine, p.Type, p.Zone, p.Spot, fleet.Unheard)
+	m.LastHeard, m.LeaseBase, m.Known = now, now, true
+	e.addMachine(now, m)
+	e.unheard++
+	return m
 }
 
 // addMachine takes in a machine that is new here.
@@ -59,7 +75,8 @@
 	e.touch(m)
 }
 
-// moveMachine takes a machine to another state; false if it is there already.
+// moveMachine is the one place where a machine that is known here changes state. It returns
+// false if nothing changes.
 func (e *Engine) moveMachine(now time.Time, m *fleet.Machine, to fleet.MachineState) bool {
 	was := m.State()
 	if !m.Move(to) {
@@ -214,6 +231,11 @@
 			e.timers.schedule(m, next)
 		}
 	}
+	e.pruneGone(now)
+}
+
+// pruneGone forgets, once a minute, names of machines that have been gone for long.
+func (e *Engine) pruneGone(now time.Time) {
 	if now.Sub(e.prunedAt) < time.Minute {
 		return
 	}
@@ -239,11 +261,7 @@
 		}
 		next = now.Add(time.Second)
 	case fleet.Booting:
-		limit := e.bootLimit(time.Minute)
-		if t, ok := e.catalog[m.Type]; ok {
-			limit = e.bootLimit(t.Boot)
-		}
-		if now.Sub(m.FirstSeen) > limit {
+		if now.Sub(m.FirstSeen) > e.bootLimit(e.bootTime(m)) {
 			e.release(now, m, "never came up")
 		}
 		next = now.Add(time.Second)
@@ -350,11 +368,18 @@
 // mostly come back sooner, with their images; and while they are away, what waits
 // is placed and rented for elsewhere.
 func (e *Engine) silentLimit(m *fleet.Machine) time.Duration {
-	boot := time.Minute
+	return e.cfg.Lease + 2*e.bootTime(m)
+}
+
+// unknownBoot is the boot time of machines of unknown type.
+const unknownBoot = time.Minute
+
+// bootTime is the nominal boot time of a machine.
+func (e *Engine) bootTime(m *fleet.Machine) time.Duration {
 	if t := e.catalog[m.Type]; t != nil {
-		boot = t.Boot
+		return t.Boot
 	}
-	return e.cfg.Lease + 2*boot
+	return unknownBoot
 }
 
 // HasLive tells whether any machine is up as far as is known.
