--- /dev/null
+++ b/internal/core/fleet/attempt.go
@@ -0,0 +1,72 @@
+package fleet
+
+import "time"
+
+// TaskState is the state of an attempt on its machine.
+type TaskState uint8
+
+// States of an attempt. The first three are known only here; the rest are what
+// the machine reports.
+const (
+	Intended TaskState = iota // decided; the store doesn't hold it yet
+	Recorded                  // the store holds that it may be on the machine
+	Sent                      // the start went out in a report's response
+	Fetching
+	WaitingForGang
+	Running
+	Saving
+	Exited
+)
+
+// Key names a task.
+type Key struct {
+	Ref  string
+	Task int
+}
+
+// Attempt is one attempt that is, or may be, on a machine.
+type Attempt struct {
+	Key
+	Number     uint64   // unique over all terms; the tasks of a gang share one
+	On         *Machine // where it is, or may be
+	Page       *Page    // the page of the start log that names it; nil: none does yet
+	CPUs       float64
+	GPUs       float64
+	MemGB      float64
+	Image      string
+	Inherited  bool   // from an earlier term: only a report under this term's token proves it gone
+	Foreign    bool   // not wanted here; stopped and never counted as a result of ours
+	CommandSeq uint64 // the report in whose answer the machine last got a command about it
+
+	state    TaskState
+	Since    time.Time // when it entered its state
+	RunStart time.Time
+
+	// Its start.
+	NotBefore  time.Time     // when it may leave
+	SentAt     time.Time     // when it left
+	FetchGuess time.Duration // how long the image was then expected to take
+
+	// Its end.
+	Stopping bool // it was told to stop
+	StopAt   time.Time
+	Grace    time.Duration // for saving
+	Cause    Cause         // of its exit
+	Handled  bool          // the exit was dealt with; the worker may forget it
+}
+
+// State returns the attempt's state.
+func (a *Attempt) State() TaskState { return a.state }
+
+// move is the one place where an attempt changes state. It returns false if
+// nothing changes; an exit is final.
+func (a *Attempt) move(now time.Time, to TaskState) bool {
+	if a.state == to || a.state == Exited {
+		return false
+	}
+	a.state, a.Since = to, now
+	if to == Running && a.RunStart.IsZero() {
+		a.RunStart = now
+	}
+	return true
+}
--- /dev/null
+++ b/internal/core/fleet/connectivity_test.go
@@ -0,0 +1,82 @@
+package fleet
+
+import (
+	"testing"
+	"time"
+)
+
+var start = time.Unix(5000, 0)
+
+func at(seconds int) time.Time { return start.Add(time.Duration(seconds) * time.Second) }
+
+// Reports are ordered by token, then session, then sequence number.
+func TestEpochOrder(t *testing.T) {
+	ordered := []Epoch{{1, 1, 1}, {1, 1, 2}, {1, 2, 1}, {2, 1, 1}, {2, 1, 9}, {3, 7, 1}}
+	for i, a := range ordered {
+		for k, b := range ordered {
+			if a.After(b) != (i > k) {
+				t.Errorf("%+v after %+v: %v", a, b, a.After(b))
+			}
+		}
+	}
+}
+
+// Only a higher token under counts that haven't risen shows a restart.
+func TestEpochRestarted(t *testing.T) {
+	known := Epoch{Token: 4, Session: 3, Seq: 10}
+	for _, c := range []struct {
+		report    Epoch
+		restarted bool
+	}{
+		{Epoch{4, 3, 11}, false},
+		{Epoch{4, 4, 1}, false},
+		{Epoch{5, 3, 11}, false},
+		{Epoch{5, 4, 1}, false},
+		{Epoch{5, 3, 10}, true},
+		{Epoch{5, 1, 1}, true},
+		{Epoch{4, 1, 1}, false},
+	} {
+		if got := c.report.Restarted(known); got != c.restarted {
+			t.Errorf("%+v after %+v: restarted %v", c.report, known, got)
+		}
+	}
+}
+
+// Stale reports show a restart only if they rise steadily, three at the least, for long
+// enough; a copy in between starts the count anew.
+func TestStaleReportsShowRestart(t *testing.T) {
+	var s StaleReports
+	note := func(second int, seq uint64) bool {
+		return s.NoteStale(at(second), &Report{Session: 1, Seq: seq}, 3*time.Second)
+	}
+	if note(0, 1) || note(3, 2) {
+		t.Fatal("restarted after two reports")
+	}
+	if note(4, 2) {
+		t.Fatal("restarted by a duplicate")
+	}
+	if note(5, 3) || note(6, 4) {
+		t.Fatal("restarted before the time is over")
+	}
+	if !note(7, 5) {
+		t.Fatal("a restart isn't noticed")
+	}
+}
+
+// Answers in a row that aren't delivered are counted from the first one, until one is.
+func TestOneWayLossCounts(t *testing.T) {
+	l := OneWayLoss{Expecting: true}
+	l.NoteUndelivered(at(1))
+	l.NoteUndelivered(at(4))
+	if l.Undelivered != 2 || !l.FirstUndelivered.Equal(at(1)) || !l.LastUndelivered.Equal(at(4)) || l.Expecting {
+		t.Fatalf("after two undelivered answers: %+v", l)
+	}
+	lease := 20 * time.Second
+	if l.MustHaveDelivered(at(4+20), lease) || !l.MustHaveDelivered(at(4+23), lease) {
+		t.Fatal("the lease isn't counted from the last undelivered answer")
+	}
+	l.NoteDelivered()
+	if l.Undelivered != 0 || !l.FirstUndelivered.IsZero() || l.MustHaveDelivered(at(99), lease) {
+		t.Fatalf("after a delivered answer: %+v", l)
+	}
+}
--- /dev/null
+++ b/internal/core/fleet/machine.go
@@ -0,0 +1,161 @@
+// Package fleet holds what is known of the machines: their states, their leases, their
+// images, and where each attempt may still be.
+package fleet
+
+import "time"
+
+// MachineState is the state of a machine.
+type MachineState uint8
+
+// States of a machine.
+const (
+	Booting   MachineState = iota // rented or listed, never heard of
+	Unheard                       // the records say that tasks may be on it; not heard under this term
+	Live                          // reports
+	Silent                        // has stopped reporting
+	Releasing                     // a release is under way
+	Gone                          // proven gone
+)
+
+var machineStateNames = [...]string{"booting", "unheard", "live", "silent", "releasing", "gone"}
+
+// String returns the state's name, as operators see it.
+func (s MachineState) String() string { return machineStateNames[s] }
+
+// Machine is one machine.
+type Machine struct {
+	Name, Addr, Type, Zone string
+	Spot                   bool
+	state                  MachineState
+
+	// Reports and answers.
+	Session, Seq, Token uint64       // of its newest report, see Epoch
+	Confirmed           bool         // has reported with this term's token, or never held anything of an earlier term
+	LastHeard           time.Time    // when its newest report arrived
+	LeaseBase           time.Time    // no 200 was sent to it after this
+	AnswerHeld          bool         // what is placed now goes with the answer to its last report
+	OneWayLoss          OneWayLoss   // whether it receives answers
+	StaleReports        StaleReports // reports that aren't newer than the newest one
+
+	// Its life.
+	FirstSeen    time.Time
+	ListedAt     time.Time // when the cloud last listed it
+	Known        bool      // listed by the cloud, rented, or heard under this term's token: not just an old copy's word
+	NoticeAt     time.Time // when the cloud takes it, zero without a notice
+	ReleaseTries int       // releases that failed
+	CheckAt      time.Time // when its present timer expires
+
+	// Whether it gets starts.
+	Draining  bool            // it gets no more
+	Sick      bool            // it gets no more: too much has failed on it
+	HoldUntil time.Time       // it gets none until then
+	ErrorJobs map[string]bool // jobs that failed on it since something last succeeded
+	Errors    int             // how often any did
+
+	// What is on it.
+	Tasks     map[Key]*Attempt
+	Images    []Image   // most recently used last
+	IdleSince time.Time // since when it has been idle, if it is
+	used      Amount
+	busy      int
+}
+
+// Amount is a sum of what tasks take of machines.
+type Amount struct{ CPUs, GPUs, MemGB float64 }
+
+// add adds what an attempt takes, by -1 takes it off.
+func (a *Amount) add(t *Attempt, by float64) {
+	a.CPUs, a.GPUs, a.MemGB = a.CPUs+by*t.CPUs, a.GPUs+by*t.GPUs, a.MemGB+by*t.MemGB
+}
+
+// NewMachine makes a machine in a first state.
+func NewMachine(now time.Time, name, typ, zone string, spot bool, st MachineState) *Machine {
+	return &Machine{Name: name, Type: typ, Zone: zone, Spot: spot, state: st, FirstSeen: now, IdleSince: now,
+		Tasks: map[Key]*Attempt{}}
+}
+
+// State returns the machine's state.
+func (m *Machine) State() MachineState { return m.state }
+
+// Move is the one place where a machine changes state; Gone is final.
+func (m *Machine) Move(to MachineState) bool {
+	if m.state == to || m.state == Gone {
+		return false
+	}
+	m.state = to
+	return true
+}
+
+// AnswerIn is after how long the machine's next report is expected, whose answer
+// can start something there.
+func (m *Machine) AnswerIn(now time.Time, every time.Duration) time.Duration {
+	if m.AnswerHeld {
+		return 0
+	}
+	return max(0, every-now.Sub(m.LastHeard))
+}
+
+// Newer tells whether a report is newer than all that have been taken in.
+func (m *Machine) Newer(r *Report) bool { return r.Epoch().After(m.Epoch()) }
+
+// LeaseOver tells whether the worker's lease has certainly ended: nobody can have
+// answered it after LeaseBase, and the drift of the two clocks is allowed for
+// (docs/design.md, safety argument 5; TestInheritedAttemptUntilLeaseOver).
+func (m *Machine) LeaseOver(now time.Time, lease time.Duration) bool {
+	return !m.LeaseBase.IsZero() && now.Sub(m.LeaseBase) > lease+leaseDrift(lease)+time.Second
+}
+
+// Used returns what all that may be on the machine takes of it. Exited tasks
+// take nothing.
+func (m *Machine) Used() Amount { return m.used }
+
+// Busy counts the attempts that may be on the machine.
+func (m *Machine) Busy() int { return m.busy }
+
+// Add notes an attempt that is, or may be, on the machine.
+func (m *Machine) Add(now time.Time, a *Attempt, st TaskState) {
+	a.On, a.state, a.Since = m, st, now
+	if st == Running {
+		a.RunStart = now
+	}
+	m.Tasks[a.Key] = a
+	if st != Exited {
+		m.busy++
+		m.used.add(a, 1)
+	}
+}
+
+// MoveAttempt takes an attempt to another state; it returns false if nothing changes.
+func (m *Machine) MoveAttempt(now time.Time, a *Attempt, to TaskState) bool {
+	if !a.move(now, to) {
+		return false
+	}
+	if to == Exited {
+		m.busy--
+		m.used.add(a, -1)
+		if m.busy == 0 {
+			m.used = Amount{} // no rounding is carried on
+		}
+	}
+	return true
+}
+
+// Drop removes an attempt that is proven gone, or forgotten by its worker.
+func (m *Machine) Drop(now time.Time, k Key) {
+	delete(m.Tasks, k)
+	if len(m.Tasks) == 0 {
+		m.IdleSince = now
+	}
+}
+
+// Blame counts an exit of a job with an error against the machine.
+func (m *Machine) Blame(ref string) {
+	if m.ErrorJobs == nil {
+		m.ErrorJobs = map[string]bool{}
+	}
+	m.Errors++
+	m.ErrorJobs[ref] = true
+}
+
+// Forgive forgets the exits with errors on the machine.
+func (m *Machine) Forgive() { m.Errors, m.ErrorJobs = 0, nil }
--- /dev/null
+++ b/internal/core/fleet/messages.go
@@ -0,0 +1,57 @@
+package fleet
+
+import "time"
+
+// Cause says why a task exited.
+type Cause uint8
+
+// Causes of exits.
+const (
+	CauseNone Cause = iota
+	CauseDone
+	CauseStopped
+	CauseMatesGone
+	CauseAlone
+	CauseError
+	CauseNoRoom
+	CauseBusy
+	CauseUnknown
+)
+
+// Op is a command to a worker.
+type Op uint8
+
+// Commands to workers.
+const (
+	Start Op = iota
+	Stop
+	Forget
+)
+
+// Command is one command to a worker.
+type Command struct {
+	Op      Op
+	Ref     string
+	Task    int
+	Attempt uint64
+	Grace   time.Duration
+}
+
+// TaskReport is one task in a worker's report.
+type TaskReport struct {
+	Ref     string
+	Task    int
+	Attempt uint64
+	State   TaskState
+	Cause   Cause
+	Saved   bool
+}
+
+// Report is a worker's report.
+type Report struct {
+	Machine, Addr, Type, Zone string
+	Spot                      bool
+	Session, Seq, Token       uint64
+	Notice                    time.Duration // negative: none
+	Tasks                     []TaskReport
+}
