--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -259,7 +259,7 @@
 )
 
 // taskDone takes in a task's result. The worker may forget it only once the store holds it
-// (docs/design.md, safety argument 7; TestClearOnlyAfterWritten).
+// (docs/design.md, safety argument 7; TestForgetOnlyAfterWritten).
 func (e *Engine) taskDone(now time.Time, m *fleet.Machine, a *fleet.Attempt) {
 	e.debug("attempt done", "job", a.Ref, "task", a.Task, "machine", m.Name)
 	m.Forgive()
--- a/internal/core/batch.go
+++ b/internal/core/batch.go
@@ -62,7 +62,7 @@
 // WritesPending tells whether a start or a job's end waits for a write.
 func (e *Engine) WritesPending() bool { return e.startLog.pending() || e.jobWrites.pending() }
 
-// Batch asks for the most pressing writes, at most `limit` puts and drops: starts and
+// Batch asks for the most urgent writes, at most `limit` puts and drops: starts and
 // jobs' ends, taking turns at going first (TestStartsAndEndsTakeTurns), then partial
 // progress, and last what only tidies.
 func (e *Engine) Batch(now time.Time, limit int) []Write {
--- a/internal/core/cancel.go
+++ b/internal/core/cancel.go
@@ -37,7 +37,7 @@
 
 // pendingCancellation is what is not yet known about a job's cancellation. Meanwhile
 // nothing of the job is started, what runs is stopped (it is useless to its user), and
-// nobody is told of it from memory: the store is asked (TestNoAnswerInDoubt).
+// nobody is told of it from memory: the store is asked (TestNoAnswerWhileOutcomeUnknown).
 type pendingCancellation struct {
 	transactions   int       // under way
 	unknownVersion uint64    // one without an answer may yet change the record if it still has this version; 0: none
@@ -140,7 +140,7 @@
 	e.replan = true
 }
 
-// resolveUnknownOutcome has the record of a job written anew whose cancellation may yet
+// resolveUnknownOutcome has the record of a job written again whose cancellation may yet
 // be carried out: a transaction that was meant for an earlier version of the record fails
 // from then on (docs/design.md, "The bound of a cancellation", 1; TestCancelWithoutAnswer,
 // TestCancelInDoubt).
--- a/internal/core/cancel_test.go
+++ b/internal/core/cancel_test.go
@@ -57,11 +57,11 @@
 	}
 	b.pass(6*time.Second, false)
 	if r := b.report("m-1", 2); len(starts(r)) != 0 {
-		t.Fatalf("started in doubt: %+v", r)
+		t.Fatalf("started while the outcome is unknown: %+v", r)
 	}
 	b.pass(3*time.Second, true) // the record is written anew
 	if r := b.report("m-1", 2); len(starts(r)) != 1 {
-		t.Fatalf("not started once the doubt is settled: %+v", r)
+		t.Fatalf("not started once the outcome is known: %+v", r)
 	}
 }
 
--- a/internal/core/dependents_test.go
+++ b/internal/core/dependents_test.go
@@ -36,7 +36,7 @@
 	b.finish("m-1", s[0])
 	b.pass(3*time.Second, false)
 	if j := b.e.jobs["j-2"]; j.Phase() != pipeline.Held {
-		t.Fatal("let go before the store held that the job before it is done")
+		t.Fatal("ready before the store held that its dependency is done")
 	}
 	b.pass(time.Second, true)
 	if s := starts(b.report("m-1", 2)); len(s) != 1 || s[0].Ref != "j-2" {
@@ -124,9 +124,9 @@
 	}
 }
 
-// The results of a job that had been let go before the leader changed count, though
+// The results of a job that had been started before the leader changed count, though
 // the new leader hasn't yet learnt that it was.
-func TestResultsOfAJobLetGoBefore(t *testing.T) {
+func TestResultsOfAJobStartedBefore(t *testing.T) {
 	b := newBench(t, 2, Snapshot{Jobs: []StoredJob{after("j-1", "j-0")}, Pages: []StoredPage{page("1-1", "m-1", 1<<attemptBits)}})
 	b.report("m-1", 0, fleet.TaskReport{Ref: "j-1", Attempt: 1 << attemptBits, State: fleet.Running})
 	b.finish("m-1", fleet.Command{Ref: "j-1", Attempt: 1 << attemptBits})
@@ -137,7 +137,7 @@
 
 // Work goes first whose line ends in urgent work, and of equally urgent work that
 // whose line is due first.
-func TestLineGoesByItsLastJob(t *testing.T) {
+func TestJobsGoByTheirCriticalPath(t *testing.T) {
 	cfg := config()
 	cfg.Aims = map[string][]Aim{"last": {{Kind: AimDeadline, Times: 1}}}
 	jobs := []StoredJob{job("j-1", 1), job("j-2", 1), job("j-3", 1), after("j-8", "j-2"), after("j-9", "j-3")}
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -298,7 +298,7 @@
 // Catalog brings the cloud's machine types and present prices.
 type Catalog struct{ Types placement.Catalog }
 
-func (c Catalog) apply(e *Engine, now time.Time) {
+func (c Catalog) apply(e *Engine, _ time.Time) {
 	if sameTypes(e.catalog, c.Types) {
 		return
 	}
--- a/internal/core/fleet/connectivity_test.go
+++ b/internal/core/fleet/connectivity_test.go
@@ -43,7 +43,7 @@
 }
 
 // Stale reports show a restart only if they rise steadily, three at the least, for long
-// enough; a copy in between starts the count anew.
+// enough; a copy in between restarts the count.
 func TestStaleReportsShowRestart(t *testing.T) {
 	var s StaleReports
 	note := func(second int, seq uint64) bool {
--- a/internal/core/fleet/stale_reports.go
+++ b/internal/core/fleet/stale_reports.go
@@ -35,7 +35,7 @@
 
 // StaleReports follows the reports of a machine that are not newer than the newest one
 // known. They are late or duplicate copies, or come from a worker that has restarted
-// and counts from one again (docs/design.md, safety argument 5; TestWorkerStartsAnew).
+// and counts from one again (docs/design.md, safety argument 5; TestWorkerRestarts).
 type StaleReports struct {
 	last        Epoch
 	risingSince time.Time
--- a/internal/core/job_writes.go
+++ b/internal/core/job_writes.go
@@ -183,7 +183,7 @@
 }
 
 // forgetStoredResults lets workers forget results that the store now holds (docs/design.md,
-// safety argument 7; TestClearOnlyAfterWritten).
+// safety argument 7; TestForgetOnlyAfterWritten).
 func (e *Engine) forgetStoredResults(j *pipeline.Job) {
 	u := e.use[j.Ref]
 	if u == nil {
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -190,7 +190,7 @@
 	for _, a := range sortedAttempts(m) {
 		if a.State() == fleet.Exited {
 			e.drop(now, m, a)
-			e.exitNoLongerReported(now, a)
+			e.exitNoLongerReported(a)
 			continue
 		}
 		e.attemptLost(now, m, a, "machine gone")
--- a/internal/core/pipeline/graph.go
+++ b/internal/core/pipeline/graph.go
@@ -204,7 +204,7 @@
 	}
 }
 
-// recomputeUrgency computes a job's urgency and critical path anew, and those of its
+// recomputeUrgency recomputes a job's urgency and critical path, and those of its
 // dependencies where they change.
 func (g *Graph) recomputeUrgency(j *Job) {
 	for next := []*Job{j}; len(next) > 0; next = next[1:] {
--- a/internal/core/pipeline/graph_test.go
+++ b/internal/core/pipeline/graph_test.go
@@ -97,8 +97,8 @@
 }
 
 // TestGraph: whatever the order in which jobs come, end and are cancelled, a job is
-// let go exactly when all before it are done, is cancelled exactly when one that it
-// needs is, and is as pressing as the most pressing job that needs it.
+// ready exactly when all its dependencies are done, is cancelled exactly when one of them
+// is, and is as urgent as its most urgent dependent.
 func TestGraph(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -180,8 +180,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if j.DependencyDone("j-2", time.UnixMilli(9000)) || j.DependencyDone("j-2", time.UnixMilli(9000)) || !j.DependencyDone("j-3", time.UnixMilli(7000)) {
-		t.Fatal("let go at the wrong moment")
+	first, second := j.DependencyDone("j-2", time.UnixMilli(9000)), j.DependencyDone("j-2", time.UnixMilli(9000))
+	if first || second || !j.DependencyDone("j-3", time.UnixMilli(7000)) {
+		t.Fatal("ready at the wrong moment")
 	}
 	again, err := NewJob(j.Record(4000), 2, nil)
 	if err != nil || again.Phase() != Active || again.Since.UnixMilli() != 9000 || again.Submitted.UnixMilli() != 5000 {
--- a/internal/core/pipeline/pipeline.go
+++ b/internal/core/pipeline/pipeline.go
@@ -310,7 +310,7 @@
 // setPhase is the one place where a job changes phase; final phases stay. A job that is
 // held becomes active once its dependencies are done, and done at once if its results
 // turn up: they prove that an earlier leader had started it (docs/design.md, safety
-// argument 14; TestResultsOfAJobLetGoBefore).
+// argument 14; TestResultsOfAJobStartedBefore).
 func (j *Job) setPhase(to Phase) bool {
 	if j.phase != Active && j.phase != Held || to == j.phase || to == Held {
 		return false
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -244,7 +244,7 @@
 		switch {
 		case a.State() == fleet.Exited:
 			e.drop(now, m, a)
-			e.exitNoLongerReported(now, a)
+			e.exitNoLongerReported(a)
 		case a.Inherited:
 			if m.Confirmed {
 				e.attemptLost(now, m, a, "not reported under this term")
@@ -261,7 +261,7 @@
 
 // exitNoLongerReported handles an exit that left the reports before it was dealt with
 // (the worker's lease ended): a result was noted already, all else is handled.
-func (e *Engine) exitNoLongerReported(now time.Time, a *fleet.Attempt) {
+func (e *Engine) exitNoLongerReported(a *fleet.Attempt) {
 	if !a.Handled && a.Cause != fleet.CauseDone {
 		e.requeue(a)
 	}
--- a/internal/core/safety_test.go
+++ b/internal/core/safety_test.go
@@ -203,7 +203,7 @@
 }
 
 // A result is forgotten by the worker only once the store holds it.
-func TestClearOnlyAfterWritten(t *testing.T) {
+func TestForgetOnlyAfterWritten(t *testing.T) {
 	b, c := started(t)
 	b.report("m-1", 2, running(c))
 	done := fleet.TaskReport{Ref: c.Ref, Task: c.Task, Attempt: c.Attempt, State: fleet.Exited, Cause: fleet.CauseDone}
@@ -227,7 +227,7 @@
 
 // While a final entry is on its way, or a cancellation's fate is unknown, this
 // node must not call the job active: another may have read better in the store.
-func TestNoAnswerInDoubt(t *testing.T) {
+func TestNoAnswerWhileOutcomeUnknown(t *testing.T) {
 	b := newBench(t, 2, Snapshot{Jobs: []StoredJob{job("j-1", 1)}})
 	if _, ok := b.e.Lookup("j-1"); !ok {
 		t.Fatal("an active job isn't known")
@@ -238,11 +238,11 @@
 	}
 	b.e.Step(b.now, CancelOutcome{Ref: "j-1", Unknown: true, Version: 5})
 	if v, ok := b.e.Lookup("j-1"); ok {
-		t.Fatalf("answered in doubt: %v", v)
+		t.Fatalf("answered while the outcome is unknown: %v", v)
 	}
 	b.pass(5*time.Second, true) // the record is written anew
 	if _, ok := b.e.Lookup("j-1"); !ok {
-		t.Fatal("still in doubt after the record was written anew")
+		t.Fatal("outcome still unknown after the record was written again")
 	}
 }
 
@@ -357,7 +357,7 @@
 	return *b.e.Step(b.now, ReportIn{r}).Reply
 }
 
-// A new leader may hear a late copy from before a machine's worker started anew,
+// A new leader may hear a late copy from before a machine's worker restarted,
 // with a higher count than the worker has now. It once believed the copy that an
 // attempt was gone, and the task ran twice; nor may the worker be ignored.
 func TestCopyFromFormerLife(t *testing.T) {
@@ -388,9 +388,9 @@
 	}
 }
 
-// A worker that starts anew within a term can't be told from copies of its old
+// A worker that restarts within a term can't be told from copies of its old
 // reports; it isn't ignored for good but given back.
-func TestWorkerStartsAnew(t *testing.T) {
+func TestWorkerRestarts(t *testing.T) {
 	b, c := started(t)
 	b.report("m-1", 2, running(c))
 	for seq := uint64(1); seq < uint64(config().Lease/(2*time.Second)); seq++ {
@@ -411,7 +411,7 @@
 	t.Fatal("ignored until its lease is over")
 }
 
-// Starts on a machine whose reports arrive but that hears nothing come to nothing
+// Starts on a machine whose reports arrive but that receives no answers come to nothing
 // again and again: it gets no more of them and is given back.
 func TestOneWayLoss(t *testing.T) {
 	b, _ := started(t)
@@ -422,7 +422,7 @@
 		sent += len(starts(b.report("m-1", 2)))
 		if b.e.machines["m-1"].State() == fleet.Releasing {
 			if sent > 2 {
-				t.Fatalf("%d starts sent to a machine that hears nothing", sent)
+				t.Fatalf("%d starts sent to a machine that receives nothing", sent)
 			}
 			if b.e.jobs["j-1"].Count(pipeline.Waiting) != 1 {
 				t.Fatal("its task isn't free to go elsewhere")
@@ -430,7 +430,7 @@
 			return
 		}
 	}
-	t.Fatal("kept although it hears nothing")
+	t.Fatal("kept although it receives nothing")
 }
 
 // A machine that seemed unreachable and keeps its session for longer than a lease must
--- a/internal/core/start_log.go
+++ b/internal/core/start_log.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// pageChanged notes anew whether a page is to be written.
+// pageChanged notes whether a page is to be written.
 func (l *startLog) pageChanged(p *fleet.Page) {
 	if p.Dirty {
 		l.dirty[p] = true
@@ -109,8 +109,8 @@
 	return best
 }
 
-// addTrim adds the page with the most entries that are gone, if it is time to write one
-// anew without them, or to drop it if nothing is left.
+// addTrim adds the page with the most entries that are gone, if it is time to rewrite one
+// without them, or to drop it if nothing is left.
 func (l *startLog) addTrim(now time.Time, b *batch) {
 	if now.Sub(l.trimmedAt) < trimPause {
 		return
