--- a/internal/core/cancel.go
+++ b/internal/core/cancel.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"gingertally/internal/core/fleet"
 	"gingertally/internal/core/pipeline"
 )
 
@@ -17,7 +18,7 @@
 
 // CancelBound is how long after its confirmation a cancelled task may be on its machine
 // at the most: the worker's lease, the drift of two clocks, and the steps of timers.
-func (c *Config) CancelBound() time.Duration { return c.Lease + c.Lease/500 + time.Second }
+func (c *Config) CancelBound() time.Duration { return fleet.LeaseBound(c.Lease) }
 
 // CancelKept tells whether a cancellation may be confirmed while tasks of the job may be
 // on machines. If not, they have to be proven gone first.
--- a/internal/core/fleet/image_log.go
+++ b/internal/core/fleet/image_log.go
@@ -37,39 +37,52 @@
 // more than so many bytes; machines beyond that are left out. Of the first machine
 // there is something in any case: its images that were used last.
 func RecordImages(has map[string][]Image, maxBytes int) ImageRecord {
-	var r ImageRecord
-	index := map[string]int{}
-	takes := func(name string, images []Image) int {
-		n := hereBytes + len(name) + indexBytes*len(images)
-		for _, i := range images {
-			if _, known := index[i.Name]; !known {
-				n += sizeBytes + len(i.Name)
-			}
-		}
-		return n
-	}
-	size := 0
-	for _, name := range sortedNames(has) {
-		images := has[name]
-		for len(r.Machines) == 0 && len(images) > 0 && takes(name, images) > maxBytes {
+	b := imageRecordBuilder{index: map[string]int{}}
+	for _, machine := range sortedNames(has) {
+		images := has[machine]
+		first := len(b.record.Machines) == 0
+		for first && len(images) > 0 && b.bytesFor(machine, images) > maxBytes {
 			images = images[1:]
 		}
-		if size += takes(name, images); size > maxBytes && len(r.Machines) > 0 {
+		b.bytes += b.bytesFor(machine, images)
+		if b.bytes > maxBytes && !first {
 			break
 		}
-		here := ImagesHere{Machine: name}
-		for _, i := range images {
-			at, known := index[i.Name]
-			if !known {
-				at = len(r.Images)
-				index[i.Name] = at
-				r.Images = append(r.Images, ImageSize{Name: i.Name, GB: i.GB})
-			}
-			here.Images = append(here.Images, at)
+		b.add(machine, images)
+	}
+	return b.record
+}
+
+// imageRecordBuilder puts together a record of the image log.
+type imageRecordBuilder struct {
+	record ImageRecord
+	index  map[string]int // places of the record's images
+	bytes  int            // about what the record takes
+}
+
+// bytesFor is about what a machine with its images adds to the record.
+func (b *imageRecordBuilder) bytesFor(machine string, images []Image) int {
+	n := hereBytes + len(machine) + indexBytes*len(images)
+	for _, i := range images {
+		if _, known := b.index[i.Name]; !known {
+			n += sizeBytes + len(i.Name)
+		}
+	}
+	return n
+}
+
+func (b *imageRecordBuilder) add(machine string, images []Image) {
+	here := ImagesHere{Machine: machine}
+	for _, i := range images {
+		place, known := b.index[i.Name]
+		if !known {
+			place = len(b.record.Images)
+			b.index[i.Name] = place
+			b.record.Images = append(b.record.Images, ImageSize{Name: i.Name, GB: i.GB})
 		}
-		r.Machines = append(r.Machines, here)
+		here.Images = append(here.Images, place)
 	}
-	return r
+	b.record.Machines = append(b.record.Machines, here)
 }
 
 func sortedNames(has map[string][]Image) []string {
--- a/internal/core/fleet/machine.go
+++ b/internal/core/fleet/machine.go
@@ -102,7 +102,7 @@
 // answered it after LeaseBase, and the drift of the two clocks is allowed for
 // (docs/design.md, safety argument 5; TestInheritedAttemptUntilLeaseOver).
 func (m *Machine) LeaseOver(now time.Time, lease time.Duration) bool {
-	return !m.LeaseBase.IsZero() && now.Sub(m.LeaseBase) > lease+leaseDrift(lease)+time.Second
+	return !m.LeaseBase.IsZero() && now.Sub(m.LeaseBase) > LeaseBound(lease)
 }
 
 // Used returns what all that may be on the machine takes of it. Exited tasks
--- a/internal/core/fleet/one_way_loss.go
+++ b/internal/core/fleet/one_way_loss.go
@@ -33,11 +33,5 @@
 // received an answer since the last undelivered one: its lease would have ended
 // otherwise.
 func (l *OneWayLoss) MustHaveDelivered(now time.Time, lease time.Duration) bool {
-	return l.Undelivered > 0 && now.Sub(l.LastUndelivered) > lease+leaseDrift(lease)+2*time.Second
+	return l.Undelivered > 0 && now.Sub(l.LastUndelivered) > LeaseBound(lease)+timerSlack
 }
-
-// clockDriftPart is the part of a lease by which two clocks may drift apart during it,
-// rounded up (docs/design.md, "The bound of a cancellation").
-const clockDriftPart = 500
-
-func leaseDrift(lease time.Duration) time.Duration { return lease / clockDriftPart }
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -36,17 +36,23 @@
 	}
 	j.Version = s.Job.Version
 	if s.Job.Record.Phase == pipeline.Cancelled {
-		e.cancellations.resolve(ref)
+		e.cancellationStored(now, j, time.UnixMilli(s.Job.Record.CancelledMS))
 	}
+	e.jobWrites.jobChanged(j)
+}
+
+// cancellationStored takes in that the store holds the cancellation of a job.
+func (e *Engine) cancellationStored(now time.Time, j *pipeline.Job, at time.Time) {
+	e.cancellations.resolve(j.Ref)
 	dependencies := j.Dependencies()
-	if s.Job.Record.Phase == pipeline.Cancelled && j.Cancel(time.UnixMilli(s.Job.Record.CancelledMS)) {
-		e.graph.RemoveDependencies(j, dependencies)
-		e.note("job cancelled", "job", ref)
-		e.cancellations.stopping[j] = true
-		e.stopJob(now, j, "cancelled")
-		e.cancelDependents(now, ref)
+	if !j.Cancel(at) {
+		return
 	}
-	e.jobWrites.jobChanged(j)
+	e.graph.RemoveDependencies(j, dependencies)
+	e.note("job cancelled", "job", j.Ref)
+	e.cancellations.stopping[j] = true
+	e.stopJob(now, j, "cancelled")
+	e.cancelDependents(now, j.Ref)
 }
 
 // JobFinal says that the store holds a job's final entry.
@@ -77,9 +83,10 @@
 	e.note("job over", "job", ref, "phase", f.Phase)
 }
 
-// maxFinals bounds the final states kept at hand.
+// maxFinals bounds the final entries kept at hand.
 const maxFinals = 20_000
 
+// addJob takes in a job that isn't over as far as the store is known.
 func (e *Engine) addJob(now time.Time, s StoredJob) {
 	j, err := pipeline.NewJob(s.Record, s.Version, s.Chunks)
 	if err != nil {
@@ -88,10 +95,7 @@
 	}
 	e.jobs[j.Ref] = j
 	e.useOf(j.Ref)
-	at := sort.Search(len(e.order), func(i int) bool { return before(j, e.order[i]) })
-	e.order = append(e.order, nil)
-	copy(e.order[at+1:], e.order[at:])
-	e.order[at] = j
+	e.insertInOrder(j)
 	j.CompleteIfDone()
 	e.graph.Add(j)
 	switch j.Phase() {
@@ -108,6 +112,7 @@
 	e.jobWrites.jobChanged(j)
 }
 
+// sortedJobs lists a set of jobs by name.
 func sortedJobs(set map[*pipeline.Job]bool) []*pipeline.Job {
 	if len(set) == 0 {
 		return nil
@@ -120,6 +125,12 @@
 	return out
 }
 
+// insertInOrder puts a job in its place among the unfinished jobs.
+func (e *Engine) insertInOrder(j *pipeline.Job) {
+	at := sort.Search(len(e.order), func(i int) bool { return before(j, e.order[i]) })
+	e.order = slices.Insert(e.order, at, j)
+}
+
 // before orders jobs by urgency, and within it by when they became ready.
 func before(a, b *pipeline.Job) bool {
 	if a.Priority != b.Priority {
@@ -131,6 +142,7 @@
 	return a.Ref < b.Ref
 }
 
+// class returns what is known of a class of jobs.
 func (e *Engine) class(name string) *classStats {
 	c := e.classes[name]
 	if c == nil {
@@ -140,6 +152,7 @@
 	return c
 }
 
+// removeJob forgets a job that is over.
 func (e *Engine) removeJob(j *pipeline.Job) {
 	delete(e.jobs, j.Ref)
 	e.graph.Remove(j)
@@ -155,7 +168,8 @@
 	Done, Running int
 }
 
-// Lookup tells of a job what the store is known to hold; false if it isn't known here.
+// Lookup tells of a job what the store is known to hold; false if it isn't known here
+// (docs/design.md, safety argument 9; TestNoAnswerWhileOutcomeUnknown).
 func (e *Engine) Lookup(ref string) (JobView, bool) {
 	if f, ok := e.finals[ref]; ok {
 		return finalView(f), true
@@ -179,6 +193,7 @@
 	return v, true
 }
 
+// finalView is what a final entry says.
 func finalView(f pipeline.Final) JobView {
 	v := JobView{Phase: f.Phase}
 	if f.Phase == pipeline.Done {
