--- /dev/null
+++ b/internal/core/commands.go
@@ -0,0 +1,66 @@
+package core
+
+import (
+	"time"
+
+	"gingertally/internal/core/fleet"
+)
+
+// commands is what the worker is told in answer to the report just heard: first
+// what it may forget, then stops, then starts.
+func (e *Engine) commands(now time.Time, m *fleet.Machine) []fleet.Command {
+	m.OneWayLoss.Expecting = m.Token != e.term
+	if len(m.Tasks) == 0 {
+		return nil
+	}
+	var forgets, stops, starts []fleet.Command
+	for _, a := range sortedAttempts(m) {
+		c := fleet.Command{Ref: a.Ref, Task: a.Task, Attempt: a.Number}
+		switch state := a.State(); {
+		case state == fleet.Exited:
+			if a.Handled {
+				c.Op = fleet.Forget
+				a.CommandSeq = m.Seq
+				forgets = append(forgets, c)
+			}
+		case a.Stopping:
+			if state == fleet.Saving && a.Grace > 0 {
+				continue // it saves; a second stop could end that
+			}
+			c.Op, c.Grace = fleet.Stop, a.Grace
+			a.CommandSeq = m.Seq
+			stops = append(stops, c)
+		case state == fleet.Recorded && !a.Inherited && e.mayStart(m) && !now.Before(a.NotBefore):
+			c.Op = fleet.Start
+			e.startSent(now, m, a)
+			starts = append(starts, c)
+		}
+	}
+	return append(append(forgets, stops...), starts...)
+}
+
+// startSent notes that an attempt's start goes out with the answer to the newest report.
+func (e *Engine) startSent(now time.Time, m *fleet.Machine, a *fleet.Attempt) {
+	a.CommandSeq = m.Seq
+	e.moveAttempt(now, m, a, fleet.Sent)
+	imageGB := e.imageGB(a.Ref)
+	cache, rate := e.catalog.Images(m.Type)
+	a.SentAt, a.FetchGuess = now, m.FetchLeft(now, a.Image, imageGB, rate)
+	m.UseImage(now, a.Image, imageGB, cache, rate)
+	e.images.machineChanged(m.Name)
+	e.debug("start", "job", a.Ref, "task", a.Task, "machine", m.Name, "attempt", a.Number)
+}
+
+// mayStart tells whether a machine may be given starts (docs/design.md, safety arguments 5
+// and 6; TestCopyRevivesNothing).
+func (e *Engine) mayStart(m *fleet.Machine) bool {
+	return m.Confirmed && !m.Draining && !m.Sick && !e.unreachable[m] && m.State() == fleet.Live
+}
+
+// imageGB is the size of a job's image, 0 if the job isn't known.
+func (e *Engine) imageGB(ref string) float64 {
+	if j := e.jobs[ref]; j != nil {
+		return j.ImageGB
+	}
+	return 0
+}
--- /dev/null
+++ b/internal/core/connectivity.go
@@ -0,0 +1,88 @@
+package core
+
+import (
+	"time"
+
+	"gingertally/internal/core/fleet"
+)
+
+// delivery is what a report shows about the answers that its machine was sent.
+type delivery struct {
+	delivered   bool // an answer has shown its effect
+	undelivered bool // an answer should have, and hasn't
+}
+
+// detectOneWayLoss looks in a report for traces of what the machine was last told.
+func (e *Engine) detectOneWayLoss(now time.Time, m *fleet.Machine, r *fleet.Report, leaseEnded bool) {
+	switch d := e.deliveryShown(now, m, r, leaseEnded); {
+	case d.delivered:
+		if m.OneWayLoss.Undelivered > 1 {
+			e.touch(m)
+		}
+		m.OneWayLoss.NoteDelivered()
+		delete(e.unreachable, m)
+	case d.undelivered:
+		m.OneWayLoss.NoteUndelivered(now)
+		m.HoldUntil = now.Add(undeliveredPause)
+		e.touch(m)
+		if m.OneWayLoss.Undelivered > 1 {
+			e.unreachable[m] = true
+			e.timers.schedule(m, now)
+		}
+	}
+}
+
+// deliveryShown compares a report with the commands and the token that the machine was
+// last told. LeaseEnded says that the worker's lease has ended although its reports
+// were answered.
+func (e *Engine) deliveryShown(now time.Time, m *fleet.Machine, r *fleet.Report, leaseEnded bool) delivery {
+	d := delivery{
+		delivered:   r.Session == m.Session && m.OneWayLoss.MustHaveDelivered(now, e.cfg.Lease),
+		undelivered: leaseEnded,
+	}
+	if m.OneWayLoss.Expecting {
+		if r.Token == e.term {
+			d.delivered = true
+		} else {
+			d.undelivered = true
+		}
+	}
+	for i := range r.Tasks {
+		t := &r.Tasks[i]
+		a := m.Tasks[fleet.Key{Ref: t.Ref, Task: t.Task}]
+		if a == nil || a.Number != t.Attempt || a.CommandSeq == 0 || a.CommandSeq >= r.Seq {
+			continue
+		}
+		switch {
+		case a.State() == fleet.Sent:
+			d.delivered = true
+		case t.State == fleet.Exited && a.State() == fleet.Exited, a.Stopping && a.Grace == 0 && t.State < fleet.Saving:
+			d.undelivered = true // a forget, or a stop that asks for no saving
+		}
+	}
+	for _, a := range m.Tasks {
+		if a.State() == fleet.Sent && a.CommandSeq < r.Seq && !listsAttempt(r, a) {
+			d.undelivered = true
+		}
+	}
+	return d
+}
+
+// undeliveredPause is how long a machine gets no starts after an answer that it seems
+// not to have received. After the second in a row it gets none until one is delivered.
+const undeliveredPause = 2 * time.Second
+
+// releaseUnreachable releases a machine to which no answer was delivered for half a
+// lease: its worker's lease isn't renewed by answers that don't arrive, so all on it is
+// as good as lost. When many machines seem unreachable at once, it is this node whose
+// answers are lost, and none is released (docs/design.md, safety argument 6;
+// TestOneWayLossOfAllIsOurs).
+func (e *Engine) releaseUnreachable(now time.Time, m *fleet.Machine) {
+	if !e.unreachable[m] || now.Sub(m.OneWayLoss.FirstUndelivered) < e.cfg.Lease/2 {
+		return
+	}
+	if len(e.unreachable) > max(2, len(e.machines)/4) {
+		return
+	}
+	e.release(now, m, "hears nothing")
+}
--- a/internal/core/pipeline/pipeline.go
+++ b/internal/core/pipeline/job.go
@@ -9,64 +9,6 @@
 	"time"
 )
 
-// Shape is the kind of a job.
-type Shape uint8
-
-// Shapes of jobs.
-const (
-	Array   Shape = iota // independent tasks
-	Gang                 // all tasks at once or none
-	Service              // replicas that run until cancelled
-)
-
-// Priority orders jobs; a smaller one goes first.
-type Priority uint8
-
-// Priorities, the most urgent first.
-const (
-	Production Priority = iota
-	High
-	Normal
-	Low
-)
-
-// Spec is the description of a submitted job; it never changes.
-type Spec struct {
-	Ref        string        `cbor:"ref"`
-	Class      string        `cbor:"cl"`
-	Team       string        `cbor:"tm"`
-	Shape      Shape         `cbor:"sh"`
-	Priority   Priority      `cbor:"pr"`
-	Tasks      int           `cbor:"n"`
-	CPUs       float64       `cbor:"c"`
-	GPUs       float64       `cbor:"g"`
-	MemGB      float64       `cbor:"m"`
-	Image      string        `cbor:"im"`
-	ImageGB    float64       `cbor:"ig"`
-	Types      []string      `cbor:"ty"` // nil: any
-	Zone       string        `cbor:"zo,omitempty"`
-	OneZone    bool          `cbor:"oz,omitempty"`
-	Spread     bool          `cbor:"sp,omitempty"`
-	Spot       bool          `cbor:"so,omitempty"`
-	Estimate   time.Duration `cbor:"es"`
-	Checkpoint time.Duration `cbor:"ck,omitempty"`
-	Save       time.Duration `cbor:"sv,omitempty"`
-	Deadline   time.Duration `cbor:"dl,omitempty"`
-}
-
-// AllowsType tells whether the job may run on a machine type.
-func (s *Spec) AllowsType(t string) bool {
-	if s.Types == nil {
-		return true
-	}
-	for _, x := range s.Types {
-		if x == t {
-			return true
-		}
-	}
-	return false
-}
-
 // Phase is where a job is in its life.
 type Phase uint8
 
@@ -127,35 +69,6 @@
 	firstOpenTask  int             // no task before it is waiting
 }
 
-// dependencies are the jobs that a job depends on.
-type dependencies struct {
-	refs    []string        // while the job is held
-	open    map[string]bool // those of refs that aren't known to be done
-	listSum string          // names the list in the store, if it has pages of its own
-	pages   int             // how many of them
-}
-
-// doneRanges is what of a job's results the store doesn't hold, by chunk.
-type doneRanges struct {
-	dirty       map[int]bool // chunks that are to be written
-	truncatedAt map[int]int  // chunks that were written cut short: from which task on
-}
-
-// stored tells whether the store holds a task's result, as far as is known.
-func (d *doneRanges) stored(task int) bool {
-	chunk := task / ChunkTasks
-	end, truncated := d.truncatedAt[chunk]
-	return !d.dirty[chunk] && (!truncated || task < end)
-}
-
-// truncate notes that a chunk was written up to a task only.
-func (d *doneRanges) truncate(chunk, end int) {
-	if d.truncatedAt == nil {
-		d.truncatedAt = map[int]int{}
-	}
-	d.truncatedAt[chunk] = end
-}
-
 // NewJob builds a job's state from its record; chunks hold the done ranges past
 // the first chunk by number.
 func NewJob(r Record, version uint64, chunks map[int][]int) (*Job, error) {
@@ -186,23 +99,6 @@
 	return j, nil
 }
 
-// loadDependencies takes over what a record says of a job's dependencies.
-func (j *Job) loadDependencies(r *Record) {
-	d := &j.dependencies
-	d.pages, d.listSum = r.DependencyPages, r.DependencyListSum
-	if !r.Held() {
-		return
-	}
-	j.phase, j.storedPhase = Held, Held
-	d.open = map[string]bool{}
-	for _, ref := range r.Dependencies {
-		if !d.open[ref] {
-			d.open[ref] = true
-			d.refs = append(d.refs, ref)
-		}
-	}
-}
-
 // loadRestarts takes over pairs of task and restart count.
 func (j *Job) loadRestarts(pairs []int) {
 	for i := 0; i+1 < len(pairs); i += 2 {
@@ -328,50 +224,6 @@
 // Over tells whether the job's phase is final.
 func (j *Job) Over() bool { return j.phase == Done || j.phase == Cancelled }
 
-// Dependencies lists the jobs that the job waits for and that aren't known to be done.
-func (j *Job) Dependencies() []string {
-	out := make([]string, 0, len(j.dependencies.open))
-	for _, p := range j.dependencies.refs {
-		if j.dependencies.open[p] {
-			out = append(out, p)
-		}
-	}
-	return out
-}
-
-// DependencyPages names the pages of the list of dependencies that it was submitted with;
-// there are none if the list fits its record.
-func (j *Job) DependencyPages() (sum string, pages int) {
-	return j.dependencies.listSum, j.dependencies.pages
-}
-
-// DependencyDone notes that the store holds that a dependency is done, and since when. It
-// tells whether that was the last one, so that the job is ready.
-func (j *Job) DependencyDone(ref string, at time.Time) (ready bool) {
-	if !j.dependencies.open[ref] {
-		return false
-	}
-	delete(j.dependencies.open, ref)
-	if at.After(j.Since) {
-		j.Since = at
-	}
-	if len(j.dependencies.open) > 0 || !j.setPhase(Active) {
-		return false
-	}
-	j.done.dirty[0] = true // so that the next leader needn't ask again
-	return true
-}
-
-// CancelAsDependent cancels a job that waits for one that is cancelled. No task of it has
-// ever been started (docs/design.md, safety argument 15).
-func (j *Job) CancelAsDependent(at time.Time) bool {
-	if j.phase != Held || !j.setPhase(Cancelled) {
-		return false
-	}
-	j.CancelAt = at
-	return true
-}
-
 // CompleteIfDone moves the job to Done once all its tasks are. It tells whether it did.
 func (j *Job) CompleteIfDone() bool {
 	return j.Shape != Service && j.counts[Finished] == len(j.Tasks) && j.setPhase(Done)
@@ -418,34 +270,3 @@
 // Fits tells whether the job's record fits so many bytes at all: one that was
 // written when values could be larger may not.
 func (j *Job) Fits(most int) bool { return j.minRecordBytes <= most }
-
-// Dirty tells whether a chunk's done ranges (or the restart counts) have
-// changed since they were last written.
-func (j *Job) Dirty() bool { return len(j.done.dirty) > 0 }
-
-// DirtyChunks lists the chunks to be written.
-func (j *Job) DirtyChunks() []int {
-	out := make([]int, 0, len(j.done.dirty))
-	for c := range j.done.dirty {
-		out = append(out, c)
-	}
-	return out
-}
-
-// MarkWriting notes that a chunk's present content, or as much of it as the runs say, is
-// about to be written. MarkDirty undoes it if the write fails.
-func (j *Job) MarkWriting(chunk int, runs []int) {
-	delete(j.done.dirty, chunk)
-	delete(j.done.truncatedAt, chunk)
-	if len(runs) == len(j.Chunk(chunk)) {
-		return
-	}
-	end := chunk * ChunkTasks
-	for _, n := range runs {
-		end += n
-	}
-	j.done.truncate(chunk, end)
-}
-
-// MarkDirty has a chunk written (again).
-func (j *Job) MarkDirty(chunk int) { j.done.dirty[chunk] = true }
--- a/internal/core/pipeline/record.go
+++ b/internal/core/pipeline/record.go
@@ -32,10 +32,6 @@
 	EndMS int64 `cbor:"e,omitempty"` // when, if jobs were waiting for it
 }
 
-// ChunkTasks is how many tasks share one value of done ranges. Ranges that would
-// make the value too large are left out, see FitRuns.
-const ChunkTasks = 1024
-
 // maxRestartPairs bounds the restart counts kept in a record. Losing the rest
 // only makes a task be retried more often.
 const maxRestartPairs = 100
@@ -79,50 +75,6 @@
 	return n
 }
 
-// FitRuns leaves out of done ranges what makes them take more than so many
-// bytes. Tasks past the last one count as not done in the store; they are done
-// again if nothing else is left of their results.
-func FitRuns(runs []int, most int) []int {
-	n := 2
-	for i, r := range runs {
-		if n += len(strconv.Itoa(r)) + 1; n > most {
-			return runs[:i&^1]
-		}
-	}
-	return runs
-}
-
-// loadChunk applies run lengths: so many tasks not done, so many done, and on.
-func (j *Job) loadChunk(chunk int, runs []int) {
-	at, done := chunk*ChunkTasks, false
-	for _, n := range runs {
-		for end := min(at+n, len(j.Tasks)); at < end; at++ {
-			if done {
-				j.setTaskState(at, Finished)
-			}
-		}
-		done = !done
-	}
-	delete(j.done.dirty, chunk)
-}
-
-// Chunk returns a chunk's done ranges as run lengths.
-func (j *Job) Chunk(chunk int) []int {
-	var runs []int
-	done, n := false, 0
-	for i := chunk * ChunkTasks; i < min((chunk+1)*ChunkTasks, len(j.Tasks)); i++ {
-		if f := j.Tasks[i].state == Finished; f != done {
-			runs = append(runs, n)
-			done, n = f, 0
-		}
-		n++
-	}
-	if done {
-		runs = append(runs, n)
-	}
-	return runs
-}
-
 // Record returns the job's record as it should now be written, in no more than so
 // many bytes.
 func (j *Job) Record(most int) Record {
@@ -157,8 +109,5 @@
 	return r
 }
 
-// ResultStored tells whether the store holds a task's result, as far as is known.
-func (j *Job) ResultStored(task int) bool { return j.done.stored(task) }
-
 // FinalEntry returns what stays of the job once it is over.
 func (j *Job) FinalEntry() Final { return Final{Phase: j.phase, Tasks: len(j.Tasks)} }
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -131,12 +131,6 @@
 	e.interruptionNotice(now, m, r.Notice)
 }
 
-// delivery is what a report shows about the answers that its machine was sent.
-type delivery struct {
-	delivered   bool // an answer has shown its effect
-	undelivered bool // an answer should have, and hasn't
-}
-
 // endSession takes in that a worker's session has ended: it killed and forgot all that
 // earlier sessions held, also what earlier terms had started. Whatever is there now is in
 // the report's list; of earlier terms' late starts only a confirmed report can speak
@@ -149,66 +143,6 @@
 	}
 }
 
-// detectOneWayLoss looks in a report for traces of what the machine was last told.
-func (e *Engine) detectOneWayLoss(now time.Time, m *fleet.Machine, r *fleet.Report, leaseEnded bool) {
-	switch d := e.deliveryShown(now, m, r, leaseEnded); {
-	case d.delivered:
-		if m.OneWayLoss.Undelivered > 1 {
-			e.touch(m)
-		}
-		m.OneWayLoss.NoteDelivered()
-		delete(e.unreachable, m)
-	case d.undelivered:
-		m.OneWayLoss.NoteUndelivered(now)
-		m.HoldUntil = now.Add(undeliveredPause)
-		e.touch(m)
-		if m.OneWayLoss.Undelivered > 1 {
-			e.unreachable[m] = true
-			e.timers.schedule(m, now)
-		}
-	}
-}
-
-// deliveryShown compares a report with the commands and the token that the machine was
-// last told. LeaseEnded says that the worker's lease has ended although its reports
-// were answered.
-func (e *Engine) deliveryShown(now time.Time, m *fleet.Machine, r *fleet.Report, leaseEnded bool) delivery {
-	d := delivery{
-		delivered:   r.Session == m.Session && m.OneWayLoss.MustHaveDelivered(now, e.cfg.Lease),
-		undelivered: leaseEnded,
-	}
-	if m.OneWayLoss.Expecting {
-		if r.Token == e.term {
-			d.delivered = true
-		} else {
-			d.undelivered = true
-		}
-	}
-	for i := range r.Tasks {
-		t := &r.Tasks[i]
-		a := m.Tasks[fleet.Key{Ref: t.Ref, Task: t.Task}]
-		if a == nil || a.Number != t.Attempt || a.CommandSeq == 0 || a.CommandSeq >= r.Seq {
-			continue
-		}
-		switch {
-		case a.State() == fleet.Sent:
-			d.delivered = true
-		case t.State == fleet.Exited && a.State() == fleet.Exited, a.Stopping && a.Grace == 0 && t.State < fleet.Saving:
-			d.undelivered = true // a forget, or a stop that asks for no saving
-		}
-	}
-	for _, a := range m.Tasks {
-		if a.State() == fleet.Sent && a.CommandSeq < r.Seq && !listsAttempt(r, a) {
-			d.undelivered = true
-		}
-	}
-	return d
-}
-
-// undeliveredPause is how long a machine gets no starts after an answer that it seems
-// not to have received. After the second in a row it gets none until one is delivered.
-const undeliveredPause = 2 * time.Second
-
 // listsAttempt tells whether a report names an attempt.
 func listsAttempt(r *fleet.Report, a *fleet.Attempt) bool {
 	for i := range r.Tasks {
@@ -219,21 +153,6 @@
 	return false
 }
 
-// releaseUnreachable releases a machine to which no answer was delivered for half a
-// lease: its worker's lease isn't renewed by answers that don't arrive, so all on it is
-// as good as lost. When many machines seem unreachable at once, it is this node whose
-// answers are lost, and none is released (docs/design.md, safety argument 6;
-// TestOneWayLossOfAllIsOurs).
-func (e *Engine) releaseUnreachable(now time.Time, m *fleet.Machine) {
-	if !e.unreachable[m] || now.Sub(m.OneWayLoss.FirstUndelivered) < e.cfg.Lease/2 {
-		return
-	}
-	if len(e.unreachable) > max(2, len(e.machines)/4) {
-		return
-	}
-	e.release(now, m, "hears nothing")
-}
-
 // applyUnlisted deals with attempts that a report doesn't list (docs/design.md, safety
 // argument 5; TestDroppedStart, TestOldReportProvesNothing).
 func (e *Engine) applyUnlisted(now time.Time, m *fleet.Machine, r *fleet.Report) {
@@ -326,65 +245,6 @@
 	return a
 }
 
-// commands is what the worker is told in answer to the report just heard: first
-// what it may forget, then stops, then starts.
-func (e *Engine) commands(now time.Time, m *fleet.Machine) []fleet.Command {
-	m.OneWayLoss.Expecting = m.Token != e.term
-	if len(m.Tasks) == 0 {
-		return nil
-	}
-	var forgets, stops, starts []fleet.Command
-	for _, a := range sortedAttempts(m) {
-		c := fleet.Command{Ref: a.Ref, Task: a.Task, Attempt: a.Number}
-		switch state := a.State(); {
-		case state == fleet.Exited:
-			if a.Handled {
-				c.Op = fleet.Forget
-				a.CommandSeq = m.Seq
-				forgets = append(forgets, c)
-			}
-		case a.Stopping:
-			if state == fleet.Saving && a.Grace > 0 {
-				continue // it saves; a second stop could end that
-			}
-			c.Op, c.Grace = fleet.Stop, a.Grace
-			a.CommandSeq = m.Seq
-			stops = append(stops, c)
-		case state == fleet.Recorded && !a.Inherited && e.mayStart(m) && !now.Before(a.NotBefore):
-			c.Op = fleet.Start
-			e.startSent(now, m, a)
-			starts = append(starts, c)
-		}
-	}
-	return append(append(forgets, stops...), starts...)
-}
-
-// startSent notes that an attempt's start goes out with the answer to the newest report.
-func (e *Engine) startSent(now time.Time, m *fleet.Machine, a *fleet.Attempt) {
-	a.CommandSeq = m.Seq
-	e.moveAttempt(now, m, a, fleet.Sent)
-	imageGB := e.imageGB(a.Ref)
-	cache, rate := e.catalog.Images(m.Type)
-	a.SentAt, a.FetchGuess = now, m.FetchLeft(now, a.Image, imageGB, rate)
-	m.UseImage(now, a.Image, imageGB, cache, rate)
-	e.images.machineChanged(m.Name)
-	e.debug("start", "job", a.Ref, "task", a.Task, "machine", m.Name, "attempt", a.Number)
-}
-
-// mayStart tells whether a machine may be given starts (docs/design.md, safety arguments 5
-// and 6; TestCopyRevivesNothing).
-func (e *Engine) mayStart(m *fleet.Machine) bool {
-	return m.Confirmed && !m.Draining && !m.Sick && !e.unreachable[m] && m.State() == fleet.Live
-}
-
-// imageGB is the size of a job's image, 0 if the job isn't known.
-func (e *Engine) imageGB(ref string) float64 {
-	if j := e.jobs[ref]; j != nil {
-		return j.ImageGB
-	}
-	return 0
-}
-
 // interruptionNotice handles the cloud's word that it takes the machine: what can save is
 // stopped in time and goes on elsewhere; the rest may still finish.
 func (e *Engine) interruptionNotice(now time.Time, m *fleet.Machine, left time.Duration) {
