--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -51,20 +51,13 @@
 	}
 	u.attempts[a] = true
 	u.zones[m.Zone]++
-	e.addUse(u.team, a, 1)
+	e.teamUse[u.team] = e.teamUse[u.team].Plus(a)
 	e.touch(m)
 	if st == fleet.Running {
 		u.running++
 	}
 }
 
-// addUse adds what an attempt takes to its team's use, by -1 takes it off.
-func (e *Engine) addUse(team string, a *fleet.Attempt, by float64) {
-	t := e.teamUse[team]
-	t.CPUs, t.GPUs, t.MemGB = t.CPUs+by*a.CPUs, t.GPUs+by*a.GPUs, t.MemGB+by*a.MemGB
-	e.teamUse[team] = t
-}
-
 // moveAttempt is the one place where an attempt that is attached changes state.
 func (e *Engine) moveAttempt(now time.Time, m *fleet.Machine, a *fleet.Attempt, to fleet.TaskState) {
 	was := a.State()
@@ -88,14 +81,14 @@
 // start log.
 func (e *Engine) settleExit(now time.Time, m *fleet.Machine, a *fleet.Attempt, was fleet.TaskState) {
 	if was == fleet.Sent || was == fleet.Fetching {
-		if m.FetchGivenUp(now, a.Image, was == fleet.Fetching) {
+		if m.FetchGivenUp(now, a.Image, was) {
 			e.images.machineChanged(m.Name)
 		}
 	}
 	u := e.useOf(a.Ref)
 	delete(u.attempts, a)
 	u.zones[m.Zone]--
-	e.addUse(u.team, a, -1)
+	e.teamUse[u.team] = e.teamUse[u.team].Minus(a)
 	e.startLog.removeAttempt(a)
 	e.touch(m)
 	e.forgetUse(a.Ref)
--- a/internal/core/cloud_events.go
+++ b/internal/core/cloud_events.go
@@ -37,7 +37,7 @@
 		}
 		m := e.machines[lm.Name]
 		if m == nil {
-			m = fleet.NewMachine(now, lm.Name, lm.Type, lm.Zone, lm.Spot, fleet.Booting)
+			m = fleet.NewMachine(now, lm.Name, fleet.Kind{Type: lm.Type, Zone: lm.Zone, Spot: lm.Spot}, fleet.Booting)
 			m.Confirmed = true // the start log doesn't name it
 			m.FirstSeen = now.Add(-lm.Held)
 			e.addMachine(now, m)
@@ -71,7 +71,7 @@
 		if _, gone := e.gone[name]; gone || e.machines[name] != nil {
 			continue
 		}
-		m := fleet.NewMachine(now, name, r.Rent.Type, r.Rent.Zone, r.Rent.Spot, fleet.Booting)
+		m := fleet.NewMachine(now, name, fleet.Kind(o), fleet.Booting)
 		m.Confirmed, m.Known = true, true
 		e.addMachine(now, m)
 	}
--- a/internal/core/fleet/images.go
+++ b/internal/core/fleet/images.go
@@ -59,18 +59,18 @@
 	return true
 }
 
-// FetchGivenUp notes that a task which waited for an image is gone: a machine
-// gives a fetch up that no task waits for any more. Seen tells that the task was
-// reported as fetching, so that the image wasn't there. It tells whether the
-// image was believed there.
-func (m *Machine) FetchGivenUp(now time.Time, name string, seen bool) bool {
+// FetchGivenUp notes that a task which waited for an image is gone, in the given state: a
+// machine gives a fetch up that no task waits for any more. A task that was reported as
+// fetching shows that the image wasn't there. It tells whether the image was believed
+// there.
+func (m *Machine) FetchGivenUp(now time.Time, name string, was TaskState) bool {
 	for _, a := range m.Tasks {
 		if a.Image == name && (a.state == Sent || a.state == Fetching) {
 			return false
 		}
 	}
 	for _, i := range m.Images {
-		if i.Name == name && (seen || i.Ready.After(now)) {
+		if i.Name == name && (was == Fetching || i.Ready.After(now)) {
 			m.DropImage(name)
 			return true
 		}
--- a/internal/core/fleet/machine.go
+++ b/internal/core/fleet/machine.go
@@ -63,14 +63,25 @@
 // Amount is a sum of what tasks take of machines.
 type Amount struct{ CPUs, GPUs, MemGB float64 }
 
-// add adds what an attempt takes, by -1 takes it off.
-func (a *Amount) add(t *Attempt, by float64) {
-	a.CPUs, a.GPUs, a.MemGB = a.CPUs+by*t.CPUs, a.GPUs+by*t.GPUs, a.MemGB+by*t.MemGB
+// Plus adds what an attempt takes.
+func (a Amount) Plus(t *Attempt) Amount {
+	return Amount{CPUs: a.CPUs + t.CPUs, GPUs: a.GPUs + t.GPUs, MemGB: a.MemGB + t.MemGB}
 }
 
-// NewMachine makes a machine in a first state.
-func NewMachine(now time.Time, name, typ, zone string, spot bool, st MachineState) *Machine {
-	return &Machine{Name: name, Type: typ, Zone: zone, Spot: spot, state: st, FirstSeen: now, IdleSince: now,
+// Minus takes off what an attempt takes.
+func (a Amount) Minus(t *Attempt) Amount {
+	return Amount{CPUs: a.CPUs - t.CPUs, GPUs: a.GPUs - t.GPUs, MemGB: a.MemGB - t.MemGB}
+}
+
+// Kind is what distinguishes machines before they are rented.
+type Kind struct {
+	Type, Zone string
+	Spot       bool
+}
+
+// NewMachine makes a machine in its first state.
+func NewMachine(now time.Time, name string, k Kind, state MachineState) *Machine {
+	return &Machine{Name: name, Type: k.Type, Zone: k.Zone, Spot: k.Spot, state: state, FirstSeen: now, IdleSince: now,
 		Tasks: map[Key]*Attempt{}}
 }
 
@@ -121,7 +132,7 @@
 	m.Tasks[a.Key] = a
 	if st != Exited {
 		m.busy++
-		m.used.add(a, 1)
+		m.used = m.used.Plus(a)
 	}
 }
 
@@ -132,7 +143,7 @@
 	}
 	if to == Exited {
 		m.busy--
-		m.used.add(a, -1)
+		m.used = m.used.Minus(a)
 		if m.busy == 0 {
 			m.used = Amount{} // no rounding is carried on
 		}
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -59,7 +59,7 @@
 // addUnheard takes in a machine that the start log names and that has not been heard of
 // under this term.
 func (e *Engine) addUnheard(now time.Time, p fleet.Placed) *fleet.Machine {
-	m := fleet.NewMachine(now, p.Machine, p.Type, p.Zone, p.Spot, fleet.Unheard)
+	m := fleet.NewMachine(now, p.Machine, fleet.Kind{Type: p.Type, Zone: p.Zone, Spot: p.Spot}, fleet.Unheard)
 	m.LastHeard, m.LeaseBase, m.Known = now, now, true
 	e.addMachine(now, m)
 	e.unheard++
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -75,7 +75,7 @@
 }
 
 func machine(name, typ, zone string, tasks ...string) *fleet.Machine {
-	m := fleet.NewMachine(time.Unix(0, 0), name, typ, zone, false, fleet.Live)
+	m := fleet.NewMachine(time.Unix(0, 0), name, fleet.Kind{Type: typ, Zone: zone}, fleet.Live)
 	for i, ref := range tasks {
 		m.Add(time.Unix(0, 0), &fleet.Attempt{Key: fleet.Key{Ref: ref, Task: i}, Number: uint64(i + 1), CPUs: 4}, fleet.Running)
 	}
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -23,7 +23,7 @@
 	}
 	m := e.machines[rep.Machine]
 	if m == nil {
-		m = fleet.NewMachine(now, rep.Machine, rep.Type, rep.Zone, rep.Spot, fleet.Booting)
+		m = fleet.NewMachine(now, rep.Machine, fleet.Kind{Type: rep.Type, Zone: rep.Zone, Spot: rep.Spot}, fleet.Booting)
 		m.Confirmed = true // the start log doesn't name it, so it never held a task
 		e.addMachine(now, m)
 		e.note("machine reports unexpectedly", "machine", m.Name, "type", m.Type, "zone", m.Zone)
