--- a/internal/core/cancel.go
+++ b/internal/core/cancel.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"gingertally/internal/core/fleet"
 	"gingertally/internal/core/pipeline"
 )
 
@@ -17,7 +18,7 @@
 
 // CancelBound is how long after its confirmation a cancelled task may be on its machine
 // at the most: the worker's lease, the drift of two clocks, and the steps of timers.
-func (c *Config) CancelBound() time.Duration { return c.Lease + c.Lease/500 + time.Second }
+func (c *Config) CancelBound() time.Duration { return fleet.LeaseBound(c.Lease) }
 
 // CancelKept tells whether a cancellation may be confirmed while tasks of the job may be
 // on machines. If not, they have to be proven gone first.
@@ -37,7 +38,7 @@
 
 // pendingCancellation is what is not yet known about a job's cancellation. Meanwhile
 // nothing of the job is started, what runs is stopped (it is useless to its user), and
-// nobody is told of it from memory: the store is asked (TestNoAnswerInDoubt).
+// nobody is told of it from memory: the store is asked (TestNoAnswerWhileOutcomeUnknown).
 type pendingCancellation struct {
 	transactions   int       // under way
 	unknownVersion uint64    // one without an answer may yet change the record if it still has this version; 0: none
@@ -140,7 +141,7 @@
 	e.replan = true
 }
 
-// resolveUnknownOutcome has the record of a job written anew whose cancellation may yet
+// resolveUnknownOutcome has the record of a job written again whose cancellation may yet
 // be carried out: a transaction that was meant for an earlier version of the record fails
 // from then on (docs/design.md, "The bound of a cancellation", 1; TestCancelWithoutAnswer,
 // TestCancelInDoubt).
--- a/internal/core/capacity/capacity_test.go
+++ b/internal/core/capacity/capacity_test.go
@@ -37,11 +37,11 @@
 	if again := p.Choose(now, []Demand{{Job: j, Tasks: 3}}, &placement.Floor{}, types); len(again) != 0 {
 		t.Fatalf("asked again while asking: %v", again)
 	}
-	p.Answered(now, o[0].Offer, 3, 0, true, false)
+	p.Answered(now, o[0].Offer, Answer{Asked: 3})
 	if o := p.Choose(now, []Demand{{Job: j, Tasks: 3}}, &placement.Floor{}, types); len(o) != 1 || o[0].Offer != (Offer{"cpu", "b", true}) {
 		t.Fatalf("after a refusal: %v", o)
 	}
-	if o := p.Choose(now.Add(refusedFirst+time.Second), []Demand{{Job: j, Tasks: 3}}, &placement.Floor{}, types); o[0].Offer.Zone != "a" {
+	if o := p.Choose(now.Add(minBackoff+time.Second), []Demand{{Job: j, Tasks: 3}}, &placement.Floor{}, types); o[0].Offer.Zone != "a" {
 		t.Fatalf("after the pause: %v", o)
 	}
 }
@@ -69,7 +69,7 @@
 
 // Room on a machine where the job failed is none: the plan once waited for it.
 func TestRoomOnBadMachineIsNone(t *testing.T) {
-	m := fleet.NewMachine(now, "m-1", "cpu", "a", false, fleet.Live)
+	m := fleet.NewMachine(now, "m-1", fleet.Kind{Type: "cpu", Zone: "a"}, fleet.Live)
 	floor := &placement.Floor{}
 	floor.Set(m, types["cpu"], false)
 	j := job(t, pipeline.Spec{Tasks: 1, CPUs: 8})
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -1,6 +1,7 @@
-// Package core is the deterministic heart of the service: a leader's view of
-// jobs and machines, moved on by Step. It does no input or output, starts no
-// goroutines, reads no clock, and gets its randomness from outside.
+// Package core is the deterministic part of a leader: its view of jobs and machines, and
+// the decisions that follow from it. Step applies an event and returns the effects to be
+// carried out. The package does no input or output, starts no goroutines, reads no clock,
+// and gets its randomness from outside.
 package core
 
 import (
@@ -65,53 +66,54 @@
 
 // Engine is a leader's state for one term. It isn't safe for concurrent use.
 type Engine struct {
-	cfg           Config
-	term          uint64
-	rng           *rand.Rand
-	started       time.Time // when the term was claimed, by this node's clock
-	lastTick      time.Time
-	laggedAt      time.Time // when a tick last came too late
-	jobs          map[string]*pipeline.Job
-	graph         *pipeline.Graph // which of them wait for which
-	order         []*pipeline.Job // unfinished jobs in ready order
-	machines      map[string]*fleet.Machine
-	timers        timerQueue              // when machines are to be looked at
-	unheard       int                     // machines on record that have not been heard of yet
-	gone          map[string]time.Time    // names of machines proven gone
-	use           map[string]*jobUse      // what may be on machines, by job
-	teamUse       map[string]fleet.Amount // the same by team
-	catalog       placement.Catalog
-	counter       uint64
-	floor         placement.Floor
-	cancellations cancellations
-	unreachable   map[*fleet.Machine]bool // machines that seem to hear nothing
-	changed       map[*fleet.Machine]bool // since the floor last saw them
-	round         placement.Round
-	demand        []capacity.Demand // what the present round found no room for
-	plan          capacity.Plan
-	replan        bool // something changed that placement may use
-	placedAt      time.Time
-	plannedAt     time.Time
-	prunedAt      time.Time
-	lastList      time.Time
-	movedAt       time.Time // when machines to be emptied were last looked for
-	emptying      map[*fleet.Machine]bool
-	finals        map[string]pipeline.Final // told for good
-	startLog      startLog
-	jobWrites     jobWrites
-	jobEndsFirst  bool // whose turn it is in the next batch
-	images        imageLog
-	classes       map[string]*classStats
-	out           Effects
-}
-
-// jobUse is what of a job may be on machines.
-type jobUse struct {
-	team     string
-	attempts map[*fleet.Attempt]bool
-	results  map[*fleet.Attempt]bool // that the store isn't known to hold
-	running  int
-	zones    map[string]int
+	cfg     Config
+	term    uint64
+	rng     *rand.Rand
+	started time.Time // when the term was claimed, by this node's clock
+	counter uint64    // of attempts, pages and rentals, which are numbered together
+	out     Effects   // of the present step
+
+	// Jobs.
+	jobs          map[string]*pipeline.Job  // that aren't over
+	order         []*pipeline.Job           // the same in ready order
+	finals        map[string]pipeline.Final // of jobs that are over, some of them
+	graph         *pipeline.Graph           // of their dependencies
+	classes       map[string]*classStats    // what is known of classes of jobs
+	cancellations cancellations             // under way
+
+	// Machines.
+	machines    map[string]*fleet.Machine
+	gone        map[string]time.Time    // names of machines proven gone, and since when
+	timers      timerQueue              // when machines are to be checked
+	unheard     int                     // machines on record that have not been heard of yet
+	unreachable map[*fleet.Machine]bool // machines that seem to receive no answers
+	lastList    time.Time               // of the cloud
+	prunedAt    time.Time               // when gone was last pruned
+
+	// What may be on machines.
+	use     map[string]*jobUse      // by job
+	teamUse map[string]fleet.Amount // by team
+
+	// Rounds of decisions.
+	catalog   placement.Catalog
+	floor     placement.Floor
+	changed   map[*fleet.Machine]bool // since the floor last saw them
+	round     placement.Round
+	replan    bool              // something changed that placement may use
+	demand    []capacity.Demand // what the present round found no room for
+	plan      capacity.Plan
+	lastTick  time.Time
+	laggedAt  time.Time // when a tick last came too late
+	placedAt  time.Time
+	plannedAt time.Time
+	movedAt   time.Time // when machines to be emptied were last looked for
+	emptying  map[*fleet.Machine]bool
+
+	// What the store doesn't hold yet.
+	startLog     startLog
+	jobWrites    jobWrites
+	images       imageLog
+	jobEndsFirst bool // whose turn it is in the next batch
 }
 
 // Reply answers a report.
@@ -187,13 +189,28 @@
 	Version uint64
 }
 
-// New makes the engine of a term claimed at `now`. All earlier rights have
-// ended by then, so no earlier leader has answered a worker after it.
+// New makes the engine of a term claimed at `now`. All earlier leaders' leases have ended
+// by then, so none of them has answered a worker after it (docs/design.md, safety arguments
+// 1 and 4).
 func New(now time.Time, cfg Config, term uint64, snap Snapshot, rng *rand.Rand) *Engine {
-	e := &Engine{cfg: cfg, term: term, rng: rng, started: now, jobs: map[string]*pipeline.Job{},
-		machines: map[string]*fleet.Machine{}, gone: map[string]time.Time{}, use: map[string]*jobUse{},
-		teamUse: map[string]fleet.Amount{}, changed: map[*fleet.Machine]bool{}, unreachable: map[*fleet.Machine]bool{}, emptying: map[*fleet.Machine]bool{}, cancellations: newCancellations(),
-		finals: map[string]pipeline.Final{}, classes: map[string]*classStats{}, replan: true}
+	e := &Engine{
+		cfg:           cfg,
+		term:          term,
+		rng:           rng,
+		started:       now,
+		jobs:          map[string]*pipeline.Job{},
+		finals:        map[string]pipeline.Final{},
+		classes:       map[string]*classStats{},
+		cancellations: newCancellations(),
+		machines:      map[string]*fleet.Machine{},
+		gone:          map[string]time.Time{},
+		unreachable:   map[*fleet.Machine]bool{},
+		use:           map[string]*jobUse{},
+		teamUse:       map[string]fleet.Amount{},
+		changed:       map[*fleet.Machine]bool{},
+		emptying:      map[*fleet.Machine]bool{},
+		replan:        true,
+	}
 	e.graph = pipeline.NewGraph(e.expectedDuration)
 	e.startLog = newStartLog(&e.cfg, e.newPageName)
 	e.jobWrites = newJobWrites()
@@ -204,7 +221,8 @@
 	}
 	e.recoverStartLog(now, snap.Pages)
 	for _, j := range sortedJobs(e.cancellations.stopping) {
-		e.stopJob(now, j, "cancelled before this term") // the first answer already says so
+		// The first answer already says so (TestFirstAnswerStopsCancelled).
+		e.stopJob(now, j, "cancelled before this term")
 	}
 	return e
 }
@@ -219,10 +237,12 @@
 // Term returns the engine's term, which is also its token.
 func (e *Engine) Term() uint64 { return e.term }
 
+// note adds a line for the log.
 func (e *Engine) note(text string, args ...any) {
 	e.out.Notes = append(e.out.Notes, Note{Text: text, Args: args})
 }
 
+// debug adds a line for the log at debug level, if such are wanted.
 func (e *Engine) debug(text string, args ...any) {
 	if !e.cfg.Debug {
 		return
@@ -230,15 +250,6 @@
 	e.out.Notes = append(e.out.Notes, Note{Debug: true, Text: text, Args: args})
 }
 
-// attemptBits is the room for the attempts of one term in an attempt's number.
-const attemptBits = 24
-
-// nextAttempt makes a number that no other term or restart can have made.
-func (e *Engine) nextAttempt() uint64 {
-	e.counter++
-	return e.term<<attemptBits | e.counter
-}
-
 // newPageName makes a name for a page of the start log or image log that no other term
 // can have made.
 func (e *Engine) newPageName() string {
@@ -254,96 +265,12 @@
 	return nil, false
 }
 
-func (e *Engine) useOf(ref string) *jobUse {
-	u := e.use[ref]
-	if u == nil {
-		u = &jobUse{attempts: map[*fleet.Attempt]bool{}, results: map[*fleet.Attempt]bool{}, zones: map[string]int{}}
-		e.use[ref] = u
-	}
-	return u
-}
-
-// attach notes an attempt that is, or may be, on a machine; detach that it is
-// proven gone; moveAttempt what a machine reports. Together they keep the
-// counts that quotas, zones and gangs are checked against.
-func (e *Engine) attach(now time.Time, m *fleet.Machine, a *fleet.Attempt, st fleet.TaskState) {
-	u := e.useOf(a.Ref)
-	if j := e.jobs[a.Ref]; j != nil {
-		u.team = j.Team
-		a.Lasting = j.Shape == pipeline.Service
-	}
-	m.Add(now, a, st)
-	u.attempts[a] = true
-	u.zones[m.Zone]++
-	e.addUse(u.team, a, 1)
-	e.touch(m)
-	if st == fleet.Running {
-		u.running++
-	}
-}
-
-func (e *Engine) addUse(team string, a *fleet.Attempt, by float64) {
-	t := e.teamUse[team]
-	t.CPUs, t.GPUs, t.MemGB = t.CPUs+by*a.CPUs, t.GPUs+by*a.GPUs, t.MemGB+by*a.MemGB
-	e.teamUse[team] = t
-}
-
 // touch notes that what a machine may take has changed.
 func (e *Engine) touch(m *fleet.Machine) {
 	e.changed[m] = true
 	e.replan = true
 }
 
-func (e *Engine) moveAttempt(now time.Time, m *fleet.Machine, a *fleet.Attempt, to fleet.TaskState) {
-	was := a.State()
-	if !m.MoveAttempt(now, a, to) {
-		return
-	}
-	u := e.useOf(a.Ref)
-	if was == fleet.Running {
-		u.running--
-	}
-	if to == fleet.Running {
-		u.running++
-		e.debug("running", "job", a.Ref, "task", a.Task, "machine", m.Name, "after", now.Sub(a.SentAt), "fetch_expected", a.FetchGuess)
-	}
-	if to != fleet.Exited {
-		return
-	}
-	if was == fleet.Sent || was == fleet.Fetching {
-		if m.FetchGivenUp(now, a.Image, was == fleet.Fetching) {
-			e.images.machineChanged(m.Name)
-		}
-	}
-	delete(u.attempts, a)
-	u.zones[m.Zone]--
-	e.addUse(u.team, a, -1)
-	e.startLog.removeAttempt(a)
-	e.touch(m)
-	e.forgetUse(a.Ref)
-}
-
-// forgetUse forgets the use of a job that is over and nowhere any more.
-func (e *Engine) forgetUse(ref string) {
-	if u := e.use[ref]; u != nil && len(u.attempts)+len(u.results) == 0 && e.jobs[ref] == nil {
-		delete(e.use, ref)
-	}
-}
-
-func (e *Engine) detach(now time.Time, m *fleet.Machine, a *fleet.Attempt) {
-	e.moveAttempt(now, m, a, fleet.Exited)
-	e.drop(now, m, a)
-}
-
-// drop forgets an attempt that has exited.
-func (e *Engine) drop(now time.Time, m *fleet.Machine, a *fleet.Attempt) {
-	m.Drop(now, a.Key)
-	if u := e.use[a.Ref]; u != nil {
-		delete(u.results, a)
-		e.forgetUse(a.Ref)
-	}
-}
-
 // Tick lets time pass: silence, leases, cancellations, rounds of decisions.
 type Tick struct {
 	// Spent tells whether a round's time budget is used up; nil: never.
@@ -360,8 +287,8 @@
 	e.decide(now, t.Spent)
 }
 
-// Resumed says that the right to act had lapsed and is proven again: silence
-// meanwhile says nothing about the machines.
+// Resumed says that the leader's lease had lapsed and holds again: silence meanwhile says
+// nothing about the machines.
 type Resumed struct{}
 
 func (Resumed) apply(e *Engine, now time.Time) {
@@ -385,12 +312,13 @@
 	}
 }
 
+// sameTypes tells whether two catalogs are equal.
 func sameTypes(a, b placement.Catalog) bool {
 	if len(a) != len(b) {
 		return false
 	}
 	for name, t := range a {
-		if o := b[name]; o == nil || !reflect.DeepEqual(t, o) {
+		if other := b[name]; other == nil || !reflect.DeepEqual(t, other) {
 			return false
 		}
 	}
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -23,7 +23,7 @@
 	}
 	m := e.machines[rep.Machine]
 	if m == nil {
-		m = fleet.NewMachine(now, rep.Machine, rep.Type, rep.Zone, rep.Spot, fleet.Booting)
+		m = fleet.NewMachine(now, rep.Machine, fleet.Kind{Type: rep.Type, Zone: rep.Zone, Spot: rep.Spot}, fleet.Booting)
 		m.Confirmed = true // the start log doesn't name it, so it never held a task
 		e.addMachine(now, m)
 		e.note("machine reports unexpectedly", "machine", m.Name, "type", m.Type, "zone", m.Zone)
@@ -36,12 +36,18 @@
 	e.applyReport(now, m, &rep)
 	// Room has become free, or a new leader is about to place: a start decided now
 	// would otherwise wait for the worker's next report.
-	soon := m.Busy() < busy || e.emptyUnderNewLeader(now, m)
-	e.out.Reply = &Reply{OK: true, Token: e.term, Hold: soon && e.mayStart(m)}
-	if m.AnswerHeld = e.out.Reply.Hold; !m.AnswerHeld {
+	startExpected := m.Busy() < busy || e.emptyUnderNewLeader(now, m)
+	e.reply(now, m, startExpected && e.mayStart(m))
+	m.LeaseBase = now
+}
+
+// reply answers the newest report of a machine with 200, at once or after a hold.
+func (e *Engine) reply(now time.Time, m *fleet.Machine, hold bool) {
+	m.AnswerHeld = hold
+	e.out.Reply = &Reply{OK: true, Token: e.term, Hold: hold}
+	if !hold {
 		e.out.Reply.Commands = e.commands(now, m)
 	}
-	m.LeaseBase = now
 }
 
 // staleReport handles a report that isn't newer than all known ones. Mostly it is a
@@ -55,8 +61,9 @@
 	}
 }
 
-// emptyUnderNewLeader tells whether a machine stands empty under a leader that is new itself, so
-// that much is to be placed at once, and that doesn't fall behind.
+// emptyUnderNewLeader tells whether a machine is empty in the first report period of a
+// leader, which then has much to place at once, and which doesn't lag (docs/design.md,
+// "Safety arguments", last paragraph; TestNewLeaderHoldsAnswers).
 func (e *Engine) emptyUnderNewLeader(now time.Time, m *fleet.Machine) bool {
 	return len(m.Tasks) == 0 && now.Sub(e.started) < e.cfg.ReportEvery && now.Sub(e.lastTick) < maxTickLag
 }
@@ -91,23 +98,21 @@
 	if m == nil || m.Session != c.Report.Session || m.Seq != c.Report.Seq {
 		return // a newer report has come; only its answer may start anything
 	}
-	e.out.Reply = &Reply{OK: true, Token: e.term, Hold: e.keepHolding(now, m)}
-	if m.AnswerHeld = e.out.Reply.Hold; !m.AnswerHeld {
-		e.out.Reply.Commands = e.commands(now, m)
-	}
+	e.reply(now, m, e.keepHolding(now, m))
 }
 
 // applyReport takes in a report that is newer than all before it.
 func (e *Engine) applyReport(now time.Time, m *fleet.Machine, r *fleet.Report) {
 	newSession := r.Session > m.Session || r.Epoch().Restarted(m.Epoch())
 	was, quiet := m.State(), now.Sub(m.LastHeard)
+	leaseEnded := newSession && was == fleet.Live && quiet < e.cfg.Lease/2
 	if was == fleet.Booting || was == fleet.Silent {
 		m.IdleSince = now // it couldn't be used before
 	}
 	if was != fleet.Releasing && e.moveMachine(now, m, fleet.Live) {
 		e.note("machine live", "machine", m.Name, "type", m.Type, "zone", m.Zone, "spot", m.Spot, "was", was.String(), "after", now.Sub(m.FirstSeen))
 	}
-	e.detectOneWayLoss(now, m, r, newSession && was == fleet.Live && quiet < e.cfg.Lease/2)
+	e.detectOneWayLoss(now, m, r, leaseEnded)
 	m.Addr, m.LastHeard = r.Addr, now
 	m.Session, m.Seq, m.Token = r.Session, r.Seq, r.Token
 	if r.Token == e.term && (!m.Confirmed || !m.Known) {
@@ -115,14 +120,7 @@
 		e.touch(m)
 	}
 	if newSession {
-		// The worker killed and forgot all that earlier sessions held, also what
-		// earlier terms had started. Whatever is there now is in the list below;
-		// of earlier terms' late starts only a confirmed report can speak.
-		for _, a := range sortedAttempts(m) {
-			if !listsAttempt(r, a) && (!a.Inherited || m.Confirmed) {
-				e.attemptLost(now, m, a, "session over")
-			}
-		}
+		e.endSession(now, m, r)
 	}
 	for i := range r.Tasks {
 		e.applyTaskReport(now, m, r.Token, r.Tasks[i])
@@ -133,89 +131,19 @@
 	e.interruptionNotice(now, m, r.Notice)
 }
 
-// delivery is what a report shows about the answers that its machine was sent.
-type delivery struct {
-	delivered   bool // an answer has shown its effect
-	undelivered bool // an answer should have, and hasn't
-}
-
-// detectOneWayLoss looks in a report for traces of what the machine was last told.
-func (e *Engine) detectOneWayLoss(now time.Time, m *fleet.Machine, r *fleet.Report, leaseEnded bool) {
-	switch d := e.deliveryShown(now, m, r, leaseEnded); {
-	case d.delivered:
-		if m.OneWayLoss.Undelivered > 1 {
-			e.touch(m)
-		}
-		m.OneWayLoss.NoteDelivered()
-		delete(e.unreachable, m)
-	case d.undelivered:
-		if e.answersLate(now) || now.Sub(m.OneWayLoss.LastUndelivered) < e.cfg.ReportEvery/2 {
-			return
-		}
-		m.OneWayLoss.NoteUndelivered(now)
-		m.HoldUntil = now.Add(undeliveredPause)
-		e.touch(m)
-		if m.OneWayLoss.Undelivered > 1 {
-			e.unreachable[m] = true
-			e.timers.schedule(m, now)
-		}
-	}
-}
-
-// answerTimeout is after how long a worker drops an answer (PROTOCOL). A node whose ticks
-// come lateTick late may be answering so late.
-const (
-	answerTimeout = 4 * time.Second
-	lateTick      = 500 * time.Millisecond
-)
-
-// answersLate tells whether this node has been slow of late: answers that workers drop for
-// being late, or that meet reports held back and delivered together, are no sign that a
-// machine hears nothing (TestSlowLeaderReleasesNone, TestReportsDeliveredTogether).
-func (e *Engine) answersLate(now time.Time) bool {
-	return now.Sub(e.lastTick) > lateTick || now.Sub(e.laggedAt) < answerTimeout+e.cfg.ReportEvery
-}
-
-// deliveryShown compares a report with the commands and the token that the machine was
-// last told. LeaseEnded says that the worker's lease has ended although its reports
-// were answered.
-func (e *Engine) deliveryShown(now time.Time, m *fleet.Machine, r *fleet.Report, leaseEnded bool) delivery {
-	d := delivery{
-		delivered:   r.Session == m.Session && m.OneWayLoss.MustHaveDelivered(now, e.cfg.Lease),
-		undelivered: leaseEnded,
-	}
-	if m.OneWayLoss.Expecting {
-		if r.Token == e.term {
-			d.delivered = true
-		} else {
-			d.undelivered = true
-		}
-	}
-	for i := range r.Tasks {
-		t := &r.Tasks[i]
-		a := m.Tasks[fleet.Key{Ref: t.Ref, Task: t.Task}]
-		if a == nil || a.Number != t.Attempt || a.CommandSeq == 0 || a.CommandSeq >= r.Seq {
-			continue
-		}
-		switch {
-		case a.State() == fleet.Sent:
-			d.delivered = true
-		case t.State == fleet.Exited && a.State() == fleet.Exited, a.Stopping && a.Grace == 0 && t.State < fleet.Saving:
-			d.undelivered = true // a forget, or a stop that asks for no saving
-		}
-	}
-	for _, a := range m.Tasks {
-		if a.State() == fleet.Sent && a.CommandSeq < r.Seq && !listsAttempt(r, a) {
-			d.undelivered = true
+// endSession takes in that a worker's session has ended: it killed and forgot all that
+// earlier sessions held, also what earlier terms had started. Whatever is there now is in
+// the report's list; of earlier terms' late starts only a confirmed report can speak
+// (docs/design.md, safety argument 5; TestInheritedAttemptNeedsConfirmedReport).
+func (e *Engine) endSession(now time.Time, m *fleet.Machine, r *fleet.Report) {
+	for _, a := range sortedAttempts(m) {
+		if !listsAttempt(r, a) && (!a.Inherited || m.Confirmed) {
+			e.attemptLost(now, m, a, "session over")
 		}
 	}
-	return d
 }
 
-// undeliveredPause is how long a machine gets no starts after an answer that it seems
-// not to have received. After the second in a row it gets none until one is delivered.
-const undeliveredPause = 2 * time.Second
-
+// listsAttempt tells whether a report names an attempt.
 func listsAttempt(r *fleet.Report, a *fleet.Attempt) bool {
 	for i := range r.Tasks {
 		if t := &r.Tasks[i]; t.Attempt == a.Number && t.Task == a.Task && t.Ref == a.Ref {
@@ -225,22 +153,8 @@
 	return false
 }
 
-// releaseUnreachable releases a machine to which no answer was delivered for half a
-// lease: its worker's lease isn't renewed by answers that don't arrive, so all on it is
-// as good as lost. When many machines seem unreachable at once, it is this node whose
-// answers are lost, and none is released (docs/design.md, safety argument 6;
-// TestOneWayLossOfAllIsOurs).
-func (e *Engine) releaseUnreachable(now time.Time, m *fleet.Machine) {
-	if !e.unreachable[m] || now.Sub(m.OneWayLoss.FirstUndelivered) < e.cfg.Lease/2 {
-		return
-	}
-	if len(e.unreachable) > max(2, len(e.machines)/4) {
-		return
-	}
-	e.release(now, m, "hears nothing")
-}
-
-// applyUnlisted deals with attempts that a report doesn't list.
+// applyUnlisted deals with attempts that a report doesn't list (docs/design.md, safety
+// argument 5; TestDroppedStart, TestOldReportProvesNothing).
 func (e *Engine) applyUnlisted(now time.Time, m *fleet.Machine, r *fleet.Report) {
 	for _, a := range sortedAttempts(m) {
 		if listsAttempt(r, a) {
@@ -249,7 +163,7 @@
 		switch {
 		case a.State() == fleet.Exited:
 			e.drop(now, m, a)
-			e.exitNoLongerReported(now, a)
+			e.exitNoLongerReported(a)
 		case a.Inherited:
 			if m.Confirmed {
 				e.attemptLost(now, m, a, "not reported under this term")
@@ -266,7 +180,7 @@
 
 // exitNoLongerReported handles an exit that left the reports before it was dealt with
 // (the worker's lease ended): a result was noted already, all else is handled.
-func (e *Engine) exitNoLongerReported(_ time.Time, a *fleet.Attempt) {
+func (e *Engine) exitNoLongerReported(a *fleet.Attempt) {
 	if !a.Handled && a.Cause != fleet.CauseDone {
 		e.requeue(a)
 	}
@@ -331,57 +245,6 @@
 	return a
 }
 
-// commands is what the worker is told in answer to the report just heard: first
-// what it may forget, then stops, then starts.
-func (e *Engine) commands(now time.Time, m *fleet.Machine) []fleet.Command {
-	m.OneWayLoss.Expecting = m.Token != e.term
-	if len(m.Tasks) == 0 {
-		return nil
-	}
-	var clears, stops, starts []fleet.Command
-	for _, a := range sortedAttempts(m) {
-		c := fleet.Command{Ref: a.Ref, Task: a.Task, Attempt: a.Number}
-		switch st := a.State(); {
-		case st == fleet.Exited:
-			if a.Handled {
-				c.Op = fleet.Forget
-				a.CommandSeq = m.Seq
-				clears = append(clears, c)
-			}
-		case a.Stopping:
-			if st == fleet.Saving && a.Grace > 0 {
-				continue // it saves; a second stop could end that
-			}
-			c.Op, c.Grace = fleet.Stop, a.Grace
-			a.CommandSeq = m.Seq
-			stops = append(stops, c)
-		case st == fleet.Recorded && !a.Inherited && e.mayStart(m) && !now.Before(a.NotBefore):
-			c.Op = fleet.Start
-			a.CommandSeq = m.Seq
-			e.moveAttempt(now, m, a, fleet.Sent)
-			cache, rate := e.catalog.Images(m.Type)
-			a.SentAt, a.FetchGuess = now, m.FetchLeft(now, a.Image, e.imageGB(a.Ref), rate)
-			m.UseImage(now, a.Image, e.imageGB(a.Ref), cache, rate)
-			e.images.machineChanged(m.Name)
-			starts = append(starts, c)
-			e.debug("start", "job", a.Ref, "task", a.Task, "machine", m.Name, "attempt", a.Number)
-		}
-	}
-	return append(append(clears, stops...), starts...)
-}
-
-// mayStart tells whether a machine may be given starts.
-func (e *Engine) mayStart(m *fleet.Machine) bool {
-	return m.Confirmed && !m.Draining && !m.Sick && !e.unreachable[m] && m.State() == fleet.Live
-}
-
-func (e *Engine) imageGB(ref string) float64 {
-	if j := e.jobs[ref]; j != nil {
-		return j.ImageGB
-	}
-	return 0
-}
-
 // interruptionNotice handles the cloud's word that it takes the machine: what can save is
 // stopped in time and goes on elsewhere; the rest may still finish.
 func (e *Engine) interruptionNotice(now time.Time, m *fleet.Machine, left time.Duration) {
@@ -422,6 +285,7 @@
 	}
 }
 
+// sortedAttempts lists a machine's attempts by job and task.
 func sortedAttempts(m *fleet.Machine) []*fleet.Attempt {
 	out := make([]*fleet.Attempt, 0, len(m.Tasks))
 	for _, a := range m.Tasks {
