--- /dev/null
+++ b/internal/daemon/controller_test.go
@@ -0,0 +1,262 @@
+package daemon
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net"
+	"testing"
+	"time"
+
+	"github.com/valyala/fasthttp"
+	"golang.org/x/sync/errgroup"
+
+	"gingertally/internal/client"
+	"gingertally/internal/config"
+	"gingertally/internal/operator"
+	"gingertally/internal/peer"
+	"gingertally/internal/wire"
+)
+
+// controller is one running controller.
+type controller struct {
+	*Daemon
+	addr string // for users and workers
+}
+
+// startControllers starts controllers that share the outside services.
+func startControllers(t *testing.T, store *fakeStore, names ...string) []controller {
+	t.Helper()
+	state, cloud := serveOn(t, store.handle), serveOn(t, handleCloud)
+	clients, peers := map[string]net.Listener{}, map[string]net.Listener{}
+	for _, name := range names {
+		clients[name], peers[name] = listen(t), listen(t)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	running, ctx := errgroup.WithContext(ctx)
+	t.Cleanup(func() {
+		cancel()
+		if err := running.Wait(); !errors.Is(err, context.Canceled) {
+			t.Errorf("a controller ended: %v", err)
+		}
+	})
+	var controllers []controller
+	for _, name := range names {
+		var others []config.Peer
+		for _, other := range names {
+			if other != name {
+				others = append(others, config.Peer{Member: other, Zone: "a", Addr: peers[other].Addr().String()})
+			}
+		}
+		d, err := New(testSettings(name, others, config.Endpoints{Cloud: cloud, State: state}), operator.Default())
+		if err != nil {
+			t.Fatal(err)
+		}
+		running.Go(func() error { return d.serveHTTP(ctx, clients[name]) })
+		running.Go(func() error { return peer.Serve(ctx, peers[name], d.servePeer) })
+		running.Go(func() error { return d.elector.Run(ctx) })
+		running.Go(func() error { return d.keepCatalog(ctx) })
+		running.Go(func() error { return d.keepContact(ctx) })
+		controllers = append(controllers, controller{d, clients[name].Addr().String()})
+	}
+	return controllers
+}
+
+func listen(t *testing.T) net.Listener {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return listener
+}
+
+func testSettings(name string, peers []config.Peer, endpoints config.Endpoints) *config.Settings {
+	return &config.Settings{
+		Member: name, Zone: "a", Peers: peers, Endpoints: endpoints,
+		Params: config.Params{
+			Zones: []string{"a"}, Teams: []config.Team{{Name: "t"}},
+			Workers:   config.Workers{Report: 0.2, Lease: 10, GangWait: 10, GangPeer: 2, Cancel: 30},
+			State:     config.State{RPS: 500, WriteRPS: 200, ValueKB: 4, TxnOps: 12},
+			Cloud:     config.Cloud{RPS: 20, ListLag: 0.5},
+			Resources: config.Resources{CPUShare: 1, MemoryMB: 200, MaxSockets: 800},
+		},
+	}
+}
+
+// eventually waits until something holds.
+func eventually(t *testing.T, what string, holds func() bool) {
+	t.Helper()
+	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+		if holds() {
+			return
+		}
+	}
+	t.Fatalf("never: %s", what)
+}
+
+// leaderFirst waits for a leader that all know, and puts it first.
+func leaderFirst(t *testing.T, controllers []controller) []controller {
+	t.Helper()
+	eventually(t, "a leader that all know", func() bool {
+		for i, c := range controllers {
+			if c.session.Load() != nil && c.elector.HoldsLease(time.Now()) {
+				controllers[0], controllers[i] = controllers[i], controllers[0]
+			}
+		}
+		leader := controllers[0].settings.Member
+		for _, c := range controllers {
+			if c.elector.Leader() != leader || c.healthStatus() != 200 {
+				return false
+			}
+		}
+		return controllers[0].session.Load() != nil
+	})
+	return controllers
+}
+
+func jobText(ref string) []byte {
+	return fmt.Appendf(nil, `{"ref":%q,"lot_kind":"c","owner":"t","shape":"sweep","urgency":"normal","lots":1,"vcpus":4,"cards":0,"mem_gb":8,
+		"kit":"i","pull_gb":0.1,"one_zone":false,"apart":false,"loaners":false,"guess_s":10,"mark_s":0,"stash_s":0}`, ref)
+}
+
+// worker reports for the one machine, and does at once what it is told.
+type worker struct {
+	addr  string
+	seq   uint64
+	token uint64
+	lots  map[string]map[string]any // by name
+	stops int
+}
+
+func (w *worker) report(t *testing.T) int {
+	t.Helper()
+	w.seq++
+	lots := []any{}
+	for _, lot := range w.lots {
+		lots = append(lots, lot)
+	}
+	body := wire.MustMarshal(map[string]any{"stall": machine, "endpoint": "127.0.0.1:1", "build": "c8", "yard": "a", "loaners": false,
+		"shift": 1, "tick": w.seq, "gavel": w.token, "lots": lots})
+	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(request)
+	defer fasthttp.ReleaseResponse(response)
+	request.SetRequestURI("http://" + w.addr + beatPath)
+	request.Header.SetMethod(fasthttp.MethodPost)
+	request.SetBody(body)
+	if err := fasthttp.DoTimeout(request, response, 4*time.Second); err != nil {
+		t.Fatal(err)
+	}
+	if response.StatusCode() != fasthttp.StatusOK {
+		return response.StatusCode()
+	}
+	var orders wire.Orders
+	if err := wire.Unmarshal(response.Body(), &orders); err != nil {
+		t.Fatal(err)
+	}
+	w.token = orders.Gavel
+	for _, order := range orders.Orders {
+		w.obey(order)
+	}
+	return fasthttp.StatusOK
+}
+
+func (w *worker) obey(order wire.Order) {
+	switch order.Verb {
+	case "start":
+		w.lots[order.Lot] = map[string]any{"lot": order.Lot, "try": order.Try, "status": "running"}
+	case "halt":
+		w.stops++
+		w.lots[order.Lot] = map[string]any{"lot": order.Lot, "try": order.Try, "status": "ended", "cause": "stopped", "kept": false}
+	case "clear":
+		delete(w.lots, order.Lot)
+	}
+}
+
+func (w *worker) finish(lot string) {
+	w.lots[lot]["status"], w.lots[lot]["cause"], w.lots[lot]["kept"] = "ended", "done", true
+}
+
+// TestControllers runs two controllers against outside services in memory: jobs are
+// submitted, run and cancelled by way of the one that doesn't lead, the leader goes on in
+// an outage of the state service, and when it resigns the other takes over.
+func TestControllers(t *testing.T) {
+	store := &fakeStore{items: map[string]wire.StoreItem{}}
+	nodes := leaderFirst(t, startControllers(t, store, "n-1", "n-2"))
+	leader, follower := nodes[0], nodes[1]
+	user := &client.Client{Addr: follower.addr}
+	for _, ref := range []string{"j-1", "j-2"} {
+		if run, err := user.Submit(t.Context(), jobText(ref)); err != nil || run.Status != wire.StatusQueued {
+			t.Fatalf("submit %s: %+v, %v", ref, run, err)
+		}
+	}
+	work := &worker{addr: leader.addr, lots: map[string]map[string]any{}}
+	status := func(ref string) string {
+		if code := work.report(t); code != fasthttp.StatusOK {
+			t.Fatalf("report: %d", code)
+		}
+		run, err := user.Get(t.Context(), ref)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return run.Status
+	}
+	eventually(t, "both jobs run", func() bool {
+		return status("j-1") == wire.StatusRunning && status("j-2") == wire.StatusRunning
+	})
+	if redirected := (&worker{addr: follower.addr}).report(t); redirected != fasthttp.StatusMisdirectedRequest {
+		t.Errorf("a worker at the follower: %d", redirected)
+	}
+	work.finish("j-1/0")
+	eventually(t, "the first job is done", func() bool { return status("j-1") == wire.StatusDone })
+	if run, err := user.Cancel(t.Context(), "j-2"); err != nil || run.Status != wire.StatusCancelled {
+		t.Fatalf("cancel: %+v, %v", run, err)
+	}
+	eventually(t, "the second job's task stops", func() bool { return status("j-2") == wire.StatusCancelled && work.stops > 0 })
+	checkStatus(t, follower, leader)
+	outage(t, store, leader, work)
+	leader.elector.Resign("test")
+	work.addr = follower.addr // a node that no worker reaches would let others claim first
+	eventually(t, "the other takes over and answers the worker", func() bool { return work.report(t) == fasthttp.StatusOK })
+	if follower.session.Load() == nil || !follower.elector.HoldsLease(time.Now()) {
+		t.Error("answered by one that doesn't lead")
+	}
+	if run, err := (&client.Client{Addr: leader.addr}).Get(t.Context(), "j-1"); err != nil || run.Status != wire.StatusDone {
+		t.Errorf("after the change of leader: %+v, %v", run, err)
+	}
+}
+
+// checkStatus asks the follower for the status of the whole.
+func checkStatus(t *testing.T, follower, leader controller) {
+	t.Helper()
+	code, body, err := fasthttp.Get(nil, "http://"+follower.addr+StatusPath)
+	var shown Status
+	if err != nil || code != 200 || json.Unmarshal(body, &shown) != nil {
+		t.Fatalf("status: %d, %v", code, err)
+	}
+	if shown.Node != leader.settings.Member || shown.Leading == nil || len(shown.Versions) != 2 || shown.Versions[follower.settings.Member] != Version {
+		t.Errorf("status %s", body)
+	}
+	code, body, err = fasthttp.Get(nil, "http://"+leader.addr+metricsPath)
+	if err != nil || code != 200 || !bytes.Contains(body, []byte("gingertally_leading 1")) {
+		t.Errorf("metrics: %d, %v", code, err)
+	}
+}
+
+// outage has the state service refuse all for longer than the leader's lease: extended by
+// its peer it goes on answering its worker.
+func outage(t *testing.T, store *fakeStore, leader controller, work *worker) {
+	t.Helper()
+	store.setDown(true)
+	defer store.setDown(false)
+	for end := time.Now().Add(leaseTTL + time.Second); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
+		if code := work.report(t); code != fasthttp.StatusOK {
+			t.Fatalf("report in the outage: %d", code)
+		}
+	}
+	if !leader.elector.HoldsLease(time.Now()) {
+		t.Error("the lease wasn't extended")
+	}
+}
--- /dev/null
+++ b/internal/daemon/services_test.go
@@ -0,0 +1,178 @@
+package daemon
+
+import (
+	"net"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"gingertally/internal/wire"
+)
+
+// serveOn serves a handler on a loopback address until the test ends.
+func serveOn(t *testing.T, handler fasthttp.RequestHandler) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	server := &fasthttp.Server{Handler: handler}
+	go func() { _ = server.Serve(listener) }() // ends with the listener
+	t.Cleanup(func() { _ = listener.Close() })
+	return listener.Addr().String()
+}
+
+// answer writes a message with a status.
+func answer(request *fasthttp.RequestCtx, status int, message any) {
+	request.SetStatusCode(status)
+	request.SetBody(wire.MustMarshal(message))
+}
+
+// fakeStore is a state service in memory. Its leases end only when they are revoked.
+type fakeStore struct {
+	mu       sync.Mutex
+	revision uint64
+	leases   uint64
+	items    map[string]wire.StoreItem
+	news     []wire.NewsEvent
+	down     bool // answers 503 to all
+}
+
+func (f *fakeStore) setDown(down bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.down = down
+}
+
+func (f *fakeStore) handle(request *fasthttp.RequestCtx) {
+	path := string(request.Path())
+	if path == "/follow" {
+		f.follow(request)
+		return
+	}
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	switch key, isKey := strings.CutPrefix(path, "/store/"); {
+	case f.down:
+		request.SetStatusCode(503)
+	case isKey:
+		if item, ok := f.items[key]; ok {
+			answer(request, 200, item)
+		} else {
+			request.SetStatusCode(404)
+		}
+	case path == "/store":
+		f.list(request)
+	case path == "/commit":
+		f.commit(request)
+	case path == "/leases":
+		f.leases++
+		answer(request, 200, wire.LeaseGrant{Hold: f.leases})
+	case request.IsDelete():
+		f.revoke(path)
+	}
+}
+
+func (f *fakeStore) list(request *fasthttp.RequestCtx) {
+	prefix := string(request.QueryArgs().Peek("starts"))
+	page := wire.StorePage{Ledger: f.revision}
+	for key, item := range f.items {
+		if strings.HasPrefix(key, prefix) {
+			page.Rows = append(page.Rows, item)
+		}
+	}
+	slices.SortFunc(page.Rows, func(a, b wire.StoreItem) int { return strings.Compare(a.Path, b.Path) })
+	answer(request, 200, page)
+}
+
+func (f *fakeStore) commit(request *fasthttp.RequestCtx) {
+	var commit wire.Commit
+	if wire.Unmarshal(request.PostBody(), &commit) != nil {
+		request.SetStatusCode(400)
+		return
+	}
+	var result wire.CommitResult
+	for _, condition := range commit.If {
+		if f.items[condition.Path].Stamp != condition.Stamp {
+			result.Failed = append(result.Failed, condition.Path)
+		}
+	}
+	if result.Failed != nil {
+		answer(request, 409, result)
+		return
+	}
+	f.revision++
+	for _, change := range commit.Apply {
+		f.news = append(f.news, wire.NewsEvent{Put: change.Put, V: change.V, Drop: change.Drop, Stamp: f.revision})
+		delete(f.items, change.Drop)
+		if change.Put != "" {
+			f.items[change.Put] = wire.StoreItem{Path: change.Put, V: change.V, Stamp: f.revision, Hold: change.Hold}
+		}
+	}
+	result.Ledger = f.revision
+	answer(request, 200, result)
+}
+
+func (f *fakeStore) revoke(path string) {
+	lease, err := strconv.ParseUint(strings.TrimPrefix(path, "/leases/"), 10, 64)
+	if err != nil {
+		return
+	}
+	for key, item := range f.items {
+		if item.Hold == lease {
+			f.revision++
+			delete(f.items, key)
+			f.news = append(f.news, wire.NewsEvent{Drop: key, Stamp: f.revision})
+		}
+	}
+}
+
+// follow waits for news for a fifth of a second.
+func (f *fakeStore) follow(request *fasthttp.RequestCtx) {
+	prefix := string(request.QueryArgs().Peek("starts"))
+	since, err := strconv.ParseUint(string(request.QueryArgs().Peek("since")), 10, 64)
+	if err != nil {
+		request.SetStatusCode(400)
+		return
+	}
+	var news wire.News
+	for try := 0; try < 20 && len(news.News) == 0; try++ {
+		time.Sleep(10 * time.Millisecond)
+		news = f.newsSince(prefix, since)
+	}
+	answer(request, 200, news)
+}
+
+func (f *fakeStore) newsSince(prefix string, since uint64) wire.News {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	news := wire.News{Ledger: f.revision}
+	for _, event := range f.news {
+		if event.Stamp > since && strings.HasPrefix(event.Put+event.Drop, prefix) {
+			news.News = append(news.News, event)
+		}
+	}
+	return news
+}
+
+// machine is the one that the fake cloud has always rented out.
+const machine = "m-1"
+
+// handleCloud is a cloud with one type and one running machine.
+func handleCloud(request *fasthttp.RequestCtx) {
+	switch string(request.Path()) {
+	case "/flavors":
+		answer(request, 200, wire.Flavors{Builds: []wire.Flavor{{Label: "c8", VCPUs: 8, MemGB: 32, LocalGB: 100, PullGBPerS: 1, Hourly: 1, SpotPrice: 0.5, ReadyS: 10, Yards: []string{"a"}}}})
+	case "/rentals":
+		if request.IsPost() {
+			answer(request, 503, map[string]string{"error": "no capacity"})
+			return
+		}
+		answer(request, 200, wire.RentalPage{Stalls: []wire.Rental{{Ref: machine, Endpoint: "127.0.0.1:1", Build: "c8", Yard: "a", Status: wire.RentalRunning, HeldS: 1}}})
+	}
+}
