--- a/internal/jobstore/dependencies_test.go
+++ b/internal/jobstore/dependencies_test.go
@@ -5,7 +5,6 @@
 	"encoding/hex"
 	"errors"
 	"fmt"
-	"math/rand/v2"
 	"os"
 	"slices"
 	"strings"
@@ -189,54 +188,6 @@
 	}
 }
 
-// What is written fits the limit, however ragged a job's progress and long its
-// texts, and a result that was left out counts as not stored.
-func TestValuesFit(t *testing.T) {
-	rng := rand.New(rand.NewPCG(5, 5))
-	for _, limit := range []int{1000, 2000, 4000} {
-		for range 40 {
-			spec := pipeline.Spec{Ref: "j-123456", Class: strings.Repeat("c\"", 1+rng.IntN(10)), Team: "tea<m", Image: "i", Tasks: 1 + rng.IntN(5000),
-				CPUs: rng.Float64() * 1e7, MemGB: rng.Float64(), ImageGB: rng.Float64(), Estimate: time.Duration(rng.Int64N(1e17)), Save: time.Duration(rng.Int64N(1e17))}
-			j, err := pipeline.NewJob(pipeline.Record{Spec: spec, SubmittedMS: time.Now().UnixMilli()}, 1, nil)
-			if err != nil {
-				t.Fatal(err)
-			}
-			for i := range spec.Tasks {
-				if rng.IntN(2) == 0 {
-					j.Finish(i)
-				}
-				for range rng.IntN(3) {
-					j.Abort(time.Now(), i, 3)
-				}
-			}
-			rec := j.Record(limit)
-			write := []any{rec}
-			chunks := map[int][]int{}
-			for c := 1; c*pipeline.ChunkTasks < spec.Tasks; c++ {
-				chunks[c] = pipeline.FitRuns(j.Chunk(c), limit)
-				write = append(write, chunks[c])
-				j.Clean(c, chunks[c])
-			}
-			j.Clean(0, rec.Done)
-			for _, v := range write {
-				if n, err := wire.JSONSize(wire.MustMarshal(v)); err != nil || n > limit {
-					t.Fatalf("limit %d: a value of %d bytes, %v", limit, n, err)
-				}
-			}
-			again, err := pipeline.NewJob(rec, 2, chunks)
-			if err != nil {
-				t.Fatal(err)
-			}
-			for i := range j.Tasks {
-				stored := again.Tasks[i].State() == pipeline.Finished
-				if j.Tasks[i].State() == pipeline.Finished && j.Stored(i) && !stored || stored && j.Tasks[i].State() != pipeline.Finished {
-					t.Fatalf("limit %d: task %d of %d is stored %v, and taken for %v", limit, i, spec.Tasks, stored, j.Stored(i))
-				}
-			}
-		}
-	}
-}
-
 // A job whose record was written when values could be larger can still be
 // cancelled, and is still known when it is submitted again.
 func TestLargeRecordsFromBefore(t *testing.T) {
--- /dev/null
+++ b/internal/jobstore/limits_test.go
@@ -0,0 +1,73 @@
+package jobstore
+
+import (
+	"math/rand/v2"
+	"strings"
+	"testing"
+	"time"
+
+	"gingertally/internal/core/pipeline"
+	"gingertally/internal/wire"
+)
+
+// What is written fits the limit, however ragged a job's progress and long its
+// texts, and a result that was left out counts as not stored.
+func TestValuesFit(t *testing.T) {
+	rng := rand.New(rand.NewPCG(5, 5))
+	for _, limit := range []int{1000, 2000, 4000} {
+		for range 40 {
+			checkValuesFit(t, raggedJob(t, rng), limit)
+		}
+	}
+}
+
+// raggedJob is a job of which random tasks are done, and others were restarted.
+func raggedJob(t *testing.T, rng *rand.Rand) *pipeline.Job {
+	t.Helper()
+	spec := pipeline.Spec{Ref: "j-123456", Class: strings.Repeat("c\"", 1+rng.IntN(10)), Team: "tea<m", Image: "i", Tasks: 1 + rng.IntN(5000),
+		CPUs: rng.Float64() * 1e7, MemGB: rng.Float64(), ImageGB: rng.Float64(), Estimate: time.Duration(rng.Int64N(1e17)), Save: time.Duration(rng.Int64N(1e17))}
+	job, err := pipeline.NewJob(pipeline.Record{Spec: spec, SubmittedMS: time.Now().UnixMilli()}, 1, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i := range spec.Tasks {
+		if rng.IntN(2) == 0 {
+			job.Finish(i)
+		}
+		for range rng.IntN(3) {
+			job.Abort(time.Now(), i, 3)
+		}
+	}
+	return job
+}
+
+// checkValuesFit writes a job within a limit, and reads it back.
+func checkValuesFit(t *testing.T, job *pipeline.Job, limit int) {
+	t.Helper()
+	record := job.Record(limit)
+	values := []any{record}
+	chunks := map[int][]int{}
+	for chunk := 1; chunk*pipeline.ChunkTasks < job.Spec.Tasks; chunk++ {
+		chunks[chunk] = pipeline.FitRuns(job.Chunk(chunk), limit)
+		values = append(values, chunks[chunk])
+		job.Clean(chunk, chunks[chunk])
+	}
+	job.Clean(0, record.Done)
+	for _, value := range values {
+		if size, err := wire.JSONSize(wire.MustMarshal(value)); err != nil || size > limit {
+			t.Fatalf("limit %d: a value of %d bytes, %v", limit, size, err)
+		}
+	}
+	again, err := pipeline.NewJob(record, 2, chunks)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i := range job.Tasks {
+		finished := job.Tasks[i].State() == pipeline.Finished
+		readAsFinished := again.Tasks[i].State() == pipeline.Finished
+		if finished && job.Stored(i) && !readAsFinished || readAsFinished && !finished {
+			t.Fatalf("limit %d: task %d of %d is stored %v, and taken for %v", limit, i, job.Spec.Tasks, readAsFinished, job.Stored(i))
+		}
+	}
+}
+
