--- a/internal/daemon/contact.go
+++ b/internal/daemon/contact.go
@@ -3,10 +3,10 @@
 import (
 	"context"
 	"net/http"
-	"strconv"
 	"time"
 
 	"gingertally/internal/leadership"
+	"gingertally/internal/statestore"
 )
 
 // This file notes whom this node reaches and who reaches it.
@@ -37,9 +37,9 @@
 }
 
 // storeAnswered notes an answer of the state service.
-func (d *Daemon) storeAnswered(served bool) {
-	d.metrics.store.WithLabelValues(strconv.FormatBool(served)).Inc()
-	if served {
+func (d *Daemon) storeAnswered(contact statestore.Contact) {
+	d.metrics.countStoreAnswer(contact)
+	if contact == statestore.Served {
 		d.health.StoreServed(time.Now())
 	} else {
 		d.health.StoreRefused(time.Now())
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -10,6 +10,7 @@
 	"github.com/valyala/fasthttp/fasthttpadaptor"
 
 	"gingertally/internal/core/fleet"
+	"gingertally/internal/statestore"
 )
 
 // metrics are a node's counters and histograms, on /metrics.
@@ -54,6 +55,11 @@
 	return m
 }
 
+// countStoreAnswer counts an answer of the state service.
+func (m *metrics) countStoreAnswer(contact statestore.Contact) {
+	m.store.WithLabelValues(strconv.FormatBool(contact == statestore.Served)).Inc()
+}
+
 // countReport counts a worker's report.
 func (m *metrics) countReport(status int) { m.reports.WithLabelValues(strconv.Itoa(status)).Inc() }
 
--- a/internal/jobstore/limits_test.go
+++ b/internal/jobstore/limits_test.go
@@ -70,4 +70,3 @@
 		}
 	}
 }
-
--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -38,13 +38,29 @@
 // Item is one key with its value.
 type Item = wire.StoreItem
 
+// Contact is what an answer says of the state service.
+type Contact uint8
+
+// Kinds of contact.
+const (
+	Served  Contact = iota // it serves this node
+	Refused                // it answers, but only that it can't serve
+)
+
+func contactOf(status int) Contact {
+	if status == fasthttp.StatusServiceUnavailable {
+		return Refused
+	}
+	return Served
+}
+
 // Client is a client of the state service.
 type Client struct {
 	http     *fasthttp.HostClient
 	watches  *fasthttp.HostClient
 	requests *rate.Limiter
 	writes   *rate.Limiter
-	contact  func(served bool)
+	contact  func(Contact)
 }
 
 // Options bound what a client asks for.
@@ -53,8 +69,8 @@
 	Requests, Writes float64 // this node's part of the rates, per second
 	Burst            int     // of writes at once
 	MaxConns         int
-	// Contact is told of each answer: whether the request was served. It may be nil.
-	Contact func(served bool)
+	// Contact is told of each answer. It may be nil.
+	Contact func(Contact)
 }
 
 const (
@@ -91,7 +107,7 @@
 // New makes a client.
 func New(options Options) *Client {
 	if options.Contact == nil {
-		options.Contact = func(bool) {}
+		options.Contact = func(Contact) {}
 	}
 	return &Client{
 		contact:  options.Contact,
@@ -153,7 +169,7 @@
 		return 0, nil, fmt.Errorf("%w: %w", ErrUnknown, err)
 	}
 	status = response.StatusCode()
-	c.contact(status != fasthttp.StatusServiceUnavailable)
+	c.contact(contactOf(status))
 	if status == fasthttp.StatusServiceUnavailable || status == fasthttp.StatusTooManyRequests {
 		return status, nil, fmt.Errorf("%w: status %d", ErrUnavailable, status)
 	}
