--- a/internal/jobstore/dependencies.go
+++ b/internal/jobstore/dependencies.go
@@ -21,8 +21,8 @@
 // whatever became of it, and is no service. ErrExists says that the job itself is
 // known already, and so accepted with the list that it had then (docs/design.md, "Safety
 // arguments" 16; TestCheckDependencies).
-func (j *Jobs) CheckDependencies(ctx context.Context, ref string, awaits []string) error {
-	err := j.checkDependencies(ctx, ref, awaits)
+func (j *Jobs) CheckDependencies(ctx context.Context, ref string, dependencies []string) error {
+	err := j.checkDependencies(ctx, ref, dependencies)
 	if !errors.Is(err, ErrBadDependency) {
 		return err
 	}
@@ -36,9 +36,9 @@
 	return err
 }
 
-func (j *Jobs) checkDependencies(ctx context.Context, ref string, awaits []string) error {
-	unchecked := make([]string, 0, len(awaits))
-	for _, dependency := range awaits {
+func (j *Jobs) checkDependencies(ctx context.Context, ref string, dependencies []string) error {
+	unchecked := make([]string, 0, len(dependencies))
+	for _, dependency := range dependencies {
 		if dependency == ref || !wire.ValidRef(dependency) {
 			return ErrBadDependency
 		}
--- a/internal/jobstore/dependency_pages.go
+++ b/internal/jobstore/dependency_pages.go
@@ -18,17 +18,17 @@
 // make it too large, on pages of their own. Those are written before the record,
 // which alone makes them count; a retry leaves those that are there (docs/design.md,
 // "Safety arguments" 16; TestLongListIsTakenWholeOrNotAtAll).
-func (j *Jobs) putDependencies(ctx context.Context, record *pipeline.Record, awaits []string) error {
-	if len(awaits) == 0 {
+func (j *Jobs) putDependencies(ctx context.Context, record *pipeline.Record, dependencies []string) error {
+	if len(dependencies) == 0 {
 		return nil
 	}
-	if record.Bytes()+pipeline.AwaitBytes(awaits) <= j.limits.ValueBytes {
-		record.Awaits = awaits
+	if record.Bytes()+pipeline.AwaitBytes(dependencies) <= j.limits.ValueBytes {
+		record.Awaits = dependencies
 		return nil
 	}
-	sum := sha256.Sum256([]byte(strings.Join(awaits, " ")))
+	sum := sha256.Sum256([]byte(strings.Join(dependencies, " ")))
 	record.AwaitSum = hex.EncodeToString(sum[:sumBytes])
-	pages := splitPages(awaits, j.limits.ValueBytes)
+	pages := splitPages(dependencies, j.limits.ValueBytes)
 	record.AwaitPages = len(pages)
 	stored, err := j.storedPages(ctx, record)
 	if err != nil {
@@ -47,9 +47,9 @@
 }
 
 // splitPages splits a list into pages that fit a value each.
-func splitPages(awaits []string, valueBytes int) [][]string {
+func splitPages(dependencies []string, valueBytes int) [][]string {
 	var pages [][]string
-	for rest := awaits; len(rest) > 0; {
+	for rest := dependencies; len(rest) > 0; {
 		n := 1
 		for n < len(rest) && pipeline.AwaitBytes(rest[:n+1]) <= valueBytes {
 			n++
--- a/internal/jobstore/jobstore.go
+++ b/internal/jobstore/jobstore.go
@@ -67,12 +67,12 @@
 
 // Create writes a new job that waits for others, which CheckDependencies has found.
 // ErrExists says that the job is known already.
-func (j *Jobs) Create(ctx context.Context, spec pipeline.Spec, awaits []string, now time.Time) error {
+func (j *Jobs) Create(ctx context.Context, spec pipeline.Spec, dependencies []string, now time.Time) error {
 	record := pipeline.Record{Spec: spec, SubmittedMS: now.UnixMilli()}
 	if record.Bytes() > j.limits.ValueBytes {
 		return j.refuseTooLarge(ctx, spec.Ref)
 	}
-	if err := j.putDependencies(ctx, &record, awaits); err != nil {
+	if err := j.putDependencies(ctx, &record, dependencies); err != nil {
 		return err
 	}
 	value, err := wire.Marshal(record)
--- a/internal/userapi/userapi.go
+++ b/internal/userapi/userapi.go
@@ -19,9 +19,9 @@
 // Jobs is the store of jobs.
 type Jobs interface {
 	// CheckDependencies makes sure that a job may wait for others.
-	CheckDependencies(ctx context.Context, ref string, awaits []string) error
+	CheckDependencies(ctx context.Context, ref string, dependencies []string) error
 	// Create writes a new job.
-	Create(ctx context.Context, spec pipeline.Spec, awaits []string, now time.Time) error
+	Create(ctx context.Context, spec pipeline.Spec, dependencies []string, now time.Time) error
 	// Load reads a job.
 	Load(ctx context.Context, ref string) (jobstore.State, error)
 	// DependencyCancelled tells whether a job that the store says waits may have to be cancelled.
@@ -74,7 +74,7 @@
 
 // Submit accepts a job.
 func (s *Service) Submit(ctx context.Context, body []byte) Answer {
-	spec, awaits, err := wire.ParseSubmission(body)
+	spec, dependencies, err := wire.ParseSubmission(body)
 	if err != nil {
 		return failure(http.StatusBadRequest, err)
 	}
@@ -87,8 +87,8 @@
 		return s.refuse(ctx, spec.Ref)
 	}
 	spec.Types = knownTypes(spec.Types, catalog)
-	if err = s.Jobs.CheckDependencies(ctx, spec.Ref, awaits); err == nil {
-		err = s.Jobs.Create(ctx, spec, awaits, time.Now())
+	if err = s.Jobs.CheckDependencies(ctx, spec.Ref, dependencies); err == nil {
+		err = s.Jobs.Create(ctx, spec, dependencies, time.Now())
 	}
 	switch {
 	case err == nil:
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -59,7 +59,7 @@
 // Unmarshal decodes exactly one value from b.
 func Unmarshal(b []byte, v any) error {
 	if err := decMode.Unmarshal(b, v); err != nil {
-		return fmt.Errorf("%w: %v", ErrMalformed, err)
+		return fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	return nil
 }
@@ -73,7 +73,7 @@
 func JSONSize(b []byte) (int, error) {
 	var v any
 	if err := jsonMode.Unmarshal(b, &v); err != nil {
-		return 0, fmt.Errorf("%w: %v", ErrMalformed, err)
+		return 0, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	j, err := json.Marshal(v)
 	if err != nil {
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -73,12 +73,12 @@
 	fields.resources(&spec, &message)
 	fields.placement(&spec, &message)
 	fields.times(&spec, &message)
-	awaits, err := parseAwaits(message.Awaits)
+	dependencies, err := parseDependencies(message.Awaits)
 	fields.note(err)
 	if fields.err != nil {
 		return pipeline.Spec{}, nil, fields.err
 	}
-	return spec, awaits, nil
+	return spec, dependencies, nil
 }
 
 // fieldReader reads the fields of a submission, and keeps the first error.
@@ -185,8 +185,8 @@
 	return time.Duration(f.amount(name, field) * float64(time.Second))
 }
 
-// parseAwaits reads the list of jobs that have to be done first, each named once.
-func parseAwaits(value Raw) ([]string, error) {
+// parseDependencies reads the list of jobs that have to be done first, each named once.
+func parseDependencies(value Raw) ([]string, error) {
 	if len(value) == 0 {
 		return nil, nil
 	}
