--- a/internal/daemon/controller_test.go
+++ b/internal/daemon/controller_test.go
@@ -209,8 +209,8 @@
 		return status("j-1") == wire.StatusRunning && status("j-2") == wire.StatusRunning
 	})
 	eventually(t, "a redirect", func() bool {
-		other := &worker{addrs: []string{follower.addr, leader.addr}}
-		return other.report(t) == fasthttp.StatusMisdirectedRequest || other.report(t) == fasthttp.StatusMisdirectedRequest
+		atLeader, atFollower := &worker{addrs: []string{leader.addr}}, &worker{addrs: []string{follower.addr}}
+		return atFollower.report(t) == fasthttp.StatusMisdirectedRequest || atLeader.report(t) == fasthttp.StatusMisdirectedRequest
 	})
 	work.finish("j-1/0")
 	eventually(t, "the first job is done", func() bool { return status("j-1") == wire.StatusDone })
