--- a/internal/core/consolidate.go
+++ b/internal/core/consolidate.go
@@ -61,7 +61,7 @@
 		if atOnce <= 0 {
 			return
 		}
-		if !mv.haveRoom(c.slot, c.jobs) {
+		if e.hasAllReplicas(c.slot.Machine) || !mv.haveRoom(c.slot, c.jobs) {
 			continue
 		}
 		atOnce--
@@ -77,6 +77,29 @@
 	}
 }
 
+// hasAllReplicas tells whether a machine has all the running replicas of a service of
+// several: moving them together would stop the service.
+func (e *Engine) hasAllReplicas(m *fleet.Machine) bool {
+	for _, a := range m.Tasks {
+		j := e.jobs[a.Ref]
+		several := j != nil && j.Shape == pipeline.Service && len(j.Tasks) > 1
+		if several && a.State() != fleet.Exited && !e.runsElsewhere(a.Ref, m) {
+			return true
+		}
+	}
+	return false
+}
+
+// runsElsewhere tells whether a task of a job runs on another machine and isn't to stop.
+func (e *Engine) runsElsewhere(ref string, m *fleet.Machine) bool {
+	for _, a := range e.attemptsOf(ref) {
+		if a.On != m && a.State() == fleet.Running && !a.Stopping {
+			return true
+		}
+	}
+	return false
+}
+
 // moving is one look at what could be moved.
 type moving struct {
 	e       *Engine
--- /dev/null
+++ b/internal/core/consolidate_test.go
@@ -0,0 +1,65 @@
+package core
+
+import (
+	"testing"
+	"time"
+
+	"gingertally/internal/core/fleet"
+	"gingertally/internal/core/pipeline"
+)
+
+// A machine that has all running replicas of a service isn't emptied: they would all be
+// stopped by choice at once. With other jobs on it, it is.
+func TestServiceIsNotMovedAsAWhole(t *testing.T) {
+	for shape, want := range map[pipeline.Shape]bool{pipeline.Service: false, pipeline.Array: true} {
+		if got := emptiedWith(t, shape); got != want {
+			t.Errorf("shape %v: the machine was emptied: %v, expected: %v", shape, got, want)
+		}
+	}
+}
+
+// emptiedWith tells whether a machine with two long tasks of a job is emptied, once
+// another machine in use has room for them.
+func emptiedWith(t *testing.T, shape pipeline.Shape) bool {
+	long, filler, other := job("j-1", 2), job("j-2", 1), job("j-3", 1)
+	long.Record.Spec.Shape, long.Record.Spec.Checkpoint, long.Record.Spec.Estimate = shape, time.Second, time.Hour
+	filler.Record.Spec.CPUs, filler.Record.Spec.Estimate = 6, 10*time.Second
+	other.Record.Spec.CPUs, other.Record.Spec.Estimate = 4, time.Hour
+	b := newBench(t, 2, Snapshot{Jobs: []StoredJob{long, filler}})
+	b.up("m-1")
+	b.pass(6*time.Second, true)
+	onFirst := runAll(b.report("m-1", 2))
+	b.report("m-1", 2, onFirst...)
+	b.up("m-2")
+	b.e.Step(b.now, JobStored{Job: other})
+	b.pass(6*time.Second, true)
+	onSecond := runAll(b.report("m-2", 2))
+	if len(onFirst) != 3 || len(onSecond) != 1 {
+		t.Fatalf("not placed as meant: %v and %v", onFirst, onSecond)
+	}
+	for i := range onFirst {
+		if onFirst[i].Ref == "j-2" {
+			onFirst[i].State, onFirst[i].Cause = fleet.Exited, fleet.CauseDone
+		}
+	}
+	emptied := false
+	for range 200 {
+		b.report("m-1", 2, onFirst...)
+		b.report("m-2", 2, onSecond...)
+		for range 15 {
+			b.now = b.now.Add(200 * time.Millisecond)
+			for _, n := range b.e.Step(b.now, Tick{}).Notes {
+				emptied = emptied || n.Text == "machine emptied" && n.Args[1] == "m-1"
+			}
+		}
+	}
+	return emptied
+}
+
+// runAll are the reports of the tasks that a reply starts, as running.
+func runAll(r Reply) (out []fleet.TaskReport) {
+	for _, c := range starts(r) {
+		out = append(out, running(c))
+	}
+	return out
+}
