--- a/internal/simulation/checker.go
+++ b/internal/simulation/checker.go
@@ -22,11 +22,16 @@
 	used map[string]*machine
 	// starts that reached a machine after their job's user knew that it is cancelled
 	startsCancelled int
-	waiting         map[*userJob]time.Time // see waits
+	waiting         map[*userJob]time.Time    // since when there was room, see checkStarvation
+	preempted       map[string]bool           // tasks that are to stop for a job with a better claim
+	moves           int                       // of replicas by choice
+	takenBack       int                       // tasks of borrowed jobs that were preempted
+	newestAttempt   map[string]uint64         // of each task
+	moved           map[*userJob]map[int]bool // replicas stopped by choice and not running again
 }
 
 func newChecker(w *World) *checker {
-	return &checker{w: w, on: map[string]map[*task]bool{}, used: map[string]*machine{}, waiting: map[*userJob]time.Time{}}
+	return &checker{w: w, on: map[string]map[*task]bool{}, used: map[string]*machine{}, waiting: map[*userJob]time.Time{}, moved: map[*userJob]map[int]bool{}, newestAttempt: map[string]uint64{}, preempted: map[string]bool{}}
 }
 
 func (c *checker) fail(format string, args ...any) {
@@ -40,6 +45,7 @@
 // landed checks a task's start: ran_twice, wrong_place, quota, ran_cancelled.
 func (c *checker) landed(t *task) {
 	c.started++
+	delete(c.waiting, t.job)
 	key := name(t)
 	for o := range c.on[key] {
 		c.fail("ran_twice: %s starts on %s while on %s", key, t.m.name, o.m.name)
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -288,7 +288,7 @@
 	}
 	eff := n.eng.Step(n.local(), ev)
 	n.w.digest.addStep(n, ev, eff)
-	n.w.shortLease.saw(eff.Notes)
+	n.w.check.said(eff.Notes)
 	n.compute(ev)
 	if n.w.Trace != nil {
 		for _, x := range eff.Notes {
--- a/internal/simulation/short_lease.go
+++ b/internal/simulation/short_lease.go
@@ -5,7 +5,6 @@
 	"math/rand/v2"
 	"time"
 
-	"gingertally/internal/core"
 	"gingertally/internal/core/pipeline"
 	"gingertally/internal/core/placement"
 )
@@ -88,21 +87,6 @@
 	return shortLeaseOffer
 }
 
-// saw looks at what an engine wanted done.
-func (s *shortLease) saw(notes []core.Note) {
-	if s == nil {
-		return
-	}
-	for _, x := range notes {
-		if x.Text != "preempted" {
-			continue
-		}
-		if j := s.w.jobs[fmt.Sprint(x.Args[1])]; j != nil && j.spec.Class == borrowed {
-			s.note("borrowing taken back")
-		}
-	}
-}
-
 // add submits a job at some moment.
 func (s *shortLease) add(at time.Duration, sp pipeline.Spec, run time.Duration) *userJob {
 	s.jobs++
@@ -116,11 +100,16 @@
 	return j
 }
 
-// planServices submits services, spread over zones; they go on long into the peace.
+// planServices submits services, most of them spread over zones, some that can save and so
+// be moved; they go on long into the peace.
 func (s *shortLease) planServices() {
 	for _, team := range []string{"red", "blue", "amber"} {
-		j := s.add(s.between(0, 20*time.Second), pipeline.Spec{Shape: pipeline.Service, Team: team, Tasks: 2 + s.rng.IntN(3), CPUs: 1, MemGB: 2,
-			Priority: pipeline.High, Spread: true, Spot: s.rng.IntN(2) == 0}, endless)
+		sp := pipeline.Spec{Shape: pipeline.Service, Team: team, Tasks: 2 + s.rng.IntN(3), CPUs: 1, MemGB: 2,
+			Priority: pipeline.High, Spread: s.rng.IntN(4) > 0, Spot: s.rng.IntN(2) == 0}
+		if s.rng.IntN(2) == 0 {
+			sp.Checkpoint, sp.Save = 3*time.Second, 2*time.Second
+		}
+		j := s.add(s.between(0, 20*time.Second), sp, endless)
 		s.w.after(s.w.o.Length+s.w.o.Drain*3/5, j.cancel)
 	}
 }
--- a/internal/simulation/short_lease_test.go
+++ b/internal/simulation/short_lease_test.go
@@ -29,11 +29,13 @@
 		for what, n := range w.shortLease.notes {
 			notes[what] += n
 		}
+		notes["borrowing taken back"] += w.check.takenBack
+		notes["replicas moved"] += w.check.moves
 		notes["starts"] += w.Started()
 		notes["jobs done"] += w.Done()
 	}
 	least := map[string]int{"starts": 9000, "jobs done": 900, "borrowing taken back": 60, "slow clocks": 400, "fast clocks": 400,
-		"slow nodes": 60, "slow steps": 5000, "leaders stalled beyond their lease": 35, "zones cut with the leader": 50,
+		"replicas moved": 120, "slow nodes": 60, "slow steps": 5000, "leaders stalled beyond their lease": 35, "zones cut with the leader": 50,
 		"zones cut without a leader": 70, "nodes that refuse each other": 60, "nodes refused alone": 60, "outages": 60}
 	for what, n := range least {
 		if notes[what] < n {
--- a/internal/simulation/starvation_check.go
+++ b/internal/simulation/starvation_check.go
@@ -11,6 +11,7 @@
 // begun counts starts that come after their job's user knew that it is cancelled.
 // Such a start breaks no rule as long as the task is gone in time.
 func (c *checker) begun(t *task) {
+	c.startCame(t)
 	if t.job.told == pipeline.Cancelled {
 		c.startsCancelled++
 	}
@@ -36,37 +37,66 @@
 	c.told(j, v, known)
 }
 
-// waitsAtMost is how long a job may be left waiting in peace though there is room.
+// waitsAtMost is how long an array or a gang may be left waiting in peace though there
+// is room.
 const waitsAtMost = 90 * time.Second
 
-// waits checks, again and again once all troubles are over, that no array or gang of
-// one task waits as a whole though a machine has room for a task of it.
+// What replacing a replica takes besides the proof that its last place is lost: a round of
+// decisions and its write, two reports of the machine that gets it, and fetching its image.
+const (
+	roundAndWrite = 2 * time.Second
+	fetchMost     = 8 * time.Second
+	lookEvery     = 5 * time.Second
+)
+
+// replacedWithin is how long a service may lack a replica in peace though there is room.
+func (c *checker) replacedWithin() time.Duration {
+	o := &c.w.o
+	leaseProvenOver := o.Lease + o.Lease/500 + time.Second
+	return leaseProvenOver + roundAndWrite + 2*o.Report*5/4 + fetchMost + lookEvery
+}
+
+// checkStarvation checks, again and again once all troubles are over, that no job is left
+// with tasks that wait though machines have room for them: arrays that have begun or not,
+// whole gangs, and replicas of services, which are replaced sooner.
 func (c *checker) checkStarvation() {
 	for _, j := range c.w.sortedJobs() {
-		if !c.mayBegin(j) {
+		if !c.couldStart(j) {
 			delete(c.waiting, j)
 			continue
 		}
 		since, known := c.waiting[j]
 		if !known {
 			c.waiting[j] = c.w.now
-		} else if c.w.now.Sub(since) > waitsAtMost {
-			c.fail("left waiting: %s for %s though there is room: %+v", j.spec.Ref, c.w.now.Sub(since), j.spec)
+			continue
+		}
+		waited := c.w.now.Sub(since)
+		switch {
+		case j.spec.Shape == pipeline.Service && waited > c.replacedWithin():
+			c.fail("not replaced: %s lacks a replica for %s though there is room: %+v", j.spec.Ref, waited, j.spec)
+		case j.spec.Shape != pipeline.Service && waited > waitsAtMost:
+			c.fail("left waiting: %s for %s though there is room: %+v", j.spec.Ref, waited, j.spec)
 		}
 	}
-	c.w.after(5*time.Second, c.checkStarvation)
+	c.w.after(lookEvery, c.checkStarvation)
 }
 
 // patience is how many failures of its tasks a job can have had without being held
 // back by the service.
 const patience = 3
 
-// mayBegin tells whether a job waits, none of its tasks is on any machine, and one
-// could be.
-func (c *checker) mayBegin(j *userJob) bool {
+// A machine on which a task failed once is tried again after failureForgotten at the
+// latest; one with more failures may be taken for sick.
+const (
+	failureForgotten = 2 * time.Minute
+	sickAfter        = 2
+)
+
+// couldStart tells whether tasks of a job wait, all of a gang or some of any other, and
+// there is room for them.
+func (c *checker) couldStart(j *userJob) bool {
 	s := &j.spec
-	single := s.Shape == pipeline.Array || s.Shape == pipeline.Gang && s.Tasks == 1
-	if !single || !j.accepted || j.mistake || j.errors > patience || j.askedCancel || j.told != pipeline.Active || len(j.done) == s.Tasks {
+	if !j.accepted || j.mistake || j.errors > patience || j.askedCancel || j.told != pipeline.Active {
 		return false
 	}
 	for _, p := range j.needs {
@@ -74,29 +104,99 @@
 			return false
 		}
 	}
-	cpus, gpus := s.CPUs, s.GPUs
-	fits := false
+	present := c.presentByZone(j)
+	placed := 0
+	for _, n := range present {
+		placed += n
+	}
+	need := 1
+	if s.Shape == pipeline.Gang {
+		need = s.Tasks
+	}
+	if s.Tasks-len(j.done)-placed < need {
+		return false
+	}
+	cpus, gpus := c.teamUse(s.Team)
+	if !c.w.teams[s.Team].Within(cpus+float64(need)*s.CPUs, gpus+float64(need)*s.GPUs) {
+		return false
+	}
+	return c.fits(j, need, present)
+}
+
+// fits tells whether the machines have room for so many more tasks of a job, given how
+// many are in which zone.
+func (c *checker) fits(j *userJob, need int, present map[string]int) bool {
+	s := &j.spec
+	room, inOne := 0, 0
+	for _, zone := range c.w.zones {
+		if s.OneZone && len(present) > 0 && present[zone] == 0 {
+			continue
+		}
+		here := 0
+		for _, m := range c.w.sortedMachines() {
+			if m.zone == zone && c.takes(m, s) {
+				here += m.roomFor(s)
+			}
+		}
+		if s.Spread {
+			here = max(0, min(here, (s.Tasks+1)/2-present[zone]))
+		}
+		room, inOne = room+here, max(inOne, here)
+	}
+	if s.OneZone {
+		return inOne >= need
+	}
+	return room >= need
+}
+
+// presentByZone counts the tasks of a job that are on machines, or being fetched there.
+func (c *checker) presentByZone(j *userJob) map[string]int {
+	out := map[string]int{}
 	for _, m := range c.w.machines {
-		typ := c.w.catalog[m.typ]
-		room := !c.w.now.Before(m.hungUntil) && m.isUp && !m.sick && m.errors == 0 && m.noticeAt.IsZero() &&
-			s.AllowsType(m.typ) && (s.Zone == "" || s.Zone == m.zone) && (!m.spot || s.Spot)
-		freeCPUs, freeGPUs, freeMem := typ.CPUs, typ.GPUs, typ.MemGB
 		for _, t := range m.tasks {
-			o := &t.job.spec
-			if t.state == fleet.Exited {
-				continue
+			if t.job == j && t.state != fleet.Exited {
+				out[m.zone]++
 			}
-			if t.job == j {
-				return false
-			}
-			freeCPUs, freeGPUs, freeMem = freeCPUs-o.CPUs, freeGPUs-o.GPUs, freeMem-o.MemGB
-			if o.Team == s.Team {
-				cpus, gpus = cpus+o.CPUs, gpus+o.GPUs
+		}
+	}
+	return out
+}
+
+// teamUse is what of a team is on machines, or being fetched there.
+func (c *checker) teamUse(team string) (cpus, gpus float64) {
+	for _, m := range c.w.machines {
+		for _, t := range m.tasks {
+			if t.job.spec.Team == team && t.state != fleet.Exited {
+				cpus, gpus = cpus+t.job.spec.CPUs, gpus+t.job.spec.GPUs
 			}
 		}
-		fits = fits || room && s.CPUs <= freeCPUs && s.GPUs <= freeGPUs && s.MemGB <= freeMem
 	}
-	return fits && c.w.teams[s.Team].Within(cpus, gpus)
+	return cpus, gpus
+}
+
+// takes tells whether a machine is well and a job may use it.
+func (c *checker) takes(m *machine, s *pipeline.Spec) bool {
+	well := !c.w.now.Before(m.hungUntil) && m.isUp && !m.sick && m.noticeAt.IsZero() &&
+		(m.errors == 0 || m.errors < sickAfter && c.w.now.Sub(m.failedAt) > failureForgotten)
+	return well && s.AllowsType(m.typ) && (s.Zone == "" || s.Zone == m.zone) && (!m.spot || s.Spot)
+}
+
+// roomFor is how many more tasks of a job a machine has room for.
+func (m *machine) roomFor(s *pipeline.Spec) int {
+	typ := m.w.catalog[m.typ]
+	cpus, gpus, mem := typ.CPUs, typ.GPUs, typ.MemGB
+	for _, t := range m.tasks {
+		if o := &t.job.spec; t.state != fleet.Exited {
+			cpus, gpus, mem = cpus-o.CPUs, gpus-o.GPUs, mem-o.MemGB
+		}
+	}
+	n := s.Tasks
+	for _, x := range [3][2]float64{{cpus, s.CPUs}, {gpus, s.GPUs}, {mem, s.MemGB}} {
+		if x[1] > 0 {
+			n = min(n, int(max(0, x[0])/x[1]))
+		}
+	}
+	return n
 }
 
 // runOf is how long a task of the job runs.
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -21,10 +21,11 @@
 	isUp, dead  bool
 	hungUntil   time.Time
 	sick        bool
-	deaf        bool // its reports arrive, but nothing that it is told
-	mute        bool // it reaches no controller, while direct commands reach it
-	errors      int  // how many tasks failed on it
-	life        int  // rises when its worker starts anew
+	deaf        bool      // its reports arrive, but nothing that it is told
+	mute        bool      // it reaches no controller, while direct commands reach it
+	errors      int       // how many tasks failed on it
+	failedAt    time.Time // the last of them
+	life        int       // rises when its worker starts anew
 	noticeAt    time.Time
 	cut         map[*node]bool
 	session     uint64
@@ -333,6 +334,7 @@
 			}
 		case fleet.Stop:
 			if t != nil && t.state != fleet.Exited {
+				m.w.check.toldToStop(t)
 				t.halt(c.Grace)
 				changed = true
 			}
@@ -424,6 +426,7 @@
 func (t *task) run() {
 	t.m.w.check.goesOn(t, "runs")
 	t.state = fleet.Running
+	delete(t.m.w.check.moved[t.job], t.index)
 	if t.job.began.IsZero() {
 		t.job.began = t.m.w.now
 	}
@@ -464,6 +467,7 @@
 	switch c {
 	case fleet.CauseError:
 		t.m.errors++
+		t.m.failedAt = t.m.w.now
 		t.job.errors++
 	case fleet.CauseDone:
 		t.m.w.check.goesOn(t, "completes")
