--- a/internal/simulation/checker.go
+++ b/internal/simulation/checker.go
@@ -45,7 +45,7 @@
 // landed checks a task's start: ran_twice, wrong_place, quota, ran_cancelled.
 func (c *checker) landed(t *task) {
 	c.started++
-	delete(c.waiting, t.job)
+	c.progressed(t)
 	key := name(t)
 	for o := range c.on[key] {
 		c.fail("ran_twice: %s starts on %s while on %s", key, t.m.name, o.m.name)
--- a/internal/simulation/fault_scenario_rows_test.go
+++ b/internal/simulation/fault_scenario_rows_test.go
@@ -448,4 +448,15 @@
 			}
 		})
 	}, least: map[string]int{"called off": 50, "confirmed": 30, "questions while a cancellation is open": 200, "slow calls": 1000, "late transactions carried out": 8, "answers of transactions lost": 15}},
+
+	{name: "cancelled tasks on silent machines, the lease longer than cancel", length: 200 * time.Second, alter: func(o *Options) { o.Lease = 90 * time.Second }, script: func(s *script) {
+		s.long(16, 0)
+		s.long(8, 90*time.Second)
+		s.every(35*time.Second, 50*time.Second, func() {
+			silent, d := s.some(0.6, busy), s.between(60*time.Second, 80*time.Second)
+			s.cutMachines(silent, d)
+			s.deafen(silent, d) // no command reaches them late either
+			s.at(s.between(0, 5*time.Second), func() { s.cancelNow(4, 0) })
+		})
+	}, least: map[string]int{"busy machines cut": 20, "deaf machines": 20, "confirmed": 30}},
 }
--- a/internal/simulation/starvation_check.go
+++ b/internal/simulation/starvation_check.go
@@ -92,6 +92,17 @@
 	sickAfter        = 2
 )
 
+// progressed notes the start of a task: a job that had begun isn't left waiting.
+func (c *checker) progressed(t *task) {
+	present := 0
+	for _, n := range c.presentByZone(t.job) {
+		present += n
+	}
+	if present > 1 || len(t.job.done) > 0 {
+		delete(c.waiting, t.job)
+	}
+}
+
 // couldStart tells whether tasks of a job wait, all of a gang or some of any other, and
 // there is room for them.
 func (c *checker) couldStart(j *userJob) bool {
