--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"math/rand/v2"
 	"strings"
 	"time"
 
@@ -174,114 +173,6 @@
 // callTimeout is when a node takes a call for unanswered.
 const callTimeout = 1500 * time.Millisecond
 
-// lead claims, or renews, the right to act.
-func (n *node) lead() {
-	w := n.w
-	sent := n.local()
-	if n.eng != nil {
-		n.askPromises()
-		lease, renewed, over := n.lease, false, false
-		n.send(func() {
-			switch {
-			case n.storeDown():
-			case w.lease.alive(w.now, lease):
-				w.lease.until, renewed = w.now.Add(w.o.LeaseTTL), true
-			default:
-				over = true
-			}
-		}, func() {
-			switch {
-			case n.eng == nil || n.lease != lease:
-			case over:
-				n.eng = nil
-			case renewed:
-				n.prove(sent)
-			}
-		}, true)
-		return
-	}
-	if n.claimTried && w.chance(0.5) {
-		n.claimTried = false
-		return
-	}
-	n.claimTried = true
-	if !n.mayClaim() {
-		return
-	}
-	n.claims++
-	claim := n.claims
-	n.claiming = claim
-	life := n.life
-	w.after(callTimeout, func() { // without an answer by then it is never acted on
-		n.run(life, func() {
-			if n.claiming == claim {
-				n.claiming = 0
-			}
-		})
-	})
-	var t leadership.Term
-	var lease int
-	n.send(func() {
-		if n.storeDown() || w.lease.held(w.now) {
-			return
-		}
-		var tv struct {
-			N uint64 `cbor:"n"`
-		}
-		it, found, _ := w.store.Get(bg, leadership.TermKey)
-		if found && wire.Unmarshal(it.V, &tv) != nil {
-			return
-		}
-		tv.N++
-		rev, err := w.store.Commit(bg, []wire.Condition{{Path: leadership.TermKey, Stamp: it.Stamp}},
-			[]wire.Change{{Put: leadership.TermKey, V: wire.MustMarshal(tv)}})
-		if err == nil {
-			w.lease.id++
-			w.lease.until = w.now.Add(w.o.LeaseTTL)
-			lease, t = w.lease.id, leadership.Term{N: tv.N, Stamp: rev}
-		}
-	}, func() {
-		if n.claiming != claim {
-			return
-		}
-		n.claiming = 0
-		if t.N != 0 && n.eng == nil {
-			n.elected(t, lease, sent)
-		}
-	}, true)
-}
-
-// storeLease is the lease under the leader's key.
-type storeLease struct {
-	id    int
-	until time.Time
-}
-
-func (l *storeLease) held(now time.Time) bool { return now.Before(l.until) }
-
-func (l *storeLease) alive(now time.Time, id int) bool { return l.id == id && l.held(now) }
-
-func (n *node) prove(sent time.Time) {
-	if u := sent.Add(n.w.o.LeaseTTL - n.w.o.LeaseTTL/500 - 100*time.Millisecond); u.After(n.until) {
-		lapsed := !n.entitled()
-		n.until = u
-		if lapsed && n.entitled() {
-			n.step(core.Resumed{})
-		}
-	}
-}
-
-func (n *node) elected(t leadership.Term, lease int, sent time.Time) {
-	snap, _, err := n.jobs.Snapshot(bg)
-	if err != nil {
-		return
-	}
-	n.term, n.lease, n.writing, n.until, n.promises = t, lease, false, time.Time{}, map[*node]time.Time{}
-	n.eng = core.New(n.local(), n.coreConfig(), t.N, snap, rand.New(rand.NewPCG(t.N, n.w.o.Seed)))
-	n.prove(sent)
-	n.step(core.Catalog{Types: n.w.catalog})
-}
-
 func (n *node) step(ev core.Event) core.Effects {
 	if n.still() {
 		n.w.check.fail("%s acts while it stands still", n.name)
--- /dev/null
+++ b/internal/simulation/task.go
@@ -0,0 +1,131 @@
+package simulation
+
+import (
+	"fmt"
+	"time"
+
+	"gingertally/internal/core/fleet"
+	"gingertally/internal/core/pipeline"
+)
+
+// task is an attempt of a job's task on a machine.
+type task struct {
+	m       *machine
+	job     *userJob
+	index   int
+	attempt uint64
+	state   fleet.TaskState
+	cause   fleet.Cause
+	saved   bool
+	onIt    bool // counts as being on the machine
+	gen     int  // outdates timers
+}
+
+func taskKey(ref string, index int, attempt uint64) string {
+	return fmt.Sprintf("%s/%05d/%d", ref, index, attempt)
+}
+
+// timer runs fn unless the task changed meanwhile.
+func (t *task) timer(d time.Duration, fn func()) {
+	t.gen++
+	gen := t.gen
+	t.m.later(d, func() {
+		if t.gen == gen && t.state != fleet.Exited {
+			fn()
+		}
+	})
+}
+
+// gangWait is how long a gang's task waits for the others.
+const gangWait = 15 * time.Second
+
+// land puts the task on its machine: its image is there.
+func (t *task) land() {
+	t.onIt = true
+	t.m.w.check.landed(t)
+	if t.job.spec.Shape != pipeline.Gang {
+		t.run()
+		return
+	}
+	t.state = fleet.WaitingForGang
+	t.timer(gangWait, func() { t.exit(fleet.CauseAlone, false) })
+	mates := t.job.mates(t.attempt)
+	if len(mates) < t.job.spec.Tasks {
+		return
+	}
+	for _, o := range mates {
+		if o.state != fleet.WaitingForGang {
+			return
+		}
+	}
+	for _, o := range mates {
+		o.run()
+	}
+}
+
+func (t *task) run() {
+	t.m.w.check.goesOn(t, "runs")
+	t.state = fleet.Running
+	delete(t.m.w.check.moved[t.job], t.index)
+	if t.job.began.IsZero() {
+		t.job.began = t.m.w.now
+	}
+	t.m.changed()
+	switch {
+	case t.m.sick || t.job.mistake:
+		t.timer(time.Second, func() { t.exit(fleet.CauseError, false) })
+	case t.job.spec.Shape == pipeline.Array:
+		t.timer(t.job.runOf(t.index), func() { t.job.done[t.index] = true; t.exit(fleet.CauseDone, false) })
+	case t.job.spec.Shape == pipeline.Gang:
+		t.timer(t.job.run, func() {
+			for _, o := range t.job.mates(t.attempt) {
+				t.job.done[o.index] = true
+				o.exit(fleet.CauseDone, false)
+			}
+		})
+	}
+}
+
+func (t *task) halt(grace time.Duration) {
+	switch {
+	case t.state == fleet.Running && t.job.spec.Checkpoint > 0 && grace >= t.job.spec.Save:
+		t.state = fleet.Saving
+		t.timer(t.job.spec.Save, func() { t.exit(fleet.CauseStopped, true) })
+	case t.state == fleet.Saving && grace > 0:
+	default:
+		t.exit(fleet.CauseStopped, false)
+	}
+}
+
+func (t *task) exit(c fleet.Cause, saved bool) {
+	if t.state == fleet.Exited {
+		return
+	}
+	t.state, t.cause, t.saved = fleet.Exited, c, saved
+	t.off()
+	t.m.changed()
+	switch c {
+	case fleet.CauseError:
+		t.m.errors++
+		t.m.failedAt = t.m.w.now
+		t.job.errors++
+	case fleet.CauseDone:
+		t.m.w.check.goesOn(t, "completes")
+		t.m.w.script.taskDone(t)
+	}
+}
+
+// off notes that the task is no longer on its machine; its gang notices.
+func (t *task) off() {
+	if t.onIt {
+		t.onIt = false
+		t.m.w.check.left(t)
+	}
+	if t.job.spec.Shape == pipeline.Gang && t.cause != fleet.CauseDone {
+		for _, o := range t.job.mates(t.attempt) {
+			if o.state == fleet.Running {
+				o.timer(2*time.Second, func() { o.exit(fleet.CauseMatesGone, false) })
+			}
+		}
+	}
+}
