--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -264,20 +264,13 @@
 	// without any, what the last such round kept stays so.
 	Waits int
 	Spent func() bool
-	kept  map[string]keptQuota
+	quota *quotaKeeper
 }
 
 // Round is a round of decisions that may take several goes.
 type Round struct {
-	resume string               // the job it stopped before
-	kept   map[string]keptQuota // by team
-}
-
-// keptQuota is the part of a team's limit that is kept for an overdue gang: without it, the
-// team's smaller jobs take every bit that becomes free, and the gang waits for their end.
-type keptQuota struct {
-	gang   *pipeline.Job
-	amount fleet.Amount
+	resume string // the job it stopped before
+	quota  quotaKeeper
 }
 
 // Resumes tells whether the next go continues a round.
@@ -299,10 +292,10 @@
 	if b.Waits > 0 && from == 0 {
 		b.Floor.Clear()
 	}
-	if from == 0 || r.kept == nil {
-		r.kept = map[string]keptQuota{}
+	if from == 0 {
+		r.quota.beginRound()
 	}
-	b.kept = r.kept
+	b.quota = &r.quota
 	for _, t := range b.Turns[from:] {
 		j := t.Job
 		if b.Spent != nil && b.Spent() {
@@ -327,9 +320,8 @@
 // quotaRoom is how many more tasks of the job its team's limit allows.
 func (b *Board) quotaRoom(j *pipeline.Job) int {
 	t, u := b.Team(j.Team), b.Usage(j.Team)
-	if kept, ok := b.kept[j.Team]; ok && kept.gang != j && j.Urgency >= kept.gang.Urgency {
-		u.CPUs, u.GPUs = u.CPUs+kept.amount.CPUs, u.GPUs+kept.amount.GPUs
-	}
+	kept := b.quota.keptFrom(j)
+	u.CPUs, u.GPUs = u.CPUs+kept.CPUs, u.GPUs+kept.GPUs
 	n := maxPerMachine * 1000
 	if t.CPUsMax > 0 && j.CPUs > 0 {
 		n = min(n, int((t.CPUsMax-u.CPUs+slack)/j.CPUs))
@@ -419,7 +411,7 @@
 	}
 	if b.quotaRoom(j) < n {
 		if t.Overdue {
-			b.keepQuota(j)
+			b.quota.keepFor(b.Now, j)
 		}
 		return
 	}
@@ -443,16 +435,6 @@
 	b.Unmet(j, n)
 }
 
-// keepQuota keeps what a gang needs of its team's limit from the jobs that come after it,
-// for one gang of a team at a time.
-func (b *Board) keepQuota(j *pipeline.Job) {
-	if _, taken := b.kept[j.Team]; taken {
-		return
-	}
-	n := float64(len(j.Tasks))
-	b.kept[j.Team] = keptQuota{gang: j, amount: fleet.Amount{CPUs: n * j.CPUs, GPUs: n * j.GPUs, MemGB: n * j.MemGB}}
-}
-
 // startGang places a gang. A task that has its image waits only so long for the
 // others, so where the fetches differ by more, the quick ones are started later.
 // A fetch mostly takes less than expected, and the gang starts with its last one,
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -281,3 +281,25 @@
 		t.Fatalf("placed %v, want the gang once its team's limit has room", b.placed)
 	}
 }
+
+// A part of a team's limit is kept for a minute at a time only: what holds the rest may run
+// for hours.
+func TestQuotaIsKeptByTurns(t *testing.T) {
+	gang := job(t, pipeline.Spec{Ref: "j-1", Tasks: 4, CPUs: 8, Shape: pipeline.Gang})
+	small := job(t, pipeline.Spec{Ref: "j-2", Tasks: 400, CPUs: 1})
+	var round Round
+	placedAt := map[int]bool{}
+	for second := range 240 {
+		b := newBoard(t, []*pipeline.Job{gang, small}, machine("m-1", "cpu", "a"))
+		b.Now = b.Now.Add(time.Duration(second) * time.Second)
+		b.Usage = func(string) fleet.Amount { return fleet.Amount{CPUs: 16} }
+		b.Turns[0].Overdue, b.Turns[1].Most = true, 1
+		round.Run(&b.Board)
+		placedAt[second] = len(b.placed) > 0
+	}
+	for second, want := range map[int]bool{0: false, 59: false, 61: true, 119: true, 121: false, 179: false, 181: true} {
+		if placedAt[second] != want {
+			t.Errorf("after %d s the small job was placed: %v", second, placedAt[second])
+		}
+	}
+}
