--- a/internal/core/capacity/capacity.go
+++ b/internal/core/capacity/capacity.go
@@ -108,10 +108,10 @@
 }
 
 // Choose plans what to rent for work that nothing has room for, after what the
-// machines on the floor, live and booting, will take of it. Reservations don't
+// machines counted as capacity, live and booting, will take of it. Reservations don't
 // count: the jobs that room is kept for are among the demand.
-func (p *Plan) Choose(now time.Time, demand []Demand, floor *placement.Floor, c placement.Catalog) []Order {
-	g := &planner{plan: p, now: now, catalog: c, floor: floor, copies: map[*placement.Slot]*placement.Slot{}, orders: map[Offer]int{}}
+func (p *Plan) Choose(now time.Time, demand []Demand, freeCapacity *placement.FreeCapacity, c placement.Catalog) []Order {
+	g := &planner{plan: p, now: now, catalog: c, freeCapacity: freeCapacity, copies: map[*placement.Slot]*placement.Slot{}, orders: map[Offer]int{}}
 	for _, o := range p.requestedOffers() {
 		if t := c[o.Type]; t != nil {
 			g.addMachines(t, o, p.requested[o])
@@ -130,13 +130,13 @@
 
 // planner is one plan in the making.
 type planner struct {
-	plan    *Plan
-	now     time.Time
-	catalog placement.Catalog
-	floor   *placement.Floor
-	copies  map[*placement.Slot]*placement.Slot // of the floor's, with what is planned for them
-	extra   []*placement.Slot                   // of machines asked for, or about to be
-	orders  map[Offer]int
+	plan         *Plan
+	now          time.Time
+	catalog      placement.Catalog
+	freeCapacity *placement.FreeCapacity
+	copies       map[*placement.Slot]*placement.Slot // of the slots with free capacity, with what is planned for them
+	extra        []*placement.Slot                   // of machines asked for, or about to be
+	orders       map[Offer]int
 }
 
 // addMachines counts on machines of an offer that are asked for, or about to be.
@@ -150,7 +150,7 @@
 // returns false.
 func (g *planner) eachSlot(j *pipeline.Job, zone string, fn func(*placement.Slot) bool) {
 	more := true
-	g.floor.EachRoomy(&j.Spec, zone, func(s *placement.Slot) bool {
+	g.freeCapacity.EachWithFreeCapacity(&j.Spec, zone, func(s *placement.Slot) bool {
 		if j.Avoids(g.now, s.Machine.Name) {
 			return true // it won't be placed there again
 		}
--- a/internal/core/capacity/capacity_test.go
+++ b/internal/core/capacity/capacity_test.go
@@ -29,19 +29,19 @@
 func TestChoosesTheCheapestOpenOffer(t *testing.T) {
 	var p Plan
 	j := job(t, pipeline.Spec{Tasks: 3, CPUs: 8, Spot: true})
-	o := p.Choose(now, []Demand{{Job: j, Tasks: 3}}, &placement.Floor{}, types)
+	o := p.Choose(now, []Demand{{Job: j, Tasks: 3}}, &placement.FreeCapacity{}, types)
 	if len(o) != 1 || o[0] != (Order{Offer{"cpu", "a", true}, 3}) {
 		t.Fatalf("orders %v", o)
 	}
 	p.Asked(o[0].Offer, 3)
-	if again := p.Choose(now, []Demand{{Job: j, Tasks: 3}}, &placement.Floor{}, types); len(again) != 0 {
+	if again := p.Choose(now, []Demand{{Job: j, Tasks: 3}}, &placement.FreeCapacity{}, types); len(again) != 0 {
 		t.Fatalf("asked again while asking: %v", again)
 	}
 	p.Answered(now, o[0].Offer, Answer{Asked: 3})
-	if o := p.Choose(now, []Demand{{Job: j, Tasks: 3}}, &placement.Floor{}, types); len(o) != 1 || o[0].Offer != (Offer{"cpu", "b", true}) {
+	if o := p.Choose(now, []Demand{{Job: j, Tasks: 3}}, &placement.FreeCapacity{}, types); len(o) != 1 || o[0].Offer != (Offer{"cpu", "b", true}) {
 		t.Fatalf("after a refusal: %v", o)
 	}
-	if o := p.Choose(now.Add(minBackoff+time.Second), []Demand{{Job: j, Tasks: 3}}, &placement.Floor{}, types); o[0].Offer.Zone != "a" {
+	if o := p.Choose(now.Add(minBackoff+time.Second), []Demand{{Job: j, Tasks: 3}}, &placement.FreeCapacity{}, types); o[0].Offer.Zone != "a" {
 		t.Fatalf("after the pause: %v", o)
 	}
 }
@@ -52,14 +52,14 @@
 	var p Plan
 	j := job(t, pipeline.Spec{Tasks: 4, CPUs: 8, Shape: pipeline.Gang, Spread: true})
 	per := map[string]int{}
-	for _, o := range p.Choose(now, []Demand{{Job: j, Tasks: 4}}, &placement.Floor{}, types) {
+	for _, o := range p.Choose(now, []Demand{{Job: j, Tasks: 4}}, &placement.FreeCapacity{}, types) {
 		per[o.Offer.Zone] += o.Count
 	}
 	if per["a"] != 2 || per["b"] != 2 {
 		t.Fatalf("machines by zone: %v", per)
 	}
 	one := job(t, pipeline.Spec{Tasks: 4, CPUs: 8, Shape: pipeline.Gang, OneZone: true})
-	orders := p.Choose(now, []Demand{{Job: one, Tasks: 4}}, &placement.Floor{}, types)
+	orders := p.Choose(now, []Demand{{Job: one, Tasks: 4}}, &placement.FreeCapacity{}, types)
 	for _, o := range orders {
 		if o.Offer.Zone != orders[0].Offer.Zone {
 			t.Fatalf("orders in several zones: %v", orders)
@@ -70,14 +70,14 @@
 // Room on a machine where the job failed is none: the plan once waited for it.
 func TestRoomOnBadMachineIsNone(t *testing.T) {
 	m := fleet.NewMachine(now, "m-1", fleet.Kind{Type: "cpu", Zone: "a"}, fleet.Live)
-	floor := &placement.Floor{}
-	floor.Set(m, types["cpu"], false)
+	freeCapacity := &placement.FreeCapacity{}
+	freeCapacity.Set(m, types["cpu"], false)
 	j := job(t, pipeline.Spec{Tasks: 1, CPUs: 8})
-	if o := new(Plan).Choose(now, []Demand{{Job: j, Tasks: 1}}, floor, types); len(o) != 0 {
+	if o := new(Plan).Choose(now, []Demand{{Job: j, Tasks: 1}}, freeCapacity, types); len(o) != 0 {
 		t.Fatalf("rents although there is room: %v", o)
 	}
 	j.AvoidUntil["m-1"] = now.Add(time.Minute)
-	if o := new(Plan).Choose(now, []Demand{{Job: j, Tasks: 1}}, floor, types); len(o) != 1 {
+	if o := new(Plan).Choose(now, []Demand{{Job: j, Tasks: 1}}, freeCapacity, types); len(o) != 1 {
 		t.Fatalf("waits for room that it won't use: %v", o)
 	}
 }
@@ -89,7 +89,7 @@
 	for range 5 {
 		d = append(d, Demand{Job: job(t, pipeline.Spec{Tasks: 2, CPUs: 8, Spot: true}), Tasks: 2})
 	}
-	if o := new(Plan).Choose(now, d, &placement.Floor{}, types); len(o) != 1 || o[0] != (Order{Offer{"cpu", "a", true}, 10}) {
+	if o := new(Plan).Choose(now, d, &placement.FreeCapacity{}, types); len(o) != 1 || o[0] != (Order{Offer{"cpu", "a", true}, 10}) {
 		t.Fatalf("orders %v", o)
 	}
 }
@@ -104,7 +104,7 @@
 		var p Plan
 		p.Asked(Offer{"cpu", "b", false}, 1)
 		p.Asked(Offer{"big", "a", false}, 1)
-		orders := p.Choose(now, demand, &placement.Floor{}, types)
+		orders := p.Choose(now, demand, &placement.FreeCapacity{}, types)
 		if i == 0 {
 			first = orders
 		}
--- a/internal/core/consolidate.go
+++ b/internal/core/consolidate.go
@@ -53,7 +53,7 @@
 			delete(e.emptying, m)
 		}
 	}
-	atOnce := max(1, e.floor.Size()/emptiedPart) - len(e.emptying)
+	atOnce := max(1, e.freeCapacity.Size()/emptiedPart) - len(e.emptying)
 	board := &placement.Board{Now: now, SecondsPerDollarHour: e.cfg.Weights.SecondsPerDollarHour, LargeGPUWork: e.largeGPUWork(now)}
 	mv := &moving{e: e, board: board, now: now, copies: map[*placement.Slot]*placement.Slot{},
 		left: map[*placement.Slot]bool{}, targets: map[*fleet.Machine]bool{}}
@@ -122,7 +122,7 @@
 // candidates are the machines whose emptying saves something, the most first.
 func (v *moving) candidates() []candidate {
 	var out []candidate
-	for _, p := range v.e.floor.Pools {
+	for _, p := range v.e.freeCapacity.Pools {
 		for _, s := range p.Slots {
 			if s.Future || s.Machine.Busy() == 0 {
 				continue
@@ -210,7 +210,7 @@
 func (v *moving) best(j *pipeline.Job, from *placement.Slot) *placement.Slot {
 	var best *placement.Slot
 	low := math.Inf(1)
-	v.e.floor.EachOpen(&j.Spec, "", func(o *placement.Slot) {
+	v.e.freeCapacity.EachOpen(&j.Spec, "", func(o *placement.Slot) {
 		if o == from || v.left[o] || j.Avoids(v.now, o.Machine.Name) ||
 			(o.Machine.Busy() == 0 && o.Type.Price(o.Spot) > from.Type.Price(from.Spot)/2) ||
 			o.Machine.FetchLeft(v.now, j.Image, j.ImageGB, o.Type.FetchGBPerS) > moveOverhead {
@@ -233,7 +233,7 @@
 		if c.spec == nil || need < 0.1 {
 			continue
 		}
-		v.e.floor.EachOpen(c.spec, "", func(s *placement.Slot) {
+		v.e.freeCapacity.EachOpen(c.spec, "", func(s *placement.Slot) {
 			if !v.left[s] {
 				if o := v.copies[s]; o != nil {
 					s = o
--- a/internal/core/decide.go
+++ b/internal/core/decide.go
@@ -16,7 +16,7 @@
 // planEvery is how often rentals and returns are thought about, and room is kept
 // or made for what waits: a look at all machines, so less often the more there are.
 func (e *Engine) planEvery() time.Duration {
-	return min(time.Duration(e.floor.Size())*planEach, time.Second)
+	return min(time.Duration(e.freeCapacity.Size())*planEach, time.Second)
 }
 
 const planEach = 4 * time.Millisecond
@@ -44,7 +44,7 @@
 		return
 	}
 	e.replan, e.placedAt = false, now
-	e.layFloor(now)
+	e.updateFreeCapacity(now)
 	plan := now.Sub(e.plannedAt) >= e.planEvery()
 	if !e.round.Resumes() {
 		e.demand = nil
@@ -52,7 +52,7 @@
 	looked := 0
 	lowest, teams := e.runningWork()
 	b := &placement.Board{
-		Now: now, Turns: e.ranked(now), Floor: &e.floor, SecondsPerDollarHour: e.cfg.Weights.SecondsPerDollarHour, ReportEvery: e.cfg.ReportEvery, GangSlack: max(0, e.cfg.GangWait-e.cfg.ReportEvery*5/4),
+		Now: now, Turns: e.ranked(now), FreeCapacity: &e.freeCapacity, SecondsPerDollarHour: e.cfg.Weights.SecondsPerDollarHour, ReportEvery: e.cfg.ReportEvery, GangSlack: max(0, e.cfg.GangWait-e.cfg.ReportEvery*5/4),
 		Team:    func(name string) placement.Team { return e.cfg.Teams[name] },
 		Usage:   func(team string) fleet.Amount { return e.teamUse[team] },
 		InZones: func(ref string) map[string]int { return e.useOf(ref).zones },
@@ -130,20 +130,20 @@
 	return lowest, len(seen)
 }
 
-// layFloor brings the floor up to date with the machines that have changed.
-func (e *Engine) layFloor(now time.Time) {
+// updateFreeCapacity brings the free capacity up to date with the machines that have changed.
+func (e *Engine) updateFreeCapacity(now time.Time) {
 	for m := range e.changed {
 		delete(e.changed, m)
 		t := e.catalog[m.Type]
 		switch {
 		case t == nil || m.Draining || m.Sick || e.unreachable[m]:
-			e.floor.Remove(m)
+			e.freeCapacity.Remove(m)
 		case m.State() == fleet.Booting && m.Known && now.Sub(m.FirstSeen) <= e.slowBoot(t):
-			e.floor.Set(m, t, true)
+			e.freeCapacity.Set(m, t, true)
 		case m.State() == fleet.Live && m.Confirmed && m.Known && !hasForeign(m):
-			e.floor.Set(m, t, false)
+			e.freeCapacity.Set(m, t, false)
 		default:
-			e.floor.Remove(m)
+			e.freeCapacity.Remove(m)
 		}
 	}
 }
@@ -364,7 +364,7 @@
 	if now.Sub(e.started) < e.cfg.ReportEvery*5/4 {
 		return // machines may be there that haven't been heard of yet
 	}
-	for _, o := range e.plan.Choose(now, demand, &e.floor, e.catalog) {
+	for _, o := range e.plan.Choose(now, demand, &e.freeCapacity, e.catalog) {
 		e.counter++
 		e.plan.Asked(o.Offer, o.Count)
 		e.out.Rent = append(e.out.Rent, Rent{Name: fmt.Sprintf("r-%d-%d", e.term, e.counter), Type: o.Offer.Type,
--- a/internal/core/dependents_test.go
+++ b/internal/core/dependents_test.go
@@ -150,7 +150,7 @@
 		}
 	}
 	b := newBenchWith(t, cfg, 2, Snapshot{Jobs: jobs})
-	b.e.layFloor(b.now)
+	b.e.updateFreeCapacity(b.now)
 	var order []string
 	for _, turn := range b.e.ranked(b.now) {
 		order = append(order, turn.Job.Ref)
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -95,19 +95,19 @@
 	teamUse map[string]fleet.Amount // by team
 
 	// Rounds of decisions.
-	catalog   placement.Catalog
-	floor     placement.Floor
-	changed   map[*fleet.Machine]bool // since the floor last saw them
-	round     placement.Round
-	replan    bool              // something changed that placement may use
-	demand    []capacity.Demand // what the present round found no room for
-	plan      capacity.Plan
-	lastTick  time.Time
-	laggedAt  time.Time // when a tick last came too late
-	placedAt  time.Time
-	plannedAt time.Time
-	movedAt   time.Time // when machines to be emptied were last looked for
-	emptying  map[*fleet.Machine]bool
+	catalog      placement.Catalog
+	freeCapacity placement.FreeCapacity
+	changed      map[*fleet.Machine]bool // since freeCapacity last saw them
+	round        placement.Round
+	replan       bool              // something changed that placement may use
+	demand       []capacity.Demand // what the present round found no room for
+	plan         capacity.Plan
+	lastTick     time.Time
+	laggedAt     time.Time // when a tick last came too late
+	placedAt     time.Time
+	plannedAt    time.Time
+	movedAt      time.Time // when machines to be emptied were last looked for
+	emptying     map[*fleet.Machine]bool
 
 	// What the store doesn't hold yet.
 	startLog     startLog
--- a/internal/core/giveback.go
+++ b/internal/core/giveback.go
@@ -26,7 +26,7 @@
 	if len(e.classes) == 0 || now.Sub(e.started) < 3*e.cfg.ReportEvery {
 		return
 	}
-	for _, p := range e.floor.Pools {
+	for _, p := range e.freeCapacity.Pools {
 		if len(p.Slots) == 0 {
 			continue
 		}
--- a/internal/core/placement/floor.go
+++ b/internal/core/placement/free_capacity.go
@@ -24,18 +24,18 @@
 	stale bool // most may be too high or too low
 }
 
-// Floor is all machines that may take tasks, or soon will, by pool. It is kept up
+// FreeCapacity is all machines that may take tasks, or soon will, by pool. It is kept up
 // as they change.
-type Floor struct {
+type FreeCapacity struct {
 	Pools  []*Pool
 	byKey  map[PoolKey]*Pool
 	slots  map[*fleet.Machine]*Slot
 	marked []*Slot // that hold a round's reservation
 }
 
-// Set puts a machine on the floor, or brings its slot up to date. Future ones
+// Set adds a machine, or brings its slot up to date. Future ones
 // are booting and take no tasks yet.
-func (f *Floor) Set(m *fleet.Machine, t *Type, future bool) {
+func (f *FreeCapacity) Set(m *fleet.Machine, t *Type, future bool) {
 	if f.slots == nil {
 		f.slots, f.byKey = map[*fleet.Machine]*Slot{}, map[PoolKey]*Pool{}
 	}
@@ -59,7 +59,7 @@
 	s.pool.stale = true
 }
 
-func (f *Floor) pool(k PoolKey, t *Type) *Pool {
+func (f *FreeCapacity) pool(k PoolKey, t *Type) *Pool {
 	p := f.byKey[k]
 	if p == nil {
 		p = &Pool{Key: k}
@@ -81,11 +81,11 @@
 	return !k.Spot && o.Spot
 }
 
-// Size is how many machines are on the floor.
-func (f *Floor) Size() int { return len(f.slots) }
+// Size is how many machines are counted.
+func (f *FreeCapacity) Size() int { return len(f.slots) }
 
-// Remove takes a machine off the floor.
-func (f *Floor) Remove(m *fleet.Machine) {
+// Remove takes a machine out.
+func (f *FreeCapacity) Remove(m *fleet.Machine) {
 	s := f.slots[m]
 	if s == nil {
 		return
@@ -117,7 +117,7 @@
 }
 
 // EachOpen calls fn for each slot that now has room for a task of the job.
-func (f *Floor) EachOpen(sp *pipeline.Spec, zone string, fn func(*Slot)) {
+func (f *FreeCapacity) EachOpen(sp *pipeline.Spec, zone string, fn func(*Slot)) {
 	for _, p := range f.Pools {
 		if (zone != "" && p.Key.Zone != zone) || !p.Allowed(sp) || !p.mayFit(sp) {
 			continue
@@ -130,9 +130,9 @@
 	}
 }
 
-// EachRoomy calls fn for each slot, booting ones too, that may have room for a
+// EachWithFreeCapacity calls fn for each slot, booting ones too, that may have room for a
 // task of the job, reservations apart, until it returns false.
-func (f *Floor) EachRoomy(sp *pipeline.Spec, zone string, fn func(*Slot) bool) {
+func (f *FreeCapacity) EachWithFreeCapacity(sp *pipeline.Spec, zone string, fn func(*Slot) bool) {
 	for _, p := range f.Pools {
 		if (zone != "" && p.Key.Zone != zone) || !p.Allowed(sp) || !p.mayFit(sp) {
 			continue
@@ -154,7 +154,7 @@
 
 // EachAllowed calls fn for each slot of live machines that the job may use, with
 // room or not.
-func (f *Floor) EachAllowed(sp *pipeline.Spec, zone string, fn func(*Slot)) {
+func (f *FreeCapacity) EachAllowed(sp *pipeline.Spec, zone string, fn func(*Slot)) {
 	for _, p := range f.Pools {
 		if (zone == "" || p.Key.Zone == zone) && p.Allowed(sp) {
 			for _, s := range p.Slots {
@@ -167,7 +167,7 @@
 }
 
 // byPrice lists the pools that the job may use, the cheapest machines first.
-func (f *Floor) byPrice(sp *pipeline.Spec) []*Pool {
+func (f *FreeCapacity) byPrice(sp *pipeline.Spec) []*Pool {
 	var pools []*Pool
 	for _, p := range f.Pools {
 		if p.Allowed(sp) {
@@ -181,7 +181,7 @@
 }
 
 // Zones lists the zones that have slots.
-func (f *Floor) Zones() []string {
+func (f *FreeCapacity) Zones() []string {
 	var out []string
 	seen := map[string]bool{}
 	for _, p := range f.Pools {
@@ -196,13 +196,13 @@
 
 // reserve keeps what a slot has free, and will have, for a job; a round's
 // reservations end with it.
-func (f *Floor) reserve(s *Slot, left spare) {
+func (f *FreeCapacity) reserve(s *Slot, left spare) {
 	s.reserved = &left
 	f.marked = append(f.marked, s)
 }
 
 // Clear ends the reservations of the last round.
-func (f *Floor) Clear() {
+func (f *FreeCapacity) Clear() {
 	for _, s := range f.marked {
 		s.reserved = nil
 	}
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -235,18 +235,18 @@
 
 // Board is what a round decides on.
 type Board struct {
-	Now     time.Time
-	Turns   []Turn // in ready order
-	Floor   *Floor
-	Team    func(name string) Team
-	Usage   func(team string) fleet.Amount
-	InZones func(ref string) map[string]int // what of a job may be on machines
-	Busy    func(ref string) int
-	Commit  func(Decision)
-	Unmet   func(j *pipeline.Job, tasks int)
-	EndOf   func(a *fleet.Attempt) time.Time // when an attempt is expected to leave
-	Due     func(j *pipeline.Job) time.Time  // when a job must start to keep its next aim
-	StartBy func(j *pipeline.Job) time.Time  // when its tasks must have started for its next aim on starting
+	Now          time.Time
+	Turns        []Turn // in ready order
+	FreeCapacity *FreeCapacity
+	Team         func(name string) Team
+	Usage        func(team string) fleet.Amount
+	InZones      func(ref string) map[string]int // what of a job may be on machines
+	Busy         func(ref string) int
+	Commit       func(Decision)
+	Unmet        func(j *pipeline.Job, tasks int)
+	EndOf        func(a *fleet.Attempt) time.Time // when an attempt is expected to leave
+	Due          func(j *pipeline.Job) time.Time  // when a job must start to keep its next aim
+	StartBy      func(j *pipeline.Job) time.Time  // when its tasks must have started for its next aim on starting
 	// MayStop tells whether an attempt may be stopped for a job, and what that
 	// would cost in seconds; Stop stops it. Preempts tells whether it is worth
 	// asking.
@@ -290,7 +290,7 @@
 	}
 	r.resume = ""
 	if b.Waits > 0 && from == 0 {
-		b.Floor.Clear()
+		b.FreeCapacity.Clear()
 	}
 	if from == 0 {
 		r.quota.beginRound()
@@ -358,7 +358,7 @@
 func (b *Board) open(j *pipeline.Job, zone string) []scored {
 	var out []scored
 	startBy := b.StartBy(j)
-	b.Floor.EachOpen(&j.Spec, zone, func(s *Slot) {
+	b.FreeCapacity.EachOpen(&j.Spec, zone, func(s *Slot) {
 		if !s.held(b.Now) && !j.Avoids(b.Now, s.Machine.Name) {
 			out = append(out, scored{s, b.Score(s, j, startBy)})
 		}
@@ -454,7 +454,7 @@
 // gangZones are the zones to try one by one; an empty name stands for all.
 func (b *Board) gangZones(j *pipeline.Job) []string {
 	if j.OneZone && len(j.Tasks) > 1 {
-		return b.Floor.Zones()
+		return b.FreeCapacity.Zones()
 	}
 	return []string{""}
 }
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -48,7 +48,7 @@
 	t.Helper()
 	b := &board{}
 	now := time.Unix(100, 0)
-	b.Board = Board{Now: now, Floor: &Floor{}, Waits: 5, SecondsPerDollarHour: 1,
+	b.Board = Board{Now: now, FreeCapacity: &FreeCapacity{}, Waits: 5, SecondsPerDollarHour: 1,
 		Team:    func(string) Team { return Team{CPUsMax: 40} },
 		Usage:   func(string) fleet.Amount { return fleet.Amount{CPUs: float64(8 * len(b.placed))} },
 		InZones: func(string) map[string]int { return map[string]int{} },
@@ -71,7 +71,7 @@
 		b.Turns = append(b.Turns, Turn{Job: j, Most: len(j.Tasks)})
 	}
 	for _, m := range machines {
-		b.Floor.Set(m, types[m.Type], false)
+		b.FreeCapacity.Set(m, types[m.Type], false)
 	}
 	return b
 }
--- a/internal/core/placement/preempt.go
+++ b/internal/core/placement/preempt.go
@@ -50,14 +50,14 @@
 	}
 	for _, p := range places {
 		if n > 1 || Share(p.slot.Type, &j.Spec) >= largeShare {
-			b.Floor.reserve(p.slot, p.left)
+			b.FreeCapacity.reserve(p.slot, p.left)
 		}
 	}
 }
 
 // large tells whether the job's tasks count as large on some type it may use.
 func (b *Board) large(j *pipeline.Job) bool {
-	for _, p := range b.Floor.Pools {
+	for _, p := range b.FreeCapacity.Pools {
 		if p.Allowed(&j.Spec) && Share(p.Type, &j.Spec) >= largeShare {
 			return true
 		}
@@ -83,7 +83,7 @@
 func (b *Board) soonest(j *pipeline.Job, n int, zones map[string]int) (best []place, at time.Time) {
 	for _, z := range b.gangZones(j) {
 		var all []place
-		b.Floor.EachAllowed(&j.Spec, z, func(s *Slot) {
+		b.FreeCapacity.EachAllowed(&j.Spec, z, func(s *Slot) {
 			if b.usable(s, j, zones) {
 				t, rest := b.roomAt(s, &j.Spec)
 				all = append(all, place{slot: s, at: t, left: rest})
@@ -168,7 +168,7 @@
 // once what may be stopped for it is stopped, those where that loses the least first.
 func (b *Board) preemptible(j *pipeline.Job, zone string, zones map[string]int) []place {
 	var all []place
-	b.Floor.EachAllowed(&j.Spec, zone, func(s *Slot) {
+	b.FreeCapacity.EachAllowed(&j.Spec, zone, func(s *Slot) {
 		if !b.usable(s, j, zones) {
 			return
 		}
@@ -182,7 +182,7 @@
 
 // clear stops what occupies a place and keeps the room for its task.
 func (b *Board) clear(p place) {
-	b.Floor.reserve(p.slot, p.left)
+	b.FreeCapacity.reserve(p.slot, p.left)
 	for _, a := range p.victims {
 		b.Stop(a)
 	}
--- a/internal/core/placement/replicas.go
+++ b/internal/core/placement/replicas.go
@@ -101,7 +101,7 @@
 	}
 	inZones := map[string]int{}
 	maps.Copy(inZones, zones)
-	for _, pool := range b.Floor.byPrice(&j.Spec) {
+	for _, pool := range b.FreeCapacity.byPrice(&j.Spec) {
 		choices := b.preemptibleIn(pool, j, inZones, placesPerReplica*n)
 		sort.SliceStable(choices, func(i, k int) bool { return choices[i].cost < choices[k].cost })
 		for _, p := range choices {
--- a/internal/core/rank.go
+++ b/internal/core/rank.go
@@ -15,7 +15,7 @@
 // nothing has begun for long comes before all others, if only with a few of its
 // tasks: neither urgent nor small work may starve it.
 func (e *Engine) ranked(now time.Time) []placement.Turn {
-	machines := float64(max(e.floor.Size(), fewMachines))
+	machines := float64(max(e.freeCapacity.Size(), fewMachines))
 	var out []rank
 	for _, j := range e.order {
 		if j.Phase() == pipeline.Active && j.Count(pipeline.Waiting) > 0 && !e.cancelHolds(now, j.Ref) {
@@ -136,7 +136,7 @@
 	if j.Shape != pipeline.Gang {
 		return 0
 	}
-	each := gatherEach * gatherFleet / time.Duration(max(gatherFleet, e.floor.Size()))
+	each := gatherEach * gatherFleet / time.Duration(max(gatherFleet, e.freeCapacity.Size()))
 	return time.Duration(len(j.Tasks)-1) * each
 }
 
