--- a/internal/core/decide.go
+++ b/internal/core/decide.go
@@ -52,7 +52,7 @@
 	looked := 0
 	lowest, teams := e.runningWork()
 	b := &placement.Board{
-		Now: now, Turns: e.ranked(now), FreeCapacity: &e.freeCapacity, SecondsPerDollarHour: e.cfg.Weights.SecondsPerDollarHour, ReportEvery: e.cfg.ReportEvery, GangSlack: max(0, e.cfg.GangWait-e.cfg.ReportEvery*5/4),
+		Now: now, Queue: e.priorityOrder(now), FreeCapacity: &e.freeCapacity, SecondsPerDollarHour: e.cfg.Weights.SecondsPerDollarHour, ReportEvery: e.cfg.ReportEvery, GangSlack: max(0, e.cfg.GangWait-e.cfg.ReportEvery*5/4),
 		Team:    func(name string) placement.Team { return e.cfg.Teams[name] },
 		Usage:   func(team string) fleet.Amount { return e.teamUse[team] },
 		InZones: func(ref string) map[string]int { return e.useOf(ref).zones },
@@ -160,7 +160,7 @@
 	if j == nil || a.Foreign || a.Stopping || a.State() == fleet.Saving {
 		return 0, false
 	}
-	if by.Urgency >= j.Urgency && !e.owed(by, j) || e.agedBefore(now, j, by) {
+	if by.Urgency >= j.Urgency && !e.owed(by, j) || e.starvesBefore(now, j, by) {
 		return 0, false
 	}
 	cost := 10 + j.Save.Seconds()
@@ -182,11 +182,11 @@
 	return cost, true
 }
 
-// agedBefore tells whether a job of which nothing has begun for long comes before another:
+// starvesBefore tells whether a job of which nothing has begun for long comes before another:
 // what it has just been given mustn't be taken from it again, round after round, so that
 // neither ever starts.
-func (e *Engine) agedBefore(now time.Time, j, by *pipeline.Job) bool {
-	return e.aged(now, j) && !(e.aged(now, by) && e.agedSince(by).Before(e.agedSince(j)))
+func (e *Engine) starvesBefore(now time.Time, j, by *pipeline.Job) bool {
+	return e.pastStarvationBound(now, j) && !(e.pastStarvationBound(now, by) && e.starvingSince(by).Before(e.starvingSince(j)))
 }
 
 // owed tells whether a job's team is within its guarantee with what the job needs at
@@ -291,8 +291,8 @@
 	return j.Since.Add(noAim)
 }
 
-// workLeft is the run time of all tasks of a job that aren't done.
-func (e *Engine) workLeft(j *pipeline.Job) time.Duration {
+// remainingWork is the run time of all tasks of a job that aren't done.
+func (e *Engine) remainingWork(j *pipeline.Job) time.Duration {
 	return e.expectedRun(j) * time.Duration(len(j.Tasks)-j.Count(pipeline.Finished))
 }
 
--- a/internal/core/dependents_test.go
+++ b/internal/core/dependents_test.go
@@ -152,8 +152,8 @@
 	b := newBenchWith(t, cfg, 2, Snapshot{Jobs: jobs})
 	b.e.updateFreeCapacity(b.now)
 	var order []string
-	for _, turn := range b.e.ranked(b.now) {
-		order = append(order, turn.Job.Ref)
+	for _, entry := range b.e.priorityOrder(b.now) {
+		order = append(order, entry.Job.Ref)
 	}
 	if len(order) != 3 || order[0] != "j-3" || order[1] != "j-2" || order[2] != "j-1" {
 		t.Fatalf("order %v", order)
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -219,9 +219,9 @@
 	Delay time.Duration // how long to put its start off
 }
 
-// Turn is a job's place in a round, how many of its tasks it may place there, and
+// QueueEntry is a job's place in the queue of a round, how many of its tasks it may place there, and
 // whether only where its image is there already or soon.
-type Turn struct {
+type QueueEntry struct {
 	Job  *pipeline.Job
 	Most int
 	Warm bool
@@ -236,7 +236,7 @@
 // Board is what a round decides on.
 type Board struct {
 	Now          time.Time
-	Turns        []Turn // in ready order
+	Queue        []QueueEntry // in ready order
 	FreeCapacity *FreeCapacity
 	Team         func(name string) Team
 	Usage        func(team string) fleet.Amount
@@ -281,7 +281,7 @@
 func (r *Round) Run(b *Board) bool {
 	from := 0
 	if r.resume != "" {
-		for i, t := range b.Turns {
+		for i, t := range b.Queue {
 			if t.Job.Ref == r.resume {
 				from = i
 				break
@@ -296,7 +296,7 @@
 		r.quota.beginRound()
 	}
 	b.quota = &r.quota
-	for _, t := range b.Turns[from:] {
+	for _, t := range b.Queue[from:] {
 		j := t.Job
 		if b.Spent != nil && b.Spent() {
 			r.resume = j.Ref
@@ -370,9 +370,9 @@
 // placeTasks places as many tasks of an array as there is room for, and at most so many.
 // Slots are filled one after the other, since a task more on a machine that has
 // the image, or is in use, costs nothing more.
-func (b *Board) placeTasks(t Turn) {
-	j := t.Job
-	room := min(b.quotaRoom(j), t.Most)
+func (b *Board) placeTasks(entry QueueEntry) {
+	j := entry.Job
+	room := min(b.quotaRoom(j), entry.Most)
 	want := min(room, j.Count(pipeline.Waiting))
 	if want == 0 {
 		return
@@ -384,7 +384,7 @@
 	}
 	placed := 0
 	for _, s := range slots {
-		if t.Warm && s.Machine.FetchLeft(b.Now, j.Image, j.ImageGB, s.Type.FetchGBPerS) > warmWithin {
+		if entry.Warm && s.Machine.FetchLeft(b.Now, j.Image, j.ImageGB, s.Type.FetchGBPerS) > warmWithin {
 			continue
 		}
 		for task >= 0 && placed < want && s.Free(&j.Spec) > 0 && ZoneRoom(j, s.Zone, b.InZones(j.Ref)) > 0 &&
@@ -395,7 +395,7 @@
 			task = j.NextWaiting(b.Now, task+1)
 		}
 	}
-	if unmet := want - placed; unmet > 0 && task >= 0 && !t.Warm {
+	if unmet := want - placed; unmet > 0 && task >= 0 && !entry.Warm {
 		b.wait(j, 1, b.InZones(j.Ref))
 		b.Unmet(j, unmet)
 	}
@@ -403,14 +403,14 @@
 
 // placeGang places all tasks of a gang or none. Nothing of an earlier attempt
 // may be left anywhere.
-func (b *Board) placeGang(t Turn) {
-	j := t.Job
+func (b *Board) placeGang(entry QueueEntry) {
+	j := entry.Job
 	n := len(j.Tasks)
 	if b.Busy(j.Ref) > 0 || j.Count(pipeline.Waiting) < n {
 		return
 	}
 	if b.quotaRoom(j) < n {
-		if t.Overdue {
+		if entry.Overdue {
 			b.quota.keepFor(b.Now, j)
 		}
 		return
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -68,7 +68,7 @@
 		LargeGPUWork: func(*Type) *pipeline.Spec { return nil },
 	}
 	for _, j := range jobs {
-		b.Turns = append(b.Turns, Turn{Job: j, Most: len(j.Tasks)})
+		b.Queue = append(b.Queue, QueueEntry{Job: j, Most: len(j.Tasks)})
 	}
 	for _, m := range machines {
 		b.FreeCapacity.Set(m, types[m.Type], false)
@@ -127,9 +127,9 @@
 // gave up five times, each time after the fetch had almost come to its end.
 func TestGangStartsTogether(t *testing.T) {
 	gang := job(t, pipeline.Spec{Ref: "j-1", Tasks: 2, CPUs: 8, Shape: pipeline.Gang, Image: "i", ImageGB: 60})
-	warm, cold := machine("m-1", "cpu", "a"), machine("m-2", "cpu", "a")
-	warm.UseImage(time.Unix(0, 0), "i", 60, 100, 1)
-	b := newBoard(t, []*pipeline.Job{gang}, warm, cold)
+	cached, uncached := machine("m-1", "cpu", "a"), machine("m-2", "cpu", "a")
+	cached.UseImage(time.Unix(0, 0), "i", 60, 100, 1)
+	b := newBoard(t, []*pipeline.Job{gang}, cached, uncached)
 	b.GangSlack = 10 * time.Second
 	new(Round).Run(&b.Board)
 	for _, d := range b.placed {
@@ -268,14 +268,14 @@
 	}
 	b := newBoard(t, []*pipeline.Job{gang, small, production}, machines...)
 	b.Usage = func(string) fleet.Amount { return fleet.Amount{CPUs: 16} } // of 40
-	b.Turns[0].Overdue = true
+	b.Queue[0].Overdue = true
 	new(Round).Run(&b.Board)
 	if len(b.placed) != 1 || b.placed[0].Job != production {
 		t.Fatalf("placed %v, want the more urgent job only", b.placed)
 	}
 	b = newBoard(t, []*pipeline.Job{gang, small}, machines...)
 	b.Usage = func(string) fleet.Amount { return fleet.Amount{CPUs: 8} }
-	b.Turns[0].Overdue = true
+	b.Queue[0].Overdue = true
 	new(Round).Run(&b.Board)
 	if len(b.placed) < 4 || b.placed[3].Job != gang {
 		t.Fatalf("placed %v, want the gang once its team's limit has room", b.placed)
@@ -293,7 +293,7 @@
 		b := newBoard(t, []*pipeline.Job{gang, small}, machine("m-1", "cpu", "a"))
 		b.Now = b.Now.Add(time.Duration(second) * time.Second)
 		b.Usage = func(string) fleet.Amount { return fleet.Amount{CPUs: 16} }
-		b.Turns[0].Overdue, b.Turns[1].Most = true, 1
+		b.Queue[0].Overdue, b.Queue[1].Most = true, 1
 		round.Run(&b.Board)
 		placedAt[second] = len(b.placed) > 0
 	}
--- a/internal/core/placement/quota.go
+++ b/internal/core/placement/quota.go
@@ -7,10 +7,10 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// quotaTurn is for how long a part of a team's limit is kept for overdue gangs, and for how
+// quotaPhase is for how long a part of a team's limit is kept for overdue gangs, and for how
 // long it is then open to all again. What holds the rest of the limit may run for long, and
 // no job may be left waiting for 90 s though its team has room.
-const quotaTurn = time.Minute
+const quotaPhase = time.Minute
 
 // quotaKeeper keeps a part of a team's limit for an overdue gang: without it, the team's
 // smaller jobs take every bit that becomes free, and the gang waits for their end.
@@ -43,7 +43,7 @@
 		q.since[gang.Team] = now
 	}
 	var amount fleet.Amount
-	if now.Sub(q.since[gang.Team])%(2*quotaTurn) < quotaTurn {
+	if now.Sub(q.since[gang.Team])%(2*quotaPhase) < quotaPhase {
 		n := float64(len(gang.Tasks))
 		amount = fleet.Amount{CPUs: n * gang.CPUs, GPUs: n * gang.GPUs, MemGB: n * gang.MemGB}
 	}
--- a/internal/core/placement/replicas.go
+++ b/internal/core/placement/replicas.go
@@ -11,9 +11,9 @@
 // placeReplicas places as many of a service's waiting replicas as there is room for, each on
 // a machine of its own while there are enough, and evenly over the zones: what is lost with
 // a machine or a zone is missing until it is proven gone.
-func (b *Board) placeReplicas(t Turn) {
-	j := t.Job
-	want := min(b.quotaRoom(j), t.Most, j.Count(pipeline.Waiting))
+func (b *Board) placeReplicas(entry QueueEntry) {
+	j := entry.Job
+	want := min(b.quotaRoom(j), entry.Most, j.Count(pipeline.Waiting))
 	task := j.NextWaiting(b.Now, 0)
 	if want == 0 || task < 0 {
 		return
--- a/internal/core/rank.go
+++ b/internal/core/priority_order.go
@@ -9,69 +9,69 @@
 	"gingertally/internal/core/placement"
 )
 
-// ranked is the jobs with waiting tasks in the order in which they may choose:
+// priorityOrder is the jobs with waiting tasks in the order in which they may choose:
 // by urgency, then by how soon they must start to keep an aim that can still be
 // kept, the small ones sooner. Jobs that keep failing come last. A job of which
 // nothing has begun for long comes before all others, if only with a few of its
 // tasks: neither urgent nor small work may starve it.
-func (e *Engine) ranked(now time.Time) []placement.Turn {
+func (e *Engine) priorityOrder(now time.Time) []placement.QueueEntry {
 	machines := float64(max(e.freeCapacity.Size(), fewMachines))
-	var out []rank
+	var out []prioritized
 	for _, j := range e.order {
 		if j.Phase() == pipeline.Active && j.Count(pipeline.Waiting) > 0 && !e.cancelHolds(now, j.Ref) {
-			out = e.turnsOf(out, now, j, machines)
+			out = e.appendEntries(out, now, j, machines)
 		}
 	}
 	sort.SliceStable(out, func(i, k int) bool { return out[i].before(&out[k]) })
-	turns := make([]placement.Turn, len(out))
+	entries := make([]placement.QueueEntry, len(out))
 	for i := range out {
-		turns[i] = out[i].Turn
+		entries[i] = out[i].QueueEntry
 	}
-	return turns
+	return entries
 }
 
-// rank is a turn with what its place in the order goes by.
-type rank struct {
-	placement.Turn
-	aged, held bool
-	cold       int // 0: needs no fetch, or a short one; 1: a first wave; 2: the rest
-	due        time.Time
+// prioritized is a queue entry with what its place in the order goes by.
+type prioritized struct {
+	placement.QueueEntry
+	starving, failing bool
+	cacheMiss         int // 0: needs no fetch, or a short one; 1: a first wave; 2: the rest
+	due               time.Time
 }
 
-func (a *rank) before(b *rank) bool {
+func (a *prioritized) before(b *prioritized) bool {
 	switch {
-	case a.held != b.held:
-		return b.held
-	case a.aged != b.aged:
-		return a.aged
-	case !a.aged && a.Job.Urgency != b.Job.Urgency:
+	case a.failing != b.failing:
+		return b.failing
+	case a.starving != b.starving:
+		return a.starving
+	case !a.starving && a.Job.Urgency != b.Job.Urgency:
 		return a.Job.Urgency < b.Job.Urgency
-	case a.cold != b.cold:
-		return a.cold < b.cold
+	case a.cacheMiss != b.cacheMiss:
+		return a.cacheMiss < b.cacheMiss
 	}
 	return a.due.Before(b.due)
 }
 
-// turnsOf adds a job's turns. Arrays whose image is slow to fetch have three: for
+// appendEntries adds a job's queue entries. Arrays whose image is slow to fetch have three: for
 // machines that have it, for as many others as they need to be in time, and for
 // the rest. The time that a place is held for a fetch is lost to all.
-func (e *Engine) turnsOf(out []rank, now time.Time, j *pipeline.Job, machines float64) []rank {
+func (e *Engine) appendEntries(out []prioritized, now time.Time, j *pipeline.Job, machines float64) []prioritized {
 	wait := now.Sub(j.Since)
-	held := j.FailsRepeatedly(e.cfg.RestartLimit)
-	if !held && e.aged(now, j) {
+	failing := j.FailsRepeatedly(e.cfg.RestartLimit)
+	if !failing && e.pastStarvationBound(now, j) {
 		most := len(j.Tasks)
 		if j.Shape == pipeline.Array {
-			most = 1 + most/agedPart
+			most = 1 + most/starvingPart
 		}
-		out = append(out, rank{Turn: placement.Turn{Job: j, Most: most, Overdue: true}, aged: true, due: e.agedSince(j)})
+		out = append(out, prioritized{QueueEntry: placement.QueueEntry{Job: j, Most: most, Overdue: true}, starving: true, due: e.starvingSince(j)})
 	}
-	size := time.Duration(float64(e.workLeft(j)) * e.cfg.Weights.SmallFirst / machines)
+	size := time.Duration(float64(e.remainingWork(j)) * e.cfg.Weights.SmallFirst / machines)
 	size = time.Duration(float64(size) * min(1, max(0, 2-float64(wait)/float64(sizeFades))))
 	due := e.dueStart(now, j)
-	r := rank{Turn: placement.Turn{Job: j, Most: len(j.Tasks)}, held: held, due: due.Add(size)}
+	r := prioritized{QueueEntry: placement.QueueEntry{Job: j, Most: len(j.Tasks)}, failing: failing, due: due.Add(size)}
 	if j.Shape == pipeline.Array && e.expectedFetch(j) > longFetch {
 		warm, first := r, r
-		warm.Warm, r.cold, first.cold = true, 2, 1
+		warm.Warm, r.cacheMiss, first.cacheMiss = true, 2, 1
 		first.Most = e.firstWave(j, due.Sub(now)-spareTime) - len(e.useOf(j.Ref).attempts)
 		out = append(out, warm)
 		if first.Most > 0 {
@@ -93,37 +93,37 @@
 	return int(math.Ceil(left * run / (run + max(0, spare.Seconds()))))
 }
 
-// aged tells whether a job has waited so long for its first task that it comes
+// pastStarvationBound tells whether a job has waited so long for its first task that it comes
 // before all others.
-func (e *Engine) aged(now time.Time, j *pipeline.Job) bool {
-	return !j.Started && now.Sub(j.Since) > e.agesAfter(j)
+func (e *Engine) pastStarvationBound(now time.Time, j *pipeline.Job) bool {
+	return !j.Started && now.Sub(j.Since) > e.starvationBound(j)
 }
 
-// agedSince is what aged jobs are ordered by among themselves.
-func (e *Engine) agedSince(j *pipeline.Job) time.Time { return j.Since.Add(-e.gatherTime(j)) }
+// starvingSince is what jobs past the starvation bound are ordered by among themselves.
+func (e *Engine) starvingSince(j *pipeline.Job) time.Time { return j.Since.Add(-e.gatherTime(j)) }
 
 // needsRoomBy is when a job must have room if it isn't to be late; one that has
 // waited for long is late already, whatever aim it can still keep.
 // A service is late with each replica that isn't running, since every second of it counts.
 func (e *Engine) needsRoomBy(now time.Time, j *pipeline.Job) time.Time {
-	if e.aged(now, j) || j.Shape == pipeline.Service {
+	if e.pastStarvationBound(now, j) || j.Shape == pipeline.Service {
 		return now
 	}
 	return e.dueStart(now, j)
 }
 
-// agesAfter is how long a job may wait for its first task before it comes ahead
+// starvationBound is how long a job may wait for its first task before it comes ahead
 // of all others: the largest must begin within four minutes.
-func (e *Engine) agesAfter(j *pipeline.Job) time.Duration {
+func (e *Engine) starvationBound(j *pipeline.Job) time.Duration {
 	if j.Shape == pipeline.Gang && len(j.Tasks) > 1 {
-		return max(gangAges-e.gatherTime(j), 0)
+		return max(gangStarvationBound-e.gatherTime(j), 0)
 	}
-	return jobAges
+	return jobStarvationBound
 }
 
 const (
-	jobAges  = 150 * time.Second
-	gangAges = 100 * time.Second
+	jobStarvationBound  = 150 * time.Second
+	gangStarvationBound = 100 * time.Second
 	// for each task beyond the first in a fleet of gatherFleet machines or fewer
 	gatherEach  = 10 * time.Second
 	gatherFleet = 250
@@ -146,12 +146,12 @@
 // small ones go first. It counts less once the job has waited for sizeFades, and
 // not at all after twice that.
 const (
-	fewMachines = 36
-	sizeFades   = 4 * time.Minute
-	agedPart    = 8
+	fewMachines  = 36
+	sizeFades    = 4 * time.Minute
+	starvingPart = 8
 )
 
-// Arrays whose image takes longer than longFetch to fetch have several turns. Their
+// Arrays whose image takes longer than longFetch to fetch have several queue entries. Their
 // first waves are so wide that they would be done spareTime before they are due.
 const (
 	longFetch = 10 * time.Second
--- a/internal/core/rank_test.go
+++ b/internal/core/priority_order_test.go
@@ -11,7 +11,7 @@
 // A gang that had missed its aim to start has a later one that it can still keep,
 // and so once waited for room to come by itself, for as long as that aim allowed.
 // By its age it comes before all others, and room is made for it at once.
-func TestAgedGangMakesRoom(t *testing.T) {
+func TestStarvingGangMakesRoom(t *testing.T) {
 	cfg := config()
 	cfg.Aims = map[string][]Aim{"g": {{Kind: AimFinish, Within: 400 * time.Second}}}
 	b := newBenchWith(t, cfg, 2, Snapshot{})
--- a/internal/core/aged_test.go
+++ b/internal/core/starvation_bound_test.go
@@ -10,7 +10,7 @@
 // An old small job and a later, more urgent one that needs most of the only machine: what
 // the first is given isn't taken from it again, round after round, before it has left.
 // Without that neither started on a hunted day, for ten minutes.
-func TestAgedJobKeepsItsPlace(t *testing.T) {
+func TestStarvingJobKeepsItsPlace(t *testing.T) {
 	old, urgent := job("j-1", 1), job("j-2", 1)
 	old.Record.Spec.CPUs, old.Record.Spec.Priority, old.Record.SubmittedMS = 4, pipeline.Normal, 4_700_000
 	urgent.Record.Spec.CPUs, urgent.Record.Spec.Priority, urgent.Record.SubmittedMS = 6, pipeline.High, 4_998_000
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -89,7 +89,7 @@
 // addWaiting adds the jobs with tasks that wait for room, in the order of priority.
 func (e *Engine) addWaiting(now time.Time, s *Status) {
 	seen := map[string]bool{}
-	for _, t := range e.ranked(now) {
+	for _, t := range e.priorityOrder(now) {
 		j := t.Job
 		if seen[j.Ref] {
 			continue
