--- a/internal/core/consolidate.go
+++ b/internal/core/consolidate.go
@@ -11,7 +11,7 @@
 )
 
 // When work thins out, tasks that save are moved off machines that they hardly
-// use, so that those can be given back.
+// use, so that those can be released.
 const (
 	// consolidateEvery leaves time for the last move to show.
 	consolidateEvery = 3 * time.Second
@@ -55,14 +55,14 @@
 	}
 	atOnce := max(1, e.freeCapacity.Size()/emptiedPart) - len(e.emptying)
 	board := &placement.Board{Now: now, SecondsPerDollarHour: e.cfg.Weights.SecondsPerDollarHour, LargeGPUWork: e.largeGPUWork(now)}
-	mv := &moving{e: e, board: board, now: now, copies: map[*placement.Slot]*placement.Slot{},
-		left: map[*placement.Slot]bool{}, targets: map[*fleet.Machine]bool{}}
-	candidates := mv.candidates()
+	plan := &consolidation{engine: e, board: board, now: now, copies: map[*placement.Slot]*placement.Slot{},
+		emptied: map[*placement.Slot]bool{}, targets: map[*fleet.Machine]bool{}}
+	candidates := plan.candidates()
 	for _, c := range candidates[:min(len(candidates), 3*max(atOnce, 0))] {
 		if atOnce <= 0 {
 			return
 		}
-		if e.hasAllReplicas(c.slot.Machine) || !mv.haveRoom(c.slot, c.jobs) {
+		if e.hasAllReplicas(c.slot.Machine) || !plan.bookElsewhere(c.slot, c.jobs) {
 			continue
 		}
 		atOnce--
@@ -101,13 +101,13 @@
 	return false
 }
 
-// moving is one look at what could be moved.
-type moving struct {
-	e       *Engine
+// consolidation is one plan of which machines to empty, and where their tasks go.
+type consolidation struct {
+	engine  *Engine
 	board   *placement.Board // to score places
 	now     time.Time
 	copies  map[*placement.Slot]*placement.Slot // with what is to move there
-	left    map[*placement.Slot]bool            // slots that are being emptied
+	emptied map[*placement.Slot]bool            // slots that are being emptied
 	targets map[*fleet.Machine]bool             // machines that something is to move to
 }
 
@@ -120,9 +120,9 @@
 }
 
 // candidates are the machines whose emptying saves something, the most first.
-func (v *moving) candidates() []candidate {
+func (v *consolidation) candidates() []candidate {
 	var out []candidate
-	for _, p := range v.e.freeCapacity.Pools {
+	for _, p := range v.engine.freeCapacity.Pools {
 		for _, s := range p.Slots {
 			if s.Future || s.Machine.Busy() == 0 {
 				continue
@@ -138,7 +138,7 @@
 
 // gain is what emptying a machine is expected to save, or 0 if it can't be
 // emptied, or had better not be.
-func (v *moving) gain(s *placement.Slot) candidate {
+func (v *consolidation) gain(s *placement.Slot) candidate {
 	price := s.Type.Price(s.Spot) / 3600
 	var longest time.Duration
 	var moved []*pipeline.Job
@@ -147,20 +147,20 @@
 		if a.State() == fleet.Exited {
 			continue
 		}
-		j := v.e.jobs[a.Ref]
+		j := v.engine.jobs[a.Ref]
 		if j == nil || a.State() != fleet.Running || a.Stopping || j.Checkpoint == 0 || v.now.Sub(a.RunStart) < settledRun ||
 			(j.Shape == pipeline.Gang && len(j.Tasks) > 1) {
 			return candidate{}
 		}
-		longest = max(longest, v.e.expectedRun(j)-v.now.Sub(a.RunStart))
+		longest = max(longest, v.engine.expectedRun(j)-v.now.Sub(a.RunStart))
 		cost += placement.Share(s.Type, &j.Spec) * price * (j.Save + moveOverhead).Seconds()
 		moved = append(moved, j)
 	}
 	sort.Slice(moved, func(i, k int) bool { return moved[i].Ref < moved[k].Ref })
-	return candidate{s, moved, price*longest.Seconds() - v.e.cfg.Weights.MoveGain*cost}
+	return candidate{s, moved, price*longest.Seconds() - v.engine.cfg.Weights.MoveGain*cost}
 }
 
-func (v *moving) copyOf(s *placement.Slot) *placement.Slot {
+func (v *consolidation) copyOf(s *placement.Slot) *placement.Slot {
 	c := v.copies[s]
 	if c == nil {
 		c = s.Plain()
@@ -169,15 +169,15 @@
 	return c
 }
 
-// haveRoom books the jobs' tasks on other machines, if all have room and enough
+// bookElsewhere books the jobs' tasks on other machines, if all have room and enough
 // stays free.
-func (v *moving) haveRoom(from *placement.Slot, jobs []*pipeline.Job) bool {
+func (v *consolidation) bookElsewhere(from *placement.Slot, jobs []*pipeline.Job) bool {
 	if v.targets[from.Machine] {
 		return false // others are to move there
 	}
 	undo := map[*placement.Slot]placement.Slot{}
 	for _, j := range jobs {
-		to := v.best(j, from)
+		to := v.bestTarget(j, from)
 		if to == nil {
 			v.restore(undo)
 			return false
@@ -187,9 +187,9 @@
 		}
 		to.Take(&j.Spec)
 	}
-	v.left[from] = true
+	v.emptied[from] = true
 	if !v.headroom(from.Type.Boot) {
-		v.left[from] = false
+		v.emptied[from] = false
 		v.restore(undo)
 		return false
 	}
@@ -199,19 +199,19 @@
 	return true
 }
 
-func (*moving) restore(undo map[*placement.Slot]placement.Slot) {
+func (*consolidation) restore(undo map[*placement.Slot]placement.Slot) {
 	for s, was := range undo {
 		*s = was
 	}
 }
 
-// best is the best place for a task on another machine that is in use, or much
+// bestTarget is the best place for a task on another machine that is in use, or much
 // cheaper.
-func (v *moving) best(j *pipeline.Job, from *placement.Slot) *placement.Slot {
+func (v *consolidation) bestTarget(j *pipeline.Job, from *placement.Slot) *placement.Slot {
 	var best *placement.Slot
 	low := math.Inf(1)
-	v.e.freeCapacity.EachOpen(&j.Spec, "", func(o *placement.Slot) {
-		if o == from || v.left[o] || j.Avoids(v.now, o.Machine.Name) ||
+	v.engine.freeCapacity.EachOpen(&j.Spec, "", func(o *placement.Slot) {
+		if o == from || v.emptied[o] || j.Avoids(v.now, o.Machine.Name) ||
 			(o.Machine.Busy() == 0 && o.Type.Price(o.Spot) > from.Type.Price(from.Spot)/2) ||
 			o.Machine.FetchLeft(v.now, j.Image, j.ImageGB, o.Type.FetchGBPerS) > moveOverhead {
 			return
@@ -227,14 +227,14 @@
 
 // headroom tells whether there is room for what is expected to arrive, of each
 // class, while a machine boots.
-func (v *moving) headroom(boot time.Duration) bool {
-	for _, c := range v.e.classes {
+func (v *consolidation) headroom(boot time.Duration) bool {
+	for _, c := range v.engine.classes {
 		need := c.rateAt(v.now) * boot.Seconds()
 		if c.spec == nil || need < 0.1 {
 			continue
 		}
-		v.e.freeCapacity.EachOpen(c.spec, "", func(s *placement.Slot) {
-			if !v.left[s] {
+		v.engine.freeCapacity.EachOpen(c.spec, "", func(s *placement.Slot) {
+			if !v.emptied[s] {
 				if o := v.copies[s]; o != nil {
 					s = o
 				}
--- a/internal/core/decide.go
+++ b/internal/core/decide.go
@@ -38,7 +38,7 @@
 // waitsInRound is for how many jobs a round keeps or makes room.
 const waitsInRound = 30
 
-// decide runs a round of decisions, then plans what to rent and give back.
+// decide runs a round of decisions, then plans what to rent and scales down.
 func (e *Engine) decide(now time.Time, spent func() bool) {
 	if len(e.catalog) == 0 || !e.settled(now) || (!e.replan && now.Sub(e.placedAt) < decideEvery) {
 		return
@@ -64,7 +64,7 @@
 		EndOf:        func(a *fleet.Attempt) time.Time { return e.endOf(now, a) },
 		Due:          func(j *pipeline.Job) time.Time { return e.needsRoomBy(now, j) },
 		StartBy:      func(j *pipeline.Job) time.Time { return e.startBy(now, j) },
-		MayStop:      func(by *pipeline.Job, a *fleet.Attempt) (float64, bool) { return e.mayStop(now, by, a) },
+		MayStop:      func(by *pipeline.Job, a *fleet.Attempt) (float64, bool) { return e.preemptionCost(now, by, a) },
 		Stop:         func(a *fleet.Attempt) { e.preempt(now, a) },
 		Preempts:     func(by *pipeline.Job) bool { return by.Urgency < lowest || teams > 1 },
 		LargeGPUWork: e.largeGPUWork(now),
@@ -85,7 +85,7 @@
 	}
 	e.plannedAt = now
 	e.rent(now, e.demand)
-	e.giveBack(now, e.demand)
+	e.scaleDown(now, e.demand)
 	if len(e.demand) == 0 {
 		e.consolidate(now)
 	}
@@ -151,16 +151,16 @@
 // slowBoot is after how long a machine that boots no longer counts as coming.
 func (e *Engine) slowBoot(t *placement.Type) time.Duration { return 2*t.Boot + e.cfg.ReportEvery }
 
-// mayStop holds the protocol's rules of preemption: for a job of higher
+// preemptionCost holds the protocol's rules of preemption: for a job of higher
 // priority, or to give a team its guarantee at the expense of one that is beyond
 // its own. The cost is the delay of saving and the work that is lost, in seconds of a
 // whole machine: many small tasks of an array are less than one gang.
-func (e *Engine) mayStop(now time.Time, by *pipeline.Job, a *fleet.Attempt) (float64, bool) {
+func (e *Engine) preemptionCost(now time.Time, by *pipeline.Job, a *fleet.Attempt) (float64, bool) {
 	j := e.jobs[a.Ref]
 	if j == nil || a.Foreign || a.Stopping || a.State() == fleet.Saving {
 		return 0, false
 	}
-	if by.Urgency >= j.Urgency && !e.owed(by, j) || e.starvesBefore(now, j, by) {
+	if by.Urgency >= j.Urgency && !e.mayReclaimGuarantee(by, j) || e.starvesBefore(now, j, by) {
 		return 0, false
 	}
 	cost := 10 + j.Save.Seconds()
@@ -189,10 +189,10 @@
 	return e.pastStarvationBound(now, j) && !(e.pastStarvationBound(now, by) && e.starvingSince(by).Before(e.starvingSince(j)))
 }
 
-// owed tells whether a job's team is within its guarantee with what the job needs at
+// mayReclaimGuarantee tells whether a job's team is within its guarantee with what the job needs at
 // once, and the other job's team beyond its own. Where both CPUs and GPUs are guaranteed,
 // both have to fit; a guarantee of none holds nothing back but gives nothing either.
-func (e *Engine) owed(by, j *pipeline.Job) bool {
+func (e *Engine) mayReclaimGuarantee(by, j *pipeline.Job) bool {
 	if by.Team == j.Team {
 		return false
 	}
--- a/internal/core/giveback.go
+++ b/internal/core/scale_down.go
@@ -11,18 +11,18 @@
 // recentClass is how long a class of jobs counts as one that may come again.
 const recentClass = 4 * time.Minute
 
-// idleUseless is how long a machine is kept that no recent class of jobs fits.
-// Others are kept for idleUseful and as long as
-// Weights.IdleDollars pay for: being
-// there spares a job the boot time, whatever the machine costs.
+// idleTimeoutUnused is how long an idle machine is kept that no recent class of jobs fits.
+// Others are kept for idleTimeout and as long as Weights.IdleDollars pay for: being there
+// spares a job the boot time, whatever the machine costs. If the last job that fits came
+// longer than idleTimeoutOld ago, that is the most.
 const (
-	idleUseless = 10 * time.Second
-	idleUseful  = 10 * time.Second
-	idleMost    = 40 * time.Second
+	idleTimeoutUnused = 10 * time.Second
+	idleTimeout       = 10 * time.Second
+	idleTimeoutOld    = 40 * time.Second
 )
 
-// giveBack releases machines that have been idle too long.
-func (e *Engine) giveBack(now time.Time, demand []capacity.Demand) {
+// scaleDown releases machines that have been idle too long.
+func (e *Engine) scaleDown(now time.Time, demand []capacity.Demand) {
 	if len(e.classes) == 0 || now.Sub(e.started) < 3*e.cfg.ReportEvery {
 		return
 	}
@@ -30,11 +30,11 @@
 		if len(p.Slots) == 0 {
 			continue
 		}
-		keep := e.keepIdle(now, p)
+		keep := e.idleTimeoutOf(now, p)
 		for i := len(p.Slots) - 1; i >= 0; i-- {
 			s := p.Slots[i]
 			m := s.Machine
-			if s.Future || len(m.Tasks) > 0 || now.Sub(m.IdleSince) <= keep || awaited(now, p, m, demand) {
+			if s.Future || len(m.Tasks) > 0 || now.Sub(m.IdleSince) <= keep || neededByDemand(now, p, m, demand) {
 				continue
 			}
 			e.release(now, m, "idle")
@@ -42,22 +42,22 @@
 	}
 }
 
-// keepIdle is how long an idle machine of a pool is kept.
-func (e *Engine) keepIdle(now time.Time, p *placement.Pool) time.Duration {
+// idleTimeoutOf is how long an idle machine of a pool is kept.
+func (e *Engine) idleTimeoutOf(now time.Time, p *placement.Pool) time.Duration {
 	last := e.lastUse(now, p)
 	if last.IsZero() {
-		return idleUseless
+		return idleTimeoutUnused
 	}
-	keep := idleUseful + time.Duration(e.cfg.Weights.IdleDollars/max(p.Type.Price(p.Key.Spot), 0.01)*float64(time.Hour))
-	if now.Sub(last) > idleMost {
-		keep = min(keep, idleMost)
+	keep := idleTimeout + time.Duration(e.cfg.Weights.IdleDollars/max(p.Type.Price(p.Key.Spot), 0.01)*float64(time.Hour))
+	if now.Sub(last) > idleTimeoutOld {
+		keep = min(keep, idleTimeoutOld)
 	}
 	return keep
 }
 
-// awaited tells whether waiting work could use the machine: a gang, say, that
+// neededByDemand tells whether waiting work could use the machine: a gang, say, that
 // still lacks room for some of its tasks.
-func awaited(now time.Time, p *placement.Pool, m *fleet.Machine, demand []capacity.Demand) bool {
+func neededByDemand(now time.Time, p *placement.Pool, m *fleet.Machine, demand []capacity.Demand) bool {
 	for _, d := range demand {
 		if p.Allowed(&d.Job.Spec) && !d.Job.Avoids(now, m.Name) {
 			return true
