--- /dev/null
+++ b/internal/core/placement/array.go
@@ -0,0 +1,45 @@
+package placement
+
+import (
+	"time"
+
+	"gingertally/internal/core/fleet"
+	"gingertally/internal/core/pipeline"
+)
+
+// warmWithin is how soon an image must be there for a place to count as warm.
+const warmWithin = 3 * time.Second
+
+// placeTasks places as many tasks of an array as there is room for, and at most so many.
+// Slots are filled one after the other, since a task more on a machine that has
+// the image, or is in use, costs nothing more.
+func (b *Board) placeTasks(entry QueueEntry) {
+	j := entry.Job
+	room := min(b.quotaRoom(j), entry.Most)
+	want := min(room, j.Count(pipeline.Waiting))
+	if want == 0 {
+		return
+	}
+	slots := b.open(j, "")
+	task := j.NextWaiting(b.Now, 0)
+	if task < 0 {
+		return
+	}
+	placed := 0
+	for _, s := range slots {
+		if entry.Warm && s.Machine.FetchLeft(b.Now, j.Image, j.ImageGB, s.Type.FetchGBPerS) > warmWithin {
+			continue
+		}
+		for task >= 0 && placed < want && s.Free(&j.Spec) > 0 && ZoneRoom(j, s.Zone, b.InZones(j.Ref)) > 0 &&
+			s.Machine.Tasks[fleet.Key{Ref: j.Ref, Task: task}] == nil {
+			s.Take(&j.Spec)
+			b.Commit(Decision{Job: j, Task: task, Slot: s.Slot})
+			placed++
+			task = j.NextWaiting(b.Now, task+1)
+		}
+	}
+	if unmet := want - placed; unmet > 0 && task >= 0 && !entry.Warm {
+		b.wait(j, 1, b.InZones(j.Ref))
+		b.Unmet(j, unmet)
+	}
+}
--- /dev/null
+++ b/internal/core/placement/machine_type.go
@@ -0,0 +1,71 @@
+package placement
+
+import (
+	"math"
+	"time"
+
+	"gingertally/internal/core/pipeline"
+)
+
+// Type is a machine type with its present prices.
+type Type struct {
+	Name             string
+	CPUs, GPUs       float64
+	MemGB, CacheGB   float64
+	FetchGBPerS      float64
+	Hourly, SpotHour float64
+	Boot             time.Duration
+	Zones            []string
+}
+
+// Price is what an hour of the type costs.
+func (t *Type) Price(spot bool) float64 {
+	if spot {
+		return t.SpotHour
+	}
+	return t.Hourly
+}
+
+// InZone tells whether the type is offered in a zone.
+func (t *Type) InZone(zone string) bool {
+	for _, z := range t.Zones {
+		if z == zone {
+			return true
+		}
+	}
+	return false
+}
+
+// Catalog holds the machine types by name.
+type Catalog map[string]*Type
+
+// Images are the size of a type's image cache and its rate of fetching.
+func (c Catalog) Images(typ string) (cacheGB, gbPerS float64) {
+	if t := c[typ]; t != nil {
+		return t.CacheGB, t.FetchGBPerS
+	}
+	return math.Inf(1), 0
+}
+
+// slack absorbs the rounding of sums of decimal amounts.
+const slack = 1e-6
+
+// Fits tells whether one task fits an empty machine of the type.
+func (t *Type) Fits(s *pipeline.Spec) bool { return t.Capacity(s) > 0 }
+
+// Capacity is how many tasks of the job fit an empty machine of the type.
+func (t *Type) Capacity(s *pipeline.Spec) int { return HowMany(t.CPUs, t.GPUs, t.MemGB, s) }
+
+// maxPerMachine bounds how many tasks are counted onto one machine.
+const maxPerMachine = 1000
+
+// HowMany is how many tasks of the job fit into some free room.
+func HowMany(cpus, gpus, mem float64, s *pipeline.Spec) int {
+	n := maxPerMachine
+	for _, p := range [3][2]float64{{cpus, s.CPUs}, {gpus, s.GPUs}, {mem, s.MemGB}} {
+		if p[1] > 0 {
+			n = min(n, int((p[0]+slack)/p[1]))
+		}
+	}
+	return max(n, 0)
+}
