--- a/internal/core/capacity/capacity.go
+++ b/internal/core/capacity/capacity.go
@@ -142,7 +142,7 @@
 // addMachines counts on machines of an offer that are asked for, or about to be.
 func (g *planner) addMachines(t *placement.Type, o Offer, n int) {
 	for range n {
-		g.extra = append(g.extra, &placement.Slot{Type: t, Zone: o.Zone, Spot: o.Spot, CPUs: t.CPUs, GPUs: t.GPUs, MemG: t.MemGB, Future: true})
+		g.extra = append(g.extra, &placement.Slot{Type: t, Zone: o.Zone, Spot: o.Spot, CPUs: t.CPUs, GPUs: t.GPUs, MemGB: t.MemGB, Future: true})
 	}
 }
 
--- a/internal/core/placement/free_capacity.go
+++ b/internal/core/placement/free_capacity.go
@@ -2,7 +2,6 @@
 
 import (
 	"sort"
-	"time"
 
 	"gingertally/internal/core/fleet"
 	"gingertally/internal/core/pipeline"
@@ -54,7 +53,7 @@
 		s.pool.Slots[i] = s
 	}
 	u := m.Used()
-	s.CPUs, s.GPUs, s.MemG, s.Future = t.CPUs-u.CPUs, t.GPUs-u.GPUs, t.MemGB-u.MemGB, future
+	s.CPUs, s.GPUs, s.MemGB, s.Future = t.CPUs-u.CPUs, t.GPUs-u.GPUs, t.MemGB-u.MemGB, future
 	s.lasting = m.Lasting()
 	s.pool.stale = true
 }
@@ -110,7 +109,7 @@
 	if p.stale {
 		p.stale, p.most = false, fleet.Amount{}
 		for _, s := range p.Slots {
-			p.most.CPUs, p.most.GPUs, p.most.MemGB = max(p.most.CPUs, s.CPUs), max(p.most.GPUs, s.GPUs), max(p.most.MemGB, s.MemG)
+			p.most.CPUs, p.most.GPUs, p.most.MemGB = max(p.most.CPUs, s.CPUs), max(p.most.GPUs, s.GPUs), max(p.most.MemGB, s.MemGB)
 		}
 	}
 	return p.most.CPUs+slack >= sp.CPUs && p.most.GPUs+slack >= sp.GPUs && p.most.MemGB+slack >= sp.MemGB
@@ -138,20 +137,13 @@
 			continue
 		}
 		for _, s := range p.Slots {
-			if HowMany(s.CPUs, s.GPUs, s.MemG, sp) > 0 && !fn(s) {
+			if HowMany(s.CPUs, s.GPUs, s.MemGB, sp) > 0 && !fn(s) {
 				return
 			}
 		}
 	}
 }
 
-// Plain copies a slot for planning, without its reservation.
-func (s *Slot) Plain() *Slot {
-	c := *s
-	c.reserved, c.pool = nil, nil
-	return &c
-}
-
 // EachAllowed calls fn for each slot of live machines that the job may use, with
 // room or not.
 func (f *FreeCapacity) EachAllowed(sp *pipeline.Spec, zone string, fn func(*Slot)) {
@@ -208,6 +200,3 @@
 	}
 	f.marked = f.marked[:0]
 }
-
-// held tells whether a slot takes no tasks for the moment.
-func (s *Slot) held(now time.Time) bool { return s.Machine != nil && s.Machine.HoldUntil.After(now) }
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -3,9 +3,7 @@
 // from there the next time.
 package placement
 
-import (
-	"gingertally/internal/core/pipeline"
-)
+import "gingertally/internal/core/pipeline"
 
 // Possible tells whether a job could ever run: some allowed type, in an allowed
 // zone, fits a task, and the team's limit allows what has to run at once.
--- a/internal/core/placement/preempt.go
+++ b/internal/core/placement/preempt.go
@@ -118,13 +118,13 @@
 
 // roomAt is when a slot will have room for a task, and what will then be left.
 func (b *Board) roomAt(s *Slot, sp *pipeline.Spec) (time.Time, spare) {
-	at, free := b.Now, spare{sp.Ref, s.CPUs, s.GPUs, s.MemG}
+	at, free := b.Now, spare{sp.Ref, s.CPUs, s.GPUs, s.MemGB}
 	if free.fits(sp) {
 		return at, free.less(sp)
 	}
 	type end struct {
-		a  *fleet.Attempt
-		at time.Time
+		attempt *fleet.Attempt
+		at      time.Time
 	}
 	var ends []end
 	for _, a := range present(s.Machine) {
@@ -135,7 +135,7 @@
 		if free.fits(sp) {
 			break
 		}
-		at, free = e.at, free.plus(e.a)
+		at, free = e.at, free.plus(e.attempt)
 	}
 	return at, free.less(sp)
 }
@@ -191,10 +191,10 @@
 // victims are the attempts on a slot to stop for a task of the job, what that
 // costs in seconds of delay and lost work, and what room it leaves.
 func (b *Board) victims(s *Slot, j *pipeline.Job) (place, bool) {
-	free := spare{j.Ref, s.CPUs, s.GPUs, s.MemG}
+	free := spare{j.Ref, s.CPUs, s.GPUs, s.MemGB}
 	type candidate struct {
-		a    *fleet.Attempt
-		cost float64
+		attempt *fleet.Attempt
+		cost    float64
 	}
 	var may []candidate
 	if !free.fits(&j.Spec) {
@@ -214,8 +214,8 @@
 		if free.fits(&j.Spec) {
 			break
 		}
-		free, p.cost = free.plus(c.a), p.cost+c.cost
-		p.victims = append(p.victims, c.a)
+		free, p.cost = free.plus(c.attempt), p.cost+c.cost
+		p.victims = append(p.victims, c.attempt)
 	}
 	p.left = free.less(&j.Spec)
 	return p, free.fits(&j.Spec)
--- a/internal/core/placement/slot.go
+++ b/internal/core/placement/slot.go
@@ -1,26 +1,28 @@
 package placement
 
 import (
+	"time"
+
 	"gingertally/internal/core/fleet"
 	"gingertally/internal/core/pipeline"
 )
 
 // Slot is a machine as a round sees it: what is free, and what it costs.
 type Slot struct {
-	Machine          *fleet.Machine // nil: only planned to be rented
-	Type             *Type
-	Zone             string
-	Spot             bool
-	CPUs, GPUs, MemG float64
-	Future           bool         // is booting: counts as coming, takes no tasks yet
-	lasting          fleet.Amount // what replicas of services take of it
-	reserved         *spare
-	pool             *Pool
+	Machine           *fleet.Machine // nil: only planned to be rented
+	Type              *Type
+	Zone              string
+	Spot              bool
+	CPUs, GPUs, MemGB float64
+	Future            bool         // is booting: counts as coming, takes no tasks yet
+	lasting           fleet.Amount // what replicas of services take of it
+	reserved          *spare
+	pool              *Pool
 }
 
 // Take books a task of the job.
 func (s *Slot) Take(sp *pipeline.Spec) {
-	s.CPUs, s.GPUs, s.MemG = s.CPUs-sp.CPUs, s.GPUs-sp.GPUs, s.MemG-sp.MemGB
+	s.CPUs, s.GPUs, s.MemGB = s.CPUs-sp.CPUs, s.GPUs-sp.GPUs, s.MemGB-sp.MemGB
 	if sp.Shape == pipeline.Service {
 		s.lasting.CPUs, s.lasting.GPUs, s.lasting.MemGB = s.lasting.CPUs+sp.CPUs, s.lasting.GPUs+sp.GPUs, s.lasting.MemGB+sp.MemGB
 	}
@@ -39,7 +41,7 @@
 
 // Free is how many tasks of the job the slot still takes.
 func (s *Slot) Free(sp *pipeline.Spec) int {
-	n := HowMany(s.CPUs, s.GPUs, s.MemG, sp)
+	n := HowMany(s.CPUs, s.GPUs, s.MemGB, sp)
 	if r := s.reserved; r != nil && r.ref != sp.Ref && n > 0 {
 		n = min(n, HowMany(r.cpus, r.gpus, r.mem, sp))
 	}
@@ -56,3 +58,13 @@
 	}
 	return share
 }
+
+// Plain copies a slot for planning, without its reservation.
+func (s *Slot) Plain() *Slot {
+	c := *s
+	c.reserved, c.pool = nil, nil
+	return &c
+}
+
+// held tells whether a slot takes no tasks for the moment.
+func (s *Slot) held(now time.Time) bool { return s.Machine != nil && s.Machine.HoldUntil.After(now) }
