--- a/internal/core/placement/array.go
+++ b/internal/core/placement/array.go
@@ -7,8 +7,8 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// warmWithin is how soon an image must be there for a place to count as warm.
-const warmWithin = 3 * time.Second
+// cachedWithin is how soon an image must be there for a place to count as one that has it.
+const cachedWithin = 3 * time.Second
 
 // placeTasks places as many tasks of an array as there is room for, and at most so many.
 // Slots are filled one after the other, since a task more on a machine that has
@@ -27,7 +27,7 @@
 	}
 	placed := 0
 	for _, s := range slots {
-		if entry.Warm && s.Machine.FetchLeft(b.Now, j.Image, j.ImageGB, s.Type.FetchGBPerS) > warmWithin {
+		if entry.ImageCachedOnly && s.Machine.FetchLeft(b.Now, j.Image, j.ImageGB, s.Type.FetchGBPerS) > cachedWithin {
 			continue
 		}
 		for task >= 0 && placed < want && s.Free(&j.Spec) > 0 && ZoneRoom(j, s.Zone, b.InZones(j.Ref)) > 0 &&
@@ -38,7 +38,7 @@
 			task = j.NextWaiting(b.Now, task+1)
 		}
 	}
-	if unmet := want - placed; unmet > 0 && task >= 0 && !entry.Warm {
+	if unmet := want - placed; unmet > 0 && task >= 0 && !entry.ImageCachedOnly {
 		b.wait(j, 1, b.InZones(j.Ref))
 		b.Unmet(j, unmet)
 	}
--- a/internal/core/placement/rounds.go
+++ b/internal/core/placement/rounds.go
@@ -18,9 +18,9 @@
 // QueueEntry is a job's place in the queue of a round, how many of its tasks it may place there, and
 // whether only where its image is there already or soon.
 type QueueEntry struct {
-	Job  *pipeline.Job
-	Most int
-	Warm bool
+	Job             *pipeline.Job
+	Most            int
+	ImageCachedOnly bool
 	// Overdue: the job has waited for so long that it comes before all others. What its
 	// team's limit lacks for it is kept for it.
 	Overdue bool
--- a/internal/core/priority_order.go
+++ b/internal/core/priority_order.go
@@ -70,10 +70,10 @@
 	due := e.dueStart(now, j)
 	r := prioritized{QueueEntry: placement.QueueEntry{Job: j, Most: len(j.Tasks)}, failing: failing, due: due.Add(size)}
 	if j.Shape == pipeline.Array && e.expectedFetch(j) > longFetch {
-		warm, first := r, r
-		warm.Warm, r.cacheMiss, first.cacheMiss = true, 2, 1
+		cached, first := r, r
+		cached.ImageCachedOnly, r.cacheMiss, first.cacheMiss = true, 2, 1
 		first.Most = e.firstWave(j, due.Sub(now)-spareTime) - len(e.useOf(j.Ref).attempts)
-		out = append(out, warm)
+		out = append(out, cached)
 		if first.Most > 0 {
 			out = append(out, first)
 		}
