--- a/internal/core/placement/score.go
+++ b/internal/core/placement/score.go
@@ -25,7 +25,7 @@
 }
 
 // fullerSeconds weighs an untouched machine against time lost on fetching: room
-// left whole is what large tasks and gangs need, and what can be given back.
+// left whole is what large tasks and gangs need, and what can be released.
 const fullerSeconds = 10.0
 
 // lateSeconds weighs a start that misses its aim, startLag is what a start takes besides
--- a/internal/core/safety_test.go
+++ b/internal/core/safety_test.go
@@ -330,7 +330,7 @@
 	}
 }
 
-// A machine that nothing needs is given back within a minute, however cheap it
+// A machine that nothing needs is released within a minute, however cheap it
 // is: a longer wait once failed the users' check of that.
 func TestIdleMachineIsGivenBack(t *testing.T) {
 	b, c := started(t)
@@ -389,7 +389,7 @@
 }
 
 // A worker that restarts within a term can't be told from copies of its old
-// reports; it isn't ignored for good but given back.
+// reports; it isn't ignored for good but released.
 func TestWorkerRestarts(t *testing.T) {
 	b, c := started(t)
 	b.report("m-1", 2, running(c))
@@ -412,7 +412,7 @@
 }
 
 // Starts on a machine whose reports arrive but that receives no answers come to nothing
-// again and again: it gets no more of them and is given back.
+// again and again: it gets no more of them and is released.
 func TestOneWayLoss(t *testing.T) {
 	b, _ := started(t)
 	at := b.now
@@ -441,7 +441,7 @@
 	for _, m := range names {
 		b.up(m)
 		b.e.machines[m].OneWayLoss = fleet.OneWayLoss{FirstUndelivered: b.now, LastUndelivered: b.now, Undelivered: 2}
-		b.e.unreachable[b.e.machines[m]] = true // so many that none is given back
+		b.e.unreachable[b.e.machines[m]] = true // so many that none is released
 	}
 	b.e.Step(b.now, JobStored{job("j-2", 32)})
 	used := map[string]bool{}
@@ -474,7 +474,7 @@
 	}
 	for _, m := range names {
 		if s := b.e.machines[m]; s.State() == fleet.Releasing {
-			t.Fatalf("%s is given back", m)
+			t.Fatalf("%s is released", m)
 		}
 	}
 }
