--- a/internal/core/decide.go
+++ b/internal/core/decide.go
@@ -16,7 +16,7 @@
 // planEvery is how often rentals and returns are thought about, and room is kept
 // or made for what waits: a look at all machines, so less often the more there are.
 func (e *Engine) planEvery() time.Duration {
-	return min(time.Duration(e.floor.Size())*planEach, time.Second)
+	return min(time.Duration(e.freeCapacity.Size())*planEach, time.Second)
 }
 
 const planEach = 4 * time.Millisecond
@@ -38,13 +38,13 @@
 // waitsInRound is for how many jobs a round keeps or makes room.
 const waitsInRound = 30
 
-// decide runs a round of decisions, then plans what to rent and give back.
+// decide runs a round of decisions, then plans what to rent and scales down.
 func (e *Engine) decide(now time.Time, spent func() bool) {
 	if len(e.catalog) == 0 || !e.settled(now) || (!e.replan && now.Sub(e.placedAt) < decideEvery) {
 		return
 	}
 	e.replan, e.placedAt = false, now
-	e.layFloor(now)
+	e.updateFreeCapacity(now)
 	plan := now.Sub(e.plannedAt) >= e.planEvery()
 	if !e.round.Resumes() {
 		e.demand = nil
@@ -52,7 +52,7 @@
 	looked := 0
 	lowest, teams := e.runningWork()
 	b := &placement.Board{
-		Now: now, Turns: e.ranked(now), Floor: &e.floor, SecondsPerDollarHour: e.cfg.Weights.SecondsPerDollarHour, ReportEvery: e.cfg.ReportEvery, GangSlack: max(0, e.cfg.GangWait-e.cfg.ReportEvery*5/4),
+		Now: now, Queue: e.priorityOrder(now), FreeCapacity: &e.freeCapacity, SecondsPerDollarHour: e.cfg.Weights.SecondsPerDollarHour, ReportEvery: e.cfg.ReportEvery, GangSlack: max(0, e.cfg.GangWait-e.cfg.ReportEvery*5/4),
 		Team:    func(name string) placement.Team { return e.cfg.Teams[name] },
 		Usage:   func(team string) fleet.Amount { return e.teamUse[team] },
 		InZones: func(ref string) map[string]int { return e.useOf(ref).zones },
@@ -64,7 +64,7 @@
 		EndOf:        func(a *fleet.Attempt) time.Time { return e.endOf(now, a) },
 		Due:          func(j *pipeline.Job) time.Time { return e.needsRoomBy(now, j) },
 		StartBy:      func(j *pipeline.Job) time.Time { return e.startBy(now, j) },
-		MayStop:      func(by *pipeline.Job, a *fleet.Attempt) (float64, bool) { return e.mayStop(now, by, a) },
+		MayStop:      func(by *pipeline.Job, a *fleet.Attempt) (float64, bool) { return e.preemptionCost(now, by, a) },
 		Stop:         func(a *fleet.Attempt) { e.preempt(now, a) },
 		Preempts:     func(by *pipeline.Job) bool { return by.Urgency < lowest || teams > 1 },
 		LargeGPUWork: e.largeGPUWork(now),
@@ -85,7 +85,7 @@
 	}
 	e.plannedAt = now
 	e.rent(now, e.demand)
-	e.giveBack(now, e.demand)
+	e.scaleDown(now, e.demand)
 	if len(e.demand) == 0 {
 		e.consolidate(now)
 	}
@@ -130,20 +130,20 @@
 	return lowest, len(seen)
 }
 
-// layFloor brings the floor up to date with the machines that have changed.
-func (e *Engine) layFloor(now time.Time) {
+// updateFreeCapacity brings the free capacity up to date with the machines that have changed.
+func (e *Engine) updateFreeCapacity(now time.Time) {
 	for m := range e.changed {
 		delete(e.changed, m)
 		t := e.catalog[m.Type]
 		switch {
 		case t == nil || m.Draining || m.Sick || e.unreachable[m]:
-			e.floor.Remove(m)
+			e.freeCapacity.Remove(m)
 		case m.State() == fleet.Booting && m.Known && now.Sub(m.FirstSeen) <= e.slowBoot(t):
-			e.floor.Set(m, t, true)
+			e.freeCapacity.Set(m, t, true)
 		case m.State() == fleet.Live && m.Confirmed && m.Known && !hasForeign(m):
-			e.floor.Set(m, t, false)
+			e.freeCapacity.Set(m, t, false)
 		default:
-			e.floor.Remove(m)
+			e.freeCapacity.Remove(m)
 		}
 	}
 }
@@ -151,16 +151,16 @@
 // slowBoot is after how long a machine that boots no longer counts as coming.
 func (e *Engine) slowBoot(t *placement.Type) time.Duration { return 2*t.Boot + e.cfg.ReportEvery }
 
-// mayStop holds the protocol's rules of preemption: for a job of higher
+// preemptionCost holds the protocol's rules of preemption: for a job of higher
 // priority, or to give a team its guarantee at the expense of one that is beyond
 // its own. The cost is the delay of saving and the work that is lost, in seconds of a
 // whole machine: many small tasks of an array are less than one gang.
-func (e *Engine) mayStop(now time.Time, by *pipeline.Job, a *fleet.Attempt) (float64, bool) {
+func (e *Engine) preemptionCost(now time.Time, by *pipeline.Job, a *fleet.Attempt) (float64, bool) {
 	j := e.jobs[a.Ref]
 	if j == nil || a.Foreign || a.Stopping || a.State() == fleet.Saving {
 		return 0, false
 	}
-	if by.Urgency >= j.Urgency && !e.owed(by, j) || e.agedBefore(now, j, by) {
+	if by.Urgency >= j.Urgency && !e.mayReclaimGuarantee(by, j) || e.starvesBefore(now, j, by) {
 		return 0, false
 	}
 	cost := 10 + j.Save.Seconds()
@@ -182,17 +182,17 @@
 	return cost, true
 }
 
-// agedBefore tells whether a job of which nothing has begun for long comes before another:
+// starvesBefore tells whether a job of which nothing has begun for long comes before another:
 // what it has just been given mustn't be taken from it again, round after round, so that
 // neither ever starts.
-func (e *Engine) agedBefore(now time.Time, j, by *pipeline.Job) bool {
-	return e.aged(now, j) && !(e.aged(now, by) && e.agedSince(by).Before(e.agedSince(j)))
+func (e *Engine) starvesBefore(now time.Time, j, by *pipeline.Job) bool {
+	return e.pastStarvationBound(now, j) && !(e.pastStarvationBound(now, by) && e.starvingSince(by).Before(e.starvingSince(j)))
 }
 
-// owed tells whether a job's team is within its guarantee with what the job needs at
+// mayReclaimGuarantee tells whether a job's team is within its guarantee with what the job needs at
 // once, and the other job's team beyond its own. Where both CPUs and GPUs are guaranteed,
 // both have to fit; a guarantee of none holds nothing back but gives nothing either.
-func (e *Engine) owed(by, j *pipeline.Job) bool {
+func (e *Engine) mayReclaimGuarantee(by, j *pipeline.Job) bool {
 	if by.Team == j.Team {
 		return false
 	}
@@ -291,8 +291,8 @@
 	return j.Since.Add(noAim)
 }
 
-// workLeft is the run time of all tasks of a job that aren't done.
-func (e *Engine) workLeft(j *pipeline.Job) time.Duration {
+// remainingWork is the run time of all tasks of a job that aren't done.
+func (e *Engine) remainingWork(j *pipeline.Job) time.Duration {
 	return e.expectedRun(j) * time.Duration(len(j.Tasks)-j.Count(pipeline.Finished))
 }
 
@@ -364,7 +364,7 @@
 	if now.Sub(e.started) < e.cfg.ReportEvery*5/4 {
 		return // machines may be there that haven't been heard of yet
 	}
-	for _, o := range e.plan.Choose(now, demand, &e.floor, e.catalog) {
+	for _, o := range e.plan.Choose(now, demand, &e.freeCapacity, e.catalog) {
 		e.counter++
 		e.plan.Asked(o.Offer, o.Count)
 		e.out.Rent = append(e.out.Rent, Rent{Name: fmt.Sprintf("r-%d-%d", e.term, e.counter), Type: o.Offer.Type,
--- a/internal/core/placement/preempt.go
+++ b/internal/core/placement/preempt.go
@@ -50,14 +50,14 @@
 	}
 	for _, p := range places {
 		if n > 1 || Share(p.slot.Type, &j.Spec) >= largeShare {
-			b.Floor.reserve(p.slot, p.left)
+			b.FreeCapacity.reserve(p.slot, p.left)
 		}
 	}
 }
 
 // large tells whether the job's tasks count as large on some type it may use.
 func (b *Board) large(j *pipeline.Job) bool {
-	for _, p := range b.Floor.Pools {
+	for _, p := range b.FreeCapacity.Pools {
 		if p.Allowed(&j.Spec) && Share(p.Type, &j.Spec) >= largeShare {
 			return true
 		}
@@ -83,7 +83,7 @@
 func (b *Board) soonest(j *pipeline.Job, n int, zones map[string]int) (best []place, at time.Time) {
 	for _, z := range b.gangZones(j) {
 		var all []place
-		b.Floor.EachAllowed(&j.Spec, z, func(s *Slot) {
+		b.FreeCapacity.EachAllowed(&j.Spec, z, func(s *Slot) {
 			if b.usable(s, j, zones) {
 				t, rest := b.roomAt(s, &j.Spec)
 				all = append(all, place{slot: s, at: t, left: rest})
@@ -118,13 +118,13 @@
 
 // roomAt is when a slot will have room for a task, and what will then be left.
 func (b *Board) roomAt(s *Slot, sp *pipeline.Spec) (time.Time, spare) {
-	at, free := b.Now, spare{sp.Ref, s.CPUs, s.GPUs, s.MemG}
+	at, free := b.Now, spare{sp.Ref, s.CPUs, s.GPUs, s.MemGB}
 	if free.fits(sp) {
 		return at, free.less(sp)
 	}
 	type end struct {
-		a  *fleet.Attempt
-		at time.Time
+		attempt *fleet.Attempt
+		at      time.Time
 	}
 	var ends []end
 	for _, a := range present(s.Machine) {
@@ -135,7 +135,7 @@
 		if free.fits(sp) {
 			break
 		}
-		at, free = e.at, free.plus(e.a)
+		at, free = e.at, free.plus(e.attempt)
 	}
 	return at, free.less(sp)
 }
@@ -168,7 +168,7 @@
 // once what may be stopped for it is stopped, those where that loses the least first.
 func (b *Board) preemptible(j *pipeline.Job, zone string, zones map[string]int) []place {
 	var all []place
-	b.Floor.EachAllowed(&j.Spec, zone, func(s *Slot) {
+	b.FreeCapacity.EachAllowed(&j.Spec, zone, func(s *Slot) {
 		if !b.usable(s, j, zones) {
 			return
 		}
@@ -182,7 +182,7 @@
 
 // clear stops what occupies a place and keeps the room for its task.
 func (b *Board) clear(p place) {
-	b.Floor.reserve(p.slot, p.left)
+	b.FreeCapacity.reserve(p.slot, p.left)
 	for _, a := range p.victims {
 		b.Stop(a)
 	}
@@ -191,10 +191,10 @@
 // victims are the attempts on a slot to stop for a task of the job, what that
 // costs in seconds of delay and lost work, and what room it leaves.
 func (b *Board) victims(s *Slot, j *pipeline.Job) (place, bool) {
-	free := spare{j.Ref, s.CPUs, s.GPUs, s.MemG}
+	free := spare{j.Ref, s.CPUs, s.GPUs, s.MemGB}
 	type candidate struct {
-		a    *fleet.Attempt
-		cost float64
+		attempt *fleet.Attempt
+		cost    float64
 	}
 	var may []candidate
 	if !free.fits(&j.Spec) {
@@ -214,8 +214,8 @@
 		if free.fits(&j.Spec) {
 			break
 		}
-		free, p.cost = free.plus(c.a), p.cost+c.cost
-		p.victims = append(p.victims, c.a)
+		free, p.cost = free.plus(c.attempt), p.cost+c.cost
+		p.victims = append(p.victims, c.attempt)
 	}
 	p.left = free.less(&j.Spec)
 	return p, free.fits(&j.Spec)
--- a/internal/core/placement/quota.go
+++ b/internal/core/placement/quota.go
@@ -7,10 +7,10 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// quotaTurn is for how long a part of a team's limit is kept for overdue gangs, and for how
+// quotaPhase is for how long a part of a team's limit is kept for overdue gangs, and for how
 // long it is then open to all again. What holds the rest of the limit may run for long, and
 // no job may be left waiting for 90 s though its team has room.
-const quotaTurn = time.Minute
+const quotaPhase = time.Minute
 
 // quotaKeeper keeps a part of a team's limit for an overdue gang: without it, the team's
 // smaller jobs take every bit that becomes free, and the gang waits for their end.
@@ -43,7 +43,7 @@
 		q.since[gang.Team] = now
 	}
 	var amount fleet.Amount
-	if now.Sub(q.since[gang.Team])%(2*quotaTurn) < quotaTurn {
+	if now.Sub(q.since[gang.Team])%(2*quotaPhase) < quotaPhase {
 		n := float64(len(gang.Tasks))
 		amount = fleet.Amount{CPUs: n * gang.CPUs, GPUs: n * gang.GPUs, MemGB: n * gang.MemGB}
 	}
@@ -58,3 +58,26 @@
 	}
 	return kept.amount
 }
+
+// Team is a team's guarantee and limit; a limit of 0 means none.
+type Team struct{ CPUs, GPUs, CPUsMax, GPUsMax float64 }
+
+// Within tells whether an amount is within the team's limits.
+func (t Team) Within(cpus, gpus float64) bool {
+	return (t.CPUsMax == 0 || cpus <= t.CPUsMax+slack) && (t.GPUsMax == 0 || gpus <= t.GPUsMax+slack)
+}
+
+// quotaRoom is how many more tasks of the job its team's limit allows.
+func (b *Board) quotaRoom(j *pipeline.Job) int {
+	t, u := b.Team(j.Team), b.Usage(j.Team)
+	kept := b.quota.keptFrom(j)
+	u.CPUs, u.GPUs = u.CPUs+kept.CPUs, u.GPUs+kept.GPUs
+	n := maxPerMachine * 1000
+	if t.CPUsMax > 0 && j.CPUs > 0 {
+		n = min(n, int((t.CPUsMax-u.CPUs+slack)/j.CPUs))
+	}
+	if t.GPUsMax > 0 && j.GPUs > 0 {
+		n = min(n, int((t.GPUsMax-u.GPUs+slack)/j.GPUs))
+	}
+	return max(n, 0)
+}
--- a/internal/core/placement/replicas.go
+++ b/internal/core/placement/replicas.go
@@ -11,9 +11,9 @@
 // placeReplicas places as many of a service's waiting replicas as there is room for, each on
 // a machine of its own while there are enough, and evenly over the zones: what is lost with
 // a machine or a zone is missing until it is proven gone.
-func (b *Board) placeReplicas(t Turn) {
-	j := t.Job
-	want := min(b.quotaRoom(j), t.Most, j.Count(pipeline.Waiting))
+func (b *Board) placeReplicas(entry QueueEntry) {
+	j := entry.Job
+	want := min(b.quotaRoom(j), entry.Most, j.Count(pipeline.Waiting))
 	task := j.NextWaiting(b.Now, 0)
 	if want == 0 || task < 0 {
 		return
@@ -101,7 +101,7 @@
 	}
 	inZones := map[string]int{}
 	maps.Copy(inZones, zones)
-	for _, pool := range b.Floor.byPrice(&j.Spec) {
+	for _, pool := range b.FreeCapacity.byPrice(&j.Spec) {
 		choices := b.preemptibleIn(pool, j, inZones, placesPerReplica*n)
 		sort.SliceStable(choices, func(i, k int) bool { return choices[i].cost < choices[k].cost })
 		for _, p := range choices {
