--- a/internal/simulation/cancel.go
+++ b/internal/simulation/cancel.go
@@ -26,7 +26,7 @@
 // cancel is a node's part in a cancellation, as the daemon's: confirmed hears of one that
 // its user may be told of. The transaction may be lost, late, or its answer lost.
 func (n *node) cancel(ref string, confirmed func(jobstore.State)) {
-	if !n.entitled() {
+	if !n.holdsLease() {
 		return // only the leader cancels
 	}
 	eng := n.eng
--- a/internal/simulation/checker.go
+++ b/internal/simulation/checker.go
@@ -121,7 +121,7 @@
 	var who *node
 	for _, n := range c.w.nodes {
 		switch {
-		case !n.entitled():
+		case !n.holdsLease():
 		case who != nil:
 			c.fail("two leaders: %s of term %d and %s of term %d", who.name, who.term.N, n.name, n.term.N)
 		case n.term.N < c.newest:
--- a/internal/simulation/consistency_probes.go
+++ b/internal/simulation/consistency_probes.go
@@ -13,20 +13,20 @@
 	"gingertally/internal/wire"
 )
 
-// closeLooks has users ask right after a job was accepted, ended or cancelled.
-func (s *script) closeLooks() {
-	s.onAccepted = append(s.onAccepted, s.lookAt)
-	s.onConfirmed = append(s.onConfirmed, s.lookAt)
+// probeConsistency has users ask right after a job was accepted, ended or cancelled.
+func (s *script) probeConsistency() {
+	s.onAccepted = append(s.onAccepted, s.probeJob)
+	s.onConfirmed = append(s.onConfirmed, s.probeJob)
 	s.onEnded = append(s.onEnded, func(j *userJob) {
 		for _, d := range []time.Duration{0, 500 * time.Millisecond, 2 * time.Second, 4 * time.Second} {
-			s.at(d, func() { s.lookAt(j) })
+			s.at(d, func() { s.probeJob(j) })
 		}
 	})
 }
 
-// lookAt asks all nodes about a job within milliseconds, several times, and repeats
+// probeJob asks all nodes about a job within milliseconds, several times, and repeats
 // its submission.
-func (s *script) lookAt(j *userJob) {
+func (s *script) probeJob(j *userJob) {
 	for range 3 {
 		for _, n := range s.w.nodes {
 			s.at(s.between(1, 10*time.Millisecond), func() { s.ask(n, j) })
@@ -48,7 +48,7 @@
 				return
 			}
 			s.at(s.between(0, 4*time.Millisecond), func() {
-				s.note("close looks")
+				s.note("consistency probes")
 				s.w.check.answered(j, asked, v, known)
 			})
 		})
@@ -60,7 +60,7 @@
 
 // View is what this node, leading with a valid lease, knows of a job.
 func (l leaderView) View(ref string) (v core.JobView, ok bool) {
-	if !l.n.entitled() {
+	if !l.n.holdsLease() {
 		return v, false
 	}
 	return l.n.eng.Lookup(ref)
@@ -69,7 +69,7 @@
 // Ask asks the other nodes that this one reaches.
 func (l leaderView) Ask(_ context.Context, ref string) (v core.JobView, ok bool) {
 	for _, o := range l.n.w.nodes {
-		if o != l.n && l.n.reaches(o) && o.entitled() {
+		if o != l.n && l.n.reaches(o) && o.holdsLease() {
 			return o.eng.Lookup(ref)
 		}
 	}
@@ -89,8 +89,8 @@
 }
 
 // Create stores a submission as of the world's time.
-func (c simulatedClock) Create(ctx context.Context, spec pipeline.Spec, awaits []string, _ time.Time) error {
-	return c.Jobs.Create(ctx, spec, awaits, c.n.w.now)
+func (c simulatedClock) Create(ctx context.Context, spec pipeline.Spec, dependencies []string, _ time.Time) error {
+	return c.Jobs.Create(ctx, spec, dependencies, c.n.w.now)
 }
 
 // DependencyCancelled asks as of the node's own clock.
--- a/internal/simulation/correlated_failures.go
+++ b/internal/simulation/correlated_failures.go
@@ -6,8 +6,8 @@
 )
 
 // correlatedFailures adds to a world what large fleets see: many machines that stop, hang,
-// start anew or go deaf together, and controllers that stand still for seconds
-// while their clocks run on. It draws luck of its own, so that the other worlds of
+// restart or lose inbound messages together, and controllers that stall for seconds
+// while their clocks run on. It draws random numbers of its own, so that the other worlds of
 // the same seed stay what they are.
 type correlatedFailures struct {
 	w   *World
@@ -29,7 +29,7 @@
 	return lo + time.Duration(f.rng.Int64N(int64(hi-lo)+1))
 }
 
-// failMachines has up to all machines fall in one way within a second, often
+// failMachines has up to all machines fail in one way within a second, often
 // with the leader, or all controllers.
 func (f *correlatedFailures) failMachines() {
 	w := f.w
@@ -47,8 +47,8 @@
 			case kind == 1:
 				m.reboot()
 			case kind == 2 && !w.noNet:
-				m.deaf = true
-				w.after(hang, func() { m.deaf = false })
+				m.inboundLost = true
+				w.after(hang, func() { m.inboundLost = false })
 			default:
 				m.hungUntil = w.now.Add(hang)
 			}
@@ -56,7 +56,7 @@
 	}
 	with := f.rng.IntN(3)
 	for _, n := range w.nodes {
-		if !n.down && (with == 1 && n.entitled() || with == 2) {
+		if !n.down && (with == 1 && n.holdsLease() || with == 2) {
 			w.after(f.between(0, 2*time.Second), func() {
 				if !n.down {
 					n.crash(f.between(10*time.Millisecond, 4*time.Second))
@@ -66,13 +66,13 @@
 	}
 }
 
-// stallNode has a controller stand still, mostly the leader; some end before
+// stallNode has a controller stall, mostly the leader; some end before
 // they go on.
 func (f *correlatedFailures) stallNode() {
 	w := f.w
 	n := w.nodes[f.rng.IntN(len(w.nodes))]
 	for _, o := range w.nodes {
-		if o.entitled() && f.rng.Float64() < 0.7 {
+		if o.holdsLease() && f.rng.Float64() < 0.7 {
 			n = o
 		}
 	}
@@ -93,8 +93,8 @@
 	}
 }
 
-// standstill is how long an answer lay in a process that stood still after it had
-// checked its right to give it: seldom any time.
+// stallBeforeAnswer is how long an answer lay in a process that stalled after it had
+// checked its lease: seldom any time.
 func (f *correlatedFailures) stallBeforeAnswer() time.Duration {
 	if f.w.noNet || f.rng.IntN(100) > 0 {
 		return 0
--- a/internal/simulation/election.go
+++ b/internal/simulation/election.go
@@ -9,10 +9,10 @@
 	"gingertally/internal/wire"
 )
 
-// lead claims, or renews, the right to act.
+// lead claims the leader lease, or renews it.
 func (n *node) lead() {
 	if n.eng != nil {
-		n.askPromises()
+		n.requestExtensions()
 		n.renew()
 		return
 	}
@@ -111,10 +111,10 @@
 func (l *storeLease) alive(now time.Time, id int) bool { return l.id == id && l.held(now) }
 
 func (n *node) prove(sent time.Time) {
-	if u := sent.Add(n.w.o.LeaseTTL - n.w.o.LeaseTTL/500 - 100*time.Millisecond); u.After(n.until) {
-		lapsed := !n.entitled()
-		n.until = u
-		if lapsed && n.entitled() {
+	if u := sent.Add(n.w.o.LeaseTTL - n.w.o.LeaseTTL/500 - 100*time.Millisecond); u.After(n.leaseUntil) {
+		lapsed := !n.holdsLease()
+		n.leaseUntil = u
+		if lapsed && n.holdsLease() {
 			n.step(core.Resumed{})
 		}
 	}
@@ -125,7 +125,7 @@
 	if err != nil {
 		return
 	}
-	n.term, n.lease, n.writing, n.until, n.promises = t, lease, false, time.Time{}, map[*node]time.Time{}
+	n.term, n.lease, n.writing, n.leaseUntil, n.extensions = t, lease, false, time.Time{}, map[*node]time.Time{}
 	n.eng = core.New(n.local(), n.coreConfig(), t.N, snap, rand.New(rand.NewPCG(t.N, n.w.o.Seed)))
 	n.prove(sent)
 	n.step(core.Catalog{Types: n.w.catalog})
--- a/internal/simulation/fault_scenario_rows_test.go
+++ b/internal/simulation/fault_scenario_rows_test.go
@@ -24,10 +24,10 @@
 		s.long(12, 0)
 		s.short(30, 0, 200*time.Second)
 		s.long(8, 130*time.Second)
-		s.closeLooks()
+		s.probeConsistency()
 		refusedThenOut(s, s.between(25*time.Second, 35*time.Second), func(s *script) { s.outage(s.w.o.Cancel + s.between(2*time.Second, 12*time.Second)) })
 		refusedThenOut(s, s.between(155*time.Second, 175*time.Second), func(s *script) { s.outages(4, s.w.o.Lease*8/10, time.Second) })
-	}, least: map[string]int{"outage after confirmation by the next leader": 5, "confirmed": 20, "close looks": 1000}},
+	}, least: map[string]int{"outage after confirmation by the next leader": 5, "confirmed": 20, "consistency probes": 1000}},
 
 	{name: "hand over and back, all end, one returns", script: func(s *script) {
 		s.long(6, 0)
@@ -62,7 +62,7 @@
 	{name: "leader alone with workers and users", noise: true, script: func(s *script) {
 		s.long(10, 0)
 		s.short(20, 0, 120*time.Second)
-		s.closeLooks()
+		s.probeConsistency()
 		s.every(25*time.Second, 40*time.Second, func() {
 			s.withLeader(func(old *node) {
 				s.alone(old, s.between(15*time.Second, 35*time.Second))
@@ -73,7 +73,7 @@
 				})
 			})
 		})
-	}, least: map[string]int{"nodes alone": 10, "another leads": 8, "confirmed": 12, "close looks": 1000}},
+	}, least: map[string]int{"nodes alone": 10, "another leads": 8, "confirmed": 12, "consistency probes": 1000}},
 
 	{name: "team at its limit, leader changes, machines cut, cancellation", noise: true, script: func(s *script) {
 		limitAll(s)
@@ -93,7 +93,7 @@
 
 	{name: "cancellations while work changes hands", script: func(s *script) {
 		s.long(14, 0)
-		s.closeLooks()
+		s.probeConsistency()
 		s.every(25*time.Second, 20*time.Second, func() {
 			if s.chance(0.5) {
 				s.crash(s.ruling(), s.between(10*time.Millisecond, 3*time.Second))
@@ -114,11 +114,11 @@
 	{name: "only the answers of transactions lost", noise: true, script: func(s *script) {
 		s.long(8, 0)
 		s.short(40, 0, 120*time.Second)
-		s.closeLooks()
+		s.probeConsistency()
 		s.every(15*time.Second, 20*time.Second, func() { s.lateWrites(0.4, 12*time.Second, true) })
 		s.every(20*time.Second, 10*time.Second, func() { s.cancelNow(1, 0) })
 		changes(s, 50*time.Second, 45*time.Second, 10*time.Millisecond, 3*time.Second)
-	}, least: map[string]int{"answers of transactions lost": 60, "confirmed": 16, "close looks": 2000, "repeated submissions answered": 150}},
+	}, least: map[string]int{"answers of transactions lost": 60, "confirmed": 16, "consistency probes": 2000, "repeated submissions answered": 150}},
 
 	{name: "all teams at their limits, cancellations on machines out of reach", noise: true, script: func(s *script) {
 		limitAll(s)
@@ -186,7 +186,7 @@
 				s.at(s.between(0, 3*time.Second), func() { s.crash(s.ruling(), s.between(10*time.Millisecond, 3*time.Second)) })
 			}
 		})
-		s.closeLooks()
+		s.probeConsistency()
 	}, least: map[string]int{"one task done, others run": 20, "leaders ended": 16}},
 
 	{name: "zone cut off beyond the lease", noise: true, script: func(s *script) {
@@ -219,11 +219,11 @@
 		s.short(25, 0, 120*time.Second)
 		s.every(30*time.Second, 35*time.Second, func() {
 			s.cutMachines(s.some(0.4, busy), s.between(3*time.Second, 40*time.Second))
-			s.deafen(s.some(0.4, busy), s.between(3*time.Second, 40*time.Second))
+			s.loseInbound(s.some(0.4, busy), s.between(3*time.Second, 40*time.Second))
 			s.crash(s.ruling(), s.between(10*time.Millisecond, 3*time.Second))
 			s.at(s.between(0, 8*time.Second), func() { s.cancelNow(2, 0) })
 		})
-	}, least: map[string]int{"busy machines cut": 8, "deaf machines": 8, "leaders ended": 12, "confirmed": 12}},
+	}, least: map[string]int{"busy machines cut": 8, "machines with inbound loss": 8, "leaders ended": 12, "confirmed": 12}},
 
 	{name: "jobs bound to a zone lose machines", noise: true, script: func(s *script) {
 		for i := range 30 {
@@ -255,8 +255,8 @@
 	{name: "cancellation meets the end", script: func(s *script) {
 		s.short(60, 0, 130*time.Second)
 		atEndOf(s, 0.9, func(j *userJob) { s.at(s.between(0, 300*time.Millisecond), j.cancel) })
-		s.closeLooks()
-	}, least: map[string]int{"ends met": 120, "close looks": 5000, "repeated submissions of jobs over answered": 100}},
+		s.probeConsistency()
+	}, least: map[string]int{"ends met": 120, "consistency probes": 5000, "repeated submissions of jobs over answered": 100}},
 
 	{name: "questions and repeated submissions meet the end", script: func(s *script) {
 		s.short(60, 0, 130*time.Second)
@@ -267,7 +267,7 @@
 				s.at(s.between(0, 3*time.Second), func() { s.resubmit(n, j) })
 			}
 		})
-	}, least: map[string]int{"ends met": 150, "close looks": 5000, "repeated submissions of jobs over answered": 2000}},
+	}, least: map[string]int{"ends met": 150, "consistency probes": 5000, "repeated submissions of jobs over answered": 2000}},
 
 	{name: "old reports, also of earlier sessions", noise: true, script: func(s *script) {
 		s.long(6, 0)
@@ -290,18 +290,18 @@
 		s.long(8, 0)
 		s.short(25, 0, 120*time.Second)
 		s.every(25*time.Second, 30*time.Second, func() {
-			s.mute(s.some(0.5, busy), s.between(5*time.Second, 40*time.Second))
+			s.loseOutbound(s.some(0.5, busy), s.between(5*time.Second, 40*time.Second))
 			s.at(s.between(0, 5*time.Second), func() { s.cancelNow(2, 0) })
 			if s.chance(0.5) {
 				s.at(s.between(0, 5*time.Second), func() { s.crash(s.ruling(), s.between(10*time.Millisecond, 3*time.Second)) })
 			}
 		})
-	}, least: map[string]int{"mute machines": 10, "reports of mute machines": 80, "commands to mute machines": 5, "confirmed": 12}},
+	}, least: map[string]int{"machines with outbound loss": 10, "reports of machines with outbound loss": 80, "commands to machines with outbound loss": 5, "confirmed": 12}},
 
 	{name: "late transactions after newer ones", noise: true, script: func(s *script) {
 		s.long(8, 0)
 		s.short(40, 0, 120*time.Second)
-		s.closeLooks()
+		s.probeConsistency()
 		s.every(15*time.Second, 20*time.Second, func() { s.lateWrites(0.7, 15*time.Second, false) })
 		s.every(20*time.Second, 10*time.Second, func() { s.cancelNow(1, 0) })
 		changes(s, 50*time.Second, 35*time.Second, 10*time.Millisecond, 3*time.Second)
@@ -309,10 +309,10 @@
 
 	{name: "close looks, some cancel at once", noise: true, script: func(s *script) {
 		s.short(60, 0, 130*time.Second)
-		s.closeLooks()
+		s.probeConsistency()
 		someCancel(s, 0.3, 0)
 		changes(s, 30*time.Second, 30*time.Second, 10*time.Millisecond, 3*time.Second)
-	}, least: map[string]int{"close looks": 6000, "repeated submissions answered": 300, "called off": 40, "confirmed": 40}},
+	}, least: map[string]int{"consistency probes": 6000, "repeated submissions answered": 300, "called off": 40, "confirmed": 40}},
 
 	{name: "old reports reach all as a leader begins", noise: true, script: func(s *script) {
 		s.long(6, 0)
@@ -326,7 +326,7 @@
 		s.long(10, 0)
 		s.long(6, 100*time.Second)
 		s.short(30, 0, 180*time.Second)
-		s.closeLooks()
+		s.probeConsistency()
 		s.every(20*time.Second, 50*time.Second, func() {
 			s.slow = s.between(200*time.Millisecond, 2*time.Second)
 			s.at(15*time.Second, func() { s.slow = 0 })
@@ -338,7 +338,7 @@
 				s.at(s.between(time.Second, 10*time.Second), func() { s.outage(s.w.o.Cancel + s.between(time.Second, 10*time.Second)) })
 			})
 		})
-	}, least: map[string]int{"slow calls": 800, "refused nodes": 4, "refused commits": 2, "outages": 4, "confirmed": 16, "close looks": 3000}},
+	}, least: map[string]int{"slow calls": 800, "refused nodes": 4, "refused commits": 2, "outages": 4, "confirmed": 16, "consistency probes": 3000}},
 
 	{name: "reports held until a new leader has acted", noise: true, script: func(s *script) {
 		s.long(6, 0)
@@ -358,7 +358,7 @@
 
 	{name: "cancelled as the leader is refused, then out for all", length: 200 * time.Second, script: func(s *script) {
 		s.long(14, 0)
-		s.closeLooks()
+		s.probeConsistency()
 		s.every(s.between(30*time.Second, 40*time.Second), 80*time.Second, func() {
 			s.withLeader(func(old *node) {
 				s.cancelNow(5, s.between(0, 10*time.Second))
@@ -408,21 +408,21 @@
 			})
 		})
 		s.every(10*time.Second, 7*time.Second, func() { s.outage(s.between(time.Second, 6*time.Second)) })
-		s.every(15*time.Second, 4*time.Second, func() { s.anyway = s.chance(0.6) })
-		s.every(10*time.Second, time.Second, func() { // who has promised ends, and is back at once
+		s.every(15*time.Second, 4*time.Second, func() { s.grantAnyway = s.chance(0.6) })
+		s.every(10*time.Second, time.Second, func() { // nodes that granted an extension end and are back at once
 			for _, n := range s.w.nodes {
-				if n.local().Before(n.promised) && s.chance(0.1) {
-					s.note("nodes that had promised ended")
+				if n.local().Before(n.grantedUntil) && s.chance(0.1) {
+					s.note("nodes that had granted an extension ended")
 					s.crash(n, s.between(10*time.Millisecond, 300*time.Millisecond))
 				}
 			}
 		})
 		s.at(s.w.o.Length-time.Second, func() {
-			for range s.w.promised {
-				s.note("rights carried on")
+			for range s.w.leaseExtensions {
+				s.note("lease extensions")
 			}
 		})
-	}, least: map[string]int{"rights carried on": 40, "nodes that had promised ended": 20, "refused nodes": 8, "leaders": 16, "leaders ended": 8, "confirmed": 8}},
+	}, least: map[string]int{"lease extensions": 40, "nodes that had granted an extension ended": 20, "refused nodes": 8, "leaders": 16, "leaders ended": 8, "confirmed": 8}},
 
 	{name: "cancellations cross writes of their jobs, late and slow", noise: true, script: func(s *script) {
 		for range 30 {
@@ -432,7 +432,7 @@
 			}
 		}
 		someCancel(s, 0.8, 30*time.Second)
-		s.closeLooks()
+		s.probeConsistency()
 		s.every(5*time.Second, 12*time.Second, func() {
 			s.slow = s.between(0, 700*time.Millisecond)
 			s.lateWrites(0.5, 8*time.Second, s.chance(0.3))
@@ -455,8 +455,8 @@
 		s.every(35*time.Second, 50*time.Second, func() {
 			silent, d := s.some(0.6, busy), s.between(60*time.Second, 80*time.Second)
 			s.cutMachines(silent, d)
-			s.deafen(silent, d) // no command reaches them late either
+			s.loseInbound(silent, d) // no command reaches them late either
 			s.at(s.between(0, 5*time.Second), func() { s.cancelNow(4, 0) })
 		})
-	}, least: map[string]int{"busy machines cut": 20, "deaf machines": 20, "confirmed": 30}},
+	}, least: map[string]int{"busy machines cut": 20, "machines with inbound loss": 20, "confirmed": 30}},
 }
--- a/internal/simulation/fault_scenarios.go
+++ b/internal/simulation/fault_scenarios.go
@@ -34,19 +34,19 @@
 	leader *node           // the newest one
 
 	// the state service
-	slow    time.Duration // calls take up to that much longer, each way
-	lost    float64       // share of transactions without an answer
-	atOnce  bool          // they are carried out at once
-	link    time.Duration // messages of workers take up to that much longer
-	copies  float64       // share of reports of which a copy arrives again
-	forNext bool          // copies and held reports are kept for the next leader
-	holds   float64       // share of reports held back until a new leader has acted
-	kept    []func()      // what is kept for the next leader
-	held    []func()      // what waits until the next leader has acted
-	answers float64       // share of answers to reports held up
-	orders  float64       // share of direct commands held up
-	quick   bool          // machines are up within two seconds of their rental
-	anyway  bool          // nodes leave the place to a leader though the state service serves them
+	slow        time.Duration // calls take up to that much longer, each way
+	lost        float64       // share of transactions without an answer
+	atOnce      bool          // they are carried out at once
+	link        time.Duration // messages of workers take up to that much longer
+	copies      float64       // share of reports of which a copy arrives again
+	forNext     bool          // copies and held reports are kept for the next leader
+	holds       float64       // share of reports held back until a new leader has acted
+	kept        []func()      // what is kept for the next leader
+	held        []func()      // what waits until the next leader has acted
+	answers     float64       // share of answers to reports held up
+	orders      float64       // share of direct commands held up
+	quick       bool          // machines are up within two seconds of their rental
+	grantAnyway bool          // nodes extend the lease of a leader although the state service serves them
 }
 
 // waitFor is something to do once a condition holds.
@@ -69,12 +69,12 @@
 	w.noNet, w.store.down, w.cloud.down, w.peersRefuse, w.peace = true, false, false, false, w.now
 	clear(w.cutZones)
 	clear(w.apart)
-	s.slow, s.lost, s.link, s.copies, s.holds, s.answers, s.orders, s.anyway = 0, 0, 0, 0, 0, 0, 0, false
+	s.slow, s.lost, s.link, s.copies, s.holds, s.answers, s.orders, s.grantAnyway = 0, 0, 0, 0, 0, 0, 0, false
 	for _, n := range w.nodes {
 		n.noStore, n.noWorkers, n.noPeers, n.refused = false, false, false, false
 	}
 	for _, m := range w.sortedMachines() {
-		m.sick, m.deaf, m.mute = false, false, false
+		m.sick, m.inboundLost, m.outboundLost = false, false, false
 		clear(m.cut)
 	}
 	for _, j := range s.sortedJobs() {
@@ -121,13 +121,13 @@
 // when does something once, as soon as a condition holds.
 func (s *script) when(cond func() bool, fn func()) { s.waits = append(s.waits, &waitFor{cond, fn}) }
 
-// look sees, after each event of the world, what has come about.
-func (s *script) look() {
+// observe is called after each event of the world and records what has happened.
+func (s *script) observe() {
 	if s == nil {
 		return
 	}
 	for _, n := range s.w.nodes {
-		if n.entitled() && !s.terms[n.term.N] {
+		if n.holdsLease() && !s.terms[n.term.N] {
 			s.terms[n.term.N] = true
 			s.leader = n
 			s.note("leaders")
@@ -211,7 +211,8 @@
 	return s.between(0, s.slow)
 }
 
-func (s *script) promisesAnyway() bool { return s != nil && s.anyway }
+// grantsWhileServed tells whether nodes extend a lease although the state service serves them.
+func (s *script) grantsWhileServed() bool { return s != nil && s.grantAnyway }
 
 // linkDelay is how much longer a message between worker and controller takes.
 func (s *script) linkDelay() time.Duration {
@@ -301,8 +302,8 @@
 	if s == nil {
 		return 0
 	}
-	if m.mute {
-		s.note("commands to mute machines")
+	if m.outboundLost {
+		s.note("commands to machines with outbound loss")
 	}
 	if s.orders == 0 || !s.chance(s.orders) {
 		return 0
--- /dev/null
+++ b/internal/simulation/lease_extension.go
@@ -0,0 +1,86 @@
+package simulation
+
+import (
+	"time"
+
+	"gingertally/internal/leadership"
+)
+
+// Lease extension as in package leadership: while the state service doesn't renew the
+// leader's lease, the lease lasts as long as all peers have agreed not to claim.
+
+// extensionGranted records a peer's extension. A lease that is still valid is prolonged to
+// the earliest time that all peers have granted; one that has lapsed stays so.
+func (n *node) extensionGranted(peer *node, until time.Time) {
+	if !n.holdsLease() {
+		return
+	}
+	n.extensions[peer] = until
+	for _, other := range n.w.nodes {
+		if granted := n.extensions[other]; other != n && granted.Before(until) {
+			until = granted
+		}
+	}
+	if until.After(n.leaseUntil) {
+		n.leaseUntil = until
+		n.w.leaseExtensions++
+	}
+}
+
+// mayClaim tells whether no extension granted by this node is in force, nor may one be
+// that it granted before its start.
+func (n *node) mayClaim() bool {
+	if n.local().Before(n.grantedUntil) {
+		return false
+	}
+	led := n.w.store.items[leadership.TermKey] != nil
+	return n.old || !led || n.local().Sub(n.booted) >= leadership.ExtensionFor
+}
+
+// requestExtensions asks all peers to extend the lease if it isn't renewed. Nodes of the
+// version in production don't know lease extensions.
+func (n *node) requestExtensions() {
+	if n.old || n.leaseUntil.Sub(n.local()) >= n.w.o.LeaseTTL*5/8 {
+		return
+	}
+	for _, peer := range n.w.nodes {
+		if peer != n && n.reaches(peer) {
+			n.requestExtension(peer)
+		}
+	}
+}
+
+// requestExtension asks one peer. The request may be delayed; the extension counts from
+// the time at which it was sent.
+func (n *node) requestExtension(peer *node) {
+	w, eng, life, sent := n.w, n.eng, n.life, n.local()
+	there, back := w.between(time.Millisecond, 30*time.Millisecond), w.between(time.Millisecond, 30*time.Millisecond)
+	if w.o.Faults && !w.noNet && w.chance(0.05) {
+		there += w.between(0, 5*time.Second) // delayed in the network
+	}
+	granted := func() {
+		if n.eng == eng {
+			n.extensionGranted(peer, sent.Add(leadership.ExtensionCounted))
+		}
+	}
+	w.after(there, func() {
+		peer.run(peer.life, func() {
+			if peer.grantExtension() && n.reaches(peer) {
+				w.after(back, func() { n.run(life, granted) })
+			}
+		})
+	})
+}
+
+// grantExtension has this node agree not to claim for a while. Now and then it does so
+// although the state service serves it: safety doesn't depend on its refusal.
+func (n *node) grantExtension() bool {
+	if n.old || n.eng != nil || n.claiming != 0 {
+		return false
+	}
+	if served := !n.storeDown() && !n.cutOff(); served && !n.w.script.grantsWhileServed() && !n.w.chance(0.2) {
+		return false
+	}
+	n.grantedUntil = n.local().Add(leadership.ExtensionFor)
+	return true
+}
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -17,34 +17,34 @@
 
 // node is a controller: the real core and job store round a simulated shell.
 type node struct {
-	w          *World
-	name, zone string
-	health     *health.Tracker
-	rate       float64 // of its steady clock
-	life       int     // rises with each end of the process
-	old        bool    // runs the version in production
-	jobs       *jobstore.Jobs
-	down       bool
-	stillUntil time.Time     // stands still until then, its clocks running on
-	slowUntil  time.Time     // computes slowly until then
-	busyUntil  time.Time     // is busy with a step until then
-	noStore    bool          // cut off from the state service
-	refused    bool          // refused by the state service, alone
-	unanswered bool          // what it is just sending gets no answer
-	late       time.Duration // how much later its transaction is carried out
-	noWorkers  bool          // cut off from the workers
-	noPeers    bool          // cut off from the other controllers
-	eng        *core.Engine
-	term       leadership.Term
-	lease      int // the lease that its right stands on
-	until      time.Time
-	writing    bool
-	claimTried bool
-	claiming   int                 // which claim is under way, 0: none
-	claims     int                 // so far
-	promises   map[*node]time.Time // of the others to leave the place to this node, by its clock
-	promised   time.Time           // this node leaves the place to another until then
-	booted     time.Time
+	w            *World
+	name, zone   string
+	health       *health.Tracker
+	rate         float64 // of its steady clock
+	life         int     // rises with each end of the process
+	old          bool    // runs the version in production
+	jobs         *jobstore.Jobs
+	down         bool
+	stillUntil   time.Time     // stands still until then, its clocks running on
+	slowUntil    time.Time     // computes slowly until then
+	busyUntil    time.Time     // is busy with a step until then
+	noStore      bool          // cut off from the state service
+	refused      bool          // refused by the state service, alone
+	unanswered   bool          // what it is just sending gets no answer
+	late         time.Duration // how much later its transaction is carried out
+	noWorkers    bool          // cut off from the workers
+	noPeers      bool          // cut off from the other controllers
+	eng          *core.Engine
+	term         leadership.Term
+	lease        int       // number of its leader lease in the state service
+	leaseUntil   time.Time // when the lease ends, by its clock
+	writing      bool
+	claimTried   bool
+	claiming     int                 // which claim is under way, 0: none
+	claims       int                 // so far
+	extensions   map[*node]time.Time // of its lease, granted by each peer, by its clock
+	grantedUntil time.Time           // end of the last extension that it granted to a leader
+	booted       time.Time
 }
 
 var bg = context.Background()
@@ -58,20 +58,21 @@
 	return n.w.start.Add(time.Duration(float64(n.w.now.Sub(n.w.start)) * n.rate))
 }
 
-func (n *node) entitled() bool {
-	return !n.down && n.eng != nil && n.local().Before(n.until)
+// holdsLease tells whether the node leads with a valid lease, by its own clock.
+func (n *node) holdsLease() bool {
+	return !n.down && n.eng != nil && n.local().Before(n.leaseUntil)
 }
 
 // boot starts the process; its loops end with it.
 func (n *node) boot() {
 	n.life++
-	n.down, n.eng, n.writing, n.until = false, nil, false, time.Time{}
-	n.claiming, n.promised, n.booted, n.promises = 0, time.Time{}, n.local(), map[*node]time.Time{}
+	n.down, n.eng, n.writing, n.leaseUntil = false, nil, false, time.Time{}
+	n.claiming, n.grantedUntil, n.booted, n.extensions = 0, time.Time{}, n.local(), map[*node]time.Time{}
 	n.health = health.New(n.local())
 	limits := n.limits()
 	limits.NotCancelledFor = n.w.o.Cancel / sureParts
 	n.jobs = jobstore.New(n.storeView(), limits)
-	n.loop(n.life, 500*time.Millisecond, n.ask)
+	n.loop(n.life, 500*time.Millisecond, n.lookUpDependencies)
 	n.loop(n.life, time.Second, n.keepContact)
 	n.loop(n.life, n.w.o.LeaseTTL/4, n.lead)
 	n.loop(n.life, 200*time.Millisecond, n.tick)
@@ -203,7 +204,7 @@
 }
 
 func (n *node) tick() {
-	if !n.entitled() {
+	if !n.holdsLease() {
 		return
 	}
 	n.step(core.Tick{})
@@ -212,7 +213,7 @@
 
 // write sends the next batch, one at a time.
 func (n *node) write() {
-	if n.writing || !n.entitled() {
+	if n.writing || !n.holdsLease() {
 		return
 	}
 	batch := n.eng.Batch(n.local(), n.limits().TxnOps)
@@ -295,9 +296,9 @@
 	}
 }
 
-// ask looks jobs up that others wait for.
-func (n *node) ask() {
-	if !n.entitled() {
+// lookUpDependencies reads jobs from the store that others depend on.
+func (n *node) lookUpDependencies() {
+	if !n.holdsLease() {
 		return
 	}
 	eng, life, jobs := n.eng, n.life, n.jobs
@@ -354,7 +355,7 @@
 }
 
 func (n *node) list() {
-	if !n.entitled() {
+	if !n.holdsLease() {
 		return
 	}
 	eng := n.eng
@@ -363,7 +364,7 @@
 	life := n.life
 	n.w.after(n.w.between(50*time.Millisecond, 300*time.Millisecond), func() {
 		n.run(life, func() {
-			if ok && n.eng == eng && n.entitled() {
+			if ok && n.eng == eng && n.holdsLease() {
 				n.step(core.Listed{Machines: list})
 			}
 		})
@@ -411,12 +412,12 @@
 // report serves a worker's report that has arrived; relayed ones come from
 // another node. Status 0: the leader holds the answer, see collect.
 func (n *node) report(r fleet.Report, relayed bool) (status int, reply core.Reply, leader *node) {
-	if n.entitled() {
+	if n.holdsLease() {
 		eff := n.step(core.ReportIn{Report: r})
 		if eff.Reply != nil && eff.Reply.Hold {
 			return 0, reply, n
 		}
-		if eff.Reply == nil || !eff.Reply.OK || !n.entitled() {
+		if eff.Reply == nil || !eff.Reply.OK || !n.holdsLease() {
 			return 503, reply, nil
 		}
 		return 200, *eff.Reply, nil
@@ -425,7 +426,7 @@
 		return 503, reply, nil
 	}
 	for _, o := range n.w.nodes {
-		if o != n && o.entitled() {
+		if o != n && o.holdsLease() {
 			return 421, reply, o
 		}
 	}
@@ -434,14 +435,14 @@
 
 // collect completes an answer that was held; status 0: it is held once more.
 func (n *node) collect(r fleet.Report, eng *core.Engine) (int, core.Reply) {
-	if !n.entitled() || n.eng != eng {
+	if !n.holdsLease() || n.eng != eng {
 		return 503, core.Reply{}
 	}
 	eff := n.step(core.Collect{Report: r})
 	if eff.Reply != nil && eff.Reply.Hold {
 		return 0, core.Reply{}
 	}
-	if eff.Reply == nil || !eff.Reply.OK || !n.entitled() {
+	if eff.Reply == nil || !eff.Reply.OK || !n.holdsLease() {
 		return 503, core.Reply{}
 	}
 	return 200, *eff.Reply
--- a/internal/simulation/pipelines.go
+++ b/internal/simulation/pipelines.go
@@ -38,7 +38,7 @@
 
 // roll replaces the version in production, node by node, and returns when nothing
 // of it is left. Whatever else crashes meanwhile comes back as it was, and half of
-// the time the leader falls too, so that the versions take turns at leading.
+// the time the leader fails too, so that the versions take turns at leading.
 func (l *pipelinePlan) roll() time.Duration {
 	at := l.between(5*time.Second, 30*time.Second)
 	for _, i := range l.rng.Perm(len(l.w.nodes)) {
@@ -57,7 +57,7 @@
 
 func (l *pipelinePlan) crashLeader() {
 	for _, n := range l.w.nodes {
-		if n.entitled() {
+		if n.holdsLease() {
 			n.crash(l.between(10*time.Millisecond, 2*time.Second))
 		}
 	}
--- a/internal/simulation/random_test.go
+++ b/internal/simulation/random_test.go
@@ -25,7 +25,7 @@
 // TestTroubles plays seeded worlds full of troubles, singly and together, and
 // holds every rule of PROTOCOL against each step.
 func TestTroubles(t *testing.T) {
-	started, done, carried := 0, 0, 0
+	started, done, extensions := 0, 0, 0
 	for seed := range uint64(150) {
 		w := NewWorld(options(1000+seed, true))
 		if err := w.Run(); err != nil {
@@ -34,14 +34,14 @@
 				return
 			}
 		}
-		started, done, carried = started+w.Started(), done+w.Done(), carried+w.promised
+		started, done, extensions = started+w.Started(), done+w.Done(), extensions+w.leaseExtensions
 	}
-	if started < 5000 || done < 1000 || carried < 300 {
-		t.Errorf("the worlds did too little to prove anything: %d starts, %d jobs done, %d rights carried on by promises", started, done, carried)
+	if started < 5000 || done < 1000 || extensions < 300 {
+		t.Errorf("the worlds did too little to prove anything: %d starts, %d jobs done, %d lease extensions", started, done, extensions)
 	}
 }
 
-// manyFall are the options of a world in which many machines fall together.
+// manyFall are the options of a world in which many machines fail together.
 func manyFall(seed uint64) Options {
 	o := options(seed, seed%4 != 0)
 	o.CorrelatedFailures, o.Jobs = true, 20
@@ -49,8 +49,8 @@
 }
 
 // TestManyFallTogether plays worlds in which, on top of all other troubles, many
-// machines stop, hang, start anew or go deaf at once, with the leader or all
-// controllers, and controllers stand still with their clocks running on.
+// machines stop, hang, restart or lose inbound messages at once, with the leader or all
+// controllers, and controllers stall with their clocks running on.
 func TestManyFallTogether(t *testing.T) {
 	started, done := 0, 0
 	for seed := range uint64(80) {
--- a/internal/simulation/replica_check.go
+++ b/internal/simulation/replica_check.go
@@ -40,7 +40,7 @@
 	delete(c.preempted, name(t))
 }
 
-// said looks at what an engine logs for the tasks that it preempts.
+// said checks what an engine logs for the tasks that it preempts.
 func (c *checker) said(notes []core.Note) {
 	for _, x := range notes {
 		if x.Text != "preempted" {
--- a/internal/simulation/short_lease_faults.go
+++ b/internal/simulation/short_lease_faults.go
@@ -23,7 +23,7 @@
 		s.refusePeers(s.between(10*time.Second, 40*time.Second))
 	case 5:
 		s.refuse(s.nodeOrLeader(), s.between(5*time.Second, 40*time.Second))
-	case 6: // the state service is out, and the right is carried on by promises, if at all
+	case 6: // the state service is out, and the leader goes on by lease extensions, if at all
 		s.note("outages")
 		s.w.outage(s.between(5*time.Second, lease+5*time.Second))
 	}
@@ -32,7 +32,7 @@
 // leader is the node that may act now, nil if none does.
 func (w *World) leader() *node {
 	for _, n := range w.nodes {
-		if n.entitled() {
+		if n.holdsLease() {
 			return n
 		}
 	}
@@ -59,7 +59,7 @@
 	if n.down {
 		return
 	}
-	if n.entitled() {
+	if n.holdsLease() {
 		s.note("leaders stalled beyond their lease")
 	}
 	n.stillUntil = s.w.now.Add(d)
--- a/internal/simulation/troubles.go
+++ b/internal/simulation/troubles.go
@@ -24,7 +24,7 @@
 // ruling is the node that may act now, nil if none does.
 func (s *script) ruling() *node {
 	for _, n := range s.w.nodes {
-		if n.entitled() {
+		if n.holdsLease() {
 			return n
 		}
 	}
@@ -70,7 +70,7 @@
 	if n == nil || n.down {
 		return
 	}
-	if n.entitled() {
+	if n.holdsLease() {
 		s.note("leaders ended")
 	}
 	n.crash(back)
@@ -142,21 +142,21 @@
 	}
 }
 
-// mute has machines reach no controller, while direct commands reach them.
-func (s *script) mute(ms []*machine, d time.Duration) {
+// loseOutbound has machines reach no controller, while direct commands reach them.
+func (s *script) loseOutbound(ms []*machine, d time.Duration) {
 	for _, m := range ms {
-		m.mute = true
-		s.note("mute machines")
-		s.w.after(d, func() { m.mute = false })
+		m.outboundLost = true
+		s.note("machines with outbound loss")
+		s.w.after(d, func() { m.outboundLost = false })
 	}
 }
 
-// deafen has machines hear nothing of what they are told.
-func (s *script) deafen(ms []*machine, d time.Duration) {
+// loseInbound has messages to machines lost, while their reports arrive.
+func (s *script) loseInbound(ms []*machine, d time.Duration) {
 	for _, m := range ms {
-		m.deaf = true
-		s.note("deaf machines")
-		s.w.after(d, func() { m.deaf = false })
+		m.inboundLost = true
+		s.note("machines with inbound loss")
+		s.w.after(d, func() { m.inboundLost = false })
 	}
 }
 
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -143,7 +143,7 @@
 	jobs := n.jobs
 	answered := false
 	create := func() {
-		n.call(func() { answered = j.taken(jobs.Create(bg, j.spec, j.awaits(), j.w.now)) }, func() {
+		n.call(func() { answered = j.taken(jobs.Create(bg, j.spec, j.dependencyNames(), j.w.now)) }, func() {
 			if answered && !j.accepted {
 				j.accepted, j.acceptedAt = true, j.w.now
 				j.w.script.accepted(j)
@@ -154,7 +154,7 @@
 		create()
 	} else { // the check and the write are two calls, between which anything may happen
 		err := statestore.ErrUnknown
-		n.call(func() { err = jobs.CheckDependencies(bg, j.spec.Ref, j.awaits()) }, func() {
+		n.call(func() { err = jobs.CheckDependencies(bg, j.spec.Ref, j.dependencyNames()) }, func() {
 			if j.taken(err) {
 				create()
 			}
@@ -172,8 +172,8 @@
 	})
 }
 
-// awaits are the jobs that the job names, the first one twice.
-func (j *userJob) awaits() []string {
+// dependencyNames are the jobs that the job names as dependencies, the first one twice.
+func (j *userJob) dependencyNames() []string {
 	var out []string
 	for _, p := range j.needs {
 		out = append(out, p.spec.Ref)
@@ -217,7 +217,7 @@
 		return v, false, false
 	}
 	if n.eng != nil {
-		if v, known := n.eng.Lookup(ref); known && n.entitled() {
+		if v, known := n.eng.Lookup(ref); known && n.holdsLease() {
 			return v, true, true
 		}
 	}
@@ -228,7 +228,7 @@
 	if err != nil {
 		return v, false, false
 	}
-	if doubt, err := n.jobs.DependencyCancelled(bg, st, n.local()); err != nil || doubt {
+	if cancelled, err := n.jobs.DependencyCancelled(bg, st, n.local()); err != nil || cancelled {
 		return v, false, false
 	}
 	return core.JobView{Phase: st.Phase, Done: st.Done}, st.Found, true
@@ -246,7 +246,7 @@
 func (j *userJob) cancel() {
 	n := j.anyNode()
 	for _, o := range j.w.nodes {
-		if o.entitled() {
+		if o.holdsLease() {
 			n = o // the leader serves cancellations
 		}
 	}
@@ -287,7 +287,7 @@
 		}
 	}
 	for _, m := range w.machines {
-		m.sick, m.deaf = false, false
+		m.sick, m.inboundLost = false, false
 		clear(m.cut)
 	}
 }
@@ -338,8 +338,8 @@
 		w.harm(m)
 	case 12, 13:
 		if m != nil {
-			m.deaf = true
-			w.after(2*long, func() { m.deaf = false })
+			m.inboundLost = true
+			w.after(2*long, func() { m.inboundLost = false })
 		}
 	case 14: // it keeps its workers, and nothing else
 		n.noStore, n.noPeers = true, true
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -10,30 +10,30 @@
 
 // machine is a rented machine with its worker.
 type machine struct {
-	w           *World
-	name, typ   string
-	zone        string
-	spot        bool
-	born        time.Time
-	rate        float64
-	isUp, dead  bool
-	hungUntil   time.Time
-	sick        bool
-	deaf        bool      // its reports arrive, but nothing that it is told
-	mute        bool      // it reaches no controller, while direct commands reach it
-	errors      int       // how many tasks failed on it
-	failedAt    time.Time // the last of them
-	life        int       // rises when its worker starts anew
-	noticeAt    time.Time
-	cut         map[*node]bool
-	session     uint64
-	seq, token  uint64
-	answered    time.Time // when the last answered report was sent, by its own clock
-	target      int
-	outstanding uint64 // the report that is waited for, 0: none
-	lastReport  time.Time
-	tasks       map[string]*task // by name and attempt
-	images      map[string]bool
+	w            *World
+	name, typ    string
+	zone         string
+	spot         bool
+	born         time.Time
+	rate         float64
+	isUp, dead   bool
+	hungUntil    time.Time
+	sick         bool
+	inboundLost  bool      // its reports arrive, but nothing that is sent to it (one-way loss)
+	outboundLost bool      // it reaches no controller, while direct commands reach it (one-way loss)
+	errors       int       // how many tasks failed on it
+	failedAt     time.Time // the last of them
+	life         int       // rises when its worker starts anew
+	noticeAt     time.Time
+	cut          map[*node]bool
+	session      uint64
+	seq, token   uint64
+	answered     time.Time // when the last answered report was sent, by its own clock
+	target       int
+	outstanding  uint64 // the report that is waited for, 0: none
+	lastReport   time.Time
+	tasks        map[string]*task // by name and attempt
+	images       map[string]bool
 }
 
 func (m *machine) local() time.Time {
@@ -156,8 +156,8 @@
 	w := m.w
 	w.digest.add(w, "report", m.name, r)
 	delay := w.between(time.Millisecond, 20*time.Millisecond) + w.script.linkDelay()
-	if m.mute {
-		w.script.note("reports of mute machines")
+	if m.outboundLost {
+		w.script.note("reports of machines with outbound loss")
 		return
 	}
 	if w.script.takes(m, n, r, sent) {
@@ -216,12 +216,12 @@
 // answer sends a node's response back, if it gets through.
 func (m *machine) answer(n *node, r fleet.Report, life int, sent time.Time, status int, reply core.Reply, leader *node) {
 	w := m.w
-	if m.deaf || m.blocked(n) || (w.o.Faults && !w.noNet && w.chance(0.01)) {
+	if m.inboundLost || m.blocked(n) || (w.o.Faults && !w.noNet && w.chance(0.01)) {
 		return
 	}
 	delay := w.between(time.Millisecond, 30*time.Millisecond)
 	if w.correlated != nil {
-		delay += w.correlated.stallBeforeAnswer() // between the check of its right and the answer
+		delay += w.correlated.stallBeforeAnswer() // between the check of the lease and the answer
 	}
 	delay += w.script.linkDelay() + w.script.answerHeld(m, status, reply) + n.busyFor()
 	m.later(delay, func() {
@@ -284,7 +284,7 @@
 		return
 	}
 	delay := w.between(time.Millisecond, 20*time.Millisecond)
-	if m.deaf {
+	if m.inboundLost {
 		return
 	}
 	if m.blocked(n) || (w.o.Faults && !w.noNet && w.chance(0.05)) {
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -1,6 +1,6 @@
 // Package simulation plays the world around the service from its published
 // protocol: state service, cloud, workers and users in simulated time, with
-// faults, and a checker of PROTOCOL's rules that looks after every step. The
+// faults, and a checker of PROTOCOL's rules that runs after every step. The
 // controllers in it run the real core and job store.
 package simulation
 
@@ -24,14 +24,14 @@
 	Zones              int
 	Jobs               int
 	Faults             bool
-	CorrelatedFailures bool // many machines fall together, and controllers stand still
+	CorrelatedFailures bool // many machines fail together, and controllers stall
 	Pipelines          int  // pipelines of jobs that wait for each other
 	Roll               bool // the version in production runs first, and is replaced node by node
 	Lower              bool // the state service lowers its limits at some moment after that
 	Report             time.Duration
 	Lease              time.Duration
 	Cancel             time.Duration
-	LeaseTTL           time.Duration // of the leaders' right
+	LeaseTTL           time.Duration // of the lease under the leader key
 	ShortLease         bool          // the jobs and faults of a deployment with short leases
 }
 
@@ -58,15 +58,15 @@
 	noNet bool // peace: no losses and delays any more
 	peace time.Time
 	// what the network between zones and nodes does
-	cutZones    map[string]bool     // cut off from everything
-	apart       map[[2]string]bool  // two zones that can't reach each other
-	peersRefuse bool                // connections between controllers are refused
-	promised    int                 // how often promises have carried a leader's right on
-	correlated  *correlatedFailures // nil: none
-	pipelines   *pipelinePlan
-	script      *script     // nil: none
-	shortLease  *shortLease // nil: none
-	digest      *digest     // nil: none
+	cutZones        map[string]bool     // cut off from everything
+	apart           map[[2]string]bool  // two zones that can't reach each other
+	peersRefuse     bool                // connections between controllers are refused
+	leaseExtensions int                 // how often peers have extended the lease of a leader
+	correlated      *correlatedFailures // nil: none
+	pipelines       *pipelinePlan
+	script          *script     // nil: none
+	shortLease      *shortLease // nil: none
+	digest          *digest     // nil: none
 }
 
 type event struct {
@@ -166,7 +166,7 @@
 		w.digest.add(w, "event", "world", e.seq)
 		e.fn()
 		w.check.leaders()
-		w.script.look()
+		w.script.observe()
 		if err := w.check.broken; err != nil {
 			return fmt.Errorf("seed %d, %.3f s: %w", w.o.Seed, w.now.Sub(w.start).Seconds(), err)
 		}
