--- a/internal/simulation/consistency_probes.go
+++ b/internal/simulation/consistency_probes.go
@@ -104,7 +104,7 @@
 
 // post sends a submission's body to a node; status 0: no answer.
 func (*script) post(n *node, body any) userapi.Answer {
-	if n.down || n.still() || n.cutOff() {
+	if n.down || n.stalled() || n.cutOff() {
 		return userapi.Answer{}
 	}
 	return n.service().Submit(context.Background(), wire.MustMarshal(body))
--- a/internal/simulation/correlated_failures.go
+++ b/internal/simulation/correlated_failures.go
@@ -83,7 +83,7 @@
 	if f.rng.IntN(3) == 0 {
 		d = f.between(6*time.Second, 60*time.Second)
 	}
-	n.stillUntil = w.now.Add(d)
+	n.stalledUntil = w.now.Add(d)
 	if life := n.life; f.rng.IntN(5) == 0 {
 		w.after(f.between(0, d), func() {
 			if n.life == life && !n.down {
--- a/internal/simulation/fault_scenario_rows_test.go
+++ b/internal/simulation/fault_scenario_rows_test.go
@@ -54,7 +54,7 @@
 	{name: "commands and answers held up, machines go on", noise: true, script: func(s *script) {
 		s.long(6, 0)
 		s.short(30, 0, 120*time.Second)
-		s.answers, s.orders = 0.15, 0.5
+		s.answers, s.delayedCommands = 0.15, 0.5
 		s.every(20*time.Second, 15*time.Second, func() { s.cancelNow(1, s.between(time.Second, 15*time.Second)) })
 		changes(s, 45*time.Second, 40*time.Second, 10*time.Millisecond, 3*time.Second)
 	}, least: map[string]int{"answers with commands held up": 20, "commands held up": 4, "busy machines hung": 20, "confirmed": 12}},
--- a/internal/simulation/fault_scenarios.go
+++ b/internal/simulation/fault_scenarios.go
@@ -14,7 +14,7 @@
 )
 
 // script brings troubles together in a world: at moments, and whenever something
-// happens there. It draws luck of its own, so that worlds without a script stay what
+// happens there. It draws random numbers of its own, so that worlds without a script stay what
 // they are. A nil script does nothing.
 type script struct {
 	w     *World
@@ -34,19 +34,19 @@
 	leader *node           // the newest one
 
 	// the state service
-	slow        time.Duration // calls take up to that much longer, each way
-	lost        float64       // share of transactions without an answer
-	atOnce      bool          // they are carried out at once
-	link        time.Duration // messages of workers take up to that much longer
-	copies      float64       // share of reports of which a copy arrives again
-	forNext     bool          // copies and held reports are kept for the next leader
-	holds       float64       // share of reports held back until a new leader has acted
-	kept        []func()      // what is kept for the next leader
-	held        []func()      // what waits until the next leader has acted
-	answers     float64       // share of answers to reports held up
-	orders      float64       // share of direct commands held up
-	quick       bool          // machines are up within two seconds of their rental
-	grantAnyway bool          // nodes extend the lease of a leader although the state service serves them
+	slow            time.Duration // calls take up to that much longer, each way
+	lost            float64       // share of transactions without an answer
+	atOnce          bool          // they are carried out at once
+	link            time.Duration // messages of workers take up to that much longer
+	copies          float64       // share of reports of which a copy arrives again
+	forNext         bool          // copies and held reports are kept for the next leader
+	holds           float64       // share of reports held back until a new leader has acted
+	kept            []func()      // what is kept for the next leader
+	held            []func()      // what waits until the next leader has acted
+	answers         float64       // share of answers to reports held up
+	delayedCommands float64       // share of direct commands that are delayed
+	quick           bool          // machines are up within two seconds of their rental
+	grantAnyway     bool          // nodes extend the lease of a leader although the state service serves them
 }
 
 // waitFor is something to do once a condition holds.
@@ -69,7 +69,7 @@
 	w.noNet, w.store.down, w.cloud.down, w.peersRefuse, w.peace = true, false, false, false, w.now
 	clear(w.cutZones)
 	clear(w.apart)
-	s.slow, s.lost, s.link, s.copies, s.holds, s.answers, s.orders, s.grantAnyway = 0, 0, 0, 0, 0, 0, 0, false
+	s.slow, s.lost, s.link, s.copies, s.holds, s.answers, s.delayedCommands, s.grantAnyway = 0, 0, 0, 0, 0, 0, 0, false
 	for _, n := range w.nodes {
 		n.noStore, n.noWorkers, n.noPeers, n.refused = false, false, false, false
 	}
@@ -297,15 +297,15 @@
 	return d
 }
 
-// ordersHeld is how long direct commands are held up.
-func (s *script) ordersHeld(m *machine) time.Duration {
+// commandDelay is how long direct commands are delayed.
+func (s *script) commandDelay(m *machine) time.Duration {
 	if s == nil {
 		return 0
 	}
 	if m.outboundLost {
 		s.note("commands to machines with outbound loss")
 	}
-	if s.orders == 0 || !s.chance(s.orders) {
+	if s.delayedCommands == 0 || !s.chance(s.delayedCommands) {
 		return 0
 	}
 	s.note("commands held up")
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -25,7 +25,7 @@
 	old          bool    // runs the version in production
 	jobs         *jobstore.Jobs
 	down         bool
-	stillUntil   time.Time     // stands still until then, its clocks running on
+	stalledUntil time.Time     // stalled until then, its clocks running on
 	slowUntil    time.Time     // computes slowly until then
 	busyUntil    time.Time     // is busy with a step until then
 	noStore      bool          // cut off from the state service
@@ -84,7 +84,7 @@
 
 // reaches tells whether another controller can be reached from here.
 func (n *node) reaches(o *node) bool {
-	return !n.down && !o.down && !n.still() && !o.still() && !n.noPeers && !o.noPeers && !n.w.peersRefuse && n.w.reach(n.zone, o.zone)
+	return !n.down && !o.down && !n.stalled() && !o.stalled() && !n.noPeers && !o.noPeers && !n.w.peersRefuse && n.w.reach(n.zone, o.zone)
 }
 
 // keepContact notes whom this node reaches.
@@ -112,13 +112,13 @@
 	})
 }
 
-// run has a life of the process do something: at once, or, if it stands still,
+// run has a life of the process do something: at once, or, if it is stalled,
 // when it goes on.
 func (n *node) run(life int, fn func()) {
 	switch {
 	case n.life != life || n.down:
-	case n.still():
-		n.w.after(n.stillUntil.Sub(n.w.now)+n.w.between(0, 50*time.Millisecond), func() { n.run(life, fn) })
+	case n.stalled():
+		n.w.after(n.stalledUntil.Sub(n.w.now)+n.w.between(0, 50*time.Millisecond), func() { n.run(life, fn) })
 	case n.busyFor() > 0:
 		n.w.after(n.busyFor(), func() { n.run(life, fn) })
 	default:
@@ -126,10 +126,11 @@
 	}
 }
 
-func (n *node) still() bool { return n.w.now.Before(n.stillUntil) }
+// stalled tells whether the process is stopped for a while, its clocks running on.
+func (n *node) stalled() bool { return n.w.now.Before(n.stalledUntil) }
 
 func (n *node) crash(back time.Duration) {
-	n.down, n.eng, n.stillUntil, n.busyUntil = true, nil, time.Time{}, time.Time{}
+	n.down, n.eng, n.stalledUntil, n.busyUntil = true, nil, time.Time{}, time.Time{}
 	n.life++
 	n.w.after(back, n.boot)
 }
@@ -175,8 +176,8 @@
 const callTimeout = 1500 * time.Millisecond
 
 func (n *node) step(ev core.Event) core.Effects {
-	if n.still() {
-		n.w.check.fail("%s acts while it stands still", n.name)
+	if n.stalled() {
+		n.w.check.fail("%s acts while it is stalled", n.name)
 	}
 	eff := n.eng.Step(n.local(), ev)
 	n.w.digest.addStep(n, ev, eff)
@@ -192,7 +193,7 @@
 		return core.Effects{}
 	}
 	for _, d := range eff.Direct {
-		n.w.sendOrders(n, d)
+		n.w.sendDirectCommands(n, d)
 	}
 	for _, r := range eff.Rent {
 		n.rent(r)
--- a/internal/simulation/pipelines.go
+++ b/internal/simulation/pipelines.go
@@ -9,7 +9,7 @@
 )
 
 // pipelinePlan submits pipelines of jobs that wait for each other: chains, diamonds, fans and
-// whatever luck brings. It draws luck of its own, so that the other worlds of the
+// whatever the seed brings. It draws random numbers of its own, so that the other worlds of the
 // same seed stay what they are.
 type pipelinePlan struct {
 	w   *World
--- a/internal/simulation/short_lease.go
+++ b/internal/simulation/short_lease.go
@@ -12,7 +12,7 @@
 // shortLease adds to a world what a deployment with short leases meets: nodes that
 // compute slowly, stall, refuse each other or are refused by the state service alone,
 // zones cut off for longer than a worker's lease, and clocks at the bound of their drift;
-// in a small cloud that several teams with guarantees and limits share. It draws luck of
+// in a small cloud that several teams with guarantees and limits share. It draws random numbers of
 // its own, so that the other worlds of the same seed stay what they are. A nil shortLease
 // does nothing.
 type shortLease struct {
--- a/internal/simulation/short_lease_faults.go
+++ b/internal/simulation/short_lease_faults.go
@@ -54,7 +54,7 @@
 	n.slowUntil = s.w.now.Add(d)
 }
 
-// stall has a node stand still for longer than its lease, and then go on.
+// stall stops a node for longer than its lease, and then go on.
 func (s *shortLease) stall(n *node, d time.Duration) {
 	if n.down {
 		return
@@ -62,7 +62,7 @@
 	if n.holdsLease() {
 		s.note("leaders stalled beyond their lease")
 	}
-	n.stillUntil = s.w.now.Add(d)
+	n.stalledUntil = s.w.now.Add(d)
 }
 
 // cutZone cuts a zone off with all in it, the leader's or another.
--- a/internal/simulation/short_lease_test.go
+++ b/internal/simulation/short_lease_test.go
@@ -8,7 +8,7 @@
 // shortLeases are the options of a world with the settings, jobs and faults of a
 // deployment with short leases; half of them have all other troubles too, a fifth
 // machines that fall together. The drain leaves time for long tasks that are moved
-// late more than once: a simulated task begins anew although it has saved.
+// late more than once: a simulated task starts from the beginning although it has saved.
 func shortLeases(seed uint64) Options {
 	return Options{Seed: seed, Length: 150 * time.Second, Drain: 350 * time.Second, Nodes: 3 + 2*int(seed%2), Zones: 3, ShortLease: true,
 		Faults: seed%2 == 0, CorrelatedFailures: seed%5 == 0,
--- a/internal/simulation/task.go
+++ b/internal/simulation/task.go
@@ -86,7 +86,7 @@
 	}
 }
 
-func (t *task) halt(grace time.Duration) {
+func (t *task) stop(grace time.Duration) {
 	switch {
 	case t.state == fleet.Running && t.job.spec.Checkpoint > 0 && grace >= t.job.spec.Save:
 		t.state = fleet.Saving
@@ -102,7 +102,7 @@
 		return
 	}
 	t.state, t.cause, t.saved = fleet.Exited, c, saved
-	t.off()
+	t.leaveMachine()
 	t.m.changed()
 	switch c {
 	case fleet.CauseError:
@@ -115,8 +115,8 @@
 	}
 }
 
-// off notes that the task is no longer on its machine; its gang notices.
-func (t *task) off() {
+// leaveMachine notes that the task is no longer on its machine; its gang notices.
+func (t *task) leaveMachine() {
 	if t.onIt {
 		t.onIt = false
 		t.m.w.check.left(t)
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -121,7 +121,7 @@
 func (j *userJob) anyNode() *node {
 	var up []*node
 	for _, n := range j.w.nodes {
-		if !n.down && !n.still() && j.w.reach("", n.zone) && n.health.Serves(n.local()) {
+		if !n.down && !n.stalled() && j.w.reach("", n.zone) && n.health.Serves(n.local()) {
 			up = append(up, n)
 		}
 	}
@@ -136,7 +136,7 @@
 		j.asked = j.w.now
 	}
 	n := j.anyNode()
-	if n.down || n.still() || n.cutOff() {
+	if n.down || n.stalled() || n.cutOff() {
 		j.w.after(time.Second, j.submit)
 		return
 	}
@@ -194,7 +194,7 @@
 
 // view is what a node tells of a job: itself, or by asking another.
 func (n *node) view(ref string) (v core.JobView, known, ok bool) {
-	if n.down || n.still() || !n.w.reach("", n.zone) {
+	if n.down || n.stalled() || !n.w.reach("", n.zone) {
 		return v, false, false
 	}
 	if v, known, ok = n.ownView(ref); ok {
@@ -250,7 +250,7 @@
 			n = o // the leader serves cancellations
 		}
 	}
-	if n.down || n.still() || n.cutOff() {
+	if n.down || n.stalled() || n.cutOff() {
 		j.w.after(time.Second, j.cancel)
 		return
 	}
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -23,7 +23,7 @@
 	outboundLost bool      // it reaches no controller, while direct commands reach it (one-way loss)
 	errors       int       // how many tasks failed on it
 	failedAt     time.Time // the last of them
-	life         int       // rises when its worker starts anew
+	life         int       // rises when its worker restarts
 	noticeAt     time.Time
 	cut          map[*node]bool
 	session      uint64
@@ -238,7 +238,7 @@
 		n := w.nodes[w.rng.IntN(len(w.nodes))]
 		n.run(n.life, func() {
 			status, _, leader := n.report(r, false)
-			if status == 421 && !leader.still() {
+			if status == 421 && !leader.stalled() {
 				status, _, leader = leader.report(r, true)
 			}
 			if status == 0 {
@@ -277,8 +277,8 @@
 	}
 }
 
-// sendOrders takes direct commands to a worker, perhaps late.
-func (w *World) sendOrders(n *node, d core.Direct) {
+// sendDirectCommands takes direct commands to a worker, perhaps late.
+func (w *World) sendDirectCommands(n *node, d core.Direct) {
 	m := w.machines[d.Machine]
 	if m == nil {
 		return
@@ -290,7 +290,7 @@
 	if m.blocked(n) || (w.o.Faults && !w.noNet && w.chance(0.05)) {
 		delay = w.between(0, 30*time.Second)
 	}
-	delay += w.script.linkDelay() + w.script.ordersHeld(m) + n.busyFor()
+	delay += w.script.linkDelay() + w.script.commandDelay(m) + n.busyFor()
 	m.later(delay, func() {
 		m.w.digest.add(m.w, "orders", m.name, d)
 		if m.isUp && d.Token >= m.token && d.Session == m.session {
@@ -317,7 +317,7 @@
 		case fleet.Stop:
 			if t != nil && t.state != fleet.Exited {
 				m.w.check.toldToStop(t)
-				t.halt(c.Grace)
+				t.stop(c.Grace)
 				changed = true
 			}
 		case fleet.Forget:
@@ -372,11 +372,11 @@
 	delete(m.tasks, taskKey(t.job.spec.Ref, t.index, t.attempt))
 	if t.state != fleet.Exited {
 		t.state = fleet.Exited
-		t.off()
+		t.leaveMachine()
 	}
 }
 
-// reboot starts the worker anew: all tasks are gone, and it counts from one.
+// reboot restarts the worker: all tasks are gone, and it counts from one.
 func (m *machine) reboot() {
 	for _, t := range m.sorted() {
 		m.remove(t)
