--- a/internal/core/one_way_loss_test.go
+++ b/internal/core/one_way_loss_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"gingertally/internal/core/fleet"
+	"gingertally/internal/core/pipeline"
 )
 
 // hearNothing has a machine with a task that was told to stop report as if it hadn't been.
@@ -42,3 +43,71 @@
 		t.Fatalf("%d answers counted as undelivered by a leader that is slow itself", n)
 	}
 }
+
+// Starts on a machine whose reports arrive but that receives no answers come to nothing
+// again and again: it gets no more of them and is released.
+func TestOneWayLoss(t *testing.T) {
+	b, _ := started(t)
+	at := b.now
+	sent := 0
+	for b.now.Sub(at) < config().Lease {
+		b.pass(3*time.Second, true)
+		sent += len(starts(b.report("m-1", 2)))
+		if b.e.machines["m-1"].State() == fleet.Releasing {
+			if sent > 2 {
+				t.Fatalf("%d starts sent to a machine that receives nothing", sent)
+			}
+			if b.e.jobs["j-1"].Count(pipeline.Waiting) != 1 {
+				t.Fatal("its task isn't free to go elsewhere")
+			}
+			return
+		}
+	}
+	t.Fatal("kept although it receives nothing")
+}
+
+// A machine that seemed unreachable and keeps its session for longer than a lease must
+// have had answers: six such machines, idle, were once kept and never used again.
+func TestOneWayLossEnds(t *testing.T) {
+	b := newBench(t, 2, Snapshot{})
+	names := []string{"m-1", "m-2", "m-3", "m-4"}
+	for _, m := range names {
+		b.up(m)
+		b.e.machines[m].OneWayLoss = fleet.OneWayLoss{FirstUndelivered: b.now, LastUndelivered: b.now, Undelivered: 2}
+		b.e.unreachable[b.e.machines[m]] = true // so many that none is released
+	}
+	b.e.Step(b.now, JobStored{job("j-2", 32)})
+	used := map[string]bool{}
+	for range 25 {
+		b.pass(3*time.Second, true)
+		for _, m := range names {
+			used[m] = used[m] || len(starts(b.report(m, 2))) > 0
+		}
+	}
+	for _, m := range names {
+		if !used[m] {
+			t.Errorf("%s is never used again", m)
+		}
+	}
+}
+
+// When all machines seem to hear nothing, it is this node that isn't heard, and
+// giving the machines back would end all work.
+func TestOneWayLossOfAllIsOurs(t *testing.T) {
+	b := newBench(t, 2, Snapshot{Jobs: []StoredJob{job("j-1", 40)}})
+	names := []string{"m-1", "m-2", "m-3", "m-4", "m-5"}
+	for _, m := range names {
+		b.up(m)
+	}
+	for range 12 {
+		b.pass(3*time.Second, true)
+		for _, m := range names {
+			b.report(m, 2)
+		}
+	}
+	for _, m := range names {
+		if s := b.e.machines[m]; s.State() == fleet.Releasing {
+			t.Fatalf("%s is released", m)
+		}
+	}
+}
--- a/internal/simulation/pipelines.go
+++ b/internal/simulation/pipelines.go
@@ -9,7 +9,7 @@
 )
 
 // pipelinePlan submits pipelines of jobs that wait for each other: chains, diamonds, fans and
-// whatever luck brings. It draws luck of its own, so that the other worlds of the
+// whatever the seed brings. It draws random numbers of its own, so that the other worlds of the
 // same seed stay what they are.
 type pipelinePlan struct {
 	w   *World
@@ -38,7 +38,7 @@
 
 // roll replaces the version in production, node by node, and returns when nothing
 // of it is left. Whatever else crashes meanwhile comes back as it was, and half of
-// the time the leader falls too, so that the versions take turns at leading.
+// the time the leader fails too, so that the versions take turns at leading.
 func (l *pipelinePlan) roll() time.Duration {
 	at := l.between(5*time.Second, 30*time.Second)
 	for _, i := range l.rng.Perm(len(l.w.nodes)) {
@@ -57,14 +57,14 @@
 
 func (l *pipelinePlan) crashLeader() {
 	for _, n := range l.w.nodes {
-		if n.entitled() {
+		if n.holdsLease() {
 			n.crash(l.between(10*time.Millisecond, 2*time.Second))
 		}
 	}
 }
 
-// needs says which of the jobs before it each job of a pipeline needs.
-func (l *pipelinePlan) needs(shape, i, n int) []int {
+// dependenciesOf says which earlier jobs of a pipeline a job depends on.
+func (l *pipelinePlan) dependenciesOf(shape, i, n int) []int {
 	switch {
 	case i == 0:
 		return nil
@@ -101,11 +101,11 @@
 	var jobs []*userJob
 	for i := range n {
 		j := l.job(i == n-1)
-		for _, k := range l.needs(shape, i, n) {
-			j.needs = append(j.needs, jobs[k])
+		for _, k := range l.dependenciesOf(shape, i, n) {
+			j.dependencies = append(j.dependencies, jobs[k])
 		}
 		if l.rng.IntN(6) == 0 {
-			j.needs = append(j.needs, l.stranger()...)
+			j.dependencies = append(j.dependencies, l.stranger()...)
 		}
 		jobs = append(jobs, j)
 		l.w.jobs[j.spec.Ref] = j
@@ -155,7 +155,7 @@
 
 // submit submits a job once those that it needs are accepted, or over if it is late.
 func (l *pipelinePlan) submit(j *userJob, late bool, others []*userJob) {
-	for _, p := range j.needs {
+	for _, p := range j.dependencies {
 		if !p.accepted {
 			l.w.after(l.between(100*time.Millisecond, time.Second), func() { l.submit(j, late, others) })
 			return
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -15,24 +15,24 @@
 
 // userJob is a job as its user knows it.
 type userJob struct {
-	w           *World
-	spec        pipeline.Spec
-	run         time.Duration
-	runs        []time.Duration // of each task, if they differ
-	mistake     bool
-	wantsCancel bool
-	accepted    bool
-	told        pipeline.Phase
-	toldAt      time.Time // since when
-	errors      int       // how often a task of it failed
-	cancelTold  time.Time
-	done        map[int]bool
-	asked       time.Time // when it was first submitted
-	began       time.Time // when a first task of it ran
-	answered    time.Time // when a question was last answered
-	needs       []*userJob
-	acceptedAt  time.Time
-	askedCancel bool // its user has asked to cancel it
+	w            *World
+	spec         pipeline.Spec
+	run          time.Duration
+	runs         []time.Duration // of each task, if they differ
+	mistake      bool
+	wantsCancel  bool
+	accepted     bool
+	told         pipeline.Phase
+	toldAt       time.Time // since when
+	errors       int       // how often a task of it failed
+	cancelTold   time.Time
+	done         map[int]bool
+	asked        time.Time // when it was first submitted
+	began        time.Time // when a first task of it ran
+	answered     time.Time // when a question was last answered
+	dependencies []*userJob
+	acceptedAt   time.Time
+	askedCancel  bool // its user has asked to cancel it
 }
 
 // mates are the tasks of one attempt of a gang that haven't exited.
@@ -121,7 +121,7 @@
 func (j *userJob) anyNode() *node {
 	var up []*node
 	for _, n := range j.w.nodes {
-		if !n.down && !n.still() && j.w.reach("", n.zone) && n.health.Serves(n.local()) {
+		if !n.down && !n.stalled() && j.w.reach("", n.zone) && n.health.Serves(n.local()) {
 			up = append(up, n)
 		}
 	}
@@ -136,25 +136,25 @@
 		j.asked = j.w.now
 	}
 	n := j.anyNode()
-	if n.down || n.still() || n.cutOff() {
+	if n.down || n.stalled() || n.cutOff() {
 		j.w.after(time.Second, j.submit)
 		return
 	}
 	jobs := n.jobs
 	answered := false
 	create := func() {
-		n.call(func() { answered = j.taken(jobs.Create(bg, j.spec, j.awaits(), j.w.now)) }, func() {
+		n.call(func() { answered = j.taken(jobs.Create(bg, j.spec, j.dependencyNames(), j.w.now)) }, func() {
 			if answered && !j.accepted {
 				j.accepted, j.acceptedAt = true, j.w.now
 				j.w.script.accepted(j)
 			}
 		})
 	}
-	if len(j.needs) == 0 {
+	if len(j.dependencies) == 0 {
 		create()
 	} else { // the check and the write are two calls, between which anything may happen
 		err := statestore.ErrUnknown
-		n.call(func() { err = jobs.CheckDependencies(bg, j.spec.Ref, j.awaits()) }, func() {
+		n.call(func() { err = jobs.CheckDependencies(bg, j.spec.Ref, j.dependencyNames()) }, func() {
 			if j.taken(err) {
 				create()
 			}
@@ -172,10 +172,10 @@
 	})
 }
 
-// awaits are the jobs that the job names, the first one twice.
-func (j *userJob) awaits() []string {
+// dependencyNames are the jobs that the job names as dependencies, the first one twice.
+func (j *userJob) dependencyNames() []string {
 	var out []string
-	for _, p := range j.needs {
+	for _, p := range j.dependencies {
 		out = append(out, p.spec.Ref)
 	}
 	if len(out) > 0 {
@@ -194,7 +194,7 @@
 
 // view is what a node tells of a job: itself, or by asking another.
 func (n *node) view(ref string) (v core.JobView, known, ok bool) {
-	if n.down || n.still() || !n.w.reach("", n.zone) {
+	if n.down || n.stalled() || !n.w.reach("", n.zone) {
 		return v, false, false
 	}
 	if v, known, ok = n.ownView(ref); ok {
@@ -217,7 +217,7 @@
 		return v, false, false
 	}
 	if n.eng != nil {
-		if v, known := n.eng.Lookup(ref); known && n.entitled() {
+		if v, known := n.eng.Lookup(ref); known && n.holdsLease() {
 			return v, true, true
 		}
 	}
@@ -228,7 +228,7 @@
 	if err != nil {
 		return v, false, false
 	}
-	if doubt, err := n.jobs.DependencyCancelled(bg, st, n.local()); err != nil || doubt {
+	if cancelled, err := n.jobs.DependencyCancelled(bg, st, n.local()); err != nil || cancelled {
 		return v, false, false
 	}
 	return core.JobView{Phase: st.Phase, Done: st.Done}, st.Found, true
@@ -246,11 +246,11 @@
 func (j *userJob) cancel() {
 	n := j.anyNode()
 	for _, o := range j.w.nodes {
-		if o.entitled() {
+		if o.holdsLease() {
 			n = o // the leader serves cancellations
 		}
 	}
-	if n.down || n.still() || n.cutOff() {
+	if n.down || n.stalled() || n.cutOff() {
 		j.w.after(time.Second, j.cancel)
 		return
 	}
@@ -287,7 +287,7 @@
 		}
 	}
 	for _, m := range w.machines {
-		m.sick, m.deaf = false, false
+		m.sick, m.inboundLost = false, false
 		clear(m.cut)
 	}
 }
@@ -338,8 +338,8 @@
 		w.harm(m)
 	case 12, 13:
 		if m != nil {
-			m.deaf = true
-			w.after(2*long, func() { m.deaf = false })
+			m.inboundLost = true
+			w.after(2*long, func() { m.inboundLost = false })
 		}
 	case 14: // it keeps its workers, and nothing else
 		n.noStore, n.noPeers = true, true
