--- a/internal/core/placement/gang.go
+++ b/internal/core/placement/gang.go
@@ -11,16 +11,9 @@
 
 // placeGang places all tasks of a gang or none. Nothing of an earlier attempt
 // may be left anywhere.
-func (b *Board) placeGang(entry QueueEntry) {
-	j := entry.Job
+func (b *Board) placeGang(j *pipeline.Job) {
 	n := len(j.Tasks)
-	if b.Busy(j.Ref) > 0 || j.Count(pipeline.Waiting) < n {
-		return
-	}
-	if b.quotaRoom(j) < n {
-		if entry.Overdue {
-			b.quota.keepFor(b.Now, j)
-		}
+	if b.Busy(j.Ref) > 0 || j.Count(pipeline.Waiting) < n || b.quotaRoom(j) < n {
 		return
 	}
 	for i := range j.Tasks {
--- a/internal/core/placement/rounds.go
+++ b/internal/core/placement/rounds.go
@@ -21,9 +21,6 @@
 	Job             *pipeline.Job
 	Most            int
 	ImageCachedOnly bool
-	// Overdue: the job has waited for so long that it comes before all others. What its
-	// team's limit lacks for it is kept for it.
-	Overdue bool
 }
 
 // Board is what a round decides on.
@@ -57,13 +54,11 @@
 	// without any, what the last such round kept stays so.
 	Waits int
 	Spent func() bool
-	quota *quotaKeeper
 }
 
 // Round is a round of decisions that may take several goes.
 type Round struct {
 	resume string // the job it stopped before
-	quota  quotaKeeper
 }
 
 // Resumes tells whether the next go continues a round.
@@ -85,10 +80,6 @@
 	if b.Waits > 0 && from == 0 {
 		b.FreeCapacity.Clear()
 	}
-	if from == 0 {
-		r.quota.beginRound()
-	}
-	b.quota = &r.quota
 	for _, t := range b.Queue[from:] {
 		j := t.Job
 		if b.Spent != nil && b.Spent() {
@@ -100,7 +91,7 @@
 		}
 		switch j.Shape {
 		case pipeline.Gang:
-			b.placeGang(t)
+			b.placeGang(j)
 		case pipeline.Service:
 			b.placeReplicas(t)
 		default:
--- a/internal/core/priority_order.go
+++ b/internal/core/priority_order.go
@@ -63,7 +63,7 @@
 		if j.Shape == pipeline.Array {
 			most = 1 + most/starvingPart
 		}
-		out = append(out, prioritized{QueueEntry: placement.QueueEntry{Job: j, Most: most, Overdue: true}, starving: true, due: e.starvingSince(j)})
+		out = append(out, prioritized{QueueEntry: placement.QueueEntry{Job: j, Most: most}, starving: true, due: e.starvingSince(j)})
 	}
 	size := time.Duration(float64(e.remainingWork(j)) * e.cfg.Weights.SmallFirst / machines)
 	size = time.Duration(float64(size) * min(1, max(0, 2-float64(wait)/float64(sizeFades))))
