--- a/internal/agentapi/agentapi.go
+++ b/internal/agentapi/agentapi.go
@@ -89,9 +89,20 @@
 	if s.shouldRelay(report.Machine, leader, time.Now()) {
 		return s.relay(ctx, body)
 	}
+	return Redirected(leader)
+}
+
+// Redirected has a worker report to the leader.
+func Redirected(leader string) Answer {
 	return Answer{http.StatusMisdirectedRequest, wire.MustMarshal(wire.Redirect{Clerk: leader})}
 }
 
+// Accepted is the leader's answer to a worker's report.
+func Accepted(reply core.Reply) Answer {
+	orders := wire.Orders{Gavel: reply.Token, Orders: wire.OrdersOf(reply.Commands)}
+	return Answer{http.StatusOK, wire.MustMarshal(orders)}
+}
+
 // Relayed serves a report that another node relayed. It never goes further.
 func (s *Service) Relayed(body []byte) Answer {
 	report, err := wire.ParseReport(body)
@@ -119,8 +130,7 @@
 	if !reply.OK {
 		return unavailable(), true
 	}
-	orders := wire.Orders{Gavel: reply.Token, Orders: wire.OrdersOf(reply.Commands)}
-	return Answer{http.StatusOK, wire.MustMarshal(orders)}, true
+	return Accepted(reply), true
 }
 
 // relay passes a report on to the leader, and its answer back.
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -15,6 +15,7 @@
 
 // metrics are a node's counters and histograms, on /metrics.
 type metrics struct {
+	registry  *prometheus.Registry
 	handler   fasthttp.RequestHandler
 	reports   *prometheus.CounterVec
 	commands  [3]prometheus.Counter
@@ -35,6 +36,7 @@
 func newMetrics() *metrics {
 	registry := prometheus.NewRegistry()
 	m := &metrics{
+		registry: registry,
 		reports: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "gingertally_reports_total",
 			Help: "Workers' reports, by the status of the answer."}, []string{"status"}),
 		calls: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "gingertally_user_calls_total",
--- /dev/null
+++ b/internal/goldentest/fill.go
@@ -0,0 +1,83 @@
+package goldentest
+
+import (
+	"fmt"
+	"reflect"
+	"time"
+)
+
+// Filled returns a value of a type in which every field that can be set is set, to values that
+// differ, so that its encoded form shows every name and every type in it.
+func Filled[T any]() T {
+	var value T
+	f := filler{}
+	f.fill(reflect.ValueOf(&value).Elem(), 0)
+	return value
+}
+
+// maxDepth bounds how far types that contain themselves are filled.
+const maxDepth = 12
+
+// fillTime is the first of the times that values are filled with.
+var fillTime = time.Unix(1_800_000_000, 0).UTC()
+
+// filler fills values with numbers that count up.
+type filler struct{ count int }
+
+func (f *filler) next() int {
+	f.count++
+	return f.count
+}
+
+func (f *filler) fill(v reflect.Value, depth int) {
+	if depth > maxDepth || !v.CanSet() {
+		return
+	}
+	if v.Type() == reflect.TypeFor[time.Time]() {
+		v.Set(reflect.ValueOf(fillTime.Add(time.Duration(f.next()) * time.Second)))
+		return
+	}
+	switch v.Kind() {
+	case reflect.Bool:
+		v.SetBool(true)
+	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
+		v.SetInt(int64(f.next()))
+	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
+		v.SetUint(uint64(f.next()))
+	case reflect.Float32, reflect.Float64:
+		v.SetFloat(float64(f.next()) + 0.5)
+	case reflect.String:
+		v.SetString(fmt.Sprintf("text-%d", f.next()))
+	default:
+		f.fillCompound(v, depth)
+	}
+}
+
+func (f *filler) fillCompound(v reflect.Value, depth int) {
+	switch v.Kind() {
+	case reflect.Pointer:
+		v.Set(reflect.New(v.Type().Elem()))
+		f.fill(v.Elem(), depth+1)
+	case reflect.Slice:
+		if v.Type().Elem().Kind() == reflect.Uint8 {
+			v.SetBytes([]byte{byte(f.next() % 24)}) // a small integer in CBOR
+			return
+		}
+		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
+		f.fill(v.Index(0), depth+1)
+	case reflect.Array:
+		for i := range v.Len() {
+			f.fill(v.Index(i), depth+1)
+		}
+	case reflect.Map:
+		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
+		f.fill(key, depth+1)
+		f.fill(value, depth+1)
+		v.Set(reflect.MakeMap(v.Type()))
+		v.SetMapIndex(key, value)
+	case reflect.Struct:
+		for i := range v.NumField() {
+			f.fill(v.Field(i), depth+1)
+		}
+	}
+}
--- /dev/null
+++ b/internal/jobstore/golden_test.go
@@ -0,0 +1,111 @@
+package jobstore
+
+import (
+	"bytes"
+	"maps"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"gingertally/internal/core"
+	"gingertally/internal/core/fleet"
+	"gingertally/internal/core/pipeline"
+	"gingertally/internal/drain"
+	"gingertally/internal/goldentest"
+	"gingertally/internal/leadership"
+	"gingertally/internal/wire"
+)
+
+// leaderWrites are writes of every kind that puts something, in which every field is set.
+func leaderWrites() []core.Write {
+	return []core.Write{
+		{Kind: core.WritePage, Name: "7-1", Page: goldentest.Filled[fleet.Record]()},
+		{Kind: core.WriteJob, Name: "j-000001", Job: goldentest.Filled[pipeline.Record]()},
+		{Kind: core.WriteChunk, Name: "j-000001", Chunk: 2, Runs: []int{1, 2, 3}},
+		{Kind: core.WriteFinal, Name: "j-000002", Final: goldentest.Filled[pipeline.Final]()},
+		{Kind: core.WriteImages, Name: "7-2", Images: goldentest.Filled[fleet.ImageRecord]()},
+		{Kind: core.WriteCharges, Name: "7-3", Charges: goldentest.Filled[drain.ChargePage]()},
+		{Kind: core.WriteCordons, Name: "7-4", Cordons: goldentest.Filled[drain.MachinePage]()},
+	}
+}
+
+// leaderDeletes are writes of every kind that deletes something.
+func leaderDeletes() []core.Write {
+	return []core.Write{
+		{Kind: core.DropPage, Name: "7-1"},
+		{Kind: core.DropChunk, Name: "j-000001", Chunk: 2},
+		{Kind: core.DropImages, Name: "7-2"},
+		{Kind: core.DropDependencies, Name: "j-000001", Sum: "00ff", Chunk: 1},
+		{Kind: core.DropCharges, Name: "7-3"},
+		{Kind: core.DropCordons, Name: "7-4"},
+	}
+}
+
+// The keys and values of everything that the job store writes.
+func TestStoredFormsGolden(t *testing.T) {
+	store, jobs, term := setup(t)
+	clear(store.items)
+	if _, err := store.Commit(ctx, nil, []wire.Change{{Put: leadership.TermKey, V: wire.MustMarshal(1)}}); err != nil {
+		t.Fatal(err)
+	}
+	term.Stamp = store.rev
+	at := time.UnixMilli(1_800_000_000_123)
+	for _, w := range leaderWrites() {
+		if _, _, err := jobs.Apply(ctx, term, []core.Write{w}); err != nil {
+			t.Fatalf("%+v: %v", w, err)
+		}
+	}
+	long := make([]string, 600)
+	for i := range long {
+		long[i] = "j-" + strings.Repeat("1", 1+i%30)
+	}
+	small := pipeline.Spec{Ref: "j-000003", Tasks: 2, Types: []string{}}
+	if err := jobs.Create(ctx, small, []string{"j-000001"}, at); err != nil {
+		t.Fatal(err)
+	}
+	if err := jobs.Create(ctx, pipeline.Spec{Ref: "j-000004", Tasks: 2}, long, at); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := jobs.Cancel(ctx, "j-000003", at, UnderTerm(term)); err != nil {
+		t.Fatal(err)
+	}
+	plan := drain.Plan{ID: "plan-1", Selector: drain.Selector{Machines: []string{"m-1"}, Zone: "a"}, MaxAtOnce: 2, Surge: 1, Deadline: time.Hour, KeepCordoned: true}
+	if _, err := jobs.CreateDrainPlan(ctx, plan, at); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := jobs.ChangeDrainPlan(ctx, "plan-1", drain.Paused); err != nil {
+		t.Fatal(err)
+	}
+	var lines goldentest.Lines
+	for _, key := range slices.Sorted(maps.Keys(store.items)) {
+		lines.Add("%s %x", key, store.items[key].V)
+	}
+	for _, w := range leaderDeletes() {
+		txn, err := encode(w)
+		if err != nil {
+			t.Fatal(err)
+		}
+		lines.Add("delete %s, %d conditions", txn.changes[0].Drop, len(txn.conditions))
+	}
+	lines.Check(t, "stored.txt")
+}
+
+// Everything that is stored is read, and written again bit for bit.
+func TestStoredFormsRoundTrip(t *testing.T) {
+	for _, value := range []any{
+		goldentest.Filled[fleet.Record](), goldentest.Filled[pipeline.Record](), goldentest.Filled[pipeline.Final](),
+		goldentest.Filled[fleet.ImageRecord](), goldentest.Filled[drain.ChargePage](), goldentest.Filled[drain.MachinePage](),
+		goldentest.Filled[drain.Plan](),
+	} {
+		encoded := wire.MustMarshal(value)
+		read := reflect.New(reflect.TypeOf(value))
+		if err := wire.Unmarshal(encoded, read.Interface()); err != nil {
+			t.Errorf("%T: %v", value, err)
+		}
+		if again := wire.MustMarshal(read.Interface()); !bytes.Equal(again, encoded) {
+			t.Errorf("%T: read and written again it is %x, not %x", value, again, encoded)
+		}
+	}
+}
--- a/internal/simulation/admission.go
+++ b/internal/simulation/admission.go
@@ -4,12 +4,14 @@
 	"fmt"
 	"maps"
 	"math/rand/v2"
+	"net/http"
 	"slices"
 	"time"
 
 	"gingertally/internal/admission"
 	"gingertally/internal/core"
 	"gingertally/internal/jobstore"
+	"gingertally/internal/userapi"
 	"gingertally/internal/wire"
 )
 
@@ -66,6 +68,7 @@
 		return 0, true
 	}
 	n.w.admission.notes["refused: "+d.Reason.String()]++
+	n.w.output.userAnswer(n, j.spec.Ref, userapi.Answer{Status: http.StatusTooManyRequests, Body: d.Reason.String(), RetryAfter: d.RetryAfter})
 	if d.RetryAfter < time.Second || d.RetryAfter > 30*time.Second {
 		n.w.check.fail("Retry-After of %s", d.RetryAfter)
 	}
@@ -183,16 +186,19 @@
 	}
 }
 
+// jobsPerFlood is how many jobs a flood consists of.
+const jobsPerFlood = 15
+
 // floodUsers has one team submit bulk work again and again, all at once, at one node or at
 // all.
 func (w *World) floodUsers() {
 	a := w.admission
 	for flood := range 3 {
 		at := a.between(0, w.o.Length*2/3)
-		for i := range 15 {
+		for i := range jobsPerFlood {
 			j := &userJob{w: w, done: map[int]bool{}, run: a.between(4*time.Second, 12*time.Second)}
 			s := &j.spec
-			s.Ref, s.Class, s.Team, s.Image, s.ImageGB = fmt.Sprintf("j-8%02d%03d", flood, i), "bulk", "green", "img-0", 1
+			s.Ref, s.Class, s.Team, s.Image, s.ImageGB = floodJobRefs.ref(flood*jobsPerFlood+i), "bulk", "green", "img-0", 1
 			s.Tasks, s.CPUs, s.MemGB, s.Priority, s.Spot, s.Estimate = 4+a.rng.IntN(8), 2, 4, 2, true, j.run
 			w.jobs[s.Ref] = j
 			w.after(at+a.between(0, time.Second), j.submit)
--- a/internal/simulation/consistency_probes.go
+++ b/internal/simulation/consistency_probes.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"time"
 
 	"gingertally/internal/core"
@@ -107,7 +106,9 @@
 	if n.down || n.stalled() || n.cutOff() {
 		return userapi.Answer{}
 	}
-	return n.service().Submit(context.Background(), wire.MustMarshal(body))
+	answer := n.service().Submit(context.Background(), wire.MustMarshal(body))
+	n.w.output.userAnswer(n, "submission", answer)
+	return answer
 }
 
 var shapeNames = map[pipeline.Shape]string{pipeline.Array: "sweep", pipeline.Gang: "ensemble", pipeline.Service: "service"}
@@ -137,6 +138,7 @@
 		return n.view(ref)
 	}
 	a := n.service().Get(context.Background(), ref)
+	n.w.output.userAnswer(n, ref, a)
 	switch a.Status {
 	case 200:
 		v.Phase = phaseOf(a)
@@ -220,7 +222,7 @@
 func (s *script) hopeless(n *node) {
 	s.jobs++
 	sp := pipeline.Spec{Class: "c", Team: "red", Image: "img-0", ImageGB: 1, Tasks: 2, CPUs: 1, MemGB: 1, Priority: pipeline.Normal, Estimate: time.Second}
-	sp.Ref = fmt.Sprintf("j-8%05d", s.jobs)
+	sp.Ref = probeJobRefs.ref(s.jobs)
 	b := bodyOf(&sp)
 	want := 422
 	switch s.rng.IntN(6) {
--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -102,9 +102,9 @@
 	s.at(20*time.Second, func() {
 		n := w.nodes[0]
 		body := bodyOf(&w.sortedJobs()[len(w.jobs)-1].spec)
-		body["ref"] = "j-800000"
+		body["ref"] = probeJobRefs.ref(0)
 		submitted = s.post(n, body).Status == 201
-		st, err := n.jobs.Load(bg, "j-800000")
+		st, err := n.jobs.Load(bg, probeJobRefs.ref(0))
 		if at := time.UnixMilli(st.Record.SubmittedMS); err != nil || !at.Equal(w.now.Truncate(time.Millisecond)) {
 			t.Errorf("submitted at %s, stored as at %s (%v)", w.now, at, err)
 		}
--- a/internal/simulation/drains.go
+++ b/internal/simulation/drains.go
@@ -135,7 +135,7 @@
 // It is cancelled when the troubles are over.
 func (d *drainWorld) planJobs() {
 	for i, shape := range []pipeline.Shape{pipeline.Array, pipeline.Service, pipeline.Array, pipeline.Gang} {
-		s := pipeline.Spec{Ref: fmt.Sprintf("j-8%05d", i), Class: []string{"c", "long"}[d.rng.IntN(2)], Team: []string{"red", "blue"}[i%2], Shape: shape,
+		s := pipeline.Spec{Ref: drainJobRefs.ref(i), Class: []string{"c", "long"}[d.rng.IntN(2)], Team: []string{"red", "blue"}[i%2], Shape: shape,
 			Tasks: 2 + d.rng.IntN(2), CPUs: 1, MemGB: 1, Image: "img-0", ImageGB: 1, Estimate: endless, Priority: pipeline.High}
 		if d.rng.IntN(3) > 0 {
 			s.Checkpoint, s.Save = 3*time.Second, 2*time.Second
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -8,7 +8,6 @@
 
 	"gingertally/internal/admission"
 	"gingertally/internal/core"
-	"gingertally/internal/core/fleet"
 	"gingertally/internal/health"
 	"gingertally/internal/jobstore"
 	"gingertally/internal/leadership"
@@ -214,15 +213,18 @@
 		return core.Effects{}
 	}
 	for _, d := range eff.Direct {
+		n.w.output.directCommands(n, d)
 		n.w.sendDirectCommands(n, d)
 	}
 	for _, p := range eff.Drains {
 		n.writePlan(p)
 	}
 	for _, r := range eff.Rent {
+		n.w.output.scaleOut(n, r)
 		n.rent(r)
 	}
 	for _, names := range eff.Release {
+		n.w.output.scaleIn(n, names)
 		n.release(names)
 	}
 	return eff
@@ -448,44 +450,3 @@
 		})
 	}
 }
-
-// report serves a worker's report that has arrived; relayed ones come from
-// another node. Status 0: the leader holds the answer, see collect.
-func (n *node) report(r fleet.Report, relayed bool) (status int, reply core.Reply, leader *node) {
-	if n.holdsLease() {
-		eff := n.step(core.ReportIn{Report: r})
-		if eff.Reply != nil && eff.Reply.Hold {
-			return 0, reply, n
-		}
-		if eff.Reply == nil || !eff.Reply.OK || !n.holdsLease() {
-			return 503, reply, nil
-		}
-		n.w.drainAnswered(r.Machine, *eff.Reply)
-		return 200, *eff.Reply, nil
-	}
-	if relayed || !n.health.Serves(n.local()) {
-		return 503, reply, nil
-	}
-	for _, o := range n.w.nodes {
-		if o != n && o.holdsLease() {
-			return 421, reply, o
-		}
-	}
-	return 503, reply, nil
-}
-
-// collect completes an answer that was held; status 0: it is held once more.
-func (n *node) collect(r fleet.Report, eng *core.Engine) (int, core.Reply) {
-	if !n.holdsLease() || n.eng != eng {
-		return 503, core.Reply{}
-	}
-	eff := n.step(core.Collect{Report: r})
-	if eff.Reply != nil && eff.Reply.Hold {
-		return 0, core.Reply{}
-	}
-	if eff.Reply == nil || !eff.Reply.OK || !n.holdsLease() {
-		return 503, core.Reply{}
-	}
-	n.w.drainAnswered(r.Machine, *eff.Reply)
-	return 200, *eff.Reply
-}
--- /dev/null
+++ b/internal/simulation/output_digest.go
@@ -0,0 +1,161 @@
+package simulation
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"fmt"
+	"hash"
+	"net/http"
+
+	"gingertally/internal/agentapi"
+	"gingertally/internal/core"
+	"gingertally/internal/core/pipeline"
+	"gingertally/internal/userapi"
+	"gingertally/internal/wire"
+)
+
+// outputDigest sums up everything that the controllers of a world store and send to the outside,
+// in its encoded form and with the simulated time. Unlike digest it depends on no name of a Go
+// type or field: two versions of the program that behave alike have equal output digests,
+// whatever their code looks like. A nil digest takes in nothing.
+type outputDigest struct {
+	sum    hash.Hash
+	counts map[outputKind]int
+	// line, if set, gets what is summed up, to find where two runs differ first.
+	line func(text string)
+	// tamper, if set, changes an output before it is summed up, to show that the digest
+	// depends on it.
+	tamper func(kind outputKind, body []byte) []byte
+}
+
+// outputKind is what an output is.
+type outputKind string
+
+// Kinds of output.
+const (
+	outputPut           outputKind = "put"
+	outputDelete        outputKind = "delete"
+	outputWorkerAnswer  outputKind = "worker answer"
+	outputDirectCommand outputKind = "direct command"
+	outputScaleOut      outputKind = "scale out"
+	outputScaleIn       outputKind = "scale in"
+	outputUserAnswer    outputKind = "user answer"
+)
+
+// outputKinds are all kinds of output.
+var outputKinds = []outputKind{outputPut, outputDelete, outputWorkerAnswer, outputDirectCommand, outputScaleOut, outputScaleIn, outputUserAnswer}
+
+func newOutputDigest() *outputDigest {
+	return &outputDigest{sum: sha256.New(), counts: map[outputKind]int{}}
+}
+
+// add takes in one output about a subject: a key, machine or job.
+func (d *outputDigest) add(w *World, kind outputKind, subject string, body []byte) {
+	if d == nil {
+		return
+	}
+	if d.tamper != nil {
+		body = d.tamper(kind, body)
+	}
+	d.counts[kind]++
+	text := fmt.Sprintf("%d %s %s %x\n", w.now.Sub(w.start), kind, subject, body)
+	_, _ = d.sum.Write([]byte(text)) // a hash never fails
+	if d.line != nil {
+		d.line(text)
+	}
+}
+
+// summaryBytes is how much of the hash a summary shows.
+const summaryBytes = 16
+
+// summary is the digest so far.
+func (d *outputDigest) summary() string {
+	return hex.EncodeToString(d.sum.Sum(nil)[:summaryBytes])
+}
+
+// commit takes in a committed transaction.
+func (d *outputDigest) commit(w *World, changes []wire.Change) {
+	for _, c := range changes {
+		if c.Drop != "" {
+			d.add(w, outputDelete, c.Drop, nil)
+			continue
+		}
+		d.add(w, outputPut, c.Put, c.V)
+	}
+}
+
+// workerAnswer takes in a controller's answer to a worker, status 0 being one that is held.
+func (d *outputDigest) workerAnswer(n *node, machine string, status int, reply core.Reply, leader *node) {
+	if d == nil || status == 0 {
+		return
+	}
+	answer := agentapi.Answer{Status: status}
+	switch {
+	case status == http.StatusOK:
+		answer = agentapi.Accepted(reply)
+	case status == http.StatusMisdirectedRequest && leader != nil:
+		answer = agentapi.Redirected(leader.name)
+	}
+	d.add(n.w, outputWorkerAnswer, fmt.Sprintf("%s from %s, %d", machine, n.name, answer.Status), answer.Body)
+}
+
+// directCommands takes in commands that a controller sends to a worker directly.
+func (d *outputDigest) directCommands(n *node, direct core.Direct) {
+	if d == nil {
+		return
+	}
+	orders := wire.Orders{Gavel: direct.Token, Shift: direct.Session, Orders: wire.OrdersOf(direct.Commands)}
+	d.add(n.w, outputDirectCommand, direct.Machine, wire.MustMarshal(orders))
+}
+
+// scaleOut takes in a request to the cloud for machines.
+func (d *outputDigest) scaleOut(n *node, rent core.Rent) {
+	if d == nil {
+		return
+	}
+	request := wire.RentalRequest{Hire: rent.Name, Build: rent.Type, Yard: rent.Zone, Loaners: rent.Spot, Count: rent.Count}
+	d.add(n.w, outputScaleOut, n.name, wire.MustMarshal(request))
+}
+
+// scaleIn takes in a request to the cloud to take machines back.
+func (d *outputDigest) scaleIn(n *node, machines []string) {
+	if d == nil {
+		return
+	}
+	d.add(n.w, outputScaleIn, n.name, wire.MustMarshal(wire.Stalls{Stalls: machines}))
+}
+
+// jobView takes in what a controller tells a user of a job; ok is false if it can't tell.
+func (d *outputDigest) jobView(n *node, ref string, view core.JobView, known, ok bool) {
+	if d == nil {
+		return
+	}
+	answer := userapi.Answer{Status: http.StatusOK, Body: wire.State(ref, view.Phase, view.Done, view.Running)}
+	switch {
+	case !ok:
+		answer = userapi.Answer{Status: http.StatusServiceUnavailable}
+	case !known:
+		answer = userapi.Answer{Status: http.StatusNotFound}
+	}
+	d.userAnswer(n, ref, answer)
+}
+
+// cancellation takes in the answer to a cancellation.
+func (d *outputDigest) cancellation(n *node, ref string, phase pipeline.Phase) {
+	if d == nil {
+		return
+	}
+	d.userAnswer(n, ref, userapi.Answer{Status: http.StatusOK, Body: wire.StatusOf(phase, 0)})
+}
+
+// userAnswer takes in an answer to a user's call.
+func (d *outputDigest) userAnswer(n *node, ref string, answer userapi.Answer) {
+	if d == nil {
+		return
+	}
+	var body []byte
+	if answer.Body != nil {
+		body = wire.MustMarshal(answer.Body)
+	}
+	d.add(n.w, outputUserAnswer, fmt.Sprintf("%s from %s, %d, %s", ref, n.name, answer.Status, answer.RetryAfter), body)
+}
--- /dev/null
+++ b/internal/simulation/output_digest_test.go
@@ -0,0 +1,149 @@
+package simulation
+
+import (
+	"fmt"
+	"os"
+	"strconv"
+	"testing"
+
+	"gingertally/internal/goldentest"
+)
+
+// outputWorld is a world whose output digest is kept in the golden file.
+type outputWorld struct {
+	name  string
+	build func() *World
+}
+
+// allSwitches are the options of a world with everything on that can be switched on.
+func allSwitches(o Options) Options {
+	o.Standby, o.Admission, o.Draining, o.Pace = true, true, true, pace
+	o.Drain *= 2 // there is more to work off
+	return o
+}
+
+// outputWorlds are worlds of each family, each with every switch alone and all together, and one
+// of each scenario.
+func outputWorlds() []outputWorld {
+	switches := []struct {
+		name string
+		set  func(Options) Options
+	}{
+		{"", func(o Options) Options { return o }},
+		{", standby", withStandby},
+		{", admission", func(o Options) Options { o.Admission = true; return o }},
+		{", drains", func(o Options) Options { o.Draining = true; return o }},
+		{", pace", func(o Options) Options { o.Pace = pace; return o }},
+		{", all switches", allSwitches},
+	}
+	var worlds []outputWorld
+	for _, f := range families {
+		for i, s := range switches {
+			seed := f.seeds[i%len(f.seeds)]
+			worlds = append(worlds, outputWorld{
+				name:  fmt.Sprintf("%s%s/%d", f.name, s.name, seed),
+				build: func() *World { return NewWorld(s.set(f.options(seed))) },
+			})
+		}
+	}
+	for _, scenarios := range [][]faultScenario{faultScenarios, standbyScenarios, recoveryScenarios, drainScenarios} {
+		for i := range scenarios {
+			worlds = append(worlds, scenarioWorld(&scenarios[i], uint64(i)*100+1))
+		}
+	}
+	return worlds
+}
+
+// scenarioWorld is one world of a scenario, with everything on but admission control.
+func scenarioWorld(scenario *faultScenario, seed uint64) outputWorld {
+	return outputWorld{name: scenario.name, build: func() *World {
+		o := scenario.options(seed)
+		o.Standby, o.Draining, o.Pace = true, true, pace
+		w := NewWorld(o)
+		scenario.script(newScript(w))
+		return w
+	}}
+}
+
+// playOutput plays a world and returns the digest of its outputs. That every rule holds in it is
+// shown by other tests.
+func playOutput(w *World) *outputDigest {
+	w.output = newOutputDigest()
+	_ = w.Run() // a broken rule ends the run early, and so changes the digest
+	return w.output
+}
+
+// TestOutputDigests compares everything that the controllers store and send out, in its encoded
+// form, with what they did when the golden file was written. It guards changes that are to change
+// nothing: a renamed field that is stored by its name, a decision that differs, a command more.
+//
+// A change that is to change the behaviour writes the file anew: go test -run TestOutputDigests
+// ./internal/simulation -update.
+func TestOutputDigests(t *testing.T) {
+	worlds := outputWorlds()
+	digests := make([]string, len(worlds))
+	t.Run("worlds", func(t *testing.T) {
+		for i, world := range worlds {
+			t.Run(world.name, func(t *testing.T) {
+				t.Parallel()
+				digests[i] = playOutput(world.build()).summary()
+			})
+		}
+	})
+	var lines goldentest.Lines
+	for i, world := range worlds {
+		lines.Add("%s: %s", world.name, digests[i])
+	}
+	lines.Check(t, "output_digests.txt")
+}
+
+// TestOutputDigestCoversAllKinds changes one output of each kind, and expects another digest.
+func TestOutputDigestCoversAllKinds(t *testing.T) {
+	build := func() *World { return NewWorld(options(1000, true)) }
+	honest := playOutput(build())
+	for _, kind := range outputKinds {
+		if honest.counts[kind] == 0 {
+			t.Errorf("the world has no output of the kind %q", kind)
+		}
+		w := build()
+		w.output = newOutputDigest()
+		number := 0
+		w.output.tamper = func(k outputKind, body []byte) []byte {
+			if k != kind {
+				return body
+			}
+			if number++; number != 1+honest.counts[kind]/2 {
+				return body
+			}
+			changed := append([]byte{0}, body...)
+			changed[len(changed)-1] ^= 1
+			return changed
+		}
+		_ = w.Run() // as above
+		if w.output.summary() == honest.summary() {
+			t.Errorf("the digest doesn't depend on every %s", kind)
+		}
+	}
+}
+
+// TestPrintOutputDigests prints the output digests of as many worlds as
+// SIMULATION_OUTPUT_DIGESTS says, from seed 10000 on, of the kind that the environment names: to
+// compare two commits over more worlds than the golden file has.
+func TestPrintOutputDigests(t *testing.T) {
+	count, err := strconv.Atoi(os.Getenv("SIMULATION_OUTPUT_DIGESTS"))
+	if err != nil {
+		t.Skip("SIMULATION_OUTPUT_DIGESTS gives no number")
+	}
+	digests := make([]string, count)
+	t.Run("worlds", func(t *testing.T) {
+		for i := range digests {
+			t.Run(strconv.Itoa(i), func(t *testing.T) {
+				t.Parallel()
+				digests[i] = playOutput(NewWorld(optionsByVariables(10_000 + uint64(i)))).summary()
+			})
+		}
+	})
+	for i, digest := range digests {
+		fmt.Printf("output digest %d: %s\n", 10_000+i, digest)
+	}
+}
--- a/internal/simulation/pipelines.go
+++ b/internal/simulation/pipelines.go
@@ -124,7 +124,7 @@
 	l.n++
 	j := &userJob{w: l.w, done: map[int]bool{}, run: l.between(time.Second, 8*time.Second), mistake: l.rng.IntN(40) == 0}
 	s := &j.spec
-	s.Ref, s.Class, s.Team = fmt.Sprintf("j-9%05d", l.n), "c", "green"
+	s.Ref, s.Class, s.Team = pipelineJobRefs.ref(l.n), "c", "green"
 	if l.rng.IntN(3) == 0 {
 		s.Team = "blue"
 	}
@@ -145,7 +145,7 @@
 // stranger is a job outside the pipeline that one of it may need too.
 func (l *pipelinePlan) stranger() []*userJob {
 	for range 5 {
-		ref := fmt.Sprintf("j-%06d", l.rng.IntN(max(1, l.w.o.Jobs))*7919%100003)
+		ref := userJobRefs.ref(userJobNumber(l.rng.IntN(max(1, l.w.o.Jobs))))
 		if o := l.w.jobs[ref]; o != nil && o.accepted && o.spec.Shape != pipeline.Service {
 			return []*userJob{o}
 		}
--- a/internal/simulation/short_lease.go
+++ b/internal/simulation/short_lease.go
@@ -90,7 +90,7 @@
 // add submits a job at some moment.
 func (s *shortLease) add(at time.Duration, sp pipeline.Spec, run time.Duration) *userJob {
 	s.jobs++
-	sp.Ref, sp.Image, sp.ImageGB, sp.Estimate = fmt.Sprintf("j-6%05d", s.jobs), fmt.Sprintf("img-%d", s.rng.IntN(3)), 1, run
+	sp.Ref, sp.Image, sp.ImageGB, sp.Estimate = shortLeaseJobRefs.ref(s.jobs), fmt.Sprintf("img-%d", s.rng.IntN(3)), 1, run
 	if sp.Class == "" {
 		sp.Class = "c"
 	}
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -129,6 +129,7 @@
 		}
 		s.items[c.Put] = &item{c.V, s.rev}
 	}
+	s.w.output.commit(s.w, changes)
 	s.w.storeChanged(changes)
 	return s.rev, nil
 }
--- a/internal/simulation/troubles.go
+++ b/internal/simulation/troubles.go
@@ -247,7 +247,7 @@
 // add submits a job at some moment.
 func (s *script) add(at time.Duration, sp pipeline.Spec, run time.Duration) *userJob {
 	s.jobs++
-	sp.Ref, sp.Image = fmt.Sprintf("j-7%05d", s.jobs), fmt.Sprintf("img-%d", s.rng.IntN(3))
+	sp.Ref, sp.Image = scriptJobRefs.ref(s.jobs), fmt.Sprintf("img-%d", s.rng.IntN(3))
 	sp.Class, sp.ImageGB, sp.Estimate = "c", 1, run
 	if sp.Team == "" {
 		sp.Team = []string{"red", "blue", "green"}[s.rng.IntN(3)]
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"net/http"
 	"sort"
 	"time"
 
@@ -11,6 +12,7 @@
 	"gingertally/internal/core/pipeline"
 	"gingertally/internal/jobstore"
 	"gingertally/internal/statestore"
+	"gingertally/internal/userapi"
 )
 
 // userJob is a job as its user knows it.
@@ -66,11 +68,14 @@
 	return out
 }
 
+// userJobNumber scatters the numbers of users' jobs: ids come in no order.
+func userJobNumber(i int) int { return i * 7919 % 100_003 }
+
 func (w *World) planUsers() {
 	for i := range w.o.Jobs {
 		j := &userJob{w: w, done: map[int]bool{}, run: w.between(2*time.Second, 25*time.Second), mistake: w.chance(0.05)}
 		s := &j.spec
-		s.Ref = fmt.Sprintf("j-%06d", i*7919%100003)
+		s.Ref = userJobRefs.ref(userJobNumber(i))
 		s.Class, s.Team, s.Image, s.ImageGB = "c", "red", fmt.Sprintf("img-%d", w.rng.IntN(3)), 2
 		if w.chance(0.5) {
 			s.Team = "blue"
@@ -111,7 +116,7 @@
 // askUnknown asks about a job that nobody submitted.
 func (w *World) askUnknown() {
 	n := w.nodes[w.rng.IntN(len(w.nodes))]
-	if v, known, ok := n.view("j-999999"); ok && known {
+	if v, known, ok := n.view(unsubmittedRef); ok && known {
 		w.check.fail("invented: unknown job is called %v", v.Phase)
 	}
 	w.after(7*time.Second, w.askUnknown)
@@ -148,6 +153,9 @@
 	answered := false
 	create := func() {
 		n.call(func() { answered = j.taken(jobs.Create(bg, j.spec, j.dependencyNames(), j.w.now)) }, func() {
+			if answered {
+				j.w.output.userAnswer(n, j.spec.Ref, userapi.Answer{Status: http.StatusCreated})
+			}
 			if answered && !j.accepted {
 				j.accepted, j.acceptedAt = true, j.w.now
 				j.w.script.accepted(j)
@@ -198,6 +206,12 @@
 
 // view is what a node tells of a job: itself, or by asking another.
 func (n *node) view(ref string) (v core.JobView, known, ok bool) {
+	v, known, ok = n.viewAnywhere(ref)
+	n.w.output.jobView(n, ref, v, known, ok)
+	return v, known, ok
+}
+
+func (n *node) viewAnywhere(ref string) (v core.JobView, known, ok bool) {
 	if n.down || n.stalled() || !n.w.reach("", n.zone) {
 		return v, false, false
 	}
@@ -260,6 +274,7 @@
 	}
 	j.askedCancel = true
 	n.cancel(j.spec.Ref, func(st jobstore.State) {
+		j.w.output.cancellation(n, j.spec.Ref, st.Phase)
 		j.w.check.told(j, core.JobView{Phase: st.Phase, Done: len(j.done)}, true)
 	})
 	j.w.after(3*time.Second, func() {
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -73,6 +73,7 @@
 	script          *script         // nil: none
 	shortLease      *shortLease     // nil: none
 	digest          *digest         // nil: none
+	output          *outputDigest   // nil: none
 	admission       *admissionWorld // nil: everything is admitted
 	drains          *drainWorld     // nil: nobody drains machines
 	standbys        *standbyNetwork // nil: the warm state isn't replicated
--- /dev/null
+++ b/internal/standby/golden_test.go
@@ -0,0 +1,41 @@
+package standby
+
+import (
+	"testing"
+
+	"gingertally/internal/core"
+	"gingertally/internal/goldentest"
+)
+
+// warmRecords has a record of each kind in which every field is set, and one that is gone.
+func warmRecords() []core.WarmRecord {
+	machine, attempt := goldentest.Filled[core.WarmMachine](), goldentest.Filled[core.WarmAttempt]()
+	class, offer, job := goldentest.Filled[core.WarmClass](), goldentest.Filled[core.WarmOffer](), goldentest.Filled[core.WarmJob]()
+	return []core.WarmRecord{
+		{Key: core.WarmKey{Kind: core.WarmMachineKind, Name: "m-1"}, Machine: &machine},
+		{Key: core.WarmKey{Kind: core.WarmAttemptKind, Name: "j-1", Task: 3}, Attempt: &attempt},
+		{Key: core.WarmKey{Kind: core.WarmClassKind, Name: "c"}, Class: &class},
+		{Key: core.WarmKey{Kind: core.WarmOfferKind, Name: "g8", Zone: "a", Spot: true}, Offer: &offer},
+		{Key: core.WarmKey{Kind: core.WarmJobKind, Name: "j-1"}, Job: &job},
+		{Key: core.WarmKey{Kind: core.WarmMachineKind, Name: "m-2"}},
+	}
+}
+
+// The form in which the warm state is replicated and logged.
+func TestWarmRecordsGolden(t *testing.T) {
+	var lines goldentest.Lines
+	entries := Encode(warmRecords())
+	for _, e := range entries {
+		lines.Add("%x %x", e.Key, e.Value)
+	}
+	lines.Check(t, "warm_records.txt")
+	read, err := Decode(entries[:5])
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i, e := range Encode(read) {
+		if e.Key != entries[i].Key || string(e.Value) != string(entries[i].Value) {
+			t.Errorf("record %d read and written again is %x %x", i, e.Key, e.Value)
+		}
+	}
+}
--- /dev/null
+++ b/internal/wire/golden_test.go
@@ -0,0 +1,84 @@
+package wire
+
+import (
+	"bytes"
+	"maps"
+	"slices"
+	"testing"
+
+	"gingertally/internal/core/fleet"
+	"gingertally/internal/goldentest"
+)
+
+// addMessage adds the encoded form of a message in which every field is set, and checks that it is
+// read and written again bit for bit.
+func addMessage[T any](t *testing.T, lines *goldentest.Lines, name string) {
+	t.Helper()
+	encoded := MustMarshal(goldentest.Filled[T]())
+	lines.Add("%s %x", name, encoded)
+	var read T
+	if err := Unmarshal(encoded, &read); err != nil {
+		t.Errorf("%s: %v", name, err)
+	}
+	if again := MustMarshal(read); !bytes.Equal(again, encoded) {
+		t.Errorf("%s: read and written again it is %x, not %x", name, again, encoded)
+	}
+}
+
+// The encoded form of every message of the outside interfaces.
+func TestMessagesGolden(t *testing.T) {
+	var lines goldentest.Lines
+	addMessage[Beat](t, &lines, "heartbeat")
+	addMessage[Orders](t, &lines, "orders")
+	addMessage[Redirect](t, &lines, "redirect")
+	addMessage[submission](t, &lines, "submission")
+	addMessage[RunState](t, &lines, "run state")
+	addMessage[StoreItem](t, &lines, "store item")
+	addMessage[StorePage](t, &lines, "store page")
+	addMessage[Commit](t, &lines, "commit")
+	addMessage[CommitResult](t, &lines, "commit result")
+	addMessage[LeaseRequest](t, &lines, "lease request")
+	addMessage[LeaseGrant](t, &lines, "lease grant")
+	addMessage[News](t, &lines, "news")
+	addMessage[Flavors](t, &lines, "flavors")
+	addMessage[RentalRequest](t, &lines, "rental request")
+	addMessage[Stalls](t, &lines, "stalls")
+	addMessage[RentalPage](t, &lines, "rental page")
+	lines.Check(t, "messages.txt")
+}
+
+// The protocol's words, and the commands as workers get them.
+func TestWordsGolden(t *testing.T) {
+	var lines goldentest.Lines
+	for _, word := range slices.Sorted(maps.Keys(taskStates)) {
+		lines.Add("task state %s %d", word, taskStates[word])
+	}
+	for _, word := range slices.Sorted(maps.Keys(exitCauses)) {
+		lines.Add("exit cause %s %d", word, exitCauses[word])
+	}
+	for _, word := range slices.Sorted(maps.Keys(shapes)) {
+		lines.Add("shape %s %d", word, shapes[word])
+	}
+	for _, word := range slices.Sorted(maps.Keys(priorities)) {
+		lines.Add("priority %s %d", word, priorities[word])
+	}
+	for _, op := range []fleet.Op{fleet.Start, fleet.Stop, fleet.Forget} {
+		command := fleet.Command{Op: op, Ref: "j-000412", Task: 3, Attempt: 1<<24 + 9, Grace: 10e9}
+		lines.Add("command %d %x", op, MustMarshal(OrdersOf([]fleet.Command{command})))
+	}
+	lines.Check(t, "words.txt")
+}
+
+// What a submission becomes.
+func TestParseSubmissionGolden(t *testing.T) {
+	body := good()
+	body["awaits"] = []string{"j-000001", "j-000002", "j-000001"}
+	spec, dependencies, err := ParseSubmission(MustMarshal(body))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var lines goldentest.Lines
+	lines.Add("spec %x", MustMarshal(spec))
+	lines.Add("dependencies %q", dependencies)
+	lines.Check(t, "submission.txt")
+}
