--- a/internal/agentapi/agentapi.go
+++ b/internal/agentapi/agentapi.go
@@ -99,7 +99,7 @@
 
 // Accepted is the leader's answer to a worker's report.
 func Accepted(reply core.Reply) Answer {
-	orders := wire.Orders{Gavel: reply.Token, Orders: wire.OrdersOf(reply.Commands)}
+	orders := wire.Orders{Gavel: reply.FencingToken, Orders: wire.OrdersOf(reply.Commands)}
 	return Answer{http.StatusOK, wire.MustMarshal(orders)}
 }
 
--- a/internal/agentapi/agentapi_test.go
+++ b/internal/agentapi/agentapi_test.go
@@ -57,7 +57,7 @@
 	if a := s.Report(ctx, beat("m-1")); a.Status != 503 {
 		t.Fatalf("no valid lease: %d", a.Status)
 	}
-	l.here, l.reply = true, core.Reply{OK: true, Token: 7}
+	l.here, l.reply = true, core.Reply{OK: true, FencingToken: 7}
 	var o wire.Orders
 	if a := s.Report(ctx, beat("m-1")); a.Status != 200 || wire.Unmarshal(a.Body, &o) != nil || o.Gavel != 7 {
 		t.Fatalf("valid lease: %d, %+v", a.Status, o)
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -187,14 +187,14 @@
 // stops go this way: they name their attempt and are harmless late (docs/design.md, safety
 // argument 7).
 func (e *Engine) direct(m *fleet.Machine, c fleet.Command) {
-	m.TokenGiven = true
+	m.FencingTokenSent = true
 	for i := range e.out.Direct {
 		if d := &e.out.Direct[i]; d.Machine == m.Name {
 			d.Commands = append(d.Commands, c)
 			return
 		}
 	}
-	e.out.Direct = append(e.out.Direct, Direct{Machine: m.Name, Addr: m.Addr, Session: m.Session, Token: e.term, Commands: []fleet.Command{c}})
+	e.out.Direct = append(e.out.Direct, Direct{Machine: m.Name, Addr: m.Addr, Session: m.Session, FencingToken: e.term, Commands: []fleet.Command{c}})
 }
 
 // requeue lets the task of a gone attempt be placed again.
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -23,7 +23,7 @@
 	reports := make([]fleet.Report, machines)
 	for i := range reports {
 		name := fmt.Sprintf("m-%06d", i)
-		reports[i] = fleet.Report{Machine: name, Addr: name, Type: "big", Zone: "a", Session: 1, Token: 1, Notice: -1}
+		reports[i] = fleet.Report{Machine: name, Addr: name, Type: "big", Zone: "a", Session: 1, FencingToken: 1, Notice: -1}
 	}
 	hear := func(i int) Reply {
 		reports[i].Seq++
@@ -31,7 +31,7 @@
 	}
 	for i := range reports {
 		hear(i)
-		reports[i].Token = 2 // which it now has been given
+		reports[i].FencingToken = 2 // which it now has been given
 	}
 	jobs := machines*8/40 + 30
 	for i := range jobs {
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -10,7 +10,7 @@
 // commands is what the worker is told in answer to the report just heard: first
 // what it may forget, then stops, then starts.
 func (e *Engine) commands(now time.Time, m *fleet.Machine) []fleet.Command {
-	m.OneWayLoss.Expecting = m.Token != e.term
+	m.OneWayLoss.Expecting = m.FencingToken != e.term
 	if len(m.Tasks) == 0 {
 		return nil
 	}
--- a/internal/core/connectivity.go
+++ b/internal/core/connectivity.go
@@ -49,7 +49,7 @@
 	return now.Sub(e.lastTick) > lateTick || now.Sub(e.laggedAt) < answerTimeout+e.cfg.ReportEvery
 }
 
-// deliveryShown compares a report with the commands and the token that the machine was
+// deliveryShown compares a report with the commands and the fencing token that the machine was
 // last told. LeaseEnded says that the worker's lease has ended although its reports
 // were answered.
 func (e *Engine) deliveryShown(now time.Time, m *fleet.Machine, r *fleet.Report, leaseEnded bool) delivery {
@@ -58,7 +58,7 @@
 		undelivered: leaseEnded,
 	}
 	if m.OneWayLoss.Expecting {
-		if r.Token == e.term {
+		if r.FencingToken == e.term {
 			d.delivered = true
 		} else {
 			d.undelivered = true
--- a/internal/core/drain_eviction.go
+++ b/internal/core/drain_eviction.go
@@ -265,7 +265,7 @@
 		if a == nil || a.Leaving() || a.State() != fleet.Running {
 			continue
 		}
-		if m := a.On; m.State() == fleet.Live && m.Confirmed && m.Token == e.term && !m.Cordoned && !m.Draining {
+		if m := a.On; m.State() == fleet.Live && m.Confirmed && m.FencingToken == e.term && !m.Cordoned && !m.Draining {
 			ledger.Void(c.TaskKey, c.Attempt)
 		}
 	}
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -137,17 +137,17 @@
 
 // Reply answers a report.
 type Reply struct {
-	OK       bool // 200; otherwise the report is refused with 503
-	Token    uint64
-	Hold     bool // worth holding for a moment, then to be completed by Collect
-	Commands []fleet.Command
+	OK           bool // 200; otherwise the report is refused with 503
+	FencingToken uint64
+	Hold         bool // worth holding for a moment, then to be completed by Collect
+	Commands     []fleet.Command
 }
 
 // Direct is a set of commands to be sent to a worker at once.
 type Direct struct {
 	Machine, Addr string
 	Session       uint64
-	Token         uint64
+	FencingToken  uint64
 	Commands      []fleet.Command
 }
 
@@ -174,10 +174,10 @@
 	Release [][]string
 	Drains  []drain.PlanWrite // plans of drains whose records are to be written
 	Deposed bool              // a higher term exists
-	// HigherToken is the token that a worker has seen, if that is why.
-	HigherToken uint64
-	Resign      string // if not empty, why this term has to end; another one can go on
-	Notes       []Note
+	// HigherFencingToken is the fencing token that a worker has seen, if that is why.
+	HigherFencingToken uint64
+	Resign             string // if not empty, why this term has to end; another one can go on
+	Notes              []Note
 }
 
 // Event is anything that moves the engine on.
@@ -278,7 +278,7 @@
 	return e.out
 }
 
-// Term returns the engine's term, which is also its token.
+// Term returns the engine's term, which is also its fencing token.
 func (e *Engine) Term() uint64 { return e.term }
 
 // note adds a line for the log.
--- a/internal/core/fleet/attempt.go
+++ b/internal/core/fleet/attempt.go
@@ -45,7 +45,7 @@
 	GPUs       float64
 	MemGB      float64
 	Image      string
-	Inherited  bool   // from an earlier term: only a report under this term's token proves it gone
+	Inherited  bool   // from an earlier term: only a report under this term's fencing token proves it gone
 	Foreign    bool   // not wanted here; stopped and never counted as a result of ours
 	CommandSeq uint64 // the report in whose answer the machine last got a command about it
 
--- a/internal/core/fleet/connectivity_test.go
+++ b/internal/core/fleet/connectivity_test.go
@@ -9,7 +9,7 @@
 
 func at(seconds int) time.Time { return start.Add(time.Duration(seconds) * time.Second) }
 
-// Reports are ordered by token, then session, then sequence number.
+// Reports are ordered by fencing token, then session, then sequence number.
 func TestEpochOrder(t *testing.T) {
 	ordered := []Epoch{{1, 1, 1}, {1, 1, 2}, {1, 2, 1}, {2, 1, 1}, {2, 1, 9}, {3, 7, 1}}
 	for i, a := range ordered {
@@ -21,9 +21,9 @@
 	}
 }
 
-// Only a higher token under counts that haven't risen shows a restart.
+// Only a higher fencing token under counts that haven't risen shows a restart.
 func TestEpochRestarted(t *testing.T) {
-	known := Epoch{Token: 4, Session: 3, Seq: 10}
+	known := Epoch{FencingToken: 4, Session: 3, Seq: 10}
 	for _, c := range []struct {
 		report    Epoch
 		restarted bool
--- a/internal/core/fleet/machine.go
+++ b/internal/core/fleet/machine.go
@@ -31,21 +31,21 @@
 	state                  MachineState
 
 	// Reports and answers.
-	Session, Seq, Token uint64       // of its newest report, see Epoch
-	Expected            bool         // not heard of under this term, but the leader before was, shortly before its end
-	TokenGiven          bool         // was sent this term's token
-	Confirmed           bool         // has reported with this term's token, or never held anything of an earlier term
-	LastHeard           time.Time    // when its newest report arrived
-	LeaseBase           time.Time    // no 200 was sent to it after this
-	AnswerHeld          bool         // what is placed now goes with the answer to its last report
-	OneWayLoss          OneWayLoss   // whether it receives answers
-	StaleReports        StaleReports // reports that aren't newer than the newest one
+	Session, Seq, FencingToken uint64       // of its newest report, see Epoch
+	Expected                   bool         // not heard of under this term, but the leader before was, shortly before its end
+	FencingTokenSent           bool         // was sent this term's fencing token
+	Confirmed                  bool         // has reported with this term's fencing token, or never held anything of an earlier term
+	LastHeard                  time.Time    // when its newest report arrived
+	LeaseBase                  time.Time    // no 200 was sent to it after this
+	AnswerHeld                 bool         // what is placed now goes with the answer to its last report
+	OneWayLoss                 OneWayLoss   // whether it receives answers
+	StaleReports               StaleReports // reports that aren't newer than the newest one
 
 	// Its life.
 	FirstSeen     time.Time
 	ListedAt      time.Time // when the cloud last listed it
 	ListedRunning bool      // the cloud's last list with it said that it is up
-	Known         bool      // listed by the cloud, rented, or heard under this term's token: not just an old copy's word
+	Known         bool      // listed by the cloud, rented, or heard under this term's fencing token: not just an old copy's word
 	NoticeAt      time.Time // when the cloud takes it, zero without a notice
 	ReleaseTries  int       // releases that failed
 	CheckAt       time.Time // when its present timer expires
--- a/internal/core/fleet/messages.go
+++ b/internal/core/fleet/messages.go
@@ -49,9 +49,9 @@
 
 // Report is a worker's report.
 type Report struct {
-	Machine, Addr, Type, Zone string
-	Spot                      bool
-	Session, Seq, Token       uint64
-	Notice                    time.Duration // negative: none
-	Tasks                     []TaskReport
+	Machine, Addr, Type, Zone  string
+	Spot                       bool
+	Session, Seq, FencingToken uint64
+	Notice                     time.Duration // negative: none
+	Tasks                      []TaskReport
 }
--- a/internal/core/fleet/stale_reports.go
+++ b/internal/core/fleet/stale_reports.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// Epoch orders the reports of one machine: by token, then session, then sequence number.
-// A worker's token only rises, but a worker that restarts counts its sessions and
+// Epoch orders the reports of one machine: by fencing token, then session, then sequence number.
+// A worker's fencing token only rises, but a worker that restarts counts its sessions and
 // sequence numbers from one again.
-type Epoch struct{ Token, Session, Seq uint64 }
+type Epoch struct{ FencingToken, Session, Seq uint64 }
 
 // Epoch returns the report's place in the order of its machine's reports.
-func (r *Report) Epoch() Epoch { return Epoch{r.Token, r.Session, r.Seq} }
+func (r *Report) Epoch() Epoch { return Epoch{r.FencingToken, r.Session, r.Seq} }
 
 // Epoch returns the place of the newest report known of the machine.
-func (m *Machine) Epoch() Epoch { return Epoch{m.Token, m.Session, m.Seq} }
+func (m *Machine) Epoch() Epoch { return Epoch{m.FencingToken, m.Session, m.Seq} }
 
-// After tells whether an epoch is later than another. The token comes first: it alone
+// After tells whether an epoch is later than another. The fencing token comes first: it alone
 // tells the reports of a restarted worker from late copies of its former ones
 // (docs/design.md, safety argument 5; TestCopyFromFormerLife).
 func (p Epoch) After(o Epoch) bool {
-	if p.Token != o.Token {
-		return p.Token > o.Token
+	if p.FencingToken != o.FencingToken {
+		return p.FencingToken > o.FencingToken
 	}
 	return p.CountsPast(o)
 }
@@ -29,9 +29,9 @@
 }
 
 // Restarted tells whether a report of this epoch, which is after the other, can only
-// come from a worker that has restarted in between: its token is higher, but it
+// come from a worker that has restarted in between: its fencing token is higher, but it
 // counts from lower numbers. What was known before are late copies.
-func (p Epoch) Restarted(o Epoch) bool { return p.Token > o.Token && !p.CountsPast(o) }
+func (p Epoch) Restarted(o Epoch) bool { return p.FencingToken > o.FencingToken && !p.CountsPast(o) }
 
 // StaleReports follows the reports of a machine that are not newer than the newest one
 // known. They are late or duplicate copies, or come from a worker that has restarted
--- a/internal/core/fleet_size_test.go
+++ b/internal/core/fleet_size_test.go
@@ -48,7 +48,7 @@
 	report := func(term uint64) {
 		for _, name := range names {
 			b.seq[name]++
-			r := fleet.Report{Machine: name, Addr: name, Type: "big", Zone: "a", Session: 1, Seq: b.seq[name], Token: term, Notice: -1, Tasks: tasks[name]}
+			r := fleet.Report{Machine: name, Addr: name, Type: "big", Zone: "a", Session: 1, Seq: b.seq[name], FencingToken: term, Notice: -1, Tasks: tasks[name]}
 			reply := b.e.Step(b.now, ReportIn{r}).Reply
 			if reply.Hold {
 				reply = b.e.Step(b.now.Add(maxReplyHold+time.Second), Collect{r}).Reply
--- a/internal/core/images_test.go
+++ b/internal/core/images_test.go
@@ -177,10 +177,10 @@
 // machines wait for a moment, but not for long, and not when it falls behind.
 func TestNewLeaderHoldsAnswers(t *testing.T) {
 	b := newBench(t, 2, Snapshot{})
-	// The worker has served the leader before. The test once gave it this term's token,
+	// The worker has served the leader before. The test once gave it this term's fencing token,
 	// which no worker can have before its first answer.
 	b.list("m-1")
-	r := fleet.Report{Machine: "m-1", Addr: "m-1", Type: "big", Zone: "a", Session: 1, Seq: 1, Token: 1, Notice: -1}
+	r := fleet.Report{Machine: "m-1", Addr: "m-1", Type: "big", Zone: "a", Session: 1, Seq: 1, FencingToken: 1, Notice: -1}
 	b.e.Step(b.now, Tick{})
 	if eff := b.e.Step(b.now, ReportIn{r}); !eff.Reply.Hold {
 		t.Fatal("answered before anything can have been placed")
@@ -198,7 +198,7 @@
 		}
 	}
 
-	idle := fleet.Report{Machine: "m-2", Addr: "m-2", Type: "big", Zone: "a", Session: 1, Seq: 1, Token: 1, Notice: -1}
+	idle := fleet.Report{Machine: "m-2", Addr: "m-2", Type: "big", Zone: "a", Session: 1, Seq: 1, FencingToken: 1, Notice: -1}
 	b = newBench(t, 2, Snapshot{})
 	b.e.Step(b.now, Tick{})
 	if eff := b.e.Step(b.now, ReportIn{idle}); !eff.Reply.Hold {
--- a/internal/core/reconcile_test.go
+++ b/internal/core/reconcile_test.go
@@ -156,14 +156,14 @@
 	}
 }
 
-// A worker that has this term's token although this leader has never answered it has it from a
+// A worker that has this term's fencing token although this leader has never answered it has it from a
 // leader that the state service has forgotten: the term ends before anything is done with the
 // report.
 func TestTokenOfAForgottenLeader(t *testing.T) {
 	b := newBench(t, 9, Snapshot{Jobs: []StoredJob{job("j-1", 1)}})
-	r := fleet.Report{Machine: "m-1", Addr: "m-1", Type: "big", Zone: "a", Session: 1, Seq: 1, Token: 9, Notice: -1}
+	r := fleet.Report{Machine: "m-1", Addr: "m-1", Type: "big", Zone: "a", Session: 1, Seq: 1, FencingToken: 9, Notice: -1}
 	eff := b.e.Step(b.now, ReportIn{r})
-	if !eff.Deposed || eff.HigherToken != 9 || eff.Reply.OK {
+	if !eff.Deposed || eff.HigherFencingToken != 9 || eff.Reply.OK {
 		t.Fatalf("%+v", eff)
 	}
 	b.report("m-2", 0)
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -15,8 +15,8 @@
 func (r ReportIn) apply(e *Engine, now time.Time) {
 	rep := r.Report
 	e.out.Reply = &Reply{}
-	if rep.Token > e.term {
-		e.out.Deposed, e.out.HigherToken = true, rep.Token
+	if rep.FencingToken > e.term {
+		e.out.Deposed, e.out.HigherFencingToken = true, rep.FencingToken
 		return
 	}
 	if _, gone := e.gone[rep.Machine]; gone {
@@ -29,9 +29,9 @@
 		e.addMachine(now, m)
 		e.note("machine reports unexpectedly", "machine", m.Name, "type", m.Type, "zone", m.Zone)
 	}
-	if rep.Token == e.term && !m.TokenGiven {
-		// It has this token from a leader that the state service has forgotten.
-		e.out.Deposed, e.out.HigherToken = true, rep.Token
+	if rep.FencingToken == e.term && !m.FencingTokenSent {
+		// It has this fencing token from a leader that the state service has forgotten.
+		e.out.Deposed, e.out.HigherFencingToken = true, rep.FencingToken
 		return
 	}
 	if !m.Newer(&rep) {
@@ -49,8 +49,8 @@
 
 // reply answers the newest report of a machine with 200, at once or after a hold.
 func (e *Engine) reply(now time.Time, m *fleet.Machine, hold bool) {
-	m.AnswerHeld, m.TokenGiven = hold, true
-	e.out.Reply = &Reply{OK: true, Token: e.term, Hold: hold}
+	m.AnswerHeld, m.FencingTokenSent = hold, true
+	e.out.Reply = &Reply{OK: true, FencingToken: e.term, Hold: hold}
 	if !hold {
 		e.out.Reply.Commands = e.commands(now, m)
 	}
@@ -120,8 +120,8 @@
 	}
 	e.detectOneWayLoss(now, m, r, leaseEnded)
 	m.Addr, m.LastHeard = r.Addr, now
-	m.Session, m.Seq, m.Token = r.Session, r.Seq, r.Token
-	if r.Token == e.term && (!m.Confirmed || !m.Known) {
+	m.Session, m.Seq, m.FencingToken = r.Session, r.Seq, r.FencingToken
+	if r.FencingToken == e.term && (!m.Confirmed || !m.Known) {
 		m.Confirmed, m.Known = true, true
 		e.touch(m)
 	}
@@ -129,15 +129,15 @@
 		e.endSession(now, m, r)
 	}
 	for i := range r.Tasks {
-		e.applyTaskReport(now, m, r.Token, r.Tasks[i])
+		e.applyTaskReport(now, m, r.FencingToken, r.Tasks[i])
 	}
 	if len(m.Tasks) > 0 {
 		e.applyUnlisted(now, m, r)
 	}
-	if r.Token > 0 {
+	if r.FencingToken > 0 {
 		e.recovery.Vouch()
 	}
-	e.recovery.Heard(m.Name, r.Token == e.term, hasForeign(m))
+	e.recovery.Heard(m.Name, r.FencingToken == e.term, hasForeign(m))
 	e.interruptionNotice(now, m, r.Notice)
 }
 
@@ -200,7 +200,7 @@
 	}
 }
 
-// applyTaskReport takes in one task of a report that was sent under a token. What it is, and
+// applyTaskReport takes in one task of a report that was sent under a fencing token. What it is, and
 // what is done about it, is decided by recovery.Classify.
 func (e *Engine) applyTaskReport(now time.Time, m *fleet.Machine, token uint64, t fleet.TaskReport) {
 	k := fleet.Key{Ref: t.Ref, Task: t.Task}
--- a/internal/core/safety_test.go
+++ b/internal/core/safety_test.go
@@ -46,14 +46,14 @@
 }
 
 // up brings a machine up that has not been heard of: only its second report,
-// under this term's token, is certainly no late copy.
+// under this term's fencing token, is certainly no late copy.
 func (b *bench) up(machine string) {
 	b.report(machine, 0)
 	b.report(machine, b.e.term)
 }
 
 func (b *bench) reportAs(machine string, token, seq uint64, tasks ...fleet.TaskReport) Reply {
-	r := fleet.Report{Machine: machine, Addr: machine, Type: "big", Zone: "a", Session: 1, Seq: seq, Token: token, Notice: -1, Tasks: tasks}
+	r := fleet.Report{Machine: machine, Addr: machine, Type: "big", Zone: "a", Session: 1, Seq: seq, FencingToken: token, Notice: -1, Tasks: tasks}
 	eff := b.e.Step(b.now, ReportIn{r})
 	if eff.Deposed && token == b.e.term {
 		b.t.Fatalf("%s reports a token that it wasn't given: the test shows nothing", machine)
@@ -116,7 +116,7 @@
 	return Snapshot{Jobs: []StoredJob{job("j-1", 1)}, Pages: []StoredPage{page("1-1", "m-1", 1<<attemptBits)}}
 }
 
-// A report without this term's token may have been sent before an earlier
+// A report without this term's fencing token may have been sent before an earlier
 // leader's last start arrived, so it can't prove an inherited attempt absent.
 func TestInheritedAttemptNeedsConfirmedReport(t *testing.T) {
 	b := newBench(t, 2, inherited())
@@ -271,10 +271,10 @@
 	t.Fatal("the silent machine wasn't released in time")
 }
 
-// A report with a higher token means that somebody else has taken over.
+// A report with a higher fencing token means that somebody else has taken over.
 func TestHigherTokenDeposes(t *testing.T) {
 	b := newBench(t, 2, Snapshot{})
-	eff := b.e.Step(b.now, ReportIn{fleet.Report{Machine: "m-1", Type: "big", Zone: "a", Session: 1, Seq: 1, Token: 3, Notice: -1}})
+	eff := b.e.Step(b.now, ReportIn{fleet.Report{Machine: "m-1", Type: "big", Zone: "a", Session: 1, Seq: 1, FencingToken: 3, Notice: -1}})
 	if !eff.Deposed || eff.Reply.OK {
 		t.Fatalf("effects: %+v", eff)
 	}
@@ -356,7 +356,7 @@
 
 // worker sends reports with counts of its own choice.
 func (b *bench) worker(machine string, token, session, seq uint64, tasks ...fleet.TaskReport) Reply {
-	r := fleet.Report{Machine: machine, Addr: machine, Type: "big", Zone: "a", Session: session, Seq: seq, Token: token, Notice: -1, Tasks: tasks}
+	r := fleet.Report{Machine: machine, Addr: machine, Type: "big", Zone: "a", Session: session, Seq: seq, FencingToken: token, Notice: -1, Tasks: tasks}
 	return *b.e.Step(b.now, ReportIn{r}).Reply
 }
 
--- a/internal/core/warm_start_test.go
+++ b/internal/core/warm_start_test.go
@@ -78,7 +78,7 @@
 }
 
 // With a confirmed view, work is placed before anything has reported, and its start goes with
-// the first answer after the one that gives the machine the new token.
+// the first answer after the one that gives the machine the new fencing token.
 func TestWarmStartPlacesAtOnce(t *testing.T) {
 	b, _ := takenOver(t, []StoredJob{job("j-1", 1), job("j-2", 2)}, nil)
 	if o := b.e.WarmOutcome(); o.Expected != 2 || o.Differing != 0 {
--- a/internal/daemon/session.go
+++ b/internal/daemon/session.go
@@ -170,9 +170,9 @@
 	}
 	logNotes(effects.Notes)
 	if effects.Deposed {
-		slog.Warn("a higher token exists", "term", s.term.N, "token", effects.HigherToken)
+		slog.Warn("a higher token exists", "term", s.term.N, "token", effects.HigherFencingToken)
 		s.daemon.elector.Deposed()
-		go s.noteRestored(effects.HigherToken)
+		go s.noteRestored(effects.HigherFencingToken)
 		return effects
 	}
 	if effects.Resign != "" {
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -211,7 +211,7 @@
 	return r
 }
 
-// obeyAnswer carries out what an answer to a report says, unless its token is too low.
+// obeyAnswer carries out what an answer to a report says, unless its fencing token is too low.
 func (w *Worker) obeyAnswer(body []byte, sent time.Time) {
 	var orders wire.Orders
 	if wire.Unmarshal(body, &orders) != nil || orders.Gavel < w.token || w.isDeleted() {
--- a/internal/recovery/findings.go
+++ b/internal/recovery/findings.go
@@ -23,7 +23,7 @@
 	DoneJobOver
 	// RunningJobOver attempts run on for a job that is over, cancelled or unknown.
 	RunningJobOver
-	// OlderEpoch reports don't carry this term's token: they may be late copies.
+	// OlderEpoch reports don't carry this term's fencing token: they may be late copies.
 	OlderEpoch
 	// NewerThere means that a machine reports a later attempt of a task than its record names.
 	NewerThere
@@ -65,7 +65,7 @@
 	Stop
 	// Ignore draws no conclusion.
 	Ignore
-	// Wait leaves the attempt where it may be until a report under this term's token, the end
+	// Wait leaves the attempt where it may be until a report under this term's fencing token, the end
 	// of the worker's lease or a release proves it gone.
 	Wait
 	// ProveGone takes the recorded attempt for gone: its task may be placed again.
@@ -113,7 +113,7 @@
 	Done      bool // exited with a result
 	JobOpen   bool // the job is known and neither over nor cancelled
 	Wanted    bool // the task isn't done
-	Confirmed bool // the report carries this term's token
+	Confirmed bool // the report carries this term's fencing token
 	Whole     bool // the task runs only together with others of its attempt (a gang)
 }
 
@@ -174,7 +174,7 @@
 // UnreportedAttempt is a recorded attempt that a newer report of its machine lacks.
 type UnreportedAttempt struct {
 	Inherited bool // from an earlier term
-	Confirmed bool // the report carries this term's token
+	Confirmed bool // the report carries this term's fencing token
 	Answered  bool // its start went with the answer to an earlier report than this one
 	Seen      bool // an earlier report of this term listed it
 }
--- a/internal/recovery/reconciler.go
+++ b/internal/recovery/reconciler.go
@@ -12,11 +12,11 @@
 // States of a machine.
 const (
 	Expected  MachineState = iota // a record names it; it hasn't reported under this term
-	Reported                      // it has reported, but not yet with this term's token
+	Reported                      // it has reported, but not yet with this term's fencing token
 	Differing                     // it has, and something on it is still to be ended
 	Settled                       // all that is on it is known
 	Missing                       // it was given up: its lease is over, or it is released
-	Unknown                       // no record names it, and it hasn't reported with this term's token
+	Unknown                       // no record names it, and it hasn't reported with this term's fencing token
 	machineStates
 )
 
@@ -218,7 +218,7 @@
 // reported, or a report period has passed. What is placed on is proven free in any case; with
 // few machines heard it would be placed badly. If no machine is on record, a worker has to
 // report that has served an earlier leader, or the report period to pass: were the state
-// service restored from a copy without any, only the workers' tokens would show it. Listed says that the cloud's list was read.
+// service restored from a copy without any, only the workers' fencing tokens would show it. Listed says that the cloud's list was read.
 // Where a confirmed view vouches for machines, half of all are enough.
 func (r *Reconciler) MayPlace(now time.Time, listed bool) bool {
 	if r.restored {
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -161,7 +161,7 @@
 	}
 }
 
-// Where no machine is on record, a worker has to show by its token that the records aren't
+// Where no machine is on record, a worker has to show by its fencing token that the records aren't
 // older than the machines, or a report period to pass; but for the first leader of all.
 func TestNoMachineOnRecord(t *testing.T) {
 	r := New(start, options(PaceOptions{}))
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -206,7 +206,7 @@
 		}
 	}
 	if eff.Deposed {
-		n.noteRestored(eff.HigherToken)
+		n.noteRestored(eff.HigherFencingToken)
 	}
 	if eff.Deposed || eff.Resign != "" {
 		n.endTerm()
--- a/internal/simulation/recovery_test.go
+++ b/internal/simulation/recovery_test.go
@@ -56,7 +56,7 @@
 			term.N -= min(term.N, terms)
 			store.rev++
 			store.items[key] = &item{wire.MustMarshal(term), store.rev}
-			s.w.check.newest = term.N // later terms are counted anew; tokens keep them apart
+			s.w.check.newest = term.N // later terms are counted anew; fencing tokens keep them apart
 		}
 	}
 }
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -10,30 +10,30 @@
 
 // machine is a rented machine with its worker.
 type machine struct {
-	w            *World
-	name, typ    string
-	zone         string
-	spot         bool
-	born         time.Time
-	rate         float64
-	isUp, dead   bool
-	hungUntil    time.Time
-	sick         bool
-	inboundLost  bool      // its reports arrive, but nothing that is sent to it (one-way loss)
-	outboundLost bool      // it reaches no controller, while direct commands reach it (one-way loss)
-	errors       int       // how many tasks failed on it
-	failedAt     time.Time // the last of them
-	life         int       // rises when its worker restarts
-	noticeAt     time.Time
-	cut          map[*node]bool
-	session      uint64
-	seq, token   uint64
-	answered     time.Time // when the last answered report was sent, by its own clock
-	target       int
-	outstanding  uint64 // the report that is waited for, 0: none
-	lastReport   time.Time
-	tasks        map[string]*task // by name and attempt
-	images       map[string]bool
+	w                 *World
+	name, typ         string
+	zone              string
+	spot              bool
+	born              time.Time
+	rate              float64
+	isUp, dead        bool
+	hungUntil         time.Time
+	sick              bool
+	inboundLost       bool      // its reports arrive, but nothing that is sent to it (one-way loss)
+	outboundLost      bool      // it reaches no controller, while direct commands reach it (one-way loss)
+	errors            int       // how many tasks failed on it
+	failedAt          time.Time // the last of them
+	life              int       // rises when its worker restarts
+	noticeAt          time.Time
+	cut               map[*node]bool
+	session           uint64
+	seq, fencingToken uint64
+	answered          time.Time // when the last answered report was sent, by its own clock
+	target            int
+	outstanding       uint64 // the report that is waited for, 0: none
+	lastReport        time.Time
+	tasks             map[string]*task // by name and attempt
+	images            map[string]bool
 }
 
 func (m *machine) local() time.Time {
@@ -111,7 +111,7 @@
 func (m *machine) snapshot() fleet.Report {
 	m.seq++
 	r := fleet.Report{Machine: m.name, Addr: m.name, Type: m.typ, Zone: m.zone, Spot: m.spot, Session: m.session, Seq: m.seq,
-		Token: m.token, Notice: -1}
+		FencingToken: m.fencingToken, Notice: -1}
 	if !m.noticeAt.IsZero() {
 		r.Notice = max(0, m.noticeAt.Sub(m.w.now))
 	}
@@ -256,11 +256,11 @@
 	m.w.digest.add(m.w, "answer", m.name, reply)
 	switch status {
 	case 200:
-		if reply.Token < m.token {
+		if reply.FencingToken < m.fencingToken {
 			return
 		}
-		higher := reply.Token > m.token
-		m.token = reply.Token
+		higher := reply.FencingToken > m.fencingToken
+		m.fencingToken = reply.FencingToken
 		m.answered = sent
 		if m.execute(reply.Commands) || higher {
 			m.changed()
@@ -294,8 +294,8 @@
 	delay += w.script.linkDelay() + w.script.commandDelay(m) + n.busyFor()
 	m.later(delay, func() {
 		m.w.digest.add(m.w, "orders", m.name, d)
-		if m.isUp && d.Token >= m.token && d.Session == m.session {
-			m.token = d.Token
+		if m.isUp && d.FencingToken >= m.fencingToken && d.Session == m.session {
+			m.fencingToken = d.FencingToken
 			m.seq++
 			if m.execute(d.Commands) {
 				m.changed()
@@ -384,7 +384,7 @@
 		m.remove(t)
 	}
 	m.life++
-	m.session, m.seq, m.token, m.outstanding = 1, 0, 0, 0
+	m.session, m.seq, m.fencingToken, m.outstanding = 1, 0, 0, 0
 	m.answered, m.lastReport = m.local(), time.Time{}
 	clear(m.images)
 	m.later(m.w.between(10*time.Millisecond, time.Second), m.report)
--- a/internal/wire/agent.go
+++ b/internal/wire/agent.go
@@ -76,7 +76,7 @@
 	}
 	report := fleet.Report{
 		Machine: *beat.Stall, Addr: *beat.Endpoint, Type: *beat.Build, Zone: *beat.Yard, Spot: *beat.Loaners,
-		Session: *beat.Shift, Seq: *beat.Tick, Token: *beat.Gavel, Notice: noNotice,
+		Session: *beat.Shift, Seq: *beat.Tick, FencingToken: *beat.Gavel, Notice: noNotice,
 	}
 	if beat.WarningS == nil {
 		return report, nil
