--- a/cmd/gingertally/differences.go
+++ b/cmd/gingertally/differences.go
@@ -15,7 +15,7 @@
 	serverFlag
 }
 
-// Run prints how the reports of the machines differed from the records in this term, and which
+// Run prints how the heartbeats of the machines differed from the records in this term, and which
 // machines aren't settled. It changes nothing.
 func (c *differencesCmd) Run() error {
 	status, err := fetchStatus(c.Server)
--- a/internal/agentapi/agentapi.go
+++ b/internal/agentapi/agentapi.go
@@ -1,5 +1,5 @@
-// Package agentapi serves the workers' reports: the leader answers them, every
-// other node redirects the worker to it, or relays the report for a worker that
+// Package agentapi serves the workers' heartbeats: the leader answers them, every
+// other node redirects the worker to it, or relays the heartbeat for a worker that
 // evidently can't reach it.
 package agentapi
 
@@ -16,13 +16,13 @@
 
 // Leader is the leading node, be it this one or another.
 type Leader interface {
-	// Report hands a report to this node's engine; ok is false if this node doesn't
+	// Heartbeat hands a heartbeat to this node's engine; ok is false if this node doesn't
 	// hold the leader's lease.
-	Report(report fleet.Report) (reply core.Reply, ok bool)
+	Heartbeat(report fleet.Heartbeat) (reply core.HeartbeatResponse, ok bool)
 	// Name names the node believed to lead; empty if unknown.
 	Name() string
-	// RelayReport passes a report on to the leader.
-	RelayReport(ctx context.Context, body []byte) (status int, reply []byte, err error)
+	// RelayHeartbeat passes a heartbeat on to the leader.
+	RelayHeartbeat(ctx context.Context, body []byte) (status int, reply []byte, err error)
 }
 
 // Service serves workers.
@@ -35,11 +35,11 @@
 	lastContact time.Time           // when any worker last reached this node
 }
 
-// redirect is what this node did with a machine's last reports.
+// redirect is what this node did with a machine's last heartbeats.
 type redirect struct {
 	leader     string    // which it was redirected to
 	at         time.Time // when
-	relayUntil time.Time // its reports are relayed until then
+	relayUntil time.Time // its heartbeats are relayed until then
 }
 
 const (
@@ -47,7 +47,7 @@
 	// that node still leads, hasn't reached it: it would have stayed. On its way it may
 	// have tried several nodes in vain, each for 4 s and a second.
 	returnWithin = 25 * time.Second
-	// relayFor is how long its reports are then relayed before it is redirected to
+	// relayFor is how long its heartbeats are then relayed before it is redirected to
 	// the leader once more.
 	relayFor = time.Minute
 	// relayTimeout leaves the worker time to get the answer within its 4 s.
@@ -56,7 +56,7 @@
 	maxRedirects = 10_000
 )
 
-// Answer is the answer to a report.
+// Answer is the answer to a heartbeat.
 type Answer struct {
 	Status int
 	Body   []byte
@@ -72,9 +72,9 @@
 	return s.lastContact
 }
 
-// Report serves a report that a worker sent to this node.
-func (s *Service) Report(ctx context.Context, body []byte) Answer {
-	report, err := wire.ParseReport(body)
+// Heartbeat serves a heartbeat that a worker sent to this node.
+func (s *Service) Heartbeat(ctx context.Context, body []byte) Answer {
+	report, err := wire.ParseHeartbeat(body)
 	if err != nil {
 		return Answer{Status: http.StatusBadRequest}
 	}
@@ -97,15 +97,15 @@
 	return Answer{http.StatusMisdirectedRequest, wire.MustMarshal(wire.Redirect{Clerk: leader})}
 }
 
-// Accepted is the leader's answer to a worker's report.
-func Accepted(reply core.Reply) Answer {
+// Accepted is the leader's answer to a worker's heartbeat.
+func Accepted(reply core.HeartbeatResponse) Answer {
 	orders := wire.Orders{Gavel: reply.FencingToken, Orders: wire.OrdersOf(reply.Commands)}
 	return Answer{http.StatusOK, wire.MustMarshal(orders)}
 }
 
-// Relayed serves a report that another node relayed. It never goes further.
+// Relayed serves a heartbeat that another node relayed. It never goes further.
 func (s *Service) Relayed(body []byte) Answer {
-	report, err := wire.ParseReport(body)
+	report, err := wire.ParseHeartbeat(body)
 	if err != nil {
 		return Answer{Status: http.StatusBadRequest}
 	}
@@ -121,9 +121,9 @@
 	s.lastContact = time.Now()
 }
 
-// answerAsLeader answers a report if this node holds the leader's lease.
-func (s *Service) answerAsLeader(report fleet.Report) (Answer, bool) {
-	reply, ok := s.Leader.Report(report)
+// answerAsLeader answers a heartbeat if this node holds the leader's lease.
+func (s *Service) answerAsLeader(report fleet.Heartbeat) (Answer, bool) {
+	reply, ok := s.Leader.Heartbeat(report)
 	if !ok {
 		return Answer{}, false
 	}
@@ -133,11 +133,11 @@
 	return Accepted(reply), true
 }
 
-// relay passes a report on to the leader, and its answer back.
+// relay passes a heartbeat on to the leader, and its answer back.
 func (s *Service) relay(ctx context.Context, body []byte) Answer {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
-	status, reply, err := s.Leader.RelayReport(ctx, body)
+	status, reply, err := s.Leader.RelayHeartbeat(ctx, body)
 	if err != nil || status != http.StatusOK {
 		return unavailable()
 	}
--- a/internal/agentapi/agentapi_test.go
+++ b/internal/agentapi/agentapi_test.go
@@ -12,24 +12,24 @@
 
 // leader is the leading node as a test sets it.
 type leader struct {
-	here    bool
-	name    string
-	reply   core.Reply
-	relayed int
-	broken  bool
-	reports int
+	here       bool
+	name       string
+	reply      core.HeartbeatResponse
+	relayed    int
+	broken     bool
+	heartbeats int
 }
 
-func (l *leader) Report(fleet.Report) (core.Reply, bool) {
+func (l *leader) Heartbeat(fleet.Heartbeat) (core.HeartbeatResponse, bool) {
 	if l.here {
-		l.reports++
+		l.heartbeats++
 	}
 	return l.reply, l.here
 }
 
 func (l *leader) Name() string { return l.name }
 
-func (l *leader) RelayReport(context.Context, []byte) (int, []byte, error) {
+func (l *leader) RelayHeartbeat(context.Context, []byte) (int, []byte, error) {
 	l.relayed++
 	if l.broken {
 		return 0, nil, errors.New("cut off")
@@ -46,24 +46,24 @@
 	ctx := context.Background()
 	l := &leader{}
 	s := &Service{Self: "n-0", Leader: l}
-	if a := s.Report(ctx, []byte("nonsense")); a.Status != 400 || l.reports != 0 {
+	if a := s.Heartbeat(ctx, []byte("nonsense")); a.Status != 400 || l.heartbeats != 0 {
 		t.Fatalf("malformed report: %d", a.Status)
 	}
 	// No valid lease, and no leader known: never a 200, which would keep the worker.
-	if a := s.Report(ctx, beat("m-1")); a.Status != 503 {
+	if a := s.Heartbeat(ctx, beat("m-1")); a.Status != 503 {
 		t.Fatalf("no leader: %d", a.Status)
 	}
 	l.name = "n-0" // this node, but without a valid lease at the moment
-	if a := s.Report(ctx, beat("m-1")); a.Status != 503 {
+	if a := s.Heartbeat(ctx, beat("m-1")); a.Status != 503 {
 		t.Fatalf("no valid lease: %d", a.Status)
 	}
-	l.here, l.reply = true, core.Reply{OK: true, FencingToken: 7}
+	l.here, l.reply = true, core.HeartbeatResponse{OK: true, FencingToken: 7}
 	var o wire.Orders
-	if a := s.Report(ctx, beat("m-1")); a.Status != 200 || wire.Unmarshal(a.Body, &o) != nil || o.Gavel != 7 {
+	if a := s.Heartbeat(ctx, beat("m-1")); a.Status != 200 || wire.Unmarshal(a.Body, &o) != nil || o.Gavel != 7 {
 		t.Fatalf("valid lease: %d, %+v", a.Status, o)
 	}
-	l.reply = core.Reply{}
-	if a := s.Report(ctx, beat("m-1")); a.Status != 503 {
+	l.reply = core.HeartbeatResponse{}
+	if a := s.Heartbeat(ctx, beat("m-1")); a.Status != 503 {
 		t.Fatalf("refused by the core: %d", a.Status)
 	}
 }
@@ -75,14 +75,14 @@
 	l := &leader{name: "n-1"}
 	s := &Service{Self: "n-0", Leader: l}
 	var r wire.Redirect
-	if a := s.Report(ctx, beat("m-1")); a.Status != 421 || wire.Unmarshal(a.Body, &r) != nil || r.Clerk != "n-1" {
+	if a := s.Heartbeat(ctx, beat("m-1")); a.Status != 421 || wire.Unmarshal(a.Body, &r) != nil || r.Clerk != "n-1" {
 		t.Fatalf("first report: %d, %+v", a.Status, r)
 	}
-	if a := s.Report(ctx, beat("m-2")); a.Status != 421 {
+	if a := s.Heartbeat(ctx, beat("m-2")); a.Status != 421 {
 		t.Fatalf("another worker's first report: %d", a.Status)
 	}
 	for range 3 {
-		if a := s.Report(ctx, beat("m-1")); a.Status != 200 {
+		if a := s.Heartbeat(ctx, beat("m-1")); a.Status != 200 {
 			t.Fatalf("back again: %d", a.Status)
 		}
 	}
@@ -90,7 +90,7 @@
 		t.Fatalf("%d relayed", l.relayed)
 	}
 	l.broken = true
-	if a := s.Report(ctx, beat("m-1")); a.Status != 503 {
+	if a := s.Heartbeat(ctx, beat("m-1")); a.Status != 503 {
 		t.Fatalf("relay fails: %d", a.Status)
 	}
 	// What another node passed on goes no further.
@@ -99,7 +99,7 @@
 	}
 	// With a new leader it has to be sent there first.
 	l.name, l.broken = "n-2", false
-	if a := s.Report(ctx, beat("m-2")); a.Status != 421 {
+	if a := s.Heartbeat(ctx, beat("m-2")); a.Status != 421 {
 		t.Fatalf("after a change of leader: %d", a.Status)
 	}
 }
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -74,7 +74,7 @@
 }
 
 func (c *checker) workers(workers *Workers) {
-	c.positive("settings.workers.report_s", float64(workers.Report))
+	c.positive("settings.workers.report_s", float64(workers.HeartbeatInterval))
 	c.positive("settings.workers.lease_s", float64(workers.Lease))
 	c.positive("settings.workers.gang_wait_s", float64(workers.GangWait))
 	c.positive("settings.workers.gang_peer_s", float64(workers.GangPeer))
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -79,11 +79,11 @@
 
 // Workers are the workers' timings.
 type Workers struct {
-	Report   Seconds `json:"report_s"`
-	Lease    Seconds `json:"lease_s"`
-	GangWait Seconds `json:"gang_wait_s"`
-	GangPeer Seconds `json:"gang_peer_s"`
-	Cancel   Seconds `json:"cancel_s"`
+	HeartbeatInterval Seconds `json:"report_s"`
+	Lease             Seconds `json:"lease_s"`
+	GangWait          Seconds `json:"gang_wait_s"`
+	GangPeer          Seconds `json:"gang_peer_s"`
+	Cancel            Seconds `json:"cancel_s"`
 }
 
 // State is what the state service bears.
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -178,12 +178,12 @@
 		a.CommandSeq = 0
 	}
 	if a.State() == fleet.Sent || m.Session == 0 {
-		return // goes with the next report's response, once it is there
+		return // goes with the next heartbeat's response, once it is there
 	}
 	e.direct(m, fleet.Command{Op: fleet.Stop, Ref: a.Ref, Task: a.Task, Attempt: a.Number, Grace: grace})
 }
 
-// direct sends a command to a worker at once, outside the answers to its reports. Only
+// direct sends a command to a worker at once, outside the answers to its heartbeats. Only
 // stops go this way: they name their attempt and are harmless late (docs/design.md, safety
 // argument 7).
 func (e *Engine) direct(m *fleet.Machine, c fleet.Command) {
@@ -230,7 +230,7 @@
 }
 
 // taskExited handles a reported exit, once.
-func (e *Engine) taskExited(now time.Time, m *fleet.Machine, a *fleet.Attempt, t fleet.TaskReport) {
+func (e *Engine) taskExited(now time.Time, m *fleet.Machine, a *fleet.Attempt, t fleet.TaskStatus) {
 	if a.State() == fleet.Exited {
 		return // reported again, until the worker is told to forget it
 	}
@@ -254,7 +254,7 @@
 	case fleet.CauseError:
 		e.taskFailed(now, m, j, a.Task)
 	case fleet.CauseNoRoom, fleet.CauseBusy:
-		m.HoldUntil = now.Add(min(e.cfg.ReportEvery, maxNoRoomPause))
+		m.HoldUntil = now.Add(min(e.cfg.HeartbeatInterval, maxNoRoomPause))
 		m.DropImage(a.Image)
 	case fleet.CauseUnknown:
 		j.Tasks[a.Task].NotUntil = now.Add(unknownExitPause)
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -12,22 +12,22 @@
 )
 
 // busyFleet is a leader with so many machines, all of them full, and a backlog.
-func busyFleet(machines int) (*Engine, time.Time, []fleet.Report) {
+func busyFleet(machines int) (*Engine, time.Time, []fleet.Heartbeat) {
 	return busyFleetWith(config(), machines)
 }
 
-func busyFleetWith(cfg Config, machines int) (*Engine, time.Time, []fleet.Report) {
+func busyFleetWith(cfg Config, machines int) (*Engine, time.Time, []fleet.Heartbeat) {
 	now := time.Unix(5000, 0)
 	e := New(now, cfg, 2, Snapshot{}, rand.New(rand.NewPCG(1, 1)))
 	e.Step(now, Catalog{placement.Catalog{"big": {Name: "big", CPUs: 8, MemGB: 32, CacheGB: 10, FetchGBPerS: 1, Hourly: 1, Boot: 20 * time.Second, Zones: []string{"a"}}}})
-	reports := make([]fleet.Report, machines)
+	reports := make([]fleet.Heartbeat, machines)
 	for i := range reports {
 		name := fmt.Sprintf("m-%06d", i)
-		reports[i] = fleet.Report{Machine: name, Addr: name, Type: "big", Zone: "a", Session: 1, FencingToken: 1, Notice: -1}
+		reports[i] = fleet.Heartbeat{Machine: name, Addr: name, Type: "big", Zone: "a", Session: 1, FencingToken: 1, Notice: -1}
 	}
-	hear := func(i int) Reply {
+	hear := func(i int) HeartbeatResponse {
 		reports[i].Seq++
-		return *e.Step(now, ReportIn{reports[i]}).Reply
+		return *e.Step(now, HeartbeatReceived{reports[i]}).Response
 	}
 	for i := range reports {
 		hear(i)
@@ -61,7 +61,7 @@
 	return e, now, reports
 }
 
-// An unchanged report costs the same in a large fleet as in a small one.
+// An unchanged heartbeat costs the same in a large fleet as in a small one.
 func BenchmarkReport(b *testing.B) {
 	for _, n := range []int{100, 500, 2000, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -69,7 +69,7 @@
 			for i := 0; b.Loop(); i++ {
 				r := &reports[i%n]
 				r.Seq++
-				e.Step(now, ReportIn{*r})
+				e.Step(now, HeartbeatReceived{*r})
 				e.Batch(now, 30)
 			}
 		})
--- a/internal/core/cancel.go
+++ b/internal/core/cancel.go
@@ -11,10 +11,10 @@
 // before its transaction is sent, whatever this node answers a worker with tells it to
 // stop the job's tasks (CancelAsked; TestCancelAskedStopsFirst), or, if an earlier
 // leader's was confirmed, from this leader's first answer on (New;
-// TestFirstAnswerStopsCancelled). So a 200 that doesn't say so answers a report that was
+// TestFirstAnswerStopsCancelled). So a 200 that doesn't say so answers a heartbeat that was
 // sent before the confirmation, and the worker's lease, which counts from there, ends
 // within CancelBound of it, whatever happens next: hangs and delayed answers don't
-// prolong it, since it counts from the report and runs on while a machine hangs.
+// prolong it, since it counts from the heartbeat and runs on while a machine hangs.
 
 // CancelBound is how long after its confirmation a cancelled task may be on its machine
 // at the most: the worker's lease, the drift of two clocks, and the steps of timers.
--- a/internal/core/cancel_test.go
+++ b/internal/core/cancel_test.go
@@ -8,7 +8,7 @@
 	"gingertally/internal/core/pipeline"
 )
 
-func stops(r Reply) (n int) {
+func stops(r HeartbeatResponse) (n int) {
 	for _, c := range r.Commands {
 		if c.Op == fleet.Stop && c.Grace == 0 {
 			n++
@@ -30,7 +30,7 @@
 	if r := b.report("m-1", 2, running(c)); stops(r) != 1 {
 		t.Fatalf("a 200 without the stop: %+v", r)
 	}
-	stopped := fleet.TaskReport{Ref: c.Ref, Task: c.Task, Attempt: c.Attempt, State: fleet.Exited, Cause: fleet.CauseStopped}
+	stopped := fleet.TaskStatus{Ref: c.Ref, Task: c.Task, Attempt: c.Attempt, State: fleet.Exited, Cause: fleet.CauseStopped}
 	b.report("m-1", 2, stopped)
 	b.pass(5*time.Second, true)
 	if r := b.report("m-1", 2); len(starts(r)) != 0 {
@@ -106,7 +106,7 @@
 		t.Fatal("a running task counts as gone")
 	}
 	b.e.Step(b.now, CancelOutcome{Ref: "j-1", PutOff: true})
-	b.report("m-1", 2, fleet.TaskReport{Ref: c.Ref, Task: c.Task, Attempt: c.Attempt, State: fleet.Exited, Cause: fleet.CauseStopped})
+	b.report("m-1", 2, fleet.TaskStatus{Ref: c.Ref, Task: c.Task, Attempt: c.Attempt, State: fleet.Exited, Cause: fleet.CauseStopped})
 	b.pass(10*time.Second, true)
 	if r := b.report("m-1", 2); len(starts(r)) != 0 || b.e.MayBeOnMachines("j-1") {
 		t.Fatalf("started again before its user has asked again: %+v", r)
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -7,7 +7,7 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// commands is what the worker is told in answer to the report just heard: first
+// commands is what the worker is told in answer to the heartbeat just heard: first
 // what it may forget, then stops, then starts.
 func (e *Engine) commands(now time.Time, m *fleet.Machine) []fleet.Command {
 	m.OneWayLoss.Expecting = m.FencingToken != e.term
@@ -52,7 +52,7 @@
 	return j != nil && j.Urgency <= pipeline.High
 }
 
-// startSent notes that an attempt's start goes out with the answer to the newest report.
+// startSent notes that an attempt's start goes out with the answer to the newest heartbeat.
 func (e *Engine) startSent(now time.Time, m *fleet.Machine, a *fleet.Attempt) {
 	a.CommandSeq = m.Seq
 	if j := e.jobs[a.Ref]; j != nil && !j.Started && !j.StartSent {
--- a/internal/core/connectivity.go
+++ b/internal/core/connectivity.go
@@ -6,14 +6,14 @@
 	"gingertally/internal/core/fleet"
 )
 
-// delivery is what a report shows about the answers that its machine was sent.
+// delivery is what a heartbeat shows about the answers that its machine was sent.
 type delivery struct {
 	delivered   bool // an answer has shown its effect
 	undelivered bool // an answer should have, and hasn't
 }
 
-// detectOneWayLoss looks in a report for traces of what the machine was last told.
-func (e *Engine) detectOneWayLoss(now time.Time, m *fleet.Machine, r *fleet.Report, leaseEnded bool) {
+// detectOneWayLoss looks in a heartbeat for traces of what the machine was last told.
+func (e *Engine) detectOneWayLoss(now time.Time, m *fleet.Machine, r *fleet.Heartbeat, leaseEnded bool) {
 	switch d := e.deliveryShown(now, m, r, leaseEnded); {
 	case d.delivered:
 		if m.OneWayLoss.Undelivered > 1 {
@@ -22,7 +22,7 @@
 		m.OneWayLoss.NoteDelivered()
 		delete(e.unreachable, m)
 	case d.undelivered:
-		if e.answersLate(now) || now.Sub(m.OneWayLoss.LastUndelivered) < e.cfg.ReportEvery/2 {
+		if e.answersLate(now) || now.Sub(m.OneWayLoss.LastUndelivered) < e.cfg.HeartbeatInterval/2 {
 			return
 		}
 		m.OneWayLoss.NoteUndelivered(now)
@@ -46,13 +46,13 @@
 // being late, or that meet reports held back and delivered together, are no sign that a
 // machine hears nothing (TestSlowLeaderReleasesNone, TestReportsDeliveredTogether).
 func (e *Engine) answersLate(now time.Time) bool {
-	return now.Sub(e.lastTick) > lateTick || now.Sub(e.laggedAt) < answerTimeout+e.cfg.ReportEvery
+	return now.Sub(e.lastTick) > lateTick || now.Sub(e.laggedAt) < answerTimeout+e.cfg.HeartbeatInterval
 }
 
-// deliveryShown compares a report with the commands and the fencing token that the machine was
-// last told. LeaseEnded says that the worker's lease has ended although its reports
+// deliveryShown compares a heartbeat with the commands and the fencing token that the machine was
+// last told. LeaseEnded says that the worker's lease has ended although its heartbeats
 // were answered.
-func (e *Engine) deliveryShown(now time.Time, m *fleet.Machine, r *fleet.Report, leaseEnded bool) delivery {
+func (e *Engine) deliveryShown(now time.Time, m *fleet.Machine, r *fleet.Heartbeat, leaseEnded bool) delivery {
 	d := delivery{
 		delivered:   r.Session == m.Session && m.OneWayLoss.MustHaveDelivered(now, e.cfg.Lease),
 		undelivered: leaseEnded,
--- a/internal/core/consolidate_test.go
+++ b/internal/core/consolidate_test.go
@@ -56,8 +56,8 @@
 	return emptied
 }
 
-// runAll are the reports of the tasks that a reply starts, as running.
-func runAll(r Reply) (out []fleet.TaskReport) {
+// runAll are the heartbeats of the tasks that a reply starts, as running.
+func runAll(r HeartbeatResponse) (out []fleet.TaskStatus) {
 	for _, c := range starts(r) {
 		out = append(out, running(c))
 	}
--- a/internal/core/decide.go
+++ b/internal/core/decide.go
@@ -45,7 +45,7 @@
 	looked := 0
 	lowest, teams := e.runningWork()
 	b := &placement.Board{
-		Now: now, Queue: e.priorityOrder(now), FreeCapacity: &e.freeCapacity, SecondsPerDollarHour: e.cfg.Weights.SecondsPerDollarHour, ReportEvery: e.cfg.ReportEvery, GangSlack: max(0, e.cfg.GangWait-e.cfg.ReportEvery*5/4),
+		Now: now, Queue: e.priorityOrder(now), FreeCapacity: &e.freeCapacity, SecondsPerDollarHour: e.cfg.Weights.SecondsPerDollarHour, HeartbeatInterval: e.cfg.HeartbeatInterval, GangSlack: max(0, e.cfg.GangWait-e.cfg.HeartbeatInterval*5/4),
 		Team:    func(name string) placement.Team { return e.cfg.Teams[name] },
 		Usage:   func(team string) fleet.Amount { return e.teamUse[team] },
 		InZones: func(ref string) map[string]int { return e.useOf(ref).zones },
@@ -142,7 +142,7 @@
 }
 
 // slowBoot is after how long a machine that boots no longer counts as coming.
-func (e *Engine) slowBoot(t *placement.Type) time.Duration { return 2*t.Boot + e.cfg.ReportEvery }
+func (e *Engine) slowBoot(t *placement.Type) time.Duration { return 2*t.Boot + e.cfg.HeartbeatInterval }
 
 func hasForeign(m *fleet.Machine) bool {
 	for _, a := range m.Tasks {
@@ -171,7 +171,7 @@
 
 // rent asks for machines for work that nothing has room for.
 func (e *Engine) rent(now time.Time, demand []capacity.Demand) {
-	if now.Sub(e.started) < e.cfg.ReportEvery*5/4 {
+	if now.Sub(e.started) < e.cfg.HeartbeatInterval*5/4 {
 		return // machines may be there that haven't been heard of yet
 	}
 	e.recovery.Pacer().Take(true) // bulk starts wait for it, not the other way round
--- a/internal/core/dependents.go
+++ b/internal/core/dependents.go
@@ -71,7 +71,7 @@
 
 // stageOverhead is what a job on a path of dependencies takes besides the run of its tasks:
 // until the end of its last dependency is written, and until machines fetch their commands.
-func (e *Engine) stageOverhead() time.Duration { return e.cfg.ReportEvery/2 + time.Second }
+func (e *Engine) stageOverhead() time.Duration { return e.cfg.HeartbeatInterval/2 + time.Second }
 
 // expectedDuration is how long a job is expected to take once it is ready: its tasks' run
 // with a quarter to spare, the fetch of its image, and the overhead of a stage
--- a/internal/core/dependents_test.go
+++ b/internal/core/dependents_test.go
@@ -18,8 +18,8 @@
 }
 
 // finish has a machine report the end of what it was told to start.
-func (b *bench) finish(machine string, c fleet.Command) Reply {
-	return b.report(machine, b.e.term, fleet.TaskReport{Ref: c.Ref, Task: c.Task, Attempt: c.Attempt, State: fleet.Exited, Cause: fleet.CauseDone})
+func (b *bench) finish(machine string, c fleet.Command) HeartbeatResponse {
+	return b.report(machine, b.e.term, fleet.TaskStatus{Ref: c.Ref, Task: c.Task, Attempt: c.Attempt, State: fleet.Exited, Cause: fleet.CauseDone})
 }
 
 // A job starts only once the store holds that the job before it is done: until
@@ -128,7 +128,7 @@
 // the new leader hasn't yet learnt that it was.
 func TestResultsOfAJobStartedBefore(t *testing.T) {
 	b := newBench(t, 2, Snapshot{Jobs: []StoredJob{after("j-1", "j-0")}, Pages: []StoredPage{page("1-1", "m-1", 1<<attemptBits)}})
-	b.report("m-1", 0, fleet.TaskReport{Ref: "j-1", Attempt: 1 << attemptBits, State: fleet.Running})
+	b.report("m-1", 0, fleet.TaskStatus{Ref: "j-1", Attempt: 1 << attemptBits, State: fleet.Running})
 	b.finish("m-1", fleet.Command{Ref: "j-1", Attempt: 1 << attemptBits})
 	if f, ok := b.ended("j-1"); !ok || f.Phase != pipeline.Done {
 		t.Fatalf("%+v, %v", f, ok)
--- a/internal/core/drain_bench_test.go
+++ b/internal/core/drain_bench_test.go
@@ -10,7 +10,7 @@
 	"gingertally/internal/drain"
 )
 
-// The cost of a tick with its round, and of a report, in a full fleet: with drains off, on, and
+// The cost of a tick with its round, and of a heartbeat, in a full fleet: with drains off, on, and
 // with all machines in a plan, a tenth of them cordoned and under budgets that let little go.
 func BenchmarkDrain(b *testing.B) {
 	for _, machines := range []int{500, 4000} {
@@ -27,7 +27,7 @@
 				for i := 0; b.Loop(); i++ {
 					r := &reports[i%machines]
 					r.Seq++
-					e.Step(now, ReportIn{*r})
+					e.Step(now, HeartbeatReceived{*r})
 				}
 			})
 		}
@@ -35,7 +35,7 @@
 }
 
 // drainedFleet is a full fleet in one of the modes of BenchmarkDrain.
-func drainedFleet(machines int, mode string) (*Engine, time.Time, []fleet.Report) {
+func drainedFleet(machines int, mode string) (*Engine, time.Time, []fleet.Heartbeat) {
 	cfg := config()
 	switch mode {
 	case "off":
--- a/internal/core/drain_eviction.go
+++ b/internal/core/drain_eviction.go
@@ -51,7 +51,7 @@
 		seen[a.Ref] = true
 		attempts := e.interruptedWith(j, a)
 		switch {
-		case !allReported(attempts):
+		case !allObserved(attempts):
 			work.gangStarting = work.gangStarting || isGang(j)
 		case anyLeaving(attempts):
 		default:
@@ -64,7 +64,7 @@
 // isGang tells whether a job's tasks are stopped together.
 func isGang(j *pipeline.Job) bool { return j.Shape == pipeline.Gang && len(j.Tasks) > 1 }
 
-func allReported(attempts []*fleet.Attempt) bool {
+func allObserved(attempts []*fleet.Attempt) bool {
 	for _, a := range attempts {
 		if a.State() < fleet.Fetching {
 			return false
--- a/internal/core/drain_harness_test.go
+++ b/internal/core/drain_harness_test.go
@@ -18,7 +18,7 @@
 	down   bool // the store takes nothing
 	pages  []StoredPage
 	jobs   []StoredJob
-	on     map[string][]fleet.TaskReport // what runs on each machine
+	on     map[string][]fleet.TaskStatus // what runs on each machine
 	evicts int                           // stops that machines were told
 	rents  []Rent
 }
@@ -31,7 +31,7 @@
 }
 
 func newDrainBench(t *testing.T, cfg Config, jobs ...StoredJob) *drainBench {
-	d := &drainBench{cfg: cfg, jobs: jobs, on: map[string][]fleet.TaskReport{}}
+	d := &drainBench{cfg: cfg, jobs: jobs, on: map[string][]fleet.TaskStatus{}}
 	d.bench = newBenchWith(t, cfg, 2, Snapshot{Jobs: jobs})
 	return d
 }
@@ -207,7 +207,7 @@
 // there brings a machine up.
 func (d *drainBench) there(names ...string) {
 	for _, name := range names {
-		d.on[name] = []fleet.TaskReport{}
+		d.on[name] = []fleet.TaskStatus{}
 		d.up(name)
 	}
 }
--- a/internal/core/drain_round.go
+++ b/internal/core/drain_round.go
@@ -47,7 +47,7 @@
 // machinesComplete tells whether all machines that exist are known: the cloud's list was read
 // often enough under this term for even the latest to be on it.
 func (e *Engine) machinesComplete(now time.Time) bool {
-	wait := 2*e.cfg.ListLag + e.cfg.ReportEvery
+	wait := 2*e.cfg.ListLag + e.cfg.HeartbeatInterval
 	return !e.lastList.IsZero() && e.lastList.Sub(e.started) > wait && e.settled(now)
 }
 
@@ -89,7 +89,7 @@
 // without hope of leaving by a plan's deadline, or waits for long.
 func (e *Engine) mayCordon(now time.Time, m *fleet.Machine, deadline time.Time) drain.Verdict {
 	if m.State() != fleet.Live || m.Draining {
-		return drain.Verdict{Kind: drain.NotYet, Cause: drain.CauseUnheard}
+		return drain.Verdict{Kind: drain.NotYet, Cause: drain.CauseAwaitingHeartbeat}
 	}
 	work := e.workOn(now, m)
 	if work.gangStarting {
@@ -129,7 +129,7 @@
 	notYet := func(cause drain.Cause) drain.Verdict { return drain.Verdict{Kind: drain.NotYet, Cause: cause} }
 	switch {
 	case m.State() != fleet.Live:
-		return notYet(drain.CauseUnheard)
+		return notYet(drain.CauseAwaitingHeartbeat)
 	case !dm.CordonStored():
 		return notYet(drain.CauseNotStored)
 	case c.PlanPhase(dm) == drain.Paused:
--- a/internal/core/draining_test.go
+++ b/internal/core/draining_test.go
@@ -163,7 +163,7 @@
 }
 
 // A cordoned machine gets no start, under this leader and under the next; a drained one that
-// turns up again, as listed late or by a late report, gets none either.
+// turns up again, as listed late or by a late heartbeat, gets none either.
 func TestNoStartOnDrainedMachine(t *testing.T) {
 	d := newDrainBench(t, drainConfig(nil), longJob("j-1", "t", 1))
 	d.there("m-1")
@@ -267,7 +267,7 @@
 	}
 	b.report("m-1", 2, on...)
 	b.up("m-2")
-	old := fleet.TaskReport{Ref: "j-1", Task: 0, Attempt: 1 << attemptBits, State: fleet.Running}
+	old := fleet.TaskStatus{Ref: "j-1", Task: 0, Attempt: 1 << attemptBits, State: fleet.Running}
 	b.report("m-2", 2, old)
 	b.report("m-2", 2) // it is gone
 	for _, c := range b.report("m-1", 2, on...).Commands {
@@ -375,7 +375,7 @@
 	b := newBench(t, 2, Snapshot{Jobs: []StoredJob{service}})
 	for name, zone := range map[string]string{"m-1": "a", "m-2": "b"} {
 		for seq := uint64(1); seq <= 2; seq++ {
-			b.e.Step(b.now, ReportIn{fleet.Report{Machine: name, Addr: name, Type: "big", Zone: zone, Session: 1, Seq: seq, FencingToken: 2 * (seq - 1), Notice: -1}})
+			b.e.Step(b.now, HeartbeatReceived{fleet.Heartbeat{Machine: name, Addr: name, Type: "big", Zone: zone, Session: 1, Seq: seq, FencingToken: 2 * (seq - 1), Notice: -1}})
 		}
 	}
 	b.pass(6*time.Second, true)
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -20,24 +20,24 @@
 
 // Config is what the core needs of the settings.
 type Config struct {
-	Teams        map[string]placement.Team
-	Aims         map[string][]Aim // by class of jobs
-	ReportEvery  time.Duration
-	Lease        time.Duration
-	CancelWithin time.Duration
-	GangWait     time.Duration // how long a gang's task waits for the others
-	ListLag      time.Duration
-	RestartLimit int                  // bad exits of a task before it is held back
-	BatchEvery   time.Duration        // how often partial progress is written
-	MaxPerValue  int                  // bytes that one value in the store may have
-	WriteRate    float64              // changes a second that the leader may make; 0: unknown
-	RoundBudget  int                  // tasks looked at in one round of decisions
-	Weights      Weights              // of money against lateness
-	Debug        bool                 // notes at debug level are wanted
-	Pace         recovery.PaceOptions // of orders at the start of a term
-	Admission    bool                 // the backlog is to be measured, see Load
-	WarmState    bool                 // changes of the warm state are to be noted, see WarmChanges
-	Drain        *drain.Policy        // disruption budgets; nil: operators' drains are off
+	Teams             map[string]placement.Team
+	Aims              map[string][]Aim // by class of jobs
+	HeartbeatInterval time.Duration
+	Lease             time.Duration
+	CancelWithin      time.Duration
+	GangWait          time.Duration // how long a gang's task waits for the others
+	ListLag           time.Duration
+	RestartLimit      int                  // bad exits of a task before it is held back
+	BatchEvery        time.Duration        // how often partial progress is written
+	MaxPerValue       int                  // bytes that one value in the store may have
+	WriteRate         float64              // changes a second that the leader may make; 0: unknown
+	RoundBudget       int                  // tasks looked at in one round of decisions
+	Weights           Weights              // of money against lateness
+	Debug             bool                 // notes at debug level are wanted
+	Pace              recovery.PaceOptions // of orders at the start of a term
+	Admission         bool                 // the backlog is to be measured, see Load
+	WarmState         bool                 // changes of the warm state are to be noted, see WarmChanges
+	Drain             *drain.Policy        // disruption budgets; nil: operators' drains are off
 }
 
 // Weights say what money is worth against lateness.
@@ -135,11 +135,11 @@
 	warmOutcome WarmOutcome
 }
 
-// Reply answers a report.
-type Reply struct {
-	OK           bool // 200; otherwise the report is refused with 503
+// HeartbeatResponse answers a heartbeat.
+type HeartbeatResponse struct {
+	OK           bool // 200; otherwise the heartbeat is refused with 503
 	FencingToken uint64
-	Hold         bool // worth holding for a moment, then to be completed by Collect
+	Held         bool // worth holding for a moment, then to be completed by Collect
 	Commands     []fleet.Command
 }
 
@@ -168,12 +168,12 @@
 
 // Effects is what a step wants done.
 type Effects struct {
-	Reply   *Reply
-	Direct  []Direct
-	Rent    []Rent
-	Release [][]string
-	Drains  []drain.PlanWrite // plans of drains whose records are to be written
-	Deposed bool              // a higher term exists
+	Response *HeartbeatResponse
+	Direct   []Direct
+	Rent     []Rent
+	Release  [][]string
+	Drains   []drain.PlanWrite // plans of drains whose records are to be written
+	Deposed  bool              // a higher term exists
 	// HigherFencingToken is the fencing token that a worker has seen, if that is why.
 	HigherFencingToken uint64
 	Resign             string // if not empty, why this term has to end; another one can go on
@@ -239,7 +239,7 @@
 		waits:         startWaits{},
 		replan:        true,
 	}
-	e.recovery = recovery.New(now, recovery.Options{ReportEvery: cfg.ReportEvery, RestoredBound: fleet.LeaseBound(cfg.Lease), FirstTerm: term <= 1, Pace: cfg.Pace})
+	e.recovery = recovery.New(now, recovery.Options{HeartbeatInterval: cfg.HeartbeatInterval, RestoredBound: fleet.LeaseBound(cfg.Lease), FirstTerm: term <= 1, Pace: cfg.Pace})
 	if snap.Restored {
 		e.recovery.Restored()
 		e.note("the state service was restored from an older copy")
@@ -348,7 +348,7 @@
 func (Resumed) apply(e *Engine, now time.Time) {
 	for _, m := range e.machines {
 		if m.State() == fleet.Live || m.State() == fleet.Silent || m.State() == fleet.Unheard {
-			m.LastHeard = now
+			m.LastHeartbeat = now
 		}
 	}
 }
--- a/internal/core/estimates.go
+++ b/internal/core/estimates.go
@@ -110,7 +110,7 @@
 func (e *Engine) endOf(now time.Time, a *fleet.Attempt) time.Time {
 	j := e.jobs[a.Ref]
 	if a.Stopping {
-		return a.StopAt.Add(a.Grace + e.cfg.ReportEvery)
+		return a.StopAt.Add(a.Grace + e.cfg.HeartbeatInterval)
 	}
 	if j == nil {
 		return now.Add(overdue)
--- a/internal/core/fleet/attempt.go
+++ b/internal/core/fleet/attempt.go
@@ -10,7 +10,7 @@
 const (
 	Intended TaskState = iota // decided; the store doesn't hold it yet
 	Recorded                  // the store holds that it may be on the machine
-	Sent                      // the start went out in a report's response
+	Sent                      // the start went out in a heartbeat's response
 	Fetching
 	WaitingForGang
 	Running
@@ -21,7 +21,7 @@
 // Eviction is how far the eviction of an attempt by a drain is.
 type Eviction uint8
 
-// Stages of an eviction. It goes out only in the answer to a report, which no machine carries
+// Stages of an eviction. It goes out only in the answer to a heartbeat, which no machine carries
 // out late.
 const (
 	NotEvicted       Eviction = iota
@@ -45,9 +45,9 @@
 	GPUs       float64
 	MemGB      float64
 	Image      string
-	Inherited  bool   // from an earlier term: only a report under this term's fencing token proves it gone
+	Inherited  bool   // from an earlier term: only a heartbeat under this term's fencing token proves it gone
 	Foreign    bool   // not wanted here; stopped and never counted as a result of ours
-	CommandSeq uint64 // the report in whose answer the machine last got a command about it
+	CommandSeq uint64 // the heartbeat in whose answer the machine last got a command about it
 
 	state    TaskState
 	Since    time.Time // when it entered its state
--- a/internal/core/fleet/connectivity_test.go
+++ b/internal/core/fleet/connectivity_test.go
@@ -45,9 +45,9 @@
 // Stale reports show a restart only if they rise steadily, three at the least, for long
 // enough; a copy in between restarts the count.
 func TestStaleReportsShowRestart(t *testing.T) {
-	var s StaleReports
+	var s StaleHeartbeats
 	note := func(second int, seq uint64) bool {
-		return s.NoteStale(at(second), &Report{Session: 1, Seq: seq}, 3*time.Second)
+		return s.NoteStale(at(second), &Heartbeat{Session: 1, Seq: seq}, 3*time.Second)
 	}
 	if note(0, 1) || note(3, 2) {
 		t.Fatal("restarted after two reports")
--- a/internal/core/fleet/lease.go
+++ b/internal/core/fleet/lease.go
@@ -10,7 +10,7 @@
 	timerSlack = time.Second
 )
 
-// LeaseBound is how long after a report was answered its worker's lease has ended at the
+// LeaseBound is how long after a heartbeat was answered its worker's lease has ended at the
 // latest, by our clock.
 func LeaseBound(lease time.Duration) time.Duration {
 	return lease + lease/clockDriftPart + timerSlack
--- a/internal/core/fleet/machine.go
+++ b/internal/core/fleet/machine.go
@@ -31,15 +31,15 @@
 	state                  MachineState
 
 	// Reports and answers.
-	Session, Seq, FencingToken uint64       // of its newest report, see Epoch
-	Expected                   bool         // not heard of under this term, but the leader before was, shortly before its end
-	FencingTokenSent           bool         // was sent this term's fencing token
-	Confirmed                  bool         // has reported with this term's fencing token, or never held anything of an earlier term
-	LastHeard                  time.Time    // when its newest report arrived
-	LeaseBase                  time.Time    // no 200 was sent to it after this
-	AnswerHeld                 bool         // what is placed now goes with the answer to its last report
-	OneWayLoss                 OneWayLoss   // whether it receives answers
-	StaleReports               StaleReports // reports that aren't newer than the newest one
+	Session, Seq, FencingToken uint64          // of its newest heartbeat, see Epoch
+	Expected                   bool            // not heard of under this term, but the leader before was, shortly before its end
+	FencingTokenSent           bool            // was sent this term's fencing token
+	Confirmed                  bool            // has reported with this term's fencing token, or never held anything of an earlier term
+	LastHeartbeat              time.Time       // when its newest heartbeat arrived
+	LeaseBase                  time.Time       // no 200 was sent to it after this
+	ResponseHeld               bool            // what is placed now goes with the answer to its last heartbeat
+	OneWayLoss                 OneWayLoss      // whether it receives answers
+	StaleHeartbeats            StaleHeartbeats // reports that aren't newer than the newest one
 
 	// Its life.
 	FirstSeen     time.Time
@@ -110,17 +110,17 @@
 	return true
 }
 
-// AnswerIn is after how long the machine's next report is expected, whose answer
+// NextResponseIn is after how long the machine's next heartbeat is expected, whose answer
 // can start something there.
-func (m *Machine) AnswerIn(now time.Time, every time.Duration) time.Duration {
-	if m.AnswerHeld {
+func (m *Machine) NextResponseIn(now time.Time, every time.Duration) time.Duration {
+	if m.ResponseHeld {
 		return 0
 	}
-	return max(0, every-now.Sub(m.LastHeard))
+	return max(0, every-now.Sub(m.LastHeartbeat))
 }
 
-// Newer tells whether a report is newer than all that have been taken in.
-func (m *Machine) Newer(r *Report) bool { return r.Epoch().After(m.Epoch()) }
+// Newer tells whether a heartbeat is newer than all that have been taken in.
+func (m *Machine) Newer(r *Heartbeat) bool { return r.Epoch().After(m.Epoch()) }
 
 // LeaseOver tells whether the worker's lease has certainly ended: nobody can have
 // answered it after LeaseBase, and the drift of the two clocks is allowed for
--- a/internal/core/fleet/messages.go
+++ b/internal/core/fleet/messages.go
@@ -37,8 +37,8 @@
 	Grace   time.Duration
 }
 
-// TaskReport is one task in a worker's report.
-type TaskReport struct {
+// TaskStatus is one task in a worker's heartbeat.
+type TaskStatus struct {
 	Ref     string
 	Task    int
 	Attempt uint64
@@ -47,11 +47,11 @@
 	Saved   bool
 }
 
-// Report is a worker's report.
-type Report struct {
+// Heartbeat is a worker's heartbeat.
+type Heartbeat struct {
 	Machine, Addr, Type, Zone  string
 	Spot                       bool
 	Session, Seq, FencingToken uint64
 	Notice                     time.Duration // negative: none
-	Tasks                      []TaskReport
+	Tasks                      []TaskStatus
 }
--- a/internal/core/fleet/one_way_loss.go
+++ b/internal/core/fleet/one_way_loss.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// OneWayLoss detects one-way loss of connectivity: a machine's reports arrive, but the
-// answers to them don't. The signs are commands of which the next report shows no
-// trace, and a worker's lease that ends although its reports were answered. It only
+// OneWayLoss detects one-way loss of connectivity: a machine's heartbeats arrive, but the
+// answers to them don't. The signs are commands of which the next heartbeat shows no
+// trace, and a worker's lease that ends although its heartbeats were answered. It only
 // withholds starts; it never proves an attempt gone (docs/design.md, safety argument
 // 6; TestOneWayLoss, TestOneWayLossEnds).
 type OneWayLoss struct {
-	Expecting        bool      // the last answer asked for something that the next report must show
+	Expecting        bool      // the last answer asked for something that the next heartbeat must show
 	FirstUndelivered time.Time // when the present run of undelivered answers was first noticed; zero: none
 	LastUndelivered  time.Time // when the latest of them was noticed
 	Undelivered      int       // answers in a row that were not delivered
--- a/internal/core/fleet_size_test.go
+++ b/internal/core/fleet_size_test.go
@@ -40,7 +40,7 @@
 	}
 	b := newBench(t, 2, Snapshot{Jobs: jobs})
 	pages := storedPages{}
-	tasks := map[string][]fleet.TaskReport{}
+	tasks := map[string][]fleet.TaskStatus{}
 	names := make([]string, largeFleet)
 	for i := range names {
 		names[i] = fmt.Sprintf("m-%06d", i)
@@ -48,10 +48,10 @@
 	report := func(term uint64) {
 		for _, name := range names {
 			b.seq[name]++
-			r := fleet.Report{Machine: name, Addr: name, Type: "big", Zone: "a", Session: 1, Seq: b.seq[name], FencingToken: term, Notice: -1, Tasks: tasks[name]}
-			reply := b.e.Step(b.now, ReportIn{r}).Reply
-			if reply.Hold {
-				reply = b.e.Step(b.now.Add(maxReplyHold+time.Second), Collect{r}).Reply
+			r := fleet.Heartbeat{Machine: name, Addr: name, Type: "big", Zone: "a", Session: 1, Seq: b.seq[name], FencingToken: term, Notice: -1, Tasks: tasks[name]}
+			reply := b.e.Step(b.now, HeartbeatReceived{r}).Response
+			if reply.Held {
+				reply = b.e.Step(b.now.Add(maxResponseHold+time.Second), HeldResponseDue{r}).Response
 			}
 			for _, c := range starts(*reply) {
 				tasks[name] = append(tasks[name], running(c))
--- a/internal/core/reports.go
+++ b/internal/core/heartbeats.go
@@ -9,12 +9,12 @@
 	"gingertally/internal/recovery"
 )
 
-// ReportIn brings a worker's report; its Reply is in the effects.
-type ReportIn struct{ Report fleet.Report }
+// HeartbeatReceived brings a worker's heartbeat; its Reply is in the effects.
+type HeartbeatReceived struct{ Heartbeat fleet.Heartbeat }
 
-func (r ReportIn) apply(e *Engine, now time.Time) {
-	rep := r.Report
-	e.out.Reply = &Reply{}
+func (r HeartbeatReceived) apply(e *Engine, now time.Time) {
+	rep := r.Heartbeat
+	e.out.Response = &HeartbeatResponse{}
 	if rep.FencingToken > e.term {
 		e.out.Deposed, e.out.HigherFencingToken = true, rep.FencingToken
 		return
@@ -35,56 +35,56 @@
 		return
 	}
 	if !m.Newer(&rep) {
-		e.staleReport(now, m, &rep)
+		e.staleHeartbeat(now, m, &rep)
 		return // a stale copy proves nothing and must not renew the lease
 	}
 	busy := m.Busy()
-	e.applyReport(now, m, &rep)
+	e.applyHeartbeat(now, m, &rep)
 	// Room has become free, or a new leader is about to place: a start decided now
-	// would otherwise wait for the worker's next report.
+	// would otherwise wait for the worker's next heartbeat.
 	startExpected := m.Busy() < busy || e.emptyUnderNewLeader(now, m)
-	e.reply(now, m, startExpected && e.mayStart(m))
+	e.respond(now, m, startExpected && e.mayStart(m))
 	m.LeaseBase = now
 }
 
-// reply answers the newest report of a machine with 200, at once or after a hold.
-func (e *Engine) reply(now time.Time, m *fleet.Machine, hold bool) {
-	m.AnswerHeld, m.FencingTokenSent = hold, true
-	e.out.Reply = &Reply{OK: true, FencingToken: e.term, Hold: hold}
+// respond answers the newest heartbeat of a machine with 200, at once or after a hold.
+func (e *Engine) respond(now time.Time, m *fleet.Machine, hold bool) {
+	m.ResponseHeld, m.FencingTokenSent = hold, true
+	e.out.Response = &HeartbeatResponse{OK: true, FencingToken: e.term, Held: hold}
 	if !hold {
-		e.out.Reply.Commands = e.commands(now, m)
+		e.out.Response.Commands = e.commands(now, m)
 	}
 }
 
-// staleReport handles a report that isn't newer than all known ones. Mostly it is a
-// late or duplicate copy. If such reports rise steadily while nothing newer comes, the
+// staleHeartbeat handles a heartbeat that isn't newer than all known ones. Mostly it is a
+// late or duplicate copy. If such heartbeats rise steadily while nothing newer comes, the
 // machine's worker has restarted and counts from one again: all that was there is
-// lost, and since nothing tells its reports from copies, the machine is released.
-func (e *Engine) staleReport(now time.Time, m *fleet.Machine, r *fleet.Report) {
-	restarted := m.StaleReports.NoteStale(now, r, e.cfg.ReportEvery)
-	if restarted && now.Sub(m.LastHeard) > e.silentAfter() {
+// lost, and since nothing tells its heartbeats from copies, the machine is released.
+func (e *Engine) staleHeartbeat(now time.Time, m *fleet.Machine, r *fleet.Heartbeat) {
+	restarted := m.StaleHeartbeats.NoteStale(now, r, e.cfg.HeartbeatInterval)
+	if restarted && now.Sub(m.LastHeartbeat) > e.silentAfter() {
 		e.release(now, m, "started anew")
 	}
 }
 
-// emptyUnderNewLeader tells whether a machine is empty in the first report period of a
+// emptyUnderNewLeader tells whether a machine is empty in the first heartbeat interval of a
 // leader, which then has much to place at once, and which doesn't lag (docs/design.md,
 // "Safety arguments", last paragraph; TestNewLeaderHoldsAnswers).
 func (e *Engine) emptyUnderNewLeader(now time.Time, m *fleet.Machine) bool {
-	return len(m.Tasks) == 0 && now.Sub(e.started) < e.cfg.ReportEvery && now.Sub(e.lastTick) < maxTickLag
+	return len(m.Tasks) == 0 && now.Sub(e.started) < e.cfg.HeartbeatInterval && now.Sub(e.lastTick) < maxTickLag
 }
 
-// maxReplyHold is how long a reply may be held in all, maxTickLag how late a tick may be
+// maxResponseHold is how long a reply may be held in all, maxTickLag how late a tick may be
 // while replies are held.
 const (
-	maxReplyHold = 2 * time.Second
-	maxTickLag   = 300 * time.Millisecond
+	maxResponseHold = 2 * time.Second
+	maxTickLag      = 300 * time.Millisecond
 )
 
-// keepHolding tells whether a reply that was held had better be held once more: the
+// keepHeld tells whether a reply that was held had better be held once more: the
 // machine is still empty, or what was placed there isn't written yet.
-func (e *Engine) keepHolding(now time.Time, m *fleet.Machine) bool {
-	if !e.mayStart(m) || now.Sub(m.LastHeard) > maxReplyHold {
+func (e *Engine) keepHeld(now time.Time, m *fleet.Machine) bool {
+	if !e.mayStart(m) || now.Sub(m.LastHeartbeat) > maxResponseHold {
 		return false
 	}
 	for _, a := range m.Tasks {
@@ -95,22 +95,22 @@
 	return e.emptyUnderNewLeader(now, m)
 }
 
-// Collect completes the reply to a report that was held for a moment.
-type Collect struct{ Report fleet.Report }
+// HeldResponseDue completes the reply to a heartbeat that was held for a moment.
+type HeldResponseDue struct{ Heartbeat fleet.Heartbeat }
 
-func (c Collect) apply(e *Engine, now time.Time) {
-	e.out.Reply = &Reply{}
-	m := e.machines[c.Report.Machine]
-	if m == nil || m.Session != c.Report.Session || m.Seq != c.Report.Seq {
-		return // a newer report has come; only its answer may start anything
+func (c HeldResponseDue) apply(e *Engine, now time.Time) {
+	e.out.Response = &HeartbeatResponse{}
+	m := e.machines[c.Heartbeat.Machine]
+	if m == nil || m.Session != c.Heartbeat.Session || m.Seq != c.Heartbeat.Seq {
+		return // a newer heartbeat has come; only its answer may start anything
 	}
-	e.reply(now, m, e.keepHolding(now, m))
+	e.respond(now, m, e.keepHeld(now, m))
 }
 
-// applyReport takes in a report that is newer than all before it.
-func (e *Engine) applyReport(now time.Time, m *fleet.Machine, r *fleet.Report) {
+// applyHeartbeat takes in a heartbeat that is newer than all before it.
+func (e *Engine) applyHeartbeat(now time.Time, m *fleet.Machine, r *fleet.Heartbeat) {
 	newSession := r.Session > m.Session || r.Epoch().Restarted(m.Epoch())
-	was, quiet := m.State(), now.Sub(m.LastHeard)
+	was, quiet := m.State(), now.Sub(m.LastHeartbeat)
 	leaseEnded := newSession && was == fleet.Live && quiet < e.cfg.Lease/2
 	if was == fleet.Booting || was == fleet.Silent {
 		m.IdleSince = now // it couldn't be used before
@@ -119,7 +119,7 @@
 		e.note("machine live", "machine", m.Name, "type", m.Type, "zone", m.Zone, "spot", m.Spot, "was", was.String(), "after", now.Sub(m.FirstSeen))
 	}
 	e.detectOneWayLoss(now, m, r, leaseEnded)
-	m.Addr, m.LastHeard = r.Addr, now
+	m.Addr, m.LastHeartbeat = r.Addr, now
 	m.Session, m.Seq, m.FencingToken = r.Session, r.Seq, r.FencingToken
 	if r.FencingToken == e.term && (!m.Confirmed || !m.Known) {
 		m.Confirmed, m.Known = true, true
@@ -129,23 +129,23 @@
 		e.endSession(now, m, r)
 	}
 	for i := range r.Tasks {
-		e.applyTaskReport(now, m, r.FencingToken, r.Tasks[i])
+		e.applyTaskStatus(now, m, r.FencingToken, r.Tasks[i])
 	}
 	if len(m.Tasks) > 0 {
 		e.applyUnlisted(now, m, r)
 	}
 	if r.FencingToken > 0 {
-		e.recovery.Vouch()
+		e.recovery.ConfirmPreviousTerm()
 	}
-	e.recovery.Heard(m.Name, r.FencingToken == e.term, hasForeign(m))
+	e.recovery.HeartbeatReceived(m.Name, r.FencingToken == e.term, hasForeign(m))
 	e.interruptionNotice(now, m, r.Notice)
 }
 
 // endSession takes in that a worker's session has ended: it killed and forgot all that
 // earlier sessions held, also what earlier terms had started. Whatever is there now is in
-// the report's list; of earlier terms' late starts only a confirmed report can speak
+// the heartbeat's list; of earlier terms' late starts only a confirmed heartbeat can speak
 // (docs/design.md, safety argument 5; TestInheritedAttemptNeedsConfirmedReport).
-func (e *Engine) endSession(now time.Time, m *fleet.Machine, r *fleet.Report) {
+func (e *Engine) endSession(now time.Time, m *fleet.Machine, r *fleet.Heartbeat) {
 	for _, a := range sortedAttempts(m) {
 		if a.State() <= fleet.Recorded && !a.Inherited {
 			continue // its start hasn't left, so it belongs to no session yet
@@ -156,8 +156,8 @@
 	}
 }
 
-// listsAttempt tells whether a report names an attempt.
-func listsAttempt(r *fleet.Report, a *fleet.Attempt) bool {
+// listsAttempt tells whether a heartbeat names an attempt.
+func listsAttempt(r *fleet.Heartbeat, a *fleet.Attempt) bool {
 	for i := range r.Tasks {
 		if t := &r.Tasks[i]; t.Attempt == a.Number && t.Task == a.Task && t.Ref == a.Ref {
 			return true
@@ -166,21 +166,21 @@
 	return false
 }
 
-// applyUnlisted deals with attempts that a report doesn't list (docs/design.md, safety
+// applyUnlisted deals with attempts that a heartbeat doesn't list (docs/design.md, safety
 // argument 5; TestDroppedStart, TestOldReportProvesNothing).
-func (e *Engine) applyUnlisted(now time.Time, m *fleet.Machine, r *fleet.Report) {
+func (e *Engine) applyUnlisted(now time.Time, m *fleet.Machine, r *fleet.Heartbeat) {
 	for _, a := range sortedAttempts(m) {
 		if listsAttempt(r, a) {
 			continue
 		}
 		if a.State() == fleet.Exited {
 			e.drop(now, m, a)
-			e.exitNoLongerReported(a)
+			e.exitNoLongerListed(a)
 			continue
 		}
 		finding := recovery.ClassifyUnreported(recovery.UnreportedAttempt{
 			Inherited: a.Inherited, Confirmed: m.Confirmed,
-			// The response with the start was answered or dropped before this report was
+			// The response with the start was answered or dropped before this heartbeat was
 			// sent; the worker never executes it later.
 			Answered: a.State() == fleet.Sent && r.Seq > a.CommandSeq,
 			Seen:     a.State() >= fleet.Fetching,
@@ -192,17 +192,17 @@
 	}
 }
 
-// exitNoLongerReported handles an exit that left the reports before it was dealt with
+// exitNoLongerListed handles an exit that left the heartbeats before it was dealt with
 // (the worker's lease ended): a result was noted already, all else is handled.
-func (e *Engine) exitNoLongerReported(a *fleet.Attempt) {
+func (e *Engine) exitNoLongerListed(a *fleet.Attempt) {
 	if !a.Handled && a.Cause != fleet.CauseDone {
 		e.requeue(a)
 	}
 }
 
-// applyTaskReport takes in one task of a report that was sent under a fencing token. What it is, and
+// applyTaskStatus takes in one task of a heartbeat that was sent under a fencing token. What it is, and
 // what is done about it, is decided by recovery.Classify.
-func (e *Engine) applyTaskReport(now time.Time, m *fleet.Machine, token uint64, t fleet.TaskReport) {
+func (e *Engine) applyTaskStatus(now time.Time, m *fleet.Machine, token uint64, t fleet.TaskStatus) {
 	k := fleet.Key{Ref: t.Ref, Task: t.Task}
 	finding := recovery.Classify(e.observe(m, m.Tasks[k], token, t))
 	e.recovery.Found(m.Name, finding)
@@ -211,11 +211,11 @@
 		return
 	case recovery.ProveGone:
 		e.attemptLost(now, m, m.Tasks[k], finding.Reason.String())
-		e.applyTaskReport(now, m, token, t)
+		e.applyTaskStatus(now, m, token, t)
 		return
 	case recovery.WithdrawFirst:
 		if e.withdrawStart(now, m, k) {
-			e.applyTaskReport(now, m, token, t)
+			e.applyTaskStatus(now, m, token, t)
 		}
 		return
 	case recovery.Adopt:
@@ -230,8 +230,8 @@
 	e.updateAttempt(now, m, m.Tasks[k], t)
 }
 
-// updateAttempt takes over what a report says of an attempt.
-func (e *Engine) updateAttempt(now time.Time, m *fleet.Machine, a *fleet.Attempt, t fleet.TaskReport) {
+// updateAttempt takes over what a heartbeat says of an attempt.
+func (e *Engine) updateAttempt(now time.Time, m *fleet.Machine, a *fleet.Attempt, t fleet.TaskStatus) {
 	a.Inherited = false
 	if t.State == fleet.Exited {
 		e.taskExited(now, m, a, t)
--- a/internal/core/images_test.go
+++ b/internal/core/images_test.go
@@ -31,10 +31,10 @@
 	if len(first) != 8 {
 		t.Fatalf("%d starts", len(first))
 	}
-	var tasks, done []fleet.TaskReport
+	var tasks, done []fleet.TaskStatus
 	for _, c := range first {
 		tasks = append(tasks, running(c))
-		done = append(done, fleet.TaskReport{Ref: c.Ref, Task: c.Task, Attempt: c.Attempt, State: fleet.Exited, Cause: fleet.CauseDone})
+		done = append(done, fleet.TaskStatus{Ref: c.Ref, Task: c.Task, Attempt: c.Attempt, State: fleet.Exited, Cause: fleet.CauseDone})
 	}
 	b.report("m-1", 2, tasks...)
 	b.e.Step(b.now, imageJob(b, "j-2", "y", 8, 25*time.Second)) // nearly late
@@ -80,7 +80,7 @@
 	b.up("m-1")
 	b.pass(6*time.Second, true)
 	c := starts(b.report("m-1", 2))[0]
-	at := fleet.TaskReport{Ref: c.Ref, Task: c.Task, Attempt: c.Attempt, State: fleet.Fetching}
+	at := fleet.TaskStatus{Ref: c.Ref, Task: c.Task, Attempt: c.Attempt, State: fleet.Fetching}
 	b.report("m-1", 2, at)
 	b.now = b.now.Add(19 * time.Second)
 	m := b.e.machines["m-1"]
@@ -172,48 +172,48 @@
 	}
 }
 
-// Jobs that come just after the first reports of an idle fleet once waited for the
-// next ones, a whole report period. While a leader is new its answers to empty
+// Jobs that come just after the first heartbeats of an idle fleet once waited for the
+// next ones, a whole heartbeat interval. While a leader is new its answers to empty
 // machines wait for a moment, but not for long, and not when it falls behind.
 func TestNewLeaderHoldsAnswers(t *testing.T) {
 	b := newBench(t, 2, Snapshot{})
 	// The worker has served the leader before. The test once gave it this term's fencing token,
 	// which no worker can have before its first answer.
 	b.list("m-1")
-	r := fleet.Report{Machine: "m-1", Addr: "m-1", Type: "big", Zone: "a", Session: 1, Seq: 1, FencingToken: 1, Notice: -1}
+	r := fleet.Heartbeat{Machine: "m-1", Addr: "m-1", Type: "big", Zone: "a", Session: 1, Seq: 1, FencingToken: 1, Notice: -1}
 	b.e.Step(b.now, Tick{})
-	if eff := b.e.Step(b.now, ReportIn{r}); !eff.Reply.Hold {
+	if eff := b.e.Step(b.now, HeartbeatReceived{r}); !eff.Response.Held {
 		t.Fatal("answered before anything can have been placed")
 	}
 	b.e.Step(b.now, imageJob(b, "j-1", "x", 1, 0))
 	reported := b.now
 	for {
 		b.pass(200*time.Millisecond, true)
-		eff := b.e.Step(b.now, Collect{r})
-		if s := starts(*eff.Reply); len(s) == 1 {
+		eff := b.e.Step(b.now, HeldResponseDue{r})
+		if s := starts(*eff.Response); len(s) == 1 {
 			break
 		}
-		if !eff.Reply.Hold || b.now.Sub(reported) > 3*time.Second {
+		if !eff.Response.Held || b.now.Sub(reported) > 3*time.Second {
 			t.Fatalf("answered after %s without the start", b.now.Sub(reported))
 		}
 	}
 
-	idle := fleet.Report{Machine: "m-2", Addr: "m-2", Type: "big", Zone: "a", Session: 1, Seq: 1, FencingToken: 1, Notice: -1}
+	idle := fleet.Heartbeat{Machine: "m-2", Addr: "m-2", Type: "big", Zone: "a", Session: 1, Seq: 1, FencingToken: 1, Notice: -1}
 	b = newBench(t, 2, Snapshot{})
 	b.e.Step(b.now, Tick{})
-	if eff := b.e.Step(b.now, ReportIn{idle}); !eff.Reply.Hold {
+	if eff := b.e.Step(b.now, HeartbeatReceived{idle}); !eff.Response.Held {
 		t.Fatal("an idle machine's answer isn't held")
 	}
 	reported = b.now
-	for b.e.Step(b.now, Collect{idle}).Reply.Hold {
-		if b.pass(200*time.Millisecond, true); b.now.Sub(reported) > maxReplyHold+time.Second {
+	for b.e.Step(b.now, HeldResponseDue{idle}).Response.Held {
+		if b.pass(200*time.Millisecond, true); b.now.Sub(reported) > maxResponseHold+time.Second {
 			t.Fatalf("held for %s; workers wait 4 s", b.now.Sub(reported))
 		}
 	}
 	b = newBench(t, 2, Snapshot{})
 	b.e.Step(b.now, Tick{})
 	b.now = b.now.Add(2 * maxTickLag)
-	if eff := b.e.Step(b.now, ReportIn{idle}); eff.Reply.Hold || !eff.Reply.OK {
+	if eff := b.e.Step(b.now, HeartbeatReceived{idle}); eff.Response.Held || !eff.Response.OK {
 		t.Fatal("held by a leader that falls behind, or not answered")
 	}
 }
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -21,7 +21,7 @@
 	for task, logged := range e.newestLogged(stored) {
 		j := e.jobs[task.Ref]
 		if j == nil || task.Task >= len(j.Tasks) || j.Tasks[task.Task].State() == pipeline.Finished {
-			continue // should it still be there, the machine's report will say so
+			continue // should it still be there, the machine's heartbeat will say so
 		}
 		m := e.machines[logged.placed.Machine]
 		if m == nil {
@@ -60,7 +60,7 @@
 // under this term.
 func (e *Engine) addUnheard(now time.Time, p fleet.Placed) *fleet.Machine {
 	m := fleet.NewMachine(now, p.Machine, fleet.Kind{Type: p.Type, Zone: p.Zone, Spot: p.Spot}, fleet.Unheard)
-	m.LastHeard, m.LeaseBase, m.Known = now, now, true
+	m.LastHeartbeat, m.LeaseBase, m.Known = now, now, true
 	e.addMachine(now, m)
 	e.recovery.Expect(m.Name)
 	return m
@@ -101,7 +101,7 @@
 	for _, a := range sortedAttempts(m) {
 		if a.State() == fleet.Exited {
 			e.drop(now, m, a)
-			e.exitNoLongerReported(a)
+			e.exitNoLongerListed(a)
 			continue
 		}
 		e.attemptLost(now, m, a, "machine gone")
@@ -176,19 +176,19 @@
 		}
 		next = now.Add(time.Second)
 	case fleet.Booting:
-		if now.Sub(m.FirstSeen) > e.bootLimit(e.bootTime(m)) && now.Sub(e.started) > e.firstReportWithin(m) {
+		if now.Sub(m.FirstSeen) > e.bootLimit(e.bootTime(m)) && now.Sub(e.started) > e.firstHeartbeatTimeout(m) {
 			e.release(now, m, "never came up")
 		}
 		next = now.Add(time.Second)
 	case fleet.Live, fleet.Silent, fleet.Unheard:
 		e.checkSilence(now, m)
 		e.releaseUnreachable(now, m)
-		if m.Expected && now.Sub(m.LastHeard) > e.silentAfter() {
+		if m.Expected && now.Sub(m.LastHeartbeat) > e.silentAfter() {
 			e.expectNoLonger(now, m)
 		}
 		switch {
 		case m.State() == fleet.Live && !m.Sick && !m.Draining && !e.unreachable[m]:
-			next = m.LastHeard.Add(e.silentAfter() + time.Millisecond)
+			next = m.LastHeartbeat.Add(e.silentAfter() + time.Millisecond)
 		case m.State() == fleet.Silent && len(m.Tasks) == 0:
 			next = now.Add(time.Second)
 		}
@@ -233,11 +233,11 @@
 	return 4*boot + 2*e.cfg.ListLag + 10*time.Second
 }
 
-// firstReportWithin is how long after its claim a new leader waits for a machine that no
+// firstHeartbeatTimeout is how long after its claim a new leader waits for a machine that no
 // record names. One that was up and idle under the last leader looks just like one that
 // is still booting: it may take a lease's time to find the new leader. If the cloud lists
 // it as running, it may be in a zone that is cut off, and is kept like a silent one.
-func (e *Engine) firstReportWithin(m *fleet.Machine) time.Duration {
+func (e *Engine) firstHeartbeatTimeout(m *fleet.Machine) time.Duration {
 	if m.ListedRunning {
 		return e.silentLimit(m)
 	}
@@ -263,10 +263,10 @@
 
 // silentAfter is when a machine that doesn't report gets no more starts: two
 // reports have then failed to arrive, with a change of node between them.
-func (e *Engine) silentAfter() time.Duration { return 2*e.cfg.ReportEvery + 5*time.Second }
+func (e *Engine) silentAfter() time.Duration { return 2*e.cfg.HeartbeatInterval + 5*time.Second }
 
 func (e *Engine) checkSilence(now time.Time, m *fleet.Machine) {
-	quiet := now.Sub(m.LastHeard)
+	quiet := now.Sub(m.LastHeartbeat)
 	if m.State() == fleet.Live && quiet > e.silentAfter() && e.moveMachine(now, m, fleet.Silent) {
 		e.note("machine silent", "machine", m.Name, "busy", m.Busy())
 	}
--- a/internal/core/one_way_loss_test.go
+++ b/internal/core/one_way_loss_test.go
@@ -9,7 +9,7 @@
 )
 
 // hearNothing has a machine with a task that was told to stop report as if it hadn't been.
-func hearNothing(t *testing.T) (*bench, fleet.TaskReport) {
+func hearNothing(t *testing.T) (*bench, fleet.TaskStatus) {
 	t.Helper()
 	b, c := started(t)
 	b.report("m-1", 2, running(c))
@@ -44,7 +44,7 @@
 	}
 }
 
-// Starts on a machine whose reports arrive but that receives no answers come to nothing
+// Starts on a machine whose heartbeats arrive but that receives no answers come to nothing
 // again and again: it gets no more of them and is released.
 func TestOneWayLoss(t *testing.T) {
 	b, _ := started(t)
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -213,25 +213,25 @@
 	}
 }
 
-// A start waits for the machine's next report: of places that are alike, that one is
-// taken whose report is due first, or whose answer is being held. Stages of pipelines
-// once began half a report period late each.
+// A start waits for the machine's next heartbeat: of places that are alike, that one is
+// taken whose heartbeat is due first, or whose answer is being held. Stages of pipelines
+// once began half a heartbeat interval late each.
 func TestNearestReportFirst(t *testing.T) {
 	now := time.Unix(100, 0)
 	var machines []*fleet.Machine
 	for i, ago := range []time.Duration{time.Second, 7 * time.Second, 4 * time.Second} {
 		m := machine([]string{"m-1", "m-2", "m-3"}[i], "cpu", "a")
-		m.LastHeard = now.Add(-ago)
+		m.LastHeartbeat = now.Add(-ago)
 		machines = append(machines, m)
 	}
 	for _, want := range []string{"m-2", "m-1"} {
 		b := newBoard(t, []*pipeline.Job{job(t, pipeline.Spec{Ref: "j-1", Tasks: 1, CPUs: 1})}, machines...)
-		b.ReportEvery = 8 * time.Second
+		b.HeartbeatInterval = 8 * time.Second
 		new(Round).Run(&b.Board)
 		if len(b.placed) != 1 || b.placed[0].Slot.Machine.Name != want {
 			t.Errorf("placed %+v, want %s", b.placed, want)
 		}
-		machines[0].AnswerHeld = true
+		machines[0].ResponseHeld = true
 	}
 }
 
@@ -244,10 +244,10 @@
 		want string
 	}{{time.Time{}, "m-1"}, {now.Add(2 * time.Second), "m-2"}, {now.Add(time.Millisecond), "m-1"}} {
 		used, idle := machine("m-1", "cpu", "a"), machine("m-2", "cpu", "a")
-		used.LastHeard, idle.LastHeard = now.Add(-4*time.Second), now.Add(-7*time.Second)
+		used.LastHeartbeat, idle.LastHeartbeat = now.Add(-4*time.Second), now.Add(-7*time.Second)
 		used.Add(now, &fleet.Attempt{Key: fleet.Key{Ref: "j-8"}, CPUs: 6}, fleet.Running)
 		b := newBoard(t, []*pipeline.Job{job(t, pipeline.Spec{Ref: "j-1", Tasks: 1, CPUs: 1})}, used, idle)
-		b.ReportEvery = 8 * time.Second
+		b.HeartbeatInterval = 8 * time.Second
 		b.StartBy = func(*pipeline.Job) time.Time { return c.by }
 		new(Round).Run(&b.Board)
 		if len(b.placed) != 1 || b.placed[0].Slot.Machine.Name != c.want {
--- a/internal/core/placement/rounds.go
+++ b/internal/core/placement/rounds.go
@@ -47,7 +47,7 @@
 	LargeGPUWork func(t *Type) *pipeline.Spec
 	// SecondsPerDollarHour weighs a dearer place against time lost on fetching.
 	SecondsPerDollarHour float64
-	ReportEvery          time.Duration
+	HeartbeatInterval    time.Duration
 	// GangSlack is by how much the fetches of a gang's tasks may differ.
 	GangSlack time.Duration
 	// MaxReservations is for how many jobs that have no room this round keeps or makes some;
--- a/internal/core/placement/score.go
+++ b/internal/core/placement/score.go
@@ -50,7 +50,7 @@
 	sp := &j.Spec
 	score := (Share(s.Type, sp) + b.waste(s, sp)) * s.Type.Price(s.Spot) * b.SecondsPerDollarHour
 	if s.Machine != nil {
-		starts := s.Machine.FetchLeft(b.Now, sp.Image, sp.ImageGB, s.Type.FetchGBPerS) + s.Machine.AnswerIn(b.Now, b.ReportEvery)
+		starts := s.Machine.FetchLeft(b.Now, sp.Image, sp.ImageGB, s.Type.FetchGBPerS) + s.Machine.NextResponseIn(b.Now, b.HeartbeatInterval)
 		score += starts.Seconds()
 		if b.Now.Before(startBy) && b.Now.Add(starts+startLag).After(startBy) {
 			score += lateSeconds
--- a/internal/core/priority_order_test.go
+++ b/internal/core/priority_order_test.go
@@ -21,7 +21,7 @@
 	low.Record.SubmittedMS = b.now.UnixMilli()
 	b.e.Step(b.now, JobStored{low})
 	machines := []string{"m-1", "m-2"}
-	tasks := map[string][]fleet.TaskReport{}
+	tasks := map[string][]fleet.TaskStatus{}
 	for _, m := range machines {
 		b.up(m)
 	}
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -13,8 +13,8 @@
 
 // observe compares a reported task with what is known of it; a is the attempt of the task that
 // is known on this machine, if any.
-func (e *Engine) observe(m *fleet.Machine, a *fleet.Attempt, token uint64, t fleet.TaskReport) recovery.ReportedTask {
-	o := recovery.ReportedTask{Exited: t.State == fleet.Exited, Done: t.State == fleet.Exited && t.Cause == fleet.CauseDone, Confirmed: token == e.term}
+func (e *Engine) observe(m *fleet.Machine, a *fleet.Attempt, token uint64, t fleet.TaskStatus) recovery.ObservedTask {
+	o := recovery.ObservedTask{Exited: t.State == fleet.Exited, Done: t.State == fleet.Exited && t.Cause == fleet.CauseDone, Confirmed: token == e.term}
 	if j := e.jobs[t.Ref]; j != nil && t.Task < len(j.Tasks) {
 		o.JobOpen, o.Wanted = !j.Over(), j.Tasks[t.Task].State() != pipeline.Finished
 		o.Whole = j.Shape == pipeline.Gang && len(j.Tasks) > 1
@@ -81,7 +81,7 @@
 }
 
 // newAttempt is a reported attempt of which nothing here speaks.
-func (e *Engine) newAttempt(t fleet.TaskReport) *fleet.Attempt {
+func (e *Engine) newAttempt(t fleet.TaskStatus) *fleet.Attempt {
 	a := &fleet.Attempt{Key: fleet.Key{Ref: t.Ref, Task: t.Task}, Number: t.Attempt}
 	if j := e.jobs[t.Ref]; j != nil && t.Task < len(j.Tasks) {
 		a.CPUs, a.GPUs, a.MemGB, a.Image = j.CPUs, j.GPUs, j.MemGB, j.Image
@@ -91,7 +91,7 @@
 
 // adoptRunning takes an attempt up that runs and that no record names, as after a restore of
 // the state service: it is recorded from now on, and its task isn't placed again.
-func (e *Engine) adoptRunning(now time.Time, m *fleet.Machine, t fleet.TaskReport) {
+func (e *Engine) adoptRunning(now time.Time, m *fleet.Machine, t fleet.TaskStatus) {
 	a := e.newAttempt(t)
 	e.attach(now, m, a, t.State)
 	e.startLog.addAttempt(a)
@@ -100,7 +100,7 @@
 }
 
 // adoptForeign takes in an attempt that shouldn't be there, and has it stopped.
-func (e *Engine) adoptForeign(now time.Time, m *fleet.Machine, t fleet.TaskReport) {
+func (e *Engine) adoptForeign(now time.Time, m *fleet.Machine, t fleet.TaskStatus) {
 	a := e.newAttempt(t)
 	e.attach(now, m, a, t.State)
 	a.RunStart = time.Time{}
@@ -110,7 +110,7 @@
 }
 
 // adoptExited takes in an exit that an earlier leader hadn't dealt with.
-func (e *Engine) adoptExited(now time.Time, m *fleet.Machine, t fleet.TaskReport) {
+func (e *Engine) adoptExited(now time.Time, m *fleet.Machine, t fleet.TaskStatus) {
 	a := e.newAttempt(t)
 	e.attach(now, m, a, fleet.Running) // its exit moves it on, and settles the counts
 	a.RunStart = time.Time{}
--- a/internal/core/reconcile_test.go
+++ b/internal/core/reconcile_test.go
@@ -33,7 +33,7 @@
 	if n := b.e.jobs["j-1"].Count(pipeline.Waiting); n != 2 {
 		t.Fatal("placed while a machine that may hold it hasn't reported")
 	}
-	running1 := fleet.TaskReport{Ref: "j-1", Task: 1, Attempt: 8<<attemptBits | 7, State: fleet.Running}
+	running1 := fleet.TaskStatus{Ref: "j-1", Task: 1, Attempt: 8<<attemptBits | 7, State: fleet.Running}
 	b.report("m-1", 8, running1)
 	if n := b.e.jobs["j-1"].Count(pipeline.Waiting); n != 2 {
 		t.Fatal("adopted on the word of what may be a late copy")
@@ -70,8 +70,8 @@
 func TestForgottenWorkAgainstNew(t *testing.T) {
 	b := newBench(t, 9, Snapshot{Jobs: []StoredJob{job("j-1", 1)}})
 	b.up("m-2")
-	b.pass(6*time.Second, true) // its start waits for m-2's next report
-	forgotten := fleet.TaskReport{Ref: "j-1", Attempt: 8<<attemptBits | 7, State: fleet.Running}
+	b.pass(6*time.Second, true) // its start waits for m-2's next heartbeat
+	forgotten := fleet.TaskStatus{Ref: "j-1", Attempt: 8<<attemptBits | 7, State: fleet.Running}
 	b.report("m-1", 8, forgotten)
 	b.report("m-1", 9, forgotten)
 	if j := b.e.jobs["j-1"]; j.Tasks[0].Machine != "m-1" || b.e.machines["m-2"].Busy() != 0 {
@@ -103,7 +103,7 @@
 	b.pass(6*time.Second, true)
 	s := starts(b.report("m-2", 9))
 	b.report("m-2", 9, running(s[0]))
-	b.report("m-1", 8, fleet.TaskReport{Ref: "j-1", Attempt: 8<<attemptBits | 7, State: fleet.Exited, Cause: fleet.CauseDone})
+	b.report("m-1", 8, fleet.TaskStatus{Ref: "j-1", Attempt: 8<<attemptBits | 7, State: fleet.Exited, Cause: fleet.CauseDone})
 	if n := b.e.jobs["j-1"].Count(pipeline.Finished); n != 1 {
 		t.Fatal("the late result is lost")
 	}
@@ -122,7 +122,7 @@
 		machines = append(machines, name)
 		b.up(name)
 	}
-	tasks := map[string][]fleet.TaskReport{}
+	tasks := map[string][]fleet.TaskStatus{}
 	perSecond := map[int]int{}
 	begin := b.now
 	urgentAt := time.Duration(0)
@@ -161,14 +161,14 @@
 // report.
 func TestTokenOfAForgottenLeader(t *testing.T) {
 	b := newBench(t, 9, Snapshot{Jobs: []StoredJob{job("j-1", 1)}})
-	r := fleet.Report{Machine: "m-1", Addr: "m-1", Type: "big", Zone: "a", Session: 1, Seq: 1, FencingToken: 9, Notice: -1}
-	eff := b.e.Step(b.now, ReportIn{r})
-	if !eff.Deposed || eff.HigherFencingToken != 9 || eff.Reply.OK {
+	r := fleet.Heartbeat{Machine: "m-1", Addr: "m-1", Type: "big", Zone: "a", Session: 1, Seq: 1, FencingToken: 9, Notice: -1}
+	eff := b.e.Step(b.now, HeartbeatReceived{r})
+	if !eff.Deposed || eff.HigherFencingToken != 9 || eff.Response.OK {
 		t.Fatalf("%+v", eff)
 	}
 	b.report("m-2", 0)
 	r.Machine, r.Addr, r.Seq = "m-2", "m-2", b.seq["m-2"]+1
-	if eff := b.e.Step(b.now, ReportIn{r}); eff.Deposed {
+	if eff := b.e.Step(b.now, HeartbeatReceived{r}); eff.Deposed {
 		t.Fatal("a worker that was given the token deposes its leader")
 	}
 }
--- a/internal/core/safety_test.go
+++ b/internal/core/safety_test.go
@@ -19,7 +19,7 @@
 }
 
 func config() Config {
-	return Config{Teams: map[string]placement.Team{"t": {}}, ReportEvery: 3 * time.Second, Lease: 30 * time.Second,
+	return Config{Teams: map[string]placement.Team{"t": {}}, HeartbeatInterval: 3 * time.Second, Lease: 30 * time.Second,
 		CancelWithin: 60 * time.Second, ListLag: 4 * time.Second, RestartLimit: 3,
 		BatchEvery: 2 * time.Second, MaxPerValue: 4000, RoundBudget: 100, Weights: DefaultWeights()}
 }
@@ -39,8 +39,8 @@
 	return b
 }
 
-// report sends a report and returns the commands it is answered with.
-func (b *bench) report(machine string, token uint64, tasks ...fleet.TaskReport) Reply {
+// report sends a heartbeat and returns the commands it is answered with.
+func (b *bench) report(machine string, token uint64, tasks ...fleet.TaskStatus) HeartbeatResponse {
 	b.seq[machine]++
 	return b.reportAs(machine, token, b.seq[machine], tasks...)
 }
@@ -52,17 +52,17 @@
 	b.report(machine, b.e.term)
 }
 
-func (b *bench) reportAs(machine string, token, seq uint64, tasks ...fleet.TaskReport) Reply {
-	r := fleet.Report{Machine: machine, Addr: machine, Type: "big", Zone: "a", Session: 1, Seq: seq, FencingToken: token, Notice: -1, Tasks: tasks}
-	eff := b.e.Step(b.now, ReportIn{r})
+func (b *bench) reportAs(machine string, token, seq uint64, tasks ...fleet.TaskStatus) HeartbeatResponse {
+	r := fleet.Heartbeat{Machine: machine, Addr: machine, Type: "big", Zone: "a", Session: 1, Seq: seq, FencingToken: token, Notice: -1, Tasks: tasks}
+	eff := b.e.Step(b.now, HeartbeatReceived{r})
 	if eff.Deposed && token == b.e.term {
 		b.t.Fatalf("%s reports a token that it wasn't given: the test shows nothing", machine)
 	}
-	for eff.Reply.Hold {
+	for eff.Response.Held {
 		b.now = b.now.Add(250 * time.Millisecond)
-		eff = b.e.Step(b.now, Collect{r})
+		eff = b.e.Step(b.now, HeldResponseDue{r})
 	}
-	return *eff.Reply
+	return *eff.Response
 }
 
 // pass lets time pass, with rounds of decisions; written says whether the
@@ -78,7 +78,7 @@
 	}
 }
 
-func starts(r Reply) (out []fleet.Command) {
+func starts(r HeartbeatResponse) (out []fleet.Command) {
 	for _, c := range r.Commands {
 		if c.Op == fleet.Start {
 			out = append(out, c)
@@ -87,8 +87,8 @@
 	return out
 }
 
-func running(c fleet.Command) fleet.TaskReport {
-	return fleet.TaskReport{Ref: c.Ref, Task: c.Task, Attempt: c.Attempt, State: fleet.Running}
+func running(c fleet.Command) fleet.TaskStatus {
+	return fleet.TaskStatus{Ref: c.Ref, Task: c.Task, Attempt: c.Attempt, State: fleet.Running}
 }
 
 // A start leaves only once the store holds that the attempt may be there:
@@ -116,7 +116,7 @@
 	return Snapshot{Jobs: []StoredJob{job("j-1", 1)}, Pages: []StoredPage{page("1-1", "m-1", 1<<attemptBits)}}
 }
 
-// A report without this term's fencing token may have been sent before an earlier
+// A heartbeat without this term's fencing token may have been sent before an earlier
 // leader's last start arrived, so it can't prove an inherited attempt absent.
 func TestInheritedAttemptNeedsConfirmedReport(t *testing.T) {
 	b := newBench(t, 2, inherited())
@@ -178,7 +178,7 @@
 	return b, s[0]
 }
 
-// A start still in flight isn't absent: an older report that arrives late, or a
+// A start still in flight isn't absent: an older heartbeat that arrives late, or a
 // copy of the one that was answered with the start, proves nothing.
 func TestOldReportProvesNothing(t *testing.T) {
 	b, c := started(t)
@@ -193,7 +193,7 @@
 	}
 }
 
-// The next report without the attempt proves that the start was dropped, and the
+// The next heartbeat without the attempt proves that the start was dropped, and the
 // task starts anew under a new number.
 func TestDroppedStart(t *testing.T) {
 	b, c := started(t)
@@ -209,7 +209,7 @@
 func TestForgetOnlyAfterWritten(t *testing.T) {
 	b, c := started(t)
 	b.report("m-1", 2, running(c))
-	done := fleet.TaskReport{Ref: c.Ref, Task: c.Task, Attempt: c.Attempt, State: fleet.Exited, Cause: fleet.CauseDone}
+	done := fleet.TaskStatus{Ref: c.Ref, Task: c.Task, Attempt: c.Attempt, State: fleet.Exited, Cause: fleet.CauseDone}
 	for range 3 {
 		if r := b.report("m-1", 2, done); len(r.Commands) != 0 {
 			t.Fatalf("commands before the result is written: %v", r.Commands)
@@ -271,11 +271,11 @@
 	t.Fatal("the silent machine wasn't released in time")
 }
 
-// A report with a higher fencing token means that somebody else has taken over.
+// A heartbeat with a higher fencing token means that somebody else has taken over.
 func TestHigherTokenDeposes(t *testing.T) {
 	b := newBench(t, 2, Snapshot{})
-	eff := b.e.Step(b.now, ReportIn{fleet.Report{Machine: "m-1", Type: "big", Zone: "a", Session: 1, Seq: 1, FencingToken: 3, Notice: -1}})
-	if !eff.Deposed || eff.Reply.OK {
+	eff := b.e.Step(b.now, HeartbeatReceived{fleet.Heartbeat{Machine: "m-1", Type: "big", Zone: "a", Session: 1, Seq: 1, FencingToken: 3, Notice: -1}})
+	if !eff.Deposed || eff.Response.OK {
 		t.Fatalf("effects: %+v", eff)
 	}
 }
@@ -286,9 +286,9 @@
 	b := newBench(t, 2, Snapshot{Jobs: []StoredJob{job("j-1", 1), job("j-2", 1)}})
 	b.up("m-1")
 	b.pass(6*time.Second, true)
-	var failed []fleet.TaskReport
+	var failed []fleet.TaskStatus
 	for _, c := range starts(b.report("m-1", 2)) {
-		failed = append(failed, fleet.TaskReport{Ref: c.Ref, Task: c.Task, Attempt: c.Attempt, State: fleet.Exited, Cause: fleet.CauseError})
+		failed = append(failed, fleet.TaskStatus{Ref: c.Ref, Task: c.Task, Attempt: c.Attempt, State: fleet.Exited, Cause: fleet.CauseError})
 	}
 	if len(failed) != 2 {
 		t.Fatalf("%d starts", len(failed))
@@ -323,7 +323,7 @@
 		t.Fatalf("starts %v and %v", one, two)
 	}
 	b.report("m-2", 2, running(two[0]))
-	b.report("m-1", 2, fleet.TaskReport{Ref: "j-1", Task: one[0].Task, Attempt: one[0].Attempt, State: fleet.Exited, Cause: fleet.CauseDone})
+	b.report("m-1", 2, fleet.TaskStatus{Ref: "j-1", Task: one[0].Task, Attempt: one[0].Attempt, State: fleet.Exited, Cause: fleet.CauseDone})
 	b.pass(time.Second, true)
 	if v, ok := b.e.Lookup("j-1"); !ok || v.Phase != pipeline.Done {
 		t.Fatalf("view %v, %v", v, ok)
@@ -338,7 +338,7 @@
 func TestIdleMachineIsGivenBack(t *testing.T) {
 	b, c := started(t)
 	b.report("m-1", 2, running(c))
-	done := fleet.TaskReport{Ref: c.Ref, Task: c.Task, Attempt: c.Attempt, State: fleet.Exited, Cause: fleet.CauseDone}
+	done := fleet.TaskStatus{Ref: c.Ref, Task: c.Task, Attempt: c.Attempt, State: fleet.Exited, Cause: fleet.CauseDone}
 	b.report("m-1", 2, done)
 	b.pass(time.Second, true)
 	b.report("m-1", 2, done)
@@ -355,9 +355,9 @@
 }
 
 // worker sends reports with counts of its own choice.
-func (b *bench) worker(machine string, token, session, seq uint64, tasks ...fleet.TaskReport) Reply {
-	r := fleet.Report{Machine: machine, Addr: machine, Type: "big", Zone: "a", Session: session, Seq: seq, FencingToken: token, Notice: -1, Tasks: tasks}
-	return *b.e.Step(b.now, ReportIn{r}).Reply
+func (b *bench) worker(machine string, token, session, seq uint64, tasks ...fleet.TaskStatus) HeartbeatResponse {
+	r := fleet.Heartbeat{Machine: machine, Addr: machine, Type: "big", Zone: "a", Session: session, Seq: seq, FencingToken: token, Notice: -1, Tasks: tasks}
+	return *b.e.Step(b.now, HeartbeatReceived{r}).Response
 }
 
 // A new leader may hear a late copy from before a machine's worker restarted,
@@ -454,7 +454,7 @@
 		}
 	}
 	for range 9 { // past the restart limit
-		b.report("m-1", 2, running(busy), fleet.TaskReport{Ref: "j-1", Attempt: c.Attempt, State: fleet.Exited, Cause: fleet.CauseError})
+		b.report("m-1", 2, running(busy), fleet.TaskStatus{Ref: "j-1", Attempt: c.Attempt, State: fleet.Exited, Cause: fleet.CauseError})
 		b.e.machines["m-1"].Forgive() // other work goes well there
 		failed := b.now
 		for s := starts(b.report("m-1", 2, running(busy))); ; s = starts(b.report("m-1", 2, running(busy))) {
--- a/internal/core/scale_down.go
+++ b/internal/core/scale_down.go
@@ -23,7 +23,7 @@
 
 // scaleDown releases machines that have been idle too long.
 func (e *Engine) scaleDown(now time.Time, demand []capacity.Demand) {
-	if len(e.classes) == 0 || now.Sub(e.started) < 3*e.cfg.ReportEvery || !e.recovery.Pacer().AtHighest() {
+	if len(e.classes) == 0 || now.Sub(e.started) < 3*e.cfg.HeartbeatInterval || !e.recovery.Pacer().AtHighest() {
 		return
 	}
 	for _, p := range e.freeCapacity.Pools {
--- a/internal/core/silence_test.go
+++ b/internal/core/silence_test.go
@@ -44,7 +44,7 @@
 }
 
 // A machine that was up and idle under the last leader stands in no record, and the list
-// may come before its first report to the new one. It was then released as one whose boot
+// may come before its first heartbeat to the new one. It was then released as one whose boot
 // had failed: six machines at one takeover of an incident.
 func TestIdleMachineOutlivesItsLeader(t *testing.T) {
 	b := newBench(t, 2, Snapshot{})
--- a/internal/core/status_test.go
+++ b/internal/core/status_test.go
@@ -41,7 +41,7 @@
 	}
 	for _, c := range started {
 		if c.Ref == "j-2" {
-			b.report("m-1", 2, fleet.TaskReport{Ref: c.Ref, Attempt: c.Attempt, State: fleet.Exited, Cause: fleet.CauseError})
+			b.report("m-1", 2, fleet.TaskStatus{Ref: c.Ref, Attempt: c.Attempt, State: fleet.Exited, Cause: fleet.CauseError})
 		}
 	}
 	if r := waiting(t, b, "j-2"); r != ReasonPause {
--- a/internal/core/warm_start.go
+++ b/internal/core/warm_start.go
@@ -148,7 +148,7 @@
 }
 
 // takeMachine takes over what is known of a machine. One that the start log doesn't name is
-// taken in only if it is to be expected; else the cloud's list or its report will tell of it.
+// taken in only if it is to be expected; else the cloud's list or its heartbeat will tell of it.
 func (s *warmStart) takeMachine(w *WarmMachine) {
 	e := s.engine
 	m := e.machines[w.Name]
@@ -190,12 +190,12 @@
 }
 
 // expect has work placed on a machine that hasn't reported under this term. The start still
-// leaves only in the answer to a report that proves the machine free of anything else, as
+// leaves only in the answer to a heartbeat that proves the machine free of anything else, as
 // for all other machines.
 func (e *Engine) expect(m *fleet.Machine) {
 	if m.State() == fleet.Unheard && !m.Expected {
 		m.Expected = true
-		e.recovery.Trust(m.Name, true)
+		e.recovery.ExpectByWarmState(m.Name, true)
 		e.touch(m)
 	}
 }
@@ -204,7 +204,7 @@
 // makes any machine silent: what was placed there goes elsewhere.
 func (e *Engine) expectNoLonger(now time.Time, m *fleet.Machine) {
 	m.Expected = false
-	e.recovery.Trust(m.Name, false)
+	e.recovery.ExpectByWarmState(m.Name, false)
 	e.touch(m)
 	e.withdrawUnsentStarts(now, m)
 	e.note("expected machine has not reported", "machine", m.Name)
--- a/internal/core/warm_start_test.go
+++ b/internal/core/warm_start_test.go
@@ -202,7 +202,7 @@
 	state := warmTable{}
 	rng := rand.New(rand.NewPCG(4, 4))
 	machines := []string{"m-1", "m-2", "m-3"}
-	tasks := map[string][]fleet.TaskReport{}
+	tasks := map[string][]fleet.TaskStatus{}
 	for _, m := range machines {
 		b.up(m)
 	}
@@ -219,7 +219,7 @@
 }
 
 // someFail has tasks fail by chance.
-func someFail(rng *rand.Rand, tasks []fleet.TaskReport) {
+func someFail(rng *rand.Rand, tasks []fleet.TaskStatus) {
 	for i := range tasks {
 		if tasks[i].State == fleet.Running && rng.IntN(6) == 0 {
 			tasks[i].State, tasks[i].Cause = fleet.Exited, fleet.CauseError
@@ -228,12 +228,12 @@
 }
 
 // obeyed is a worker's tasks after a command.
-func obeyed(tasks []fleet.TaskReport, c fleet.Command) []fleet.TaskReport {
+func obeyed(tasks []fleet.TaskStatus, c fleet.Command) []fleet.TaskStatus {
 	switch c.Op {
 	case fleet.Start:
 		return append(tasks, running(c))
 	case fleet.Forget:
-		return slices.DeleteFunc(tasks, func(r fleet.TaskReport) bool { return r.Attempt == c.Attempt })
+		return slices.DeleteFunc(tasks, func(r fleet.TaskStatus) bool { return r.Attempt == c.Attempt })
 	}
 	return tasks
 }
--- a/internal/daemon/contact.go
+++ b/internal/daemon/contact.go
@@ -22,14 +22,14 @@
 	// pingTimeout bounds the wait for another node's sign of life.
 	pingTimeout = 700 * time.Millisecond
 	pingPath    = "/ping"
-	// unreachedSlack is what a worker's report may be late.
+	// unreachedSlack is what a worker's heartbeat may be late.
 	unreachedSlack = 2 * time.Second
 )
 
 // unreached tells whether no worker has reached this node of late, as when it is cut
 // off from them: it then lets others lead.
 func (d *Daemon) unreached() bool {
-	quiet := silentReports*d.coreConfig.ReportEvery + unreachedSlack
+	quiet := missedHeartbeats*d.coreConfig.HeartbeatInterval + unreachedSlack
 	if time.Since(d.started) < quiet {
 		return false
 	}
--- a/internal/daemon/controller_test.go
+++ b/internal/daemon/controller_test.go
@@ -79,7 +79,7 @@
 		Member: name, Zone: "a", Peers: peers, Endpoints: endpoints,
 		Params: config.Params{
 			Zones: []string{"a"}, Teams: []config.Team{{Name: "t"}},
-			Workers:   config.Workers{Report: 1, Lease: 15, GangWait: 10, GangPeer: 2, Cancel: 30},
+			Workers:   config.Workers{HeartbeatInterval: 1, Lease: 15, GangWait: 10, GangPeer: 2, Cancel: 30},
 			State:     config.State{RPS: 500, WriteRPS: 200, ValueKB: 4, TxnOps: 12},
 			Cloud:     config.Cloud{RPS: 20, ListLag: 0.5},
 			Resources: config.Resources{CPUShare: 1, MemoryMB: 200, MaxSockets: 800},
@@ -146,7 +146,7 @@
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
-	request.SetRequestURI("http://" + w.addrs[w.at] + beatPath)
+	request.SetRequestURI("http://" + w.addrs[w.at] + heartbeatPath)
 	request.Header.SetMethod(fasthttp.MethodPost)
 	request.SetBody(body)
 	if err := fasthttp.DoTimeout(request, response, 4*time.Second); err != nil {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -74,7 +74,7 @@
 	if err := d.connectPeers(); err != nil {
 		return nil, err
 	}
-	d.warm = newStandbyNode(settings.Member, operatorSettings.Standby, d.coreConfig.ReportEvery, d.metrics.standby)
+	d.warm = newStandbyNode(settings.Member, operatorSettings.Standby, d.coreConfig.HeartbeatInterval, d.metrics.standby)
 	d.coreConfig.WarmState, d.coreConfig.Admission = d.warm != nil, operatorSettings.Admission.Enabled
 	state := settings.Params.State.Lowest()
 	// Claims wait for nobody's part of the rates.
@@ -106,22 +106,22 @@
 func coreConfig(params *config.Params, operatorSettings operator.Settings) core.Config {
 	state := params.State.Lowest()
 	c := core.Config{
-		Teams:        map[string]placement.Team{},
-		Aims:         aims(params.Aims),
-		ReportEvery:  params.Workers.Report.Duration(),
-		Lease:        params.Workers.Lease.Duration(),
-		CancelWithin: params.Workers.Cancel.Duration(),
-		GangWait:     params.Workers.GangWait.Duration(),
-		ListLag:      params.Cloud.ListLag.Duration(),
-		RestartLimit: operatorSettings.RestartLimit,
-		BatchEvery:   operatorSettings.BatchInterval,
-		Weights:      operatorSettings.Weights,
-		Pace:         operatorSettings.Recovery,
-		MaxPerValue:  int(state.ValueKB * 1000),
-		WriteRate:    state.WriteRPS * leaderPart,
-		RoundBudget:  roundBudget,
-		Drain:        operatorSettings.Draining.Policy(time.Duration(params.SkewMS * float64(time.Millisecond))),
-		Debug:        slog.Default().Enabled(context.Background(), slog.LevelDebug),
+		Teams:             map[string]placement.Team{},
+		Aims:              aims(params.Aims),
+		HeartbeatInterval: params.Workers.HeartbeatInterval.Duration(),
+		Lease:             params.Workers.Lease.Duration(),
+		CancelWithin:      params.Workers.Cancel.Duration(),
+		GangWait:          params.Workers.GangWait.Duration(),
+		ListLag:           params.Cloud.ListLag.Duration(),
+		RestartLimit:      operatorSettings.RestartLimit,
+		BatchEvery:        operatorSettings.BatchInterval,
+		Weights:           operatorSettings.Weights,
+		Pace:              operatorSettings.Recovery,
+		MaxPerValue:       int(state.ValueKB * 1000),
+		WriteRate:         state.WriteRPS * leaderPart,
+		RoundBudget:       roundBudget,
+		Drain:             operatorSettings.Draining.Policy(time.Duration(params.SkewMS * float64(time.Millisecond))),
+		Debug:             slog.Default().Enabled(context.Background(), slog.LevelDebug),
 	}
 	for _, team := range params.Teams {
 		c.Teams[team.Name] = placement.Team{CPUs: team.CPUs, GPUs: team.GPUs, CPUsMax: team.CPUsMax, GPUsMax: team.GPUsMax}
--- a/internal/daemon/direct_commands.go
+++ b/internal/daemon/direct_commands.go
@@ -11,7 +11,7 @@
 )
 
 // maxDirectCommands bounds the direct commands under way. One that can't go now is
-// repeated with the worker's next report anyway.
+// repeated with the worker's next heartbeat anyway.
 const maxDirectCommands = 32
 
 const (
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -31,7 +31,7 @@
 	lines.Add("counts %x", wire.MustMarshal(goldentest.Filled[admission.Batch]()))
 	lines.Add("%s %x", catalogKey, wire.MustMarshal(goldentest.Filled[wire.Flavors]()))
 	lines.Add("refusal %x", wire.MustMarshal(goldentest.Filled[userapi.Refusal]()))
-	for _, path := range []string{beatPath, pingPath, extensionPath, admissionPath, drainPreviewPath, StatusPath, viewPath, DrainsPath, runsPath, cancelVerb, healthPath, metricsPath, ordersPath} {
+	for _, path := range []string{heartbeatPath, pingPath, extensionPath, admissionPath, drainPreviewPath, StatusPath, viewPath, DrainsPath, runsPath, cancelVerb, healthPath, metricsPath, ordersPath} {
 		lines.Add("path %s", path)
 	}
 	lines.Check(t, "node_messages.txt")
--- a/internal/daemon/http.go
+++ b/internal/daemon/http.go
@@ -14,11 +14,11 @@
 
 // Paths of the interfaces to users, workers and operators.
 const (
-	runsPath    = "/v2/runs"
-	cancelVerb  = "/withdraw" // after a job's id
-	beatPath    = "/agent/beat"
-	healthPath  = "/healthz"
-	metricsPath = "/metrics"
+	runsPath      = "/v2/runs"
+	cancelVerb    = "/withdraw" // after a job's id
+	heartbeatPath = "/agent/beat"
+	healthPath    = "/healthz"
+	metricsPath   = "/metrics"
 )
 
 // Content types of bodies.
@@ -27,12 +27,12 @@
 	contentTypeJSON = "application/json"
 )
 
-// idleReports is for how many report periods a connection may be idle, and idleSlack
+// idleHeartbeats is for how many heartbeat intervals a connection may be idle, and idleSlack
 // what is added: those of machines that are gone without a word must not take the
 // sockets of others.
 const (
-	idleReports = 4
-	idleSlack   = 10 * time.Second
+	idleHeartbeats = 4
+	idleSlack      = 10 * time.Second
 )
 
 const (
@@ -47,14 +47,14 @@
 		Handler: func(request *fasthttp.RequestCtx) {
 			d.handle(ctx, request)
 			open := int(server.GetOpenConnectionsCount())
-			isReport := string(request.Path()) == beatPath
+			isReport := string(request.Path()) == heartbeatPath
 			if full(open, server.Concurrency) || crowded(open, server.Concurrency) && !isReport {
 				request.SetConnectionClose()
 			}
 		},
 		MaxRequestBodySize:    wire.MaxBody,
 		Concurrency:           d.clientConns(),
-		IdleTimeout:           idleReports*d.coreConfig.ReportEvery + idleSlack,
+		IdleTimeout:           idleHeartbeats*d.coreConfig.HeartbeatInterval + idleSlack,
 		ReadTimeout:           httpReadTimeout,
 		WriteTimeout:          httpWriteTimeout,
 		NoDefaultServerHeader: true,
@@ -94,8 +94,8 @@
 		request.SetBody(d.statusAnywhere(ctx))
 	case path == DrainsPath || strings.HasPrefix(path, DrainsPath+"/"):
 		d.handleDrain(ctx, request, method, path)
-	case path == beatPath && method == fasthttp.MethodPost:
-		d.handleReport(ctx, request)
+	case path == heartbeatPath && method == fasthttp.MethodPost:
+		d.handleHeartbeat(ctx, request)
 	case strings.HasPrefix(path, runsPath):
 		began := time.Now()
 		d.handleUserCall(ctx, request, method, path)
@@ -105,10 +105,10 @@
 	}
 }
 
-// handleReport serves a worker's report.
-func (d *Daemon) handleReport(ctx context.Context, request *fasthttp.RequestCtx) {
-	answer := d.agents.Report(ctx, request.PostBody())
-	d.metrics.countReport(answer.Status)
+// handleHeartbeat serves a worker's heartbeat.
+func (d *Daemon) handleHeartbeat(ctx context.Context, request *fasthttp.RequestCtx) {
+	answer := d.agents.Heartbeat(ctx, request.PostBody())
+	d.metrics.countHeartbeat(answer.Status)
 	request.SetStatusCode(answer.Status)
 	if answer.Body != nil {
 		request.SetContentType(contentTypeCBOR)
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -15,19 +15,19 @@
 
 // metrics are a node's counters and histograms, on /metrics.
 type metrics struct {
-	registry  *prometheus.Registry
-	handler   fasthttp.RequestHandler
-	reports   *prometheus.CounterVec
-	commands  [3]prometheus.Counter
-	calls     *prometheus.CounterVec
-	callTime  *prometheus.HistogramVec
-	round     prometheus.Histogram
-	store     *prometheus.CounterVec
-	leading   prometheus.Gauge
-	term      prometheus.Gauge
-	standby   *standbyMetrics
-	admission *admissionMetrics
-	drains    *drainMetrics
+	registry   *prometheus.Registry
+	handler    fasthttp.RequestHandler
+	heartbeats *prometheus.CounterVec
+	commands   [3]prometheus.Counter
+	calls      *prometheus.CounterVec
+	callTime   *prometheus.HistogramVec
+	round      prometheus.Histogram
+	store      *prometheus.CounterVec
+	leading    prometheus.Gauge
+	term       prometheus.Gauge
+	standby    *standbyMetrics
+	admission  *admissionMetrics
+	drains     *drainMetrics
 }
 
 // Buckets from 1 ms to 8 s; a user waits 5 s at the most.
@@ -37,7 +37,7 @@
 	registry := prometheus.NewRegistry()
 	m := &metrics{
 		registry: registry,
-		reports: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "gingertally_reports_total",
+		heartbeats: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "gingertally_reports_total",
 			Help: "Workers' reports, by the status of the answer."}, []string{"status"}),
 		calls: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "gingertally_user_calls_total",
 			Help: "Users' calls, by method and status of the answer."}, []string{"method", "status"}),
@@ -55,7 +55,7 @@
 	for op, name := range map[fleet.Op]string{fleet.Start: "start", fleet.Stop: "stop", fleet.Forget: "forget"} {
 		m.commands[op] = commands.WithLabelValues(name)
 	}
-	registry.MustRegister(m.reports, m.calls, m.callTime, m.round, m.store, m.leading, m.term, commands)
+	registry.MustRegister(m.heartbeats, m.calls, m.callTime, m.round, m.store, m.leading, m.term, commands)
 	m.admission = newAdmissionMetrics(registry)
 	m.standby = newStandbyMetrics(registry)
 	m.drains = newDrainMetrics(registry)
@@ -68,8 +68,10 @@
 	m.store.WithLabelValues(strconv.FormatBool(contact == statestore.Served)).Inc()
 }
 
-// countReport counts a worker's report.
-func (m *metrics) countReport(status int) { m.reports.WithLabelValues(strconv.Itoa(status)).Inc() }
+// countHeartbeat counts a worker's heartbeat.
+func (m *metrics) countHeartbeat(status int) {
+	m.heartbeats.WithLabelValues(strconv.Itoa(status)).Inc()
+}
 
 // countCall counts a user's call.
 func (m *metrics) countCall(method string, status int, took time.Duration) {
@@ -77,7 +79,7 @@
 	m.callTime.WithLabelValues(method).Observe(took.Seconds())
 }
 
-// countCommands counts the commands of an answer to a report.
+// countCommands counts the commands of an answer to a heartbeat.
 func (m *metrics) countCommands(commands []fleet.Command) {
 	for _, command := range commands {
 		m.commands[command.Op].Inc()
--- a/internal/daemon/more_workers_test.go
+++ b/internal/daemon/more_workers_test.go
@@ -38,7 +38,7 @@
 				connections[i] = connection
 			}
 			status, stays := sendReport(t, connections[i])
-			if status == fasthttp.StatusBadRequest { // the body is no report, but it was looked at
+			if status == fasthttp.StatusBadRequest { // the body is no heartbeat, but it was looked at
 				answered[i]++
 			}
 			if !stays {
@@ -63,14 +63,14 @@
 	}
 }
 
-// sendReport sends something on a connection in place of a report, and tells the answer's
+// sendReport sends something on a connection in place of a heartbeat, and tells the answer's
 // status and whether the connection stays open.
 func sendReport(t *testing.T, connection net.Conn) (status int, stays bool) {
 	t.Helper()
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
-	request.SetRequestURI("http://node" + beatPath)
+	request.SetRequestURI("http://node" + heartbeatPath)
 	request.Header.SetMethod(fasthttp.MethodPost)
 	request.SetBodyString("x")
 	if err := connection.SetDeadline(time.Now().Add(5 * time.Second)); err != nil {
--- a/internal/daemon/peer_calls.go
+++ b/internal/daemon/peer_calls.go
@@ -17,7 +17,7 @@
 // servePeer serves what another node forwarded or asks.
 func (d *Daemon) servePeer(ctx context.Context, _, method, path string, body []byte) (int, []byte) {
 	switch path {
-	case beatPath:
+	case heartbeatPath:
 		answer := d.agents.Relayed(body)
 		return answer.Status, answer.Body
 	case pingPath:
--- a/internal/daemon/session.go
+++ b/internal/daemon/session.go
@@ -33,7 +33,7 @@
 	restoreCleared bool // the note of a restore is removed; used by the tick loop alone
 
 	contactMu   sync.Mutex
-	lastContact time.Time // when a report last arrived, or the lease last became valid again
+	lastContact time.Time // when a heartbeat last arrived, or the lease last became valid again
 }
 
 // elected starts a leader's session; it ends with ctx.
@@ -222,18 +222,18 @@
 // tickEvery is how often time passes for the engine.
 const tickEvery = 100 * time.Millisecond
 
-// silentReports is after how many report periods without any worker's report a leader
+// missedHeartbeats is after how many heartbeat intervals without any worker's report a leader
 // resigns, though machines should report.
-const silentReports = 3
+const missedHeartbeats = 3
 
 // tickLoop has the engine decide, or resigns if no worker reaches this node.
 func (s *leaderSession) tickLoop() error {
-	unreachedAfter := silentReports * s.daemon.coreConfig.ReportEvery
+	unreachedAfter := missedHeartbeats * s.daemon.coreConfig.HeartbeatInterval
 	for sleep(s.ctx, tickEvery) {
 		if !s.holdsLease() {
 			continue
 		}
-		if s.expectsReports() && s.sinceContact() > unreachedAfter {
+		if s.expectsHeartbeats() && s.sinceContact() > unreachedAfter {
 			s.daemon.elector.Resign("no worker has reported")
 			continue
 		}
@@ -295,8 +295,8 @@
 	}
 }
 
-// expectsReports tells whether any machine is believed to report.
-func (s *leaderSession) expectsReports() bool {
+// expectsHeartbeats tells whether any machine is believed to report.
+func (s *leaderSession) expectsHeartbeats() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.engine.HasLive()
--- a/internal/drain/verdict.go
+++ b/internal/drain/verdict.go
@@ -51,25 +51,25 @@
 	CauseLeaving
 	CauseNotStored
 	CauseUnsettled
-	CauseUnheard
+	CauseAwaitingHeartbeat
 	CausePaused
 )
 
 var causeTexts = [...]string{
-	CauseNone:         "",
-	CauseTaskBudget:   "a task has no interruption left",
-	CauseWindowBudget: "the interruptions of the window are used up",
-	CauseUnavailable:  "too many tasks of the job are down",
-	CauseClosed:       "a closed window",
-	CauseFinishing:    "tasks are left to finish",
-	CauseDeadline:     "not before the plan's deadline",
-	CauseNoRoom:       "no room elsewhere",
-	CauseReplacement:  "its replacement isn't up",
-	CauseLeaving:      "tasks are leaving",
-	CauseNotStored:    "the state service hasn't taken the charge",
-	CauseUnsettled:    "capacity is missing or the leader is new",
-	CauseUnheard:      "the machine doesn't report",
-	CausePaused:       "the plan is paused",
+	CauseNone:              "",
+	CauseTaskBudget:        "a task has no interruption left",
+	CauseWindowBudget:      "the interruptions of the window are used up",
+	CauseUnavailable:       "too many tasks of the job are down",
+	CauseClosed:            "a closed window",
+	CauseFinishing:         "tasks are left to finish",
+	CauseDeadline:          "not before the plan's deadline",
+	CauseNoRoom:            "no room elsewhere",
+	CauseReplacement:       "its replacement isn't up",
+	CauseLeaving:           "tasks are leaving",
+	CauseNotStored:         "the state service hasn't taken the charge",
+	CauseUnsettled:         "capacity is missing or the leader is new",
+	CauseAwaitingHeartbeat: "the machine doesn't report",
+	CausePaused:            "the plan is paused",
 }
 
 // String returns the cause as operators see it.
--- a/internal/emulator/cluster.go
+++ b/internal/emulator/cluster.go
@@ -153,7 +153,7 @@
 		Member: controllerName(i), Zone: zoneOf(i), ClientListen: client, PeerListen: peers[i], Endpoints: endpoints,
 		Params: config.Params{
 			Zones: zoneNames, Teams: c.options.Teams,
-			Workers: config.Workers{Report: config.Seconds(c.options.Timings.Report.Seconds()), Lease: config.Seconds(c.options.Timings.Lease.Seconds()),
+			Workers: config.Workers{HeartbeatInterval: config.Seconds(c.options.Timings.Heartbeat.Seconds()), Lease: config.Seconds(c.options.Timings.Lease.Seconds()),
 				GangWait: 10, GangPeer: 2, Cancel: config.Seconds(2 * c.options.Timings.Lease.Seconds())},
 			State:     config.State{RPS: 500, WriteRPS: 200, ValueKB: 16, TxnOps: 32},
 			Cloud:     config.Cloud{RPS: 20, ListLag: 0.5},
--- a/internal/emulator/cluster_test.go
+++ b/internal/emulator/cluster_test.go
@@ -73,7 +73,7 @@
 	t.Helper()
 	cluster, err := StartCluster(ClusterOptions{
 		Directory: t.TempDir(), Controllers: 3, Machines: options.Machines, OperatorSettings: options.OperatorSettings, Elastic: options.Elastic,
-		Timings: Timings{Report: time.Second, Lease: 15 * time.Second, RunTime: time.Second},
+		Timings: Timings{Heartbeat: time.Second, Lease: 15 * time.Second, RunTime: time.Second},
 		Command: func(settings, operatorSettings string) *exec.Cmd {
 			command := exec.Command(os.Args[0])
 			command.Env = append(os.Environ(), settingsVariable+"="+settings, operatorVariable+"="+operatorSettings)
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -12,8 +12,8 @@
 
 // Timings of a deployment that workers go by.
 type Timings struct {
-	Report, Lease time.Duration
-	RunTime       time.Duration // of a task, give or take a half
+	Heartbeat, Lease time.Duration
+	RunTime          time.Duration // of a task, give or take a half
 }
 
 // Worker is one machine's worker. It reports to one controller at a time and carries out
@@ -92,12 +92,12 @@
 	answerTimeout = 4 * time.Second
 	// nextNodePause is the pause before the next controller is tried.
 	nextNodePause = time.Second
-	// changePause is the least time between two reports.
+	// changePause is the least time between two heartbeats.
 	changePause = 500 * time.Millisecond
 )
 
-// reportLot is a task as a report has it.
-type reportLot struct {
+// heartbeatTask is a task as a heartbeat has it.
+type heartbeatTask struct {
 	Lot    string `cbor:"lot"`
 	Try    uint64 `cbor:"try"`
 	Status string `cbor:"status"`
@@ -105,17 +105,17 @@
 	Kept   bool   `cbor:"kept"`
 }
 
-// report is a worker's report.
-type report struct {
-	Stall    string      `cbor:"stall"`
-	Endpoint string      `cbor:"endpoint"`
-	Build    string      `cbor:"build"`
-	Yard     string      `cbor:"yard"`
-	Loaners  bool        `cbor:"loaners"`
-	Shift    uint64      `cbor:"shift"`
-	Tick     uint64      `cbor:"tick"`
-	Gavel    uint64      `cbor:"gavel"`
-	Lots     []reportLot `cbor:"lots"`
+// heartbeat is a worker's heartbeat.
+type heartbeat struct {
+	Stall    string          `cbor:"stall"`
+	Endpoint string          `cbor:"endpoint"`
+	Build    string          `cbor:"build"`
+	Yard     string          `cbor:"yard"`
+	Loaners  bool            `cbor:"loaners"`
+	Shift    uint64          `cbor:"shift"`
+	Tick     uint64          `cbor:"tick"`
+	Gavel    uint64          `cbor:"gavel"`
+	Lots     []heartbeatTask `cbor:"lots"`
 }
 
 // Run serves direct commands and reports until stop.
@@ -128,7 +128,7 @@
 		return err
 	}
 	for {
-		pause := w.reportOnce()
+		pause := w.sendHeartbeat()
 		select {
 		case <-stop:
 			return nil
@@ -141,11 +141,11 @@
 	}
 }
 
-// reportOnce sends one report, and returns the pause before the next.
-func (w *Worker) reportOnce() time.Duration {
+// sendHeartbeat sends one report, and returns the pause before the next.
+func (w *Worker) sendHeartbeat() time.Duration {
 	w.expire()
 	sent := time.Now()
-	body, target, session := w.nextReport()
+	body, target, session := w.nextHeartbeat()
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
@@ -158,7 +158,7 @@
 	switch {
 	case err == nil && response.StatusCode() == fasthttp.StatusOK && session == w.session:
 		w.obeyAnswer(response.Body(), sent)
-		return w.Timings.Report*3/4 + rand.N(w.Timings.Report/2)
+		return w.Timings.Heartbeat*3/4 + rand.N(w.Timings.Heartbeat/2)
 	case err == nil && response.StatusCode() == fasthttp.StatusMisdirectedRequest && w.redirected(response.Body(), target):
 		return rand.N(changePause)
 	}
@@ -195,23 +195,23 @@
 	w.answered = time.Now()
 }
 
-// nextReport is the next report, whom it goes to, and its session.
-func (w *Worker) nextReport() (body []byte, target string, session uint64) {
+// nextHeartbeat is the next heartbeat, whom it goes to, and its session.
+func (w *Worker) nextHeartbeat() (body []byte, target string, session uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return wire.MustMarshal(w.reportNow()), w.names[w.target], w.session
+	return wire.MustMarshal(w.heartbeatNow()), w.names[w.target], w.session
 }
 
-func (w *Worker) reportNow() report {
+func (w *Worker) heartbeatNow() heartbeat {
 	w.seq++
-	r := report{Stall: w.Name, Endpoint: w.endpoint, Build: MachineType, Yard: w.Zone, Shift: w.session, Tick: w.seq, Gavel: w.token, Lots: []reportLot{}}
+	r := heartbeat{Stall: w.Name, Endpoint: w.endpoint, Build: MachineType, Yard: w.Zone, Shift: w.session, Tick: w.seq, Gavel: w.token, Lots: []heartbeatTask{}}
 	for _, l := range w.lots {
-		r.Lots = append(r.Lots, reportLot{Lot: l.name, Try: l.attempt, Status: l.status, Cause: l.cause, Kept: l.cause == causeDone || l.kept})
+		r.Lots = append(r.Lots, heartbeatTask{Lot: l.name, Try: l.attempt, Status: l.status, Cause: l.cause, Kept: l.cause == causeDone || l.kept})
 	}
 	return r
 }
 
-// obeyAnswer carries out what an answer to a report says, unless its fencing token is too low.
+// obeyAnswer carries out what an answer to a heartbeat says, unless its fencing token is too low.
 func (w *Worker) obeyAnswer(body []byte, sent time.Time) {
 	var orders wire.Orders
 	if wire.Unmarshal(body, &orders) != nil || orders.Gavel < w.token || w.isDeleted() {
@@ -241,7 +241,7 @@
 		w.token = orders.Gavel
 		w.obey(orders.Orders)
 	}
-	reply(request, status, w.reportNow())
+	reply(request, status, w.heartbeatNow())
 }
 
 func (w *Worker) obey(orders []wire.Order) {
@@ -290,7 +290,7 @@
 	w.noteChange()
 }
 
-// remove has a task vanish without a report.
+// remove has a task vanish without a heartbeat.
 func (w *Worker) remove(key string, done bool) {
 	if l := w.lots[key]; l.status == lotRunning {
 		close(l.gone)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -21,7 +21,7 @@
 const (
 	// maxMessage bounds a message between nodes: a user's or worker's body and a little.
 	maxMessage = 128 << 10
-	// maxStreams bounds the requests of one node at once. A node that relays the reports
+	// maxStreams bounds the requests of one node at once. A node that relays the heartbeats
 	// of a zone with more than a thousand machines has about one of them under way for
 	// each, since the leader may hold an answer for 2 s.
 	maxStreams = 2048
--- a/internal/recovery/findings.go
+++ b/internal/recovery/findings.go
@@ -15,7 +15,7 @@
 	RunningRecorded Reason = iota
 	// RunningUnrecorded attempts are reported under this term, and no page names them.
 	RunningUnrecorded
-	// RecordedUnreported attempts are named by a page and missing from a report.
+	// RecordedUnreported attempts are named by a page and missing from a heartbeat.
 	RecordedUnreported
 	// DoneUnrecorded results are reported, and the job's record doesn't hold them.
 	DoneUnrecorded
@@ -65,7 +65,7 @@
 	Stop
 	// Ignore draws no conclusion.
 	Ignore
-	// Wait leaves the attempt where it may be until a report under this term's fencing token, the end
+	// Wait leaves the attempt where it may be until a heartbeat under this term's fencing token, the end
 	// of the worker's lease or a release proves it gone.
 	Wait
 	// ProveGone takes the recorded attempt for gone: its task may be placed again.
@@ -105,20 +105,20 @@
 	Elsewhere                     // another attempt on another machine
 )
 
-// ReportedTask is a task in a report, and what is recorded of it.
-type ReportedTask struct {
+// ObservedTask is a task in a heartbeat, and what is recorded of it.
+type ObservedTask struct {
 	Holder    Holder
-	Inherited bool // the holder is from an earlier term, and no report has confirmed it
+	Inherited bool // the holder is from an earlier term, and no heartbeat has confirmed it
 	Exited    bool
 	Done      bool // exited with a result
 	JobOpen   bool // the job is known and neither over nor cancelled
 	Wanted    bool // the task isn't done
-	Confirmed bool // the report carries this term's fencing token
+	Confirmed bool // the heartbeat carries this term's fencing token
 	Whole     bool // the task runs only together with others of its attempt (a gang)
 }
 
 // Classify says what a reported task is, and what is done about it.
-func Classify(r ReportedTask) Finding {
+func Classify(r ObservedTask) Finding {
 	switch r.Holder {
 	case ThisAttempt:
 		return classifyKnown(r)
@@ -136,7 +136,7 @@
 }
 
 // classifyKnown is about an attempt that the start log names on this machine.
-func classifyKnown(r ReportedTask) Finding {
+func classifyKnown(r ObservedTask) Finding {
 	switch {
 	case !r.Exited:
 		return Finding{RunningRecorded, Keep}
@@ -149,7 +149,7 @@
 }
 
 // classifyUnknown is about an attempt that no record names on this machine.
-func classifyUnknown(r ReportedTask) Finding {
+func classifyUnknown(r ObservedTask) Finding {
 	switch {
 	case r.Done && r.JobOpen && r.Wanted:
 		return Finding{DoneUnrecorded, TakeResult}
@@ -171,12 +171,12 @@
 	return Finding{RunningUnrecorded, Adopt}
 }
 
-// UnreportedAttempt is a recorded attempt that a newer report of its machine lacks.
+// UnreportedAttempt is a recorded attempt that a newer heartbeat of its machine lacks.
 type UnreportedAttempt struct {
 	Inherited bool // from an earlier term
-	Confirmed bool // the report carries this term's fencing token
-	Answered  bool // its start went with the answer to an earlier report than this one
-	Seen      bool // an earlier report of this term listed it
+	Confirmed bool // the heartbeat carries this term's fencing token
+	Answered  bool // its start went with the answer to an earlier heartbeat than this one
+	Seen      bool // an earlier heartbeat of this term listed it
 }
 
 // ClassifyUnreported says what such an attempt is, and what is done about it.
--- a/internal/recovery/reconciler.go
+++ b/internal/recovery/reconciler.go
@@ -12,7 +12,7 @@
 // States of a machine.
 const (
 	Expected  MachineState = iota // a record names it; it hasn't reported under this term
-	Reported                      // it has reported, but not yet with this term's fencing token
+	Reporting                     // it has reported, but not yet with this term's fencing token
 	Differing                     // it has, and something on it is still to be ended
 	Settled                       // all that is on it is known
 	Missing                       // it was given up: its lease is over, or it is released
@@ -43,7 +43,7 @@
 
 // Options are the bounds of a recovery.
 type Options struct {
-	ReportEvery time.Duration
+	HeartbeatInterval time.Duration
 	// RestoredBound is how long nothing is placed where the state service was restored from
 	// an older copy: by then each worker has reported under this term, or its lease is over.
 	RestoredBound time.Duration
@@ -52,35 +52,35 @@
 	Pace      PaceOptions
 }
 
-// collectSlack is what is added to the report period in which all machines should report.
+// collectSlack is what is added to the heartbeat interval in which all machines should report.
 const collectSlack = time.Second
 
-// unheardPart is the part of the machines that may be expected still when placing begins.
-const unheardPart = 5
+// awaitingHeartbeatPart is the part of the machines that may be expected still when placing begins.
+const awaitingHeartbeatPart = 5
 
 // Reconciler follows the recovery of a term. It isn't safe for concurrent use.
 type Reconciler struct {
-	options  Options
-	started  time.Time
-	state    TermState
-	since    time.Time // when the state was entered
-	machines map[string]*machine
-	counts   [machineStates]int
-	recorded bool // any machine was on record
-	vouched  bool // a worker has shown that the term before this one is the last it knows of
-	trusted  int  // of the expected ones, those that a confirmed view vouches for
-	found    [reasons]int
-	restored bool
-	pacer    *Pacer
-	done     time.Time // when recovery was over
+	options               Options
+	started               time.Time
+	state                 TermState
+	since                 time.Time // when the state was entered
+	machines              map[string]*machine
+	counts                [machineStates]int
+	recorded              bool // any machine was on record
+	previousTermConfirmed bool // a worker has shown that the term before this one is the last it knows of
+	expectedByWarmState   int  // of the expected ones, those that a confirmed view vouches for
+	found                 [reasons]int
+	restored              bool
+	pacer                 *Pacer
+	done                  time.Time // when recovery was over
 }
 
 // machine is what is known of a machine's recovery.
 type machine struct {
-	state   MachineState
-	trusted bool
-	why     Reason // of the last difference
-	differs bool
+	state               MachineState
+	expectedByWarmState bool
+	why                 Reason // of the last difference
+	differs             bool
 }
 
 // New begins the recovery of a term.
@@ -121,20 +121,20 @@
 	r.counts[to]++
 	m.state = to
 	if to != Expected {
-		r.setTrusted(m, false)
+		r.setExpectedByWarmState(m, false)
 	}
 	return m
 }
 
-func (r *Reconciler) setTrusted(m *machine, trusted bool) {
-	if m.trusted == trusted {
+func (r *Reconciler) setExpectedByWarmState(m *machine, trusted bool) {
+	if m.expectedByWarmState == trusted {
 		return
 	}
-	m.trusted = trusted
+	m.expectedByWarmState = trusted
 	if trusted {
-		r.trusted++
+		r.expectedByWarmState++
 	} else {
-		r.trusted--
+		r.expectedByWarmState--
 	}
 }
 
@@ -144,10 +144,10 @@
 	r.moveMachine(name, Expected)
 }
 
-// Trust notes whether a confirmed view of the last leader vouches for an expected machine.
-func (r *Reconciler) Trust(name string, trusted bool) {
+// ExpectByWarmState notes whether a confirmed view of the last leader vouches for an expected machine.
+func (r *Reconciler) ExpectByWarmState(name string, trusted bool) {
 	if m := r.machines[name]; m != nil && m.state == Expected {
-		r.setTrusted(m, trusted)
+		r.setExpectedByWarmState(m, trusted)
 	}
 }
 
@@ -158,8 +158,8 @@
 	}
 }
 
-// Heard notes a report of a machine. Open says that something on it is still to be ended.
-func (r *Reconciler) Heard(name string, confirmed, open bool) {
+// HeartbeatReceived notes a heartbeat of a machine. Open says that something on it is still to be ended.
+func (r *Reconciler) HeartbeatReceived(name string, confirmed, open bool) {
 	m := r.machines[name]
 	if m != nil && m.state == Settled && !open {
 		return // mostly
@@ -171,7 +171,7 @@
 		r.moveMachine(name, Settled)
 	case m != nil && m.state == Unknown:
 	default:
-		r.moveMachine(name, Reported)
+		r.moveMachine(name, Reporting)
 	}
 }
 
@@ -188,7 +188,7 @@
 	if m == nil {
 		return
 	}
-	r.setTrusted(m, false)
+	r.setExpectedByWarmState(m, false)
 	r.counts[m.state]--
 	delete(r.machines, name)
 }
@@ -211,29 +211,29 @@
 // total is how many machines are known.
 func (r *Reconciler) total() int { return len(r.machines) }
 
-// unheard is how many machines on record are neither heard of nor vouched for.
-func (r *Reconciler) unheard() int { return r.counts[Expected] - r.trusted }
+// awaitingHeartbeat is how many machines on record are neither heard of nor vouched for.
+func (r *Reconciler) awaitingHeartbeat() int { return r.counts[Expected] - r.expectedByWarmState }
 
 // MayPlace tells whether enough is known to place work: nearly all machines on record have
-// reported, or a report period has passed. What is placed on is proven free in any case; with
+// reported, or a heartbeat interval has passed. What is placed on is proven free in any case; with
 // few machines heard it would be placed badly. If no machine is on record, a worker has to
-// report that has served an earlier leader, or the report period to pass: were the state
+// report that has served an earlier leader, or the heartbeat interval to pass: were the state
 // service restored from a copy without any, only the workers' fencing tokens would show it. Listed says that the cloud's list was read.
 // Where a confirmed view vouches for machines, half of all are enough.
 func (r *Reconciler) MayPlace(now time.Time, listed bool) bool {
 	if r.restored {
 		return r.RestoreSettled(now)
 	}
-	if now.Sub(r.started) > r.options.ReportEvery*5/4+collectSlack {
+	if now.Sub(r.started) > r.options.HeartbeatInterval*5/4+collectSlack {
 		return true
 	}
-	if r.trusted > 0 && 2*r.unheard() <= r.total() {
+	if r.expectedByWarmState > 0 && 2*r.awaitingHeartbeat() <= r.total() {
 		return true
 	}
-	if !r.recorded && !r.vouched && !r.options.FirstTerm {
+	if !r.recorded && !r.previousTermConfirmed && !r.options.FirstTerm {
 		return false // nobody on record could show that the records are older than the machines
 	}
-	return r.total() > 0 && listed && r.unheard() <= r.total()/unheardPart
+	return r.total() > 0 && listed && r.awaitingHeartbeat() <= r.total()/awaitingHeartbeatPart
 }
 
 // RestoreSettled tells whether nothing that a restored state service has forgotten can be
@@ -243,9 +243,9 @@
 	return !r.restored || now.Sub(r.started) > r.options.RestoredBound
 }
 
-// Vouch notes that a worker has reported which has served an earlier leader, and knows of no
+// ConfirmPreviousTerm notes that a worker has reported which has served an earlier leader, and knows of no
 // term after this one.
-func (r *Reconciler) Vouch() { r.vouched = true }
+func (r *Reconciler) ConfirmPreviousTerm() { r.previousTermConfirmed = true }
 
 // Advance moves the term's state on.
 func (r *Reconciler) Advance(now time.Time, listed bool) {
@@ -255,7 +255,7 @@
 	if r.state == Collecting && r.MayPlace(now, listed) {
 		r.move(now, Settling)
 	}
-	if r.state == Settling && r.counts[Expected]+r.counts[Reported]+r.counts[Differing] == 0 {
+	if r.state == Settling && r.counts[Expected]+r.counts[Reporting]+r.counts[Differing] == 0 {
 		r.move(now, Paced)
 	}
 	if r.state == Paced && r.pacer.AtHighest() {
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -13,38 +13,38 @@
 
 // The table of differences in docs/recovery.md, row by row.
 func TestTableOfDifferences(t *testing.T) {
-	open := ReportedTask{JobOpen: true, Wanted: true, Confirmed: true}
-	with := func(change func(*ReportedTask)) ReportedTask {
+	open := ObservedTask{JobOpen: true, Wanted: true, Confirmed: true}
+	with := func(change func(*ObservedTask)) ObservedTask {
 		r := open
 		change(&r)
 		return r
 	}
 	for _, c := range []struct {
 		name string
-		task ReportedTask
+		task ObservedTask
 		want Finding
 	}{
-		{"running and recorded", with(func(r *ReportedTask) { r.Holder = ThisAttempt }), Finding{RunningRecorded, Keep}},
-		{"running and recorded, by a late copy", with(func(r *ReportedTask) { r.Holder, r.Confirmed, r.Inherited = ThisAttempt, false, true }), Finding{RunningRecorded, Keep}},
+		{"running and recorded", with(func(r *ObservedTask) { r.Holder = ThisAttempt }), Finding{RunningRecorded, Keep}},
+		{"running and recorded, by a late copy", with(func(r *ObservedTask) { r.Holder, r.Confirmed, r.Inherited = ThisAttempt, false, true }), Finding{RunningRecorded, Keep}},
 		{"running and never recorded", open, Finding{RunningUnrecorded, Adopt}},
-		{"running and never recorded, a gang's", with(func(r *ReportedTask) { r.Whole = true }), Finding{RunningUnrecorded, Stop}},
-		{"running and never recorded, by a late copy", with(func(r *ReportedTask) { r.Confirmed = false }), Finding{OlderEpoch, Ignore}},
-		{"running, another machine holds it", with(func(r *ReportedTask) { r.Holder = Elsewhere }), Finding{HeldElsewhere, Stop}},
-		{"running, another machine is to get it", with(func(r *ReportedTask) { r.Holder = UnsentElsewhere }), Finding{HeldElsewhere, WithdrawFirst}},
-		{"running, another machine is to get it, a gang's", with(func(r *ReportedTask) { r.Holder, r.Whole = UnsentElsewhere, true }), Finding{RunningUnrecorded, Stop}},
-		{"running, the job is over", with(func(r *ReportedTask) { r.JobOpen = false }), Finding{RunningJobOver, Stop}},
-		{"running, the task is done", with(func(r *ReportedTask) { r.Wanted = false }), Finding{RunningJobOver, Stop}},
-		{"a newer attempt than its record", with(func(r *ReportedTask) { r.Holder, r.Inherited = OlderHere, true }), Finding{NewerThere, ProveGone}},
-		{"a newer attempt than one that this term started", with(func(r *ReportedTask) { r.Holder = OlderHere }), Finding{OlderThere, Ignore}},
-		{"an older attempt than its record", with(func(r *ReportedTask) { r.Holder, r.Inherited = NewerHere, true }), Finding{OlderThere, Ignore}},
-		{"an older attempt than one that is to be started there", with(func(r *ReportedTask) { r.Holder = UnsentHere }), Finding{OlderThere, WithdrawFirst}},
-		{"done, and the record isn't", with(func(r *ReportedTask) { r.Holder, r.Exited, r.Done = ThisAttempt, true, true }), Finding{DoneUnrecorded, TakeResult}},
-		{"done and never recorded", with(func(r *ReportedTask) { r.Exited, r.Done = true, true }), Finding{DoneUnrecorded, TakeResult}},
-		{"done minutes late, another machine holds it", with(func(r *ReportedTask) { r.Holder, r.Exited, r.Done = Elsewhere, true, true }), Finding{DoneUnrecorded, TakeResult}},
-		{"done, the job is over", with(func(r *ReportedTask) { r.Exited, r.Done, r.JobOpen = true, true, false }), Finding{DoneJobOver, Forget}},
-		{"done, the task is done already", with(func(r *ReportedTask) { r.Holder, r.Exited, r.Done, r.Wanted = ThisAttempt, true, true, false }), Finding{DoneJobOver, Forget}},
-		{"exited without a result", with(func(r *ReportedTask) { r.Holder, r.Exited = ThisAttempt, true }), Finding{Failed, Requeue}},
-		{"exited without a result, never recorded", with(func(r *ReportedTask) { r.Exited = true }), Finding{Failed, Forget}},
+		{"running and never recorded, a gang's", with(func(r *ObservedTask) { r.Whole = true }), Finding{RunningUnrecorded, Stop}},
+		{"running and never recorded, by a late copy", with(func(r *ObservedTask) { r.Confirmed = false }), Finding{OlderEpoch, Ignore}},
+		{"running, another machine holds it", with(func(r *ObservedTask) { r.Holder = Elsewhere }), Finding{HeldElsewhere, Stop}},
+		{"running, another machine is to get it", with(func(r *ObservedTask) { r.Holder = UnsentElsewhere }), Finding{HeldElsewhere, WithdrawFirst}},
+		{"running, another machine is to get it, a gang's", with(func(r *ObservedTask) { r.Holder, r.Whole = UnsentElsewhere, true }), Finding{RunningUnrecorded, Stop}},
+		{"running, the job is over", with(func(r *ObservedTask) { r.JobOpen = false }), Finding{RunningJobOver, Stop}},
+		{"running, the task is done", with(func(r *ObservedTask) { r.Wanted = false }), Finding{RunningJobOver, Stop}},
+		{"a newer attempt than its record", with(func(r *ObservedTask) { r.Holder, r.Inherited = OlderHere, true }), Finding{NewerThere, ProveGone}},
+		{"a newer attempt than one that this term started", with(func(r *ObservedTask) { r.Holder = OlderHere }), Finding{OlderThere, Ignore}},
+		{"an older attempt than its record", with(func(r *ObservedTask) { r.Holder, r.Inherited = NewerHere, true }), Finding{OlderThere, Ignore}},
+		{"an older attempt than one that is to be started there", with(func(r *ObservedTask) { r.Holder = UnsentHere }), Finding{OlderThere, WithdrawFirst}},
+		{"done, and the record isn't", with(func(r *ObservedTask) { r.Holder, r.Exited, r.Done = ThisAttempt, true, true }), Finding{DoneUnrecorded, TakeResult}},
+		{"done and never recorded", with(func(r *ObservedTask) { r.Exited, r.Done = true, true }), Finding{DoneUnrecorded, TakeResult}},
+		{"done minutes late, another machine holds it", with(func(r *ObservedTask) { r.Holder, r.Exited, r.Done = Elsewhere, true, true }), Finding{DoneUnrecorded, TakeResult}},
+		{"done, the job is over", with(func(r *ObservedTask) { r.Exited, r.Done, r.JobOpen = true, true, false }), Finding{DoneJobOver, Forget}},
+		{"done, the task is done already", with(func(r *ObservedTask) { r.Holder, r.Exited, r.Done, r.Wanted = ThisAttempt, true, true, false }), Finding{DoneJobOver, Forget}},
+		{"exited without a result", with(func(r *ObservedTask) { r.Holder, r.Exited = ThisAttempt, true }), Finding{Failed, Requeue}},
+		{"exited without a result, never recorded", with(func(r *ObservedTask) { r.Exited = true }), Finding{Failed, Forget}},
 	} {
 		if got := Classify(c.task); got != c.want {
 			t.Errorf("%s: %v, %v", c.name, got.Reason, got.Action)
@@ -74,7 +74,7 @@
 	for holder := Nobody; holder <= Elsewhere; holder++ {
 		for bits := range 128 {
 			bit := func(i int) bool { return bits>>i&1 == 1 }
-			r := ReportedTask{Holder: holder, Inherited: bit(0), Exited: bit(1) || bit(2), Done: bit(2), JobOpen: bit(3), Wanted: bit(4), Confirmed: bit(5), Whole: bit(6)}
+			r := ObservedTask{Holder: holder, Inherited: bit(0), Exited: bit(1) || bit(2), Done: bit(2), JobOpen: bit(3), Wanted: bit(4), Confirmed: bit(5), Whole: bit(6)}
 			f := Classify(r)
 			seen[f.Reason] = true
 			switch {
@@ -101,11 +101,11 @@
 }
 
 func options(pace PaceOptions) Options {
-	return Options{ReportEvery: 3 * time.Second, RestoredBound: 30 * time.Second, Pace: pace}
+	return Options{HeartbeatInterval: 3 * time.Second, RestoredBound: 30 * time.Second, Pace: pace}
 }
 
 // Placing begins once four fifths of the machines on record have reported, with half of them
-// where a confirmed view vouches for the rest, or after a report period.
+// where a confirmed view vouches for the rest, or after a heartbeat interval.
 func TestMayPlace(t *testing.T) {
 	fleet := func(n int) *Reconciler {
 		r := New(start, options(PaceOptions{}))
@@ -119,7 +119,7 @@
 		if r.MayPlace(at(time.Second), true) {
 			t.Fatalf("with %d of 10 machines heard", i)
 		}
-		r.Heard(fmt.Sprint("m-", i), false, false)
+		r.HeartbeatReceived(fmt.Sprint("m-", i), false, false)
 	}
 	if !r.MayPlace(at(time.Second), true) || r.MayPlace(at(time.Second), false) {
 		t.Fatal("with 8 of 10 machines heard, and the list or not")
@@ -129,20 +129,20 @@
 	}
 	r = fleet(10)
 	for i := range 5 {
-		r.Trust(fmt.Sprint("m-", i), true)
+		r.ExpectByWarmState(fmt.Sprint("m-", i), true)
 	}
 	if !r.MayPlace(at(0), false) {
 		t.Fatal("half of the machines are vouched for")
 	}
-	r.Trust("m-0", false)
+	r.ExpectByWarmState("m-0", false)
 	if r.MayPlace(at(0), false) {
 		t.Fatal("less than half are")
 	}
-	r.Trust("m-0", true)
+	r.ExpectByWarmState("m-0", true)
 	r.GivenUp("m-1")
 	r.Gone("m-2")
-	if s := r.Status(at(0)); s.Machines["expected"] != 8 || s.Machines["missing"] != 1 || r.trusted != 3 {
-		t.Fatalf("%+v, %d vouched for", s.Machines, r.trusted)
+	if s := r.Status(at(0)); s.Machines["expected"] != 8 || s.Machines["missing"] != 1 || r.expectedByWarmState != 3 {
+		t.Fatalf("%+v, %d vouched for", s.Machines, r.expectedByWarmState)
 	}
 }
 
@@ -152,7 +152,7 @@
 	r := New(start, options(PaceOptions{}))
 	r.Restored()
 	r.Discover("m-1")
-	r.Heard("m-1", true, false)
+	r.HeartbeatReceived("m-1", true, false)
 	if r.MayPlace(at(29*time.Second), true) || r.RestoreSettled(at(29*time.Second)) {
 		t.Fatal("a machine that isn't listed may hold something")
 	}
@@ -162,18 +162,18 @@
 }
 
 // Where no machine is on record, a worker has to show by its fencing token that the records aren't
-// older than the machines, or a report period to pass; but for the first leader of all.
+// older than the machines, or a heartbeat interval to pass; but for the first leader of all.
 func TestNoMachineOnRecord(t *testing.T) {
 	r := New(start, options(PaceOptions{}))
 	r.Discover("m-1")
-	r.Heard("m-1", false, false)
+	r.HeartbeatReceived("m-1", false, false)
 	if r.MayPlace(at(time.Second), true) {
 		t.Fatal("nobody vouches for the records")
 	}
 	if !r.MayPlace(at(5*time.Second), true) {
 		t.Fatal("not after a report period")
 	}
-	r.Vouch()
+	r.ConfirmPreviousTerm()
 	if !r.MayPlace(at(time.Second), true) {
 		t.Fatal("a worker vouches for the records")
 	}
@@ -222,13 +222,13 @@
 	case 1:
 		r.Discover(name)
 	case 2:
-		r.Heard(name, rng.IntN(2) == 0, rng.IntN(5) == 0)
+		r.HeartbeatReceived(name, rng.IntN(2) == 0, rng.IntN(5) == 0)
 	case 3:
 		r.GivenUp(name)
 	case 4:
 		r.Gone(name)
 	case 5:
-		r.Trust(name, rng.IntN(2) == 0)
+		r.ExpectByWarmState(name, rng.IntN(2) == 0)
 	case 6:
 		r.Found(name, Finding{Reason(rng.IntN(int(reasons))), Stop})
 	}
@@ -241,12 +241,12 @@
 	trusted := 0
 	for _, m := range r.machines {
 		counts[m.state]++
-		if m.trusted {
+		if m.expectedByWarmState {
 			trusted++
 		}
 	}
-	if counts != r.counts || trusted != r.trusted {
-		t.Fatalf("counted %v and %d, are %v and %d", r.counts, r.trusted, counts, trusted)
+	if counts != r.counts || trusted != r.expectedByWarmState {
+		t.Fatalf("counted %v and %d, are %v and %d", r.counts, r.expectedByWarmState, counts, trusted)
 	}
 }
 
--- a/internal/simulation/drain_check.go
+++ b/internal/simulation/drain_check.go
@@ -299,7 +299,7 @@
 // drainAnswered checks an answer to a report as it leaves: it starts nothing on a machine that
 // the state service holds as cordoned. The version in production doesn't know of cordons. What
 // a machine that hung makes of the answer when it goes on was sent in time.
-func (w *World) drainAnswered(machine string, reply core.Reply) {
+func (w *World) drainAnswered(machine string, reply core.HeartbeatResponse) {
 	if w.drains == nil {
 		return
 	}
--- a/internal/simulation/fault_scenario_rows_test.go
+++ b/internal/simulation/fault_scenario_rows_test.go
@@ -66,7 +66,7 @@
 		s.every(25*time.Second, 40*time.Second, func() {
 			s.withLeader(func(old *node) {
 				s.alone(old, s.between(15*time.Second, 35*time.Second))
-				s.reportTo(old, 10*time.Second)
+				s.sendHeartbeatsTo(old, 10*time.Second)
 				s.afterLeader(old, func(*node) {
 					s.note("another leads")
 					s.cancelNow(2, 0)
@@ -272,7 +272,7 @@
 	{name: "old reports, also of earlier sessions", noise: true, script: func(s *script) {
 		s.long(6, 0)
 		s.short(30, 0, 120*time.Second)
-		s.lateReports(0.6, s.w.o.Length, false)
+		s.lateHeartbeats(0.6, s.w.o.Length, false)
 		s.every(30*time.Second, 25*time.Second, func() {
 			for _, m := range s.some(0.3, busy) {
 				if s.chance(0.5) {
@@ -317,7 +317,7 @@
 	{name: "old reports reach all as a leader begins", noise: true, script: func(s *script) {
 		s.long(6, 0)
 		s.short(30, 0, 120*time.Second)
-		s.lateReports(0.3, s.w.o.Length, true)
+		s.lateHeartbeats(0.3, s.w.o.Length, true)
 		changes(s, 20*time.Second, 18*time.Second, 10*time.Millisecond, 3*time.Second)
 		s.every(25*time.Second, 20*time.Second, func() { s.cancelNow(1, s.between(time.Second, 10*time.Second)) })
 	}, least: map[string]int{"copies": 500, "leaders ended": 16, "confirmed": 12}},
@@ -343,7 +343,7 @@
 	{name: "reports held until a new leader has acted", noise: true, script: func(s *script) {
 		s.long(6, 0)
 		s.short(30, 0, 120*time.Second)
-		s.heldReports(0.1, s.w.o.Length)
+		s.heldHeartbeats(0.1, s.w.o.Length)
 		changes(s, 20*time.Second, 18*time.Second, 10*time.Millisecond, 3*time.Second)
 		s.every(25*time.Second, 20*time.Second, func() { s.cancelNow(1, 0) })
 	}, least: map[string]int{"held reports": 60, "leaders ended": 16, "confirmed": 12}},
@@ -365,7 +365,7 @@
 				s.at(s.between(0, 200*time.Millisecond), func() { s.refuse(old, s.between(3*time.Second, 60*time.Second)) })
 				s.at(time.Second, func() {
 					s.outage(s.w.o.Cancel + s.between(2*time.Second, 12*time.Second))
-					s.reportTo(old, s.w.o.Cancel)
+					s.sendHeartbeatsTo(old, s.w.o.Cancel)
 				})
 			})
 		})
--- a/internal/simulation/fault_scenarios.go
+++ b/internal/simulation/fault_scenarios.go
@@ -38,9 +38,9 @@
 	lost            float64       // share of transactions without an answer
 	atOnce          bool          // they are carried out at once
 	link            time.Duration // messages of workers take up to that much longer
-	copies          float64       // share of reports of which a copy arrives again
-	forNext         bool          // copies and held reports are kept for the next leader
-	holds           float64       // share of reports held back until a new leader has acted
+	copies          float64       // share of heartbeats of which a copy arrives again
+	forNext         bool          // copies and held heartbeats are kept for the next leader
+	holds           float64       // share of heartbeats held back until a new leader has acted
 	kept            []func()      // what is kept for the next leader
 	held            []func()      // what waits until the next leader has acted
 	answers         float64       // share of answers to reports held up
@@ -231,9 +231,9 @@
 	return s.between(200*time.Millisecond, 2*time.Second)
 }
 
-// takes sees a report on its way: copies of it may arrive again, and it may itself be
+// takes sees a heartbeat on its way: copies of it may arrive again, and it may itself be
 // held back until a new leader has acted.
-func (s *script) takes(m *machine, _ *node, r fleet.Report, sent time.Time) bool {
+func (s *script) takes(m *machine, _ *node, r fleet.Heartbeat, sent time.Time) bool {
 	if s == nil || s.over() {
 		return false
 	}
@@ -257,33 +257,33 @@
 	return true
 }
 
-// toAll has a copy of a report reach every controller.
-func (s *script) toAll(r fleet.Report) {
+// toAll has a copy of a heartbeat reach every controller.
+func (s *script) toAll(r fleet.Heartbeat) {
 	for _, n := range s.w.nodes {
 		s.copyTo(n, r)
 	}
 }
 
-// copyTo has a copy of a report reach a controller; nobody waits for its answer.
-func (s *script) copyTo(n *node, r fleet.Report) {
+// copyTo has a copy of a heartbeat reach a controller; nobody waits for its answer.
+func (s *script) copyTo(n *node, r fleet.Heartbeat) {
 	n.run(n.life, func() {
 		s.note("copies")
 		if m := s.w.machines[r.Machine]; m != nil && m.session != r.Session {
 			s.note("copies of an earlier session")
 		}
-		status, _, leader := n.report(r, false)
+		status, _, leader := n.answerHeartbeat(r, false)
 		if status == 421 && n.reaches(leader) {
-			status, _, leader = leader.report(r, true)
+			status, _, leader = leader.answerHeartbeat(r, true)
 		}
 		if status == 0 {
-			leader.hold(r, func(int, core.Reply) {})
+			leader.hold(r, func(int, core.HeartbeatResponse) {})
 		}
 	})
 }
 
-// answerHeld is how long an answer to a report is held up; if it has commands, the
+// answerHeld is how long an answer to a heartbeat is held up; if it has commands, the
 // machine often hangs meanwhile and then goes on.
-func (s *script) answerHeld(m *machine, status int, reply core.Reply) time.Duration {
+func (s *script) answerHeld(m *machine, status int, reply core.HeartbeatResponse) time.Duration {
 	if s == nil || s.answers == 0 || status != 200 || !s.chance(s.answers) {
 		return 0
 	}
--- a/internal/simulation/fault_scenarios_test.go
+++ b/internal/simulation/fault_scenarios_test.go
@@ -45,7 +45,7 @@
 		s.note("outage after confirmation by the next leader")
 		s.noteCancelledWithTasks()
 		out(s)
-		s.reportTo(old, 2*s.w.o.Cancel)
+		s.sendHeartbeatsTo(old, 2*s.w.o.Cancel)
 	}
 	s.at(at, func() {
 		s.withLeader(func(old *node) {
@@ -77,8 +77,8 @@
 	}
 }
 
-// reportTo has all workers report to one node, again and again.
-func (s *script) reportTo(n *node, d time.Duration) {
+// sendHeartbeatsTo has all workers report to one node, again and again.
+func (s *script) sendHeartbeatsTo(n *node, d time.Duration) {
 	for at := time.Duration(0); at < d; at += time.Second {
 		s.at(at, func() {
 			for _, m := range s.w.sortedMachines() {
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -196,8 +196,8 @@
 	eff := n.eng.Step(n.local(), ev)
 	n.w.digest.addStep(n, ev, eff)
 	n.w.check.notePreemptions(eff.Notes)
-	if n.w.o.Pace.Enabled && eff.Reply != nil && eff.Reply.OK && !eff.Reply.Hold {
-		n.w.check.paced(n, eff.Reply)
+	if n.w.o.Pace.Enabled && eff.Response != nil && eff.Response.OK && !eff.Response.Held {
+		n.w.check.paced(n, eff.Response)
 	}
 	n.compute(ev)
 	if n.w.Trace != nil {
--- /dev/null
+++ b/internal/simulation/node_heartbeats.go
@@ -0,0 +1,59 @@
+package simulation
+
+import (
+	"gingertally/internal/core"
+	"gingertally/internal/core/fleet"
+)
+
+// answerHeartbeat serves a worker's heartbeat that has arrived; relayed ones come from
+// another node. Status 0: the leader holds the answer, see collect.
+func (n *node) answerHeartbeat(r fleet.Heartbeat, relayed bool) (status int, reply core.HeartbeatResponse, leader *node) {
+	status, reply, leader = n.respondToHeartbeat(r, relayed)
+	n.w.output.workerAnswer(n, r.Machine, status, reply, leader)
+	return status, reply, leader
+}
+
+func (n *node) respondToHeartbeat(r fleet.Heartbeat, relayed bool) (status int, reply core.HeartbeatResponse, leader *node) {
+	if n.holdsLease() {
+		eff := n.step(core.HeartbeatReceived{Heartbeat: r})
+		if eff.Response != nil && eff.Response.Held {
+			return 0, reply, n
+		}
+		if eff.Response == nil || !eff.Response.OK || !n.holdsLease() {
+			return 503, reply, nil
+		}
+		n.w.drainAnswered(r.Machine, *eff.Response)
+		return 200, *eff.Response, nil
+	}
+	if relayed || !n.health.Serves(n.local()) {
+		return 503, reply, nil
+	}
+	for _, o := range n.w.nodes {
+		if o != n && o.holdsLease() {
+			return 421, reply, o
+		}
+	}
+	return 503, reply, nil
+}
+
+// answerHeldHeartbeat completes an answer that was held; status 0: it is held once more.
+func (n *node) answerHeldHeartbeat(r fleet.Heartbeat, eng *core.Engine) (int, core.HeartbeatResponse) {
+	status, reply := n.completeResponse(r, eng)
+	n.w.output.workerAnswer(n, r.Machine, status, reply, nil)
+	return status, reply
+}
+
+func (n *node) completeResponse(r fleet.Heartbeat, eng *core.Engine) (int, core.HeartbeatResponse) {
+	if !n.holdsLease() || n.eng != eng {
+		return 503, core.HeartbeatResponse{}
+	}
+	eff := n.step(core.HeldResponseDue{Heartbeat: r})
+	if eff.Response != nil && eff.Response.Held {
+		return 0, core.HeartbeatResponse{}
+	}
+	if eff.Response == nil || !eff.Response.OK || !n.holdsLease() {
+		return 503, core.HeartbeatResponse{}
+	}
+	n.w.drainAnswered(r.Machine, *eff.Response)
+	return 200, *eff.Response
+}
--- a/internal/simulation/output_digest.go
+++ b/internal/simulation/output_digest.go
@@ -85,7 +85,7 @@
 }
 
 // workerAnswer takes in a controller's answer to a worker, status 0 being one that is held.
-func (d *outputDigest) workerAnswer(n *node, machine string, status int, reply core.Reply, leader *node) {
+func (d *outputDigest) workerAnswer(n *node, machine string, status int, reply core.HeartbeatResponse, leader *node) {
 	if d == nil || status == 0 {
 		return
 	}
--- a/internal/simulation/random_test.go
+++ b/internal/simulation/random_test.go
@@ -9,7 +9,7 @@
 
 func options(seed uint64, faults bool) Options {
 	return Options{Seed: seed, Length: 150 * time.Second, Drain: 250 * time.Second, Nodes: 3 + 2*int(seed%3), Zones: 2 + int(seed%2), Jobs: 14, Faults: faults,
-		Report: 3 * time.Second, Lease: 20 * time.Second, Cancel: 40 * time.Second, LeaseTTL: 3 * time.Second}
+		HeartbeatInterval: 3 * time.Second, Lease: 20 * time.Second, Cancel: 40 * time.Second, LeaseTTL: 3 * time.Second}
 }
 
 // TestPeace plays worlds without troubles: all jobs come to their end.
--- a/internal/simulation/short_lease_test.go
+++ b/internal/simulation/short_lease_test.go
@@ -12,7 +12,7 @@
 func shortLeases(seed uint64) Options {
 	return Options{Seed: seed, Length: 150 * time.Second, Drain: 350 * time.Second, Nodes: 3 + 2*int(seed%2), Zones: 3, ShortLease: true,
 		Faults: seed%2 == 0, CorrelatedFailures: seed%5 == 0,
-		Report: 1500 * time.Millisecond, Lease: 12 * time.Second, Cancel: 37 * time.Second, LeaseTTL: 3 * time.Second}
+		HeartbeatInterval: 1500 * time.Millisecond, Lease: 12 * time.Second, Cancel: 37 * time.Second, LeaseTTL: 3 * time.Second}
 }
 
 // TestShortLease plays worlds with a lease of 12 s: slow and stalling nodes, zones cut
--- a/internal/simulation/standby.go
+++ b/internal/simulation/standby.go
@@ -54,7 +54,7 @@
 
 // standbyTimeouts are a node's margins, derived as the daemon derives them.
 func (w *World) standbyTimeouts() standby.Timeouts {
-	return standby.TimeoutsFor(w.o.Report, simulatedSnapshotPace)
+	return standby.TimeoutsFor(w.o.HeartbeatInterval, simulatedSnapshotPace)
 }
 
 // standbyOn tells whether a node takes part: the version in production doesn't.
--- a/internal/simulation/starvation_check.go
+++ b/internal/simulation/starvation_check.go
@@ -42,7 +42,7 @@
 const waitsAtMost = 90 * time.Second
 
 // What replacing a replica takes besides the proof that its last place is lost: a round of
-// decisions and its write, two reports of the machine that gets it, and fetching its image.
+// decisions and its write, two heartbeats of the machine that gets it, and fetching its image.
 const (
 	roundAndWrite = 2 * time.Second
 	fetchMost     = 8 * time.Second
@@ -53,7 +53,7 @@
 func (c *checker) replacedWithin() time.Duration {
 	o := &c.w.o
 	leaseProvenOver := o.Lease + o.Lease/500 + time.Second
-	return leaseProvenOver + roundAndWrite + 2*o.Report*5/4 + fetchMost + lookEvery
+	return leaseProvenOver + roundAndWrite + 2*o.HeartbeatInterval*5/4 + fetchMost + lookEvery
 }
 
 // checkStarvation checks, again and again once all troubles are over, that no job is left
--- a/internal/simulation/troubles.go
+++ b/internal/simulation/troubles.go
@@ -152,7 +152,7 @@
 	}
 }
 
-// loseInbound has messages to machines lost, while their reports arrive.
+// loseInbound has messages to machines lost, while their heartbeats arrive.
 func (s *script) loseInbound(ms []*machine, d time.Duration) {
 	for _, m := range ms {
 		m.inboundLost = true
@@ -180,15 +180,15 @@
 	s.at(d, func() { s.lost = 0 })
 }
 
-// lateReports has copies of a share of the reports arrive again, much later or just
+// lateHeartbeats has copies of a share of the heartbeats arrive again, much later or just
 // when a new leader begins.
-func (s *script) lateReports(share float64, d time.Duration, forNext bool) {
+func (s *script) lateHeartbeats(share float64, d time.Duration, forNext bool) {
 	s.copies, s.forNext = share, forNext
 	s.at(d, func() { s.copies = 0 })
 }
 
-// heldReports holds a share of the reports back until a new leader has acted.
-func (s *script) heldReports(share float64, d time.Duration) {
+// heldHeartbeats holds a share of the heartbeats back until a new leader has acted.
+func (s *script) heldHeartbeats(share float64, d time.Duration) {
 	s.holds = share
 	s.at(d, func() { s.holds = 0 })
 }
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -19,7 +19,7 @@
 	isUp, dead        bool
 	hungUntil         time.Time
 	sick              bool
-	inboundLost       bool      // its reports arrive, but nothing that is sent to it (one-way loss)
+	inboundLost       bool      // its heartbeats arrive, but nothing that is sent to it (one-way loss)
 	outboundLost      bool      // it reaches no controller, while direct commands reach it (one-way loss)
 	errors            int       // how many tasks failed on it
 	failedAt          time.Time // the last of them
@@ -30,8 +30,8 @@
 	seq, fencingToken uint64
 	answered          time.Time // when the last answered report was sent, by its own clock
 	target            int
-	outstanding       uint64 // the report that is waited for, 0: none
-	lastReport        time.Time
+	outstanding       uint64 // the heartbeat that is waited for, 0: none
+	lastHeartbeat     time.Time
 	tasks             map[string]*task // by name and attempt
 	images            map[string]bool
 }
@@ -62,7 +62,7 @@
 	m.target = m.w.rng.IntN(len(m.w.nodes))
 	m.cut = map[*node]bool{}
 	m.leaseLoop()
-	m.reportLoop()
+	m.heartbeatLoop()
 }
 
 func (m *machine) leaseLoop() {
@@ -76,25 +76,25 @@
 		m.session++
 		m.outstanding = 0
 		m.answered = m.local()
-		m.report()
+		m.sendHeartbeat()
 	}
 	// A hanging machine may go on within its lease only (PROTOCOL), so this
 	// clock runs while it hangs.
 	m.w.after(250*time.Millisecond, m.leaseLoop)
 }
 
-func (m *machine) reportLoop() {
-	every := m.w.o.Report
+func (m *machine) heartbeatLoop() {
+	every := m.w.o.HeartbeatInterval
 	m.later(m.w.between(every*3/4, every*5/4), func() {
-		m.report()
-		m.reportLoop()
+		m.sendHeartbeat()
+		m.heartbeatLoop()
 	})
 }
 
 // changed reports soon, but no more often than every half second.
 func (m *machine) changed() {
-	wait := max(0, 500*time.Millisecond-m.w.now.Sub(m.lastReport))
-	m.later(wait, m.report)
+	wait := max(0, 500*time.Millisecond-m.w.now.Sub(m.lastHeartbeat))
+	m.later(wait, m.sendHeartbeat)
 }
 
 func (m *machine) sorted() []*task {
@@ -108,27 +108,27 @@
 	return out
 }
 
-func (m *machine) snapshot() fleet.Report {
+func (m *machine) snapshot() fleet.Heartbeat {
 	m.seq++
-	r := fleet.Report{Machine: m.name, Addr: m.name, Type: m.typ, Zone: m.zone, Spot: m.spot, Session: m.session, Seq: m.seq,
+	r := fleet.Heartbeat{Machine: m.name, Addr: m.name, Type: m.typ, Zone: m.zone, Spot: m.spot, Session: m.session, Seq: m.seq,
 		FencingToken: m.fencingToken, Notice: -1}
 	if !m.noticeAt.IsZero() {
 		r.Notice = max(0, m.noticeAt.Sub(m.w.now))
 	}
 	for _, t := range m.sorted() {
-		r.Tasks = append(r.Tasks, fleet.TaskReport{Ref: t.job.spec.Ref, Task: t.index, Attempt: t.attempt, State: t.state, Cause: t.cause, Saved: t.saved})
+		r.Tasks = append(r.Tasks, fleet.TaskStatus{Ref: t.job.spec.Ref, Task: t.index, Attempt: t.attempt, State: t.state, Cause: t.cause, Saved: t.saved})
 	}
 	return r
 }
 
-// answerWithin is how long a worker waits for the response to a report.
+// answerWithin is how long a worker waits for the response to a heartbeat.
 const answerWithin = 4 * time.Second
 
-func (m *machine) report() {
-	if m.outstanding != 0 || m.w.now.Sub(m.lastReport) < 400*time.Millisecond {
+func (m *machine) sendHeartbeat() {
+	if m.outstanding != 0 || m.w.now.Sub(m.lastHeartbeat) < 400*time.Millisecond {
 		return
 	}
-	m.lastReport = m.w.now
+	m.lastHeartbeat = m.w.now
 	r := m.snapshot()
 	m.outstanding = r.Seq
 	sent := m.local()
@@ -145,14 +145,14 @@
 func (m *machine) next() {
 	m.outstanding = 0
 	m.target = (m.target + 1) % len(m.w.nodes)
-	m.later(time.Second, m.report)
+	m.later(time.Second, m.sendHeartbeat)
 }
 
 func (m *machine) blocked(n *node) bool {
 	return n.down || n.noWorkers || m.cut[n] || !m.w.reach(m.zone, n.zone)
 }
 
-func (m *machine) deliver(n *node, r fleet.Report, sent time.Time) {
+func (m *machine) deliver(n *node, r fleet.Heartbeat, sent time.Time) {
 	w := m.w
 	w.digest.add(w, "report", m.name, r)
 	delay := w.between(time.Millisecond, 20*time.Millisecond) + w.script.linkDelay()
@@ -180,29 +180,29 @@
 	})
 }
 
-// arrived has a node serve a report.
-func (m *machine) arrived(n *node, r fleet.Report, life int, sent time.Time) {
+// arrived has a node serve a heartbeat.
+func (m *machine) arrived(n *node, r fleet.Heartbeat, life int, sent time.Time) {
 	w := m.w
-	status, reply, leader := n.report(r, false)
+	status, reply, leader := n.answerHeartbeat(r, false)
 	if status == 421 && n.reaches(leader) && w.chance(0.2) {
-		status, reply, leader = leader.report(r, true) // passed on by the node
+		status, reply, leader = leader.answerHeartbeat(r, true) // passed on by the node
 	}
 	if status == 0 {
 		leader.tick()
-		leader.hold(r, func(status int, reply core.Reply) { m.answer(n, r, life, sent, status, reply, nil) })
+		leader.hold(r, func(status int, reply core.HeartbeatResponse) { m.answer(n, r, life, sent, status, reply, nil) })
 		return
 	}
 	m.answer(n, r, life, sent, status, reply, leader)
 }
 
 // hold completes an answer a moment later, or when the leader says so.
-func (n *node) hold(r fleet.Report, answer func(int, core.Reply)) {
+func (n *node) hold(r fleet.Heartbeat, answer func(int, core.HeartbeatResponse)) {
 	eng, life := n.eng, n.life
 	var again func()
 	again = func() {
 		n.w.after(n.w.between(50*time.Millisecond, 500*time.Millisecond), func() {
 			n.run(life, func() {
-				if status, reply := n.collect(r, eng); status == 0 {
+				if status, reply := n.answerHeldHeartbeat(r, eng); status == 0 {
 					again()
 				} else {
 					answer(status, reply)
@@ -214,7 +214,7 @@
 }
 
 // answer sends a node's response back, if it gets through.
-func (m *machine) answer(n *node, r fleet.Report, life int, sent time.Time, status int, reply core.Reply, leader *node) {
+func (m *machine) answer(n *node, r fleet.Heartbeat, life int, sent time.Time, status int, reply core.HeartbeatResponse, leader *node) {
 	w := m.w
 	if m.inboundLost || m.blocked(n) || (w.o.Faults && !w.noNet && w.chance(0.01)) {
 		return
@@ -231,24 +231,24 @@
 	})
 }
 
-// sendDuplicate has a copy of a report arrive late at some node, up to well over a lease
+// sendDuplicate has a copy of a heartbeat arrive late at some node, up to well over a lease
 // later; nobody waits for its answer.
-func (w *World) sendDuplicate(r fleet.Report) {
+func (w *World) sendDuplicate(r fleet.Heartbeat) {
 	w.after(w.between(time.Second, 3*w.o.Lease), func() {
 		n := w.nodes[w.rng.IntN(len(w.nodes))]
 		n.run(n.life, func() {
-			status, _, leader := n.report(r, false)
+			status, _, leader := n.answerHeartbeat(r, false)
 			if status == 421 && !leader.stalled() {
-				status, _, leader = leader.report(r, true)
+				status, _, leader = leader.answerHeartbeat(r, true)
 			}
 			if status == 0 {
-				leader.hold(r, func(int, core.Reply) {})
+				leader.hold(r, func(int, core.HeartbeatResponse) {})
 			}
 		})
 	})
 }
 
-func (m *machine) response(r fleet.Report, sent time.Time, status int, reply core.Reply, leader *node) {
+func (m *machine) response(r fleet.Heartbeat, sent time.Time, status int, reply core.HeartbeatResponse, leader *node) {
 	if m.outstanding != r.Seq || r.Session != m.session {
 		return // given up, or from an earlier session
 	}
@@ -271,7 +271,7 @@
 				m.target = i
 			}
 		}
-		m.later(m.w.between(0, 500*time.Millisecond), m.report)
+		m.later(m.w.between(0, 500*time.Millisecond), m.sendHeartbeat)
 	default:
 		m.next()
 	}
@@ -385,9 +385,9 @@
 	}
 	m.life++
 	m.session, m.seq, m.fencingToken, m.outstanding = 1, 0, 0, 0
-	m.answered, m.lastReport = m.local(), time.Time{}
+	m.answered, m.lastHeartbeat = m.local(), time.Time{}
 	clear(m.images)
-	m.later(m.w.between(10*time.Millisecond, time.Second), m.report)
+	m.later(m.w.between(10*time.Millisecond, time.Second), m.sendHeartbeat)
 }
 
 // die ends the machine and all on it.
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -29,7 +29,7 @@
 	Pipelines          int  // pipelines of jobs that wait for each other
 	Roll               bool // the version in production runs first, and is replaced node by node
 	Lower              bool // the state service lowers its limits at some moment after that
-	Report             time.Duration
+	HeartbeatInterval  time.Duration
 	Lease              time.Duration
 	Cancel             time.Duration
 	LeaseTTL           time.Duration        // of the lease under the leader key
@@ -226,7 +226,7 @@
 // coreConfig is the core's part of a node's settings.
 func (n *node) coreConfig() core.Config {
 	w := n.w
-	c := core.Config{Teams: w.teams, Debug: w.Trace != nil, ReportEvery: w.o.Report, Lease: w.o.Lease,
+	c := core.Config{Teams: w.teams, Debug: w.Trace != nil, HeartbeatInterval: w.o.HeartbeatInterval, Lease: w.o.Lease,
 		CancelWithin: w.o.Cancel, GangWait: gangWait, ListLag: 2 * time.Second, RestartLimit: 3,
 		BatchEvery: 2 * time.Second, MaxPerValue: n.limits().ValueBytes, RoundBudget: 200, Weights: core.DefaultWeights(), WarmState: n.standbyOn(), Pace: w.o.Pace, Admission: w.o.Admission}
 	if n.drainsOn() {
--- a/internal/standby/phases.go
+++ b/internal/standby/phases.go
@@ -11,7 +11,7 @@
 	Vacant                   // the leader's lease was seen to have lapsed or been given up
 	ClaimStored              // the claim was stored
 	ViewCurrent              // the state service was read, and the copy confirmed or given up
-	FirstAnswer              // a worker's report was answered
+	FirstAnswer              // a worker's heartbeat was answered
 	FirstStart               // a start was given
 	phases
 )
--- a/internal/standby/timeouts.go
+++ b/internal/standby/timeouts.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// recentSlack is what the last word of a leader may be older than two report periods:
+	// recentSlack is what the last word of a leader may be older than two heartbeat intervals:
 	// the lease of a leader that has died has to lapse first. It is the same as the time
 	// after which a leader takes a machine for silent.
 	recentSlack = 5 * time.Second
--- a/internal/wire/agent.go
+++ b/internal/wire/agent.go
@@ -8,21 +8,21 @@
 	"gingertally/internal/core/fleet"
 )
 
-// Beat mirrors a worker's report.
-type Beat struct {
-	Stall    *string   `cbor:"stall"`
-	Endpoint *string   `cbor:"endpoint"`
-	Build    *string   `cbor:"build"`
-	Yard     *string   `cbor:"yard"`
-	Loaners  *bool     `cbor:"loaners"`
-	Shift    *uint64   `cbor:"shift"`
-	Tick     *uint64   `cbor:"tick"`
-	Gavel    *uint64   `cbor:"gavel"`
-	WarningS *float64  `cbor:"warning_s"`
-	Lots     []beatLot `cbor:"lots"`
+// Heartbeat mirrors a worker's heartbeat.
+type Heartbeat struct {
+	Stall    *string         `cbor:"stall"`
+	Endpoint *string         `cbor:"endpoint"`
+	Build    *string         `cbor:"build"`
+	Yard     *string         `cbor:"yard"`
+	Loaners  *bool           `cbor:"loaners"`
+	Shift    *uint64         `cbor:"shift"`
+	Tick     *uint64         `cbor:"tick"`
+	Gavel    *uint64         `cbor:"gavel"`
+	WarningS *float64        `cbor:"warning_s"`
+	Lots     []heartbeatTask `cbor:"lots"`
 }
 
-type beatLot struct {
+type heartbeatTask struct {
 	Lot    *string `cbor:"lot"`
 	Try    *uint64 `cbor:"try"`
 	Status *string `cbor:"status"`
@@ -41,21 +41,21 @@
 	"busy": fleet.CauseBusy, "no_such": fleet.CauseUnknown,
 }
 
-// ParseReport decodes and checks a worker's report. Every error is ErrMalformed.
-func ParseReport(body []byte) (fleet.Report, error) {
+// ParseHeartbeat decodes and checks a worker's heartbeat. Every error is ErrMalformed.
+func ParseHeartbeat(body []byte) (fleet.Heartbeat, error) {
 	if len(body) > MaxBody || !isMap(body) {
-		return fleet.Report{}, fmt.Errorf("%w: not a map within the size limit", ErrMalformed)
+		return fleet.Heartbeat{}, fmt.Errorf("%w: not a map within the size limit", ErrMalformed)
 	}
-	var beat Beat
+	var beat Heartbeat
 	if err := Unmarshal(body, &beat); err != nil {
-		return fleet.Report{}, err
+		return fleet.Heartbeat{}, err
 	}
-	report, err := parseMachine(&beat)
+	report, err := parseMachineStatus(&beat)
 	if err != nil {
 		return report, err
 	}
 	for i := range beat.Lots {
-		task, err := parseTask(&beat.Lots[i])
+		task, err := parseTaskStatus(&beat.Lots[i])
 		if err != nil {
 			return report, err
 		}
@@ -67,14 +67,14 @@
 // noNotice stands for a machine that its cloud hasn't announced to take away.
 const noNotice = -1
 
-// parseMachine reads what a report says of the machine itself.
-func parseMachine(beat *Beat) (fleet.Report, error) {
+// parseMachineStatus reads what a heartbeat says of the machine itself.
+func parseMachineStatus(beat *Heartbeat) (fleet.Heartbeat, error) {
 	named := beat.Stall != nil && *beat.Stall != "" && beat.Endpoint != nil && beat.Build != nil && beat.Yard != nil && beat.Loaners != nil
 	ordered := beat.Shift != nil && beat.Tick != nil && beat.Gavel != nil
 	if !named || !ordered {
-		return fleet.Report{}, fmt.Errorf("%w: a field of the report is missing", ErrMalformed)
+		return fleet.Heartbeat{}, fmt.Errorf("%w: a field of the report is missing", ErrMalformed)
 	}
-	report := fleet.Report{
+	report := fleet.Heartbeat{
 		Machine: *beat.Stall, Addr: *beat.Endpoint, Type: *beat.Build, Zone: *beat.Yard, Spot: *beat.Loaners,
 		Session: *beat.Shift, Seq: *beat.Tick, FencingToken: *beat.Gavel, Notice: noNotice,
 	}
@@ -88,9 +88,9 @@
 	return report, nil
 }
 
-// parseTask reads what a report says of one task.
-func parseTask(lot *beatLot) (fleet.TaskReport, error) {
-	var task fleet.TaskReport
+// parseTaskStatus reads what a heartbeat says of one task.
+func parseTaskStatus(lot *heartbeatTask) (fleet.TaskStatus, error) {
+	var task fleet.TaskStatus
 	if lot.Lot == nil || lot.Try == nil || lot.Status == nil {
 		return task, fmt.Errorf("%w: a field of a reported task is missing", ErrMalformed)
 	}
@@ -102,7 +102,7 @@
 	if !known {
 		return task, fmt.Errorf("%w: task state %q", ErrMalformed, *lot.Status)
 	}
-	task = fleet.TaskReport{Ref: ref, Task: number, Attempt: *lot.Try, State: state}
+	task = fleet.TaskStatus{Ref: ref, Task: number, Attempt: *lot.Try, State: state}
 	if state != fleet.Exited {
 		return task, nil
 	}
@@ -116,7 +116,7 @@
 	return task, nil
 }
 
-// Orders is the answer to a report, and, with the worker's session in Shift, a direct
+// Orders is the answer to a heartbeat, and, with the worker's session in Shift, a direct
 // command.
 type Orders struct {
 	Gavel  uint64  `cbor:"gavel"`
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -28,7 +28,7 @@
 // The encoded form of every message of the outside interfaces.
 func TestMessagesGolden(t *testing.T) {
 	var lines goldentest.Lines
-	addMessage[Beat](t, &lines, "heartbeat")
+	addMessage[Heartbeat](t, &lines, "heartbeat")
 	addMessage[Orders](t, &lines, "orders")
 	addMessage[Redirect](t, &lines, "redirect")
 	addMessage[submission](t, &lines, "submission")
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -82,7 +82,7 @@
 }
 
 func TestParseReport(t *testing.T) {
-	r, err := ParseReport(MustMarshal(goodBeat()))
+	r, err := ParseHeartbeat(MustMarshal(goodBeat()))
 	if err != nil || len(r.Tasks) != 2 || r.Notice >= 0 || r.Tasks[0].State != fleet.Running ||
 		r.Tasks[1].Cause != fleet.CauseStopped || !r.Tasks[1].Saved || r.Tasks[1].Attempt != 1<<63 {
 		t.Fatalf("good report: %+v, %v", r, err)
@@ -91,7 +91,7 @@
 		"lots": []any{map[string]any{"lot": "j-000412", "try": 2, "status": "running"}}} {
 		m := goodBeat()
 		m[field] = v
-		if _, err := ParseReport(MustMarshal(m)); !errors.Is(err, ErrMalformed) {
+		if _, err := ParseHeartbeat(MustMarshal(m)); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%s = %v: error %v", field, v, err)
 		}
 	}
@@ -104,7 +104,7 @@
 	} {
 		m := goodBeat()
 		m["lots"] = []any{lot}
-		if _, err := ParseReport(MustMarshal(m)); !errors.Is(err, ErrMalformed) {
+		if _, err := ParseHeartbeat(MustMarshal(m)); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%v: error %v", lot, err)
 		}
 	}
--- a/tools/drain/main.go
+++ b/tools/drain/main.go
@@ -72,7 +72,7 @@
 	budgets := newBudgets(time.Now())
 	cluster, err := emulator.StartCluster(emulator.ClusterOptions{
 		Directory: directory, Controllers: 3, Machines: o.Machines, Elastic: true,
-		Timings:          emulator.Timings{Report: reportEvery, Lease: lease, RunTime: runTime},
+		Timings:          emulator.Timings{Heartbeat: reportEvery, Lease: lease, RunTime: runTime},
 		Teams:            []config.Team{{Name: teamRuns}, {Name: teamDesk}, {Name: teamBatch}},
 		OperatorSettings: budgets.settings(o.Ignore),
 		Command:          emulator.Program(o.Binary),
--- a/tools/failover/main.go
+++ b/tools/failover/main.go
@@ -92,7 +92,7 @@
 	}
 	cluster, err := emulator.StartCluster(emulator.ClusterOptions{
 		Directory: directory, Controllers: o.Controllers, Machines: o.Machines,
-		Timings:          emulator.Timings{Report: o.ReportEvery, Lease: o.Lease, RunTime: o.RunTime},
+		Timings:          emulator.Timings{Heartbeat: o.ReportEvery, Lease: o.Lease, RunTime: o.RunTime},
 		OperatorSettings: operatorText(o),
 		Command: func(settings, operatorSettings string) *exec.Cmd {
 			command := emulator.Program(o.Binary)(settings, operatorSettings)
--- a/tools/outage/main.go
+++ b/tools/outage/main.go
@@ -92,7 +92,7 @@
 	}
 	cluster, err := emulator.StartCluster(emulator.ClusterOptions{
 		Directory: directory, Controllers: 3, Machines: o.Machines, OperatorSettings: settings,
-		Timings: emulator.Timings{Report: reportEvery, Lease: lease, RunTime: runTime},
+		Timings: emulator.Timings{Heartbeat: reportEvery, Lease: lease, RunTime: runTime},
 		Command: emulator.Program(o.Binary),
 	})
 	if err != nil {
--- a/tools/surge/loopback.go
+++ b/tools/surge/loopback.go
@@ -54,7 +54,7 @@
 	}
 	cluster, err := emulator.StartCluster(emulator.ClusterOptions{
 		Directory: directory, Controllers: 3, Machines: loopbackMachines, Teams: teams,
-		Timings:          emulator.Timings{Report: time.Second, Lease: 15 * time.Second, RunTime: loopbackRun},
+		Timings:          emulator.Timings{Heartbeat: time.Second, Lease: 15 * time.Second, RunTime: loopbackRun},
 		OperatorSettings: fmt.Sprintf(loopbackSettings, !o.Without),
 		Command:          emulator.Program(o.Binary),
 	})
