--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -175,9 +175,9 @@
 	a.Stopping, a.StopAt, a.Grace, a.Eviction = true, now, grace, fleet.NotEvicted
 	e.touch(m)
 	if a.State() != fleet.Sent {
-		a.CommandSeq = 0
+		a.CommandSequence = 0
 	}
-	if a.State() == fleet.Sent || m.Session == 0 {
+	if a.State() == fleet.Sent || m.Incarnation == 0 {
 		return // goes with the next heartbeat's response, once it is there
 	}
 	e.direct(m, fleet.Command{Op: fleet.Stop, Ref: a.Ref, Task: a.Task, Attempt: a.Number, Grace: grace})
@@ -194,7 +194,7 @@
 			return
 		}
 	}
-	e.out.Direct = append(e.out.Direct, Direct{Machine: m.Name, Addr: m.Addr, Session: m.Session, FencingToken: e.term, Commands: []fleet.Command{c}})
+	e.out.Direct = append(e.out.Direct, Direct{Machine: m.Name, Addr: m.Addr, Incarnation: m.Incarnation, FencingToken: e.term, Commands: []fleet.Command{c}})
 }
 
 // requeue lets the task of a gone attempt be placed again.
@@ -240,7 +240,7 @@
 		e.chargeInvoluntary(now, a)
 	}
 	e.moveAttempt(now, m, a, fleet.Exited)
-	a.Cause, a.CommandSeq = t.Cause, 0
+	a.Cause, a.CommandSequence = t.Cause, 0
 	if t.Cause == fleet.CauseDone {
 		e.taskDone(now, m, a)
 		return
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -23,10 +23,10 @@
 	reports := make([]fleet.Heartbeat, machines)
 	for i := range reports {
 		name := fmt.Sprintf("m-%06d", i)
-		reports[i] = fleet.Heartbeat{Machine: name, Addr: name, Type: "big", Zone: "a", Session: 1, FencingToken: 1, Notice: -1}
+		reports[i] = fleet.Heartbeat{Machine: name, Addr: name, Type: "big", Zone: "a", Incarnation: 1, FencingToken: 1, Notice: -1}
 	}
 	hear := func(i int) HeartbeatResponse {
-		reports[i].Seq++
+		reports[i].Sequence++
 		return *e.Step(now, HeartbeatReceived{reports[i]}).Response
 	}
 	for i := range reports {
@@ -68,7 +68,7 @@
 			e, now, reports := busyFleet(n)
 			for i := 0; b.Loop(); i++ {
 				r := &reports[i%n]
-				r.Seq++
+				r.Sequence++
 				e.Step(now, HeartbeatReceived{*r})
 				e.Batch(now, 30)
 			}
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -21,7 +21,7 @@
 		case state == fleet.Exited:
 			if a.Handled {
 				c.Op = fleet.Forget
-				a.CommandSeq = m.Seq
+				a.CommandSequence = m.Sequence
 				forgets = append(forgets, c)
 			}
 		case a.Eviction == fleet.EvictionApproved:
@@ -35,7 +35,7 @@
 				continue // it saves; a second stop could end that
 			}
 			c.Op, c.Grace = fleet.Stop, a.Grace
-			a.CommandSeq = m.Seq
+			a.CommandSequence = m.Sequence
 			stops = append(stops, c)
 		case state == fleet.Recorded && !a.Inherited && e.mayStart(m) && !now.Before(a.NotBefore) && e.recovery.Pacer().Take(e.urgent(a)):
 			c.Op = fleet.Start
@@ -54,7 +54,7 @@
 
 // startSent notes that an attempt's start goes out with the answer to the newest heartbeat.
 func (e *Engine) startSent(now time.Time, m *fleet.Machine, a *fleet.Attempt) {
-	a.CommandSeq = m.Seq
+	a.CommandSequence = m.Sequence
 	if j := e.jobs[a.Ref]; j != nil && !j.Started && !j.StartSent {
 		j.StartSent = true
 		e.waits.note(j, now.Sub(j.Since))
--- a/internal/core/connectivity.go
+++ b/internal/core/connectivity.go
@@ -54,7 +54,7 @@
 // were answered.
 func (e *Engine) deliveryShown(now time.Time, m *fleet.Machine, r *fleet.Heartbeat, leaseEnded bool) delivery {
 	d := delivery{
-		delivered:   r.Session == m.Session && m.OneWayLoss.MustHaveDelivered(now, e.cfg.Lease),
+		delivered:   r.Incarnation == m.Incarnation && m.OneWayLoss.MustHaveDelivered(now, e.cfg.Lease),
 		undelivered: leaseEnded,
 	}
 	if m.OneWayLoss.Expecting {
@@ -67,7 +67,7 @@
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
 		a := m.Tasks[fleet.Key{Ref: t.Ref, Task: t.Task}]
-		if a == nil || a.Number != t.Attempt || a.CommandSeq == 0 || a.CommandSeq >= r.Seq {
+		if a == nil || a.Number != t.Attempt || a.CommandSequence == 0 || a.CommandSequence >= r.Sequence {
 			continue
 		}
 		switch {
@@ -78,7 +78,7 @@
 		}
 	}
 	for _, a := range m.Tasks {
-		if a.State() == fleet.Sent && a.CommandSeq < r.Seq && !listsAttempt(r, a) {
+		if a.State() == fleet.Sent && a.CommandSequence < r.Sequence && !listsAttempt(r, a) {
 			d.undelivered = true
 		}
 	}
--- a/internal/core/drain_bench_test.go
+++ b/internal/core/drain_bench_test.go
@@ -26,7 +26,7 @@
 				e, now, reports := drainedFleet(machines, mode)
 				for i := 0; b.Loop(); i++ {
 					r := &reports[i%machines]
-					r.Seq++
+					r.Sequence++
 					e.Step(now, HeartbeatReceived{*r})
 				}
 			})
--- a/internal/core/drain_eviction.go
+++ b/internal/core/drain_eviction.go
@@ -216,7 +216,7 @@
 		a.Eviction = fleet.NotEvicted
 		return false
 	}
-	a.Eviction, a.Stopping, a.StopAt, a.CommandSeq = fleet.EvictionSent, true, now, m.Seq
+	a.Eviction, a.Stopping, a.StopAt, a.CommandSequence = fleet.EvictionSent, true, now, m.Sequence
 	a.Grace = j.Save + time.Second
 	e.touch(m)
 	e.note("evicted", "job", a.Ref, "task", a.Task, "machine", m.Name)
@@ -227,7 +227,7 @@
 // been: the answer was dropped. The eviction is then judged again, since a window may have
 // closed meanwhile; its charge stands.
 func (*Engine) evictionLost(m *fleet.Machine, a *fleet.Attempt) bool {
-	if a.State() == fleet.Saving || a.CommandSeq >= m.Seq {
+	if a.State() == fleet.Saving || a.CommandSequence >= m.Sequence {
 		return false
 	}
 	a.Eviction, a.Stopping = fleet.NotEvicted, false
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -146,7 +146,7 @@
 // Direct is a set of commands to be sent to a worker at once.
 type Direct struct {
 	Machine, Addr string
-	Session       uint64
+	Incarnation   uint64
 	FencingToken  uint64
 	Commands      []fleet.Command
 }
--- a/internal/core/fleet/attempt.go
+++ b/internal/core/fleet/attempt.go
@@ -38,16 +38,16 @@
 // Attempt is one attempt that is, or may be, on a machine.
 type Attempt struct {
 	Key
-	Number     uint64   // unique over all terms; the tasks of a gang share one
-	On         *Machine // where it is, or may be
-	Page       *Page    // the page of the start log that names it; nil: none does yet
-	CPUs       float64
-	GPUs       float64
-	MemGB      float64
-	Image      string
-	Inherited  bool   // from an earlier term: only a heartbeat under this term's fencing token proves it gone
-	Foreign    bool   // not wanted here; stopped and never counted as a result of ours
-	CommandSeq uint64 // the heartbeat in whose answer the machine last got a command about it
+	Number          uint64   // unique over all terms; the tasks of a gang share one
+	On              *Machine // where it is, or may be
+	Page            *Page    // the page of the start log that names it; nil: none does yet
+	CPUs            float64
+	GPUs            float64
+	MemGB           float64
+	Image           string
+	Inherited       bool   // from an earlier term: only a heartbeat under this term's fencing token proves it gone
+	Foreign         bool   // not wanted here; stopped and never counted as a result of ours
+	CommandSequence uint64 // the heartbeat in whose answer the machine last got a command about it
 
 	state    TaskState
 	Since    time.Time // when it entered its state
--- a/internal/core/fleet/connectivity_test.go
+++ b/internal/core/fleet/connectivity_test.go
@@ -11,7 +11,7 @@
 
 // Reports are ordered by fencing token, then session, then sequence number.
 func TestEpochOrder(t *testing.T) {
-	ordered := []Epoch{{1, 1, 1}, {1, 1, 2}, {1, 2, 1}, {2, 1, 1}, {2, 1, 9}, {3, 7, 1}}
+	ordered := []HeartbeatVersion{{1, 1, 1}, {1, 1, 2}, {1, 2, 1}, {2, 1, 1}, {2, 1, 9}, {3, 7, 1}}
 	for i, a := range ordered {
 		for k, b := range ordered {
 			if a.After(b) != (i > k) {
@@ -23,18 +23,18 @@
 
 // Only a higher fencing token under counts that haven't risen shows a restart.
 func TestEpochRestarted(t *testing.T) {
-	known := Epoch{FencingToken: 4, Session: 3, Seq: 10}
+	known := HeartbeatVersion{FencingToken: 4, Incarnation: 3, Sequence: 10}
 	for _, c := range []struct {
-		report    Epoch
+		report    HeartbeatVersion
 		restarted bool
 	}{
-		{Epoch{4, 3, 11}, false},
-		{Epoch{4, 4, 1}, false},
-		{Epoch{5, 3, 11}, false},
-		{Epoch{5, 4, 1}, false},
-		{Epoch{5, 3, 10}, true},
-		{Epoch{5, 1, 1}, true},
-		{Epoch{4, 1, 1}, false},
+		{HeartbeatVersion{4, 3, 11}, false},
+		{HeartbeatVersion{4, 4, 1}, false},
+		{HeartbeatVersion{5, 3, 11}, false},
+		{HeartbeatVersion{5, 4, 1}, false},
+		{HeartbeatVersion{5, 3, 10}, true},
+		{HeartbeatVersion{5, 1, 1}, true},
+		{HeartbeatVersion{4, 1, 1}, false},
 	} {
 		if got := c.report.Restarted(known); got != c.restarted {
 			t.Errorf("%+v after %+v: restarted %v", c.report, known, got)
@@ -47,7 +47,7 @@
 func TestStaleReportsShowRestart(t *testing.T) {
 	var s StaleHeartbeats
 	note := func(second int, seq uint64) bool {
-		return s.NoteStale(at(second), &Heartbeat{Session: 1, Seq: seq}, 3*time.Second)
+		return s.NoteStale(at(second), &Heartbeat{Incarnation: 1, Sequence: seq}, 3*time.Second)
 	}
 	if note(0, 1) || note(3, 2) {
 		t.Fatal("restarted after two reports")
--- a/internal/core/fleet/machine.go
+++ b/internal/core/fleet/machine.go
@@ -31,15 +31,15 @@
 	state                  MachineState
 
 	// Reports and answers.
-	Session, Seq, FencingToken uint64          // of its newest heartbeat, see Epoch
-	Expected                   bool            // not heard of under this term, but the leader before was, shortly before its end
-	FencingTokenSent           bool            // was sent this term's fencing token
-	Confirmed                  bool            // has reported with this term's fencing token, or never held anything of an earlier term
-	LastHeartbeat              time.Time       // when its newest heartbeat arrived
-	LeaseBase                  time.Time       // no 200 was sent to it after this
-	ResponseHeld               bool            // what is placed now goes with the answer to its last heartbeat
-	OneWayLoss                 OneWayLoss      // whether it receives answers
-	StaleHeartbeats            StaleHeartbeats // reports that aren't newer than the newest one
+	Incarnation, Sequence, FencingToken uint64          // of its newest heartbeat, see Epoch
+	Expected                            bool            // not heard of under this term, but the leader before was, shortly before its end
+	FencingTokenSent                    bool            // was sent this term's fencing token
+	Confirmed                           bool            // has reported with this term's fencing token, or never held anything of an earlier term
+	LastHeartbeat                       time.Time       // when its newest heartbeat arrived
+	LeaseBase                           time.Time       // no 200 was sent to it after this
+	ResponseHeld                        bool            // what is placed now goes with the answer to its last heartbeat
+	OneWayLoss                          OneWayLoss      // whether it receives answers
+	StaleHeartbeats                     StaleHeartbeats // reports that aren't newer than the newest one
 
 	// Its life.
 	FirstSeen     time.Time
@@ -120,7 +120,7 @@
 }
 
 // Newer tells whether a heartbeat is newer than all that have been taken in.
-func (m *Machine) Newer(r *Heartbeat) bool { return r.Epoch().After(m.Epoch()) }
+func (m *Machine) Newer(r *Heartbeat) bool { return r.Version().After(m.HeartbeatVersion()) }
 
 // LeaseOver tells whether the worker's lease has certainly ended: nobody can have
 // answered it after LeaseBase, and the drift of the two clocks is allowed for
--- a/internal/core/fleet/messages.go
+++ b/internal/core/fleet/messages.go
@@ -49,9 +49,9 @@
 
 // Heartbeat is a worker's heartbeat.
 type Heartbeat struct {
-	Machine, Addr, Type, Zone  string
-	Spot                       bool
-	Session, Seq, FencingToken uint64
-	Notice                     time.Duration // negative: none
-	Tasks                      []TaskStatus
+	Machine, Addr, Type, Zone           string
+	Spot                                bool
+	Incarnation, Sequence, FencingToken uint64
+	Notice                              time.Duration // negative: none
+	Tasks                               []TaskStatus
 }
--- a/internal/core/fleet/one_way_loss.go
+++ b/internal/core/fleet/one_way_loss.go
@@ -29,7 +29,7 @@
 	l.Expecting = false
 }
 
-// MustHaveDelivered tells whether a worker that is still in the same session must have
+// MustHaveDelivered tells whether a worker that is still in the same incarnation must have
 // received an answer since the last undelivered one: its lease would have ended
 // otherwise.
 func (l *OneWayLoss) MustHaveDelivered(now time.Time, lease time.Duration) bool {
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -101,7 +101,7 @@
 func (c HeldResponseDue) apply(e *Engine, now time.Time) {
 	e.out.Response = &HeartbeatResponse{}
 	m := e.machines[c.Heartbeat.Machine]
-	if m == nil || m.Session != c.Heartbeat.Session || m.Seq != c.Heartbeat.Seq {
+	if m == nil || m.Incarnation != c.Heartbeat.Incarnation || m.Sequence != c.Heartbeat.Sequence {
 		return // a newer heartbeat has come; only its answer may start anything
 	}
 	e.respond(now, m, e.keepHeld(now, m))
@@ -109,7 +109,7 @@
 
 // applyHeartbeat takes in a heartbeat that is newer than all before it.
 func (e *Engine) applyHeartbeat(now time.Time, m *fleet.Machine, r *fleet.Heartbeat) {
-	newSession := r.Session > m.Session || r.Epoch().Restarted(m.Epoch())
+	newSession := r.Incarnation > m.Incarnation || r.Version().Restarted(m.HeartbeatVersion())
 	was, quiet := m.State(), now.Sub(m.LastHeartbeat)
 	leaseEnded := newSession && was == fleet.Live && quiet < e.cfg.Lease/2
 	if was == fleet.Booting || was == fleet.Silent {
@@ -120,13 +120,13 @@
 	}
 	e.detectOneWayLoss(now, m, r, leaseEnded)
 	m.Addr, m.LastHeartbeat = r.Addr, now
-	m.Session, m.Seq, m.FencingToken = r.Session, r.Seq, r.FencingToken
+	m.Incarnation, m.Sequence, m.FencingToken = r.Incarnation, r.Sequence, r.FencingToken
 	if r.FencingToken == e.term && (!m.Confirmed || !m.Known) {
 		m.Confirmed, m.Known = true, true
 		e.touch(m)
 	}
 	if newSession {
-		e.endSession(now, m, r)
+		e.incarnationEnded(now, m, r)
 	}
 	for i := range r.Tasks {
 		e.applyTaskStatus(now, m, r.FencingToken, r.Tasks[i])
@@ -141,14 +141,14 @@
 	e.interruptionNotice(now, m, r.Notice)
 }
 
-// endSession takes in that a worker's session has ended: it killed and forgot all that
-// earlier sessions held, also what earlier terms had started. Whatever is there now is in
+// incarnationEnded takes in that a worker's incarnation has ended: it killed and forgot all that
+// earlier incarnations held, also what earlier terms had started. Whatever is there now is in
 // the heartbeat's list; of earlier terms' late starts only a confirmed heartbeat can speak
 // (docs/design.md, safety argument 5; TestInheritedAttemptNeedsConfirmedReport).
-func (e *Engine) endSession(now time.Time, m *fleet.Machine, r *fleet.Heartbeat) {
+func (e *Engine) incarnationEnded(now time.Time, m *fleet.Machine, r *fleet.Heartbeat) {
 	for _, a := range sortedAttempts(m) {
 		if a.State() <= fleet.Recorded && !a.Inherited {
-			continue // its start hasn't left, so it belongs to no session yet
+			continue // its start hasn't left, so it belongs to no incarnation yet
 		}
 		if !listsAttempt(r, a) && (!a.Inherited || m.Confirmed) {
 			e.attemptLost(now, m, a, "session over")
@@ -182,7 +182,7 @@
 			Inherited: a.Inherited, Confirmed: m.Confirmed,
 			// The response with the start was answered or dropped before this heartbeat was
 			// sent; the worker never executes it later.
-			Answered: a.State() == fleet.Sent && r.Seq > a.CommandSeq,
+			Answered: a.State() == fleet.Sent && r.Sequence > a.CommandSequence,
 			Seen:     a.State() >= fleet.Fetching,
 		})
 		if finding.Action == recovery.ProveGone {
--- a/internal/core/one_way_loss_test.go
+++ b/internal/core/one_way_loss_test.go
@@ -66,7 +66,7 @@
 	t.Fatal("kept although it receives nothing")
 }
 
-// A machine that seemed unreachable and keeps its session for longer than a lease must
+// A machine that seemed unreachable and keeps its incarnation for longer than a lease must
 // have had answers: six such machines, idle, were once kept and never used again.
 func TestOneWayLossEnds(t *testing.T) {
 	b := newBench(t, 2, Snapshot{})
--- a/internal/core/reconcile_test.go
+++ b/internal/core/reconcile_test.go
@@ -161,13 +161,13 @@
 // report.
 func TestTokenOfAForgottenLeader(t *testing.T) {
 	b := newBench(t, 9, Snapshot{Jobs: []StoredJob{job("j-1", 1)}})
-	r := fleet.Heartbeat{Machine: "m-1", Addr: "m-1", Type: "big", Zone: "a", Session: 1, Seq: 1, FencingToken: 9, Notice: -1}
+	r := fleet.Heartbeat{Machine: "m-1", Addr: "m-1", Type: "big", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: 9, Notice: -1}
 	eff := b.e.Step(b.now, HeartbeatReceived{r})
 	if !eff.Deposed || eff.HigherFencingToken != 9 || eff.Response.OK {
 		t.Fatalf("%+v", eff)
 	}
 	b.report("m-2", 0)
-	r.Machine, r.Addr, r.Seq = "m-2", "m-2", b.seq["m-2"]+1
+	r.Machine, r.Addr, r.Sequence = "m-2", "m-2", b.seq["m-2"]+1
 	if eff := b.e.Step(b.now, HeartbeatReceived{r}); eff.Deposed {
 		t.Fatal("a worker that was given the token deposes its leader")
 	}
--- a/internal/daemon/direct_commands.go
+++ b/internal/daemon/direct_commands.go
@@ -60,7 +60,7 @@
 	request.Header.SetMethod(fasthttp.MethodPost)
 	request.SetRequestURI("http://" + commands.Addr + ordersPath)
 	request.Header.SetContentType(contentTypeCBOR)
-	request.SetBodyRaw(wire.MustMarshal(wire.Orders{Gavel: commands.FencingToken, Shift: commands.Session, Orders: wire.OrdersOf(commands.Commands)}))
+	request.SetBodyRaw(wire.MustMarshal(wire.Orders{Gavel: commands.FencingToken, Shift: commands.Incarnation, Orders: wire.OrdersOf(commands.Commands)}))
 	err := c.http.DoTimeout(request, response, directTimeout)
 	slog.Debug("direct commands", "machine", commands.Machine, "status", response.StatusCode(), "error", err)
 }
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -195,7 +195,7 @@
 	w.answered = time.Now()
 }
 
-// nextHeartbeat is the next heartbeat, whom it goes to, and its session.
+// nextHeartbeat is the next heartbeat, whom it goes to, and its incarnation.
 func (w *Worker) nextHeartbeat() (body []byte, target string, session uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/recovery/findings.go
+++ b/internal/recovery/findings.go
@@ -23,8 +23,8 @@
 	DoneJobOver
 	// RunningJobOver attempts run on for a job that is over, cancelled or unknown.
 	RunningJobOver
-	// OlderEpoch reports don't carry this term's fencing token: they may be late copies.
-	OlderEpoch
+	// OlderHeartbeat reports don't carry this term's fencing token: they may be late copies.
+	OlderHeartbeat
 	// NewerThere means that a machine reports a later attempt of a task than its record names.
 	NewerThere
 	// OlderThere means that a machine reports an earlier attempt of a task than is meant for it.
@@ -158,7 +158,7 @@
 	case r.Exited:
 		return Finding{Failed, Forget}
 	case !r.Confirmed:
-		return Finding{OlderEpoch, Ignore}
+		return Finding{OlderHeartbeat, Ignore}
 	case !r.JobOpen || !r.Wanted:
 		return Finding{RunningJobOver, Stop}
 	case r.Holder == Elsewhere:
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -28,7 +28,7 @@
 		{"running and recorded, by a late copy", with(func(r *ObservedTask) { r.Holder, r.Confirmed, r.Inherited = ThisAttempt, false, true }), Finding{RunningRecorded, Keep}},
 		{"running and never recorded", open, Finding{RunningUnrecorded, Adopt}},
 		{"running and never recorded, a gang's", with(func(r *ObservedTask) { r.Whole = true }), Finding{RunningUnrecorded, Stop}},
-		{"running and never recorded, by a late copy", with(func(r *ObservedTask) { r.Confirmed = false }), Finding{OlderEpoch, Ignore}},
+		{"running and never recorded, by a late copy", with(func(r *ObservedTask) { r.Confirmed = false }), Finding{OlderHeartbeat, Ignore}},
 		{"running, another machine holds it", with(func(r *ObservedTask) { r.Holder = Elsewhere }), Finding{HeldElsewhere, Stop}},
 		{"running, another machine is to get it", with(func(r *ObservedTask) { r.Holder = UnsentElsewhere }), Finding{HeldElsewhere, WithdrawFirst}},
 		{"running, another machine is to get it, a gang's", with(func(r *ObservedTask) { r.Holder, r.Whole = UnsentElsewhere, true }), Finding{RunningUnrecorded, Stop}},
--- a/internal/simulation/admission.go
+++ b/internal/simulation/admission.go
@@ -52,8 +52,8 @@
 		return
 	}
 	n.gate = admission.NewGate(n.local(), admission.GateOptions{Teams: slices.Sorted(maps.Keys(n.w.teams)), Jobs: 4, PolicyAge: simulatedPolicyAge})
-	n.loop(n.life, simulatedPolicyEvery, n.plan)
-	n.loop(n.life, simulatedPolicyAge/3, n.keepPolicy)
+	n.loop(n.incarnation, simulatedPolicyEvery, n.plan)
+	n.loop(n.incarnation, simulatedPolicyAge/3, n.keepPolicy)
 }
 
 // admits tells whether a node takes a job now, or when its user is to come again. A known job
@@ -175,7 +175,7 @@
 		if o == n || o.gate == nil || !n.reaches(o) {
 			continue
 		}
-		life := o.life
+		life := o.incarnation
 		deliver := func(delay time.Duration) {
 			n.w.after(delay, func() { o.run(life, func() { o.take(p) }) })
 		}
--- a/internal/simulation/cancel.go
+++ b/internal/simulation/cancel.go
@@ -60,7 +60,7 @@
 		}
 		outcome()
 	})
-	life := n.life
+	life := n.incarnation
 	n.w.after(callTimeout, func() {
 		n.run(life, func() {
 			if !answered {
--- a/internal/simulation/consistency_probes.go
+++ b/internal/simulation/consistency_probes.go
@@ -39,7 +39,7 @@
 // question, and arrives some later. Half of the questions meet a moment at which the
 // leader can't be asked, and are answered from the store.
 func (s *script) ask(n *node, j *userJob) {
-	asked, life := s.w.now, n.life
+	asked, life := s.w.now, n.incarnation
 	s.at(s.between(0, 4*time.Millisecond), func() {
 		n.run(life, func() {
 			v, known, ok := s.get(n, j.spec.Ref)
@@ -155,7 +155,7 @@
 	if !j.accepted {
 		return
 	}
-	asked, life := s.w.now, n.life
+	asked, life := s.w.now, n.incarnation
 	s.at(s.between(0, 4*time.Millisecond), func() {
 		n.run(life, func() {
 			a := s.post(n, bodyOf(&j.spec))
--- a/internal/simulation/correlated_failures.go
+++ b/internal/simulation/correlated_failures.go
@@ -84,9 +84,9 @@
 		d = f.between(6*time.Second, 60*time.Second)
 	}
 	n.stalledUntil = w.now.Add(d)
-	if life := n.life; f.rng.IntN(5) == 0 {
+	if life := n.incarnation; f.rng.IntN(5) == 0 {
 		w.after(f.between(0, d), func() {
-			if n.life == life && !n.down {
+			if n.incarnation == life && !n.down {
 				n.crash(f.between(10*time.Millisecond, 4*time.Second))
 			}
 		})
--- a/internal/simulation/drains.go
+++ b/internal/simulation/drains.go
@@ -245,7 +245,7 @@
 
 // writePlan writes a leader's change of a plan's record.
 func (n *node) writePlan(w drain.PlanWrite) {
-	eng, term, jobs, life := n.eng, n.term, n.jobs, n.life
+	eng, term, jobs, life := n.eng, n.term, n.jobs, n.incarnation
 	answered, ok := false, false
 	done := func() {
 		if !answered && n.eng == eng && eng != nil {
--- a/internal/simulation/election.go
+++ b/internal/simulation/election.go
@@ -55,7 +55,7 @@
 	n.claims++
 	claim := n.claims
 	n.claiming = claim
-	life := n.life
+	life := n.incarnation
 	n.w.after(callTimeout, func() { // without an answer by then it is never acted on
 		n.run(life, func() {
 			if n.claiming == claim {
--- a/internal/simulation/fault_scenarios.go
+++ b/internal/simulation/fault_scenarios.go
@@ -247,11 +247,11 @@
 	if s.holds == 0 || !s.chance(s.holds) {
 		return false
 	}
-	life := m.life
+	life := m.workerProcess
 	s.held = append(s.held, func() {
 		if l := s.leader; l != nil {
 			s.note("held reports")
-			l.run(l.life, func() { m.arrived(l, r, life, sent) })
+			l.run(l.incarnation, func() { m.arrived(l, r, life, sent) })
 		}
 	})
 	return true
@@ -266,9 +266,9 @@
 
 // copyTo has a copy of a heartbeat reach a controller; nobody waits for its answer.
 func (s *script) copyTo(n *node, r fleet.Heartbeat) {
-	n.run(n.life, func() {
+	n.run(n.incarnation, func() {
 		s.note("copies")
-		if m := s.w.machines[r.Machine]; m != nil && m.session != r.Session {
+		if m := s.w.machines[r.Machine]; m != nil && m.incarnation != r.Incarnation {
 			s.note("copies of an earlier session")
 		}
 		status, _, leader := n.answerHeartbeat(r, false)
--- a/internal/simulation/lease_extension.go
+++ b/internal/simulation/lease_extension.go
@@ -53,7 +53,7 @@
 // requestExtension asks one peer. The request may be delayed; the extension counts from
 // the time at which it was sent.
 func (n *node) requestExtension(peer *node) {
-	w, eng, life, sent := n.w, n.eng, n.life, n.local()
+	w, eng, life, sent := n.w, n.eng, n.incarnation, n.local()
 	there, back := w.between(time.Millisecond, 30*time.Millisecond), w.between(time.Millisecond, 30*time.Millisecond)
 	if w.o.Faults && !w.noNet && w.chance(0.05) {
 		there += w.between(0, 5*time.Second) // delayed in the network
@@ -64,7 +64,7 @@
 		}
 	}
 	w.after(there, func() {
-		peer.run(peer.life, func() {
+		peer.run(peer.incarnation, func() {
 			if peer.grantExtension() && n.reaches(peer) {
 				w.after(back, func() { n.run(life, granted) })
 			}
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -22,7 +22,7 @@
 	name, zone   string
 	health       *health.Tracker
 	rate         float64 // of its steady clock
-	life         int     // rises with each end of the process
+	incarnation  int     // rises with each end of the process
 	old          bool    // runs the version in production
 	jobs         *jobstore.Jobs
 	down         bool
@@ -77,7 +77,7 @@
 
 // boot starts the process; its loops end with it.
 func (n *node) boot() {
-	n.life++
+	n.incarnation++
 	n.down, n.eng, n.writing, n.leaseUntil = false, nil, false, time.Time{}
 	n.claiming, n.grantedUntil, n.booted, n.extensions = 0, time.Time{}, n.local(), map[*node]time.Time{}
 	n.health = health.New(n.local())
@@ -86,11 +86,11 @@
 	limits := n.limits()
 	limits.NotCancelledFor = n.w.o.Cancel / sureParts
 	n.jobs = jobstore.New(n.storeView(), limits)
-	n.loop(n.life, 500*time.Millisecond, n.lookUpDependencies)
-	n.loop(n.life, time.Second, n.keepContact)
-	n.loop(n.life, n.w.o.LeaseTTL/4, n.lead)
-	n.loop(n.life, 200*time.Millisecond, n.tick)
-	n.loop(n.life, 2*time.Second, n.list)
+	n.loop(n.incarnation, 500*time.Millisecond, n.lookUpDependencies)
+	n.loop(n.incarnation, time.Second, n.keepContact)
+	n.loop(n.incarnation, n.w.o.LeaseTTL/4, n.lead)
+	n.loop(n.incarnation, 200*time.Millisecond, n.tick)
+	n.loop(n.incarnation, 2*time.Second, n.list)
 }
 
 // cutOff tells whether the state service can't be reached from here.
@@ -130,7 +130,7 @@
 // when it goes on.
 func (n *node) run(life int, fn func()) {
 	switch {
-	case n.life != life || n.down:
+	case n.incarnation != life || n.down:
 	case n.stalled():
 		n.w.after(n.stalledUntil.Sub(n.w.now)+n.w.between(0, 50*time.Millisecond), func() { n.run(life, fn) })
 	case n.busyFor() > 0:
@@ -145,7 +145,7 @@
 
 func (n *node) crash(back time.Duration) {
 	n.down, n.eng, n.publisher, n.stalledUntil, n.busyUntil = true, nil, nil, time.Time{}, time.Time{}
-	n.life++
+	n.incarnation++
 	n.w.after(back, n.boot)
 }
 
@@ -156,7 +156,7 @@
 // send is call. In worlds with a script, what takes longer than the node waits for is
 // a transaction whose conditions were read in time, unless it travels whole.
 func (n *node) send(at func(), answer func(), whole bool) {
-	w, life := n.w, n.life
+	w, life := n.w, n.incarnation
 	if n.cutOff() {
 		if w.chance(0.3) { // held back, and delivered when the cut is over
 			w.after(w.between(time.Second, 20*time.Second), at)
@@ -276,7 +276,7 @@
 			n.written(batch, sent, rev, err)
 		}
 	})
-	life := n.life
+	life := n.incarnation
 	n.w.after(callTimeout, func() {
 		n.run(life, func() {
 			if !answered && n.eng == eng {
@@ -342,7 +342,7 @@
 	if !n.holdsLease() {
 		return
 	}
-	eng, life, jobs := n.eng, n.life, n.jobs
+	eng, life, jobs := n.eng, n.incarnation, n.jobs
 	for _, ref := range eng.DependenciesToLookUp(3) {
 		answered := false
 		var st jobstore.State
@@ -382,7 +382,7 @@
 
 // watched has a leader take a change in, once the state service can be reached.
 func (w *World) watched(n *node, eng *core.Engine, in time.Duration, take func()) {
-	life := n.life
+	life := n.incarnation
 	w.after(in, func() {
 		n.run(life, func() {
 			switch {
@@ -403,7 +403,7 @@
 	eng := n.eng
 	list, ok := n.w.cloud.list()
 	ok = ok && n.w.reach("", n.zone)
-	life := n.life
+	life := n.incarnation
 	n.w.after(n.w.between(50*time.Millisecond, 300*time.Millisecond), func() {
 		n.run(life, func() {
 			if ok && n.eng == eng && n.holdsLease() {
@@ -441,7 +441,7 @@
 // cloudAnswer is how an answer of the cloud reaches the engine that asked, if that
 // still leads.
 func (n *node) cloudAnswer() func(core.Event) {
-	eng, life := n.eng, n.life
+	eng, life := n.eng, n.incarnation
 	return func(ev core.Event) {
 		n.run(life, func() {
 			if n.eng == eng && n.eng != nil {
--- a/internal/simulation/output_digest.go
+++ b/internal/simulation/output_digest.go
@@ -104,7 +104,7 @@
 	if d == nil {
 		return
 	}
-	orders := wire.Orders{Gavel: direct.FencingToken, Shift: direct.Session, Orders: wire.OrdersOf(direct.Commands)}
+	orders := wire.Orders{Gavel: direct.FencingToken, Shift: direct.Incarnation, Orders: wire.OrdersOf(direct.Commands)}
 	d.add(n.w, outputDirectCommand, direct.Machine, wire.MustMarshal(orders))
 }
 
--- a/internal/simulation/standby.go
+++ b/internal/simulation/standby.go
@@ -25,9 +25,9 @@
 
 // stream is one connection from a leader to a follower.
 type stream struct {
-	eng      *core.Engine // the leader's
-	life     int          // of the follower
-	lagUntil time.Time    // the follower's disk or network is slow until then
+	eng                 *core.Engine // the leader's
+	followerIncarnation int          // of the follower
+	lagUntil            time.Time    // the follower's disk or network is slow until then
 }
 
 // Bounds of the stream in simulated worlds: small ones, so that they are met.
@@ -151,10 +151,10 @@
 // started anew.
 func (s *standbyNetwork) connect(leader, follower *node) *stream {
 	c := s.streams[leader][follower]
-	if c != nil && c.eng == leader.eng && c.life == follower.life {
+	if c != nil && c.eng == leader.eng && c.followerIncarnation == follower.incarnation {
 		return c
 	}
-	c = &stream{eng: leader.eng, life: follower.life}
+	c = &stream{eng: leader.eng, followerIncarnation: follower.incarnation}
 	if s.streams[leader] == nil {
 		s.streams[leader] = map[*node]*stream{}
 	}
@@ -188,7 +188,7 @@
 
 // deliver brings a frame to a follower, and its answer back.
 func (s *standbyNetwork) deliver(leader, follower *node, f standby.Frame) {
-	w, eng, leaderLife, life := s.w, leader.eng, leader.life, follower.life
+	w, eng, leaderLife, life := s.w, leader.eng, leader.incarnation, follower.incarnation
 	w.after(s.between(time.Millisecond, 20*time.Millisecond+s.slow), func() {
 		follower.run(life, func() {
 			verdict := follower.standby.Receive(follower.local(), f)
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -10,30 +10,30 @@
 
 // machine is a rented machine with its worker.
 type machine struct {
-	w                 *World
-	name, typ         string
-	zone              string
-	spot              bool
-	born              time.Time
-	rate              float64
-	isUp, dead        bool
-	hungUntil         time.Time
-	sick              bool
-	inboundLost       bool      // its heartbeats arrive, but nothing that is sent to it (one-way loss)
-	outboundLost      bool      // it reaches no controller, while direct commands reach it (one-way loss)
-	errors            int       // how many tasks failed on it
-	failedAt          time.Time // the last of them
-	life              int       // rises when its worker restarts
-	noticeAt          time.Time
-	cut               map[*node]bool
-	session           uint64
-	seq, fencingToken uint64
-	answered          time.Time // when the last answered report was sent, by its own clock
-	target            int
-	outstanding       uint64 // the heartbeat that is waited for, 0: none
-	lastHeartbeat     time.Time
-	tasks             map[string]*task // by name and attempt
-	images            map[string]bool
+	w                      *World
+	name, typ              string
+	zone                   string
+	spot                   bool
+	born                   time.Time
+	rate                   float64
+	isUp, dead             bool
+	hungUntil              time.Time
+	sick                   bool
+	inboundLost            bool      // its heartbeats arrive, but nothing that is sent to it (one-way loss)
+	outboundLost           bool      // it reaches no controller, while direct commands reach it (one-way loss)
+	errors                 int       // how many tasks failed on it
+	failedAt               time.Time // the last of them
+	workerProcess          int       // rises when its worker restarts
+	noticeAt               time.Time
+	cut                    map[*node]bool
+	incarnation            uint64
+	sequence, fencingToken uint64
+	answered               time.Time // when the last answered report was sent, by its own clock
+	target                 int
+	outstanding            uint64 // the heartbeat that is waited for, 0: none
+	lastHeartbeat          time.Time
+	tasks                  map[string]*task // by name and attempt
+	images                 map[string]bool
 }
 
 func (m *machine) local() time.Time {
@@ -58,7 +58,7 @@
 	if m.dead {
 		return
 	}
-	m.isUp, m.session, m.answered = true, 1, m.local()
+	m.isUp, m.incarnation, m.answered = true, 1, m.local()
 	m.target = m.w.rng.IntN(len(m.w.nodes))
 	m.cut = map[*node]bool{}
 	m.leaseLoop()
@@ -73,7 +73,7 @@
 		for _, t := range m.sorted() {
 			m.remove(t)
 		}
-		m.session++
+		m.incarnation++
 		m.outstanding = 0
 		m.answered = m.local()
 		m.sendHeartbeat()
@@ -109,8 +109,8 @@
 }
 
 func (m *machine) snapshot() fleet.Heartbeat {
-	m.seq++
-	r := fleet.Heartbeat{Machine: m.name, Addr: m.name, Type: m.typ, Zone: m.zone, Spot: m.spot, Session: m.session, Seq: m.seq,
+	m.sequence++
+	r := fleet.Heartbeat{Machine: m.name, Addr: m.name, Type: m.typ, Zone: m.zone, Spot: m.spot, Incarnation: m.incarnation, Sequence: m.sequence,
 		FencingToken: m.fencingToken, Notice: -1}
 	if !m.noticeAt.IsZero() {
 		r.Notice = max(0, m.noticeAt.Sub(m.w.now))
@@ -130,12 +130,12 @@
 	}
 	m.lastHeartbeat = m.w.now
 	r := m.snapshot()
-	m.outstanding = r.Seq
+	m.outstanding = r.Sequence
 	sent := m.local()
 	n := m.w.nodes[m.target]
 	m.deliver(n, r, sent)
 	m.later(answerWithin, func() {
-		if m.outstanding == r.Seq {
+		if m.outstanding == r.Sequence {
 			m.next()
 		}
 	})
@@ -174,9 +174,9 @@
 	if w.o.Faults && !w.noNet && w.chance(0.05) {
 		w.sendDuplicate(r)
 	}
-	life := m.life
+	life := m.workerProcess
 	w.after(delay, func() {
-		n.run(n.life, func() { m.arrived(n, r, life, sent) })
+		n.run(n.incarnation, func() { m.arrived(n, r, life, sent) })
 	})
 }
 
@@ -197,7 +197,7 @@
 
 // hold completes an answer a moment later, or when the leader says so.
 func (n *node) hold(r fleet.Heartbeat, answer func(int, core.HeartbeatResponse)) {
-	eng, life := n.eng, n.life
+	eng, life := n.eng, n.incarnation
 	var again func()
 	again = func() {
 		n.w.after(n.w.between(50*time.Millisecond, 500*time.Millisecond), func() {
@@ -225,7 +225,7 @@
 	}
 	delay += w.script.linkDelay() + w.script.answerHeld(m, status, reply) + n.busyFor()
 	m.later(delay, func() {
-		if m.life == life {
+		if m.workerProcess == life {
 			m.response(r, sent, status, reply, leader)
 		}
 	})
@@ -236,7 +236,7 @@
 func (w *World) sendDuplicate(r fleet.Heartbeat) {
 	w.after(w.between(time.Second, 3*w.o.Lease), func() {
 		n := w.nodes[w.rng.IntN(len(w.nodes))]
-		n.run(n.life, func() {
+		n.run(n.incarnation, func() {
 			status, _, leader := n.answerHeartbeat(r, false)
 			if status == 421 && !leader.stalled() {
 				status, _, leader = leader.answerHeartbeat(r, true)
@@ -249,8 +249,8 @@
 }
 
 func (m *machine) response(r fleet.Heartbeat, sent time.Time, status int, reply core.HeartbeatResponse, leader *node) {
-	if m.outstanding != r.Seq || r.Session != m.session {
-		return // given up, or from an earlier session
+	if m.outstanding != r.Sequence || r.Incarnation != m.incarnation {
+		return // given up, or from an earlier incarnation
 	}
 	m.outstanding = 0
 	m.w.digest.add(m.w, "answer", m.name, reply)
@@ -294,9 +294,9 @@
 	delay += w.script.linkDelay() + w.script.commandDelay(m) + n.busyFor()
 	m.later(delay, func() {
 		m.w.digest.add(m.w, "orders", m.name, d)
-		if m.isUp && d.FencingToken >= m.fencingToken && d.Session == m.session {
+		if m.isUp && d.FencingToken >= m.fencingToken && d.Incarnation == m.incarnation {
 			m.fencingToken = d.FencingToken
-			m.seq++
+			m.sequence++
 			if m.execute(d.Commands) {
 				m.changed()
 			}
@@ -383,8 +383,8 @@
 	for _, t := range m.sorted() {
 		m.remove(t)
 	}
-	m.life++
-	m.session, m.seq, m.fencingToken, m.outstanding = 1, 0, 0, 0
+	m.workerProcess++
+	m.incarnation, m.sequence, m.fencingToken, m.outstanding = 1, 0, 0, 0
 	m.answered, m.lastHeartbeat = m.local(), time.Time{}
 	clear(m.images)
 	m.later(m.w.between(10*time.Millisecond, time.Second), m.sendHeartbeat)
--- a/internal/wire/agent.go
+++ b/internal/wire/agent.go
@@ -76,7 +76,7 @@
 	}
 	report := fleet.Heartbeat{
 		Machine: *beat.Stall, Addr: *beat.Endpoint, Type: *beat.Build, Zone: *beat.Yard, Spot: *beat.Loaners,
-		Session: *beat.Shift, Seq: *beat.Tick, FencingToken: *beat.Gavel, Notice: noNotice,
+		Incarnation: *beat.Shift, Sequence: *beat.Tick, FencingToken: *beat.Gavel, Notice: noNotice,
 	}
 	if beat.WarningS == nil {
 		return report, nil
@@ -116,7 +116,7 @@
 	return task, nil
 }
 
-// Orders is the answer to a heartbeat, and, with the worker's session in Shift, a direct
+// Orders is the answer to a heartbeat, and, with the worker's incarnation in Shift, a direct
 // command.
 type Orders struct {
 	Gavel  uint64  `cbor:"gavel"`
