--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -50,14 +50,14 @@
 
 // Params are the deployment's parameters.
 type Params struct {
-	Zones     []string  `json:"zones"`
-	Teams     []Team    `json:"teams"`
-	Aims      []Aim     `json:"objectives"`
-	Workers   Workers   `json:"workers"`
-	State     State     `json:"state"`
-	Cloud     Cloud     `json:"cloud"`
-	Resources Resources `json:"resources"`
-	SkewMS    float64   `json:"skew_ms"`
+	Zones      []string    `json:"zones"`
+	Teams      []Team      `json:"teams"`
+	Objectives []Objective `json:"objectives"`
+	Workers    Workers     `json:"workers"`
+	State      State       `json:"state"`
+	Cloud      Cloud       `json:"cloud"`
+	Resources  Resources   `json:"resources"`
+	SkewMS     float64     `json:"skew_ms"`
 }
 
 // Team is a team's guarantee and limit; 0 means none.
@@ -69,8 +69,8 @@
 	GPUsMax float64 `json:"gpus_max"`
 }
 
-// Aim says what is expected of a class of jobs. Kinds not known here are ignored.
-type Aim struct {
+// Objective says what is expected of a class of jobs. Kinds not known here are ignored.
+type Objective struct {
 	Kind   string  `json:"kind"`
 	Class  string  `json:"class"`
 	Within Seconds `json:"within_s"`
--- a/internal/core/dependents_test.go
+++ b/internal/core/dependents_test.go
@@ -139,7 +139,7 @@
 // whose line is due first.
 func TestJobsGoByTheirCriticalPath(t *testing.T) {
 	cfg := config()
-	cfg.Aims = map[string][]Aim{"last": {{Kind: AimDeadline, Times: 1}}}
+	cfg.Objectives = map[string][]Objective{"last": {{Kind: DeadlineObjective, Times: 1}}}
 	jobs := []StoredJob{job("j-1", 1), job("j-2", 1), job("j-3", 1), after("j-8", "j-2"), after("j-9", "j-3")}
 	for i := range jobs {
 		s := &jobs[i].Record.Spec
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -21,7 +21,7 @@
 // Config is what the core needs of the settings.
 type Config struct {
 	Teams             map[string]placement.Team
-	Aims              map[string][]Aim // by class of jobs
+	Objectives        map[string][]Objective // by class of jobs
 	HeartbeatInterval time.Duration
 	Lease             time.Duration
 	CancelWithin      time.Duration
@@ -53,19 +53,19 @@
 	return Weights{SecondsPerDollarHour: 1, IdleDollars: 0.1, MoveGain: 3, SmallFirst: 12}
 }
 
-// AimKind is what an aim is about.
-type AimKind uint8
+// ObjectiveKind is what an aim is about.
+type ObjectiveKind uint8
 
 // Kinds of aims.
 const (
-	AimStart    AimKind = iota // tasks started in time
-	AimFinish                  // jobs done in time
-	AimDeadline                // jobs done by their own deadline
+	StartObjective    ObjectiveKind = iota // tasks started in time
+	FinishObjective                        // jobs done in time
+	DeadlineObjective                      // jobs done by their own deadline
 )
 
-// Aim is what the operators expect of a class of jobs.
-type Aim struct {
-	Kind   AimKind
+// Objective is what the operators expect of a class of jobs.
+type Objective struct {
+	Kind   ObjectiveKind
 	Within time.Duration // of a start or finish
 	Times  float64       // of a deadline: so many times the job's own
 }
--- a/internal/core/estimates.go
+++ b/internal/core/estimates.go
@@ -20,8 +20,8 @@
 // startBy is when a job's tasks must have started for the next of its aims on starting;
 // zero if it has none that it can still keep.
 func (e *Engine) startBy(now time.Time, j *pipeline.Job) (by time.Time) {
-	for _, a := range e.cfg.Aims[j.Class] {
-		if t := j.Since.Add(a.Within); a.Kind == AimStart && t.After(now) && (by.IsZero() || t.Before(by)) {
+	for _, a := range e.cfg.Objectives[j.Class] {
+		if t := j.Since.Add(a.Within); a.Kind == StartObjective && t.After(now) && (by.IsZero() || t.Before(by)) {
 			by = t
 		}
 	}
@@ -40,17 +40,17 @@
 			next = d
 		}
 	}
-	for _, a := range e.cfg.Aims[j.Class] {
+	for _, a := range e.cfg.Objectives[j.Class] {
 		var d time.Duration
 		switch a.Kind {
-		case AimStart:
+		case StartObjective:
 			if j.Started {
 				continue
 			}
 			d = a.Within
-		case AimFinish:
+		case FinishObjective:
 			d = a.Within - run
-		case AimDeadline:
+		case DeadlineObjective:
 			if j.Deadline == 0 {
 				continue
 			}
@@ -59,8 +59,8 @@
 		consider(d - fetch)
 	}
 	if l := j.CriticalPath; l.Job != nil {
-		for _, a := range e.cfg.Aims[l.Job.Class] {
-			if a.Kind == AimDeadline {
+		for _, a := range e.cfg.Objectives[l.Job.Class] {
+			if a.Kind == DeadlineObjective {
 				consider(l.EndBy(a.Times).Sub(j.Since) - run - fetch)
 			}
 		}
--- a/internal/core/images_test.go
+++ b/internal/core/images_test.go
@@ -22,7 +22,7 @@
 // nearly all jobs were late. Work whose image is there goes first.
 func TestPlacesGoToWorkWithItsImageThere(t *testing.T) {
 	cfg := config()
-	cfg.Aims = map[string][]Aim{"c": {{Kind: AimFinish, Within: time.Minute}}}
+	cfg.Objectives = map[string][]Objective{"c": {{Kind: FinishObjective, Within: time.Minute}}}
 	b := newBenchWith(t, cfg, 2, Snapshot{})
 	b.e.Step(b.now, imageJob(b, "j-1", "x", 8, 0))
 	b.up("m-1")
@@ -57,7 +57,7 @@
 // needs to be in time: the first in the order once took all, each with a fetch.
 func TestFirstWavesBeforeTheRest(t *testing.T) {
 	cfg := config()
-	cfg.Aims = map[string][]Aim{"c": {{Kind: AimFinish, Within: 140 * time.Second}}}
+	cfg.Objectives = map[string][]Objective{"c": {{Kind: FinishObjective, Within: 140 * time.Second}}}
 	b := newBenchWith(t, cfg, 2, Snapshot{})
 	b.e.Step(b.now, imageJob(b, "j-1", "x", 16, time.Second))
 	b.e.Step(b.now, imageJob(b, "j-2", "y", 16, 0))
--- a/internal/core/priority_order_test.go
+++ b/internal/core/priority_order_test.go
@@ -13,7 +13,7 @@
 // By its age it comes before all others, and room is made for it at once.
 func TestStarvingGangMakesRoom(t *testing.T) {
 	cfg := config()
-	cfg.Aims = map[string][]Aim{"g": {{Kind: AimFinish, Within: 400 * time.Second}}}
+	cfg.Objectives = map[string][]Objective{"g": {{Kind: FinishObjective, Within: 400 * time.Second}}}
 	b := newBenchWith(t, cfg, 2, Snapshot{})
 	low := job("j-1", 16)
 	low.Record.Spec.Estimate, low.Record.Spec.Priority = 200*time.Second, pipeline.Normal
--- a/internal/core/starvation_bound_test.go
+++ b/internal/core/starvation_bound_test.go
@@ -16,7 +16,7 @@
 	urgent.Record.Spec.CPUs, urgent.Record.Spec.Priority, urgent.Record.SubmittedMS = 6, pipeline.High, 4_998_000
 	old.Record.Spec.Estimate, urgent.Record.Spec.Class = time.Minute, "u"
 	cfg := config()
-	cfg.Aims = map[string][]Aim{"u": {{Kind: AimStart, Within: 30 * time.Second}}}
+	cfg.Objectives = map[string][]Objective{"u": {{Kind: StartObjective, Within: 30 * time.Second}}}
 	b := newBenchWith(t, cfg, 2, Snapshot{Jobs: []StoredJob{old, urgent}})
 	b.up("m-1")
 	for range 50 { // the store is slow: nothing can leave yet
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -107,7 +107,7 @@
 	state := params.State.Lowest()
 	c := core.Config{
 		Teams:             map[string]placement.Team{},
-		Aims:              aims(params.Aims),
+		Objectives:        objectives(params.Objectives),
 		HeartbeatInterval: params.Workers.HeartbeatInterval.Duration(),
 		Lease:             params.Workers.Lease.Duration(),
 		CancelWithin:      params.Workers.Cancel.Duration(),
@@ -129,14 +129,14 @@
 	return c
 }
 
-// aimKinds are the settings' words for the kinds of aims.
-var aimKinds = map[string]core.AimKind{"wait": core.AimStart, "finished": core.AimFinish, "deadline": core.AimDeadline}
+// objectiveKinds are the settings' words for the kinds of aims.
+var objectiveKinds = map[string]core.ObjectiveKind{"wait": core.StartObjective, "finished": core.FinishObjective, "deadline": core.DeadlineObjective}
 
-// aims are the operators' aims on starting and finishing, by class.
-func aims(settings []config.Aim) map[string][]core.Aim {
-	byClass := map[string][]core.Aim{}
+// objectives are the operators' aims on starting and finishing, by class.
+func objectives(settings []config.Objective) map[string][]core.Objective {
+	byClass := map[string][]core.Objective{}
 	for _, aim := range settings {
-		kind, known := aimKinds[aim.Kind]
+		kind, known := objectiveKinds[aim.Kind]
 		if !known {
 			continue
 		}
@@ -144,7 +144,7 @@
 		if times <= 0 {
 			times = 1
 		}
-		byClass[aim.Class] = append(byClass[aim.Class], core.Aim{Kind: kind, Within: aim.Within.Duration(), Times: times})
+		byClass[aim.Class] = append(byClass[aim.Class], core.Objective{Kind: kind, Within: aim.Within.Duration(), Times: times})
 	}
 	return byClass
 }
