--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -113,27 +113,27 @@
 	}
 }
 
-// Flavors reads the machine types with their present prices.
-func (c *Client) Flavors(ctx context.Context) ([]wire.Flavor, error) {
+// MachineTypes reads the machine types with their present prices.
+func (c *Client) MachineTypes(ctx context.Context) ([]wire.Flavor, error) {
 	var flavors wire.Flavors
 	err := c.do(ctx, call{method: fasthttp.MethodGet, uri: "/flavors", out: &flavors})
 	return flavors.Builds, err
 }
 
-// Rent asks for machines. The same request may be repeated until answered.
-func (c *Client) Rent(ctx context.Context, request wire.RentalRequest) ([]string, error) {
+// ScaleOut asks for machines. The same request may be repeated until answered.
+func (c *Client) ScaleOut(ctx context.Context, request wire.RentalRequest) ([]string, error) {
 	var machines wire.Stalls
 	err := c.do(ctx, call{method: fasthttp.MethodPost, uri: "/rentals", in: request, out: &machines})
 	return machines.Stalls, err
 }
 
-// Release gives machines back; without an error they are gone.
-func (c *Client) Release(ctx context.Context, names []string) error {
+// ScaleIn gives machines back; without an error they are gone.
+func (c *Client) ScaleIn(ctx context.Context, names []string) error {
 	return c.do(ctx, call{method: fasthttp.MethodPost, uri: "/rentals/release", in: wire.Stalls{Stalls: names}})
 }
 
-// List reads the whole list of machines.
-func (c *Client) List(ctx context.Context) ([]wire.Rental, error) {
+// ListInstances reads the whole list of machines.
+func (c *Client) ListInstances(ctx context.Context) ([]wire.Rental, error) {
 	var rentals []wire.Rental
 	after := ""
 	for {
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -236,7 +236,7 @@
 	}
 	j := e.jobs[a.Ref]
 	current := j != nil && a.Task < len(j.Tasks) && j.Tasks[a.Task].Attempt == a.Number
-	if t.Cause == fleet.CauseMatesGone {
+	if t.Cause == fleet.CauseGangPeerLost {
 		e.chargeInvoluntary(now, a)
 	}
 	e.moveAttempt(now, m, a, fleet.Exited)
@@ -253,10 +253,10 @@
 	switch t.Cause {
 	case fleet.CauseError:
 		e.taskFailed(now, m, j, a.Task)
-	case fleet.CauseNoRoom, fleet.CauseBusy:
+	case fleet.CauseInsufficientResources, fleet.CauseAlreadyPresent:
 		m.HoldUntil = now.Add(min(e.cfg.HeartbeatInterval, maxNoRoomPause))
 		m.DropImage(a.Image)
-	case fleet.CauseUnknown:
+	case fleet.CauseUnknownTask:
 		j.Tasks[a.Task].NotUntil = now.Add(unknownExitPause)
 	}
 	j.Requeue(a.Task)
--- a/internal/core/cancel.go
+++ b/internal/core/cancel.go
@@ -184,7 +184,7 @@
 		for _, a := range left {
 			e.stop(now, a.On, a, 0)
 			if late {
-				e.release(now, a.On, "holds a cancelled task")
+				e.scaleIn(now, a.On, "holds a cancelled task")
 			}
 		}
 	}
--- a/internal/core/capacity/capacity.go
+++ b/internal/core/capacity/capacity.go
@@ -70,21 +70,21 @@
 
 // Answer is the outcome of a request for machines of an offer.
 type Answer struct {
-	Asked   int  // machines asked for
-	Rented  int  // machines rented
-	Unknown bool // given up without an answer
+	Requested      int  // machines asked for
+	Created        int  // machines rented
+	OutcomeUnknown bool // given up without an answer
 }
 
 // Answered takes in the outcome of a request.
 func (p *Plan) Answered(now time.Time, o Offer, a Answer) {
-	p.requested[o] -= a.Asked
+	p.requested[o] -= a.Requested
 	if p.requested[o] <= 0 {
 		delete(p.requested, o)
 	}
 	switch {
-	case a.Rented >= a.Asked:
+	case a.Created >= a.Requested:
 		delete(p.backoffs, o)
-	case !a.Unknown:
+	case !a.OutcomeUnknown:
 		p.backOff(now, o)
 	}
 }
@@ -100,8 +100,8 @@
 	p.backoffs[o] = b
 }
 
-// Asked notes a request that is under way.
-func (p *Plan) Asked(o Offer, count int) {
+// Requested notes a request that is under way.
+func (p *Plan) Requested(o Offer, count int) {
 	if p.requested == nil {
 		p.requested = map[Offer]int{}
 	}
--- a/internal/core/capacity/capacity_test.go
+++ b/internal/core/capacity/capacity_test.go
@@ -33,11 +33,11 @@
 	if len(o) != 1 || o[0] != (Order{Offer{"cpu", "a", true}, 3}) {
 		t.Fatalf("orders %v", o)
 	}
-	p.Asked(o[0].Offer, 3)
+	p.Requested(o[0].Offer, 3)
 	if again := p.Choose(now, []Demand{{Job: j, Tasks: 3}}, &placement.FreeCapacity{}, types); len(again) != 0 {
 		t.Fatalf("asked again while asking: %v", again)
 	}
-	p.Answered(now, o[0].Offer, Answer{Asked: 3})
+	p.Answered(now, o[0].Offer, Answer{Requested: 3})
 	if o := p.Choose(now, []Demand{{Job: j, Tasks: 3}}, &placement.FreeCapacity{}, types); len(o) != 1 || o[0].Offer != (Offer{"cpu", "b", true}) {
 		t.Fatalf("after a refusal: %v", o)
 	}
@@ -102,8 +102,8 @@
 	var first []Order
 	for i := range 100 {
 		var p Plan
-		p.Asked(Offer{"cpu", "b", false}, 1)
-		p.Asked(Offer{"big", "a", false}, 1)
+		p.Requested(Offer{"cpu", "b", false}, 1)
+		p.Requested(Offer{"big", "a", false}, 1)
 		orders := p.Choose(now, demand, &placement.FreeCapacity{}, types)
 		if i == 0 {
 			first = orders
--- a/internal/core/connectivity.go
+++ b/internal/core/connectivity.go
@@ -89,17 +89,17 @@
 // not to have received. After the second in a row it gets none until one is delivered.
 const undeliveredPause = 2 * time.Second
 
-// releaseUnreachable releases a machine to which no answer was delivered for half a
+// scaleInUnreachable releases a machine to which no answer was delivered for half a
 // lease: its worker's lease isn't renewed by answers that don't arrive, so all on it is
 // as good as lost. When many machines seem unreachable at once, it is this node whose
 // answers are lost, and none is released (docs/design.md, safety argument 6;
 // TestOneWayLossOfAllIsOurs).
-func (e *Engine) releaseUnreachable(now time.Time, m *fleet.Machine) {
+func (e *Engine) scaleInUnreachable(now time.Time, m *fleet.Machine) {
 	if !e.unreachable[m] || now.Sub(m.OneWayLoss.FirstUndelivered) < e.cfg.Lease/2 {
 		return
 	}
 	if len(e.unreachable) > max(2, len(e.machines)/4) {
 		return
 	}
-	e.release(now, m, "hears nothing")
+	e.scaleIn(now, m, "hears nothing")
 }
--- a/internal/core/decide.go
+++ b/internal/core/decide.go
@@ -77,8 +77,8 @@
 		return
 	}
 	e.plannedAt = now
-	e.rent(now, e.demand)
-	e.scaleDown(now, e.demand)
+	e.scaleOut(now, e.demand)
+	e.scaleInIdle(now, e.demand)
 	if len(e.demand) == 0 {
 		e.consolidate(now)
 	}
@@ -169,16 +169,16 @@
 	e.debug("placed", "job", j.Ref, "task", d.Task, "machine", d.Slot.Machine.Name, "type", d.Slot.Machine.Type)
 }
 
-// rent asks for machines for work that nothing has room for.
-func (e *Engine) rent(now time.Time, demand []capacity.Demand) {
+// scaleOut asks for machines for work that nothing has room for.
+func (e *Engine) scaleOut(now time.Time, demand []capacity.Demand) {
 	if now.Sub(e.started) < e.cfg.HeartbeatInterval*5/4 {
 		return // machines may be there that haven't been heard of yet
 	}
 	e.recovery.Pacer().Take(true) // bulk starts wait for it, not the other way round
 	for _, o := range e.plan.Choose(now, demand, &e.freeCapacity, e.catalog) {
 		e.counter++
-		e.plan.Asked(o.Offer, o.Count)
-		e.out.Rent = append(e.out.Rent, Rent{Name: fmt.Sprintf("r-%d-%d", e.term, e.counter), Type: o.Offer.Type,
+		e.plan.Requested(o.Offer, o.Count)
+		e.out.ScaleOut = append(e.out.ScaleOut, ScaleOut{Name: fmt.Sprintf("r-%d-%d", e.term, e.counter), Type: o.Offer.Type,
 			Zone: o.Offer.Zone, Spot: o.Offer.Spot, Count: o.Count})
 	}
 }
--- a/internal/core/drain_bench_test.go
+++ b/internal/core/drain_bench_test.go
@@ -49,7 +49,7 @@
 	if strings.HasPrefix(mode, "plan of all") {
 		plan := drain.Plan{ID: "all", Selector: drain.Selector{All: true}, MaxAtOnce: machines / 10, Through: "m-999999", CreatedMS: now.UnixMilli()}
 		e.Step(now, DrainPlanStored{drain.StoredPlan{Plan: plan, Version: 1}})
-		e.Step(now, Listed{})
+		e.Step(now, InstancesListed{})
 		for range 100 {
 			now = now.Add(100 * time.Millisecond)
 			e.Step(now, Tick{})
--- a/internal/core/drain_harness_test.go
+++ b/internal/core/drain_harness_test.go
@@ -20,7 +20,7 @@
 	jobs   []StoredJob
 	on     map[string][]fleet.TaskStatus // what runs on each machine
 	evicts int                           // stops that machines were told
-	rents  []Rent
+	rents  []ScaleOut
 }
 
 func drainConfig(budgets map[drain.Scope]drain.Budget) Config {
@@ -55,11 +55,11 @@
 				d.reports(name)
 			}
 		}
-		var list []ListedMachine
+		var list []Instance
 		for name := range d.on {
-			list = append(list, ListedMachine{Name: name, Type: "big", Zone: "a", Status: ListRunning})
+			list = append(list, Instance{Name: name, Type: "big", Zone: "a", Status: InstanceRunning})
 		}
-		d.step(Listed{Machines: list})
+		d.step(InstancesListed{Instances: list})
 	}
 }
 
@@ -87,11 +87,11 @@
 // step moves the engine on and carries out what it asks for.
 func (d *drainBench) step(ev Event) Effects {
 	effects := d.e.Step(d.now, ev)
-	d.rents = append(d.rents, effects.Rent...)
-	for _, names := range effects.Release {
+	d.rents = append(d.rents, effects.ScaleOut...)
+	for _, names := range effects.ScaleIn {
 		for _, name := range names {
 			delete(d.on, name)
-			d.e.Step(d.now, Released{Machines: []string{name}, OK: true})
+			d.e.Step(d.now, ScaleInAnswered{Machines: []string{name}, OK: true})
 		}
 	}
 	for _, w := range effects.Drains {
--- a/internal/core/drain_room.go
+++ b/internal/core/drain_room.go
@@ -117,7 +117,7 @@
 		return drain.Verdict{Kind: drain.NotYet, Cause: drain.CauseReplacement}
 	}
 	delete(d.replacements, dm.Name)
-	noRoom := drain.Verdict{Kind: drain.NotYet, Cause: drain.CauseNoRoom}
+	noRoom := drain.Verdict{Kind: drain.NotYet, Cause: drain.CauseNoCapacity}
 	offer := capacity.Offer{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
 	backoff, refused := e.plan.Backoff(offer)
 	if len(d.replacements) >= d.coordinator.Surge(dm) || refused && now.Before(backoff.Until) {
@@ -127,8 +127,8 @@
 	r := &replacement{request: fmt.Sprintf("r-%d-%d", e.term, e.counter), asked: now}
 	d.replacements[dm.Name] = r
 	d.coordinator.Move(dm, drain.Replacing)
-	e.plan.Asked(offer, 1)
-	e.out.Rent = append(e.out.Rent, Rent{Name: r.request, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Count: 1})
+	e.plan.Requested(offer, 1)
+	e.out.ScaleOut = append(e.out.ScaleOut, ScaleOut{Name: r.request, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Count: 1})
 	return drain.Verdict{Kind: drain.NotYet, Cause: drain.CauseReplacement}
 }
 
@@ -144,13 +144,13 @@
 // replacementAnswer is how long the cloud's answer about a replacement is waited for.
 const replacementAnswer = 30 * time.Second
 
-// replacementRented takes in the cloud's answer about a machine that may be a replacement.
-func (d *draining) replacementRented(r Rented) {
+// replacementAnswered takes in the cloud's answer about a machine that may be a replacement.
+func (d *draining) replacementAnswered(r ScaleOutAnswered) {
 	if d == nil {
 		return
 	}
 	for old, replaced := range d.replacements {
-		if replaced.request != r.Rent.Name {
+		if replaced.request != r.Request.Name {
 			continue
 		}
 		if len(r.Machines) == 0 {
--- a/internal/core/drain_round.go
+++ b/internal/core/drain_round.go
@@ -47,7 +47,7 @@
 // machinesComplete tells whether all machines that exist are known: the cloud's list was read
 // often enough under this term for even the latest to be on it.
 func (e *Engine) machinesComplete(now time.Time) bool {
-	wait := 2*e.cfg.ListLag + e.cfg.HeartbeatInterval
+	wait := 2*e.cfg.InstanceListLag + e.cfg.HeartbeatInterval
 	return !e.lastList.IsZero() && e.lastList.Sub(e.started) > wait && e.settled(now)
 }
 
@@ -71,7 +71,7 @@
 		}
 		m := e.machines[name]
 		if m == nil {
-			c.Gone(name)
+			c.MachineRemoved(name)
 			continue
 		}
 		if why := e.mayCordon(now, m, c.PlanDeadline(plan)); why.Kind != drain.Allowed {
@@ -112,11 +112,11 @@
 	m := e.machines[dm.Name]
 	if m == nil {
 		if complete {
-			c.Gone(dm.Name) // the list and all reports have had time to speak of it
+			c.MachineRemoved(dm.Name) // the list and all reports have had time to speak of it
 		}
 		return
 	}
-	if m.State() == fleet.Releasing || dm.State() == drain.Empty {
+	if m.State() == fleet.ScalingIn || dm.State() == drain.Empty {
 		dm.Verdict = drain.Verdict{}
 		return
 	}
--- a/internal/core/draining.go
+++ b/internal/core/draining.go
@@ -100,13 +100,13 @@
 	e.touch(m)
 }
 
-// drainMachineGone takes in that a machine is gone.
-func (e *Engine) drainMachineGone(m *fleet.Machine) {
+// drainMachineRemoved takes in that a machine is gone.
+func (e *Engine) drainMachineRemoved(m *fleet.Machine) {
 	d := e.drains
 	if d == nil {
 		return
 	}
-	d.coordinator.Gone(m.Name)
+	d.coordinator.MachineRemoved(m.Name)
 	delete(d.replacements, m.Name)
 	delete(d.own, m)
 }
--- a/internal/core/draining_test.go
+++ b/internal/core/draining_test.go
@@ -341,7 +341,7 @@
 	if len(asked) != 1 || asked[0].Type != "big" || asked[0].Zone != "a" || asked[0].Count != 1 || d.evicts != 0 {
 		t.Fatalf("asked for %+v, %d evictions", asked, d.evicts)
 	}
-	d.step(Rented{Rent: asked[0], Machines: []string{"m-2"}})
+	d.step(ScaleOutAnswered{Request: asked[0], Machines: []string{"m-2"}})
 	d.there("m-2")
 	d.run(60 * time.Second)
 	if _, there := d.on["m-1"]; there || d.runsOn("m-2") != 2 {
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -26,7 +26,7 @@
 	Lease             time.Duration
 	CancelWithin      time.Duration
 	GangWait          time.Duration // how long a gang's task waits for the others
-	ListLag           time.Duration
+	InstanceListLag   time.Duration
 	RestartLimit      int                  // bad exits of a task before it is held back
 	BatchEvery        time.Duration        // how often partial progress is written
 	MaxPerValue       int                  // bytes that one value in the store may have
@@ -90,7 +90,7 @@
 	// Machines.
 	machines    map[string]*fleet.Machine
 	inState     [fleet.MachineStates]int // how many machines are in each state
-	gone        map[string]time.Time     // names of machines proven gone, and since when
+	removed     map[string]time.Time     // names of machines proven gone, and since when
 	timers      timerQueue               // when machines are to be checked
 	recovery    *recovery.Reconciler     // of what the records and the machines say
 	writesFail  bool                     // the last batch wasn't written
@@ -151,8 +151,8 @@
 	Commands      []fleet.Command
 }
 
-// Rent is a request for machines; Name is unique over all terms.
-type Rent struct {
+// ScaleOut is a request for machines; Name is unique over all terms.
+type ScaleOut struct {
 	Name       string
 	Type, Zone string
 	Spot       bool
@@ -170,8 +170,8 @@
 type Effects struct {
 	Response *HeartbeatResponse
 	Direct   []Direct
-	Rent     []Rent
-	Release  [][]string
+	ScaleOut []ScaleOut
+	ScaleIn  [][]string
 	Drains   []drain.PlanWrite // plans of drains whose records are to be written
 	Deposed  bool              // a higher term exists
 	// HigherFencingToken is the fencing token that a worker has seen, if that is why.
@@ -230,7 +230,7 @@
 		classes:       map[string]*classStats{},
 		cancellations: newCancellations(),
 		machines:      map[string]*fleet.Machine{},
-		gone:          map[string]time.Time{},
+		removed:       map[string]time.Time{},
 		unreachable:   map[*fleet.Machine]bool{},
 		use:           map[string]*jobUse{},
 		teamUse:       map[string]fleet.Amount{},
--- a/internal/core/fleet/machine.go
+++ b/internal/core/fleet/machine.go
@@ -13,8 +13,8 @@
 	Unheard                       // the records say that tasks may be on it; not heard under this term
 	Live                          // reports
 	Silent                        // has stopped reporting
-	Releasing                     // a release is under way
-	Gone                          // proven gone
+	ScalingIn                     // a release is under way
+	Removed                       // proven gone
 
 	MachineStates = iota // how many there are
 )
@@ -42,13 +42,13 @@
 	StaleHeartbeats                     StaleHeartbeats // reports that aren't newer than the newest one
 
 	// Its life.
-	FirstSeen     time.Time
-	ListedAt      time.Time // when the cloud last listed it
-	ListedRunning bool      // the cloud's last list with it said that it is up
-	Known         bool      // listed by the cloud, rented, or heard under this term's fencing token: not just an old copy's word
-	NoticeAt      time.Time // when the cloud takes it, zero without a notice
-	ReleaseTries  int       // releases that failed
-	CheckAt       time.Time // when its present timer expires
+	FirstSeen       time.Time
+	ListedAt        time.Time // when the cloud last listed it
+	ListedRunning   bool      // the cloud's last list with it said that it is up
+	Known           bool      // listed by the cloud, rented, or heard under this term's fencing token: not just an old copy's word
+	NoticeAt        time.Time // when the cloud takes it, zero without a notice
+	ScaleInAttempts int       // releases that failed
+	CheckAt         time.Time // when its present timer expires
 
 	// Whether it gets starts.
 	Draining  bool            // it gets no more
@@ -103,7 +103,7 @@
 
 // Move is the one place where a machine changes state; Gone is final.
 func (m *Machine) Move(to MachineState) bool {
-	if m.state == to || m.state == Gone {
+	if m.state == to || m.state == Removed {
 		return false
 	}
 	m.state = to
--- a/internal/core/fleet/messages.go
+++ b/internal/core/fleet/messages.go
@@ -10,12 +10,12 @@
 	CauseNone Cause = iota
 	CauseDone
 	CauseStopped
-	CauseMatesGone
-	CauseAlone
+	CauseGangPeerLost
+	CauseGangIncomplete
 	CauseError
-	CauseNoRoom
-	CauseBusy
-	CauseUnknown
+	CauseInsufficientResources
+	CauseAlreadyPresent
+	CauseUnknownTask
 )
 
 // Op is a command to a worker.
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -19,7 +19,7 @@
 		e.out.Deposed, e.out.HigherFencingToken = true, rep.FencingToken
 		return
 	}
-	if _, gone := e.gone[rep.Machine]; gone {
+	if _, gone := e.removed[rep.Machine]; gone {
 		return // sent before the machine was released
 	}
 	m := e.machines[rep.Machine]
@@ -63,7 +63,7 @@
 func (e *Engine) staleHeartbeat(now time.Time, m *fleet.Machine, r *fleet.Heartbeat) {
 	restarted := m.StaleHeartbeats.NoteStale(now, r, e.cfg.HeartbeatInterval)
 	if restarted && now.Sub(m.LastHeartbeat) > e.silentAfter() {
-		e.release(now, m, "started anew")
+		e.scaleIn(now, m, "started anew")
 	}
 }
 
@@ -115,7 +115,7 @@
 	if was == fleet.Booting || was == fleet.Silent {
 		m.IdleSince = now // it couldn't be used before
 	}
-	if was != fleet.Releasing && e.moveMachine(now, m, fleet.Live) {
+	if was != fleet.ScalingIn && e.moveMachine(now, m, fleet.Live) {
 		e.note("machine live", "machine", m.Name, "type", m.Type, "zone", m.Zone, "spot", m.Spot, "was", was.String(), "after", now.Sub(m.FirstSeen))
 	}
 	e.detectOneWayLoss(now, m, r, leaseEnded)
@@ -185,7 +185,7 @@
 			Answered: a.State() == fleet.Sent && r.Sequence > a.CommandSequence,
 			Seen:     a.State() >= fleet.Fetching,
 		})
-		if finding.Action == recovery.ProveGone {
+		if finding.Action == recovery.MarkLost {
 			e.recovery.Found(m.Name, finding)
 			e.attemptLost(now, m, a, finding.Reason.String())
 		}
@@ -209,7 +209,7 @@
 	switch finding.Action {
 	case recovery.Ignore:
 		return
-	case recovery.ProveGone:
+	case recovery.MarkLost:
 		e.attemptLost(now, m, m.Tasks[k], finding.Reason.String())
 		e.applyTaskStatus(now, m, token, t)
 		return
--- a/internal/core/image_log.go
+++ b/internal/core/image_log.go
@@ -115,8 +115,8 @@
 	return l.open
 }
 
-// machineGone forgets a machine that is gone.
-func (l *imageLog) machineGone(machine string) {
+// machineRemoved forgets a machine that is gone.
+func (l *imageLog) machineRemoved(machine string) {
 	if p := l.byMachine[machine]; p != nil {
 		delete(l.byMachine, machine)
 		delete(p.machines, machine)
@@ -173,7 +173,7 @@
 	}
 	l.expired = true
 	for machine := range l.inherited {
-		l.machineGone(machine)
+		l.machineRemoved(machine)
 	}
 	clear(l.inherited)
 }
--- a/internal/core/images_test.go
+++ b/internal/core/images_test.go
@@ -126,7 +126,7 @@
 	if left := next.e.machines["m-1"].FetchLeft(next.now, "x", 20, 1); left != 0 {
 		t.Errorf("by the image log, %s left of a fetch that is over", left)
 	}
-	next.e.Step(next.now, Released{Machines: []string{"m-1"}, OK: true})
+	next.e.Step(next.now, ScaleInAnswered{Machines: []string{"m-1"}, OK: true})
 	next.now = next.now.Add(time.Minute)
 	if batch := next.e.Batch(next.now, 10); len(batch) != 1 || batch[0].Kind != DropImages || batch[0].Name != logged[0].Name {
 		t.Errorf("the only machine of a page is gone: %+v", batch)
--- /dev/null
+++ b/internal/core/instances.go
@@ -0,0 +1,105 @@
+package core
+
+import (
+	"time"
+
+	"gingertally/internal/core/capacity"
+	"gingertally/internal/core/fleet"
+)
+
+// Instance is one machine of the cloud's list.
+type Instance struct {
+	Name, Addr, Type, Zone string
+	Spot                   bool
+	Status                 InstanceStatus
+	Age                    time.Duration
+}
+
+// InstanceStatus is a machine's state in the cloud's list.
+type InstanceStatus uint8
+
+// States in the cloud's list.
+const (
+	InstanceStarting InstanceStatus = iota
+	InstanceRunning
+	InstanceFailed
+)
+
+// InstancesListed brings the cloud's list. It lags and may be older than the last one:
+// what it says is a hint, and proves nothing gone.
+type InstancesListed struct{ Instances []Instance }
+
+func (l InstancesListed) apply(e *Engine, now time.Time) {
+	e.lastList = now
+	for _, lm := range l.Instances {
+		if _, gone := e.removed[lm.Name]; gone {
+			continue
+		}
+		m := e.machines[lm.Name]
+		if m == nil {
+			m = fleet.NewMachine(now, lm.Name, fleet.Kind{Type: lm.Type, Zone: lm.Zone, Spot: lm.Spot}, fleet.Booting)
+			m.Confirmed = true // the start log doesn't name it
+			m.FirstSeen = now.Add(-lm.Age)
+			e.addMachine(now, m)
+		}
+		m.ListedAt = now
+		m.ListedRunning = lm.Status == InstanceRunning
+		if !m.Known {
+			m.Known = true
+			e.touch(m)
+		}
+		if m.Addr == "" {
+			m.Addr = lm.Addr
+		}
+		if lm.Status == InstanceFailed {
+			e.scaleIn(now, m, "failed")
+		}
+	}
+}
+
+// ScaleOutAnswered brings the answer to a request for machines.
+type ScaleOutAnswered struct {
+	Request        ScaleOut
+	Machines       []string // those rented
+	NoCapacity     bool     // no capacity
+	OutcomeUnknown bool     // given up without an answer; the list will tell
+}
+
+func (r ScaleOutAnswered) apply(e *Engine, now time.Time) {
+	o := capacity.Offer{Type: r.Request.Type, Zone: r.Request.Zone, Spot: r.Request.Spot}
+	e.plan.Answered(now, o, capacity.Answer{Requested: r.Request.Count, Created: len(r.Machines), OutcomeUnknown: r.OutcomeUnknown})
+	e.warm.noteOffer(o)
+	for _, name := range r.Machines {
+		if _, gone := e.removed[name]; gone || e.machines[name] != nil {
+			continue
+		}
+		m := fleet.NewMachine(now, name, fleet.Kind(o), fleet.Booting)
+		m.Confirmed, m.Known = true, true
+		e.addMachine(now, m)
+	}
+	e.drains.replacementAnswered(r)
+	e.replan = true
+	e.note("rental", "type", o.Type, "zone", o.Zone, "spot", o.Spot, "asked", r.Request.Count, "got", len(r.Machines), "refused", r.NoCapacity)
+}
+
+// ScaleInAnswered says that the cloud answered a release with 200: the machines and
+// all on them are gone. OK false: unknown, to be tried again.
+type ScaleInAnswered struct {
+	Machines []string
+	OK       bool
+}
+
+func (r ScaleInAnswered) apply(e *Engine, now time.Time) {
+	for _, name := range r.Machines {
+		m := e.machines[name]
+		if m == nil {
+			continue
+		}
+		if !r.OK {
+			m.ScaleInAttempts++
+			m.HoldUntil = now.Add(time.Second)
+			continue
+		}
+		e.removeMachine(now, m)
+	}
+}
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -87,7 +87,7 @@
 	e.inState[was]--
 	e.inState[to]++
 	m.Expected = false
-	if to == fleet.Silent || to == fleet.Releasing {
+	if to == fleet.Silent || to == fleet.ScalingIn {
 		e.recovery.GivenUp(m.Name)
 	}
 	e.timers.schedule(m, now)
@@ -97,7 +97,7 @@
 
 // removeMachine forgets a machine that is proven gone with all on it.
 func (e *Engine) removeMachine(now time.Time, m *fleet.Machine) {
-	e.moveMachine(now, m, fleet.Gone)
+	e.moveMachine(now, m, fleet.Removed)
 	for _, a := range sortedAttempts(m) {
 		if a.State() == fleet.Exited {
 			e.drop(now, m, a)
@@ -108,56 +108,56 @@
 	}
 	delete(e.machines, m.Name)
 	delete(e.unreachable, m)
-	e.recovery.Gone(m.Name)
-	e.images.machineGone(m.Name)
-	e.inState[fleet.Gone]--
-	e.gone[m.Name] = now
-	e.drainMachineGone(m)
+	e.recovery.MachineRemoved(m.Name)
+	e.images.machineRemoved(m.Name)
+	e.inState[fleet.Removed]--
+	e.removed[m.Name] = now
+	e.drainMachineRemoved(m)
 	e.warm.noteMachine(m.Name)
 	e.note("machine gone", "machine", m.Name)
 }
 
-// release gives a machine back; the answer proves all on it gone.
-func (e *Engine) release(now time.Time, m *fleet.Machine, why string) {
-	if m.State() == fleet.Releasing && (m.ReleaseTries == 0 || now.Before(m.HoldUntil)) {
+// scaleIn gives a machine back; the answer proves all on it gone.
+func (e *Engine) scaleIn(now time.Time, m *fleet.Machine, why string) {
+	if m.State() == fleet.ScalingIn && (m.ScaleInAttempts == 0 || now.Before(m.HoldUntil)) {
 		return
 	}
-	if e.moveMachine(now, m, fleet.Releasing) {
+	if e.moveMachine(now, m, fleet.ScalingIn) {
 		e.note("machine released", "machine", m.Name, "type", m.Type, "why", why, "busy", m.Busy())
 	}
-	m.Draining, m.ReleaseTries = true, 0
-	n := len(e.out.Release)
-	if n == 0 || len(e.out.Release[n-1]) >= maxRelease {
-		e.out.Release = append(e.out.Release, nil)
+	m.Draining, m.ScaleInAttempts = true, 0
+	n := len(e.out.ScaleIn)
+	if n == 0 || len(e.out.ScaleIn[n-1]) >= maxScaleIn {
+		e.out.ScaleIn = append(e.out.ScaleIn, nil)
 		n++
 	}
-	e.out.Release[n-1] = append(e.out.Release[n-1], m.Name)
+	e.out.ScaleIn[n-1] = append(e.out.ScaleIn[n-1], m.Name)
 }
 
-// maxRelease is how many machines one release may name (PROTOCOL).
-const maxRelease = 100
+// maxScaleIn is how many machines one release may name (PROTOCOL).
+const maxScaleIn = 100
 
 // checkMachines looks at the machines for which it is time: silence, ended
 // leases, boots that take too long.
 func (e *Engine) checkMachines(now time.Time) {
 	for m := e.timers.expired(now); m != nil; m = e.timers.expired(now) {
 		next := e.checkMachine(now, m)
-		if m.State() != fleet.Gone {
+		if m.State() != fleet.Removed {
 			e.timers.schedule(m, next)
 		}
 	}
-	e.pruneGone(now)
+	e.pruneRemoved(now)
 }
 
-// pruneGone forgets, once a minute, names of machines that have been gone for long.
-func (e *Engine) pruneGone(now time.Time) {
+// pruneRemoved forgets, once a minute, names of machines that have been gone for long.
+func (e *Engine) pruneRemoved(now time.Time) {
 	if now.Sub(e.prunedAt) < time.Minute {
 		return
 	}
 	e.prunedAt = now
-	for name, at := range e.gone {
-		if now.Sub(at) > keepGoneNames {
-			delete(e.gone, name)
+	for name, at := range e.removed {
+		if now.Sub(at) > keepRemovedNames {
+			delete(e.removed, name)
 		}
 	}
 }
@@ -170,19 +170,19 @@
 func (e *Engine) checkMachine(now time.Time, m *fleet.Machine) time.Time {
 	next := now.Add(recheckEvery)
 	switch m.State() {
-	case fleet.Releasing:
-		if m.ReleaseTries > 0 {
-			e.release(now, m, "again")
+	case fleet.ScalingIn:
+		if m.ScaleInAttempts > 0 {
+			e.scaleIn(now, m, "again")
 		}
 		next = now.Add(time.Second)
 	case fleet.Booting:
 		if now.Sub(m.FirstSeen) > e.bootLimit(e.bootTime(m)) && now.Sub(e.started) > e.firstHeartbeatTimeout(m) {
-			e.release(now, m, "never came up")
+			e.scaleIn(now, m, "never came up")
 		}
 		next = now.Add(time.Second)
 	case fleet.Live, fleet.Silent, fleet.Unheard:
 		e.checkSilence(now, m)
-		e.releaseUnreachable(now, m)
+		e.scaleInUnreachable(now, m)
 		if m.Expected && now.Sub(m.LastHeartbeat) > e.silentAfter() {
 			e.expectNoLonger(now, m)
 		}
@@ -197,7 +197,7 @@
 		e.withdrawUnsentStarts(now, m)
 	}
 	if m.State() == fleet.Live && (m.Sick || m.Draining) && m.Busy() == 0 && !e.hasUnstoredResults(m) {
-		e.release(now, m, "drained")
+		e.scaleIn(now, m, "drained")
 	}
 	if !next.After(now) {
 		next = now.Add(recheckEvery)
@@ -223,14 +223,14 @@
 	}
 }
 
-// keepGoneNames is how long the names of machines that are gone are kept, for
+// keepRemovedNames is how long the names of machines that are gone are kept, for
 // messages and lists that are late.
-const keepGoneNames = 15 * time.Minute
+const keepRemovedNames = 15 * time.Minute
 
 // bootLimit is after how long a boot is given up: boots usually take up to one
 // and a half times the nominal time, some several times as long.
 func (e *Engine) bootLimit(boot time.Duration) time.Duration {
-	return 4*boot + 2*e.cfg.ListLag + 10*time.Second
+	return 4*boot + 2*e.cfg.InstanceListLag + 10*time.Second
 }
 
 // firstHeartbeatTimeout is how long after its claim a new leader waits for a machine that no
@@ -258,7 +258,7 @@
 // enough to release it before its worker's lease has ended, which proves all on
 // it gone. Machines that only hang stay listed, and are waited for.
 func (e *Engine) missingFromList(m *fleet.Machine) bool {
-	return !m.ListedAt.IsZero() && e.lastList.Sub(m.ListedAt) > 2*e.cfg.ListLag+4*time.Second
+	return !m.ListedAt.IsZero() && e.lastList.Sub(m.ListedAt) > 2*e.cfg.InstanceListLag+4*time.Second
 }
 
 // silentAfter is when a machine that doesn't report gets no more starts: two
@@ -271,7 +271,7 @@
 		e.note("machine silent", "machine", m.Name, "busy", m.Busy())
 	}
 	if m.State() != fleet.Live && quiet > e.silentAfter() && e.missingFromList(m) {
-		e.release(now, m, fmt.Sprintf("silent for %s", quiet.Round(time.Second)))
+		e.scaleIn(now, m, fmt.Sprintf("silent for %s", quiet.Round(time.Second)))
 		return
 	}
 	if !m.LeaseOver(now, e.cfg.Lease) {
@@ -287,7 +287,7 @@
 		}
 	}
 	if quiet > e.silentLimit(m) {
-		e.release(now, m, fmt.Sprintf("silent for %s", quiet.Round(time.Second)))
+		e.scaleIn(now, m, fmt.Sprintf("silent for %s", quiet.Round(time.Second)))
 	}
 }
 
--- a/internal/core/one_way_loss_test.go
+++ b/internal/core/one_way_loss_test.go
@@ -53,7 +53,7 @@
 	for b.now.Sub(at) < config().Lease {
 		b.pass(3*time.Second, true)
 		sent += len(starts(b.report("m-1", 2)))
-		if b.e.machines["m-1"].State() == fleet.Releasing {
+		if b.e.machines["m-1"].State() == fleet.ScalingIn {
 			if sent > 2 {
 				t.Fatalf("%d starts sent to a machine that receives nothing", sent)
 			}
@@ -106,7 +106,7 @@
 		}
 	}
 	for _, m := range names {
-		if s := b.e.machines[m]; s.State() == fleet.Releasing {
+		if s := b.e.machines[m]; s.State() == fleet.ScalingIn {
 			t.Fatalf("%s is released", m)
 		}
 	}
--- a/internal/core/reconcile_test.go
+++ b/internal/core/reconcile_test.go
@@ -15,11 +15,11 @@
 }
 
 func (b *bench) list(machines ...string) {
-	var listed []ListedMachine
+	var listed []Instance
 	for _, name := range machines {
-		listed = append(listed, ListedMachine{Name: name, Addr: name, Type: "big", Zone: "a", Status: ListRunning})
+		listed = append(listed, Instance{Name: name, Addr: name, Type: "big", Zone: "a", Status: InstanceRunning})
 	}
-	b.e.Step(b.now, Listed{Machines: listed})
+	b.e.Step(b.now, InstancesListed{Instances: listed})
 }
 
 // Work that the state service has forgotten is adopted where it runs, and recorded before
--- a/internal/core/safety_test.go
+++ b/internal/core/safety_test.go
@@ -20,7 +20,7 @@
 
 func config() Config {
 	return Config{Teams: map[string]placement.Team{"t": {}}, HeartbeatInterval: 3 * time.Second, Lease: 30 * time.Second,
-		CancelWithin: 60 * time.Second, ListLag: 4 * time.Second, RestartLimit: 3,
+		CancelWithin: 60 * time.Second, InstanceListLag: 4 * time.Second, RestartLimit: 3,
 		BatchEvery: 2 * time.Second, MaxPerValue: 4000, RoundBudget: 100, Weights: DefaultWeights()}
 }
 
@@ -264,7 +264,7 @@
 	}
 	for b.now.Sub(at) < config().CancelWithin {
 		b.now = b.now.Add(time.Second)
-		if eff := b.e.Step(b.now, Tick{}); len(eff.Release) > 0 {
+		if eff := b.e.Step(b.now, Tick{}); len(eff.ScaleIn) > 0 {
 			return
 		}
 	}
@@ -347,7 +347,7 @@
 	for b.now.Sub(idle) < time.Minute {
 		b.now = b.now.Add(time.Second)
 		b.report("m-1", 2)
-		if eff := b.e.Step(b.now, Tick{}); len(eff.Release) > 0 {
+		if eff := b.e.Step(b.now, Tick{}); len(eff.ScaleIn) > 0 {
 			return
 		}
 	}
@@ -400,14 +400,14 @@
 		b.worker("m-1", 0, 1, seq)
 		for range 10 {
 			b.now = b.now.Add(200 * time.Millisecond)
-			if eff := b.e.Step(b.now, Tick{}); len(eff.Release) > 0 {
+			if eff := b.e.Step(b.now, Tick{}); len(eff.ScaleIn) > 0 {
 				return
 			}
 		}
 		if b.e.jobs["j-1"].Count(pipeline.Waiting) > 0 {
 			t.Fatal("taken for gone on the word of what may be copies")
 		}
-		if b.e.machines["m-1"].State() == fleet.Releasing {
+		if b.e.machines["m-1"].State() == fleet.ScalingIn {
 			return
 		}
 	}
@@ -423,7 +423,7 @@
 	for _, m := range []string{"m-1", "m-2", "m-3", "m-4", "m-5"} {
 		b.up(m)
 	}
-	b.e.Step(b.now, Listed{})
+	b.e.Step(b.now, InstancesListed{})
 	b.pass(time.Second, true)
 	n := 0
 	for _, m := range []string{"m-1", "m-2", "m-3", "m-4", "m-5"} {
--- a/internal/core/scale_down.go
+++ b/internal/core/scale_in.go
@@ -21,8 +21,8 @@
 	idleTimeoutOld    = 40 * time.Second
 )
 
-// scaleDown releases machines that have been idle too long.
-func (e *Engine) scaleDown(now time.Time, demand []capacity.Demand) {
+// scaleInIdle releases machines that have been idle too long.
+func (e *Engine) scaleInIdle(now time.Time, demand []capacity.Demand) {
 	if len(e.classes) == 0 || now.Sub(e.started) < 3*e.cfg.HeartbeatInterval || !e.recovery.Pacer().AtHighest() {
 		return
 	}
@@ -37,7 +37,7 @@
 			if s.Future || m.Expected || len(m.Tasks) > 0 || e.drains.isReplacement(m.Name) || now.Sub(m.IdleSince) <= keep || neededByDemand(now, p, m, demand) {
 				continue
 			}
-			e.release(now, m, "idle")
+			e.scaleIn(now, m, "idle")
 		}
 	}
 }
--- a/internal/core/silence_test.go
+++ b/internal/core/silence_test.go
@@ -16,7 +16,7 @@
 	lease, kept := b.e.cfg.Lease, b.e.silentLimit(b.e.machines["m-1"])
 	for b.now.Sub(silent) < lease+5*time.Second {
 		b.now = b.now.Add(time.Second)
-		if eff := b.e.Step(b.now, Tick{}); len(eff.Release) > 0 {
+		if eff := b.e.Step(b.now, Tick{}); len(eff.ScaleIn) > 0 {
 			t.Fatalf("released after %s", b.now.Sub(silent))
 		}
 	}
@@ -29,14 +29,14 @@
 	}
 	for range 3 {
 		b.now = b.now.Add(time.Second)
-		if eff := b.e.Step(b.now, Tick{}); len(eff.Release) > 0 {
+		if eff := b.e.Step(b.now, Tick{}); len(eff.ScaleIn) > 0 {
 			t.Fatal("released as idle as soon as it was back")
 		}
 	}
 	again := b.now
 	for b.now.Sub(again) < kept+10*time.Second {
 		b.now = b.now.Add(time.Second)
-		if eff := b.e.Step(b.now, Tick{}); len(eff.Release) > 0 {
+		if eff := b.e.Step(b.now, Tick{}); len(eff.ScaleIn) > 0 {
 			return
 		}
 	}
@@ -48,18 +48,18 @@
 // had failed: six machines at one takeover of an incident.
 func TestIdleMachineOutlivesItsLeader(t *testing.T) {
 	b := newBench(t, 2, Snapshot{})
-	up := ListedMachine{Name: "m-1", Addr: "m-1", Type: "big", Zone: "a", Status: ListRunning, Held: 10 * time.Minute}
-	b.e.Step(b.now, Listed{Machines: []ListedMachine{up}})
+	up := Instance{Name: "m-1", Addr: "m-1", Type: "big", Zone: "a", Status: InstanceRunning, Age: 10 * time.Minute}
+	b.e.Step(b.now, InstancesListed{Instances: []Instance{up}})
 	began, kept := b.now, b.e.silentLimit(b.e.machines["m-1"])
 	for b.now.Sub(began) < kept {
 		b.now = b.now.Add(time.Second)
-		if eff := b.e.Step(b.now, Tick{}); len(eff.Release) > 0 {
+		if eff := b.e.Step(b.now, Tick{}); len(eff.ScaleIn) > 0 {
 			t.Fatalf("released %s after the new leader's claim", b.now.Sub(began))
 		}
 	}
 	for b.now.Sub(began) < kept+5*time.Second {
 		b.now = b.now.Add(time.Second)
-		if eff := b.e.Step(b.now, Tick{}); len(eff.Release) > 0 {
+		if eff := b.e.Step(b.now, Tick{}); len(eff.ScaleIn) > 0 {
 			return
 		}
 	}
--- a/internal/core/timer_queue.go
+++ b/internal/core/timer_queue.go
@@ -31,7 +31,7 @@
 func (q *timerQueue) expired(now time.Time) *fleet.Machine {
 	for len(q.timers) > 0 && !q.timers[0].at.After(now) {
 		t := heap.Pop(&q.timers).(timer)
-		if t.machine.CheckAt.Equal(t.at) && t.machine.State() != fleet.Gone {
+		if t.machine.CheckAt.Equal(t.at) && t.machine.State() != fleet.Removed {
 			t.machine.CheckAt = time.Time{}
 			return t.machine
 		}
--- a/internal/core/timer_queue_test.go
+++ b/internal/core/timer_queue_test.go
@@ -21,7 +21,7 @@
 	q.schedule(a, at(5))
 	q.schedule(a, at(7)) // later than its present timer
 	q.schedule(gone, at(1))
-	gone.Move(fleet.Gone)
+	gone.Move(fleet.Removed)
 	if m := q.expired(at(4)); m != nil {
 		t.Fatalf("%s expired early", m.Name)
 	}
--- a/internal/daemon/catalog.go
+++ b/internal/daemon/catalog.go
@@ -29,7 +29,7 @@
 
 // fetchCatalog learns the machine types from the cloud.
 func (d *Daemon) fetchCatalog(ctx context.Context) error {
-	flavors, err := d.cloud.Flavors(ctx)
+	flavors, err := d.cloud.MachineTypes(ctx)
 	if err != nil {
 		return err
 	}
@@ -56,7 +56,7 @@
 	if _, found, err := d.store.Get(ctx, catalogKey); err != nil || found {
 		return
 	}
-	flavors, err := d.cloud.Flavors(ctx)
+	flavors, err := d.cloud.MachineTypes(ctx)
 	if err != nil {
 		return
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -112,7 +112,7 @@
 		Lease:             params.Workers.Lease.Duration(),
 		CancelWithin:      params.Workers.Cancel.Duration(),
 		GangWait:          params.Workers.GangWait.Duration(),
-		ListLag:           params.Cloud.ListLag.Duration(),
+		InstanceListLag:   params.Cloud.ListLag.Duration(),
 		RestartLimit:      operatorSettings.RestartLimit,
 		BatchEvery:        operatorSettings.BatchInterval,
 		Weights:           operatorSettings.Weights,
--- a/internal/daemon/rentals.go
+++ b/internal/daemon/instances.go
@@ -11,40 +11,40 @@
 )
 
 const (
-	// rentTries is how often a rental is asked for again when there is no answer.
-	rentTries = 4
-	rentRetry = time.Second
+	// scaleOutTries is how often a rental is asked for again when there is no answer.
+	scaleOutTries = 4
+	scaleOutRetry = time.Second
 )
 
-// rent asks the cloud for machines, and brings the engine the answer.
-func (s *leaderSession) rent(rent core.Rent) {
+// scaleOut asks the cloud for machines, and brings the engine the answer.
+func (s *leaderSession) scaleOut(rent core.ScaleOut) {
 	request := wire.RentalRequest{Hire: rent.Name, Build: rent.Type, Yard: rent.Zone, Loaners: rent.Spot, Count: rent.Count}
-	result := core.Rented{Rent: rent, Unknown: true}
-	for try := 0; try < rentTries && s.holdsLease(); try++ {
-		names, err := s.daemon.cloud.Rent(s.ctx, request)
+	result := core.ScaleOutAnswered{Request: rent, OutcomeUnknown: true}
+	for try := 0; try < scaleOutTries && s.holdsLease(); try++ {
+		names, err := s.daemon.cloud.ScaleOut(s.ctx, request)
 		if err == nil || errors.Is(err, cloud.ErrNoCapacity) {
-			result.Machines, result.Refused, result.Unknown = names, err != nil, false
+			result.Machines, result.NoCapacity, result.OutcomeUnknown = names, err != nil, false
 			break
 		}
 		slog.Debug("rent", "error", err)
-		if !sleep(s.ctx, rentRetry) {
+		if !sleep(s.ctx, scaleOutRetry) {
 			break
 		}
 	}
 	s.step(result)
 }
 
-// release gives machines back, and brings the engine the outcome.
-func (s *leaderSession) release(names []string) {
+// scaleIn gives machines back, and brings the engine the outcome.
+func (s *leaderSession) scaleIn(names []string) {
 	released := false
 	if s.holdsLease() {
-		err := s.daemon.cloud.Release(s.ctx, names)
+		err := s.daemon.cloud.ScaleIn(s.ctx, names)
 		released = err == nil
 		if !released {
 			slog.Debug("release", "error", err)
 		}
 	}
-	s.step(core.Released{Machines: names, OK: released})
+	s.step(core.ScaleInAnswered{Machines: names, OK: released})
 }
 
 const (
@@ -57,7 +57,7 @@
 // listLoop reads the cloud's list and the present prices.
 func (s *leaderSession) listLoop() error {
 	// More often than the list's lag says little new, and takes calls from rentals.
-	every := max(listLeast, s.daemon.coreConfig.ListLag/2)
+	every := max(listLeast, s.daemon.coreConfig.InstanceListLag/2)
 	var pricesRead time.Time
 	for {
 		if s.holdsLease() {
@@ -85,33 +85,33 @@
 
 // readList brings the engine the cloud's list of machines.
 func (s *leaderSession) readList() {
-	rentals, err := s.daemon.cloud.List(s.ctx)
+	rentals, err := s.daemon.cloud.ListInstances(s.ctx)
 	if err != nil {
 		slog.Debug("list machines", "error", err)
 		return
 	}
-	s.step(core.Listed{Machines: listedMachines(rentals)})
+	s.step(core.InstancesListed{Instances: listedMachines(rentals)})
 }
 
 // listStatuses are the cloud's words for a machine's state.
-var listStatuses = map[string]core.ListStatus{
-	wire.RentalStarting: core.ListStarting,
-	wire.RentalRunning:  core.ListRunning,
-	wire.RentalFailed:   core.ListFailed,
+var listStatuses = map[string]core.InstanceStatus{
+	wire.RentalStarting: core.InstanceStarting,
+	wire.RentalRunning:  core.InstanceRunning,
+	wire.RentalFailed:   core.InstanceFailed,
 }
 
 // listedMachines is the cloud's list as the engine takes it. Machines in a state that
 // isn't known here are left out.
-func listedMachines(rentals []wire.Rental) []core.ListedMachine {
-	machines := make([]core.ListedMachine, 0, len(rentals))
+func listedMachines(rentals []wire.Rental) []core.Instance {
+	machines := make([]core.Instance, 0, len(rentals))
 	for _, rental := range rentals {
 		status, known := listStatuses[rental.Status]
 		if !known {
 			continue
 		}
-		machines = append(machines, core.ListedMachine{
+		machines = append(machines, core.Instance{
 			Name: rental.Ref, Addr: rental.Endpoint, Type: rental.Build, Zone: rental.Yard, Spot: rental.Loaners,
-			Status: status, Held: time.Duration(rental.HeldS * float64(time.Second)),
+			Status: status, Age: time.Duration(rental.HeldS * float64(time.Second)),
 		})
 	}
 	return machines
--- a/internal/daemon/session.go
+++ b/internal/daemon/session.go
@@ -185,11 +185,11 @@
 	for _, plan := range effects.Drains {
 		go s.writeDrainPlan(plan)
 	}
-	for _, request := range effects.Rent {
-		go s.rent(request)
+	for _, request := range effects.ScaleOut {
+		go s.scaleOut(request)
 	}
-	for _, names := range effects.Release {
-		go s.release(names)
+	for _, names := range effects.ScaleIn {
+		go s.scaleIn(names)
 	}
 	return effects
 }
--- a/internal/drain/coordinator.go
+++ b/internal/drain/coordinator.go
@@ -227,8 +227,8 @@
 	}
 }
 
-// Gone tells that a machine is gone.
-func (c *Coordinator) Gone(name string) {
+// MachineRemoved tells that a machine is gone.
+func (c *Coordinator) MachineRemoved(name string) {
 	if m := c.machines[name]; m != nil {
 		c.Move(m, Released)
 	}
--- a/internal/drain/coordinator_test.go
+++ b/internal/drain/coordinator_test.go
@@ -127,7 +127,7 @@
 				t.Fatalf("%s is drained again", m.Name)
 			}
 			c.Move(m, Empty)
-			c.Gone(m.Name)
+			c.MachineRemoved(m.Name)
 			gone[m.Name] = true
 			released++
 		}
--- a/internal/drain/verdict.go
+++ b/internal/drain/verdict.go
@@ -46,7 +46,7 @@
 	CauseClosed
 	CauseFinishing
 	CauseDeadline
-	CauseNoRoom
+	CauseNoCapacity
 	CauseReplacement
 	CauseLeaving
 	CauseNotStored
@@ -63,7 +63,7 @@
 	CauseClosed:            "a closed window",
 	CauseFinishing:         "tasks are left to finish",
 	CauseDeadline:          "not before the plan's deadline",
-	CauseNoRoom:            "no room elsewhere",
+	CauseNoCapacity:        "no room elsewhere",
 	CauseReplacement:       "its replacement isn't up",
 	CauseLeaving:           "tasks are leaving",
 	CauseNotStored:         "the state service hasn't taken the charge",
--- a/internal/recovery/findings.go
+++ b/internal/recovery/findings.go
@@ -68,8 +68,8 @@
 	// Wait leaves the attempt where it may be until a heartbeat under this term's fencing token, the end
 	// of the worker's lease or a release proves it gone.
 	Wait
-	// ProveGone takes the recorded attempt for gone: its task may be placed again.
-	ProveGone
+	// MarkLost takes the recorded attempt for gone: its task may be placed again.
+	MarkLost
 	// TakeResult stores the result, and only then lets the worker forget it.
 	TakeResult
 	// Forget lets the worker forget the attempt.
@@ -124,7 +124,7 @@
 		return classifyKnown(r)
 	case OlderHere:
 		if r.Inherited {
-			return Finding{NewerThere, ProveGone} // a later one was placed only once it was proven gone
+			return Finding{NewerThere, MarkLost} // a later one was placed only once it was proven gone
 		}
 		return Finding{OlderThere, Ignore}
 	case UnsentHere:
@@ -183,7 +183,7 @@
 func ClassifyUnreported(u UnreportedAttempt) Finding {
 	switch {
 	case u.Inherited && u.Confirmed, u.Seen && !u.Inherited, u.Answered && !u.Inherited:
-		return Finding{RecordedUnreported, ProveGone}
+		return Finding{RecordedUnreported, MarkLost}
 	}
 	return Finding{RecordedUnreported, Wait}
 }
--- a/internal/recovery/reconciler.go
+++ b/internal/recovery/reconciler.go
@@ -182,8 +182,8 @@
 	}
 }
 
-// Gone forgets a machine that is proven gone.
-func (r *Reconciler) Gone(name string) {
+// MachineRemoved forgets a machine that is proven gone.
+func (r *Reconciler) MachineRemoved(name string) {
 	m := r.machines[name]
 	if m == nil {
 		return
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -34,7 +34,7 @@
 		{"running, another machine is to get it, a gang's", with(func(r *ObservedTask) { r.Holder, r.Whole = UnsentElsewhere, true }), Finding{RunningUnrecorded, Stop}},
 		{"running, the job is over", with(func(r *ObservedTask) { r.JobOpen = false }), Finding{RunningJobOver, Stop}},
 		{"running, the task is done", with(func(r *ObservedTask) { r.Wanted = false }), Finding{RunningJobOver, Stop}},
-		{"a newer attempt than its record", with(func(r *ObservedTask) { r.Holder, r.Inherited = OlderHere, true }), Finding{NewerThere, ProveGone}},
+		{"a newer attempt than its record", with(func(r *ObservedTask) { r.Holder, r.Inherited = OlderHere, true }), Finding{NewerThere, MarkLost}},
 		{"a newer attempt than one that this term started", with(func(r *ObservedTask) { r.Holder = OlderHere }), Finding{OlderThere, Ignore}},
 		{"an older attempt than its record", with(func(r *ObservedTask) { r.Holder, r.Inherited = NewerHere, true }), Finding{OlderThere, Ignore}},
 		{"an older attempt than one that is to be started there", with(func(r *ObservedTask) { r.Holder = UnsentHere }), Finding{OlderThere, WithdrawFirst}},
@@ -55,10 +55,10 @@
 		attempt UnreportedAttempt
 		want    Action
 	}{
-		{"recorded by an earlier leader, missing from a report under this term", UnreportedAttempt{Inherited: true, Confirmed: true}, ProveGone},
+		{"recorded by an earlier leader, missing from a report under this term", UnreportedAttempt{Inherited: true, Confirmed: true}, MarkLost},
 		{"recorded by an earlier leader, missing from what may be a late copy", UnreportedAttempt{Inherited: true}, Wait},
-		{"the start was answered or dropped", UnreportedAttempt{Answered: true, Confirmed: true}, ProveGone},
-		{"seen before", UnreportedAttempt{Seen: true, Confirmed: true}, ProveGone},
+		{"the start was answered or dropped", UnreportedAttempt{Answered: true, Confirmed: true}, MarkLost},
+		{"seen before", UnreportedAttempt{Seen: true, Confirmed: true}, MarkLost},
 		{"the start hasn't left, or may still be on its way", UnreportedAttempt{Confirmed: true}, Wait},
 	} {
 		if got := ClassifyUnreported(c.attempt); got != (Finding{RecordedUnreported, c.want}) {
@@ -82,7 +82,7 @@
 				t.Errorf("adopted: %+v", r)
 			case f.Action == Stop && (r.Exited || !r.Confirmed):
 				t.Errorf("stopped: %+v", r)
-			case f.Action == ProveGone && (holder != OlderHere || !r.Inherited):
+			case f.Action == MarkLost && (holder != OlderHere || !r.Inherited):
 				t.Errorf("taken for gone: %+v", r)
 			case f.Action == WithdrawFirst && holder != UnsentHere && holder != UnsentElsewhere:
 				t.Errorf("withdrawn: %+v", r)
@@ -140,7 +140,7 @@
 	}
 	r.ExpectByWarmState("m-0", true)
 	r.GivenUp("m-1")
-	r.Gone("m-2")
+	r.MachineRemoved("m-2")
 	if s := r.Status(at(0)); s.Machines["expected"] != 8 || s.Machines["missing"] != 1 || r.expectedByWarmState != 3 {
 		t.Fatalf("%+v, %d vouched for", s.Machines, r.expectedByWarmState)
 	}
@@ -226,7 +226,7 @@
 	case 3:
 		r.GivenUp(name)
 	case 4:
-		r.Gone(name)
+		r.MachineRemoved(name)
 	case 5:
 		r.ExpectByWarmState(name, rng.IntN(2) == 0)
 	case 6:
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -19,7 +19,7 @@
 
 type snapshot struct {
 	at   time.Time
-	list []core.ListedMachine
+	list []core.Instance
 }
 
 // maxOffer is the capacity of each type, zone and kind.
@@ -35,7 +35,7 @@
 	return name
 }
 
-func (c *cloudSim) rent(r core.Rent) (names []string, refused, ok bool) {
+func (c *cloudSim) scaleOut(r core.ScaleOut) (names []string, refused, ok bool) {
 	if c.down {
 		return nil, false, false
 	}
@@ -64,13 +64,13 @@
 	return names, false, true
 }
 
-// release deletes machines; they and all on them are gone at once.
-func (c *cloudSim) release(names []string) bool {
+// scaleIn deletes machines; they and all on them are gone at once.
+func (c *cloudSim) scaleIn(names []string) bool {
 	if c.down {
 		return false
 	}
 	if c.w.drains != nil {
-		c.w.drains.call(c.w.drains.onRelease)
+		c.w.drains.call(c.w.drains.onScaleIn)
 	}
 	for _, n := range names {
 		if m := c.w.machines[n]; m != nil {
@@ -83,12 +83,12 @@
 func (c *cloudSim) snapshot() {
 	s := snapshot{at: c.w.now}
 	for _, m := range c.w.machines {
-		st := core.ListRunning
+		st := core.InstanceRunning
 		if !m.isUp {
-			st = core.ListStarting
+			st = core.InstanceStarting
 		}
-		s.list = append(s.list, core.ListedMachine{Name: m.name, Addr: m.name, Type: m.typ, Zone: m.zone, Spot: m.spot,
-			Status: st, Held: c.w.now.Sub(m.born)})
+		s.list = append(s.list, core.Instance{Name: m.name, Addr: m.name, Type: m.typ, Zone: m.zone, Spot: m.spot,
+			Status: st, Age: c.w.now.Sub(m.born)})
 	}
 	sort.Slice(s.list, func(i, k int) bool { return s.list[i].Name < s.list[k].Name })
 	c.history = append(c.history, s)
@@ -98,7 +98,7 @@
 }
 
 // list returns the list as it was some time ago.
-func (c *cloudSim) list() ([]core.ListedMachine, bool) {
+func (c *cloudSim) list() ([]core.Instance, bool) {
 	c.snapshot()
 	if c.down {
 		return nil, false
--- a/internal/simulation/drain_scenarios_test.go
+++ b/internal/simulation/drain_scenarios_test.go
@@ -54,7 +54,7 @@
 		d := s.w.drains
 		d.onCharge = append(d.onCharge, s.sometimes(0.5, 6, s.endLeader))
 		d.onCordon = append(d.onCordon, s.sometimes(0.3, 6, s.endLeader))
-		d.onRelease = append(d.onRelease, s.sometimes(0.3, 6, s.endLeader))
+		d.onScaleIn = append(d.onScaleIn, s.sometimes(0.3, 6, s.endLeader))
 	}, least: map[string]int{"leaders ended": 40, "machines released": 30, "interruptions by choice": 10}},
 
 	{name: "the leader stalls just then, and wakes after the takeover", length: 200 * time.Second, script: func(s *script) {
@@ -64,7 +64,7 @@
 		d := s.w.drains
 		d.onCharge = append(d.onCharge, s.sometimes(0.5, 6, s.stalls))
 		d.onCordon = append(d.onCordon, s.sometimes(0.3, 6, s.stalls))
-		d.onRelease = append(d.onRelease, s.sometimes(0.3, 6, s.stalls))
+		d.onScaleIn = append(d.onScaleIn, s.sometimes(0.3, 6, s.stalls))
 	}, least: map[string]int{"leaders stalled": 40, "machines released": 30, "interruptions by choice": 10}},
 
 	{name: "the leader is refused by the state service alone, and another drains on", length: 220 * time.Second, script: func(s *script) {
@@ -88,7 +88,7 @@
 		}
 		d.onCharge = append(d.onCharge, s.sometimes(0.3, 3, out))
 		d.onCordon = append(d.onCordon, s.sometimes(0.2, 3, out))
-		d.onRelease = append(d.onRelease, s.sometimes(0.2, 3, out))
+		d.onScaleIn = append(d.onScaleIn, s.sometimes(0.2, 3, out))
 	}, least: map[string]int{"outages": 16, "machines released": 25, "late transactions carried out": 1}},
 
 	{name: "all controllers end in the middle", length: 200 * time.Second, script: func(s *script) {
--- a/internal/simulation/drains.go
+++ b/internal/simulation/drains.go
@@ -26,7 +26,7 @@
 	notes  map[string]int // what came about, and how often
 
 	// what scripts have called when something happens
-	onCordon, onCharge, onRelease []func()
+	onCordon, onCharge, onScaleIn []func()
 }
 
 // call calls what waits for something.
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -219,13 +219,13 @@
 	for _, p := range eff.Drains {
 		n.writePlan(p)
 	}
-	for _, r := range eff.Rent {
+	for _, r := range eff.ScaleOut {
 		n.w.output.scaleOut(n, r)
-		n.rent(r)
+		n.scaleOut(r)
 	}
-	for _, names := range eff.Release {
+	for _, names := range eff.ScaleIn {
 		n.w.output.scaleIn(n, names)
-		n.release(names)
+		n.scaleIn(names)
 	}
 	return eff
 }
@@ -407,35 +407,35 @@
 	n.w.after(n.w.between(50*time.Millisecond, 300*time.Millisecond), func() {
 		n.run(life, func() {
 			if ok && n.eng == eng && n.holdsLease() {
-				n.step(core.Listed{Machines: list})
+				n.step(core.InstancesListed{Instances: list})
 			}
 		})
 	})
 }
 
-func (n *node) rent(r core.Rent) {
+func (n *node) scaleOut(r core.ScaleOut) {
 	answer := n.cloudAnswer()
 	n.w.after(n.w.between(50*time.Millisecond, 300*time.Millisecond), func() {
 		if !n.w.reach("", n.zone) {
-			n.w.after(4*time.Second, func() { answer(core.Rented{Rent: r, Unknown: true}) })
+			n.w.after(4*time.Second, func() { answer(core.ScaleOutAnswered{Request: r, OutcomeUnknown: true}) })
 			return
 		}
-		names, refused, ok := n.w.cloud.rent(r)
+		names, refused, ok := n.w.cloud.scaleOut(r)
 		lost := n.w.o.Faults && !n.w.noNet && n.w.chance(0.1)
-		answer(core.Rented{Rent: r, Machines: names, Refused: refused, Unknown: !ok || lost})
+		answer(core.ScaleOutAnswered{Request: r, Machines: names, NoCapacity: refused, OutcomeUnknown: !ok || lost})
 	})
 }
 
-func (n *node) release(names []string) {
+func (n *node) scaleIn(names []string) {
 	answer := n.cloudAnswer()
 	delay := n.w.between(50*time.Millisecond, 300*time.Millisecond)
 	if n.w.o.Faults && !n.w.noNet && (n.w.chance(0.05) || !n.w.reach("", n.zone)) {
 		// The answer is lost, and the deletion happens at some later time.
-		n.w.after(n.w.between(time.Second, 20*time.Second), func() { n.w.cloud.release(names) })
-		n.w.after(4*time.Second, func() { answer(core.Released{Machines: names}) })
+		n.w.after(n.w.between(time.Second, 20*time.Second), func() { n.w.cloud.scaleIn(names) })
+		n.w.after(4*time.Second, func() { answer(core.ScaleInAnswered{Machines: names}) })
 		return
 	}
-	n.w.after(delay, func() { answer(core.Released{Machines: names, OK: n.w.cloud.release(names)}) })
+	n.w.after(delay, func() { answer(core.ScaleInAnswered{Machines: names, OK: n.w.cloud.scaleIn(names)}) })
 }
 
 // cloudAnswer is how an answer of the cloud reaches the engine that asked, if that
--- a/internal/simulation/output_digest.go
+++ b/internal/simulation/output_digest.go
@@ -109,7 +109,7 @@
 }
 
 // scaleOut takes in a request to the cloud for machines.
-func (d *outputDigest) scaleOut(n *node, rent core.Rent) {
+func (d *outputDigest) scaleOut(n *node, rent core.ScaleOut) {
 	if d == nil {
 		return
 	}
--- a/internal/simulation/task.go
+++ b/internal/simulation/task.go
@@ -48,7 +48,7 @@
 		return
 	}
 	t.state = fleet.WaitingForGang
-	t.timer(gangWait, func() { t.exit(fleet.CauseAlone, false) })
+	t.timer(gangWait, func() { t.exit(fleet.CauseGangIncomplete, false) })
 	mates := t.job.mates(t.attempt)
 	if len(mates) < t.job.spec.Tasks {
 		return
@@ -126,7 +126,7 @@
 	if t.job.spec.Shape == pipeline.Gang && t.cause != fleet.CauseDone {
 		for _, o := range t.job.mates(t.attempt) {
 			if o.state == fleet.Running {
-				o.timer(2*time.Second, func() { o.exit(fleet.CauseMatesGone, false) })
+				o.timer(2*time.Second, func() { o.exit(fleet.CauseGangPeerLost, false) })
 			}
 		}
 	}
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -348,12 +348,12 @@
 		s := &o.job.spec
 		cpus, gpus, mem = cpus+s.CPUs, gpus+s.GPUs, mem+s.MemGB
 		if o.job == j && o.index == t.index {
-			t.state, t.cause = fleet.Exited, fleet.CauseBusy
+			t.state, t.cause = fleet.Exited, fleet.CauseAlreadyPresent
 		}
 	}
 	typ := m.w.catalog[m.typ]
 	if cpus+j.spec.CPUs > typ.CPUs || gpus+j.spec.GPUs > typ.GPUs || mem+j.spec.MemGB > typ.MemGB {
-		t.state, t.cause = fleet.Exited, fleet.CauseNoRoom
+		t.state, t.cause = fleet.Exited, fleet.CauseInsufficientResources
 	}
 	m.tasks[taskKey(c.Ref, c.Task, c.Attempt)] = t
 	if t.state == fleet.Exited {
--- a/internal/wire/agent.go
+++ b/internal/wire/agent.go
@@ -36,9 +36,9 @@
 }
 
 var exitCauses = map[string]fleet.Cause{
-	"done": fleet.CauseDone, "stopped": fleet.CauseStopped, "mates_gone": fleet.CauseMatesGone,
-	"alone": fleet.CauseAlone, "error": fleet.CauseError, "no_room": fleet.CauseNoRoom,
-	"busy": fleet.CauseBusy, "no_such": fleet.CauseUnknown,
+	"done": fleet.CauseDone, "stopped": fleet.CauseStopped, "mates_gone": fleet.CauseGangPeerLost,
+	"alone": fleet.CauseGangIncomplete, "error": fleet.CauseError, "no_room": fleet.CauseInsufficientResources,
+	"busy": fleet.CauseAlreadyPresent, "no_such": fleet.CauseUnknownTask,
 }
 
 // ParseHeartbeat decodes and checks a worker's heartbeat. Every error is ErrMalformed.
