--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -246,7 +246,7 @@
 		return
 	}
 	a.Handled = true
-	e.debug("attempt exited", "job", a.Ref, "task", a.Task, "machine", m.Name, "cause", t.Cause, "saved", t.Saved)
+	e.debug("attempt exited", "job", a.Ref, "task", a.Task, "machine", m.Name, "cause", t.Cause, "saved", t.Checkpointed)
 	if !current {
 		return
 	}
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -31,7 +31,7 @@
 			}
 		case a.Eviction == fleet.EvictionSent && e.evictionLost(m, a):
 		case a.Stopping:
-			if state == fleet.Saving && a.Grace > 0 {
+			if state == fleet.Checkpointing && a.Grace > 0 {
 				continue // it saves; a second stop could end that
 			}
 			c.Op, c.Grace = fleet.Stop, a.Grace
--- a/internal/core/consolidate.go
+++ b/internal/core/consolidate.go
@@ -145,12 +145,12 @@
 			continue
 		}
 		j := v.engine.jobs[a.Ref]
-		if j == nil || a.State() != fleet.Running || a.Stopping || j.Checkpoint == 0 || v.now.Sub(a.RunStart) < settledRun ||
+		if j == nil || a.State() != fleet.Running || a.Stopping || j.CheckpointInterval == 0 || v.now.Sub(a.RunStart) < settledRun ||
 			isGang(j) || !v.engine.mayMoveByChoice(v.now, a, j) {
 			return candidate{}
 		}
 		longest = max(longest, v.engine.expectedRun(j)-v.now.Sub(a.RunStart))
-		cost += placement.Share(s.Type, &j.Spec) * price * (j.Save + moveOverhead).Seconds()
+		cost += placement.Share(s.Type, &j.Spec) * price * (j.CheckpointTime + moveOverhead).Seconds()
 		moved = append(moved, j)
 	}
 	sort.Slice(moved, func(i, k int) bool { return moved[i].Ref < moved[k].Ref })
--- a/internal/core/consolidate_test.go
+++ b/internal/core/consolidate_test.go
@@ -22,7 +22,7 @@
 // another machine in use has room for them.
 func emptiedWith(t *testing.T, shape pipeline.Shape) bool {
 	long, filler, other := job("j-1", 2), job("j-2", 1), job("j-3", 1)
-	long.Record.Spec.Shape, long.Record.Spec.Checkpoint, long.Record.Spec.Estimate = shape, time.Second, time.Hour
+	long.Record.Spec.Shape, long.Record.Spec.CheckpointInterval, long.Record.Spec.Estimate = shape, time.Second, time.Hour
 	filler.Record.Spec.CPUs, filler.Record.Spec.Estimate = 6, 10*time.Second
 	other.Record.Spec.CPUs, other.Record.Spec.Estimate = 4, time.Hour
 	b := newBench(t, 2, Snapshot{Jobs: []StoredJob{long, filler}})
--- a/internal/core/drain_eviction.go
+++ b/internal/core/drain_eviction.go
@@ -85,7 +85,7 @@
 // newEvictionGroup describes what would be interrupted.
 func newEvictionGroup(now time.Time, j *pipeline.Job, attempts []*fleet.Attempt) *evictionGroup {
 	g := &evictionGroup{job: j, attempts: attempts}
-	g.candidate = drain.Candidate{Team: j.Team, Class: j.Class, Job: j.Ref, Saves: j.Checkpoint > 0, Takes: evictionTime(j), Since: now}
+	g.candidate = drain.Candidate{Team: j.Team, Class: j.Class, Job: j.Ref, Checkpoints: j.CheckpointInterval > 0, Takes: evictionTime(j), Since: now}
 	if j.Shape == pipeline.Service {
 		g.candidate.Replicas = len(j.Tasks)
 	}
@@ -98,8 +98,8 @@
 // evictionTime is how long after the decision the last task of a group has left.
 func evictionTime(j *pipeline.Job) time.Duration {
 	takes := answerDropped + evictionSlack
-	if j.Checkpoint > 0 {
-		takes += j.Save
+	if j.CheckpointInterval > 0 {
+		takes += j.CheckpointTime
 	}
 	if isGang(j) {
 		takes += directBound
@@ -201,7 +201,7 @@
 	}
 	if isGang(g.job) {
 		a := g.attempts[0]
-		e.stopWithSave(now, a.On, a, g.job)
+		e.stopWithCheckpoint(now, a.On, a, g.job)
 		return true
 	}
 	g.attempts[0].Eviction = fleet.EvictionApproved
@@ -217,7 +217,7 @@
 		return false
 	}
 	a.Eviction, a.Stopping, a.StopAt, a.CommandSequence = fleet.EvictionSent, true, now, m.Sequence
-	a.Grace = j.Save + time.Second
+	a.Grace = j.CheckpointTime + time.Second
 	e.touch(m)
 	e.note("evicted", "job", a.Ref, "task", a.Task, "machine", m.Name)
 	return true
@@ -227,7 +227,7 @@
 // been: the answer was dropped. The eviction is then judged again, since a window may have
 // closed meanwhile; its charge stands.
 func (*Engine) evictionLost(m *fleet.Machine, a *fleet.Attempt) bool {
-	if a.State() == fleet.Saving || a.CommandSequence >= m.Sequence {
+	if a.State() == fleet.Checkpointing || a.CommandSequence >= m.Sequence {
 		return false
 	}
 	a.Eviction, a.Stopping = fleet.NotEvicted, false
@@ -351,7 +351,7 @@
 		case e.drains != nil && e.cfg.Drain.Limits(j.Team, j.Class):
 			e.drains.own[m] = now
 		default:
-			e.stopWithSave(now, m, a, j)
+			e.stopWithCheckpoint(now, m, a, j)
 		}
 	}
 }
--- a/internal/core/drain_harness_test.go
+++ b/internal/core/drain_harness_test.go
@@ -177,7 +177,7 @@
 		case fleet.Stop:
 			for i := range d.on[name] {
 				if r := &d.on[name][i]; r.Ref == c.Ref && r.Task == c.Task && r.Attempt == c.Attempt && r.State != fleet.Exited {
-					r.State, r.Cause, r.Saved = fleet.Exited, fleet.CauseStopped, true
+					r.State, r.Cause, r.Checkpointed = fleet.Exited, fleet.CauseStopped, true
 					d.evicts++
 				}
 			}
@@ -215,7 +215,7 @@
 // longJob is a job of a team that doesn't end and saves.
 func longJob(ref, team string, tasks int) StoredJob {
 	j := job(ref, tasks)
-	j.Record.Spec.Team, j.Record.Spec.Checkpoint, j.Record.Spec.Save, j.Record.Spec.Estimate = team, time.Second, time.Second, time.Hour
+	j.Record.Spec.Team, j.Record.Spec.CheckpointInterval, j.Record.Spec.CheckpointTime, j.Record.Spec.Estimate = team, time.Second, time.Second, time.Hour
 	return j
 }
 
--- a/internal/core/fleet/attempt.go
+++ b/internal/core/fleet/attempt.go
@@ -14,7 +14,7 @@
 	Fetching
 	WaitingForGang
 	Running
-	Saving
+	Checkpointing
 	Exited
 )
 
@@ -86,5 +86,5 @@
 
 // Leaving tells whether an attempt is to stop, or is about to be told so.
 func (a *Attempt) Leaving() bool {
-	return a.Stopping || a.Eviction != NotEvicted || a.state == Saving || a.state == Exited
+	return a.Stopping || a.Eviction != NotEvicted || a.state == Checkpointing || a.state == Exited
 }
--- a/internal/core/fleet/messages.go
+++ b/internal/core/fleet/messages.go
@@ -39,12 +39,12 @@
 
 // TaskStatus is one task in a worker's heartbeat.
 type TaskStatus struct {
-	Ref     string
-	Task    int
-	Attempt uint64
-	State   TaskState
-	Cause   Cause
-	Saved   bool
+	Ref          string
+	Task         int
+	Attempt      uint64
+	State        TaskState
+	Cause        Cause
+	Checkpointed bool
 }
 
 // Heartbeat is a worker's heartbeat.
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -267,17 +267,17 @@
 		if a.Stopping || a.State() == fleet.Exited || j == nil {
 			continue
 		}
-		if a.State() == fleet.Running && (j.Checkpoint == 0 || j.Save >= left) {
+		if a.State() == fleet.Running && (j.CheckpointInterval == 0 || j.CheckpointTime >= left) {
 			continue // can't save: it may as well go on
 		}
 		e.chargeInvoluntary(now, a)
-		e.stopWithSave(now, m, a, j)
+		e.stopWithCheckpoint(now, m, a, j)
 	}
 }
 
-// stopWithSave stops an attempt so that it saves; of a gang, all tasks at once.
-func (e *Engine) stopWithSave(now time.Time, m *fleet.Machine, a *fleet.Attempt, j *pipeline.Job) {
-	grace := j.Save + time.Second
+// stopWithCheckpoint stops an attempt so that it saves; of a gang, all tasks at once.
+func (e *Engine) stopWithCheckpoint(now time.Time, m *fleet.Machine, a *fleet.Attempt, j *pipeline.Job) {
+	grace := j.CheckpointTime + time.Second
 	if j.Shape != pipeline.Gang {
 		e.stop(now, m, a, grace)
 		return
--- a/internal/core/pipeline/spec.go
+++ b/internal/core/pipeline/spec.go
@@ -25,26 +25,26 @@
 
 // Spec is the description of a submitted job; it never changes.
 type Spec struct {
-	Ref        string        `cbor:"ref"`
-	Class      string        `cbor:"cl"`
-	Team       string        `cbor:"tm"`
-	Shape      Shape         `cbor:"sh"`
-	Priority   Priority      `cbor:"pr"`
-	Tasks      int           `cbor:"n"`
-	CPUs       float64       `cbor:"c"`
-	GPUs       float64       `cbor:"g"`
-	MemGB      float64       `cbor:"m"`
-	Image      string        `cbor:"im"`
-	ImageGB    float64       `cbor:"ig"`
-	Types      []string      `cbor:"ty"` // nil: any
-	Zone       string        `cbor:"zo,omitempty"`
-	OneZone    bool          `cbor:"oz,omitempty"`
-	Spread     bool          `cbor:"sp,omitempty"`
-	Spot       bool          `cbor:"so,omitempty"`
-	Estimate   time.Duration `cbor:"es"`
-	Checkpoint time.Duration `cbor:"ck,omitempty"`
-	Save       time.Duration `cbor:"sv,omitempty"`
-	Deadline   time.Duration `cbor:"dl,omitempty"`
+	Ref                string        `cbor:"ref"`
+	Class              string        `cbor:"cl"`
+	Team               string        `cbor:"tm"`
+	Shape              Shape         `cbor:"sh"`
+	Priority           Priority      `cbor:"pr"`
+	Tasks              int           `cbor:"n"`
+	CPUs               float64       `cbor:"c"`
+	GPUs               float64       `cbor:"g"`
+	MemGB              float64       `cbor:"m"`
+	Image              string        `cbor:"im"`
+	ImageGB            float64       `cbor:"ig"`
+	Types              []string      `cbor:"ty"` // nil: any
+	Zone               string        `cbor:"zo,omitempty"`
+	OneZone            bool          `cbor:"oz,omitempty"`
+	Spread             bool          `cbor:"sp,omitempty"`
+	Spot               bool          `cbor:"so,omitempty"`
+	Estimate           time.Duration `cbor:"es"`
+	CheckpointInterval time.Duration `cbor:"ck,omitempty"`
+	CheckpointTime     time.Duration `cbor:"sv,omitempty"`
+	Deadline           time.Duration `cbor:"dl,omitempty"`
 }
 
 // AllowsType tells whether the job may run on a machine type.
--- a/internal/core/preemption.go
+++ b/internal/core/preemption.go
@@ -16,19 +16,19 @@
 // whole machine: many small tasks of an array are less than one gang.
 func (e *Engine) preemptionCost(now time.Time, by *pipeline.Job, a *fleet.Attempt) (float64, bool) {
 	j := e.jobs[a.Ref]
-	if j == nil || a.Foreign || a.Stopping || a.State() == fleet.Saving {
+	if j == nil || a.Foreign || a.Stopping || a.State() == fleet.Checkpointing {
 		return 0, false
 	}
 	if by.Urgency >= j.Urgency && !e.mayReclaimGuarantee(by, j) || e.starvesBefore(now, j, by) {
 		return 0, false
 	}
-	cost := 10 + j.Save.Seconds()
+	cost := 10 + j.CheckpointTime.Seconds()
 	if a.State() == fleet.Running {
 		ran := now.Sub(a.RunStart)
-		if j.Checkpoint == 0 {
+		if j.CheckpointInterval == 0 {
 			cost += ran.Seconds()
 		}
-		if e.expectedRun(j)-ran < j.Save+5*time.Second {
+		if e.expectedRun(j)-ran < j.CheckpointTime+5*time.Second {
 			return 0, false // as good as done
 		}
 	}
@@ -74,5 +74,5 @@
 func (e *Engine) preempt(now time.Time, a *fleet.Attempt) {
 	e.note("preempted", "job", a.Ref, "task", a.Task, "machine", a.On.Name, "attempt", a.Number)
 	e.chargeInvoluntary(now, a)
-	e.stopWithSave(now, a.On, a, e.jobs[a.Ref])
+	e.stopWithCheckpoint(now, a.On, a, e.jobs[a.Ref])
 }
--- a/internal/core/priority_order_test.go
+++ b/internal/core/priority_order_test.go
@@ -17,7 +17,7 @@
 	b := newBenchWith(t, cfg, 2, Snapshot{})
 	low := job("j-1", 16)
 	low.Record.Spec.Estimate, low.Record.Spec.Priority = 200*time.Second, pipeline.Normal
-	low.Record.Spec.Checkpoint, low.Record.Spec.Save = 5*time.Second, time.Second
+	low.Record.Spec.CheckpointInterval, low.Record.Spec.CheckpointTime = 5*time.Second, time.Second
 	low.Record.SubmittedMS = b.now.UnixMilli()
 	b.e.Step(b.now, JobStored{low})
 	machines := []string{"m-1", "m-2"}
--- a/internal/drain/verdict.go
+++ b/internal/drain/verdict.go
@@ -19,7 +19,7 @@
 	Tasks       []TaskAttempt
 	Down        int           // other tasks of the job that are down
 	Replicas    int           // of a service; 0: it isn't one, and comes to an end by itself
-	Saves       bool          // it saves its progress when it is stopped
+	Checkpoints bool          // it saves its progress when it is stopped
 	Takes       time.Duration // from the decision until the last task has left, at the most
 	Since       time.Time     // since when its machine has been cordoned
 }
@@ -120,7 +120,7 @@
 	if c.Replicas > 1 && c.Down+len(c.Tasks) > p.mostReplicasDown(c) {
 		worst = worse(worst, Verdict{Kind: NotYet, Cause: CauseUnavailable, Job: c.Job})
 	}
-	if until := c.Since.Add(p.finishWait(budgets)); !c.Saves && c.Replicas == 0 && now.Before(until) {
+	if until := c.Since.Add(p.finishWait(budgets)); !c.Checkpoints && c.Replicas == 0 && now.Before(until) {
 		worst = worse(worst, Verdict{Kind: NotYet, Cause: CauseFinishing, Job: c.Job, Until: until})
 	}
 	return worst
--- a/internal/drain/verdict_test.go
+++ b/internal/drain/verdict_test.go
@@ -26,7 +26,7 @@
 
 // candidate is a task of a job of team red that saves.
 func candidate(job string, task int, attempt uint64) *Candidate {
-	return &Candidate{Team: "red", Class: "c", Job: job, Saves: true, Takes: 5 * time.Second, Since: testStart,
+	return &Candidate{Team: "red", Class: "c", Job: job, Checkpoints: true, Takes: 5 * time.Second, Since: testStart,
 		Tasks: []TaskAttempt{{TaskKey{job, task}, attempt}}}
 }
 
@@ -113,7 +113,7 @@
 	p := testPolicy(map[Scope]Budget{{Team: "red"}: budget(func(b *Budget) { b.MaxUnavailable = 9 })})
 	l := newTestLedger(p)
 	c := candidate("j-1", 0, 1)
-	c.Saves = false
+	c.Checkpoints = false
 	expect(t, "it may finish", p.Judge(testStart.Add(59*time.Second), l, c), NotYet, CauseFinishing)
 	expect(t, "the wait is over", p.Judge(testStart.Add(time.Minute), l, c), Allowed, CauseNone)
 	c.Replicas, c.Down = 2, 1
--- a/internal/jobstore/limits_test.go
+++ b/internal/jobstore/limits_test.go
@@ -25,7 +25,7 @@
 func raggedJob(t *testing.T, rng *rand.Rand) *pipeline.Job {
 	t.Helper()
 	spec := pipeline.Spec{Ref: "j-123456", Class: strings.Repeat("c\"", 1+rng.IntN(10)), Team: "tea<m", Image: "i", Tasks: 1 + rng.IntN(5000),
-		CPUs: rng.Float64() * 1e7, MemGB: rng.Float64(), ImageGB: rng.Float64(), Estimate: time.Duration(rng.Int64N(1e17)), Save: time.Duration(rng.Int64N(1e17))}
+		CPUs: rng.Float64() * 1e7, MemGB: rng.Float64(), ImageGB: rng.Float64(), Estimate: time.Duration(rng.Int64N(1e17)), CheckpointTime: time.Duration(rng.Int64N(1e17))}
 	job, err := pipeline.NewJob(pipeline.Record{Spec: spec, SubmittedMS: time.Now().UnixMilli()}, 1, nil)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/simulation/consistency_probes.go
+++ b/internal/simulation/consistency_probes.go
@@ -121,8 +121,8 @@
 func bodyOf(s *pipeline.Spec) map[string]any {
 	b := map[string]any{"ref": s.Ref, "lot_kind": s.Class, "owner": s.Team, "shape": shapeNames[s.Shape], "urgency": urgencyNames[s.Priority],
 		"lots": s.Tasks, "vcpus": s.CPUs, "cards": s.GPUs, "mem_gb": s.MemGB, "kit": s.Image, "pull_gb": s.ImageGB, "builds": nil, "yard": nil,
-		"one_zone": s.OneZone, "apart": s.Spread, "loaners": s.Spot, "guess_s": s.Estimate.Seconds(), "mark_s": s.Checkpoint.Seconds(),
-		"stash_s": s.Save.Seconds(), "due_s": nil}
+		"one_zone": s.OneZone, "apart": s.Spread, "loaners": s.Spot, "guess_s": s.Estimate.Seconds(), "mark_s": s.CheckpointInterval.Seconds(),
+		"stash_s": s.CheckpointTime.Seconds(), "due_s": nil}
 	if s.Types != nil {
 		b["builds"] = s.Types
 	}
--- a/internal/simulation/drain_check.go
+++ b/internal/simulation/drain_check.go
@@ -139,7 +139,7 @@
 	}
 	c := w.drains.check
 	delete(c.leaving, t)
-	if t.job.askedCancel || !t.saved || isGang(t.job) || t.m.hungUntil.After(c.sent[taskKey(t.job.spec.Ref, t.index, t.attempt)]) {
+	if t.job.askedCancel || !t.checkpointed || isGang(t.job) || t.m.hungUntil.After(c.sent[taskKey(t.job.spec.Ref, t.index, t.attempt)]) {
 		return
 	}
 	for scope, b := range c.applying(t.job) {
--- a/internal/simulation/drain_scenarios_test.go
+++ b/internal/simulation/drain_scenarios_test.go
@@ -25,7 +25,7 @@
 	s.short(30, 0, 160*time.Second)
 	for i, team := range []string{"red", "blue", "green"} {
 		s.add(time.Duration(i)*time.Second, pipeline.Spec{Team: team, Shape: pipeline.Service, Tasks: 3, CPUs: 1, MemGB: 1, Priority: pipeline.High}, endless)
-		s.add(time.Duration(i)*time.Second, pipeline.Spec{Team: team, Shape: pipeline.Gang, Tasks: 3, CPUs: 1, MemGB: 1, Checkpoint: 3 * time.Second, Save: 2 * time.Second}, endless)
+		s.add(time.Duration(i)*time.Second, pipeline.Spec{Team: team, Shape: pipeline.Gang, Tasks: 3, CPUs: 1, MemGB: 1, CheckpointInterval: 3 * time.Second, CheckpointTime: 2 * time.Second}, endless)
 	}
 }
 
--- a/internal/simulation/drains.go
+++ b/internal/simulation/drains.go
@@ -138,7 +138,7 @@
 		s := pipeline.Spec{Ref: drainJobRefs.ref(i), Class: []string{"c", "long"}[d.rng.IntN(2)], Team: []string{"red", "blue"}[i%2], Shape: shape,
 			Tasks: 2 + d.rng.IntN(2), CPUs: 1, MemGB: 1, Image: "img-0", ImageGB: 1, Estimate: endless, Priority: pipeline.High}
 		if d.rng.IntN(3) > 0 {
-			s.Checkpoint, s.Save = 3*time.Second, 2*time.Second
+			s.CheckpointInterval, s.CheckpointTime = 3*time.Second, 2*time.Second
 		}
 		j := &userJob{w: d.w, spec: s, run: endless, done: map[int]bool{}}
 		d.w.jobs[s.Ref] = j
--- a/internal/simulation/short_lease.go
+++ b/internal/simulation/short_lease.go
@@ -107,7 +107,7 @@
 		sp := pipeline.Spec{Shape: pipeline.Service, Team: team, Tasks: 2 + s.rng.IntN(3), CPUs: 1, MemGB: 2,
 			Priority: pipeline.High, Spread: s.rng.IntN(4) > 0, Spot: s.rng.IntN(2) == 0}
 		if s.rng.IntN(2) == 0 {
-			sp.Checkpoint, sp.Save = 3*time.Second, 2*time.Second
+			sp.CheckpointInterval, sp.CheckpointTime = 3*time.Second, 2*time.Second
 		}
 		j := s.add(s.between(0, 20*time.Second), sp, endless)
 		s.w.after(s.w.o.Length+s.w.o.Drain*3/5, j.cancel)
@@ -120,7 +120,7 @@
 	for i := range 4 {
 		at := time.Duration(i) * s.w.o.Length / 5
 		s.add(at+s.between(0, 5*time.Second), pipeline.Spec{Class: borrowed, Team: "green", Tasks: 14, CPUs: 2, MemGB: 4,
-			Priority: pipeline.Production, Spot: true, Checkpoint: 3 * time.Second, Save: 2 * time.Second}, s.between(40*time.Second, 60*time.Second))
+			Priority: pipeline.Production, Spot: true, CheckpointInterval: 3 * time.Second, CheckpointTime: 2 * time.Second}, s.between(40*time.Second, 60*time.Second))
 	}
 }
 
@@ -136,7 +136,7 @@
 			sp.GPUs, sp.Tasks = 1, min(sp.Tasks, 2)
 		}
 		if s.rng.IntN(2) == 0 {
-			sp.Checkpoint, sp.Save = 3*time.Second, 2*time.Second
+			sp.CheckpointInterval, sp.CheckpointTime = 3*time.Second, 2*time.Second
 		}
 		j := s.add(s.between(0, s.w.o.Length*4/5), sp, s.between(3*time.Second, 30*time.Second))
 		j.wantsCancel = i%4 == 0
--- a/internal/simulation/starve_test.go
+++ b/internal/simulation/starve_test.go
@@ -19,7 +19,7 @@
 	add := func(at time.Duration, s pipeline.Spec, run time.Duration) {
 		n++
 		s.Ref, s.Image, s.ImageGB, s.MemGB, s.Spot = fmt.Sprintf("j-%06d", n), "img-0", 1, 4, true
-		s.Estimate, s.Checkpoint, s.Save = run, 3*time.Second, time.Second
+		s.Estimate, s.CheckpointInterval, s.CheckpointTime = run, 3*time.Second, time.Second
 		j := &userJob{w: w, spec: s, run: run, done: map[int]bool{}}
 		w.jobs[s.Ref] = j
 		w.after(at, j.submit)
--- a/internal/simulation/task.go
+++ b/internal/simulation/task.go
@@ -10,15 +10,15 @@
 
 // task is an attempt of a job's task on a machine.
 type task struct {
-	m       *machine
-	job     *userJob
-	index   int
-	attempt uint64
-	state   fleet.TaskState
-	cause   fleet.Cause
-	saved   bool
-	onIt    bool // counts as being on the machine
-	gen     int  // outdates timers
+	m            *machine
+	job          *userJob
+	index        int
+	attempt      uint64
+	state        fleet.TaskState
+	cause        fleet.Cause
+	checkpointed bool
+	onIt         bool // counts as being on the machine
+	gen          int  // outdates timers
 }
 
 func taskKey(ref string, index int, attempt uint64) string {
@@ -89,10 +89,10 @@
 
 func (t *task) stop(grace time.Duration) {
 	switch {
-	case t.state == fleet.Running && t.job.spec.Checkpoint > 0 && grace >= t.job.spec.Save:
-		t.state = fleet.Saving
-		t.timer(t.job.spec.Save, func() { t.exit(fleet.CauseStopped, true) })
-	case t.state == fleet.Saving && grace > 0:
+	case t.state == fleet.Running && t.job.spec.CheckpointInterval > 0 && grace >= t.job.spec.CheckpointTime:
+		t.state = fleet.Checkpointing
+		t.timer(t.job.spec.CheckpointTime, func() { t.exit(fleet.CauseStopped, true) })
+	case t.state == fleet.Checkpointing && grace > 0:
 	default:
 		t.exit(fleet.CauseStopped, false)
 	}
@@ -102,7 +102,7 @@
 	if t.state == fleet.Exited {
 		return
 	}
-	t.state, t.cause, t.saved = fleet.Exited, c, saved
+	t.state, t.cause, t.checkpointed = fleet.Exited, c, saved
 	t.m.w.drainLeft(t)
 	t.leaveMachine()
 	t.m.changed()
--- a/internal/simulation/troubles.go
+++ b/internal/simulation/troubles.go
@@ -276,7 +276,7 @@
 			sp.Shape = pipeline.Gang
 		}
 		if i%2 == 1 {
-			sp.Checkpoint, sp.Save = 3*time.Second, 2*time.Second
+			sp.CheckpointInterval, sp.CheckpointTime = 3*time.Second, 2*time.Second
 		}
 		s.add(at+s.between(0, 3*time.Second), sp, endless)
 	}
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -104,7 +104,7 @@
 		}
 		s.Estimate = j.run
 		if w.chance(0.6) {
-			s.Checkpoint, s.Save = 3*time.Second, 2*time.Second
+			s.CheckpointInterval, s.CheckpointTime = 3*time.Second, 2*time.Second
 		}
 		j.wantsCancel = j.wantsCancel || j.mistake || w.chance(0.2)
 		w.jobs[s.Ref] = j
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -116,7 +116,7 @@
 		r.Notice = max(0, m.noticeAt.Sub(m.w.now))
 	}
 	for _, t := range m.sorted() {
-		r.Tasks = append(r.Tasks, fleet.TaskStatus{Ref: t.job.spec.Ref, Task: t.index, Attempt: t.attempt, State: t.state, Cause: t.cause, Saved: t.saved})
+		r.Tasks = append(r.Tasks, fleet.TaskStatus{Ref: t.job.spec.Ref, Task: t.index, Attempt: t.attempt, State: t.state, Cause: t.cause, Checkpointed: t.checkpointed})
 	}
 	return r
 }
--- a/internal/wire/agent.go
+++ b/internal/wire/agent.go
@@ -32,7 +32,7 @@
 
 var taskStates = map[string]fleet.TaskState{
 	"fetching": fleet.Fetching, "waiting": fleet.WaitingForGang, "running": fleet.Running,
-	"flushing": fleet.Saving, "ended": fleet.Exited,
+	"flushing": fleet.Checkpointing, "ended": fleet.Exited,
 }
 
 var exitCauses = map[string]fleet.Cause{
@@ -112,7 +112,7 @@
 	if task.Cause, known = exitCauses[*lot.Cause]; !known {
 		task.Cause = fleet.CauseError // an unknown cause is a bad exit
 	}
-	task.Saved = lot.Kept != nil && *lot.Kept
+	task.Checkpointed = lot.Kept != nil && *lot.Kept
 	return task, nil
 }
 
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -140,8 +140,8 @@
 // times reads how long the tasks run, and when they have to be done.
 func (f *fieldReader) times(spec *pipeline.Spec, message *submission) {
 	spec.Estimate = f.duration("guess_s", message.GuessS)
-	spec.Checkpoint = f.duration("mark_s", message.MarkS)
-	spec.Save = f.duration("stash_s", message.StashS)
+	spec.CheckpointInterval = f.duration("mark_s", message.MarkS)
+	spec.CheckpointTime = f.duration("stash_s", message.StashS)
 	if message.DueS != nil {
 		spec.Deadline = f.duration("due_s", message.DueS)
 	}
