--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -275,7 +275,7 @@
 // (docs/design.md, safety argument 7; TestForgetOnlyAfterWritten).
 func (e *Engine) taskDone(now time.Time, m *fleet.Machine, a *fleet.Attempt) {
 	e.debug("attempt done", "job", a.Ref, "task", a.Task, "machine", m.Name)
-	m.Forgive()
+	m.ClearFailures()
 	j := e.jobs[a.Ref]
 	if j == nil || j.Over() || a.Task >= len(j.Tasks) {
 		a.Handled = true
@@ -292,32 +292,32 @@
 	e.jobWrites.jobChanged(j)
 }
 
-// A machine counts as sick once so many different jobs, or so many attempts, have failed on
+// A machine counts as faulty once so many different jobs, or so many attempts, have failed on
 // it with no success between.
 const (
-	sickAfterJobs   = 2
-	sickAfterErrors = 3
+	quarantineAfterJobs     = 2
+	quarantineAfterFailures = 3
 )
 
 // taskFailed weighs an exit with an error against the machine before the job.
 func (e *Engine) taskFailed(now time.Time, m *fleet.Machine, j *pipeline.Job, task int) {
-	m.Blame(j.Ref)
+	m.RecordFailure(j.Ref)
 	e.warm.noteJob(j.Ref)
 	j.TaskFailed(now, task, e.cfg.RestartLimit)
 	e.jobWrites.jobChanged(j)
 	e.touch(m)
-	if !m.Sick && (len(m.ErrorJobs) >= sickAfterJobs || m.Errors >= sickAfterErrors && len(j.AvoidUntil) == 0) {
-		m.Sick = true
+	if !m.Quarantined && (len(m.FailedJobs) >= quarantineAfterJobs || m.Failures >= quarantineAfterFailures && len(j.AvoidUntil) == 0) {
+		m.Quarantined = true
 		e.timers.schedule(m, now)
-		e.note("machine taken for sick", "machine", m.Name, "errors", m.Errors)
-		for ref := range m.ErrorJobs {
+		e.note("machine taken for sick", "machine", m.Name, "errors", m.Failures)
+		for ref := range m.FailedJobs {
 			if o := e.jobs[ref]; o != nil {
 				delete(o.AvoidUntil, m.Name)
 			}
 		}
 		return
 	}
-	if !m.Sick {
+	if !m.Quarantined {
 		j.Avoid(now, m.Name)
 	}
 }
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -71,7 +71,7 @@
 // mayStart tells whether a machine may be given starts (docs/design.md, safety arguments 5
 // and 6; TestCopyRevivesNothing).
 func (e *Engine) mayStart(m *fleet.Machine) bool {
-	return m.Confirmed && !m.Draining && !m.Cordoned && !m.Sick && !e.unreachable[m] && m.State() == fleet.Live
+	return m.Confirmed && !m.Draining && !m.Cordoned && !m.Quarantined && !e.unreachable[m] && m.State() == fleet.Live
 }
 
 // imageGB is the size of a job's image, 0 if the job isn't known.
--- a/internal/core/decide.go
+++ b/internal/core/decide.go
@@ -129,7 +129,7 @@
 		delete(e.changed, m)
 		t := e.catalog[m.Type]
 		switch {
-		case t == nil || m.Draining || m.Cordoned || m.Sick || e.unreachable[m]:
+		case t == nil || m.Draining || m.Cordoned || m.Quarantined || e.unreachable[m]:
 			e.freeCapacity.Remove(m)
 		case m.State() == fleet.Booting && m.Known && now.Sub(m.FirstSeen) <= e.slowBoot(t):
 			e.freeCapacity.Set(m, t, true)
--- a/internal/core/fleet/machine.go
+++ b/internal/core/fleet/machine.go
@@ -51,13 +51,13 @@
 	CheckAt         time.Time // when its present timer expires
 
 	// Whether it gets starts.
-	Draining  bool            // it gets no more
-	Sick      bool            // it gets no more: too much has failed on it
-	Cordoned  bool            // it gets no more, at the operators' request
-	Planned   bool            // it is about to be cordoned, and used only if nothing else has room
-	HoldUntil time.Time       // it gets none until then
-	ErrorJobs map[string]bool // jobs that failed on it since something last succeeded
-	Errors    int             // how often any did
+	Draining    bool            // it gets no more
+	Quarantined bool            // it gets no more: too much has failed on it
+	Cordoned    bool            // it gets no more, at the operators' request
+	Planned     bool            // it is about to be cordoned, and used only if nothing else has room
+	HoldUntil   time.Time       // it gets none until then
+	FailedJobs  map[string]bool // jobs that failed on it since something last succeeded
+	Failures    int             // how often any did
 
 	// What is on it.
 	Tasks     map[Key]*Attempt
@@ -181,14 +181,14 @@
 	}
 }
 
-// Blame counts an exit of a job with an error against the machine.
-func (m *Machine) Blame(ref string) {
-	if m.ErrorJobs == nil {
-		m.ErrorJobs = map[string]bool{}
+// RecordFailure counts an exit of a job with an error against the machine.
+func (m *Machine) RecordFailure(ref string) {
+	if m.FailedJobs == nil {
+		m.FailedJobs = map[string]bool{}
 	}
-	m.Errors++
-	m.ErrorJobs[ref] = true
+	m.Failures++
+	m.FailedJobs[ref] = true
 }
 
-// Forgive forgets the exits with errors on the machine.
-func (m *Machine) Forgive() { m.Errors, m.ErrorJobs = 0, nil }
+// ClearFailures forgets the exits with errors on the machine.
+func (m *Machine) ClearFailures() { m.Failures, m.FailedJobs = 0, nil }
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -187,16 +187,16 @@
 			e.expectNoLonger(now, m)
 		}
 		switch {
-		case m.State() == fleet.Live && !m.Sick && !m.Draining && !e.unreachable[m]:
+		case m.State() == fleet.Live && !m.Quarantined && !m.Draining && !e.unreachable[m]:
 			next = m.LastHeartbeat.Add(e.silentAfter() + time.Millisecond)
 		case m.State() == fleet.Silent && len(m.Tasks) == 0:
 			next = now.Add(time.Second)
 		}
 	}
-	if m.Sick || m.Draining || e.unreachable[m] || m.State() == fleet.Silent {
+	if m.Quarantined || m.Draining || e.unreachable[m] || m.State() == fleet.Silent {
 		e.withdrawUnsentStarts(now, m)
 	}
-	if m.State() == fleet.Live && (m.Sick || m.Draining) && m.Busy() == 0 && !e.hasUnstoredResults(m) {
+	if m.State() == fleet.Live && (m.Quarantined || m.Draining) && m.Busy() == 0 && !e.hasUnstoredResults(m) {
 		e.scaleIn(now, m, "drained")
 	}
 	if !next.After(now) {
--- a/internal/core/placement/score.go
+++ b/internal/core/placement/score.go
@@ -57,7 +57,7 @@
 		}
 	}
 	score += fullerSeconds * s.CPUs / s.Type.CPUs
-	if s.Machine != nil && s.Machine.Errors > 0 {
+	if s.Machine != nil && s.Machine.Failures > 0 {
 		score += probationSeconds
 	}
 	if s.Machine != nil && s.Machine.Planned {
--- a/internal/core/safety_test.go
+++ b/internal/core/safety_test.go
@@ -455,7 +455,7 @@
 	}
 	for range 9 { // past the restart limit
 		b.report("m-1", 2, running(busy), fleet.TaskStatus{Ref: "j-1", Attempt: c.Attempt, State: fleet.Exited, Cause: fleet.CauseError})
-		b.e.machines["m-1"].Forgive() // other work goes well there
+		b.e.machines["m-1"].ClearFailures() // other work goes well there
 		failed := b.now
 		for s := starts(b.report("m-1", 2, running(busy))); ; s = starts(b.report("m-1", 2, running(busy))) {
 			if len(s) > 0 {
--- a/internal/core/warm_start.go
+++ b/internal/core/warm_start.go
@@ -152,7 +152,7 @@
 func (s *warmStart) takeMachine(w *WarmMachine) {
 	e := s.engine
 	m := e.machines[w.Name]
-	expected := s.outcome.Confirmed && w.Reporting && !w.Sick && !w.Draining && !s.differing[w.Name]
+	expected := s.outcome.Confirmed && w.Reporting && !w.Quarantined && !w.Draining && !s.differing[w.Name]
 	if m == nil {
 		if !expected {
 			return
@@ -160,15 +160,15 @@
 		m = e.addUnheard(s.now, fleet.Placed{Machine: w.Name, Type: w.Type, Zone: w.Zone, Spot: w.Spot})
 		m.Known = false // nothing but the view speaks of it so far
 	}
-	m.Sick, m.Draining = w.Sick, w.Draining
+	m.Quarantined, m.Draining = w.Quarantined, w.Draining
 	m.ListedRunning = w.ListedRunning
 	m.FirstSeen, m.IdleSince = s.timeOf(w.FirstSeenMS), s.timeOf(w.IdleSinceMS)
-	m.Errors = w.Errors
-	for _, ref := range w.ErrorJobs {
-		if m.ErrorJobs == nil {
-			m.ErrorJobs = map[string]bool{}
+	m.Failures = w.Failures
+	for _, ref := range w.FailedJobs {
+		if m.FailedJobs == nil {
+			m.FailedJobs = map[string]bool{}
 		}
-		m.ErrorJobs[ref] = true
+		m.FailedJobs[ref] = true
 	}
 	s.takeImages(m, w.Images)
 	if expected {
--- a/internal/core/warm_start_test.go
+++ b/internal/core/warm_start_test.go
@@ -155,14 +155,14 @@
 	}
 }
 
-// What a leader has learnt outlives it: sick machines, run times and arrivals of classes,
+// What a leader has learnt outlives it: faulty machines, run times and arrivals of classes,
 // refused offers, machines that a job avoids, and since when tasks run.
 func TestWarmStateIsTakenOver(t *testing.T) {
 	offer := capacity.Offer{Type: "big", Zone: "a"}
 	b, c := takenOver(t, []StoredJob{job("j-1", 1), job("j-2", 1)}, func(state warmTable) {
 		for key, r := range state {
 			if r.Machine != nil && r.Machine.Name == "m-2" {
-				r.Machine.Sick = true
+				r.Machine.Quarantined = true
 			}
 			if r.Class != nil && (r.Class.Spec == nil || r.Class.Name != "c" || r.Class.LastArriveMS == 0) {
 				t.Errorf("%+v: %+v", key, r.Class)
@@ -246,7 +246,7 @@
 		busy += m.Busy()
 		got := w[WarmKey{Kind: WarmMachineKind, Name: name}].Machine
 		want := e.warmMachine(name)
-		if got == nil || got.Sick != want.Sick || got.Draining != want.Draining || got.Errors != want.Errors || got.Reporting != want.Reporting || len(got.Images) != len(want.Images) {
+		if got == nil || got.Quarantined != want.Quarantined || got.Draining != want.Draining || got.Failures != want.Failures || got.Reporting != want.Reporting || len(got.Images) != len(want.Images) {
 			t.Fatalf("%s: replicated %+v, is %+v", name, got, want)
 		}
 	}
--- a/internal/core/warm_state.go
+++ b/internal/core/warm_state.go
@@ -59,11 +59,11 @@
 	Spot          bool        `cbor:"p,omitempty"`
 	Reporting     bool        `cbor:"r,omitempty"` // live, and its answers arrive
 	Booting       bool        `cbor:"b,omitempty"`
-	Sick          bool        `cbor:"s,omitempty"`
+	Quarantined   bool        `cbor:"s,omitempty"`
 	Draining      bool        `cbor:"d,omitempty"`
 	ListedRunning bool        `cbor:"l,omitempty"`
-	Errors        int         `cbor:"e,omitempty"`
-	ErrorJobs     []string    `cbor:"j,omitempty"`
+	Failures      int         `cbor:"e,omitempty"`
+	FailedJobs    []string    `cbor:"j,omitempty"`
 	FirstSeenMS   int64       `cbor:"f,omitempty"`
 	IdleSinceMS   int64       `cbor:"i,omitempty"`
 	Images        []WarmImage `cbor:"g,omitempty"`
@@ -210,13 +210,13 @@
 	w := &WarmMachine{
 		Name: m.Name, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
 		Reporting: m.State() == fleet.Live && !e.unreachable[m], Booting: m.State() == fleet.Booting,
-		Sick: m.Sick, Draining: m.Draining, ListedRunning: m.ListedRunning, Errors: m.Errors,
+		Quarantined: m.Quarantined, Draining: m.Draining, ListedRunning: m.ListedRunning, Failures: m.Failures,
 		FirstSeenMS: m.FirstSeen.UnixMilli(), IdleSinceMS: m.IdleSince.UnixMilli(),
 	}
-	for ref := range m.ErrorJobs {
-		w.ErrorJobs = append(w.ErrorJobs, ref)
+	for ref := range m.FailedJobs {
+		w.FailedJobs = append(w.FailedJobs, ref)
 	}
-	slices.Sort(w.ErrorJobs)
+	slices.Sort(w.FailedJobs)
 	for _, image := range m.Images {
 		w.Images = append(w.Images, WarmImage{Name: image.Name, GB: image.GB, ReadyMS: image.Ready.UnixMilli()})
 	}
--- a/internal/simulation/fault_scenarios.go
+++ b/internal/simulation/fault_scenarios.go
@@ -74,7 +74,7 @@
 		n.noStore, n.noWorkers, n.noPeers, n.refused = false, false, false, false
 	}
 	for _, m := range w.sortedMachines() {
-		m.sick, m.inboundLost, m.outboundLost = false, false, false
+		m.faulty, m.inboundLost, m.outboundLost = false, false, false
 		clear(m.cut)
 	}
 	for _, j := range s.sortedJobs() {
--- a/internal/simulation/task.go
+++ b/internal/simulation/task.go
@@ -73,7 +73,7 @@
 	}
 	t.m.changed()
 	switch {
-	case t.m.sick || t.job.mistake:
+	case t.m.faulty || t.job.mistake:
 		t.timer(time.Second, func() { t.exit(fleet.CauseError, false) })
 	case t.job.spec.Shape == pipeline.Array:
 		t.timer(t.job.runOf(t.index), func() { t.job.done[t.index] = true; t.exit(fleet.CauseDone, false) })
@@ -108,7 +108,7 @@
 	t.m.changed()
 	switch c {
 	case fleet.CauseError:
-		t.m.errors++
+		t.m.failures++
 		t.m.failedAt = t.m.w.now
 		t.job.errors++
 	case fleet.CauseDone:
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -306,7 +306,7 @@
 		}
 	}
 	for _, m := range w.machines {
-		m.sick, m.inboundLost = false, false
+		m.faulty, m.inboundLost = false, false
 		clear(m.cut)
 	}
 }
@@ -402,7 +402,7 @@
 	case 0:
 		m.die()
 	case 1:
-		m.sick = true
+		m.faulty = true
 	case 2:
 		m.noticeAt = w.now.Add(w.between(3*time.Second, 12*time.Second))
 		w.after(m.noticeAt.Sub(w.now), m.die)
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -18,10 +18,10 @@
 	rate                   float64
 	isUp, dead             bool
 	hungUntil              time.Time
-	sick                   bool
+	faulty                 bool
 	inboundLost            bool      // its heartbeats arrive, but nothing that is sent to it (one-way loss)
 	outboundLost           bool      // it reaches no controller, while direct commands reach it (one-way loss)
-	errors                 int       // how many tasks failed on it
+	failures               int       // how many tasks failed on it
 	failedAt               time.Time // the last of them
 	workerProcess          int       // rises when its worker restarts
 	noticeAt               time.Time
