--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -330,7 +330,7 @@
 // A new leader goes on from the stored policy; without overload nothing is stored but once a
 // term; overload is entered and left at different marks.
 func TestPlannerTermsAndMarks(t *testing.T) {
-	options := PlannerOptions{Teams: map[string]placement.Team{"a": {}}, EnterBacklog: 2 * time.Minute, ExitBacklog: time.Minute, Interval: time.Second, Floor: 0.02}
+	options := PlannerOptions{Teams: map[string]placement.Quota{"a": {}}, EnterBacklog: 2 * time.Minute, ExitBacklog: time.Minute, Interval: time.Second, Floor: 0.02}
 	p := NewPlanner(start, options, 1, Policy{})
 	now := start
 	stored := 0
@@ -374,7 +374,7 @@
 
 // Writes alone can overload the deployment too.
 func TestOverloadByWrites(t *testing.T) {
-	p := NewPlanner(start, PlannerOptions{Teams: map[string]placement.Team{"a": {}}, EnterBacklog: time.Hour, ExitBacklog: time.Minute, Interval: time.Second}, 1, Policy{})
+	p := NewPlanner(start, PlannerOptions{Teams: map[string]placement.Quota{"a": {}}, EnterBacklog: time.Hour, ExitBacklog: time.Minute, Interval: time.Second}, 1, Policy{})
 	counts := []Count{{Key: Key{"a", "c", pipeline.Normal}, Offered: 100, Cost: 10, Taken: 1}}
 	for i := range 20 {
 		p.Plan(at(time.Duration(i+1)*time.Second), Load{Rates: Rates{CPUs: 1e6, Jobs: 10}, Batches: []Batch{{Period: time.Second, Counts: counts}}})
@@ -387,7 +387,7 @@
 // Under overload the planner's windows follow each other without a gap, also over a change of
 // leader: otherwise some jobs would never have their turn.
 func TestWindowsFollowEachOther(t *testing.T) {
-	options := PlannerOptions{Teams: map[string]placement.Team{"a": {}}, EnterBacklog: time.Minute, ExitBacklog: time.Second, Interval: time.Second, Floor: 0.02}
+	options := PlannerOptions{Teams: map[string]placement.Quota{"a": {}}, EnterBacklog: time.Minute, ExitBacklog: time.Second, Interval: time.Second, Floor: 0.02}
 	rng := rand.New(rand.NewPCG(5, 5))
 	p := NewPlanner(start, options, 1, Policy{})
 	var last Share
--- a/internal/admission/planner.go
+++ b/internal/admission/planner.go
@@ -9,7 +9,7 @@
 
 // PlannerOptions are the leader's part of an admission.
 type PlannerOptions struct {
-	Teams   map[string]placement.Team
+	Teams   map[string]placement.Quota
 	Weights map[string]float64 // by team; those that aren't named weigh 1
 	// Floor is the part of the capacity that each class is left.
 	Floor float64
@@ -239,10 +239,10 @@
 func (p *Planner) guarantee(team string, r Rates) float64 {
 	t, part := p.options.Teams[team], 0.0
 	if r.CPUs > 0 {
-		part = t.CPUs / r.CPUs
+		part = t.GuaranteedCPUs / r.CPUs
 	}
 	if r.GPUs > 0 {
-		part = max(part, t.GPUs/r.GPUs)
+		part = max(part, t.GuaranteedGPUs/r.GPUs)
 	}
 	return min(part, 1)
 }
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -66,10 +66,10 @@
 		field := fmt.Sprintf("settings.teams[%d].", i)
 		c.text(field+"name", team.Name)
 		c.unique(field+"name", team.Name, seen)
-		c.atLeast(field+"cpus", team.CPUs, 0)
-		c.atLeast(field+"cpus_max", team.CPUsMax, 0)
-		c.atLeast(field+"gpus", team.GPUs, 0)
-		c.atLeast(field+"gpus_max", team.GPUsMax, 0)
+		c.atLeast(field+"cpus", team.GuaranteedCPUs, 0)
+		c.atLeast(field+"cpus_max", team.CPULimit, 0)
+		c.atLeast(field+"gpus", team.GuaranteedGPUs, 0)
+		c.atLeast(field+"gpus_max", team.GPULimit, 0)
 	}
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -62,11 +62,11 @@
 
 // Team is a team's guarantee and limit; 0 means none.
 type Team struct {
-	Name    string  `json:"name"`
-	CPUs    float64 `json:"cpus"`
-	CPUsMax float64 `json:"cpus_max"`
-	GPUs    float64 `json:"gpus"`
-	GPUsMax float64 `json:"gpus_max"`
+	Name           string  `json:"name"`
+	GuaranteedCPUs float64 `json:"cpus"`
+	CPULimit       float64 `json:"cpus_max"`
+	GuaranteedGPUs float64 `json:"gpus"`
+	GPULimit       float64 `json:"gpus_max"`
 }
 
 // Objective says what is expected of a class of jobs. Kinds not known here are ignored.
--- a/internal/core/decide.go
+++ b/internal/core/decide.go
@@ -46,7 +46,7 @@
 	lowest, teams := e.runningWork()
 	b := &placement.Board{
 		Now: now, Queue: e.priorityOrder(now), FreeCapacity: &e.freeCapacity, SecondsPerDollarHour: e.cfg.Weights.SecondsPerDollarHour, HeartbeatInterval: e.cfg.HeartbeatInterval, GangSlack: max(0, e.cfg.GangWait-e.cfg.HeartbeatInterval*5/4),
-		Team:    func(name string) placement.Team { return e.cfg.Teams[name] },
+		Quota:   func(name string) placement.Quota { return e.cfg.Teams[name] },
 		Usage:   func(team string) fleet.Amount { return e.teamUse[team] },
 		InZones: func(ref string) map[string]int { return e.useOf(ref).zones },
 		Busy:    func(ref string) int { return len(e.useOf(ref).attempts) },
@@ -84,7 +84,7 @@
 	}
 }
 
-// largeGPUWork finds the largest task of the recent classes that need GPUs, by type.
+// largeGPUWork finds the largest task of the recent classes that need GuaranteedGPUs, by type.
 func (e *Engine) largeGPUWork(now time.Time) func(t *placement.Type) *pipeline.Spec {
 	byType := map[*placement.Type]*pipeline.Spec{}
 	for _, t := range e.catalog {
--- a/internal/core/drain_harness_test.go
+++ b/internal/core/drain_harness_test.go
@@ -25,7 +25,7 @@
 
 func drainConfig(budgets map[drain.Scope]drain.Budget) Config {
 	cfg := config()
-	cfg.Teams = map[string]placement.Team{"t": {}, "u": {}}
+	cfg.Teams = map[string]placement.Quota{"t": {}, "u": {}}
 	cfg.Drain = &drain.Policy{Budgets: budgets, FinishWait: time.Minute, Skew: 100 * time.Millisecond}
 	return cfg
 }
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -20,7 +20,7 @@
 
 // Config is what the core needs of the settings.
 type Config struct {
-	Teams             map[string]placement.Team
+	Teams             map[string]placement.Quota
 	Objectives        map[string][]Objective // by class of jobs
 	HeartbeatInterval time.Duration
 	Lease             time.Duration
--- a/internal/core/fair_order_test.go
+++ b/internal/core/fair_order_test.go
@@ -10,11 +10,11 @@
 	"gingertally/internal/core/placement"
 )
 
-// twoTeams is a leader with one machine of eight CPUs, a backlog of one team, and a single job
+// twoTeams is a leader with one machine of eight GuaranteedCPUs, a backlog of one team, and a single job
 // of another that came after all of it.
 func twoTeams(t *testing.T, order FairOrder) *bench {
 	cfg := config()
-	cfg.Teams = map[string]placement.Team{"large": {}, "small": {}}
+	cfg.Teams = map[string]placement.Quota{"large": {}, "small": {}}
 	var jobs []StoredJob
 	for i := range 30 {
 		j := job(fmt.Sprintf("j-%06d", i), 4)
--- a/internal/core/placement/array.go
+++ b/internal/core/placement/array.go
@@ -15,7 +15,7 @@
 // the image, or is in use, costs nothing more.
 func (b *Board) placeTasks(entry QueueEntry) {
 	j := entry.Job
-	room := min(b.quotaRoom(j), entry.Most)
+	room := min(b.quotaHeadroom(j), entry.Most)
 	want := min(room, j.Count(pipeline.Waiting))
 	if want == 0 {
 		return
--- a/internal/core/placement/gang.go
+++ b/internal/core/placement/gang.go
@@ -13,7 +13,7 @@
 // may be left anywhere.
 func (b *Board) placeGang(j *pipeline.Job) {
 	n := len(j.Tasks)
-	if b.Busy(j.Ref) > 0 || j.Count(pipeline.Waiting) < n || b.quotaRoom(j) < n {
+	if b.Busy(j.Ref) > 0 || j.Count(pipeline.Waiting) < n || b.quotaHeadroom(j) < n {
 		return
 	}
 	for i := range j.Tasks {
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -7,7 +7,7 @@
 
 // Possible tells whether a job could ever run: some allowed type, in an allowed
 // zone, fits a task, and the team's limit allows what has to run at once.
-func Possible(s *pipeline.Spec, team Team, c Catalog) bool {
+func Possible(s *pipeline.Spec, team Quota, c Catalog) bool {
 	n := 1.0
 	if s.Shape != pipeline.Array {
 		n = float64(s.Tasks)
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -14,7 +14,7 @@
 }
 
 func TestPossible(t *testing.T) {
-	limit := Team{CPUsMax: 10, GPUsMax: 2}
+	limit := Quota{CPULimit: 10, GPULimit: 2}
 	for _, c := range []struct {
 		name string
 		spec pipeline.Spec
@@ -49,7 +49,7 @@
 	b := &board{}
 	now := time.Unix(100, 0)
 	b.Board = Board{Now: now, FreeCapacity: &FreeCapacity{}, MaxReservations: 5, SecondsPerDollarHour: 1,
-		Team:    func(string) Team { return Team{CPUsMax: 40} },
+		Quota:   func(string) Quota { return Quota{CPULimit: 40} },
 		Usage:   func(string) fleet.Amount { return fleet.Amount{CPUs: float64(8 * len(b.placed))} },
 		InZones: func(string) map[string]int { return map[string]int{} },
 		Busy:    func(string) int { return 0 },
@@ -143,7 +143,7 @@
 	}
 }
 
-// Work without GPUs goes where it wastes none.
+// Work without GuaranteedGPUs goes where it wastes none.
 func TestCheaperPlace(t *testing.T) {
 	j := job(t, pipeline.Spec{Ref: "j-1", Tasks: 1, CPUs: 4})
 	b := newBoard(t, []*pipeline.Job{j}, machine("m-1", "gpu", "a"), machine("m-2", "cpu", "a"))
--- a/internal/core/placement/quota.go
+++ b/internal/core/placement/quota.go
@@ -2,23 +2,23 @@
 
 import "gingertally/internal/core/pipeline"
 
-// Team is a team's guarantee and limit; a limit of 0 means none.
-type Team struct{ CPUs, GPUs, CPUsMax, GPUsMax float64 }
+// Quota is a team's guarantee and limit; a limit of 0 means none.
+type Quota struct{ GuaranteedCPUs, GuaranteedGPUs, CPULimit, GPULimit float64 }
 
 // Within tells whether an amount is within the team's limits.
-func (t Team) Within(cpus, gpus float64) bool {
-	return (t.CPUsMax == 0 || cpus <= t.CPUsMax+slack) && (t.GPUsMax == 0 || gpus <= t.GPUsMax+slack)
+func (t Quota) Within(cpus, gpus float64) bool {
+	return (t.CPULimit == 0 || cpus <= t.CPULimit+slack) && (t.GPULimit == 0 || gpus <= t.GPULimit+slack)
 }
 
-// quotaRoom is how many more tasks of the job its team's limit allows.
-func (b *Board) quotaRoom(j *pipeline.Job) int {
-	t, u := b.Team(j.Team), b.Usage(j.Team)
+// quotaHeadroom is how many more tasks of the job its team's limit allows.
+func (b *Board) quotaHeadroom(j *pipeline.Job) int {
+	t, u := b.Quota(j.Team), b.Usage(j.Team)
 	n := maxPerMachine * 1000
-	if t.CPUsMax > 0 && j.CPUs > 0 {
-		n = min(n, int((t.CPUsMax-u.CPUs+slack)/j.CPUs))
+	if t.CPULimit > 0 && j.CPUs > 0 {
+		n = min(n, int((t.CPULimit-u.CPUs+slack)/j.CPUs))
 	}
-	if t.GPUsMax > 0 && j.GPUs > 0 {
-		n = min(n, int((t.GPUsMax-u.GPUs+slack)/j.GPUs))
+	if t.GPULimit > 0 && j.GPUs > 0 {
+		n = min(n, int((t.GPULimit-u.GPUs+slack)/j.GPUs))
 	}
 	return max(n, 0)
 }
--- a/internal/core/placement/replicas.go
+++ b/internal/core/placement/replicas.go
@@ -13,7 +13,7 @@
 // a machine or a zone is missing until it is proven gone.
 func (b *Board) placeReplicas(entry QueueEntry) {
 	j := entry.Job
-	want := min(b.quotaRoom(j), entry.Most, j.Count(pipeline.Waiting))
+	want := min(b.quotaHeadroom(j), entry.Most, j.Count(pipeline.Waiting))
 	task := j.NextWaiting(b.Now, 0)
 	if want == 0 || task < 0 {
 		return
--- a/internal/core/placement/replicas_test.go
+++ b/internal/core/placement/replicas_test.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// Replicas were once strewn over machines with GPUs, on each a few more than fit beside the
-// tasks that need its GPUs: gangs waited for minutes while those machines stood idle. They
+// Replicas were once strewn over machines with GuaranteedGPUs, on each a few more than fit beside the
+// tasks that need its GuaranteedGPUs: gangs waited for minutes while those machines stood idle. They
 // first take what is left beside such tasks, then fill machines that are lost to those already.
 func TestReplicasLeaveRoomForGPUWork(t *testing.T) {
 	large := &pipeline.Spec{Ref: "j-9", CPUs: 4, GPUs: 2}
--- a/internal/core/placement/rounds.go
+++ b/internal/core/placement/rounds.go
@@ -28,7 +28,7 @@
 	Now          time.Time
 	Queue        []QueueEntry // in ready order
 	FreeCapacity *FreeCapacity
-	Team         func(name string) Team
+	Quota        func(name string) Quota
 	Usage        func(team string) fleet.Amount
 	InZones      func(ref string) map[string]int // what of a job may be on machines
 	Busy         func(ref string) int
@@ -43,7 +43,7 @@
 	MayStop  func(by *pipeline.Job, a *fleet.Attempt) (cost float64, ok bool)
 	Stop     func(a *fleet.Attempt)
 	Preempts func(by *pipeline.Job) bool
-	// LargeGPUWork is the largest task of recent work that needs GPUs of a type; nil: none.
+	// LargeGPUWork is the largest task of recent work that needs GuaranteedGPUs of a type; nil: none.
 	LargeGPUWork func(t *Type) *pipeline.Spec
 	// SecondsPerDollarHour weighs a dearer place against time lost on fetching.
 	SecondsPerDollarHour float64
--- a/internal/core/placement/score.go
+++ b/internal/core/placement/score.go
@@ -8,8 +8,8 @@
 )
 
 // waste is the part of the slot that becomes unusable for others if the job takes it: a
-// task without GPUs on a machine with GPUs, say. Beside the replicas of services there is
-// often room for a task of the large work that needs the GPUs; only the replica that takes
+// task without GuaranteedGPUs on a machine with GuaranteedGPUs, say. Beside the replicas of services there is
+// often room for a task of the large work that needs the GuaranteedGPUs; only the replica that takes
 // the last such room wastes something, and that is the machine.
 func (b *Board) waste(s *Slot, sp *pipeline.Spec) float64 {
 	if sp.GPUs > 0 || s.Type.GPUs == 0 {
--- a/internal/core/preemption.go
+++ b/internal/core/preemption.go
@@ -49,7 +49,7 @@
 }
 
 // mayReclaimGuarantee tells whether a job's team is within its guarantee with what the job needs at
-// once, and the other job's team beyond its own. Where both CPUs and GPUs are guaranteed,
+// once, and the other job's team beyond its own. Where both GuaranteedCPUs and GuaranteedGPUs are guaranteed,
 // both have to fit; a guarantee of none holds nothing back but gives nothing either.
 func (e *Engine) mayReclaimGuarantee(by, j *pipeline.Job) bool {
 	if by.Team == j.Team {
@@ -61,12 +61,12 @@
 	if by.Shape == pipeline.Gang {
 		n = float64(len(by.Tasks))
 	}
-	cpus, gpus := u.CPUs+n*by.CPUs <= t.CPUs, u.GPUs+n*by.GPUs <= t.GPUs
+	cpus, gpus := u.CPUs+n*by.CPUs <= t.GuaranteedCPUs, u.GPUs+n*by.GPUs <= t.GuaranteedGPUs
 	within := cpus
 	if by.GPUs > 0 {
-		within = gpus && (cpus || t.CPUs == 0)
+		within = gpus && (cpus || t.GuaranteedCPUs == 0)
 	}
-	beyond := ou.CPUs > o.CPUs || ou.GPUs > o.GPUs
+	beyond := ou.CPUs > o.GuaranteedCPUs || ou.GPUs > o.GuaranteedGPUs
 	return within && beyond
 }
 
--- a/internal/core/safety_test.go
+++ b/internal/core/safety_test.go
@@ -19,7 +19,7 @@
 }
 
 func config() Config {
-	return Config{Teams: map[string]placement.Team{"t": {}}, HeartbeatInterval: 3 * time.Second, Lease: 30 * time.Second,
+	return Config{Teams: map[string]placement.Quota{"t": {}}, HeartbeatInterval: 3 * time.Second, Lease: 30 * time.Second,
 		CancelWithin: 60 * time.Second, InstanceListLag: 4 * time.Second, RestartLimit: 3,
 		BatchEvery: 2 * time.Second, MaxPerValue: 4000, RoundBudget: 100, Weights: DefaultWeights()}
 }
--- a/internal/core/status_test.go
+++ b/internal/core/status_test.go
@@ -25,7 +25,7 @@
 	limited.Record.Spec.Team = "small"
 	large.Record.Spec.CPUs = 8
 	cfg := config()
-	cfg.Teams["small"] = placement.Team{CPUsMax: 4}
+	cfg.Teams["small"] = placement.Quota{CPULimit: 4}
 	b := newBenchWith(t, cfg, 2, Snapshot{Jobs: []StoredJob{limited, failing, large, after("j-4", "j-1", "j-9")}})
 	if r := waiting(t, b, "j-1"); r != ReasonTakeover {
 		t.Errorf("at the takeover: %s", r)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -106,7 +106,7 @@
 func coreConfig(params *config.Params, operatorSettings operator.Settings) core.Config {
 	state := params.State.Lowest()
 	c := core.Config{
-		Teams:             map[string]placement.Team{},
+		Teams:             map[string]placement.Quota{},
 		Objectives:        objectives(params.Objectives),
 		HeartbeatInterval: params.Workers.HeartbeatInterval.Duration(),
 		Lease:             params.Workers.Lease.Duration(),
@@ -124,7 +124,7 @@
 		Debug:             slog.Default().Enabled(context.Background(), slog.LevelDebug),
 	}
 	for _, team := range params.Teams {
-		c.Teams[team.Name] = placement.Team{CPUs: team.CPUs, GPUs: team.GPUs, CPUsMax: team.CPUsMax, GPUsMax: team.GPUsMax}
+		c.Teams[team.Name] = placement.Quota{GuaranteedCPUs: team.GuaranteedCPUs, GuaranteedGPUs: team.GuaranteedGPUs, CPULimit: team.CPULimit, GPULimit: team.GPULimit}
 	}
 	return c
 }
--- a/internal/simulation/fault_scenarios_test.go
+++ b/internal/simulation/fault_scenarios_test.go
@@ -96,11 +96,11 @@
 // limitAll gives each team a limit that long jobs fill.
 func limitAll(s *script) {
 	for _, t := range []string{"red", "blue", "green"} {
-		s.w.teams[t] = placement.Team{CPUsMax: 10, GPUsMax: 4}
+		s.w.teams[t] = placement.Quota{CPULimit: 10, GPULimit: 4}
 	}
 }
 
-// full notes whether a team is at its limit: no further task of two CPUs is allowed.
+// full notes whether a team is at its limit: no further task of two GuaranteedCPUs is allowed.
 func (s *script) full(team string) bool {
 	var cpus float64
 	s.w.check.each(func(t *task) {
--- a/internal/simulation/short_lease.go
+++ b/internal/simulation/short_lease.go
@@ -35,10 +35,10 @@
 
 func newShortLease(w *World) *shortLease {
 	s := &shortLease{w: w, rng: rand.New(rand.NewPCG(w.o.Seed, 19)), notes: map[string]int{}}
-	w.teams = map[string]placement.Team{
-		"red":   {CPUs: 8, GPUs: 2, CPUsMax: 24, GPUsMax: 4},
-		"blue":  {CPUs: 12, CPUsMax: 30},
-		"amber": {CPUs: 4, CPUsMax: 16, GPUsMax: 2},
+	w.teams = map[string]placement.Quota{
+		"red":   {GuaranteedCPUs: 8, GuaranteedGPUs: 2, CPULimit: 24, GPULimit: 4},
+		"blue":  {GuaranteedCPUs: 12, CPULimit: 30},
+		"amber": {GuaranteedCPUs: 4, CPULimit: 16, GPULimit: 2},
 		"green": {},
 	}
 	return s
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -52,7 +52,7 @@
 	store    *Store
 	catalog  placement.Catalog
 	zones    []string
-	teams    map[string]placement.Team
+	teams    map[string]placement.Quota
 	nodes    []*node
 	cloud    *cloudSim
 	machines map[string]*machine
@@ -117,7 +117,7 @@
 		"small": {Name: "small", CPUs: 4, MemGB: 16, CacheGB: 10, FetchGBPerS: 0.5, Hourly: 1, SpotHour: 0.4, Boot: 8 * time.Second, Zones: w.zones},
 		"large": {Name: "large", CPUs: 16, GPUs: 4, MemGB: 64, CacheGB: 10, FetchGBPerS: 1, Hourly: 6, SpotHour: 2, Boot: 10 * time.Second, Zones: w.zones},
 	}
-	w.teams = map[string]placement.Team{"red": {CPUsMax: 20, GPUs: 2, GPUsMax: 4}, "blue": {CPUs: 8}, "green": {}}
+	w.teams = map[string]placement.Quota{"red": {CPULimit: 20, GuaranteedGPUs: 2, GPULimit: 4}, "blue": {GuaranteedCPUs: 8}, "green": {}}
 	if o.ShortLease {
 		w.shortLease = newShortLease(w)
 	}
--- a/internal/surge/houses.go
+++ b/internal/surge/houses.go
@@ -26,7 +26,7 @@
 	return Options{
 		Seed: seed, Length: 30 * time.Minute, Controllers: 3, Admission: true, JobsRate: 30,
 		Settings: Settings{Floor: 0.02, EnterBacklog: 2 * time.Minute, ExitBacklog: time.Minute, PolicyAge: 15 * time.Second, Interval: time.Second},
-		Teams:    map[string]placement.Team{"pharmacy": {CPUs: 60}, "large": {}, "small-1": {}, "small-2": {}},
+		Teams:    map[string]placement.Quota{"pharmacy": {GuaranteedCPUs: 60}, "large": {}, "small-1": {}, "small-2": {}},
 		Weights:  map[string]float64{},
 		CPUs:     func(time.Duration) float64 { return houseCPUs },
 		Classes: []Class{
--- a/internal/surge/surge.go
+++ b/internal/surge/surge.go
@@ -35,7 +35,7 @@
 	Seed        uint64
 	Length      time.Duration
 	Controllers int
-	Teams       map[string]placement.Team
+	Teams       map[string]placement.Quota
 	Weights     map[string]float64
 	Classes     []Class
 	CPUs        func(at time.Duration) float64
@@ -102,7 +102,7 @@
 	asking   map[time.Duration][]*job // by when they ask next
 	queue    []*job                   // admitted, with tasks that wait
 	running  []running
-	used     float64 // CPUs
+	used     float64 // GuaranteedCPUs
 	busy     []float64
 	arrivals []float64
 	jobs     int
--- a/internal/surge/surge_test.go
+++ b/internal/surge/surge_test.go
@@ -193,11 +193,11 @@
 	o := Houses(seed, 2)
 	o.Length = 15 * time.Minute
 	rng := New(o).rng
-	o.Teams = map[string]placement.Team{}
+	o.Teams = map[string]placement.Quota{}
 	o.Classes = nil
 	for team := range 2 + rng.IntN(4) {
 		name := fmt.Sprint("team-", team)
-		o.Teams[name] = placement.Team{CPUs: float64(rng.IntN(2)) * 40}
+		o.Teams[name] = placement.Quota{GuaranteedCPUs: float64(rng.IntN(2)) * 40}
 		o.Weights[name] = 0.5 + 2*rng.Float64()
 		for class := range 1 + rng.IntN(3) {
 			run := time.Duration(5+rng.IntN(25)) * time.Second
--- a/internal/userapi/userapi.go
+++ b/internal/userapi/userapi.go
@@ -53,7 +53,7 @@
 	Jobs      Jobs
 	Leader    Leader
 	Catalog   func() placement.Catalog
-	Teams     map[string]placement.Team
+	Teams     map[string]placement.Quota
 	Admission Admission // nil: all jobs are taken
 }
 
--- a/internal/userapi/userapi_test.go
+++ b/internal/userapi/userapi_test.go
@@ -81,7 +81,7 @@
 }
 
 func service(w *world) *Service {
-	return &Service{Jobs: w, Leader: w, Teams: map[string]placement.Team{"t": {CPUsMax: 6}},
+	return &Service{Jobs: w, Leader: w, Teams: map[string]placement.Quota{"t": {CPULimit: 6}},
 		Catalog: func() placement.Catalog {
 			return placement.Catalog{"cpu": {Name: "cpu", CPUs: 8, MemGB: 32, Zones: []string{"a"}}}
 		}}
--- a/tools/outage/main.go
+++ b/tools/outage/main.go
@@ -33,7 +33,7 @@
 	Page     string        `help:"File for the page with plots (HTML)."`
 }
 
-// The clusters: jobs of up to four tasks of two CPUs that run for about three seconds.
+// The clusters: jobs of up to four tasks of two GuaranteedCPUs that run for about three seconds.
 const (
 	reportEvery = time.Second
 	lease       = 10 * time.Second
--- a/tools/surge/loopback.go
+++ b/tools/surge/loopback.go
@@ -16,7 +16,7 @@
 	"gingertally/tools/plots"
 )
 
-// The cluster on loopback: 12 machines of 8 CPUs, jobs of up to four tasks of two CPUs.
+// The cluster on loopback: 12 machines of 8 GuaranteedCPUs, jobs of up to four tasks of two GuaranteedCPUs.
 const (
 	loopbackMachines = 12
 	loopbackTasks    = 4
@@ -31,7 +31,7 @@
 	users   int
 	urgency string
 }{
-	{config.Team{Name: "pharmacy", CPUs: 32}, 4, "urgent"},
+	{config.Team{Name: "pharmacy", GuaranteedCPUs: 32}, 4, "urgent"},
 	{config.Team{Name: "large"}, 240, "normal"},
 	{config.Team{Name: "small"}, 4, "normal"},
 }
