--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -23,7 +23,7 @@
 	reports := make([]fleet.Heartbeat, machines)
 	for i := range reports {
 		name := fmt.Sprintf("m-%06d", i)
-		reports[i] = fleet.Heartbeat{Machine: name, Addr: name, Type: "big", Zone: "a", Incarnation: 1, FencingToken: 1, Notice: -1}
+		reports[i] = fleet.Heartbeat{Machine: name, Addr: name, Type: "big", Zone: "a", Incarnation: 1, FencingToken: 1, InterruptionIn: -1}
 	}
 	hear := func(i int) HeartbeatResponse {
 		reports[i].Sequence++
--- a/internal/core/drain_eviction.go
+++ b/internal/core/drain_eviction.go
@@ -377,7 +377,7 @@
 			delete(e.drains.own, m)
 			continue
 		}
-		if now.Sub(e.drains.own[m]) > ownPatience && m.NoticeAt.IsZero() {
+		if now.Sub(e.drains.own[m]) > ownPatience && m.InterruptionAt.IsZero() {
 			e.keepMachine(m)
 			continue
 		}
--- a/internal/core/draining_test.go
+++ b/internal/core/draining_test.go
@@ -375,7 +375,7 @@
 	b := newBench(t, 2, Snapshot{Jobs: []StoredJob{service}})
 	for name, zone := range map[string]string{"m-1": "a", "m-2": "b"} {
 		for seq := uint64(1); seq <= 2; seq++ {
-			b.e.Step(b.now, HeartbeatReceived{fleet.Heartbeat{Machine: name, Addr: name, Type: "big", Zone: zone, Incarnation: 1, Sequence: seq, FencingToken: 2 * (seq - 1), Notice: -1}})
+			b.e.Step(b.now, HeartbeatReceived{fleet.Heartbeat{Machine: name, Addr: name, Type: "big", Zone: zone, Incarnation: 1, Sequence: seq, FencingToken: 2 * (seq - 1), InterruptionIn: -1}})
 		}
 	}
 	b.pass(6*time.Second, true)
--- a/internal/core/fleet/machine.go
+++ b/internal/core/fleet/machine.go
@@ -46,7 +46,7 @@
 	ListedAt        time.Time // when the cloud last listed it
 	ListedRunning   bool      // the cloud's last list with it said that it is up
 	Known           bool      // listed by the cloud, rented, or heard under this term's fencing token: not just an old copy's word
-	NoticeAt        time.Time // when the cloud takes it, zero without a notice
+	InterruptionAt  time.Time // when the cloud takes it, zero without a notice
 	ScaleInAttempts int       // releases that failed
 	CheckAt         time.Time // when its present timer expires
 
--- a/internal/core/fleet/messages.go
+++ b/internal/core/fleet/messages.go
@@ -52,6 +52,6 @@
 	Machine, Addr, Type, Zone           string
 	Spot                                bool
 	Incarnation, Sequence, FencingToken uint64
-	Notice                              time.Duration // negative: none
+	InterruptionIn                      time.Duration // negative: none
 	Tasks                               []TaskStatus
 }
--- a/internal/core/fleet_size_test.go
+++ b/internal/core/fleet_size_test.go
@@ -48,7 +48,7 @@
 	report := func(term uint64) {
 		for _, name := range names {
 			b.seq[name]++
-			r := fleet.Heartbeat{Machine: name, Addr: name, Type: "big", Zone: "a", Incarnation: 1, Sequence: b.seq[name], FencingToken: term, Notice: -1, Tasks: tasks[name]}
+			r := fleet.Heartbeat{Machine: name, Addr: name, Type: "big", Zone: "a", Incarnation: 1, Sequence: b.seq[name], FencingToken: term, InterruptionIn: -1, Tasks: tasks[name]}
 			reply := b.e.Step(b.now, HeartbeatReceived{r}).Response
 			if reply.Held {
 				reply = b.e.Step(b.now.Add(maxResponseHold+time.Second), HeldResponseDue{r}).Response
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -138,7 +138,7 @@
 		e.recovery.ConfirmPreviousTerm()
 	}
 	e.recovery.HeartbeatReceived(m.Name, r.FencingToken == e.term, hasForeign(m))
-	e.interruptionNotice(now, m, r.Notice)
+	e.interruptionAnnounced(now, m, r.InterruptionIn)
 }
 
 // incarnationEnded takes in that a worker's incarnation has ended: it killed and forgot all that
@@ -246,16 +246,16 @@
 	}
 }
 
-// interruptionNotice handles the cloud's word that it takes the machine: what can save is
+// interruptionAnnounced handles the cloud's word that it takes the machine: what can save is
 // stopped in time and goes on elsewhere; the rest may still finish.
-func (e *Engine) interruptionNotice(now time.Time, m *fleet.Machine, left time.Duration) {
+func (e *Engine) interruptionAnnounced(now time.Time, m *fleet.Machine, left time.Duration) {
 	if left < 0 {
 		return
 	}
-	if m.NoticeAt.IsZero() {
+	if m.InterruptionAt.IsZero() {
 		e.note("machine will be taken", "machine", m.Name, "in", left)
 	}
-	m.NoticeAt = now.Add(left)
+	m.InterruptionAt = now.Add(left)
 	e.startDraining(now, m)
 	e.stopTasksOn(now, m, left)
 }
--- a/internal/core/reconcile_test.go
+++ b/internal/core/reconcile_test.go
@@ -161,7 +161,7 @@
 // report.
 func TestTokenOfAForgottenLeader(t *testing.T) {
 	b := newBench(t, 9, Snapshot{Jobs: []StoredJob{job("j-1", 1)}})
-	r := fleet.Heartbeat{Machine: "m-1", Addr: "m-1", Type: "big", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: 9, Notice: -1}
+	r := fleet.Heartbeat{Machine: "m-1", Addr: "m-1", Type: "big", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: 9, InterruptionIn: -1}
 	eff := b.e.Step(b.now, HeartbeatReceived{r})
 	if !eff.Deposed || eff.HigherFencingToken != 9 || eff.Response.OK {
 		t.Fatalf("%+v", eff)
--- a/internal/core/safety_test.go
+++ b/internal/core/safety_test.go
@@ -53,7 +53,7 @@
 }
 
 func (b *bench) reportAs(machine string, token, seq uint64, tasks ...fleet.TaskStatus) HeartbeatResponse {
-	r := fleet.Heartbeat{Machine: machine, Addr: machine, Type: "big", Zone: "a", Incarnation: 1, Sequence: seq, FencingToken: token, Notice: -1, Tasks: tasks}
+	r := fleet.Heartbeat{Machine: machine, Addr: machine, Type: "big", Zone: "a", Incarnation: 1, Sequence: seq, FencingToken: token, InterruptionIn: -1, Tasks: tasks}
 	eff := b.e.Step(b.now, HeartbeatReceived{r})
 	if eff.Deposed && token == b.e.term {
 		b.t.Fatalf("%s reports a token that it wasn't given: the test shows nothing", machine)
@@ -274,7 +274,7 @@
 // A heartbeat with a higher fencing token means that somebody else has taken over.
 func TestHigherTokenDeposes(t *testing.T) {
 	b := newBench(t, 2, Snapshot{})
-	eff := b.e.Step(b.now, HeartbeatReceived{fleet.Heartbeat{Machine: "m-1", Type: "big", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: 3, Notice: -1}})
+	eff := b.e.Step(b.now, HeartbeatReceived{fleet.Heartbeat{Machine: "m-1", Type: "big", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: 3, InterruptionIn: -1}})
 	if !eff.Deposed || eff.Response.OK {
 		t.Fatalf("effects: %+v", eff)
 	}
@@ -356,7 +356,7 @@
 
 // worker sends reports with counts of its own choice.
 func (b *bench) worker(machine string, token, session, seq uint64, tasks ...fleet.TaskStatus) HeartbeatResponse {
-	r := fleet.Heartbeat{Machine: machine, Addr: machine, Type: "big", Zone: "a", Incarnation: session, Sequence: seq, FencingToken: token, Notice: -1, Tasks: tasks}
+	r := fleet.Heartbeat{Machine: machine, Addr: machine, Type: "big", Zone: "a", Incarnation: session, Sequence: seq, FencingToken: token, InterruptionIn: -1, Tasks: tasks}
 	return *b.e.Step(b.now, HeartbeatReceived{r}).Response
 }
 
--- a/internal/simulation/replica_check.go
+++ b/internal/simulation/replica_check.go
@@ -28,7 +28,7 @@
 // its user, nor its machine's failures or end, nor a job with a better claim, nor a newer
 // attempt that has taken its place.
 func (c *checker) byChoice(t *task) bool {
-	if t.job.mayBeCancelled() || t.m.failures > 0 || t.m.faulty || !t.m.noticeAt.IsZero() || c.preempted[name(t)] || c.preemptedAttempts[taskKey(t.job.spec.Ref, t.index, t.attempt)] {
+	if t.job.mayBeCancelled() || t.m.failures > 0 || t.m.faulty || !t.m.interruptionAt.IsZero() || c.preempted[name(t)] || c.preemptedAttempts[taskKey(t.job.spec.Ref, t.index, t.attempt)] {
 		return false
 	}
 	return t.attempt == c.newestAttempt[name(t)]
--- a/internal/simulation/starvation_check.go
+++ b/internal/simulation/starvation_check.go
@@ -187,7 +187,7 @@
 
 // takes tells whether a machine is well, isn't cordoned, and a job may use it.
 func (c *checker) takes(m *machine, s *pipeline.Spec) bool {
-	well := !c.w.drainCordoned(m) && !c.w.now.Before(m.hungUntil) && m.isUp && !m.faulty && m.noticeAt.IsZero() &&
+	well := !c.w.drainCordoned(m) && !c.w.now.Before(m.hungUntil) && m.isUp && !m.faulty && m.interruptionAt.IsZero() &&
 		(m.failures == 0 || m.failures < sickAfter && c.w.now.Sub(m.failedAt) > failureForgotten)
 	return well && s.AllowsType(m.typ) && (s.Zone == "" || s.Zone == m.zone) && (!m.spot || s.Spot)
 }
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -404,8 +404,8 @@
 	case 1:
 		m.faulty = true
 	case 2:
-		m.noticeAt = w.now.Add(w.between(3*time.Second, 12*time.Second))
-		w.after(m.noticeAt.Sub(w.now), m.die)
+		m.interruptionAt = w.now.Add(w.between(3*time.Second, 12*time.Second))
+		w.after(m.interruptionAt.Sub(w.now), m.die)
 		if m.isUp {
 			m.changed()
 		}
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -24,7 +24,7 @@
 	failures               int       // how many tasks failed on it
 	failedAt               time.Time // the last of them
 	workerProcess          int       // rises when its worker restarts
-	noticeAt               time.Time
+	interruptionAt         time.Time
 	cut                    map[*node]bool
 	incarnation            uint64
 	sequence, fencingToken uint64
@@ -111,9 +111,9 @@
 func (m *machine) snapshot() fleet.Heartbeat {
 	m.sequence++
 	r := fleet.Heartbeat{Machine: m.name, Addr: m.name, Type: m.typ, Zone: m.zone, Spot: m.spot, Incarnation: m.incarnation, Sequence: m.sequence,
-		FencingToken: m.fencingToken, Notice: -1}
-	if !m.noticeAt.IsZero() {
-		r.Notice = max(0, m.noticeAt.Sub(m.w.now))
+		FencingToken: m.fencingToken, InterruptionIn: -1}
+	if !m.interruptionAt.IsZero() {
+		r.InterruptionIn = max(0, m.interruptionAt.Sub(m.w.now))
 	}
 	for _, t := range m.sorted() {
 		r.Tasks = append(r.Tasks, fleet.TaskStatus{Ref: t.job.spec.Ref, Task: t.index, Attempt: t.attempt, State: t.state, Cause: t.cause, Checkpointed: t.checkpointed})
--- a/internal/wire/agent.go
+++ b/internal/wire/agent.go
@@ -64,8 +64,8 @@
 	return report, nil
 }
 
-// noNotice stands for a machine that its cloud hasn't announced to take away.
-const noNotice = -1
+// noInterruption stands for a machine that its cloud hasn't announced to take away.
+const noInterruption = -1
 
 // parseMachineStatus reads what a heartbeat says of the machine itself.
 func parseMachineStatus(beat *Heartbeat) (fleet.Heartbeat, error) {
@@ -76,7 +76,7 @@
 	}
 	report := fleet.Heartbeat{
 		Machine: *beat.Stall, Addr: *beat.Endpoint, Type: *beat.Build, Zone: *beat.Yard, Spot: *beat.Loaners,
-		Incarnation: *beat.Shift, Sequence: *beat.Tick, FencingToken: *beat.Gavel, Notice: noNotice,
+		Incarnation: *beat.Shift, Sequence: *beat.Tick, FencingToken: *beat.Gavel, InterruptionIn: noInterruption,
 	}
 	if beat.WarningS == nil {
 		return report, nil
@@ -84,7 +84,7 @@
 	if math.IsNaN(*beat.WarningS) || math.IsInf(*beat.WarningS, 0) {
 		return report, fmt.Errorf("%w: warning_s", ErrMalformed)
 	}
-	report.Notice = max(0, time.Duration(*beat.WarningS*float64(time.Second)))
+	report.InterruptionIn = max(0, time.Duration(*beat.WarningS*float64(time.Second)))
 	return report, nil
 }
 
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -83,7 +83,7 @@
 
 func TestParseReport(t *testing.T) {
 	r, err := ParseHeartbeat(MustMarshal(goodBeat()))
-	if err != nil || len(r.Tasks) != 2 || r.Notice >= 0 || r.Tasks[0].State != fleet.Running ||
+	if err != nil || len(r.Tasks) != 2 || r.InterruptionIn >= 0 || r.Tasks[0].State != fleet.Running ||
 		r.Tasks[1].Cause != fleet.CauseStopped || !r.Tasks[1].Checkpointed || r.Tasks[1].Attempt != 1<<63 {
 		t.Fatalf("good report: %+v, %v", r, err)
 	}
