--- a/internal/core/dependents_test.go
+++ b/internal/core/dependents_test.go
@@ -69,7 +69,7 @@
 }
 
 // A cancellation reaches all that need the job at once, though its own tasks are
-// still on a machine that is silent, and though some come only afterwards: waiting
+// still on a machine that is unresponsive, and though some come only afterwards: waiting
 // for the tasks' end would leave them queued for longer than their users accept.
 func TestCancelReachesAllAtOnce(t *testing.T) {
 	b := newBench(t, 2, Snapshot{Jobs: []StoredJob{job("j-1", 1), after("j-2", "j-1"), after("j-3", "j-2"), after("j-4", "j-1", "j-3")}})
--- a/internal/core/drain_round.go
+++ b/internal/core/drain_round.go
@@ -57,7 +57,7 @@
 	if len(e.catalog) == 0 || !e.settled(now) || e.writesFail || e.answersLate(now) {
 		return false
 	}
-	lost := e.inState[fleet.Silent] + e.inState[fleet.Unheard] + len(e.unreachable)
+	lost := e.inState[fleet.Unresponsive] + e.inState[fleet.AwaitingHeartbeat] + len(e.unreachable)
 	return lost <= max(1, len(e.machines)/lostPart)
 }
 
--- a/internal/core/draining_test.go
+++ b/internal/core/draining_test.go
@@ -363,8 +363,8 @@
 	d.run(15 * time.Second)
 	d.drainMachine("m-1")
 	d.run(9 * time.Second)
-	if d.evicts != 0 || d.e.inState[fleet.Silent] != len(lost) {
-		t.Errorf("%d evictions with %d machines silent", d.evicts, d.e.inState[fleet.Silent])
+	if d.evicts != 0 || d.e.inState[fleet.Unresponsive] != len(lost) {
+		t.Errorf("%d evictions with %d machines silent", d.evicts, d.e.inState[fleet.Unresponsive])
 	}
 }
 
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -322,7 +322,7 @@
 	e.warm.noteMachine(m.Name)
 }
 
-// Tick lets time pass: silence, leases, cancellations, rounds of decisions.
+// Tick lets time pass: unresponsiveness, leases, cancellations, rounds of decisions.
 type Tick struct {
 	// Spent tells whether a round's time budget is used up; nil: never.
 	Spent func() bool
@@ -341,13 +341,13 @@
 	e.drainRound(now)
 }
 
-// Resumed says that the leader's lease had lapsed and holds again: silence meanwhile says
+// Resumed says that the leader's lease had lapsed and holds again: unresponsiveness meanwhile says
 // nothing about the machines.
 type Resumed struct{}
 
 func (Resumed) apply(e *Engine, now time.Time) {
 	for _, m := range e.machines {
-		if m.State() == fleet.Live || m.State() == fleet.Silent || m.State() == fleet.Unheard {
+		if m.State() == fleet.Live || m.State() == fleet.Unresponsive || m.State() == fleet.AwaitingHeartbeat {
 			m.LastHeartbeat = now
 		}
 	}
--- a/internal/core/fleet/machine.go
+++ b/internal/core/fleet/machine.go
@@ -9,12 +9,12 @@
 
 // States of a machine.
 const (
-	Booting   MachineState = iota // rented or listed, never heard of
-	Unheard                       // the records say that tasks may be on it; not heard under this term
-	Live                          // reports
-	Silent                        // has stopped reporting
-	ScalingIn                     // a release is under way
-	Removed                       // proven gone
+	Booting           MachineState = iota // rented or listed, never heard of
+	AwaitingHeartbeat                     // the records say that tasks may be on it; not heard under this term
+	Live                                  // reports
+	Unresponsive                          // has stopped reporting
+	ScalingIn                             // a release is under way
+	Removed                               // proven gone
 
 	MachineStates = iota // how many there are
 )
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -62,7 +62,7 @@
 // lost, and since nothing tells its heartbeats from copies, the machine is released.
 func (e *Engine) staleHeartbeat(now time.Time, m *fleet.Machine, r *fleet.Heartbeat) {
 	restarted := m.StaleHeartbeats.NoteStale(now, r, e.cfg.HeartbeatInterval)
-	if restarted && now.Sub(m.LastHeartbeat) > e.silentAfter() {
+	if restarted && now.Sub(m.LastHeartbeat) > e.unresponsiveAfter() {
 		e.scaleIn(now, m, "started anew")
 	}
 }
@@ -112,7 +112,7 @@
 	newSession := r.Incarnation > m.Incarnation || r.Version().Restarted(m.HeartbeatVersion())
 	was, quiet := m.State(), now.Sub(m.LastHeartbeat)
 	leaseEnded := newSession && was == fleet.Live && quiet < e.cfg.Lease/2
-	if was == fleet.Booting || was == fleet.Silent {
+	if was == fleet.Booting || was == fleet.Unresponsive {
 		m.IdleSince = now // it couldn't be used before
 	}
 	if was != fleet.ScalingIn && e.moveMachine(now, m, fleet.Live) {
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -25,7 +25,7 @@
 		}
 		m := e.machines[logged.placed.Machine]
 		if m == nil {
-			m = e.addUnheard(now, logged.placed)
+			m = e.addAwaitingHeartbeat(now, logged.placed)
 		}
 		a := &fleet.Attempt{Key: task, Number: logged.number, Inherited: true,
 			CPUs: j.CPUs, GPUs: j.GPUs, MemGB: j.MemGB, Image: j.Image}
@@ -56,10 +56,10 @@
 	return newest
 }
 
-// addUnheard takes in a machine that the start log names and that has not been heard of
+// addAwaitingHeartbeat takes in a machine that the start log names and that has not been heard of
 // under this term.
-func (e *Engine) addUnheard(now time.Time, p fleet.Placed) *fleet.Machine {
-	m := fleet.NewMachine(now, p.Machine, fleet.Kind{Type: p.Type, Zone: p.Zone, Spot: p.Spot}, fleet.Unheard)
+func (e *Engine) addAwaitingHeartbeat(now time.Time, p fleet.Placed) *fleet.Machine {
+	m := fleet.NewMachine(now, p.Machine, fleet.Kind{Type: p.Type, Zone: p.Zone, Spot: p.Spot}, fleet.AwaitingHeartbeat)
 	m.LastHeartbeat, m.LeaseBase, m.Known = now, now, true
 	e.addMachine(now, m)
 	e.recovery.Expect(m.Name)
@@ -87,7 +87,7 @@
 	e.inState[was]--
 	e.inState[to]++
 	m.Expected = false
-	if to == fleet.Silent || to == fleet.ScalingIn {
+	if to == fleet.Unresponsive || to == fleet.ScalingIn {
 		e.recovery.GivenUp(m.Name)
 	}
 	e.timers.schedule(m, now)
@@ -137,7 +137,7 @@
 // maxScaleIn is how many machines one release may name (PROTOCOL).
 const maxScaleIn = 100
 
-// checkMachines looks at the machines for which it is time: silence, ended
+// checkMachines looks at the machines for which it is time: unresponsiveness, ended
 // leases, boots that take too long.
 func (e *Engine) checkMachines(now time.Time) {
 	for m := e.timers.expired(now); m != nil; m = e.timers.expired(now) {
@@ -180,20 +180,20 @@
 			e.scaleIn(now, m, "never came up")
 		}
 		next = now.Add(time.Second)
-	case fleet.Live, fleet.Silent, fleet.Unheard:
-		e.checkSilence(now, m)
+	case fleet.Live, fleet.Unresponsive, fleet.AwaitingHeartbeat:
+		e.checkResponsiveness(now, m)
 		e.scaleInUnreachable(now, m)
-		if m.Expected && now.Sub(m.LastHeartbeat) > e.silentAfter() {
+		if m.Expected && now.Sub(m.LastHeartbeat) > e.unresponsiveAfter() {
 			e.expectNoLonger(now, m)
 		}
 		switch {
 		case m.State() == fleet.Live && !m.Quarantined && !m.Draining && !e.unreachable[m]:
-			next = m.LastHeartbeat.Add(e.silentAfter() + time.Millisecond)
-		case m.State() == fleet.Silent && len(m.Tasks) == 0:
+			next = m.LastHeartbeat.Add(e.unresponsiveAfter() + time.Millisecond)
+		case m.State() == fleet.Unresponsive && len(m.Tasks) == 0:
 			next = now.Add(time.Second)
 		}
 	}
-	if m.Quarantined || m.Draining || e.unreachable[m] || m.State() == fleet.Silent {
+	if m.Quarantined || m.Draining || e.unreachable[m] || m.State() == fleet.Unresponsive {
 		e.withdrawUnsentStarts(now, m)
 	}
 	if m.State() == fleet.Live && (m.Quarantined || m.Draining) && m.Busy() == 0 && !e.hasUnstoredResults(m) {
@@ -236,10 +236,10 @@
 // firstHeartbeatTimeout is how long after its claim a new leader waits for a machine that no
 // record names. One that was up and idle under the last leader looks just like one that
 // is still booting: it may take a lease's time to find the new leader. If the cloud lists
-// it as running, it may be in a zone that is cut off, and is kept like a silent one.
+// it as running, it may be in a zone that is cut off, and is kept like a unresponsive one.
 func (e *Engine) firstHeartbeatTimeout(m *fleet.Machine) time.Duration {
 	if m.ListedRunning {
-		return e.silentLimit(m)
+		return e.unresponsiveLimit(m)
 	}
 	return e.cfg.Lease
 }
@@ -261,23 +261,23 @@
 	return !m.ListedAt.IsZero() && e.lastList.Sub(m.ListedAt) > 2*e.cfg.InstanceListLag+4*time.Second
 }
 
-// silentAfter is when a machine that doesn't report gets no more starts: two
+// unresponsiveAfter is when a machine that doesn't report gets no more starts: two
 // reports have then failed to arrive, with a change of node between them.
-func (e *Engine) silentAfter() time.Duration { return 2*e.cfg.HeartbeatInterval + 5*time.Second }
+func (e *Engine) unresponsiveAfter() time.Duration { return 2*e.cfg.HeartbeatInterval + 5*time.Second }
 
-func (e *Engine) checkSilence(now time.Time, m *fleet.Machine) {
+func (e *Engine) checkResponsiveness(now time.Time, m *fleet.Machine) {
 	quiet := now.Sub(m.LastHeartbeat)
-	if m.State() == fleet.Live && quiet > e.silentAfter() && e.moveMachine(now, m, fleet.Silent) {
+	if m.State() == fleet.Live && quiet > e.unresponsiveAfter() && e.moveMachine(now, m, fleet.Unresponsive) {
 		e.note("machine silent", "machine", m.Name, "busy", m.Busy())
 	}
-	if m.State() != fleet.Live && quiet > e.silentAfter() && e.missingFromList(m) {
+	if m.State() != fleet.Live && quiet > e.unresponsiveAfter() && e.missingFromList(m) {
 		e.scaleIn(now, m, fmt.Sprintf("silent for %s", quiet.Round(time.Second)))
 		return
 	}
 	if !m.LeaseOver(now, e.cfg.Lease) {
 		return
 	}
-	e.moveMachine(now, m, fleet.Silent) // whatever is placed on it now would be counted as gone at once
+	e.moveMachine(now, m, fleet.Unresponsive) // whatever is placed on it now would be counted as gone at once
 	if m.Busy() > 0 {
 		e.note("lease over", "machine", m.Name, "busy", m.Busy())
 	}
@@ -286,17 +286,17 @@
 			e.attemptLost(now, m, a, "lease over")
 		}
 	}
-	if quiet > e.silentLimit(m) {
+	if quiet > e.unresponsiveLimit(m) {
 		e.scaleIn(now, m, fmt.Sprintf("silent for %s", quiet.Round(time.Second)))
 	}
 }
 
-// silentLimit is how long a machine is kept that doesn't report but stays listed:
+// unresponsiveLimit is how long a machine is kept that doesn't report but stays listed:
 // beyond its worker's lease, which ends all on it, for about as long as another
 // would take to be of use. A zone that is cut off, or many machines that hang,
 // mostly come back sooner, with their images; and while they are away, what waits
 // is placed and rented for elsewhere.
-func (e *Engine) silentLimit(m *fleet.Machine) time.Duration {
+func (e *Engine) unresponsiveLimit(m *fleet.Machine) time.Duration {
 	return e.cfg.Lease + 2*e.bootTime(m)
 }
 
@@ -314,7 +314,7 @@
 // HasLive tells whether any machine is up as far as is known.
 func (e *Engine) HasLive() bool {
 	for _, m := range e.machines {
-		if s := m.State(); s == fleet.Live || s == fleet.Silent {
+		if s := m.State(); s == fleet.Live || s == fleet.Unresponsive {
 			return true // mostly the first one looked at
 		}
 	}
--- a/internal/core/safety_test.go
+++ b/internal/core/safety_test.go
@@ -250,7 +250,7 @@
 }
 
 // A cancelled job's tasks are stopped at once, nothing starts afterwards, and a
-// machine that stays silent with one of them is released in time.
+// machine that stays unresponsive with one of them is released in time.
 func TestCancelIsFinalAndInTime(t *testing.T) {
 	b, c := started(t)
 	b.e.cfg.Lease = 2 * b.e.cfg.CancelWithin // the lease proves the task gone too late
--- a/internal/core/warm_start.go
+++ b/internal/core/warm_start.go
@@ -157,7 +157,7 @@
 		if !expected {
 			return
 		}
-		m = e.addUnheard(s.now, fleet.Placed{Machine: w.Name, Type: w.Type, Zone: w.Zone, Spot: w.Spot})
+		m = e.addAwaitingHeartbeat(s.now, fleet.Placed{Machine: w.Name, Type: w.Type, Zone: w.Zone, Spot: w.Spot})
 		m.Known = false // nothing but the view speaks of it so far
 	}
 	m.Quarantined, m.Draining = w.Quarantined, w.Draining
@@ -193,7 +193,7 @@
 // leaves only in the answer to a heartbeat that proves the machine free of anything else, as
 // for all other machines.
 func (e *Engine) expect(m *fleet.Machine) {
-	if m.State() == fleet.Unheard && !m.Expected {
+	if m.State() == fleet.AwaitingHeartbeat && !m.Expected {
 		m.Expected = true
 		e.recovery.ExpectByWarmState(m.Name, true)
 		e.touch(m)
@@ -201,7 +201,7 @@
 }
 
 // expectNoLonger gives up on a machine that was expected and hasn't reported for as long as
-// makes any machine silent: what was placed there goes elsewhere.
+// makes any machine unresponsive: what was placed there goes elsewhere.
 func (e *Engine) expectNoLonger(now time.Time, m *fleet.Machine) {
 	m.Expected = false
 	e.recovery.ExpectByWarmState(m.Name, false)
