--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -254,7 +254,7 @@
 	case fleet.CauseError:
 		e.taskFailed(now, m, j, a.Task)
 	case fleet.CauseInsufficientResources, fleet.CauseAlreadyPresent:
-		m.HoldUntil = now.Add(min(e.cfg.HeartbeatInterval, maxNoRoomPause))
+		m.HoldUntil = now.Add(min(e.cfg.HeartbeatInterval, maxNoCapacityPause))
 		m.DropImage(a.Image)
 	case fleet.CauseUnknownTask:
 		j.Tasks[a.Task].NotUntil = now.Add(unknownExitPause)
@@ -265,8 +265,8 @@
 }
 
 const (
-	// maxNoRoomPause bounds how long a machine gets no starts after it had no room for one.
-	maxNoRoomPause = 3 * time.Second
+	// maxNoCapacityPause bounds how long a machine gets no starts after it had no room for one.
+	maxNoCapacityPause = 3 * time.Second
 	// unknownExitPause is how long a task is held back after an exit of unknown cause.
 	unknownExitPause = 2 * time.Second
 )
--- a/internal/core/batch.go
+++ b/internal/core/batch.go
@@ -55,13 +55,13 @@
 
 // batch collects writes for one transaction, up to a limit of puts and drops.
 type batch struct {
-	writes []Write
-	room   int // puts and drops that may be added
+	writes    []Write
+	remaining int // puts and drops that may be added
 }
 
 func (b *batch) add(w Write) {
 	b.writes = append(b.writes, w)
-	b.room -= w.changes()
+	b.remaining -= w.changes()
 }
 
 func (b *batch) empty() bool { return len(b.writes) == 0 }
@@ -75,7 +75,7 @@
 // jobs' ends, taking turns at going first (TestStartsAndEndsTakeTurns), then partial
 // progress, and last what only tidies.
 func (e *Engine) Batch(now time.Time, limit int) []Write {
-	b := &batch{room: limit}
+	b := &batch{remaining: limit}
 	e.drains.addWrites(now, b)
 	due := e.dueJobWrites(now)
 	e.jobEndsFirst = !e.jobEndsFirst
--- a/internal/core/capacity/capacity.go
+++ b/internal/core/capacity/capacity.go
@@ -203,7 +203,7 @@
 			return
 		}
 		perMachine := offer.machine.Capacity(&d.Job.Spec)
-		tasks := min(left, placement.ZoneRoom(d.Job, offer.Zone, zones))
+		tasks := min(left, placement.ZoneCapacity(d.Job, offer.Zone, zones))
 		n := min((tasks+perMachine-1)/perMachine, maxPerRequest-g.orders[offer.Offer])
 		g.orders[offer.Offer] += n
 		g.addMachines(offer.machine, offer.Offer, n)
@@ -253,7 +253,7 @@
 // where they have to be.
 func (g *planner) book(j *pipeline.Job, left int, zones map[string]int, zone string) int {
 	g.eachSlot(j, zone, func(s *placement.Slot) bool {
-		for left > 0 && s.Free(&j.Spec) > 0 && placement.ZoneRoom(j, s.Zone, zones) > 0 {
+		for left > 0 && s.Free(&j.Spec) > 0 && placement.ZoneCapacity(j, s.Zone, zones) > 0 {
 			s.Take(&j.Spec)
 			zones[s.Zone]++
 			left--
@@ -300,7 +300,7 @@
 	if o.Spot && !j.Spot || g.orders[o] >= maxPerRequest {
 		return false
 	}
-	return placement.ZoneRoom(j, o.Zone, zones) >= 1 && g.plan.available(g.now, o)
+	return placement.ZoneCapacity(j, o.Zone, zones) >= 1 && g.plan.available(g.now, o)
 }
 
 // before orders offers, so that equal inputs give equal plans.
--- a/internal/core/consolidate.go
+++ b/internal/core/consolidate.go
@@ -210,7 +210,7 @@
 	zones := maps.Clone(v.engine.useOf(j.Ref).zones)
 	zones[from.Zone]--
 	v.engine.freeCapacity.EachOpen(&j.Spec, "", func(o *placement.Slot) {
-		if o == from || v.emptied[o] || placement.ZoneRoom(j, o.Zone, zones) < 1 || j.Avoids(v.now, o.Machine.Name) ||
+		if o == from || v.emptied[o] || placement.ZoneCapacity(j, o.Zone, zones) < 1 || j.Avoids(v.now, o.Machine.Name) ||
 			(o.Machine.Busy() == 0 && o.Type.Price(o.Spot) > from.Type.Price(from.Spot)/2) ||
 			o.Machine.FetchLeft(v.now, j.Image, j.ImageGB, o.Type.FetchGBPerS) > moveOverhead {
 			return
--- a/internal/core/decide.go
+++ b/internal/core/decide.go
@@ -51,11 +51,11 @@
 		InZones: func(ref string) map[string]int { return e.useOf(ref).zones },
 		Busy:    func(ref string) int { return len(e.useOf(ref).attempts) },
 		Commit:  func(d placement.Decision) { looked++; e.place(now, d) },
-		NoRoom: func(j *pipeline.Job, n int) {
+		Unplaced: func(j *pipeline.Job, n int) {
 			e.demand = append(e.demand, capacity.Demand{Job: j, Tasks: n, Zones: e.useOf(j.Ref).zones})
 		},
 		EndOf:        func(a *fleet.Attempt) time.Time { return e.endOf(now, a) },
-		Due:          func(j *pipeline.Job) time.Time { return e.needsRoomBy(now, j) },
+		Due:          func(j *pipeline.Job) time.Time { return e.needsCapacityBy(now, j) },
 		StartBy:      func(j *pipeline.Job) time.Time { return e.startBy(now, j) },
 		MayStop:      func(by *pipeline.Job, a *fleet.Attempt) (float64, bool) { return e.preemptionCost(now, by, a) },
 		Stop:         func(a *fleet.Attempt) { e.preempt(now, a) },
--- a/internal/core/drain_room.go
+++ b/internal/core/drain_capacity.go
@@ -19,9 +19,9 @@
 	asked   time.Time
 }
 
-// roomBooking finds out whether what is to be evicted has room elsewhere, beside all that is
+// capacityBooking finds out whether what is to be evicted has room elsewhere, beside all that is
 // moving already. It looks at the machines only once something asks.
-type roomBooking struct {
+type capacityBooking struct {
 	engine  *Engine
 	now     time.Time
 	copies  map[*placement.Slot]*placement.Slot
@@ -29,13 +29,13 @@
 	short   bool            // what is moving already has no room
 }
 
-func (e *Engine) newRoomBooking(now time.Time) *roomBooking {
-	return &roomBooking{engine: e, now: now}
+func (e *Engine) newCapacityBooking(now time.Time) *capacityBooking {
+	return &capacityBooking{engine: e, now: now}
 }
 
 // book books room for the tasks of a group that have to leave their machines; false if there
 // isn't any. Ahead: machines that are about to be drained don't count.
-func (b *roomBooking) book(g *evictionGroup, ahead bool) bool {
+func (b *capacityBooking) book(g *evictionGroup, ahead bool) bool {
 	if b.copies == nil {
 		b.copies, b.without = map[*placement.Slot]*placement.Slot{}, map[string]bool{}
 		for _, t := range b.engine.drains.sortedMoving() {
@@ -84,12 +84,12 @@
 
 // find is a place with room for a task of a job, of which so many are in which zone; nil if
 // there is none. A job that found none finds none again.
-func (b *roomBooking) find(j *pipeline.Job, zones map[string]int, ahead bool) *placement.Slot {
+func (b *capacityBooking) find(j *pipeline.Job, zones map[string]int, ahead bool) *placement.Slot {
 	if b.without[j.Ref] {
 		return nil
 	}
 	found := b.engine.freeCapacity.FindOpen(&j.Spec, func(s *placement.Slot) bool {
-		usable := !(ahead && s.Machine.Planned) && !j.Avoids(b.now, s.Machine.Name) && placement.ZoneRoom(j, s.Zone, zones) > 0
+		usable := !(ahead && s.Machine.Planned) && !j.Avoids(b.now, s.Machine.Name) && placement.ZoneCapacity(j, s.Zone, zones) > 0
 		return usable && b.copyOf(s).Free(&j.Spec) > 0
 	})
 	if found == nil {
@@ -99,7 +99,7 @@
 	return b.copyOf(found)
 }
 
-func (b *roomBooking) copyOf(s *placement.Slot) *placement.Slot {
+func (b *capacityBooking) copyOf(s *placement.Slot) *placement.Slot {
 	c := b.copies[s]
 	if c == nil {
 		c = s.Plain()
--- a/internal/core/drain_eviction.go
+++ b/internal/core/drain_eviction.go
@@ -165,7 +165,7 @@
 }
 
 // evictAllowed evicts what may leave a machine. It tells what stands in the way beside budgets.
-func (e *Engine) evictAllowed(now time.Time, dm *drain.Machine, work *machineWork, booking *roomBooking) drain.Verdict {
+func (e *Engine) evictAllowed(now time.Time, dm *drain.Machine, work *machineWork, booking *capacityBooking) drain.Verdict {
 	blocked := drain.Verdict{}
 	for _, group := range work.groups {
 		if group.verdict.Kind != drain.Allowed {
@@ -371,7 +371,7 @@
 }
 
 // evictOwn evicts what is under a budget on machines that the scheduler empties by choice.
-func (e *Engine) evictOwn(now time.Time, booking *roomBooking) {
+func (e *Engine) evictOwn(now time.Time, booking *capacityBooking) {
 	for _, m := range e.drains.sortedOwn() {
 		if m.State() != fleet.Live || m.Busy() == 0 {
 			delete(e.drains.own, m)
--- a/internal/core/drain_round.go
+++ b/internal/core/drain_round.go
@@ -31,7 +31,7 @@
 	e.out.Drains = append(e.out.Drains, d.coordinator.PlanWrites(now, d.newest, complete)...)
 	d.forgetMoved()
 	e.voidCharges(now)
-	booking := e.newRoomBooking(now)
+	booking := e.newCapacityBooking(now)
 	e.evictOwn(now, booking)
 	if e.mayDisrupt(now) {
 		e.cordonNext(now)
@@ -107,7 +107,7 @@
 }
 
 // drainMachine looks at one machine that is being drained and does what can be done.
-func (e *Engine) drainMachine(now time.Time, dm *drain.Machine, booking *roomBooking, complete bool) {
+func (e *Engine) drainMachine(now time.Time, dm *drain.Machine, booking *capacityBooking, complete bool) {
 	c := e.drains.coordinator
 	m := e.machines[dm.Name]
 	if m == nil {
@@ -124,7 +124,7 @@
 }
 
 // emptyMachine brings a machine closer to being empty, and tells why it isn't yet.
-func (e *Engine) emptyMachine(now time.Time, dm *drain.Machine, m *fleet.Machine, booking *roomBooking) drain.Verdict {
+func (e *Engine) emptyMachine(now time.Time, dm *drain.Machine, m *fleet.Machine, booking *capacityBooking) drain.Verdict {
 	c := e.drains.coordinator
 	notYet := func(cause drain.Cause) drain.Verdict { return drain.Verdict{Kind: drain.NotYet, Cause: cause} }
 	switch {
--- a/internal/core/draining.go
+++ b/internal/core/draining.go
@@ -171,7 +171,7 @@
 	if d == nil {
 		return
 	}
-	most := max(1, b.room/2)
+	most := max(1, b.remaining/2)
 	for _, w := range d.coordinator.Writes(most) {
 		kind := WriteCordons
 		if w.Drop {
--- a/internal/core/image_log.go
+++ b/internal/core/image_log.go
@@ -148,7 +148,7 @@
 // addWrite adds the page that has waited longest, if it is time for one.
 func (l *imageLog) addWrite(now time.Time, b *batch) {
 	every := max(l.minWriteInterval(), imagePageEvery/time.Duration(max(1, len(l.pages))))
-	if b.room <= 0 || now.Sub(l.lastWrite) < every {
+	if b.remaining <= 0 || now.Sub(l.lastWrite) < every {
 		return
 	}
 	l.expireInherited(now)
--- a/internal/core/job_writes.go
+++ b/internal/core/job_writes.go
@@ -57,7 +57,7 @@
 // addCleanup adds drops of keys of jobs that are over.
 func (w *jobWrites) addCleanup(b *batch) {
 	for _, k := range w.cleanup {
-		if b.room > 0 {
+		if b.remaining > 0 {
 			b.add(Write{Kind: k.drop, Name: k.ref, Sum: k.sum, Chunk: k.chunk})
 		}
 	}
@@ -157,7 +157,7 @@
 			f.EndMS = now.UnixMilli()
 		}
 		w := Write{Kind: WriteFinal, Name: j.Ref, Version: j.Version, Final: f}
-		if w.changes() > b.room {
+		if w.changes() > b.remaining {
 			return
 		}
 		b.add(w)
@@ -168,14 +168,14 @@
 func (e *Engine) addProgress(b *batch, progress []*pipeline.Job) {
 	limit := e.cfg.MaxPerValue
 	for _, j := range progress {
-		if b.room <= 0 {
+		if b.remaining <= 0 {
 			return
 		}
 		b.add(Write{Kind: WriteJob, Name: j.Ref, Version: j.Version, Job: j.Record(limit)})
 		chunks := j.DirtyChunks()
 		sort.Ints(chunks)
 		for _, c := range chunks {
-			if c > 0 && b.room > 0 {
+			if c > 0 && b.remaining > 0 {
 				b.add(Write{Kind: WriteChunk, Name: j.Ref, Chunk: c, Runs: pipeline.FitRuns(j.Chunk(c), limit)})
 			}
 		}
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -236,7 +236,7 @@
 // firstHeartbeatTimeout is how long after its claim a new leader waits for a machine that no
 // record names. One that was up and idle under the last leader looks just like one that
 // is still booting: it may take a lease's time to find the new leader. If the cloud lists
-// it as running, it may be in a zone that is cut off, and is kept like a unresponsive one.
+// it as running, it may be in a zone that is cut off, and is kept like an unresponsive one.
 func (e *Engine) firstHeartbeatTimeout(m *fleet.Machine) time.Duration {
 	if m.ListedRunning {
 		return e.unresponsiveLimit(m)
--- a/internal/core/placement/array.go
+++ b/internal/core/placement/array.go
@@ -30,7 +30,7 @@
 		if entry.ImageCachedOnly && s.Machine.FetchLeft(b.Now, j.Image, j.ImageGB, s.Type.FetchGBPerS) > cachedWithin {
 			continue
 		}
-		for task >= 0 && placed < want && s.Free(&j.Spec) > 0 && ZoneRoom(j, s.Zone, b.InZones(j.Ref)) > 0 &&
+		for task >= 0 && placed < want && s.Free(&j.Spec) > 0 && ZoneCapacity(j, s.Zone, b.InZones(j.Ref)) > 0 &&
 			s.Machine.Tasks[fleet.Key{Ref: j.Ref, Task: task}] == nil {
 			s.Take(&j.Spec)
 			b.Commit(Decision{Job: j, Task: task, Slot: s.Slot})
@@ -40,6 +40,6 @@
 	}
 	if unmet := want - placed; unmet > 0 && task >= 0 && !entry.ImageCachedOnly {
 		b.wait(j, 1, b.InZones(j.Ref))
-		b.NoRoom(j, unmet)
+		b.Unplaced(j, unmet)
 	}
 }
--- a/internal/core/placement/free_capacity.go
+++ b/internal/core/placement/free_capacity.go
@@ -204,7 +204,7 @@
 
 // reserve keeps what a slot has free, and will have, for a job; a round's
 // reservations end with it.
-func (f *FreeCapacity) reserve(s *Slot, left spare) {
+func (f *FreeCapacity) reserve(s *Slot, left reservation) {
 	s.reserved = &left
 	f.marked = append(f.marked, s)
 }
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -28,8 +28,8 @@
 	return false
 }
 
-// ZoneRoom is how many more tasks of the job a zone may take, given where others are.
-func ZoneRoom(j *pipeline.Job, zone string, zones map[string]int) int {
+// ZoneCapacity is how many more tasks of the job a zone may take, given where others are.
+func ZoneCapacity(j *pipeline.Job, zone string, zones map[string]int) int {
 	n := len(j.Tasks)
 	if j.OneZone {
 		for z, k := range zones {
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -57,7 +57,7 @@
 			b.placed = append(b.placed, d)
 			d.Job.Assign(d.Task, d.Slot.Machine.Name, 1)
 		},
-		NoRoom:   func(_ *pipeline.Job, n int) { b.unmet += n },
+		Unplaced: func(_ *pipeline.Job, n int) { b.unmet += n },
 		EndOf:    func(*fleet.Attempt) time.Time { return now.Add(time.Minute) },
 		Due:      func(*pipeline.Job) time.Time { return now.Add(time.Second) },
 		StartBy:  func(*pipeline.Job) time.Time { return time.Time{} },
--- a/internal/core/placement/preempt.go
+++ b/internal/core/placement/preempt.go
@@ -12,22 +12,22 @@
 // ones that come later would go on filling the room that it waits for.
 const largeShare = 0.3
 
-// spare is what a reserved slot may still give to jobs other than the one it is
+// reservation is what a reserved slot may still give to jobs other than the one it is
 // kept for.
-type spare struct {
+type reservation struct {
 	ref             string
 	cpus, gpus, mem float64
 }
 
-func (f spare) plus(a *fleet.Attempt) spare {
-	return spare{f.ref, f.cpus + a.CPUs, f.gpus + a.GPUs, f.mem + a.MemGB}
+func (f reservation) plus(a *fleet.Attempt) reservation {
+	return reservation{f.ref, f.cpus + a.CPUs, f.gpus + a.GPUs, f.mem + a.MemGB}
 }
 
-func (f spare) less(sp *pipeline.Spec) spare {
-	return spare{sp.Ref, f.cpus - sp.CPUs, f.gpus - sp.GPUs, f.mem - sp.MemGB}
+func (f reservation) less(sp *pipeline.Spec) reservation {
+	return reservation{sp.Ref, f.cpus - sp.CPUs, f.gpus - sp.GPUs, f.mem - sp.MemGB}
 }
 
-func (f spare) fits(sp *pipeline.Spec) bool { return HowMany(f.cpus, f.gpus, f.mem, sp) > 0 }
+func (f reservation) fits(sp *pipeline.Spec) bool { return HowMany(f.cpus, f.gpus, f.mem, sp) > 0 }
 
 // endsLate is how much later than expected the last of what occupies a place may
 // end: room is made in time rather than hoped for until it is too late.
@@ -44,7 +44,7 @@
 	b.MaxReservations--
 	places, at := b.soonest(j, n, zones)
 	if len(places) < n || at.After(b.Due(j).Add(-endsLate)) {
-		if preempts && b.makeRoom(j, n, zones) {
+		if preempts && b.makeCapacity(j, n, zones) {
 			return
 		}
 	}
@@ -66,14 +66,14 @@
 }
 
 func (b *Board) usable(s *Slot, j *pipeline.Job, zones map[string]int) bool {
-	return s.reserved == nil && ZoneRoom(j, s.Zone, zones) > 0 && !j.Avoids(b.Now, s.Machine.Name)
+	return s.reserved == nil && ZoneCapacity(j, s.Zone, zones) > 0 && !j.Avoids(b.Now, s.Machine.Name)
 }
 
 // place is a slot that takes, or will take, a task of a waiting job.
 type place struct {
 	slot    *Slot
 	at      time.Time
-	left    spare
+	left    reservation
 	cost    float64
 	victims []*fleet.Attempt
 }
@@ -85,7 +85,7 @@
 		var all []place
 		b.FreeCapacity.EachAllowed(&j.Spec, z, func(s *Slot) {
 			if b.usable(s, j, zones) {
-				t, rest := b.roomAt(s, &j.Spec)
+				t, rest := b.capacityAt(s, &j.Spec)
 				all = append(all, place{slot: s, at: t, left: rest})
 			}
 		})
@@ -116,9 +116,9 @@
 	return out
 }
 
-// roomAt is when a slot will have room for a task, and what will then be left.
-func (b *Board) roomAt(s *Slot, sp *pipeline.Spec) (time.Time, spare) {
-	at, free := b.Now, spare{sp.Ref, s.CPUs, s.GPUs, s.MemGB}
+// capacityAt is when a slot will have room for a task, and what will then be left.
+func (b *Board) capacityAt(s *Slot, sp *pipeline.Spec) (time.Time, reservation) {
+	at, free := b.Now, reservation{sp.Ref, s.CPUs, s.GPUs, s.MemGB}
 	if free.fits(sp) {
 		return at, free.less(sp)
 	}
@@ -140,9 +140,9 @@
 	return at, free.less(sp)
 }
 
-// makeRoom stops what must make way for n tasks of the job, on the machines
+// makeCapacity stops what must make way for n tasks of the job, on the machines
 // where that loses the least, and keeps the room for it. It is all or nothing.
-func (b *Board) makeRoom(j *pipeline.Job, n int, zones map[string]int) bool {
+func (b *Board) makeCapacity(j *pipeline.Job, n int, zones map[string]int) bool {
 	var best []place
 	low := 0.0
 	for _, z := range b.gangZones(j) {
@@ -191,7 +191,7 @@
 // victims are the attempts on a slot to stop for a task of the job, what that
 // costs in seconds of delay and lost work, and what room it leaves.
 func (b *Board) victims(s *Slot, j *pipeline.Job) (place, bool) {
-	free := spare{j.Ref, s.CPUs, s.GPUs, s.MemGB}
+	free := reservation{j.Ref, s.CPUs, s.GPUs, s.MemGB}
 	type candidate struct {
 		attempt *fleet.Attempt
 		cost    float64
--- a/internal/core/placement/replicas.go
+++ b/internal/core/placement/replicas.go
@@ -30,8 +30,8 @@
 		task = j.NextWaiting(b.Now, task+1)
 	}
 	if task >= 0 && want > 0 {
-		b.makeRoomForReplicas(j, want, b.InZones(j.Ref))
-		b.NoRoom(j, want)
+		b.makeCapacityForReplicas(j, want, b.InZones(j.Ref))
+		b.Unplaced(j, want)
 	}
 }
 
@@ -63,7 +63,7 @@
 	best, low := "", 0.0
 	for _, zone := range c.zones {
 		c.skipFull(j, zone, task)
-		if len(c.byZone[zone]) == 0 || ZoneRoom(j, zone, inZones) < 1 {
+		if len(c.byZone[zone]) == 0 || ZoneCapacity(j, zone, inZones) < 1 {
 			continue
 		}
 		score := c.byZone[zone][0].score + zoneSeconds*float64(inZones[zone])
@@ -92,10 +92,10 @@
 // services are missing at once when a zone is lost, and room has to be made within seconds.
 const placesPerReplica = 3
 
-// makeRoomForReplicas makes room for as many of n missing replicas of a service as it can,
+// makeCapacityForReplicas makes room for as many of n missing replicas of a service as it can,
 // one on each machine and no more in a zone than may be there, on the cheapest machines:
 // unlike a gang's tasks, each is of use without the others.
-func (b *Board) makeRoomForReplicas(j *pipeline.Job, n int, zones map[string]int) {
+func (b *Board) makeCapacityForReplicas(j *pipeline.Job, n int, zones map[string]int) {
 	if b.MaxReservations == 0 || !b.Preempts(j) {
 		return
 	}
@@ -108,7 +108,7 @@
 			if n == 0 {
 				return
 			}
-			if ZoneRoom(j, p.slot.Zone, inZones) < 1 {
+			if ZoneCapacity(j, p.slot.Zone, inZones) < 1 {
 				break
 			}
 			b.clear(p)
--- a/internal/core/placement/rounds.go
+++ b/internal/core/placement/rounds.go
@@ -33,7 +33,7 @@
 	InZones      func(ref string) map[string]int // what of a job may be on machines
 	Busy         func(ref string) int
 	Commit       func(Decision)
-	NoRoom       func(j *pipeline.Job, tasks int)
+	Unplaced     func(j *pipeline.Job, tasks int)
 	EndOf        func(a *fleet.Attempt) time.Time // when an attempt is expected to leave
 	Due          func(j *pipeline.Job) time.Time  // when a job must start to keep its next aim
 	StartBy      func(j *pipeline.Job) time.Time  // when its tasks must have started for its next aim on starting
--- a/internal/core/placement/slot.go
+++ b/internal/core/placement/slot.go
@@ -16,7 +16,7 @@
 	CPUs, GPUs, MemGB float64
 	Future            bool         // is booting: counts as coming, takes no tasks yet
 	lasting           fleet.Amount // what replicas of services take of it
-	reserved          *spare
+	reserved          *reservation
 	pool              *Pool
 }
 
--- a/internal/core/priority_order.go
+++ b/internal/core/priority_order.go
@@ -108,10 +108,10 @@
 // starvingSince is what jobs past the starvation bound are ordered by among themselves.
 func (e *Engine) starvingSince(j *pipeline.Job) time.Time { return j.Since.Add(-e.gatherTime(j)) }
 
-// needsRoomBy is when a job must have room if it isn't to be late; one that has
+// needsCapacityBy is when a job must have room if it isn't to be late; one that has
 // waited for long is late already, whatever aim it can still keep.
 // A service is late with each replica that isn't running, since every second of it counts.
-func (e *Engine) needsRoomBy(now time.Time, j *pipeline.Job) time.Time {
+func (e *Engine) needsCapacityBy(now time.Time, j *pipeline.Job) time.Time {
 	if e.pastStarvationBound(now, j) || j.Shape == pipeline.Service {
 		return now
 	}
--- a/internal/core/start_log.go
+++ b/internal/core/start_log.go
@@ -62,9 +62,9 @@
 
 // addWrites puts new attempts on pages, and adds the pages that are to be written.
 func (l *startLog) addWrites(b *batch) {
-	l.assignPages(b.room)
+	l.assignPages(b.remaining)
 	for _, p := range sortedPages(l.dirty) {
-		if b.room > 0 && !p.Sending {
+		if b.remaining > 0 && !p.Sending {
 			b.add(pageWrite(p))
 		}
 	}
@@ -117,7 +117,7 @@
 	}
 	l.trimmedAt = now
 	p := l.stalestPage(now)
-	if p == nil || b.room <= 0 {
+	if p == nil || b.remaining <= 0 {
 		return
 	}
 	p.Trimmed = now
