--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -56,13 +56,13 @@
 	u := e.useOf(a.Ref)
 	if j := e.jobs[a.Ref]; j != nil {
 		u.team = j.Team
-		a.Lasting = j.Shape == pipeline.Service
+		a.ServiceReplica = j.Shape == pipeline.Service
 	}
-	m.Add(now, a, st)
+	m.AddAttempt(now, a, st)
 	u.attempts[a] = true
 	u.zones[m.Zone]++
 	e.teamUse[u.team] = e.teamUse[u.team].Plus(a)
-	e.touch(m)
+	e.capacityChanged(m)
 	e.warm.noteAttempt(a)
 	if st == fleet.Running {
 		u.running++
@@ -82,7 +82,7 @@
 	}
 	if to == fleet.Running {
 		u.running++
-		e.debug("running", "job", a.Ref, "task", a.Task, "machine", m.Name, "after", now.Sub(a.SentAt), "fetch_expected", a.FetchGuess)
+		e.debug("running", "job", a.Ref, "task", a.Task, "machine", m.Name, "after", now.Sub(a.SentAt), "fetch_expected", a.FetchEstimate)
 	}
 	if to == fleet.Exited {
 		e.settleExit(now, m, a, was)
@@ -103,7 +103,7 @@
 	e.teamUse[u.team] = e.teamUse[u.team].Minus(a)
 	e.startLog.removeAttempt(a)
 	e.endCharge(now, a)
-	e.touch(m)
+	e.capacityChanged(m)
 	e.forgetUse(a.Ref)
 }
 
@@ -117,12 +117,12 @@
 // detach notes that an attempt is proven gone.
 func (e *Engine) detach(now time.Time, m *fleet.Machine, a *fleet.Attempt) {
 	e.moveAttempt(now, m, a, fleet.Exited)
-	e.drop(now, m, a)
+	e.removeAttempt(now, m, a)
 }
 
-// drop forgets an attempt that has exited.
-func (e *Engine) drop(now time.Time, m *fleet.Machine, a *fleet.Attempt) {
-	m.Drop(now, a.Key)
+// removeAttempt forgets an attempt that has exited.
+func (e *Engine) removeAttempt(now time.Time, m *fleet.Machine, a *fleet.Attempt) {
+	m.RemoveAttempt(now, a.TaskID)
 	if u := e.use[a.Ref]; u != nil {
 		delete(u.results, a)
 		e.forgetUse(a.Ref)
@@ -140,8 +140,8 @@
 		out = append(out, a)
 	}
 	sort.Slice(out, func(i, k int) bool {
-		if out[i].On.Name != out[k].On.Name {
-			return out[i].On.Name < out[k].On.Name
+		if out[i].Machine.Name != out[k].Machine.Name {
+			return out[i].Machine.Name < out[k].Machine.Name
 		}
 		return out[i].Task < out[k].Task
 	})
@@ -151,7 +151,7 @@
 // stopJob ends all attempts of a job at once: nothing they could save counts.
 func (e *Engine) stopJob(now time.Time, j *pipeline.Job, why string) {
 	for _, a := range e.attemptsOf(j.Ref) {
-		e.stop(now, a.On, a, 0)
+		e.stop(now, a.Machine, a, 0)
 	}
 	e.debug("job stopped", "job", j.Ref, "why", why)
 }
@@ -173,14 +173,14 @@
 		return
 	}
 	a.Stopping, a.StopAt, a.Grace, a.Eviction = true, now, grace, fleet.NotEvicted
-	e.touch(m)
+	e.capacityChanged(m)
 	if a.State() != fleet.Sent {
 		a.CommandSequence = 0
 	}
 	if a.State() == fleet.Sent || m.Incarnation == 0 {
 		return // goes with the next heartbeat's response, once it is there
 	}
-	e.direct(m, fleet.Command{Op: fleet.Stop, Ref: a.Ref, Task: a.Task, Attempt: a.Number, Grace: grace})
+	e.direct(m, fleet.Command{Kind: fleet.Stop, Ref: a.Ref, Task: a.Task, Attempt: a.Number, Grace: grace})
 }
 
 // direct sends a command to a worker at once, outside the answers to its heartbeats. Only
@@ -224,7 +224,7 @@
 	for _, b := range e.attemptsOf(a.Ref) {
 		if b.Number == a.Number && !b.Stopping {
 			e.chargeInvoluntary(now, b)
-			e.stop(now, b.On, b, 0)
+			e.stop(now, b.Machine, b, 0)
 		}
 	}
 }
@@ -245,7 +245,7 @@
 		e.taskDone(now, m, a)
 		return
 	}
-	a.Handled = true
+	a.ExitHandled = true
 	e.debug("attempt exited", "job", a.Ref, "task", a.Task, "machine", m.Name, "cause", t.Cause, "saved", t.Checkpointed)
 	if !current {
 		return
@@ -254,8 +254,8 @@
 	case fleet.CauseError:
 		e.taskFailed(now, m, j, a.Task)
 	case fleet.CauseInsufficientResources, fleet.CauseAlreadyPresent:
-		m.HoldUntil = now.Add(min(e.cfg.HeartbeatInterval, maxNoCapacityPause))
-		m.DropImage(a.Image)
+		m.StartsPausedUntil = now.Add(min(e.cfg.HeartbeatInterval, maxNoCapacityPause))
+		m.RemoveImage(a.Image)
 	case fleet.CauseUnknownTask:
 		j.Tasks[a.Task].NotUntil = now.Add(unknownExitPause)
 	}
@@ -278,7 +278,7 @@
 	m.ClearFailures()
 	j := e.jobs[a.Ref]
 	if j == nil || j.Over() || a.Task >= len(j.Tasks) {
-		a.Handled = true
+		a.ExitHandled = true
 		return
 	}
 	if !a.RunStart.IsZero() && j.Estimate > 0 {
@@ -305,7 +305,7 @@
 	e.warm.noteJob(j.Ref)
 	j.TaskFailed(now, task, e.cfg.RestartLimit)
 	e.jobWrites.jobChanged(j)
-	e.touch(m)
+	e.capacityChanged(m)
 	if !m.Quarantined && (len(m.FailedJobs) >= quarantineAfterJobs || m.Failures >= quarantineAfterFailures && len(j.AvoidUntil) == 0) {
 		m.Quarantined = true
 		e.timers.schedule(m, now)
--- a/internal/core/batch.go
+++ b/internal/core/batch.go
@@ -36,7 +36,7 @@
 	Chunk   int
 	Sum     string // which list a page of dependencies belongs to
 	Version uint64
-	Page    fleet.Record
+	Page    fleet.StartLogRecord
 	Job     pipeline.Record
 	Final   pipeline.Final
 	Runs    []int
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -19,7 +19,7 @@
 func busyFleetWith(cfg Config, machines int) (*Engine, time.Time, []fleet.Heartbeat) {
 	now := time.Unix(5000, 0)
 	e := New(now, cfg, 2, Snapshot{}, rand.New(rand.NewPCG(1, 1)))
-	e.Step(now, Catalog{placement.Catalog{"big": {Name: "big", CPUs: 8, MemGB: 32, CacheGB: 10, FetchGBPerS: 1, Hourly: 1, Boot: 20 * time.Second, Zones: []string{"a"}}}})
+	e.Step(now, CatalogUpdated{placement.Catalog{"big": {Name: "big", CPUs: 8, MemGB: 32, CacheGB: 10, FetchGBPerS: 1, Hourly: 1, Boot: 20 * time.Second, Zones: []string{"a"}}}})
 	reports := make([]fleet.Heartbeat, machines)
 	for i := range reports {
 		name := fmt.Sprintf("m-%06d", i)
@@ -47,12 +47,12 @@
 		now = now.Add(time.Second)
 		e.Step(now, Tick{})
 		for batch := e.Batch(now, 30); len(batch) > 0; batch = e.Batch(now, 30) {
-			e.Step(now, Sending{batch})
-			e.Step(now, Written{Batch: batch, OK: true, Version: 100})
+			e.Step(now, WritesStarted{batch})
+			e.Step(now, WritesFinished{Batch: batch, OK: true, Version: 100})
 		}
 		for i := range reports {
 			for _, c := range hear(i).Commands {
-				if c.Op == fleet.Start {
+				if c.Kind == fleet.Start {
 					reports[i].Tasks = append(reports[i].Tasks, running(c))
 				}
 			}
--- a/internal/core/cancel.go
+++ b/internal/core/cancel.go
@@ -9,7 +9,7 @@
 
 // The bound of a cancellation (docs/design.md, "The bound of a cancellation"). From
 // before its transaction is sent, whatever this node answers a worker with tells it to
-// stop the job's tasks (CancelAsked; TestCancelAskedStopsFirst), or, if an earlier
+// stop the job's tasks (CancelRequested; TestCancelAskedStopsFirst), or, if an earlier
 // leader's was confirmed, from this leader's first answer on (New;
 // TestFirstAnswerStopsCancelled). So a 200 that doesn't say so answers a heartbeat that was
 // sent before the confirmation, and the worker's lease, which counts from there, ends
@@ -102,32 +102,32 @@
 	return false
 }
 
-// CancelAsked says that a transaction is about to be sent that cancels a job.
-type CancelAsked struct{ Ref string }
+// CancelRequested says that a transaction is about to be sent that cancels a job.
+type CancelRequested struct{ Ref string }
 
-func (c CancelAsked) apply(e *Engine, now time.Time) {
+func (c CancelRequested) apply(e *Engine, now time.Time) {
 	e.cancellations.begin(c.Ref)
 	if j := e.jobs[c.Ref]; j != nil {
 		e.stopJob(now, j, "its user cancels it")
 	}
 }
 
-// CancelOutcome says how a transaction ended that didn't certainly cancel the job; one
-// that did brings JobStored or JobFinal.
-type CancelOutcome struct {
-	Ref     string
-	Unknown bool   // it may have been carried out, or may yet be
-	Version uint64 // of the record that it changes, if so
-	PutOff  bool   // it wasn't sent, and is expected again
+// CancelUndecided says how a transaction ended that didn't certainly cancel the job; one
+// that did brings JobStored or JobFinished.
+type CancelUndecided struct {
+	Ref      string
+	Unknown  bool   // it may have been carried out, or may yet be
+	Version  uint64 // of the record that it changes, if so
+	Deferred bool   // it wasn't sent, and is expected again
 }
 
-func (c CancelOutcome) apply(e *Engine, now time.Time) {
+func (c CancelUndecided) apply(e *Engine, now time.Time) {
 	p := e.cancellations.pending[c.Ref]
 	if p == nil {
 		return // resolved meanwhile
 	}
 	p.transactions = max(0, p.transactions-1)
-	if c.PutOff {
+	if c.Deferred {
 		p.deferredUntil = now.Add(e.cfg.CancelWithin)
 	}
 	j := e.jobs[c.Ref]
@@ -182,9 +182,9 @@
 		}
 		late := now.Sub(j.CancelAt) > e.cfg.CancelWithin*6/10
 		for _, a := range left {
-			e.stop(now, a.On, a, 0)
+			e.stop(now, a.Machine, a, 0)
 			if late {
-				e.scaleIn(now, a.On, "holds a cancelled task")
+				e.scaleIn(now, a.Machine, "holds a cancelled task")
 			}
 		}
 	}
--- a/internal/core/cancel_test.go
+++ b/internal/core/cancel_test.go
@@ -10,7 +10,7 @@
 
 func stops(r HeartbeatResponse) (n int) {
 	for _, c := range r.Commands {
-		if c.Op == fleet.Stop && c.Grace == 0 {
+		if c.Kind == fleet.Stop && c.Grace == 0 {
 			n++
 		}
 	}
@@ -23,8 +23,8 @@
 func TestCancelAskedStopsFirst(t *testing.T) {
 	b, c := started(t)
 	b.report("m-1", 2, running(c))
-	eff := b.e.Step(b.now, CancelAsked{"j-1"})
-	if len(eff.Direct) != 1 || eff.Direct[0].Commands[0].Op != fleet.Stop {
+	eff := b.e.Step(b.now, CancelRequested{"j-1"})
+	if len(eff.Direct) != 1 || eff.Direct[0].Commands[0].Kind != fleet.Stop {
 		t.Fatalf("effects before the transaction: %+v", eff)
 	}
 	if r := b.report("m-1", 2, running(c)); stops(r) != 1 {
@@ -36,7 +36,7 @@
 	if r := b.report("m-1", 2); len(starts(r)) != 0 {
 		t.Fatalf("started while the cancellation is under way: %+v", r)
 	}
-	b.e.Step(b.now, CancelOutcome{Ref: "j-1"})
+	b.e.Step(b.now, CancelUndecided{Ref: "j-1"})
 	b.pass(3*time.Second, true)
 	if r := b.report("m-1", 2); len(starts(r)) != 1 {
 		t.Fatalf("a job that wasn't cancelled doesn't go on: %+v", r)
@@ -49,8 +49,8 @@
 func TestCancelWithoutAnswer(t *testing.T) {
 	b := newBench(t, 2, Snapshot{})
 	b.up("m-1")
-	b.e.Step(b.now, CancelAsked{"j-1"})
-	b.e.Step(b.now, CancelOutcome{Ref: "j-1", Unknown: true, Version: 7})
+	b.e.Step(b.now, CancelRequested{"j-1"})
+	b.e.Step(b.now, CancelUndecided{Ref: "j-1", Unknown: true, Version: 7})
 	b.e.Step(b.now, JobStored{job("j-1", 1)}) // version 5, heard of late
 	if _, ok := b.e.Lookup("j-1"); ok {
 		t.Fatal("told from memory")
@@ -101,11 +101,11 @@
 func TestCancelPutOff(t *testing.T) {
 	b, c := started(t)
 	b.report("m-1", 2, running(c))
-	b.e.Step(b.now, CancelAsked{"j-1"})
+	b.e.Step(b.now, CancelRequested{"j-1"})
 	if !b.e.MayBeOnMachines("j-1") {
 		t.Fatal("a running task counts as gone")
 	}
-	b.e.Step(b.now, CancelOutcome{Ref: "j-1", PutOff: true})
+	b.e.Step(b.now, CancelUndecided{Ref: "j-1", Deferred: true})
 	b.report("m-1", 2, fleet.TaskStatus{Ref: c.Ref, Task: c.Task, Attempt: c.Attempt, State: fleet.Exited, Cause: fleet.CauseStopped})
 	b.pass(10*time.Second, true)
 	if r := b.report("m-1", 2); len(starts(r)) != 0 || b.e.MayBeOnMachines("j-1") {
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -11,7 +11,7 @@
 // what it may forget, then stops, then starts.
 func (e *Engine) commands(now time.Time, m *fleet.Machine) []fleet.Command {
 	m.OneWayLoss.Expecting = m.FencingToken != e.term
-	if len(m.Tasks) == 0 {
+	if len(m.Attempts) == 0 {
 		return nil
 	}
 	var forgets, stops, starts []fleet.Command
@@ -19,14 +19,14 @@
 		c := fleet.Command{Ref: a.Ref, Task: a.Task, Attempt: a.Number}
 		switch state := a.State(); {
 		case state == fleet.Exited:
-			if a.Handled {
-				c.Op = fleet.Forget
+			if a.ExitHandled {
+				c.Kind = fleet.Forget
 				a.CommandSequence = m.Sequence
 				forgets = append(forgets, c)
 			}
 		case a.Eviction == fleet.EvictionApproved:
 			if e.sendEviction(now, m, a) {
-				c.Op, c.Grace = fleet.Stop, a.Grace
+				c.Kind, c.Grace = fleet.Stop, a.Grace
 				stops = append(stops, c)
 			}
 		case a.Eviction == fleet.EvictionSent && e.evictionLost(m, a):
@@ -34,11 +34,11 @@
 			if state == fleet.Checkpointing && a.Grace > 0 {
 				continue // it saves; a second stop could end that
 			}
-			c.Op, c.Grace = fleet.Stop, a.Grace
+			c.Kind, c.Grace = fleet.Stop, a.Grace
 			a.CommandSequence = m.Sequence
 			stops = append(stops, c)
 		case state == fleet.Recorded && !a.Inherited && e.mayStart(m) && !now.Before(a.NotBefore) && e.recovery.Pacer().Take(e.urgent(a)):
-			c.Op = fleet.Start
+			c.Kind = fleet.Start
 			e.startSent(now, m, a)
 			starts = append(starts, c)
 		}
@@ -62,7 +62,7 @@
 	e.moveAttempt(now, m, a, fleet.Sent)
 	imageGB := e.imageGB(a.Ref)
 	cache, rate := e.catalog.Images(m.Type)
-	a.SentAt, a.FetchGuess = now, m.FetchLeft(now, a.Image, imageGB, rate)
+	a.SentAt, a.FetchEstimate = now, m.FetchLeft(now, a.Image, imageGB, rate)
 	m.UseImage(now, a.Image, imageGB, cache, rate)
 	e.imagesChanged(m)
 	e.debug("start", "job", a.Ref, "task", a.Task, "machine", m.Name, "attempt", a.Number)
@@ -71,7 +71,7 @@
 // mayStart tells whether a machine may be given starts (docs/design.md, safety arguments 5
 // and 6; TestCopyRevivesNothing).
 func (e *Engine) mayStart(m *fleet.Machine) bool {
-	return m.Confirmed && !m.Draining && !m.Cordoned && !m.Quarantined && !e.unreachable[m] && m.State() == fleet.Live
+	return m.TermConfirmed && !m.Draining && !m.Cordoned && !m.Quarantined && !e.unreachable[m] && m.State() == fleet.Live
 }
 
 // imageGB is the size of a job's image, 0 if the job isn't known.
--- a/internal/core/connectivity.go
+++ b/internal/core/connectivity.go
@@ -17,7 +17,7 @@
 	switch d := e.deliveryShown(now, m, r, leaseEnded); {
 	case d.delivered:
 		if m.OneWayLoss.Undelivered > 1 {
-			e.touch(m)
+			e.capacityChanged(m)
 		}
 		m.OneWayLoss.NoteDelivered()
 		delete(e.unreachable, m)
@@ -26,8 +26,8 @@
 			return
 		}
 		m.OneWayLoss.NoteUndelivered(now)
-		m.HoldUntil = now.Add(undeliveredPause)
-		e.touch(m)
+		m.StartsPausedUntil = now.Add(undeliveredPause)
+		e.capacityChanged(m)
 		if m.OneWayLoss.Undelivered > 1 {
 			e.unreachable[m] = true
 			e.timers.schedule(m, now)
@@ -66,7 +66,7 @@
 	}
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
-		a := m.Tasks[fleet.Key{Ref: t.Ref, Task: t.Task}]
+		a := m.Attempts[fleet.TaskID{Ref: t.Ref, Task: t.Task}]
 		if a == nil || a.Number != t.Attempt || a.CommandSequence == 0 || a.CommandSequence >= r.Sequence {
 			continue
 		}
@@ -77,7 +77,7 @@
 			d.undelivered = true // a forget, or a stop that asks for no saving
 		}
 	}
-	for _, a := range m.Tasks {
+	for _, a := range m.Attempts {
 		if a.State() == fleet.Sent && a.CommandSequence < r.Sequence && !listsAttempt(r, a) {
 			d.undelivered = true
 		}
--- a/internal/core/consolidate.go
+++ b/internal/core/consolidate.go
@@ -50,7 +50,7 @@
 	}
 	e.movedAt = now
 	for m := range e.emptying {
-		if m.State() != fleet.Live || m.Busy() == 0 {
+		if m.State() != fleet.Live || m.ActiveAttempts() == 0 {
 			delete(e.emptying, m)
 		}
 	}
@@ -69,7 +69,7 @@
 		atOnce--
 		m := c.slot.Machine
 		e.emptying[m] = true
-		e.note("machine emptied", "machine", m.Name, "type", m.Type, "tasks", m.Busy(), "saves", math.Round(c.gain*100)/100)
+		e.note("machine emptied", "machine", m.Name, "type", m.Type, "tasks", m.ActiveAttempts(), "saves", math.Round(c.gain*100)/100)
 		e.moveByChoice(now, m)
 		e.startDraining(now, m)
 	}
@@ -78,7 +78,7 @@
 // hasAllReplicas tells whether a machine has all the running replicas of a service of
 // several: moving them together would stop the service.
 func (e *Engine) hasAllReplicas(m *fleet.Machine) bool {
-	for _, a := range m.Tasks {
+	for _, a := range m.Attempts {
 		j := e.jobs[a.Ref]
 		several := j != nil && j.Shape == pipeline.Service && len(j.Tasks) > 1
 		if several && a.State() != fleet.Exited && !e.runsElsewhere(a.Ref, m) {
@@ -91,7 +91,7 @@
 // runsElsewhere tells whether a task of a job runs on another machine and isn't to stop.
 func (e *Engine) runsElsewhere(ref string, m *fleet.Machine) bool {
 	for _, a := range e.attemptsOf(ref) {
-		if a.On != m && a.State() == fleet.Running && !a.Stopping {
+		if a.Machine != m && a.State() == fleet.Running && !a.Stopping {
 			return true
 		}
 	}
@@ -121,7 +121,7 @@
 	var out []candidate
 	for _, p := range v.engine.freeCapacity.Pools {
 		for _, s := range p.Slots {
-			if s.Future || s.Machine.Busy() == 0 {
+			if s.Future || s.Machine.ActiveAttempts() == 0 {
 				continue
 			}
 			if c := v.gain(s); c.gain > 0 {
@@ -140,7 +140,7 @@
 	var longest time.Duration
 	var moved []*pipeline.Job
 	cost := 0.0
-	for _, a := range s.Machine.Tasks {
+	for _, a := range s.Machine.Attempts {
 		if a.State() == fleet.Exited {
 			continue
 		}
@@ -211,7 +211,7 @@
 	zones[from.Zone]--
 	v.engine.freeCapacity.EachOpen(&j.Spec, "", func(o *placement.Slot) {
 		if o == from || v.emptied[o] || placement.ZoneCapacity(j, o.Zone, zones) < 1 || j.Avoids(v.now, o.Machine.Name) ||
-			(o.Machine.Busy() == 0 && o.Type.Price(o.Spot) > from.Type.Price(from.Spot)/2) ||
+			(o.Machine.ActiveAttempts() == 0 && o.Type.Price(o.Spot) > from.Type.Price(from.Spot)/2) ||
 			o.Machine.FetchLeft(v.now, j.Image, j.ImageGB, o.Type.FetchGBPerS) > moveOverhead {
 			return
 		}
--- a/internal/core/decide.go
+++ b/internal/core/decide.go
@@ -131,9 +131,9 @@
 		switch {
 		case t == nil || m.Draining || m.Cordoned || m.Quarantined || e.unreachable[m]:
 			e.freeCapacity.Remove(m)
-		case m.State() == fleet.Booting && m.Known && now.Sub(m.FirstSeen) <= e.slowBoot(t):
+		case m.State() == fleet.Booting && m.ExistenceVerified && now.Sub(m.FirstSeen) <= e.slowBoot(t):
 			e.freeCapacity.Set(m, t, true)
-		case m.State() == fleet.Live && m.Confirmed && m.Known && !hasForeign(m), m.Expected:
+		case m.State() == fleet.Live && m.TermConfirmed && m.ExistenceVerified && !hasUnrecorded(m), m.HeartbeatExpected:
 			e.freeCapacity.Set(m, t, false)
 		default:
 			e.freeCapacity.Remove(m)
@@ -144,9 +144,9 @@
 // slowBoot is after how long a machine that boots no longer counts as coming.
 func (e *Engine) slowBoot(t *placement.Type) time.Duration { return 2*t.Boot + e.cfg.HeartbeatInterval }
 
-func hasForeign(m *fleet.Machine) bool {
-	for _, a := range m.Tasks {
-		if a.Foreign && a.State() != fleet.Exited {
+func hasUnrecorded(m *fleet.Machine) bool {
+	for _, a := range m.Attempts {
+		if a.Unrecorded && a.State() != fleet.Exited {
 			return true
 		}
 	}
@@ -161,7 +161,7 @@
 	if j.Shape == pipeline.Gang && d.Task > 0 {
 		n = j.Tasks[0].Attempt // the tasks of a gang find each other by it
 	}
-	a := &fleet.Attempt{Key: fleet.Key{Ref: j.Ref, Task: d.Task}, Number: n, CPUs: j.CPUs, GPUs: j.GPUs, MemGB: j.MemGB, Image: j.Image,
+	a := &fleet.Attempt{TaskID: fleet.TaskID{Ref: j.Ref, Task: d.Task}, Number: n, CPUs: j.CPUs, GPUs: j.GPUs, MemGB: j.MemGB, Image: j.Image,
 		NotBefore: now.Add(d.Delay)}
 	e.attach(now, d.Slot.Machine, a, fleet.Intended)
 	e.startLog.addAttempt(a)
--- a/internal/core/dependents.go
+++ b/internal/core/dependents.go
@@ -60,14 +60,14 @@
 }
 
 // DependenciesToLookUp names dependencies of which nothing is known here, at most as many
-// as the limit. What the store holds of each comes as JobFinal or JobStored, or, if that
-// can't be found out now, as DependencyUnknown.
+// as the limit. What the store holds of each comes as JobFinished or JobStored, or, if that
+// can't be found out now, as DependencyLookupFailed.
 func (e *Engine) DependenciesToLookUp(limit int) []string { return e.graph.ToLookUp(limit) }
 
-// DependencyUnknown says that a dependency could not be looked up now.
-type DependencyUnknown struct{ Ref string }
+// DependencyLookupFailed says that a dependency could not be looked up now.
+type DependencyLookupFailed struct{ Ref string }
 
-func (d DependencyUnknown) apply(e *Engine, _ time.Time) { e.graph.LookUpAgain(d.Ref) }
+func (d DependencyLookupFailed) apply(e *Engine, _ time.Time) { e.graph.LookUpAgain(d.Ref) }
 
 // stageOverhead is what a job on a path of dependencies takes besides the run of its tasks:
 // until the end of its last dependency is written, and until machines fetch their commands.
--- a/internal/core/dependents_test.go
+++ b/internal/core/dependents_test.go
@@ -106,16 +106,16 @@
 			t.Errorf("%s is called queued before it is known whether a job before it is cancelled", ref)
 		}
 	}
-	b.e.Step(b.now, DependencyUnknown{"j-1"})
+	b.e.Step(b.now, DependencyLookupFailed{"j-1"})
 	if a := b.e.DependenciesToLookUp(9); len(a) != 1 || a[0] != "j-1" {
 		t.Fatalf("asks again for %v", a)
 	}
 	end := b.now.Add(-time.Minute).Truncate(time.Millisecond)
-	b.e.Step(b.now, JobFinal{Ref: "j-1", Final: pipeline.Final{Phase: pipeline.Done, EndMS: end.UnixMilli()}})
+	b.e.Step(b.now, JobFinished{Ref: "j-1", Final: pipeline.Final{Phase: pipeline.Done, EndMS: end.UnixMilli()}})
 	if j := b.e.jobs["j-2"]; j.Phase() != pipeline.Active || !j.Since.Equal(end) {
 		t.Fatalf("phase %d since %v", j.Phase(), j.Since)
 	}
-	b.e.Step(b.now, JobFinal{Ref: "j-4", Final: pipeline.Final{Phase: pipeline.Cancelled}})
+	b.e.Step(b.now, JobFinished{Ref: "j-4", Final: pipeline.Final{Phase: pipeline.Cancelled}})
 	if f, ok := b.ended("j-5"); !ok || f.Phase != pipeline.Cancelled {
 		t.Fatal("j-5 isn't being cancelled")
 	}
@@ -180,7 +180,7 @@
 		b.now = b.now.Add(200 * time.Millisecond)
 		b.e.Step(b.now, Tick{})
 		batch := b.e.Batch(b.now, 10)
-		b.e.Step(b.now, Sending{batch})
+		b.e.Step(b.now, WritesStarted{batch})
 		for _, w := range batch {
 			entries := 0
 			for _, p := range w.Page.Placed {
@@ -188,10 +188,10 @@
 			}
 			if w.Kind == WritePage && entries > 10 {
 				largest = max(largest, entries)
-				b.e.Step(b.now, Refused{w})
+				b.e.Step(b.now, WriteRejected{w})
 				continue
 			}
-			b.e.Step(b.now, Written{Batch: []Write{w}, OK: true, Version: 100})
+			b.e.Step(b.now, WritesFinished{Batch: []Write{w}, OK: true, Version: 100})
 		}
 	}
 	if largest == 0 || len(started) != 60 {
@@ -216,7 +216,7 @@
 		e.addJob(time.Unix(0, 0), job(ref, 1))
 		e.jobs[ref].Finish(0)
 		e.jobs[ref].CompleteIfDone()
-		p := fleet.NewPage(ref, 0)
+		p := fleet.NewStartLogPage(ref, 0)
 		p.Dirty = true
 		e.startLog.addPage(p)
 		e.startLog.pageChanged(p)
@@ -248,7 +248,7 @@
 		j.CompleteIfDone()
 		b.e.jobWrites.jobChanged(j)
 	}
-	b.e.Step(b.now, JobFinal{Ref: "j-8", Final: pipeline.Final{Phase: pipeline.Cancelled}})
+	b.e.Step(b.now, JobFinished{Ref: "j-8", Final: pipeline.Final{Phase: pipeline.Cancelled}})
 	var order []string
 	for _, w := range b.e.Batch(b.now, 20) {
 		order = append(order, w.Name)
@@ -262,7 +262,7 @@
 // written: its progress would be refused, and all other values be made smaller for it.
 func TestLargeDescriptionIsLeftAsItIs(t *testing.T) {
 	cfg := config()
-	cfg.MaxPerValue = 1000
+	cfg.MaxValueBytes = 1000
 	large := job("j-1", 2)
 	for range 40 {
 		large.Record.Spec.Types = append(large.Record.Spec.Types, "a-type-with-a-long-name")
--- a/internal/core/drain_bench_test.go
+++ b/internal/core/drain_bench_test.go
@@ -54,8 +54,8 @@
 			now = now.Add(100 * time.Millisecond)
 			e.Step(now, Tick{})
 			batch := e.Batch(now, 30)
-			e.Step(now, Sending{batch})
-			e.Step(now, Written{Batch: batch, OK: true, Version: 100})
+			e.Step(now, WritesStarted{batch})
+			e.Step(now, WritesFinished{Batch: batch, OK: true, Version: 100})
 		}
 	}
 	return e, now, reports
--- a/internal/core/drain_capacity.go
+++ b/internal/core/drain_capacity.go
@@ -53,8 +53,8 @@
 	undo := map[*placement.Slot]placement.Slot{}
 	zones := b.engine.zonesWithout(g.job, g.attempts)
 	for _, a := range g.attempts {
-		if !a.On.Cordoned && !a.On.Draining {
-			zones[a.On.Zone]++
+		if !a.Machine.Cordoned && !a.Machine.Draining {
+			zones[a.Machine.Zone]++
 			continue // it may go back to where it is
 		}
 		s := b.find(g.job, zones, ahead)
@@ -77,7 +77,7 @@
 func (e *Engine) zonesWithout(j *pipeline.Job, leaving []*fleet.Attempt) map[string]int {
 	zones := maps.Clone(e.useOf(j.Ref).zones)
 	for _, a := range leaving {
-		zones[a.On.Zone]--
+		zones[a.Machine.Zone]--
 	}
 	return zones
 }
@@ -89,7 +89,7 @@
 		return nil
 	}
 	found := b.engine.freeCapacity.FindOpen(&j.Spec, func(s *placement.Slot) bool {
-		usable := !(ahead && s.Machine.Planned) && !j.Avoids(b.now, s.Machine.Name) && placement.ZoneCapacity(j, s.Zone, zones) > 0
+		usable := !(ahead && s.Machine.CordonPlanned) && !j.Avoids(b.now, s.Machine.Name) && placement.ZoneCapacity(j, s.Zone, zones) > 0
 		return usable && b.copyOf(s).Free(&j.Spec) > 0
 	})
 	if found == nil {
@@ -138,7 +138,7 @@
 		return now.Sub(r.asked) > replacementAnswer
 	}
 	m := e.machines[r.machine]
-	return m == nil || m.State() != fleet.Booting && m.Busy() > 0
+	return m == nil || m.State() != fleet.Booting && m.ActiveAttempts() > 0
 }
 
 // replacementAnswer is how long the cloud's answer about a replacement is waited for.
--- a/internal/core/drain_eviction.go
+++ b/internal/core/drain_eviction.go
@@ -42,7 +42,7 @@
 	seen := map[string]bool{}
 	for _, a := range sortedAttempts(m) {
 		j := e.jobs[a.Ref]
-		if a.Leaving() || j == nil || j.Over() || a.Foreign {
+		if a.Leaving() || j == nil || j.Over() || a.Unrecorded {
 			continue
 		}
 		if isGang(j) && seen[a.Ref] {
@@ -143,7 +143,7 @@
 	if m == nil {
 		return false
 	}
-	a := m.Tasks[fleet.Key{Ref: j.Ref, Task: task}]
+	a := m.Attempts[fleet.TaskID{Ref: j.Ref, Task: task}]
 	return a != nil && (e.isUp(a) || slices.Contains(except, a))
 }
 
@@ -197,11 +197,11 @@
 		return false
 	}
 	for _, a := range g.attempts {
-		e.drains.moving[a.Key] = &movingTask{job: g.job, task: a.Task, attempt: a.Number}
+		e.drains.moving[a.TaskID] = &movingTask{job: g.job, task: a.Task, attempt: a.Number}
 	}
 	if isGang(g.job) {
 		a := g.attempts[0]
-		e.stopWithCheckpoint(now, a.On, a, g.job)
+		e.stopWithCheckpoint(now, a.Machine, a, g.job)
 		return true
 	}
 	g.attempts[0].Eviction = fleet.EvictionApproved
@@ -218,7 +218,7 @@
 	}
 	a.Eviction, a.Stopping, a.StopAt, a.CommandSequence = fleet.EvictionSent, true, now, m.Sequence
 	a.Grace = j.CheckpointTime + time.Second
-	e.touch(m)
+	e.capacityChanged(m)
 	e.note("evicted", "job", a.Ref, "task", a.Task, "machine", m.Name)
 	return true
 }
@@ -240,7 +240,7 @@
 	if m == nil {
 		return
 	}
-	for _, a := range m.Tasks {
+	for _, a := range m.Attempts {
 		if a.Eviction == fleet.EvictionApproved {
 			a.Eviction = fleet.NotEvicted
 		}
@@ -261,11 +261,11 @@
 	d.voidedAt = now
 	ledger := d.coordinator.Ledger
 	for _, c := range ledger.OpenCharges() {
-		a := e.attemptOf(fleet.Key{Ref: c.Job, Task: c.Task}, c.Attempt)
+		a := e.attemptOf(fleet.TaskID{Ref: c.Job, Task: c.Task}, c.Attempt)
 		if a == nil || a.Leaving() || a.State() != fleet.Running {
 			continue
 		}
-		if m := a.On; m.State() == fleet.Live && m.Confirmed && m.FencingToken == e.term && !m.Cordoned && !m.Draining {
+		if m := a.Machine; m.State() == fleet.Live && m.TermConfirmed && m.FencingToken == e.term && !m.Cordoned && !m.Draining {
 			ledger.Void(c.TaskKey, c.Attempt)
 		}
 	}
@@ -281,7 +281,7 @@
 // chargeInvoluntary counts an interruption that budgets can't forbid against what they leave.
 func (e *Engine) chargeInvoluntary(now time.Time, a *fleet.Attempt) {
 	j := e.jobs[a.Ref]
-	if e.drains == nil || j == nil || j.Over() || a.Foreign || a.Stopping || a.State() < fleet.Fetching || a.State() == fleet.Exited || !e.cfg.Drain.Limits(j.Team, j.Class) {
+	if e.drains == nil || j == nil || j.Over() || a.Unrecorded || a.Stopping || a.State() < fleet.Fetching || a.State() == fleet.Exited || !e.cfg.Drain.Limits(j.Team, j.Class) {
 		return
 	}
 	ledger := e.drains.coordinator.Ledger
@@ -366,14 +366,14 @@
 	delete(e.emptying, m)
 	e.revokeEvictions(m.Name)
 	m.Draining = false
-	e.touch(m)
-	e.note("machine kept", "machine", m.Name, "busy", m.Busy())
+	e.capacityChanged(m)
+	e.note("machine kept", "machine", m.Name, "busy", m.ActiveAttempts())
 }
 
 // evictOwn evicts what is under a budget on machines that the scheduler empties by choice.
 func (e *Engine) evictOwn(now time.Time, booking *capacityBooking) {
 	for _, m := range e.drains.sortedOwn() {
-		if m.State() != fleet.Live || m.Busy() == 0 {
+		if m.State() != fleet.Live || m.ActiveAttempts() == 0 {
 			delete(e.drains.own, m)
 			continue
 		}
--- a/internal/core/drain_harness_test.go
+++ b/internal/core/drain_harness_test.go
@@ -72,15 +72,15 @@
 		if len(batch) == 0 {
 			continue
 		}
-		d.step(Sending{batch})
+		d.step(WritesStarted{batch})
 		if d.down {
-			d.step(Written{Batch: batch})
+			d.step(WritesFinished{Batch: batch})
 			continue
 		}
 		for _, w := range batch {
 			d.store(w)
 		}
-		d.step(Written{Batch: batch, OK: true, Version: 100})
+		d.step(WritesFinished{Batch: batch, OK: true, Version: 100})
 	}
 }
 
@@ -171,7 +171,7 @@
 // obey carries commands out at a machine: what is stopped has exited, with its progress saved.
 func (d *drainBench) obey(name string, commands []fleet.Command) {
 	for _, c := range commands {
-		switch c.Op {
+		switch c.Kind {
 		case fleet.Start:
 			d.on[name] = append(d.on[name], running(c))
 		case fleet.Stop:
--- a/internal/core/drain_round.go
+++ b/internal/core/drain_round.go
@@ -81,7 +81,7 @@
 		c.Cordon(now, name, plan)
 		e.applyCordon(m)
 		e.withdrawUnsentStarts(now, m)
-		e.note("machine cordoned", "machine", name, "plan", plan, "busy", m.Busy())
+		e.note("machine cordoned", "machine", name, "plan", plan, "busy", m.ActiveAttempts())
 	}
 }
 
@@ -135,7 +135,7 @@
 	case c.PlanPhase(dm) == drain.Paused:
 		e.revokeEvictions(m.Name)
 		return notYet(drain.CausePaused)
-	case m.Busy() == 0 && !e.hasUnstoredResults(m):
+	case m.ActiveAttempts() == 0 && !e.hasUnstoredResults(m):
 		e.machineEmptied(now, dm, m)
 		return drain.Verdict{}
 	case !e.mayDisrupt(now):
--- a/internal/core/draining.go
+++ b/internal/core/draining.go
@@ -16,7 +16,7 @@
 type draining struct {
 	coordinator  *drain.Coordinator
 	replacements map[string]*replacement // by the machine that is replaced
-	moving       map[fleet.Key]*movingTask
+	moving       map[fleet.TaskID]*movingTask
 	own          map[*fleet.Machine]time.Time // that the scheduler empties by its own choice, under budgets, and since when
 	voidedAt     time.Time                    // when charges were last looked for that won't be spent
 	newest       string                       // last name of a machine that is known
@@ -30,11 +30,11 @@
 }
 
 func newDraining(now time.Time, e *Engine, stored drain.Stored) *draining {
-	pageLimit := func() int { return e.cfg.MaxPerValue }
+	pageLimit := func() int { return e.cfg.MaxValueBytes }
 	return &draining{
 		coordinator:  drain.NewCoordinator(now, e.cfg.Drain, stored, e.newPageName, pageLimit),
 		replacements: map[string]*replacement{},
-		moving:       map[fleet.Key]*movingTask{},
+		moving:       map[fleet.TaskID]*movingTask{},
 		own:          map[*fleet.Machine]time.Time{},
 	}
 }
@@ -47,7 +47,7 @@
 	}
 	ledger := e.drains.coordinator.Ledger
 	for _, c := range ledger.OpenCharges() {
-		if e.attemptOf(fleet.Key{Ref: c.Job, Task: c.Task}, c.Attempt) == nil {
+		if e.attemptOf(fleet.TaskID{Ref: c.Job, Task: c.Task}, c.Attempt) == nil {
 			ledger.End(now, c.TaskKey, c.Attempt)
 		}
 	}
@@ -59,13 +59,13 @@
 }
 
 // attemptOf is an attempt of a task that may be on a machine; nil if it is proven gone.
-func (e *Engine) attemptOf(k fleet.Key, number uint64) *fleet.Attempt {
+func (e *Engine) attemptOf(k fleet.TaskID, number uint64) *fleet.Attempt {
 	u := e.use[k.Ref]
 	if u == nil {
 		return nil
 	}
 	for a := range u.attempts {
-		if a.Key == k && a.Number == number {
+		if a.TaskID == k && a.Number == number {
 			return a
 		}
 	}
@@ -90,14 +90,14 @@
 func (e *Engine) applyCordon(m *fleet.Machine) {
 	c := e.drains.coordinator
 	cordoned, planned := c.Cordoned(m.Name), c.Planned(m.Name)
-	if m.Cordoned == cordoned && m.Planned == planned {
+	if m.Cordoned == cordoned && m.CordonPlanned == planned {
 		return
 	}
-	m.Cordoned, m.Planned = cordoned, planned
+	m.Cordoned, m.CordonPlanned = cordoned, planned
 	if !cordoned {
 		delete(e.drains.replacements, m.Name) // it stays, so nothing is kept in its place
 	}
-	e.touch(m)
+	e.capacityChanged(m)
 }
 
 // drainMachineRemoved takes in that a machine is gone.
--- a/internal/core/draining_test.go
+++ b/internal/core/draining_test.go
@@ -87,8 +87,8 @@
 	if d.evicts != 0 || d.runsOn("m-1") != 3 {
 		t.Fatalf("%d evictions, %d run on", d.evicts, d.runsOn("m-1"))
 	}
-	if m := d.e.machines["m-1"]; m.Cordoned || !m.Planned {
-		t.Errorf("cordoned %v, planned %v", m.Cordoned, m.Planned)
+	if m := d.e.machines["m-1"]; m.Cordoned || !m.CordonPlanned {
+		t.Errorf("cordoned %v, planned %v", m.Cordoned, m.CordonPlanned)
 	}
 	waiting := d.e.DrainStatus(d.now).Plans[0].Waiting
 	if want := "a task has no interruption left (budget of u) for j-2"; len(waiting) != 1 || waiting[0].Reason != want {
@@ -208,7 +208,7 @@
 	for range 20 {
 		d.tick(3 * time.Second)
 		for _, c := range d.report("m-1", d.e.term, d.on["m-1"]...).Commands {
-			if c.Op == fleet.Stop {
+			if c.Kind == fleet.Stop {
 				told++ // and the answer is lost
 			}
 		}
@@ -271,7 +271,7 @@
 	b.report("m-2", 2, old)
 	b.report("m-2", 2) // it is gone
 	for _, c := range b.report("m-1", 2, on...).Commands {
-		if c.Op == fleet.Stop {
+		if c.Kind == fleet.Stop {
 			t.Errorf("the present attempt is stopped: %+v", c)
 		}
 	}
@@ -286,8 +286,8 @@
 	d.there("m-2")
 	p := drain.Plan{ID: "p", Selector: drain.Selector{Machines: []string{"m-1"}}, MaxAtOnce: 1, CreatedMS: d.now.UnixMilli(), Through: "m-9", Phase: drain.Paused}
 	d.plan(p)
-	if m := d.e.machines["m-1"]; !m.Planned || m.Cordoned {
-		t.Fatalf("planned %v, cordoned %v", m.Planned, m.Cordoned)
+	if m := d.e.machines["m-1"]; !m.CordonPlanned || m.Cordoned {
+		t.Fatalf("planned %v, cordoned %v", m.CordonPlanned, m.Cordoned)
 	}
 	more := longJob("j-2", "t", 8)
 	d.step(JobStored{Job: more})
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -28,9 +28,9 @@
 	GangWait          time.Duration // how long a gang's task waits for the others
 	InstanceListLag   time.Duration
 	RestartLimit      int                  // bad exits of a task before it is held back
-	BatchEvery        time.Duration        // how often partial progress is written
-	MaxPerValue       int                  // bytes that one value in the store may have
-	WriteRate         float64              // changes a second that the leader may make; 0: unknown
+	BatchInterval     time.Duration        // how often partial progress is written
+	MaxValueBytes     int                  // bytes that one value in the store may have
+	WritesPerSecond   float64              // changes a second that the leader may make; 0: unknown
 	RoundBudget       int                  // tasks looked at in one round of decisions
 	Weights           Weights              // of money against lateness
 	Debug             bool                 // notes at debug level are wanted
@@ -127,7 +127,7 @@
 
 	// Admission under overload.
 	waits     startWaits
-	fairOrder FairOrder
+	fairOrder FairOrderChanged
 	backlog   fleet.Amount // what waited at the last round, in seconds of each resource
 
 	// Warm standby.
@@ -212,7 +212,7 @@
 // StoredPage is a page of the start log with its version.
 type StoredPage struct {
 	Name    string
-	Record  fleet.Record
+	Record  fleet.StartLogRecord
 	Version uint64
 }
 
@@ -309,8 +309,8 @@
 	return nil, false
 }
 
-// touch notes that what a machine may take has changed.
-func (e *Engine) touch(m *fleet.Machine) {
+// capacityChanged notes that what a machine may take has changed.
+func (e *Engine) capacityChanged(m *fleet.Machine) {
 	e.changed[m] = true
 	e.replan = true
 	e.warm.noteMachine(m.Name)
@@ -341,11 +341,11 @@
 	e.drainRound(now)
 }
 
-// Resumed says that the leader's lease had lapsed and holds again: unresponsiveness meanwhile says
+// LeaseResumed says that the leader's lease had lapsed and holds again: unresponsiveness meanwhile says
 // nothing about the machines.
-type Resumed struct{}
+type LeaseResumed struct{}
 
-func (Resumed) apply(e *Engine, now time.Time) {
+func (LeaseResumed) apply(e *Engine, now time.Time) {
 	for _, m := range e.machines {
 		if m.State() == fleet.Live || m.State() == fleet.Unresponsive || m.State() == fleet.AwaitingHeartbeat {
 			m.LastHeartbeat = now
@@ -353,16 +353,16 @@
 	}
 }
 
-// Catalog brings the cloud's machine types and present prices.
-type Catalog struct{ Types placement.Catalog }
+// CatalogUpdated brings the cloud's machine types and present prices.
+type CatalogUpdated struct{ Types placement.Catalog }
 
-func (c Catalog) apply(e *Engine, _ time.Time) {
+func (c CatalogUpdated) apply(e *Engine, _ time.Time) {
 	if sameTypes(e.catalog, c.Types) {
 		return
 	}
 	e.catalog = c.Types
 	for _, m := range e.machines {
-		e.touch(m)
+		e.capacityChanged(m)
 	}
 }
 
--- a/internal/core/fair_order.go
+++ b/internal/core/fair_order.go
@@ -8,15 +8,15 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// FairOrder has the jobs of one urgency choose in the order of their teams' weighted dominant
+// FairOrderChanged has the jobs of one urgency choose in the order of their teams' weighted dominant
 // shares, the team that uses least for its weight first, so that a small team's job doesn't
 // wait behind the backlog of a large one. Admission switches it on under overload.
-type FairOrder struct {
+type FairOrderChanged struct {
 	On      bool
 	Weights map[string]float64 // by team; those that aren't named weigh 1
 }
 
-func (f FairOrder) apply(e *Engine, _ time.Time) {
+func (f FairOrderChanged) apply(e *Engine, _ time.Time) {
 	if f.On != e.fairOrder.On {
 		e.replan = true
 		e.note("fair order of teams", "on", f.On)
--- a/internal/core/fleet/attempt.go
+++ b/internal/core/fleet/attempt.go
@@ -29,43 +29,43 @@
 	EvictionSent              // it went with an answer
 )
 
-// Key names a task.
-type Key struct {
+// TaskID names a task.
+type TaskID struct {
 	Ref  string
 	Task int
 }
 
 // Attempt is one attempt that is, or may be, on a machine.
 type Attempt struct {
-	Key
-	Number          uint64   // unique over all terms; the tasks of a gang share one
-	On              *Machine // where it is, or may be
-	Page            *Page    // the page of the start log that names it; nil: none does yet
+	TaskID
+	Number          uint64        // unique over all terms; the tasks of a gang share one
+	Machine         *Machine      // where it is, or may be
+	Page            *StartLogPage // the page of the start log that names it; nil: none does yet
 	CPUs            float64
 	GPUs            float64
 	MemGB           float64
 	Image           string
 	Inherited       bool   // from an earlier term: only a heartbeat under this term's fencing token proves it gone
-	Foreign         bool   // not wanted here; stopped and never counted as a result of ours
+	Unrecorded      bool   // not wanted here; stopped and never counted as a result of ours
 	CommandSequence uint64 // the heartbeat in whose answer the machine last got a command about it
 
-	state    TaskState
-	Since    time.Time // when it entered its state
-	RunStart time.Time
+	state      TaskState
+	StateSince time.Time // when it entered its state
+	RunStart   time.Time
 
 	// Its start.
-	NotBefore  time.Time     // when it may leave
-	SentAt     time.Time     // when it left
-	FetchGuess time.Duration // how long the image was then expected to take
+	NotBefore     time.Time     // when it may leave
+	SentAt        time.Time     // when it left
+	FetchEstimate time.Duration // how long the image was then expected to take
 
 	// Its end.
-	Stopping bool // it was told to stop
-	Eviction Eviction
-	StopAt   time.Time
-	Grace    time.Duration // for saving
-	Cause    Cause         // of its exit
-	Handled  bool          // the exit was dealt with; the worker may forget it
-	Lasting  bool          // a service's: stays until the service is cancelled
+	Stopping       bool // it was told to stop
+	Eviction       Eviction
+	StopAt         time.Time
+	Grace          time.Duration // for saving
+	Cause          ExitCause     // of its exit
+	ExitHandled    bool          // the exit was dealt with; the worker may forget it
+	ServiceReplica bool          // a service's: stays until the service is cancelled
 }
 
 // State returns the attempt's state.
@@ -77,7 +77,7 @@
 	if a.state == to || a.state == Exited {
 		return false
 	}
-	a.state, a.Since = to, now
+	a.state, a.StateSince = to, now
 	if to == Running && a.RunStart.IsZero() {
 		a.RunStart = now
 	}
--- a/internal/core/fleet/images.go
+++ b/internal/core/fleet/images.go
@@ -32,7 +32,7 @@
 // most recently used ones.
 func (m *Machine) UseImage(now time.Time, name string, gb, cacheGB, rate float64) {
 	ready := now.Add(m.FetchLeft(now, name, gb, rate))
-	m.DropImage(name)
+	m.RemoveImage(name)
 	m.Images = append(m.Images, Image{name, gb, ready})
 	var total float64
 	for _, i := range m.Images {
@@ -64,22 +64,22 @@
 // fetching shows that the image wasn't there. It tells whether the image was believed
 // there.
 func (m *Machine) FetchGivenUp(now time.Time, name string, was TaskState) bool {
-	for _, a := range m.Tasks {
+	for _, a := range m.Attempts {
 		if a.Image == name && (a.state == Sent || a.state == Fetching) {
 			return false
 		}
 	}
 	for _, i := range m.Images {
 		if i.Name == name && (was == Fetching || i.Ready.After(now)) {
-			m.DropImage(name)
+			m.RemoveImage(name)
 			return true
 		}
 	}
 	return false
 }
 
-// DropImage notes that an image isn't there after all.
-func (m *Machine) DropImage(name string) {
+// RemoveImage notes that an image isn't there after all.
+func (m *Machine) RemoveImage(name string) {
 	kept := m.Images[:0]
 	for _, i := range m.Images {
 		if i.Name != name {
--- a/internal/core/fleet/machine.go
+++ b/internal/core/fleet/machine.go
@@ -32,40 +32,40 @@
 
 	// Reports and answers.
 	Incarnation, Sequence, FencingToken uint64          // of its newest heartbeat, see Epoch
-	Expected                            bool            // not heard of under this term, but the leader before was, shortly before its end
+	HeartbeatExpected                   bool            // not heard of under this term, but the leader before was, shortly before its end
 	FencingTokenSent                    bool            // was sent this term's fencing token
-	Confirmed                           bool            // has reported with this term's fencing token, or never held anything of an earlier term
+	TermConfirmed                       bool            // has reported with this term's fencing token, or never held anything of an earlier term
 	LastHeartbeat                       time.Time       // when its newest heartbeat arrived
-	LeaseBase                           time.Time       // no 200 was sent to it after this
+	LeaseRenewedAt                      time.Time       // no 200 was sent to it after this
 	ResponseHeld                        bool            // what is placed now goes with the answer to its last heartbeat
 	OneWayLoss                          OneWayLoss      // whether it receives answers
 	StaleHeartbeats                     StaleHeartbeats // reports that aren't newer than the newest one
 
 	// Its life.
-	FirstSeen       time.Time
-	ListedAt        time.Time // when the cloud last listed it
-	ListedRunning   bool      // the cloud's last list with it said that it is up
-	Known           bool      // listed by the cloud, rented, or heard under this term's fencing token: not just an old copy's word
-	InterruptionAt  time.Time // when the cloud takes it, zero without a notice
-	ScaleInAttempts int       // releases that failed
-	CheckAt         time.Time // when its present timer expires
+	FirstSeen         time.Time
+	ListedAt          time.Time // when the cloud last listed it
+	ListedRunning     bool      // the cloud's last list with it said that it is up
+	ExistenceVerified bool      // listed by the cloud, rented, or heard under this term's fencing token: not just an old copy's word
+	InterruptionAt    time.Time // when the cloud takes it, zero without a notice
+	ScaleInAttempts   int       // releases that failed
+	NextCheckAt       time.Time // when its present timer expires
 
 	// Whether it gets starts.
-	Draining    bool            // it gets no more
-	Quarantined bool            // it gets no more: too much has failed on it
-	Cordoned    bool            // it gets no more, at the operators' request
-	Planned     bool            // it is about to be cordoned, and used only if nothing else has room
-	HoldUntil   time.Time       // it gets none until then
-	FailedJobs  map[string]bool // jobs that failed on it since something last succeeded
-	Failures    int             // how often any did
+	Draining          bool            // it gets no more
+	Quarantined       bool            // it gets no more: too much has failed on it
+	Cordoned          bool            // it gets no more, at the operators' request
+	CordonPlanned     bool            // it is about to be cordoned, and used only if nothing else has room
+	StartsPausedUntil time.Time       // it gets none until then
+	FailedJobs        map[string]bool // jobs that failed on it since something last succeeded
+	Failures          int             // how often any did
 
 	// What is on it.
-	Tasks     map[Key]*Attempt
-	Images    []Image   // most recently used last
-	IdleSince time.Time // since when it has been idle, if it is
-	used      Amount
-	lasting   Amount // the part of it that replicas of services take
-	busy      int
+	Attempts       map[TaskID]*Attempt
+	Images         []Image   // most recently used last
+	IdleSince      time.Time // since when it has been idle, if it is
+	used           Amount
+	serviceUsage   Amount // the part of it that replicas of services take
+	activeAttempts int
 }
 
 // Amount is a sum of what tasks take of machines.
@@ -86,16 +86,16 @@
 	return Amount{CPUs: a.CPUs - t.CPUs, GPUs: a.GPUs - t.GPUs, MemGB: a.MemGB - t.MemGB}
 }
 
-// Kind is what distinguishes machines before they are rented.
-type Kind struct {
+// PoolKey is what distinguishes machines before they are rented.
+type PoolKey struct {
 	Type, Zone string
 	Spot       bool
 }
 
 // NewMachine makes a machine in its first state.
-func NewMachine(now time.Time, name string, k Kind, state MachineState) *Machine {
+func NewMachine(now time.Time, name string, k PoolKey, state MachineState) *Machine {
 	return &Machine{Name: name, Type: k.Type, Zone: k.Zone, Spot: k.Spot, state: state, FirstSeen: now, IdleSince: now,
-		Tasks: map[Key]*Attempt{}}
+		Attempts: map[TaskID]*Attempt{}}
 }
 
 // State returns the machine's state.
@@ -122,35 +122,35 @@
 // Newer tells whether a heartbeat is newer than all that have been taken in.
 func (m *Machine) Newer(r *Heartbeat) bool { return r.Version().After(m.HeartbeatVersion()) }
 
-// LeaseOver tells whether the worker's lease has certainly ended: nobody can have
-// answered it after LeaseBase, and the drift of the two clocks is allowed for
+// LeaseExpired tells whether the worker's lease has certainly ended: nobody can have
+// answered it after LeaseRenewedAt, and the drift of the two clocks is allowed for
 // (docs/design.md, safety argument 5; TestInheritedAttemptUntilLeaseOver).
-func (m *Machine) LeaseOver(now time.Time, lease time.Duration) bool {
-	return !m.LeaseBase.IsZero() && now.Sub(m.LeaseBase) > LeaseBound(lease)
+func (m *Machine) LeaseExpired(now time.Time, lease time.Duration) bool {
+	return !m.LeaseRenewedAt.IsZero() && now.Sub(m.LeaseRenewedAt) > LeaseBound(lease)
 }
 
 // Used returns what all that may be on the machine takes of it. Exited tasks
 // take nothing.
 func (m *Machine) Used() Amount { return m.used }
 
-// Lasting returns what replicas of services take of the machine.
-func (m *Machine) Lasting() Amount { return m.lasting }
+// ServiceUsage returns what replicas of services take of the machine.
+func (m *Machine) ServiceUsage() Amount { return m.serviceUsage }
 
-// Busy counts the attempts that may be on the machine.
-func (m *Machine) Busy() int { return m.busy }
+// ActiveAttempts counts the attempts that may be on the machine.
+func (m *Machine) ActiveAttempts() int { return m.activeAttempts }
 
-// Add notes an attempt that is, or may be, on the machine.
-func (m *Machine) Add(now time.Time, a *Attempt, st TaskState) {
-	a.On, a.state, a.Since = m, st, now
+// AddAttempt notes an attempt that is, or may be, on the machine.
+func (m *Machine) AddAttempt(now time.Time, a *Attempt, st TaskState) {
+	a.Machine, a.state, a.StateSince = m, st, now
 	if st == Running {
 		a.RunStart = now
 	}
-	m.Tasks[a.Key] = a
+	m.Attempts[a.TaskID] = a
 	if st != Exited {
-		m.busy++
+		m.activeAttempts++
 		m.used = m.used.Plus(a)
-		if a.Lasting {
-			m.lasting = m.lasting.Plus(a)
+		if a.ServiceReplica {
+			m.serviceUsage = m.serviceUsage.Plus(a)
 		}
 	}
 }
@@ -161,22 +161,22 @@
 		return false
 	}
 	if to == Exited {
-		m.busy--
+		m.activeAttempts--
 		m.used = m.used.Minus(a)
-		if a.Lasting {
-			m.lasting = m.lasting.Minus(a)
+		if a.ServiceReplica {
+			m.serviceUsage = m.serviceUsage.Minus(a)
 		}
-		if m.busy == 0 {
-			m.used, m.lasting = Amount{}, Amount{} // no rounding is carried on
+		if m.activeAttempts == 0 {
+			m.used, m.serviceUsage = Amount{}, Amount{} // no rounding is carried on
 		}
 	}
 	return true
 }
 
-// Drop removes an attempt that is proven gone, or forgotten by its worker.
-func (m *Machine) Drop(now time.Time, k Key) {
-	delete(m.Tasks, k)
-	if len(m.Tasks) == 0 {
+// RemoveAttempt removes an attempt that is proven gone, or forgotten by its worker.
+func (m *Machine) RemoveAttempt(now time.Time, k TaskID) {
+	delete(m.Attempts, k)
+	if len(m.Attempts) == 0 {
 		m.IdleSince = now
 	}
 }
--- a/internal/core/fleet/messages.go
+++ b/internal/core/fleet/messages.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Cause says why a task exited.
-type Cause uint8
+// ExitCause says why a task exited.
+type ExitCause uint8
 
 // Causes of exits.
 const (
-	CauseNone Cause = iota
+	CauseNone ExitCause = iota
 	CauseDone
 	CauseStopped
 	CauseGangPeerLost
@@ -18,19 +18,19 @@
 	CauseUnknownTask
 )
 
-// Op is a command to a worker.
-type Op uint8
+// CommandKind is a command to a worker.
+type CommandKind uint8
 
 // Commands to workers.
 const (
-	Start Op = iota
+	Start CommandKind = iota
 	Stop
 	Forget
 )
 
 // Command is one command to a worker.
 type Command struct {
-	Op      Op
+	Kind    CommandKind
 	Ref     string
 	Task    int
 	Attempt uint64
@@ -43,7 +43,7 @@
 	Task         int
 	Attempt      uint64
 	State        TaskState
-	Cause        Cause
+	Cause        ExitCause
 	Checkpointed bool
 }
 
--- a/internal/core/fleet/start_log_test.go
+++ b/internal/core/fleet/start_log_test.go
@@ -9,11 +9,11 @@
 // What is stopped when a page is refused is stopped in a fixed order.
 func TestUnwrittenInOrder(t *testing.T) {
 	now := time.Unix(100, 0)
-	m := NewMachine(now, "m-1", Kind{Type: "cpu", Zone: "a"}, Live)
-	page := NewPage("p", 0)
+	m := NewMachine(now, "m-1", PoolKey{Type: "cpu", Zone: "a"}, Live)
+	page := NewStartLogPage("p", 0)
 	for task := range 8 {
-		a := &Attempt{Key: Key{Ref: "j", Task: task}, Number: uint64(task)}
-		m.Add(now, a, Intended)
+		a := &Attempt{TaskID: TaskID{Ref: "j", Task: task}, Number: uint64(task)}
+		m.AddAttempt(now, a, Intended)
 		page.Add(a)
 	}
 	sorted := slices.IsSortedFunc(page.Unwritten(), func(a, b *Attempt) int { return a.Task - b.Task })
--- a/internal/core/fleet_size_test.go
+++ b/internal/core/fleet_size_test.go
@@ -63,8 +63,8 @@
 		b.now = b.now.Add(time.Second)
 		b.e.Step(b.now, Tick{})
 		for batch := b.e.Batch(b.now, 30); len(batch) > 0; batch = b.e.Batch(b.now, 30) {
-			b.e.Step(b.now, Sending{batch})
-			b.e.Step(b.now, Written{Batch: batch, OK: true, Version: version})
+			b.e.Step(b.now, WritesStarted{batch})
+			b.e.Step(b.now, WritesFinished{Batch: batch, OK: true, Version: version})
 			pages.write(batch, version)
 		}
 		report(2)
@@ -95,8 +95,8 @@
 func checkTakenOver(t *testing.T, b *bench, names []string) {
 	t.Helper()
 	for _, name := range names {
-		if m := b.e.machines[name]; m.State() != fleet.Live || m.Busy() != 1 {
-			t.Fatalf("%s is %v with %d tasks under the next leader", name, m.State(), m.Busy())
+		if m := b.e.machines[name]; m.State() != fleet.Live || m.ActiveAttempts() != 1 {
+			t.Fatalf("%s is %v with %d tasks under the next leader", name, m.State(), m.ActiveAttempts())
 		}
 	}
 	if s := b.e.Status(b.now); s.Pools[0].States["live"] != largeFleet || s.Pools[0].Attempts != largeFleet {
@@ -114,7 +114,7 @@
 	if effects := b.e.Step(b.now, Tick{}); effects.Resign == "" {
 		t.Fatal("the term goes on without numbers")
 	}
-	if n := b.e.machines["m-1"].Busy(); n != 0 {
+	if n := b.e.machines["m-1"].ActiveAttempts(); n != 0 {
 		t.Fatalf("%d tasks were placed without numbers", n)
 	}
 }
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -24,8 +24,8 @@
 	}
 	m := e.machines[rep.Machine]
 	if m == nil {
-		m = fleet.NewMachine(now, rep.Machine, fleet.Kind{Type: rep.Type, Zone: rep.Zone, Spot: rep.Spot}, fleet.Booting)
-		m.Confirmed = true // the start log doesn't name it, so it never held a task
+		m = fleet.NewMachine(now, rep.Machine, fleet.PoolKey{Type: rep.Type, Zone: rep.Zone, Spot: rep.Spot}, fleet.Booting)
+		m.TermConfirmed = true // the start log doesn't name it, so it never held a task
 		e.addMachine(now, m)
 		e.note("machine reports unexpectedly", "machine", m.Name, "type", m.Type, "zone", m.Zone)
 	}
@@ -38,13 +38,13 @@
 		e.staleHeartbeat(now, m, &rep)
 		return // a stale copy proves nothing and must not renew the lease
 	}
-	busy := m.Busy()
+	busy := m.ActiveAttempts()
 	e.applyHeartbeat(now, m, &rep)
 	// Room has become free, or a new leader is about to place: a start decided now
 	// would otherwise wait for the worker's next heartbeat.
-	startExpected := m.Busy() < busy || e.emptyUnderNewLeader(now, m)
+	startExpected := m.ActiveAttempts() < busy || e.emptyUnderNewLeader(now, m)
 	e.respond(now, m, startExpected && e.mayStart(m))
-	m.LeaseBase = now
+	m.LeaseRenewedAt = now
 }
 
 // respond answers the newest heartbeat of a machine with 200, at once or after a hold.
@@ -71,7 +71,7 @@
 // leader, which then has much to place at once, and which doesn't lag (docs/design.md,
 // "Safety arguments", last paragraph; TestNewLeaderHoldsAnswers).
 func (e *Engine) emptyUnderNewLeader(now time.Time, m *fleet.Machine) bool {
-	return len(m.Tasks) == 0 && now.Sub(e.started) < e.cfg.HeartbeatInterval && now.Sub(e.lastTick) < maxTickLag
+	return len(m.Attempts) == 0 && now.Sub(e.started) < e.cfg.HeartbeatInterval && now.Sub(e.lastTick) < maxTickLag
 }
 
 // maxResponseHold is how long a reply may be held in all, maxTickLag how late a tick may be
@@ -87,7 +87,7 @@
 	if !e.mayStart(m) || now.Sub(m.LastHeartbeat) > maxResponseHold {
 		return false
 	}
-	for _, a := range m.Tasks {
+	for _, a := range m.Attempts {
 		if a.State() == fleet.Intended {
 			return true
 		}
@@ -121,9 +121,9 @@
 	e.detectOneWayLoss(now, m, r, leaseEnded)
 	m.Addr, m.LastHeartbeat = r.Addr, now
 	m.Incarnation, m.Sequence, m.FencingToken = r.Incarnation, r.Sequence, r.FencingToken
-	if r.FencingToken == e.term && (!m.Confirmed || !m.Known) {
-		m.Confirmed, m.Known = true, true
-		e.touch(m)
+	if r.FencingToken == e.term && (!m.TermConfirmed || !m.ExistenceVerified) {
+		m.TermConfirmed, m.ExistenceVerified = true, true
+		e.capacityChanged(m)
 	}
 	if newSession {
 		e.incarnationEnded(now, m, r)
@@ -131,13 +131,13 @@
 	for i := range r.Tasks {
 		e.applyTaskStatus(now, m, r.FencingToken, r.Tasks[i])
 	}
-	if len(m.Tasks) > 0 {
+	if len(m.Attempts) > 0 {
 		e.applyUnlisted(now, m, r)
 	}
 	if r.FencingToken > 0 {
 		e.recovery.ConfirmPreviousTerm()
 	}
-	e.recovery.HeartbeatReceived(m.Name, r.FencingToken == e.term, hasForeign(m))
+	e.recovery.HeartbeatReceived(m.Name, r.FencingToken == e.term, hasUnrecorded(m))
 	e.interruptionAnnounced(now, m, r.InterruptionIn)
 }
 
@@ -150,7 +150,7 @@
 		if a.State() <= fleet.Recorded && !a.Inherited {
 			continue // its start hasn't left, so it belongs to no incarnation yet
 		}
-		if !listsAttempt(r, a) && (!a.Inherited || m.Confirmed) {
+		if !listsAttempt(r, a) && (!a.Inherited || m.TermConfirmed) {
 			e.attemptLost(now, m, a, "session over")
 		}
 	}
@@ -174,12 +174,12 @@
 			continue
 		}
 		if a.State() == fleet.Exited {
-			e.drop(now, m, a)
+			e.removeAttempt(now, m, a)
 			e.exitNoLongerListed(a)
 			continue
 		}
 		finding := recovery.ClassifyUnreported(recovery.UnreportedAttempt{
-			Inherited: a.Inherited, Confirmed: m.Confirmed,
+			Inherited: a.Inherited, Confirmed: m.TermConfirmed,
 			// The response with the start was answered or dropped before this heartbeat was
 			// sent; the worker never executes it later.
 			Answered: a.State() == fleet.Sent && r.Sequence > a.CommandSequence,
@@ -195,7 +195,7 @@
 // exitNoLongerListed handles an exit that left the heartbeats before it was dealt with
 // (the worker's lease ended): a result was noted already, all else is handled.
 func (e *Engine) exitNoLongerListed(a *fleet.Attempt) {
-	if !a.Handled && a.Cause != fleet.CauseDone {
+	if !a.ExitHandled && a.Cause != fleet.CauseDone {
 		e.requeue(a)
 	}
 }
@@ -203,14 +203,14 @@
 // applyTaskStatus takes in one task of a heartbeat that was sent under a fencing token. What it is, and
 // what is done about it, is decided by recovery.Classify.
 func (e *Engine) applyTaskStatus(now time.Time, m *fleet.Machine, token uint64, t fleet.TaskStatus) {
-	k := fleet.Key{Ref: t.Ref, Task: t.Task}
-	finding := recovery.Classify(e.observe(m, m.Tasks[k], token, t))
+	k := fleet.TaskID{Ref: t.Ref, Task: t.Task}
+	finding := recovery.Classify(e.observe(m, m.Attempts[k], token, t))
 	e.recovery.Found(m.Name, finding)
 	switch finding.Action {
 	case recovery.Ignore:
 		return
 	case recovery.MarkLost:
-		e.attemptLost(now, m, m.Tasks[k], finding.Reason.String())
+		e.attemptLost(now, m, m.Attempts[k], finding.Reason.String())
 		e.applyTaskStatus(now, m, token, t)
 		return
 	case recovery.WithdrawFirst:
@@ -221,13 +221,13 @@
 	case recovery.Adopt:
 		e.adoptRunning(now, m, t)
 	case recovery.Stop:
-		e.adoptForeign(now, m, t)
+		e.adoptUnrecorded(now, m, t)
 	default:
-		if m.Tasks[k] == nil {
+		if m.Attempts[k] == nil {
 			e.adoptExited(now, m, t)
 		}
 	}
-	e.updateAttempt(now, m, m.Tasks[k], t)
+	e.updateAttempt(now, m, m.Attempts[k], t)
 }
 
 // updateAttempt takes over what a heartbeat says of an attempt.
@@ -283,14 +283,14 @@
 		return
 	}
 	for _, o := range e.attemptsOf(a.Ref) {
-		e.stop(now, o.On, o, grace)
+		e.stop(now, o.Machine, o, grace)
 	}
 }
 
 // sortedAttempts lists a machine's attempts by job and task.
 func sortedAttempts(m *fleet.Machine) []*fleet.Attempt {
-	out := make([]*fleet.Attempt, 0, len(m.Tasks))
-	for _, a := range m.Tasks {
+	out := make([]*fleet.Attempt, 0, len(m.Attempts))
+	for _, a := range m.Attempts {
 		out = append(out, a)
 	}
 	sort.Slice(out, func(i, k int) bool {
--- a/internal/core/image_log.go
+++ b/internal/core/image_log.go
@@ -55,15 +55,15 @@
 
 // minWriteInterval is how much time lies between two pages at the least.
 func (l *imageLog) minWriteInterval() time.Duration {
-	if l.cfg.WriteRate <= 0 {
+	if l.cfg.WritesPerSecond <= 0 {
 		return time.Second
 	}
-	return time.Duration(imageWritesPart / l.cfg.WriteRate * float64(time.Second))
+	return time.Duration(imageWritesPart / l.cfg.WritesPerSecond * float64(time.Second))
 }
 
 // pageMachines is how many machines a page takes.
 func (l *imageLog) pageMachines() int {
-	return min(maxPageMachines, max(minPageMachines, l.cfg.MaxPerValue/machineBytes))
+	return min(maxPageMachines, max(minPageMachines, l.cfg.MaxValueBytes/machineBytes))
 }
 
 // recover takes over what the store holds of the image log.
@@ -203,7 +203,7 @@
 		}
 		has[name] = images
 	}
-	return fleet.RecordImages(has, l.cfg.MaxPerValue*9/10)
+	return fleet.RecordImages(has, l.cfg.MaxValueBytes*9/10)
 }
 
 // writeStarted notes that a page's present content is on its way to the store.
--- a/internal/core/images_test.go
+++ b/internal/core/images_test.go
@@ -109,13 +109,13 @@
 		b.now = b.now.Add(time.Second)
 		b.report("m-1", 2, running(c))
 		batch := b.e.Batch(b.now, 10)
-		b.e.Step(b.now, Sending{batch})
+		b.e.Step(b.now, WritesStarted{batch})
 		for _, w := range batch {
 			if w.Kind == WriteImages {
 				logged = []StoredImages{{w.Name, w.Images}}
 			}
 		}
-		b.e.Step(b.now, Written{Batch: batch, OK: true, Version: 100})
+		b.e.Step(b.now, WritesFinished{Batch: batch, OK: true, Version: 100})
 	}
 	if len(logged) == 0 {
 		t.Fatal("the image log isn't written")
@@ -222,7 +222,7 @@
 // machines is lost to the next leader, nor is one with more images than a page takes.
 func TestOverfullImagePageIsSplit(t *testing.T) {
 	cfg := config()
-	cfg.MaxPerValue = 600
+	cfg.MaxValueBytes = 600
 	has := map[string][]fleet.Image{}
 	for i := range 60 {
 		name := fmt.Sprintf("m-%02d", i)
@@ -242,17 +242,17 @@
 	for range 120 {
 		b.now = b.now.Add(time.Second)
 		batch := b.e.Batch(b.now, 10)
-		b.e.Step(b.now, Sending{batch})
+		b.e.Step(b.now, WritesStarted{batch})
 		for _, w := range batch {
 			if w.Kind == WriteImages {
 				logged[w.Name] = w.Images
 			}
 		}
-		b.e.Step(b.now, Written{Batch: batch, OK: true, Version: 100})
+		b.e.Step(b.now, WritesFinished{Batch: batch, OK: true, Version: 100})
 	}
 	seen := map[string]bool{}
 	for name, r := range logged {
-		if size, err := json.Marshal([]any{r.Images, r.Machines}); err != nil || len(size) > cfg.MaxPerValue {
+		if size, err := json.Marshal([]any{r.Images, r.Machines}); err != nil || len(size) > cfg.MaxValueBytes {
 			t.Errorf("page %s takes %d bytes, %v", name, len(size), err)
 		}
 		r.Each(func(machine string, images []fleet.Image) { seen[machine] = len(images) > 0 })
--- a/internal/core/instances.go
+++ b/internal/core/instances.go
@@ -37,16 +37,16 @@
 		}
 		m := e.machines[lm.Name]
 		if m == nil {
-			m = fleet.NewMachine(now, lm.Name, fleet.Kind{Type: lm.Type, Zone: lm.Zone, Spot: lm.Spot}, fleet.Booting)
-			m.Confirmed = true // the start log doesn't name it
+			m = fleet.NewMachine(now, lm.Name, fleet.PoolKey{Type: lm.Type, Zone: lm.Zone, Spot: lm.Spot}, fleet.Booting)
+			m.TermConfirmed = true // the start log doesn't name it
 			m.FirstSeen = now.Add(-lm.Age)
 			e.addMachine(now, m)
 		}
 		m.ListedAt = now
 		m.ListedRunning = lm.Status == InstanceRunning
-		if !m.Known {
-			m.Known = true
-			e.touch(m)
+		if !m.ExistenceVerified {
+			m.ExistenceVerified = true
+			e.capacityChanged(m)
 		}
 		if m.Addr == "" {
 			m.Addr = lm.Addr
@@ -73,8 +73,8 @@
 		if _, gone := e.removed[name]; gone || e.machines[name] != nil {
 			continue
 		}
-		m := fleet.NewMachine(now, name, fleet.Kind(o), fleet.Booting)
-		m.Confirmed, m.Known = true, true
+		m := fleet.NewMachine(now, name, fleet.PoolKey(o), fleet.Booting)
+		m.TermConfirmed, m.ExistenceVerified = true, true
 		e.addMachine(now, m)
 	}
 	e.drains.replacementAnswered(r)
@@ -97,7 +97,7 @@
 		}
 		if !r.OK {
 			m.ScaleInAttempts++
-			m.HoldUntil = now.Add(time.Second)
+			m.StartsPausedUntil = now.Add(time.Second)
 			continue
 		}
 		e.removeMachine(now, m)
--- a/internal/core/job_writes.go
+++ b/internal/core/job_writes.go
@@ -94,9 +94,9 @@
 			delete(w.changed, j)
 		case e.cancellations.inTransaction(j.Ref):
 			// A new version of the record would only be in the cancellation's way.
-		case !j.Fits(e.cfg.MaxPerValue):
+		case !j.Fits(e.cfg.MaxValueBytes):
 			// Only its end is written; until then its workers keep its results.
-		case now.Sub(w.lastWrite[j.Ref]) >= e.cfg.BatchEvery:
+		case now.Sub(w.lastWrite[j.Ref]) >= e.cfg.BatchInterval:
 			due.progress = append(due.progress, j)
 		}
 	}
@@ -166,7 +166,7 @@
 
 // addProgress adds records with partial progress, and done ranges that have changed.
 func (e *Engine) addProgress(b *batch, progress []*pipeline.Job) {
-	limit := e.cfg.MaxPerValue
+	limit := e.cfg.MaxValueBytes
 	for _, j := range progress {
 		if b.remaining <= 0 {
 			return
@@ -191,7 +191,7 @@
 	}
 	for a := range u.results {
 		if j.StoredPhase() == pipeline.Done || j.StoredPhase() == pipeline.Cancelled || j.ResultStored(a.Task) {
-			a.Handled = true
+			a.ExitHandled = true
 			delete(u.results, a)
 		}
 	}
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -55,13 +55,13 @@
 	e.cancelDependents(now, j.Ref)
 }
 
-// JobFinal says that the store holds a job's final entry.
-type JobFinal struct {
+// JobFinished says that the store holds a job's final entry.
+type JobFinished struct {
 	Ref   string
 	Final pipeline.Final
 }
 
-func (f JobFinal) apply(e *Engine, now time.Time) { e.finished(now, f.Ref, f.Final) }
+func (f JobFinished) apply(e *Engine, now time.Time) { e.finished(now, f.Ref, f.Final) }
 
 // finished takes in that the store holds a job's final entry.
 func (e *Engine) finished(now time.Time, ref string, f pipeline.Final) {
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -10,8 +10,8 @@
 
 // loggedAttempt is what the start log says of one task: where its attempt may be.
 type loggedAttempt struct {
-	placed fleet.Placed
-	page   *fleet.Page
+	placed fleet.MachineStarts
+	page   *fleet.StartLogPage
 	number uint64
 }
 
@@ -27,7 +27,7 @@
 		if m == nil {
 			m = e.addAwaitingHeartbeat(now, logged.placed)
 		}
-		a := &fleet.Attempt{Key: task, Number: logged.number, Inherited: true,
+		a := &fleet.Attempt{TaskID: task, Number: logged.number, Inherited: true,
 			CPUs: j.CPUs, GPUs: j.GPUs, MemGB: j.MemGB, Image: j.Image}
 		e.attach(now, m, a, fleet.Recorded)
 		logged.page.Recover(a)
@@ -38,15 +38,15 @@
 // newestLogged takes in the pages of the start log and returns each task's highest attempt
 // in them. Of several entries for one task only that can be current: it was written only
 // after the ones before it were proven gone (TestHighestAttemptCounts).
-func (e *Engine) newestLogged(stored []StoredPage) map[fleet.Key]loggedAttempt {
-	newest := map[fleet.Key]loggedAttempt{}
+func (e *Engine) newestLogged(stored []StoredPage) map[fleet.TaskID]loggedAttempt {
+	newest := map[fleet.TaskID]loggedAttempt{}
 	for _, s := range stored {
-		p := fleet.NewPage(s.Name, s.Version)
+		p := fleet.NewStartLogPage(s.Name, s.Version)
 		e.startLog.addPage(p)
 		for _, placed := range s.Record.Placed {
 			for _, entry := range placed.Entries {
 				p.AddStale() // until it turns out to be current
-				task := fleet.Key{Ref: entry.Ref, Task: entry.Task}
+				task := fleet.TaskID{Ref: entry.Ref, Task: entry.Task}
 				if known, ok := newest[task]; !ok || entry.Attempt > known.number {
 					newest[task] = loggedAttempt{placed, p, entry.Attempt}
 				}
@@ -58,9 +58,9 @@
 
 // addAwaitingHeartbeat takes in a machine that the start log names and that has not been heard of
 // under this term.
-func (e *Engine) addAwaitingHeartbeat(now time.Time, p fleet.Placed) *fleet.Machine {
-	m := fleet.NewMachine(now, p.Machine, fleet.Kind{Type: p.Type, Zone: p.Zone, Spot: p.Spot}, fleet.AwaitingHeartbeat)
-	m.LastHeartbeat, m.LeaseBase, m.Known = now, now, true
+func (e *Engine) addAwaitingHeartbeat(now time.Time, p fleet.MachineStarts) *fleet.Machine {
+	m := fleet.NewMachine(now, p.Machine, fleet.PoolKey{Type: p.Type, Zone: p.Zone, Spot: p.Spot}, fleet.AwaitingHeartbeat)
+	m.LastHeartbeat, m.LeaseRenewedAt, m.ExistenceVerified = now, now, true
 	e.addMachine(now, m)
 	e.recovery.Expect(m.Name)
 	return m
@@ -73,7 +73,7 @@
 	m.Images = e.images.takeInherited(m.Name)
 	e.recovery.Discover(m.Name)
 	e.timers.schedule(m, now)
-	e.touch(m)
+	e.capacityChanged(m)
 	e.drainMachineKnown(now, m)
 }
 
@@ -86,12 +86,12 @@
 	}
 	e.inState[was]--
 	e.inState[to]++
-	m.Expected = false
+	m.HeartbeatExpected = false
 	if to == fleet.Unresponsive || to == fleet.ScalingIn {
 		e.recovery.GivenUp(m.Name)
 	}
 	e.timers.schedule(m, now)
-	e.touch(m)
+	e.capacityChanged(m)
 	return true
 }
 
@@ -100,7 +100,7 @@
 	e.moveMachine(now, m, fleet.Removed)
 	for _, a := range sortedAttempts(m) {
 		if a.State() == fleet.Exited {
-			e.drop(now, m, a)
+			e.removeAttempt(now, m, a)
 			e.exitNoLongerListed(a)
 			continue
 		}
@@ -119,11 +119,11 @@
 
 // scaleIn gives a machine back; the answer proves all on it gone.
 func (e *Engine) scaleIn(now time.Time, m *fleet.Machine, why string) {
-	if m.State() == fleet.ScalingIn && (m.ScaleInAttempts == 0 || now.Before(m.HoldUntil)) {
+	if m.State() == fleet.ScalingIn && (m.ScaleInAttempts == 0 || now.Before(m.StartsPausedUntil)) {
 		return
 	}
 	if e.moveMachine(now, m, fleet.ScalingIn) {
-		e.note("machine released", "machine", m.Name, "type", m.Type, "why", why, "busy", m.Busy())
+		e.note("machine released", "machine", m.Name, "type", m.Type, "why", why, "busy", m.ActiveAttempts())
 	}
 	m.Draining, m.ScaleInAttempts = true, 0
 	n := len(e.out.ScaleIn)
@@ -183,20 +183,20 @@
 	case fleet.Live, fleet.Unresponsive, fleet.AwaitingHeartbeat:
 		e.checkResponsiveness(now, m)
 		e.scaleInUnreachable(now, m)
-		if m.Expected && now.Sub(m.LastHeartbeat) > e.unresponsiveAfter() {
+		if m.HeartbeatExpected && now.Sub(m.LastHeartbeat) > e.unresponsiveAfter() {
 			e.expectNoLonger(now, m)
 		}
 		switch {
 		case m.State() == fleet.Live && !m.Quarantined && !m.Draining && !e.unreachable[m]:
 			next = m.LastHeartbeat.Add(e.unresponsiveAfter() + time.Millisecond)
-		case m.State() == fleet.Unresponsive && len(m.Tasks) == 0:
+		case m.State() == fleet.Unresponsive && len(m.Attempts) == 0:
 			next = now.Add(time.Second)
 		}
 	}
 	if m.Quarantined || m.Draining || e.unreachable[m] || m.State() == fleet.Unresponsive {
 		e.withdrawUnsentStarts(now, m)
 	}
-	if m.State() == fleet.Live && (m.Quarantined || m.Draining) && m.Busy() == 0 && !e.hasUnstoredResults(m) {
+	if m.State() == fleet.Live && (m.Quarantined || m.Draining) && m.ActiveAttempts() == 0 && !e.hasUnstoredResults(m) {
 		e.scaleIn(now, m, "drained")
 	}
 	if !next.After(now) {
@@ -209,7 +209,7 @@
 func (e *Engine) startDraining(now time.Time, m *fleet.Machine) {
 	m.Draining = true
 	e.timers.schedule(m, now)
-	e.touch(m)
+	e.capacityChanged(m)
 }
 
 // withdrawUnsentStarts takes back starts that haven't left from a machine that gets
@@ -246,8 +246,8 @@
 
 // hasUnstoredResults tells whether results on a machine are not yet written.
 func (*Engine) hasUnstoredResults(m *fleet.Machine) bool {
-	for _, a := range m.Tasks {
-		if a.State() == fleet.Exited && !a.Handled {
+	for _, a := range m.Attempts {
+		if a.State() == fleet.Exited && !a.ExitHandled {
 			return true
 		}
 	}
@@ -268,18 +268,18 @@
 func (e *Engine) checkResponsiveness(now time.Time, m *fleet.Machine) {
 	quiet := now.Sub(m.LastHeartbeat)
 	if m.State() == fleet.Live && quiet > e.unresponsiveAfter() && e.moveMachine(now, m, fleet.Unresponsive) {
-		e.note("machine silent", "machine", m.Name, "busy", m.Busy())
+		e.note("machine silent", "machine", m.Name, "busy", m.ActiveAttempts())
 	}
 	if m.State() != fleet.Live && quiet > e.unresponsiveAfter() && e.missingFromList(m) {
 		e.scaleIn(now, m, fmt.Sprintf("silent for %s", quiet.Round(time.Second)))
 		return
 	}
-	if !m.LeaseOver(now, e.cfg.Lease) {
+	if !m.LeaseExpired(now, e.cfg.Lease) {
 		return
 	}
 	e.moveMachine(now, m, fleet.Unresponsive) // whatever is placed on it now would be counted as gone at once
-	if m.Busy() > 0 {
-		e.note("lease over", "machine", m.Name, "busy", m.Busy())
+	if m.ActiveAttempts() > 0 {
+		e.note("lease over", "machine", m.Name, "busy", m.ActiveAttempts())
 	}
 	for _, a := range sortedAttempts(m) {
 		if a.State() != fleet.Exited {
@@ -311,8 +311,8 @@
 	return unknownBoot
 }
 
-// HasLive tells whether any machine is up as far as is known.
-func (e *Engine) HasLive() bool {
+// HasLiveMachines tells whether any machine is up as far as is known.
+func (e *Engine) HasLiveMachines() bool {
 	for _, m := range e.machines {
 		if s := m.State(); s == fleet.Live || s == fleet.Unresponsive {
 			return true // mostly the first one looked at
--- a/internal/core/one_way_loss_test.go
+++ b/internal/core/one_way_loss_test.go
@@ -13,7 +13,7 @@
 	t.Helper()
 	b, c := started(t)
 	b.report("m-1", 2, running(c))
-	b.e.Step(b.now, CancelAsked{Ref: c.Ref})
+	b.e.Step(b.now, CancelRequested{Ref: c.Ref})
 	b.report("m-1", 2, running(c)) // answered with the stop
 	return b, running(c)
 }
--- a/internal/core/placement/free_capacity.go
+++ b/internal/core/placement/free_capacity.go
@@ -54,7 +54,7 @@
 	}
 	u := m.Used()
 	s.CPUs, s.GPUs, s.MemGB, s.Future = t.CPUs-u.CPUs, t.GPUs-u.GPUs, t.MemGB-u.MemGB, future
-	s.lasting = m.Lasting()
+	s.serviceUsage = m.ServiceUsage()
 	s.pool.stale = true
 }
 
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -77,9 +77,9 @@
 }
 
 func machine(name, typ, zone string, tasks ...string) *fleet.Machine {
-	m := fleet.NewMachine(time.Unix(0, 0), name, fleet.Kind{Type: typ, Zone: zone}, fleet.Live)
+	m := fleet.NewMachine(time.Unix(0, 0), name, fleet.PoolKey{Type: typ, Zone: zone}, fleet.Live)
 	for i, ref := range tasks {
-		m.Add(time.Unix(0, 0), &fleet.Attempt{Key: fleet.Key{Ref: ref, Task: i}, Number: uint64(i + 1), CPUs: 4}, fleet.Running)
+		m.AddAttempt(time.Unix(0, 0), &fleet.Attempt{TaskID: fleet.TaskID{Ref: ref, Task: i}, Number: uint64(i + 1), CPUs: 4}, fleet.Running)
 	}
 	return m
 }
@@ -177,8 +177,8 @@
 		t.Fatalf("stopped %v", b.stopped)
 	}
 	for _, a := range b.stopped {
-		if a.On.Zone != "b" {
-			t.Errorf("stopped on %s in zone %s", a.On.Name, a.On.Zone)
+		if a.Machine.Zone != "b" {
+			t.Errorf("stopped on %s in zone %s", a.Machine.Name, a.Machine.Zone)
 		}
 	}
 	for _, d := range b.placed {
@@ -245,7 +245,7 @@
 	}{{time.Time{}, "m-1"}, {now.Add(2 * time.Second), "m-2"}, {now.Add(time.Millisecond), "m-1"}} {
 		used, idle := machine("m-1", "cpu", "a"), machine("m-2", "cpu", "a")
 		used.LastHeartbeat, idle.LastHeartbeat = now.Add(-4*time.Second), now.Add(-7*time.Second)
-		used.Add(now, &fleet.Attempt{Key: fleet.Key{Ref: "j-8"}, CPUs: 6}, fleet.Running)
+		used.AddAttempt(now, &fleet.Attempt{TaskID: fleet.TaskID{Ref: "j-8"}, CPUs: 6}, fleet.Running)
 		b := newBoard(t, []*pipeline.Job{job(t, pipeline.Spec{Ref: "j-1", Tasks: 1, CPUs: 1})}, used, idle)
 		b.HeartbeatInterval = 8 * time.Second
 		b.StartBy = func(*pipeline.Job) time.Time { return c.by }
--- a/internal/core/placement/replicas_test.go
+++ b/internal/core/placement/replicas_test.go
@@ -33,7 +33,7 @@
 	new(Round).Run(&b.Board)
 	byMachine := map[string]int{}
 	for _, a := range b.stopped {
-		byMachine[a.On.Name]++
+		byMachine[a.Machine.Name]++
 	}
 	if len(b.stopped) != 3 || byMachine["m-4"] != 1 || b.unmet != 4 {
 		t.Fatalf("stopped on %v, unmet %d; want two places in zone a, one in zone b", byMachine, b.unmet)
@@ -69,7 +69,7 @@
 		machines := []*fleet.Machine{machine("m-1", "gpu", "a"), machine("m-2", "gpu", "a"), machine("m-3", "gpu", "a")}
 		for k, m := range machines {
 			for n := range on[m.Name] {
-				m.Add(time.Unix(0, 0), &fleet.Attempt{Key: fleet.Key{Ref: "j-8", Task: 10*k + n}, CPUs: 2, Lasting: true}, fleet.Running)
+				m.AddAttempt(time.Unix(0, 0), &fleet.Attempt{TaskID: fleet.TaskID{Ref: "j-8", Task: 10*k + n}, CPUs: 2, ServiceReplica: true}, fleet.Running)
 			}
 		}
 		replica := job(t, pipeline.Spec{Ref: "j-1", Tasks: 1, CPUs: 2, Shape: pipeline.Service})
--- a/internal/core/placement/score.go
+++ b/internal/core/placement/score.go
@@ -19,7 +19,7 @@
 	if sp.Shape != pipeline.Service || large == nil {
 		return Share(s.Type, sp)
 	}
-	cpus, gpus, mem := s.Type.CPUs-s.lasting.CPUs, s.Type.GPUs-s.lasting.GPUs, s.Type.MemGB-s.lasting.MemGB
+	cpus, gpus, mem := s.Type.CPUs-s.serviceUsage.CPUs, s.Type.GPUs-s.serviceUsage.GPUs, s.Type.MemGB-s.serviceUsage.MemGB
 	lost := HowMany(cpus, gpus, mem, large) - HowMany(cpus-sp.CPUs, gpus, mem-sp.MemGB, large)
 	return float64(lost) * Share(s.Type, large)
 }
@@ -60,7 +60,7 @@
 	if s.Machine != nil && s.Machine.Failures > 0 {
 		score += probationSeconds
 	}
-	if s.Machine != nil && s.Machine.Planned {
+	if s.Machine != nil && s.Machine.CordonPlanned {
 		score += plannedSeconds
 	}
 	return score
--- a/internal/core/placement/slot.go
+++ b/internal/core/placement/slot.go
@@ -15,7 +15,7 @@
 	Spot              bool
 	CPUs, GPUs, MemGB float64
 	Future            bool         // is booting: counts as coming, takes no tasks yet
-	lasting           fleet.Amount // what replicas of services take of it
+	serviceUsage      fleet.Amount // what replicas of services take of it
 	reserved          *reservation
 	pool              *Pool
 }
@@ -24,7 +24,7 @@
 func (s *Slot) Take(sp *pipeline.Spec) {
 	s.CPUs, s.GPUs, s.MemGB = s.CPUs-sp.CPUs, s.GPUs-sp.GPUs, s.MemGB-sp.MemGB
 	if sp.Shape == pipeline.Service {
-		s.lasting.CPUs, s.lasting.GPUs, s.lasting.MemGB = s.lasting.CPUs+sp.CPUs, s.lasting.GPUs+sp.GPUs, s.lasting.MemGB+sp.MemGB
+		s.serviceUsage.CPUs, s.serviceUsage.GPUs, s.serviceUsage.MemGB = s.serviceUsage.CPUs+sp.CPUs, s.serviceUsage.GPUs+sp.GPUs, s.serviceUsage.MemGB+sp.MemGB
 	}
 	if s.pool != nil {
 		s.pool.stale = true
@@ -67,4 +67,6 @@
 }
 
 // held tells whether a slot takes no tasks for the moment.
-func (s *Slot) held(now time.Time) bool { return s.Machine != nil && s.Machine.HoldUntil.After(now) }
+func (s *Slot) held(now time.Time) bool {
+	return s.Machine != nil && s.Machine.StartsPausedUntil.After(now)
+}
--- a/internal/core/preemption.go
+++ b/internal/core/preemption.go
@@ -16,7 +16,7 @@
 // whole machine: many small tasks of an array are less than one gang.
 func (e *Engine) preemptionCost(now time.Time, by *pipeline.Job, a *fleet.Attempt) (float64, bool) {
 	j := e.jobs[a.Ref]
-	if j == nil || a.Foreign || a.Stopping || a.State() == fleet.Checkpointing {
+	if j == nil || a.Unrecorded || a.Stopping || a.State() == fleet.Checkpointing {
 		return 0, false
 	}
 	if by.Urgency >= j.Urgency && !e.mayReclaimGuarantee(by, j) || e.starvesBefore(now, j, by) {
@@ -35,7 +35,7 @@
 	if j.Shape == pipeline.Gang {
 		cost *= float64(len(j.Tasks)) // they all stop
 	}
-	if t := e.catalog[a.On.Type]; t != nil {
+	if t := e.catalog[a.Machine.Type]; t != nil {
 		cost *= placement.Share(t, &j.Spec)
 	}
 	return cost, true
@@ -72,7 +72,7 @@
 
 // preempt stops an attempt to make room.
 func (e *Engine) preempt(now time.Time, a *fleet.Attempt) {
-	e.note("preempted", "job", a.Ref, "task", a.Task, "machine", a.On.Name, "attempt", a.Number)
+	e.note("preempted", "job", a.Ref, "task", a.Task, "machine", a.Machine.Name, "attempt", a.Number)
 	e.chargeInvoluntary(now, a)
-	e.stopWithCheckpoint(now, a.On, a, e.jobs[a.Ref])
+	e.stopWithCheckpoint(now, a.Machine, a, e.jobs[a.Ref])
 }
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -24,7 +24,7 @@
 		o.Holder = holderHere(a, t.Attempt)
 		return o
 	}
-	if other := e.holderElsewhere(m, fleet.Key{Ref: t.Ref, Task: t.Task}); other != nil {
+	if other := e.holderElsewhere(m, fleet.TaskID{Ref: t.Ref, Task: t.Task}); other != nil {
 		o.Holder = recovery.Elsewhere
 		if unsent(other) {
 			o.Holder = recovery.UnsentElsewhere
@@ -50,7 +50,7 @@
 }
 
 // holderElsewhere is the attempt of a task that another machine holds, or may; nil if none.
-func (e *Engine) holderElsewhere(m *fleet.Machine, k fleet.Key) *fleet.Attempt {
+func (e *Engine) holderElsewhere(m *fleet.Machine, k fleet.TaskID) *fleet.Attempt {
 	j := e.jobs[k.Ref]
 	if j == nil || k.Task >= len(j.Tasks) || j.Tasks[k.Task].State() != pipeline.Assigned {
 		return nil
@@ -59,7 +59,7 @@
 	if other == nil || other == m {
 		return nil
 	}
-	a := other.Tasks[k]
+	a := other.Attempts[k]
 	if a == nil || a.State() == fleet.Exited {
 		return nil
 	}
@@ -68,21 +68,21 @@
 
 // withdrawStart takes back the start of a task that hasn't left, on this machine or another;
 // false if there is none.
-func (e *Engine) withdrawStart(now time.Time, m *fleet.Machine, k fleet.Key) bool {
-	a := m.Tasks[k]
+func (e *Engine) withdrawStart(now time.Time, m *fleet.Machine, k fleet.TaskID) bool {
+	a := m.Attempts[k]
 	if a == nil {
 		a = e.holderElsewhere(m, k)
 	}
 	if a == nil || !unsent(a) {
 		return false
 	}
-	e.stop(now, a.On, a, 0)
+	e.stop(now, a.Machine, a, 0)
 	return true
 }
 
 // newAttempt is a reported attempt of which nothing here speaks.
 func (e *Engine) newAttempt(t fleet.TaskStatus) *fleet.Attempt {
-	a := &fleet.Attempt{Key: fleet.Key{Ref: t.Ref, Task: t.Task}, Number: t.Attempt}
+	a := &fleet.Attempt{TaskID: fleet.TaskID{Ref: t.Ref, Task: t.Task}, Number: t.Attempt}
 	if j := e.jobs[t.Ref]; j != nil && t.Task < len(j.Tasks) {
 		a.CPUs, a.GPUs, a.MemGB, a.Image = j.CPUs, j.GPUs, j.MemGB, j.Image
 	}
@@ -99,12 +99,12 @@
 	e.note("unrecorded task adopted", "job", t.Ref, "task", t.Task, "machine", m.Name, "attempt", t.Attempt)
 }
 
-// adoptForeign takes in an attempt that shouldn't be there, and has it stopped.
-func (e *Engine) adoptForeign(now time.Time, m *fleet.Machine, t fleet.TaskStatus) {
+// adoptUnrecorded takes in an attempt that shouldn't be there, and has it stopped.
+func (e *Engine) adoptUnrecorded(now time.Time, m *fleet.Machine, t fleet.TaskStatus) {
 	a := e.newAttempt(t)
 	e.attach(now, m, a, t.State)
 	a.RunStart = time.Time{}
-	a.Foreign = true
+	a.Unrecorded = true
 	e.note("unexpected task", "job", t.Ref, "task", t.Task, "machine", m.Name, "attempt", t.Attempt)
 	e.stop(now, m, a, 0)
 }
--- a/internal/core/safety_test.go
+++ b/internal/core/safety_test.go
@@ -21,7 +21,7 @@
 func config() Config {
 	return Config{Teams: map[string]placement.Quota{"t": {}}, HeartbeatInterval: 3 * time.Second, Lease: 30 * time.Second,
 		CancelWithin: 60 * time.Second, InstanceListLag: 4 * time.Second, RestartLimit: 3,
-		BatchEvery: 2 * time.Second, MaxPerValue: 4000, RoundBudget: 100, Weights: DefaultWeights()}
+		BatchInterval: 2 * time.Second, MaxValueBytes: 4000, RoundBudget: 100, Weights: DefaultWeights()}
 }
 
 func job(ref string, tasks int) StoredJob {
@@ -35,7 +35,7 @@
 func newBenchWith(t *testing.T, cfg Config, term uint64, snap Snapshot) *bench {
 	b := &bench{t: t, now: time.Unix(5000, 0), seq: map[string]uint64{}}
 	b.e = New(b.now, cfg, term, snap, rand.New(rand.NewPCG(1, 1)))
-	b.e.Step(b.now, Catalog{placement.Catalog{"big": {Name: "big", CPUs: 8, MemGB: 32, CacheGB: 10, FetchGBPerS: 1, Hourly: 1, Boot: 20 * time.Second, Zones: []string{"a"}}}})
+	b.e.Step(b.now, CatalogUpdated{placement.Catalog{"big": {Name: "big", CPUs: 8, MemGB: 32, CacheGB: 10, FetchGBPerS: 1, Hourly: 1, Boot: 20 * time.Second, Zones: []string{"a"}}}})
 	return b
 }
 
@@ -72,15 +72,15 @@
 		b.now = b.now.Add(200 * time.Millisecond)
 		b.e.Step(b.now, Tick{})
 		if batch := b.e.Batch(b.now, 10); written && len(batch) > 0 {
-			b.e.Step(b.now, Sending{batch})
-			b.e.Step(b.now, Written{Batch: batch, OK: true, Version: 100})
+			b.e.Step(b.now, WritesStarted{batch})
+			b.e.Step(b.now, WritesFinished{Batch: batch, OK: true, Version: 100})
 		}
 	}
 }
 
 func starts(r HeartbeatResponse) (out []fleet.Command) {
 	for _, c := range r.Commands {
-		if c.Op == fleet.Start {
+		if c.Kind == fleet.Start {
 			out = append(out, c)
 		}
 	}
@@ -108,8 +108,8 @@
 
 // page is a page of the start log with one attempt of j-1/0.
 func page(name, machine string, attempt uint64) StoredPage {
-	return StoredPage{Name: name, Version: 3, Record: fleet.Record{Placed: []fleet.Placed{
-		{Machine: machine, Type: "big", Zone: "a", Entries: []fleet.Entry{{Ref: "j-1", Task: 0, Attempt: attempt}}}}}}
+	return StoredPage{Name: name, Version: 3, Record: fleet.StartLogRecord{Placed: []fleet.MachineStarts{
+		{Machine: machine, Type: "big", Zone: "a", Entries: []fleet.StartLogEntry{{Ref: "j-1", Task: 0, Attempt: attempt}}}}}}
 }
 
 func inherited() Snapshot {
@@ -220,7 +220,7 @@
 		b.pass(time.Second, false)
 	}
 	b.pass(time.Second, true)
-	if r := b.report("m-1", 2, done); len(r.Commands) != 1 || r.Commands[0].Op != fleet.Forget {
+	if r := b.report("m-1", 2, done); len(r.Commands) != 1 || r.Commands[0].Kind != fleet.Forget {
 		t.Fatalf("commands after the result is written: %v", r.Commands)
 	}
 	if v, ok := b.e.Lookup("j-1"); !ok || v.Phase != pipeline.Done {
@@ -235,11 +235,11 @@
 	if _, ok := b.e.Lookup("j-1"); !ok {
 		t.Fatal("an active job isn't known")
 	}
-	b.e.Step(b.now, CancelAsked{"j-1"})
+	b.e.Step(b.now, CancelRequested{"j-1"})
 	if v, ok := b.e.Lookup("j-1"); ok {
 		t.Fatalf("answered while a cancellation is on its way: %v", v)
 	}
-	b.e.Step(b.now, CancelOutcome{Ref: "j-1", Unknown: true, Version: 5})
+	b.e.Step(b.now, CancelUndecided{Ref: "j-1", Unknown: true, Version: 5})
 	if v, ok := b.e.Lookup("j-1"); ok {
 		t.Fatalf("answered while the outcome is unknown: %v", v)
 	}
@@ -259,7 +259,7 @@
 	cancelled := job("j-1", 1)
 	cancelled.Version, cancelled.Record.Phase, cancelled.Record.CancelledMS = 200, pipeline.Cancelled, at.UnixMilli()
 	eff := b.e.Step(b.now, JobStored{cancelled})
-	if len(eff.Direct) != 1 || eff.Direct[0].Commands[0].Op != fleet.Stop || eff.Direct[0].Commands[0].Grace != 0 {
+	if len(eff.Direct) != 1 || eff.Direct[0].Commands[0].Kind != fleet.Stop || eff.Direct[0].Commands[0].Grace != 0 {
 		t.Fatalf("effects of a cancellation: %+v", eff)
 	}
 	for b.now.Sub(at) < config().CancelWithin {
@@ -312,7 +312,7 @@
 	gang := job("j-1", 2)
 	gang.Record.Spec.Shape, gang.Record.Spec.CPUs = pipeline.Gang, 8
 	b := newBench(t, 2, Snapshot{Jobs: []StoredJob{gang}})
-	if b.e.HasLive() {
+	if b.e.HasLiveMachines() {
 		t.Fatal("machines are believed up that nobody has heard of")
 	}
 	b.up("m-1")
@@ -386,7 +386,7 @@
 		t.Fatal("a copy of a report of long ago has the task taken for running")
 	}
 	b.pass(6*time.Second, true)
-	if b.e.machines["m-9"].Busy() > 0 {
+	if b.e.machines["m-9"].ActiveAttempts() > 0 {
 		t.Fatal("placed on a machine of which only an old copy speaks")
 	}
 }
--- a/internal/core/silence_test.go
+++ b/internal/core/silence_test.go
@@ -20,7 +20,7 @@
 			t.Fatalf("released after %s", b.now.Sub(silent))
 		}
 	}
-	if n := b.e.machines["m-1"].Busy(); n != 0 {
+	if n := b.e.machines["m-1"].ActiveAttempts(); n != 0 {
 		t.Fatalf("%d tasks counted as there after the lease", n)
 	}
 	seq := b.seq["m-1"] + 1
--- a/internal/core/start_log.go
+++ b/internal/core/start_log.go
@@ -14,15 +14,15 @@
 type startLog struct {
 	cfg       *Config
 	newName   func() string // makes names for new pages
-	pages     map[string]*fleet.Page
-	unpaged   []*fleet.Attempt // decided, but on no page yet
-	open      *fleet.Page      // the page that takes new attempts
-	dirty     map[*fleet.Page]bool
+	pages     map[string]*fleet.StartLogPage
+	unpaged   []*fleet.Attempt    // decided, but on no page yet
+	open      *fleet.StartLogPage // the page that takes new attempts
+	dirty     map[*fleet.StartLogPage]bool
 	trimmedAt time.Time
 }
 
 func newStartLog(cfg *Config, newName func() string) startLog {
-	return startLog{cfg: cfg, newName: newName, pages: map[string]*fleet.Page{}, dirty: map[*fleet.Page]bool{}}
+	return startLog{cfg: cfg, newName: newName, pages: map[string]*fleet.StartLogPage{}, dirty: map[*fleet.StartLogPage]bool{}}
 }
 
 // trimEvery is how often a page is trimmed of attempts that are gone, trimPause how much
@@ -34,7 +34,7 @@
 )
 
 // addPage takes in a page.
-func (l *startLog) addPage(p *fleet.Page) { l.pages[p.Name] = p }
+func (l *startLog) addPage(p *fleet.StartLogPage) { l.pages[p.Name] = p }
 
 // addAttempt takes in an attempt that has been decided. It goes on a page with the next
 // batch.
@@ -49,7 +49,7 @@
 }
 
 // pageChanged notes whether a page is to be written.
-func (l *startLog) pageChanged(p *fleet.Page) {
+func (l *startLog) pageChanged(p *fleet.StartLogPage) {
 	if p.Dirty {
 		l.dirty[p] = true
 	} else {
@@ -77,7 +77,7 @@
 		if a.State() == fleet.Exited {
 			continue // withdrawn meanwhile
 		}
-		if l.open == nil || l.open.Sending || !l.open.Fits(a, l.cfg.MaxPerValue) {
+		if l.open == nil || l.open.Sending || !l.open.Fits(a, l.cfg.MaxValueBytes) {
 			if len(l.dirty) >= maxDirty {
 				l.unpaged = append(l.unpaged[:0], l.unpaged[i:]...)
 				return
@@ -92,10 +92,10 @@
 
 // leastFilledPage is the page with the least on it that still has room for some, or
 // a new one. Writing it again drops what is gone from it.
-func (l *startLog) leastFilledPage() *fleet.Page {
-	var best *fleet.Page
+func (l *startLog) leastFilledPage() *fleet.StartLogPage {
+	var best *fleet.StartLogPage
 	for _, p := range l.pages {
-		if p.Sending || !p.HalfEmpty(l.cfg.MaxPerValue) {
+		if p.Sending || !p.HalfEmpty(l.cfg.MaxValueBytes) {
 			continue
 		}
 		if best == nil || p.Live() < best.Live() || p.Live() == best.Live() && p.Name < best.Name {
@@ -103,7 +103,7 @@
 		}
 	}
 	if best == nil {
-		best = fleet.NewPage(l.newName(), 0)
+		best = fleet.NewStartLogPage(l.newName(), 0)
 		l.addPage(best)
 	}
 	return best
@@ -130,10 +130,10 @@
 
 // stalestPage is the page with the most entries that are gone, of those that may be
 // trimmed; nil if none may.
-func (l *startLog) stalestPage(now time.Time) *fleet.Page {
-	var worst *fleet.Page
+func (l *startLog) stalestPage(now time.Time) *fleet.StartLogPage {
+	var worst *fleet.StartLogPage
 	for _, p := range l.pages {
-		if p.Sending || p == l.open || p.Stale() == 0 || now.Sub(p.Trimmed) < trimEvery || !p.Fits(nil, l.cfg.MaxPerValue) {
+		if p.Sending || p == l.open || p.Stale() == 0 || now.Sub(p.Trimmed) < trimEvery || !p.Fits(nil, l.cfg.MaxValueBytes) {
 			continue
 		}
 		if worst == nil || p.Stale() > worst.Stale() || p.Stale() == worst.Stale() && p.Name < worst.Name {
@@ -162,7 +162,7 @@
 // dropped notes that the store no longer holds a page.
 func (l *startLog) dropped(now time.Time, name string) {
 	p := l.pages[name]
-	p.Stored(now, fleet.Record{}, 0)
+	p.Stored(now, fleet.StartLogRecord{}, 0)
 	if p.Live() == 0 && p != l.open {
 		delete(l.pages, name)
 	}
@@ -183,7 +183,7 @@
 }
 
 // refused notes that the store takes a page under no circumstances.
-func (l *startLog) refused(now time.Time, p *fleet.Page) {
+func (l *startLog) refused(now time.Time, p *fleet.StartLogPage) {
 	p.WriteRefused(now)
 	l.pageChanged(p)
 	if l.open == p {
@@ -191,15 +191,15 @@
 	}
 }
 
-func pageWrite(p *fleet.Page) Write {
+func pageWrite(p *fleet.StartLogPage) Write {
 	return Write{Kind: WritePage, Name: p.Name, Version: p.Version, Page: p.Record()}
 }
 
-func sortedPages(set map[*fleet.Page]bool) []*fleet.Page {
+func sortedPages(set map[*fleet.StartLogPage]bool) []*fleet.StartLogPage {
 	if len(set) == 0 {
 		return nil
 	}
-	out := make([]*fleet.Page, 0, len(set))
+	out := make([]*fleet.StartLogPage, 0, len(set))
 	for p := range set {
 		out = append(out, p)
 	}
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -79,7 +79,7 @@
 			pools[k] = p
 		}
 		p.States[m.State().String()]++
-		p.Attempts += m.Busy()
+		p.Attempts += m.ActiveAttempts()
 		if m.Draining {
 			p.Draining++
 		}
--- a/internal/core/timer_queue.go
+++ b/internal/core/timer_queue.go
@@ -9,7 +9,7 @@
 
 // timerQueue says which machine is to be checked next, and when, so that a tick costs
 // nothing for machines about which there is nothing to decide. Each machine has one
-// valid timer, the one that expires at its CheckAt; others are left in the queue and
+// valid timer, the one that expires at its NextCheckAt; others are left in the queue and
 // ignored when they expire.
 type timerQueue struct{ timers timerHeap }
 
@@ -21,8 +21,8 @@
 // schedule has a machine checked at the given time, or earlier if its present timer
 // expires before then.
 func (q *timerQueue) schedule(m *fleet.Machine, at time.Time) {
-	if m.CheckAt.IsZero() || at.Before(m.CheckAt) {
-		m.CheckAt = at
+	if m.NextCheckAt.IsZero() || at.Before(m.NextCheckAt) {
+		m.NextCheckAt = at
 		heap.Push(&q.timers, timer{at, m})
 	}
 }
@@ -31,8 +31,8 @@
 func (q *timerQueue) expired(now time.Time) *fleet.Machine {
 	for len(q.timers) > 0 && !q.timers[0].at.After(now) {
 		t := heap.Pop(&q.timers).(timer)
-		if t.machine.CheckAt.Equal(t.at) && t.machine.State() != fleet.Removed {
-			t.machine.CheckAt = time.Time{}
+		if t.machine.NextCheckAt.Equal(t.at) && t.machine.State() != fleet.Removed {
+			t.machine.NextCheckAt = time.Time{}
 			return t.machine
 		}
 	}
--- a/internal/core/timer_queue_test.go
+++ b/internal/core/timer_queue_test.go
@@ -12,7 +12,7 @@
 	start := time.Unix(5000, 0)
 	at := func(seconds int) time.Time { return start.Add(time.Duration(seconds) * time.Second) }
 	machine := func(name string) *fleet.Machine {
-		return fleet.NewMachine(start, name, fleet.Kind{Type: "big", Zone: "a"}, fleet.Live)
+		return fleet.NewMachine(start, name, fleet.PoolKey{Type: "big", Zone: "a"}, fleet.Live)
 	}
 	a, b, gone := machine("m-a"), machine("m-b"), machine("m-gone")
 	var q timerQueue
--- a/internal/core/warm_start.go
+++ b/internal/core/warm_start.go
@@ -31,7 +31,7 @@
 }
 
 func (w WarmStart) apply(e *Engine, now time.Time) {
-	s := &warmStart{engine: e, now: now, attempts: map[fleet.Key]*WarmAttempt{}, differing: map[string]bool{}}
+	s := &warmStart{engine: e, now: now, attempts: map[fleet.TaskID]*WarmAttempt{}, differing: map[string]bool{}}
 	s.outcome.Confirmed = w.Confirmed
 	var machines []*WarmMachine
 	for i := range w.Records {
@@ -39,7 +39,7 @@
 		case r.Machine != nil:
 			machines = append(machines, r.Machine)
 		case r.Attempt != nil:
-			s.attempts[fleet.Key{Ref: r.Attempt.Ref, Task: r.Attempt.Task}] = r.Attempt
+			s.attempts[fleet.TaskID{Ref: r.Attempt.Ref, Task: r.Attempt.Task}] = r.Attempt
 		case r.Class != nil:
 			s.takeClass(r.Class)
 		case r.Offer != nil:
@@ -66,8 +66,8 @@
 type warmStart struct {
 	engine    *Engine
 	now       time.Time
-	attempts  map[fleet.Key]*WarmAttempt // not found in the start log so far
-	differing map[string]bool            // machines
+	attempts  map[fleet.TaskID]*WarmAttempt // not found in the start log so far
+	differing map[string]bool               // machines
 	outcome   WarmOutcome
 }
 
@@ -76,7 +76,7 @@
 func (s *warmStart) compareAttempts() {
 	e := s.engine
 	for _, m := range e.machines {
-		for task, a := range m.Tasks {
+		for task, a := range m.Attempts {
 			known := s.attempts[task]
 			if known == nil || known.Number != a.Number || known.Machine != m.Name {
 				s.differing[m.Name] = true
@@ -157,8 +157,8 @@
 		if !expected {
 			return
 		}
-		m = e.addAwaitingHeartbeat(s.now, fleet.Placed{Machine: w.Name, Type: w.Type, Zone: w.Zone, Spot: w.Spot})
-		m.Known = false // nothing but the view speaks of it so far
+		m = e.addAwaitingHeartbeat(s.now, fleet.MachineStarts{Machine: w.Name, Type: w.Type, Zone: w.Zone, Spot: w.Spot})
+		m.ExistenceVerified = false // nothing but the view speaks of it so far
 	}
 	m.Quarantined, m.Draining = w.Quarantined, w.Draining
 	m.ListedRunning = w.ListedRunning
@@ -175,7 +175,7 @@
 		e.expect(m)
 		s.outcome.Expected++
 	}
-	e.touch(m)
+	e.capacityChanged(m)
 }
 
 func (s *warmStart) takeImages(m *fleet.Machine, images []WarmImage) {
@@ -193,19 +193,19 @@
 // leaves only in the answer to a heartbeat that proves the machine free of anything else, as
 // for all other machines.
 func (e *Engine) expect(m *fleet.Machine) {
-	if m.State() == fleet.AwaitingHeartbeat && !m.Expected {
-		m.Expected = true
+	if m.State() == fleet.AwaitingHeartbeat && !m.HeartbeatExpected {
+		m.HeartbeatExpected = true
 		e.recovery.ExpectByWarmState(m.Name, true)
-		e.touch(m)
+		e.capacityChanged(m)
 	}
 }
 
 // expectNoLonger gives up on a machine that was expected and hasn't reported for as long as
 // makes any machine unresponsive: what was placed there goes elsewhere.
 func (e *Engine) expectNoLonger(now time.Time, m *fleet.Machine) {
-	m.Expected = false
+	m.HeartbeatExpected = false
 	e.recovery.ExpectByWarmState(m.Name, false)
-	e.touch(m)
+	e.capacityChanged(m)
 	e.withdrawUnsentStarts(now, m)
 	e.note("expected machine has not reported", "machine", m.Name)
 }
--- a/internal/core/warm_start_test.go
+++ b/internal/core/warm_start_test.go
@@ -73,7 +73,7 @@
 	next = &bench{t: t, now: b.now.Add(4 * time.Second), seq: b.seq}
 	next.e = New(next.now, cfg, 3, snap, rand.New(rand.NewPCG(1, 1)))
 	next.e.Step(next.now, WarmStart{Records: state.records(), Confirmed: true})
-	next.e.Step(next.now, Catalog{b.e.catalog})
+	next.e.Step(next.now, CatalogUpdated{b.e.catalog})
 	return next, s[0]
 }
 
@@ -121,15 +121,15 @@
 	if n := b.e.jobs["j-1"].Count(pipeline.Waiting); n != 0 {
 		t.Fatal("the task is placed again on the word of the warm state")
 	}
-	if n := b.e.machines["m-1"].Busy(); n != 1 {
+	if n := b.e.machines["m-1"].ActiveAttempts(); n != 1 {
 		t.Fatalf("%d attempts on the machine of which the start log tells otherwise", n)
 	}
-	if n := b.e.machines["m-2"].Busy(); n != 8 {
+	if n := b.e.machines["m-2"].ActiveAttempts(); n != 8 {
 		t.Fatalf("%d attempts on the expected machine, which takes 8", n)
 	}
 	b.report("m-1", 2, running(c))
 	b.report("m-1", 3, running(c))
-	if a := b.e.machines["m-1"].Tasks[fleet.Key{Ref: "j-1"}]; a == nil || a.Number != c.Attempt {
+	if a := b.e.machines["m-1"].Attempts[fleet.TaskID{Ref: "j-1"}]; a == nil || a.Number != c.Attempt {
 		t.Fatal("the attempt isn't taken up")
 	}
 }
@@ -144,8 +144,8 @@
 		b.pass(2*time.Second, true)
 		b.report("m-1", 3)
 	}
-	if m := b.e.machines["m-2"]; m.Expected || m.Busy() != 0 {
-		t.Fatalf("still expected %v with %d attempts", m.Expected, m.Busy())
+	if m := b.e.machines["m-2"]; m.HeartbeatExpected || m.ActiveAttempts() != 0 {
+		t.Fatalf("still expected %v with %d attempts", m.HeartbeatExpected, m.ActiveAttempts())
 	}
 	if n := b.e.jobs["j-2"].Count(pipeline.Waiting); n == 0 {
 		t.Fatal("the tasks wait for a machine that doesn't report")
@@ -176,7 +176,7 @@
 		avoid := WarmKey{Kind: WarmJobKind, Name: "j-2"}
 		state[avoid] = WarmRecord{Key: avoid, Job: &WarmJob{Ref: "j-2", Avoids: []WarmAvoid{{Machine: "m-1", UntilMS: time.Unix(5060, 0).UnixMilli()}}}}
 	})
-	if m := b.e.machines["m-2"]; m != nil && m.Expected {
+	if m := b.e.machines["m-2"]; m != nil && m.HeartbeatExpected {
 		t.Error("a sick machine is expected")
 	}
 	if c := b.e.class("c"); c.ratio != 1.5 || c.runs != 12 {
@@ -189,7 +189,7 @@
 		t.Error("the job doesn't avoid the machine where it failed")
 	}
 	b.report("m-1", 2, running(c))
-	a := b.e.machines["m-1"].Tasks[fleet.Key{Ref: "j-1"}]
+	a := b.e.machines["m-1"].Attempts[fleet.TaskID{Ref: "j-1"}]
 	if ran := b.now.Sub(a.RunStart); ran < 20*time.Second {
 		t.Errorf("the task counts as running since %s ago", ran)
 	}
@@ -229,7 +229,7 @@
 
 // obeyed is a worker's tasks after a command.
 func obeyed(tasks []fleet.TaskStatus, c fleet.Command) []fleet.TaskStatus {
-	switch c.Op {
+	switch c.Kind {
 	case fleet.Start:
 		return append(tasks, running(c))
 	case fleet.Forget:
@@ -243,7 +243,7 @@
 	t.Helper()
 	busy, attempts := 0, 0
 	for name, m := range e.machines {
-		busy += m.Busy()
+		busy += m.ActiveAttempts()
 		got := w[WarmKey{Kind: WarmMachineKind, Name: name}].Machine
 		want := e.warmMachine(name)
 		if got == nil || got.Quarantined != want.Quarantined || got.Draining != want.Draining || got.Failures != want.Failures || got.Reporting != want.Reporting || len(got.Images) != len(want.Images) {
@@ -255,7 +255,7 @@
 			continue
 		}
 		attempts++
-		if now := e.warmAttempt(fleet.Key{Ref: key.Name, Task: key.Task}); now == nil || *now != *r.Attempt {
+		if now := e.warmAttempt(fleet.TaskID{Ref: key.Name, Task: key.Task}); now == nil || *now != *r.Attempt {
 			t.Fatalf("%+v: replicated %+v, is %+v", key, r.Attempt, now)
 		}
 	}
--- a/internal/core/warm_state.go
+++ b/internal/core/warm_state.go
@@ -191,7 +191,7 @@
 	case WarmMachineKind:
 		record.Machine = e.warmMachine(key.Name)
 	case WarmAttemptKind:
-		record.Attempt = e.warmAttempt(fleet.Key{Ref: key.Name, Task: key.Task})
+		record.Attempt = e.warmAttempt(fleet.TaskID{Ref: key.Name, Task: key.Task})
 	case WarmClassKind:
 		record.Class = e.warmClass(key.Name)
 	case WarmOfferKind:
@@ -223,7 +223,7 @@
 	return w
 }
 
-func (e *Engine) warmAttempt(task fleet.Key) *WarmAttempt {
+func (e *Engine) warmAttempt(task fleet.TaskID) *WarmAttempt {
 	j := e.jobs[task.Ref]
 	if j == nil || task.Task >= len(j.Tasks) {
 		return nil
@@ -232,8 +232,8 @@
 	if m == nil {
 		return nil
 	}
-	a := m.Tasks[task]
-	if a == nil || a.State() == fleet.Exited || a.Foreign {
+	a := m.Attempts[task]
+	if a == nil || a.State() == fleet.Exited || a.Unrecorded {
 		return nil
 	}
 	w := &WarmAttempt{Ref: a.Ref, Task: a.Task, Number: a.Number, Machine: m.Name}
--- a/internal/core/write_outcome.go
+++ b/internal/core/write_outcome.go
@@ -6,11 +6,11 @@
 	"gingertally/internal/drain"
 )
 
-// Sending notes that a batch is on its way: its content counts as clean unless
+// WritesStarted notes that a batch is on its way: its content counts as clean unless
 // it changes again or the batch fails.
-type Sending struct{ Batch []Write }
+type WritesStarted struct{ Batch []Write }
 
-func (s Sending) apply(e *Engine, now time.Time) {
+func (s WritesStarted) apply(e *Engine, now time.Time) {
 	for _, w := range s.Batch {
 		e.writeStarted(now, w)
 	}
@@ -36,23 +36,23 @@
 	}
 }
 
-// Written brings a batch's outcome. Version is that of all its keys if OK.
+// WritesFinished brings a batch's outcome. Version is that of all its keys if OK.
 // Otherwise nothing is known to have changed, and Seen holds the versions of
 // the pages that were read afterwards.
-type Written struct {
-	Batch   []Write
-	OK      bool
-	Version uint64
-	Seen    map[string]uint64
+type WritesFinished struct {
+	Batch           []Write
+	OK              bool
+	Version         uint64
+	CurrentVersions map[string]uint64
 }
 
-func (o Written) apply(e *Engine, now time.Time) {
+func (o WritesFinished) apply(e *Engine, now time.Time) {
 	e.writesFail = !o.OK
 	for _, w := range o.Batch {
 		if o.OK {
 			e.writeSucceeded(now, w, o.Version)
 		} else {
-			e.writeFailed(w, o.Seen)
+			e.writeFailed(w, o.CurrentVersions)
 		}
 	}
 }
@@ -112,9 +112,9 @@
 	}
 }
 
-// Refused says that the store takes a write under no circumstances: its limits are
+// WriteRejected says that the store takes a write under no circumstances: its limits are
 // lower than the settings say (TestRefusedWriteIsMadeSmaller).
-type Refused struct{ Write Write }
+type WriteRejected struct{ Write Write }
 
 const (
 	// refusedPart is the factor by which values are made smaller after a refusal.
@@ -125,10 +125,10 @@
 	refusedPause = 30 * time.Second
 )
 
-func (r Refused) apply(e *Engine, now time.Time) {
+func (r WriteRejected) apply(e *Engine, now time.Time) {
 	w := r.Write
-	e.note("write refused by the state service", "kind", w.Kind, "name", w.Name, "value_bytes", e.cfg.MaxPerValue)
-	e.cfg.MaxPerValue = max(minValueBytes, int(float64(e.cfg.MaxPerValue)*refusedPart))
+	e.note("write refused by the state service", "kind", w.Kind, "name", w.Name, "value_bytes", e.cfg.MaxValueBytes)
+	e.cfg.MaxValueBytes = max(minValueBytes, int(float64(e.cfg.MaxValueBytes)*refusedPart))
 	switch w.Kind {
 	case WritePage, DropPage:
 		e.pageRefused(now, w.Name)
@@ -152,7 +152,7 @@
 		return
 	}
 	for _, a := range p.Unwritten() {
-		e.stop(now, a.On, a, 0)
+		e.stop(now, a.Machine, a, 0)
 	}
 	e.startLog.refused(now, p)
 }
--- a/internal/daemon/admission.go
+++ b/internal/daemon/admission.go
@@ -61,7 +61,7 @@
 	nodes := float64(len(d.settings.Peers) + 1)
 	perNode, _ := userWrites(state.WriteRPS, nodes)
 	interval := max(minPolicyInterval, time.Duration(float64(time.Second)/(state.WriteRPS*policyWritesPart)))
-	limits := jobstore.Limits{ValueBytes: d.coreConfig.MaxPerValue, TxnOps: state.TxnOps}
+	limits := jobstore.Limits{ValueBytes: d.coreConfig.MaxValueBytes, TxnOps: state.TxnOps}
 	return &admissionNode{
 		settings: settings, metrics: d.metrics.admission, totals: map[admission.Key]*admission.Count{},
 		known: jobstore.New(d.store.Part(state.RPS*userPart*knownPart/nodes, 1), limits),
@@ -162,7 +162,7 @@
 			latest = policy
 			n.take(policy)
 		}
-		s.step(core.FairOrder{On: latest.Overloaded(), Weights: n.settings.Weights})
+		s.step(core.FairOrderChanged{On: latest.Overloaded(), Weights: n.settings.Weights})
 	}
 	return s.ctx.Err()
 }
@@ -252,7 +252,7 @@
 func (s *leaderSession) fitting(policy admission.Policy) admission.Policy {
 	for len(policy.Shares) > 0 {
 		size, err := wire.JSONSize(wire.MustMarshal(policy))
-		if err == nil && size <= s.daemon.coreConfig.MaxPerValue {
+		if err == nil && size <= s.daemon.coreConfig.MaxValueBytes {
 			break
 		}
 		policy.Shares = policy.WithoutWidest()
--- a/internal/daemon/admission_test.go
+++ b/internal/daemon/admission_test.go
@@ -86,7 +86,7 @@
 	}
 	fits := s.fitting(p)
 	size, err := wire.JSONSize(wire.MustMarshal(fits))
-	if err != nil || size > d.coreConfig.MaxPerValue || len(fits.Shares) < 20 {
+	if err != nil || size > d.coreConfig.MaxValueBytes || len(fits.Shares) < 20 {
 		t.Fatalf("%d bytes with %d shares, %v", size, len(fits.Shares), err)
 	}
 	for _, share := range fits.Shares {
--- a/internal/daemon/catalog.go
+++ b/internal/daemon/catalog.go
@@ -61,7 +61,7 @@
 		return
 	}
 	value := wire.MustMarshal(wire.Flavors{Builds: flavors})
-	if size, err := wire.JSONSize(value); err != nil || size > d.coreConfig.MaxPerValue {
+	if size, err := wire.JSONSize(value); err != nil || size > d.coreConfig.MaxValueBytes {
 		slog.Debug("machine types too many to share", "bytes", size, "error", err)
 		return
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -114,11 +114,11 @@
 		GangWait:          params.Workers.GangWait.Duration(),
 		InstanceListLag:   params.Cloud.ListLag.Duration(),
 		RestartLimit:      operatorSettings.RestartLimit,
-		BatchEvery:        operatorSettings.BatchInterval,
+		BatchInterval:     operatorSettings.BatchInterval,
 		Weights:           operatorSettings.Weights,
 		Pace:              operatorSettings.Recovery,
-		MaxPerValue:       int(state.ValueKB * 1000),
-		WriteRate:         state.WriteRPS * leaderPart,
+		MaxValueBytes:     int(state.ValueKB * 1000),
+		WritesPerSecond:   state.WriteRPS * leaderPart,
 		RoundBudget:       roundBudget,
 		Drain:             operatorSettings.Draining.Policy(time.Duration(params.SkewMS * float64(time.Millisecond))),
 		Debug:             slog.Default().Enabled(context.Background(), slog.LevelDebug),
@@ -161,7 +161,7 @@
 		Contact: d.storeAnswered,
 	})
 	limits := jobstore.Limits{
-		ValueBytes: d.coreConfig.MaxPerValue, TxnOps: state.TxnOps,
+		ValueBytes: d.coreConfig.MaxValueBytes, TxnOps: state.TxnOps,
 		NotCancelledFor: d.coreConfig.CancelWithin / notCancelledParts,
 	}
 	d.jobs = jobstore.New(d.store, limits)
--- a/internal/daemon/instances.go
+++ b/internal/daemon/instances.go
@@ -78,7 +78,7 @@
 	if s.daemon.fetchCatalog(s.ctx) != nil {
 		return false
 	}
-	s.step(core.Catalog{Types: s.daemon.types()})
+	s.step(core.CatalogUpdated{Types: s.daemon.types()})
 	s.daemon.shareCatalog(s.ctx, s.term)
 	return true
 }
--- a/internal/daemon/leader_view.go
+++ b/internal/daemon/leader_view.go
@@ -54,9 +54,9 @@
 	if s == nil || !s.holdsLease() {
 		return d.finalPhase(ctx, ref)
 	}
-	s.step(core.CancelAsked{Ref: ref})
+	s.step(core.CancelRequested{Ref: ref})
 	if !d.coreConfig.CancelKept() && s.mayBeOnMachines(ref) {
-		s.step(core.CancelOutcome{Ref: ref, PutOff: true})
+		s.step(core.CancelUndecided{Ref: ref, Deferred: true})
 		return 0, errNotInTime
 	}
 	state, err := d.jobs.Cancel(ctx, ref, time.Now(), jobstore.UnderTerm(s.term))
--- a/internal/daemon/metrics.go
+++ b/internal/daemon/metrics.go
@@ -52,7 +52,7 @@
 	}
 	commands := prometheus.NewCounterVec(prometheus.CounterOpts{Name: "gingertally_commands_total",
 		Help: "Commands given in answer to reports."}, []string{"command"})
-	for op, name := range map[fleet.Op]string{fleet.Start: "start", fleet.Stop: "stop", fleet.Forget: "forget"} {
+	for op, name := range map[fleet.CommandKind]string{fleet.Start: "start", fleet.Stop: "stop", fleet.Forget: "forget"} {
 		m.commands[op] = commands.WithLabelValues(name)
 	}
 	registry.MustRegister(m.heartbeats, m.calls, m.callTime, m.round, m.store, m.leading, m.term, commands)
@@ -82,6 +82,6 @@
 // countCommands counts the commands of an answer to a heartbeat.
 func (m *metrics) countCommands(commands []fleet.Command) {
 	for _, command := range commands {
-		m.commands[command.Op].Inc()
+		m.commands[command.Kind].Inc()
 	}
 }
--- a/internal/daemon/session.go
+++ b/internal/daemon/session.go
@@ -55,7 +55,7 @@
 func (d *Daemon) resumed() {
 	if s := d.session.Load(); s != nil {
 		s.noteContact()
-		s.step(core.Resumed{})
+		s.step(core.LeaseResumed{})
 	}
 }
 
@@ -82,7 +82,7 @@
 		return err
 	}
 	if types := s.daemon.types(); types != nil {
-		s.engine.Step(time.Now(), core.Catalog{Types: types})
+		s.engine.Step(time.Now(), core.CatalogUpdated{Types: types})
 	}
 	s.noteContact()
 	group, ctx := errgroup.WithContext(s.ctx)
@@ -299,7 +299,7 @@
 func (s *leaderSession) expectsHeartbeats() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.engine.HasLive()
+	return s.engine.HasLiveMachines()
 }
 
 // decide has the engine run a round of decisions, within its budget of time.
--- a/internal/daemon/session_heartbeats.go
+++ b/internal/daemon/session_heartbeats.go
@@ -47,7 +47,7 @@
 	}
 	s.daemon.warm.reach(standby.FirstAnswer)
 	for _, command := range reply.Commands {
-		if command.Op == fleet.Start {
+		if command.Kind == fleet.Start {
 			s.startedAny.Store(true)
 			s.daemon.warm.reach(standby.FirstStart)
 			return
--- a/internal/daemon/session_watch.go
+++ b/internal/daemon/session_watch.go
@@ -100,7 +100,7 @@
 		return false
 	}
 	if state.Over {
-		s.step(core.JobFinal{Ref: ref, Final: state.Final})
+		s.step(core.JobFinished{Ref: ref, Final: state.Final})
 		return true
 	}
 	s.step(core.JobStored{Job: core.StoredJob{Record: state.Record, Version: state.Version}})
@@ -125,7 +125,7 @@
 		pause = askEvery
 		for _, ref := range refs {
 			if !s.loadJob(ref, s.daemon.records.LoadFinished) {
-				s.step(core.DependencyUnknown{Ref: ref})
+				s.step(core.DependencyLookupFailed{Ref: ref})
 				pause = askRetry
 			}
 		}
--- a/internal/daemon/session_writes.go
+++ b/internal/daemon/session_writes.go
@@ -75,21 +75,21 @@
 	}
 	sent, revision, err := s.daemon.records.Apply(s.ctx, s.term, batch)
 	if unsent := batch[len(sent):]; len(unsent) > 0 {
-		s.step(core.Written{Batch: unsent})
+		s.step(core.WritesFinished{Batch: unsent})
 	}
 	if err == nil {
-		s.step(core.Written{Batch: sent, OK: true, Version: revision})
+		s.step(core.WritesFinished{Batch: sent, OK: true, Version: revision})
 		return true, nil
 	}
 	if errors.Is(err, statestore.ErrRefused) {
-		s.step(core.Refused{Write: sent[0]})
+		s.step(core.WriteRejected{Write: sent[0]})
 		return true, nil
 	}
 	var versions map[string]uint64
 	if !errors.Is(err, statestore.ErrUnavailable) { // else nothing has changed, and nothing can be read
 		versions = s.reread(sent)
 	}
-	s.step(core.Written{Batch: sent, Seen: versions})
+	s.step(core.WritesFinished{Batch: sent, CurrentVersions: versions})
 	return false, err
 }
 
@@ -101,7 +101,7 @@
 	now := time.Now()
 	batch := s.engine.Batch(now, s.daemon.maxBatch())
 	if len(batch) > 0 {
-		s.engine.Step(now, core.Sending{Batch: batch})
+		s.engine.Step(now, core.WritesStarted{Batch: batch})
 	}
 	return batch
 }
--- a/internal/jobstore/cancel.go
+++ b/internal/jobstore/cancel.go
@@ -88,9 +88,9 @@
 func CancelEvent(ref string, state State, err error) core.Event {
 	switch {
 	case err != nil:
-		return core.CancelOutcome{Ref: ref, Unknown: errors.Is(err, ErrUnknownOutcome), Version: state.Version}
+		return core.CancelUndecided{Ref: ref, Unknown: errors.Is(err, ErrUnknownOutcome), Version: state.Version}
 	case state.Over:
-		return core.JobFinal{Ref: ref, Final: state.Final}
+		return core.JobFinished{Ref: ref, Final: state.Final}
 	}
 	return core.JobStored{Job: core.StoredJob{Record: state.Record, Version: state.Version}}
 }
--- a/internal/jobstore/golden_test.go
+++ b/internal/jobstore/golden_test.go
@@ -21,7 +21,7 @@
 // leaderWrites are writes of every kind that puts something, in which every field is set.
 func leaderWrites() []core.Write {
 	return []core.Write{
-		{Kind: core.WritePage, Name: "7-1", Page: goldentest.Filled[fleet.Record]()},
+		{Kind: core.WritePage, Name: "7-1", Page: goldentest.Filled[fleet.StartLogRecord]()},
 		{Kind: core.WriteJob, Name: "j-000001", Job: goldentest.Filled[pipeline.Record]()},
 		{Kind: core.WriteChunk, Name: "j-000001", Chunk: 2, Runs: []int{1, 2, 3}},
 		{Kind: core.WriteFinal, Name: "j-000002", Final: goldentest.Filled[pipeline.Final]()},
@@ -95,7 +95,7 @@
 // Everything that is stored is read, and written again bit for bit.
 func TestStoredFormsRoundTrip(t *testing.T) {
 	for _, value := range []any{
-		goldentest.Filled[fleet.Record](), goldentest.Filled[pipeline.Record](), goldentest.Filled[pipeline.Final](),
+		goldentest.Filled[fleet.StartLogRecord](), goldentest.Filled[pipeline.Record](), goldentest.Filled[pipeline.Final](),
 		goldentest.Filled[fleet.ImageRecord](), goldentest.Filled[drain.ChargePage](), goldentest.Filled[drain.MachinePage](),
 		goldentest.Filled[drain.Plan](),
 	} {
--- a/internal/jobstore/jobstore_test.go
+++ b/internal/jobstore/jobstore_test.go
@@ -131,14 +131,14 @@
 	m, j, term := setup(t)
 	before, _ := j.Load(ctx, "j-1")
 	st, err := New(unanswered{m}, j.limits).Cancel(ctx, "j-1", time.Now(), UnderTerm(term))
-	want := core.CancelOutcome{Ref: "j-1", Unknown: true, Version: before.Version}
+	want := core.CancelUndecided{Ref: "j-1", Unknown: true, Version: before.Version}
 	if got := CancelEvent("j-1", st, err); !errors.Is(err, ErrUnknownOutcome) || got != want {
 		t.Fatalf("%+v, %v", got, err)
 	}
 	if now, _ := j.Load(ctx, "j-1"); now.Phase != pipeline.Cancelled {
 		t.Fatalf("%+v", now)
 	}
-	if got := CancelEvent("j-1", st, ErrNotLeader); got != (core.CancelOutcome{Ref: "j-1", Version: before.Version}) {
+	if got := CancelEvent("j-1", st, ErrNotLeader); got != (core.CancelUndecided{Ref: "j-1", Version: before.Version}) {
 		t.Fatalf("%+v", got)
 	}
 }
@@ -195,7 +195,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	page := fleet.Record{Placed: []fleet.Placed{{Machine: "m-000500", Type: "g8", Zone: "b", Entries: []fleet.Entry{{Ref: "j-2", Attempt: 5}}}}}
+	page := fleet.StartLogRecord{Placed: []fleet.MachineStarts{{Machine: "m-000500", Type: "g8", Zone: "b", Entries: []fleet.StartLogEntry{{Ref: "j-2", Attempt: 5}}}}}
 	if _, _, err := j.Apply(ctx, term, []core.Write{{Kind: core.WritePage, Name: "2-1", Page: page}}); err != nil {
 		t.Fatal(err)
 	}
@@ -211,7 +211,7 @@
 				t.Errorf("page %+v", p)
 			}
 		case "m/m-000231":
-			if pl.Machine != "m-000231" || pl.Zone != "a" || pl.Entries[0] != (fleet.Entry{Ref: "j-1", Task: 3, Attempt: 77}) || p.Version != rev {
+			if pl.Machine != "m-000231" || pl.Zone != "a" || pl.Entries[0] != (fleet.StartLogEntry{Ref: "j-1", Task: 3, Attempt: 77}) || p.Version != rev {
 				t.Errorf("old record %+v", p)
 			}
 			if _, _, err := j.Apply(ctx, term, []core.Write{{Kind: core.DropPage, Name: p.Name, Version: p.Version}}); err != nil {
--- a/internal/jobstore/snapshot.go
+++ b/internal/jobstore/snapshot.go
@@ -111,19 +111,19 @@
 // place of the start log, as a page. Its name is its key.
 func readMachineRecord(item statestore.Item) (core.StoredPage, error) {
 	var record struct {
-		Type    string        `cbor:"ty"`
-		Zone    string        `cbor:"zo"`
-		Spot    bool          `cbor:"so"`
-		Entries []fleet.Entry `cbor:"e"`
+		Type    string                `cbor:"ty"`
+		Zone    string                `cbor:"zo"`
+		Spot    bool                  `cbor:"so"`
+		Entries []fleet.StartLogEntry `cbor:"e"`
 	}
 	if err := wire.Unmarshal(item.V, &record); err != nil {
 		return core.StoredPage{}, fmt.Errorf("%s: %w", item.Path, err)
 	}
-	machine := fleet.Placed{
+	machine := fleet.MachineStarts{
 		Machine: strings.TrimPrefix(item.Path, machinePrefix),
 		Type:    record.Type, Zone: record.Zone, Spot: record.Spot, Entries: record.Entries,
 	}
-	return core.StoredPage{Name: item.Path, Version: item.Stamp, Record: fleet.Record{Placed: []fleet.Placed{machine}}}, nil
+	return core.StoredPage{Name: item.Path, Version: item.Stamp, Record: fleet.StartLogRecord{Placed: []fleet.MachineStarts{machine}}}, nil
 }
 
 // readImages reads the image log.
--- a/internal/simulation/admission.go
+++ b/internal/simulation/admission.go
@@ -162,7 +162,7 @@
 			n.w.admission.notes["policies stored"]++
 			n.latestPolicy = policy
 			n.take(policy)
-			n.step(core.FairOrder{On: policy.Overloaded()})
+			n.step(core.FairOrderChanged{On: policy.Overloaded()})
 			n.sendPolicy()
 		}
 	})
--- a/internal/simulation/cancel.go
+++ b/internal/simulation/cancel.go
@@ -30,7 +30,7 @@
 		return // only the leader cancels
 	}
 	eng := n.eng
-	n.step(core.CancelAsked{Ref: ref})
+	n.step(core.CancelRequested{Ref: ref})
 	sent := &commitLater{Store: n.storeView()}
 	st, err := jobstore.New(sent, n.limits()).Cancel(bg, ref, n.local(), jobstore.UnderTerm(n.term))
 	outcome := func() {
--- a/internal/simulation/drain_check.go
+++ b/internal/simulation/drain_check.go
@@ -213,7 +213,7 @@
 	}
 	for _, c := range d.Commands {
 		key := taskKey(c.Ref, c.Task, c.Attempt)
-		if c.Op == fleet.Stop && w.drains.check.sent[key].IsZero() {
+		if c.Kind == fleet.Stop && w.drains.check.sent[key].IsZero() {
 			w.drains.check.sent[key] = w.now
 		}
 	}
@@ -306,10 +306,10 @@
 	c := w.drains.check
 	for _, command := range reply.Commands {
 		key := taskKey(command.Ref, command.Task, command.Attempt)
-		if command.Op == fleet.Stop {
+		if command.Kind == fleet.Stop {
 			c.sent[key] = w.now
 		}
-		if since := c.cordoned[machine]; command.Op == fleet.Start && !since.IsZero() && !w.o.Roll {
+		if since := c.cordoned[machine]; command.Kind == fleet.Start && !since.IsZero() && !w.o.Roll {
 			w.check.fail("cordoned: %s is started on %s, which has been cordoned for %s", key, machine, w.now.Sub(since))
 		}
 	}
--- a/internal/simulation/election.go
+++ b/internal/simulation/election.go
@@ -120,7 +120,7 @@
 		lapsed := !n.holdsLease()
 		n.leaseUntil = u
 		if lapsed && n.holdsLease() {
-			n.step(core.Resumed{})
+			n.step(core.LeaseResumed{})
 		}
 	}
 }
@@ -135,5 +135,5 @@
 	n.eng = core.New(n.local(), n.coreConfig(), t.N, snap, rand.New(rand.NewPCG(t.N, n.w.o.Seed)))
 	n.warmStart(t, revision)
 	n.prove(sent)
-	n.step(core.Catalog{Types: n.w.catalog})
+	n.step(core.CatalogUpdated{Types: n.w.catalog})
 }
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -265,7 +265,7 @@
 	n.writing = true
 	n.w.digest.add(n.w, "batch", n.name, batch)
 	eng, term, jobs := n.eng, n.term, n.jobs
-	n.step(core.Sending{Batch: batch})
+	n.step(core.WritesStarted{Batch: batch})
 	var sent []core.Write
 	var rev uint64
 	err := statestore.ErrUnknown
@@ -290,19 +290,19 @@
 func (n *node) written(batch, sent []core.Write, rev uint64, err error) {
 	n.writing = false
 	if rest := batch[len(sent):]; len(rest) > 0 {
-		n.step(core.Written{Batch: rest})
+		n.step(core.WritesFinished{Batch: rest})
 	}
 	if errors.Is(err, jobstore.ErrDeposed) {
 		n.endTerm()
 		return
 	}
 	if err == nil {
-		n.step(core.Written{Batch: sent, OK: true, Version: rev})
+		n.step(core.WritesFinished{Batch: sent, OK: true, Version: rev})
 		n.write()
 		return
 	}
 	if errors.Is(err, statestore.ErrRefused) {
-		n.step(core.Refused{Write: sent[0]})
+		n.step(core.WriteRejected{Write: sent[0]})
 		return
 	}
 	seen := map[string]uint64{}
@@ -316,7 +316,7 @@
 		}
 	}
 	if n.eng != nil {
-		n.step(core.Written{Batch: sent, Seen: seen})
+		n.step(core.WritesFinished{Batch: sent, CurrentVersions: seen})
 	}
 }
 
@@ -331,7 +331,7 @@
 	switch {
 	case !st.Found:
 	case st.Over:
-		n.step(core.JobFinal{Ref: ref, Final: st.Final})
+		n.step(core.JobFinished{Ref: ref, Final: st.Final})
 	default:
 		n.step(core.JobStored{Job: core.StoredJob{Record: st.Record, Version: st.Version}})
 	}
@@ -356,7 +356,7 @@
 		n.w.after(callTimeout, func() {
 			n.run(life, func() {
 				if !answered && n.eng == eng {
-					n.step(core.DependencyUnknown{Ref: ref})
+					n.step(core.DependencyLookupFailed{Ref: ref})
 				}
 			})
 		})
--- a/internal/simulation/pace_check.go
+++ b/internal/simulation/pace_check.go
@@ -23,7 +23,7 @@
 	c.pacedRate = max(c.pacedRate, rate)
 	for _, command := range reply.Commands {
 		j := c.w.jobs[command.Ref]
-		if command.Op == fleet.Start && j != nil && j.spec.Priority > pipeline.High && len(j.dependents()) == 0 {
+		if command.Kind == fleet.Start && j != nil && j.spec.Priority > pipeline.High && len(j.dependents()) == 0 {
 			c.pacedStarts++
 		}
 	}
--- a/internal/simulation/task.go
+++ b/internal/simulation/task.go
@@ -15,7 +15,7 @@
 	index        int
 	attempt      uint64
 	state        fleet.TaskState
-	cause        fleet.Cause
+	cause        fleet.ExitCause
 	checkpointed bool
 	onIt         bool // counts as being on the machine
 	gen          int  // outdates timers
@@ -98,7 +98,7 @@
 	}
 }
 
-func (t *task) exit(c fleet.Cause, saved bool) {
+func (t *task) exit(c fleet.ExitCause, saved bool) {
 	if t.state == fleet.Exited {
 		return
 	}
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -309,7 +309,7 @@
 	changed := false
 	for _, c := range cmds {
 		t := m.tasks[taskKey(c.Ref, c.Task, c.Attempt)]
-		switch c.Op {
+		switch c.Kind {
 		case fleet.Start:
 			if t == nil {
 				m.begin(c)
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -228,7 +228,7 @@
 	w := n.w
 	c := core.Config{Teams: w.teams, Debug: w.Trace != nil, HeartbeatInterval: w.o.HeartbeatInterval, Lease: w.o.Lease,
 		CancelWithin: w.o.Cancel, GangWait: gangWait, InstanceListLag: 2 * time.Second, RestartLimit: 3,
-		BatchEvery: 2 * time.Second, MaxPerValue: n.limits().ValueBytes, RoundBudget: 200, Weights: core.DefaultWeights(), WarmState: n.standbyOn(), Pace: w.o.Pace, Admission: w.o.Admission}
+		BatchInterval: 2 * time.Second, MaxValueBytes: n.limits().ValueBytes, RoundBudget: 200, Weights: core.DefaultWeights(), WarmState: n.standbyOn(), Pace: w.o.Pace, Admission: w.o.Admission}
 	if n.drainsOn() {
 		c.Drain = w.drains.nodePolicy()
 	}
--- a/internal/wire/agent.go
+++ b/internal/wire/agent.go
@@ -35,7 +35,7 @@
 	"flushing": fleet.Checkpointing, "ended": fleet.Exited,
 }
 
-var exitCauses = map[string]fleet.Cause{
+var exitCauses = map[string]fleet.ExitCause{
 	"done": fleet.CauseDone, "stopped": fleet.CauseStopped, "mates_gone": fleet.CauseGangPeerLost,
 	"alone": fleet.CauseGangIncomplete, "error": fleet.CauseError, "no_room": fleet.CauseInsufficientResources,
 	"busy": fleet.CauseAlreadyPresent, "no_such": fleet.CauseUnknownTask,
@@ -142,7 +142,7 @@
 	orders := make([]Order, 0, len(commands))
 	for _, command := range commands {
 		order := Order{Lot: TaskName(command.Ref, command.Task), Try: command.Attempt}
-		switch command.Op {
+		switch command.Kind {
 		case fleet.Start:
 			order.Verb = "start"
 		case fleet.Stop:
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -62,8 +62,8 @@
 	for _, word := range slices.Sorted(maps.Keys(priorities)) {
 		lines.Add("priority %s %d", word, priorities[word])
 	}
-	for _, op := range []fleet.Op{fleet.Start, fleet.Stop, fleet.Forget} {
-		command := fleet.Command{Op: op, Ref: "j-000412", Task: 3, Attempt: 1<<24 + 9, Grace: 10e9}
+	for _, op := range []fleet.CommandKind{fleet.Start, fleet.Stop, fleet.Forget} {
+		command := fleet.Command{Kind: op, Ref: "j-000412", Task: 3, Attempt: 1<<24 + 9, Grace: 10e9}
 		lines.Add("command %d %x", op, MustMarshal(OrdersOf([]fleet.Command{command})))
 	}
 	lines.Check(t, "words.txt")
