--- a/internal/daemon/admission.go
+++ b/internal/daemon/admission.go
@@ -140,7 +140,7 @@
 	if err != nil {
 		return err
 	}
-	planner := admission.NewPlanner(time.Now(), n.planner, s.term.N, stored)
+	planner := admission.NewPlanner(time.Now(), n.planner, s.term.Number, stored)
 	n.take(stored)
 	defer n.noteShares(nil)
 	latest := stored
@@ -239,7 +239,7 @@
 	policy = s.fitting(policy)
 	err := s.daemon.records.Put(s.ctx, s.term, policyKey, wire.MustMarshal(policy))
 	if errors.Is(err, jobstore.ErrDeposed) {
-		s.daemon.elector.Deposed()
+		s.daemon.elector.EndTerm()
 	}
 	if err != nil {
 		slog.Debug("store admission policy", "error", err)
--- a/internal/daemon/catalog.go
+++ b/internal/daemon/catalog.go
@@ -65,7 +65,7 @@
 		slog.Debug("machine types too many to share", "bytes", size, "error", err)
 		return
 	}
-	_, err = d.store.Commit(ctx, []wire.Condition{{Path: leadership.TermKey, Stamp: term.Stamp}},
+	_, err = d.store.Commit(ctx, []wire.Condition{{Path: leadership.TermKey, Stamp: term.Revision}},
 		[]wire.Change{{Put: catalogKey, V: value}})
 	if err != nil {
 		slog.Debug("share machine types", "error", err)
--- a/internal/daemon/controller_test.go
+++ b/internal/daemon/controller_test.go
@@ -228,7 +228,7 @@
 	before := work.token
 	eventually(t, "another term after a resignation", func() bool {
 		for _, node := range nodes {
-			if s := node.session.Load(); s != nil && s.term.N == before {
+			if s := node.session.Load(); s != nil && s.term.Number == before {
 				node.elector.Resign("test")
 			}
 		}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -92,9 +92,9 @@
 
 // electionHooks are what this node does as the leader changes.
 func (d *Daemon) electionHooks() leadership.Hooks {
-	hooks := leadership.Hooks{Elected: d.elected, Resumed: d.resumed, Unreached: d.unreached, RequestExtension: d.requestExtension}
+	hooks := leadership.Hooks{TermStarted: d.elected, LeaseResumed: d.resumed, HeartbeatsMissing: d.unreached, RequestExtension: d.requestExtension}
 	if d.warm != nil {
-		hooks.ClaimDelay, hooks.Vacant = d.warm.claimDelay, d.warm.vacant
+		hooks.ClaimDelay, hooks.LeaderLost = d.warm.claimDelay, d.warm.vacant
 	}
 	return hooks
 }
--- a/internal/daemon/session.go
+++ b/internal/daemon/session.go
@@ -42,12 +42,12 @@
 	go func() {
 		s := &leaderSession{daemon: d, ctx: ctx, term: term, wake: make(chan struct{}, 1)}
 		d.metrics.leading.Set(1)
-		d.metrics.term.Set(float64(term.N))
+		d.metrics.term.Set(float64(term.Number))
 		err := s.run()
 		d.session.CompareAndSwap(s, nil)
-		d.warm.termEnded(term.N)
+		d.warm.termEnded(term.Number)
 		d.metrics.leading.Set(0)
-		slog.Info("leader session over", "term", term.N, "reason", err)
+		slog.Info("leader session over", "term", term.Number, "reason", err)
 	}()
 }
 
@@ -132,12 +132,12 @@
 		return errReadAgain
 	}
 	s.ledger = ledger
-	slog.Info("takeover", "term", s.term.N, "jobs", len(snapshot.Jobs), "pages", len(snapshot.Pages))
+	slog.Info("takeover", "term", s.term.Number, "jobs", len(snapshot.Jobs), "pages", len(snapshot.Pages))
 	// All earlier leases ended before the claim, so before now
 	// (docs/design.md, "Safety arguments" 1; TestOneLeader).
 	now := time.Now()
 	snapshot.Restored = s.term.Restored
-	s.engine = core.New(now, s.daemon.coreConfig, s.term.N, snapshot, newRand())
+	s.engine = core.New(now, s.daemon.coreConfig, s.term.Number, snapshot, newRand())
 	if warm != nil {
 		logNotes(s.engine.Step(now, *warm).Notes)
 	}
@@ -170,8 +170,8 @@
 	}
 	logNotes(effects.Notes)
 	if effects.Deposed {
-		slog.Warn("a higher token exists", "term", s.term.N, "token", effects.HigherFencingToken)
-		s.daemon.elector.Deposed()
+		slog.Warn("a higher token exists", "term", s.term.Number, "token", effects.HigherFencingToken)
+		s.daemon.elector.EndTerm()
 		go s.noteRestored(effects.HigherFencingToken)
 		return effects
 	}
@@ -256,7 +256,7 @@
 	err := s.daemon.records.Put(ctx, s.term, leadership.RestoredKey, leadership.RestoredValue(token))
 	switch {
 	case err == nil:
-		slog.Error("the state service has forgotten terms: it was restored from an older copy", "term", s.term.N, "seen", token)
+		slog.Error("the state service has forgotten terms: it was restored from an older copy", "term", s.term.Number, "seen", token)
 	case !errors.Is(err, jobstore.ErrDeposed):
 		slog.Warn("note of a higher token", "error", err)
 	}
@@ -279,7 +279,7 @@
 		return
 	}
 	s.restoreCleared = true
-	slog.Info("what the state service had forgotten is settled", "term", s.term.N)
+	slog.Info("what the state service had forgotten is settled", "term", s.term.Number)
 }
 
 // replicate streams what has changed of the engine's warm state.
@@ -291,7 +291,7 @@
 	records := s.engine.WarmChanges(time.Now(), warmChangesAtOnce)
 	s.mu.Unlock()
 	if len(records) > 0 {
-		s.daemon.warm.publish(s.term.N, records)
+		s.daemon.warm.publish(s.term.Number, records)
 	}
 }
 
--- a/internal/daemon/session_writes.go
+++ b/internal/daemon/session_writes.go
@@ -48,7 +48,7 @@
 	for {
 		more, err := s.writeBatch()
 		if errors.Is(err, jobstore.ErrDeposed) {
-			s.daemon.elector.Deposed()
+			s.daemon.elector.EndTerm()
 			return err
 		}
 		if err != nil {
--- a/internal/daemon/standby.go
+++ b/internal/daemon/standby.go
@@ -110,9 +110,9 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.takeover.Term = term.N
+	n.takeover.Term = term.Number
 	n.reachLocked(standby.ClaimStored, time.Now())
-	n.standby.Claimed(standby.Claim{Term: term.N, Revision: term.Stamp})
+	n.standby.Claimed(standby.Claim{Term: term.Number, Revision: term.Revision})
 }
 
 // confirm decides, once the state service was read as of a revision, from what the engine
@@ -128,7 +128,7 @@
 	if errors.Is(err, standby.ErrBehindClaim) {
 		return nil, false
 	}
-	n.publisher, n.term = standby.NewPublisher(term.N, n.options), term.N
+	n.publisher, n.term = standby.NewPublisher(term.Number, n.options), term.Number
 	if n.log != nil {
 		n.publisher.Follow(logFollower, standby.Position{})
 	}
@@ -138,11 +138,11 @@
 		records, err = standby.Decode(view.Entries)
 	}
 	if err != nil {
-		slog.Info("cold takeover", "term", term.N, "reason", err)
+		slog.Info("cold takeover", "term", term.Number, "reason", err)
 		return nil, true
 	}
 	n.takeover.Warm = true
-	slog.Info("warm takeover", "term", term.N, "entries", len(view.Entries), "age", view.Age, "recent", view.Recent)
+	slog.Info("warm takeover", "term", term.Number, "entries", len(view.Entries), "age", view.Age, "recent", view.Recent)
 	return &core.WarmStart{Records: records, Confirmed: view.Recent}, true
 }
 
--- a/internal/daemon/standby_handover.go
+++ b/internal/daemon/standby_handover.go
@@ -26,9 +26,9 @@
 	s.replicate()
 	successor := d.warm.nameSuccessor(d.peersFirst())
 	if successor == "" {
-		slog.Info("no standby to hand over to", "term", s.term.N)
+		slog.Info("no standby to hand over to", "term", s.term.Number)
 	} else {
-		slog.Info("handing over", "term", s.term.N, "to", successor)
+		slog.Info("handing over", "term", s.term.Number, "to", successor)
 		waitFor(handOverFlush, func() bool { return d.warm.caughtUp(successor) })
 	}
 	d.elector.HandOver(successor)
--- a/internal/daemon/standby_test.go
+++ b/internal/daemon/standby_test.go
@@ -28,11 +28,11 @@
 func lead(t *testing.T, n *standbyNode, term uint64) *core.WarmStart {
 	t.Helper()
 	n.vacant()
-	n.claimed(leadership.Term{N: term, Stamp: 10 * term})
-	if _, ok := n.confirm(leadership.Term{N: term}, 10*term-1); ok {
+	n.claimed(leadership.Term{Number: term, Revision: 10 * term})
+	if _, ok := n.confirm(leadership.Term{Number: term}, 10*term-1); ok {
 		t.Fatal("records from before the claim are taken")
 	}
-	start, ok := n.confirm(leadership.Term{N: term}, 10*term)
+	start, ok := n.confirm(leadership.Term{Number: term}, 10*term)
 	if !ok {
 		t.Fatal("records as of the claim aren't taken")
 	}
--- a/internal/jobstore/cancel.go
+++ b/internal/jobstore/cancel.go
@@ -97,5 +97,5 @@
 
 // UnderTerm is the guard of a cancellation by the leader itself.
 func UnderTerm(term leadership.Term) wire.Condition {
-	return wire.Condition{Path: leadership.TermKey, Stamp: term.Stamp}
+	return wire.Condition{Path: leadership.TermKey, Stamp: term.Revision}
 }
--- a/internal/jobstore/golden_test.go
+++ b/internal/jobstore/golden_test.go
@@ -50,7 +50,7 @@
 	if _, err := store.Commit(ctx, nil, []wire.Change{{Put: leadership.TermKey, V: wire.MustMarshal(1)}}); err != nil {
 		t.Fatal(err)
 	}
-	term.Stamp = store.rev
+	term.Revision = store.rev
 	at := time.UnixMilli(1_800_000_000_123)
 	for _, w := range leaderWrites() {
 		if _, _, err := jobs.Apply(ctx, term, []core.Write{w}); err != nil {
--- a/internal/jobstore/jobstore_test.go
+++ b/internal/jobstore/jobstore_test.go
@@ -72,7 +72,7 @@
 	if err := j.Create(ctx, pipeline.Spec{Ref: "j-1", Tasks: 2, Types: []string{}}, nil, time.Now()); err != nil {
 		t.Fatal(err)
 	}
-	return m, j, leadership.Term{N: 1, Stamp: rev}
+	return m, j, leadership.Term{Number: 1, Revision: rev}
 }
 
 func TestCreateOnce(t *testing.T) {
--- a/internal/leadership/elector.go
+++ b/internal/leadership/elector.go
@@ -66,8 +66,8 @@
 // Term is a claimed term. Stamp is the version of the term key, the condition
 // of every write made under it.
 type Term struct {
-	N     uint64
-	Stamp uint64
+	Number   uint64
+	Revision uint64
 	// Restored says that workers have seen higher terms than the state service knew: it
 	// was restored from an older copy.
 	Restored bool
@@ -75,14 +75,14 @@
 
 // Hooks are called as the role changes; they must return quickly.
 type Hooks struct {
-	Elected   func(ctx context.Context, t Term) // this node leads; ctx ends with the term
-	Resumed   func()                            // the lease had lapsed and is valid again
-	Unreached func() bool                       // tells whether no worker has reached this node of late
+	TermStarted       func(ctx context.Context, t Term) // this node leads; ctx ends with the term
+	LeaseResumed      func()                            // the lease had lapsed and is valid again
+	HeartbeatsMissing func() bool                       // tells whether no worker has reached this node of late
 	// RequestExtension asks a peer to extend this node's lease by ExtensionFor from
 	// now on; nil: no peer is asked.
 	RequestExtension func(ctx context.Context, member string) bool
 	ClaimDelay       func() time.Duration // how long this node lets others claim first; nil: not at all
-	Vacant           func()               // nobody leads any more; nil: nobody wants to know
+	LeaderLost       func()               // nobody leads any more; nil: nobody wants to know
 }
 
 // Options are a node's place in the deployment and the lease's length.
@@ -103,7 +103,7 @@
 	leader     string
 	term       Term
 	validUntil time.Time // this node's lease is valid until then, by its steady clock
-	endTerm    context.CancelFunc
+	cancelTerm context.CancelFunc
 	resigning  bool
 	successor  string // named as the leader until the next one is known
 
@@ -139,7 +139,7 @@
 	if e.role == to {
 		return
 	}
-	slog.Info("role", "was", e.role.String(), "is", to.String(), "term", e.term.N)
+	slog.Info("role", "was", e.role.String(), "is", to.String(), "term", e.term.Number)
 	e.role = to
 	if to != Leading {
 		e.invalidate()
@@ -203,7 +203,7 @@
 
 func (e *Elector) resignLocked(why string) {
 	if e.role == Leading && !e.resigning {
-		slog.Warn("resigning", "term", e.term.N, "why", why)
+		slog.Warn("resigning", "term", e.term.Number, "why", why)
 		e.resigning = true
 		e.invalidate()
 	}
@@ -212,13 +212,13 @@
 // RestoredValue is the value of RestoredKey.
 func RestoredValue(highestTerm uint64) wire.Raw { return wire.MustMarshal(termValue{highestTerm}) }
 
-// Deposed ends a term at once: somebody else has claimed a higher one.
-func (e *Elector) Deposed() {
+// EndTerm ends a term at once: somebody else has claimed a higher one.
+func (e *Elector) EndTerm() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.invalidate()
-	if e.endTerm != nil {
-		e.endTerm()
+	if e.cancelTerm != nil {
+		e.cancelTerm()
 	}
 }
 
@@ -258,7 +258,7 @@
 	switch {
 	case e.Role() == Resting:
 		return yieldAfterResigning
-	case e.options.Hooks.Unreached():
+	case e.options.Hooks.HeartbeatsMissing():
 		return yieldUnreached
 	case e.options.Hooks.ClaimDelay != nil:
 		return e.options.Hooks.ClaimDelay()
@@ -314,8 +314,8 @@
 
 // noteVacant tells that nobody leads any more.
 func (e *Elector) noteVacant() {
-	if e.options.Hooks.Vacant != nil {
-		e.options.Hooks.Vacant()
+	if e.options.Hooks.LeaderLost != nil {
+		e.options.Hooks.LeaderLost()
 	}
 }
 
@@ -400,7 +400,7 @@
 		{Put: TermKey, V: wire.MustMarshal(termValue{number})},
 	}
 	revision, err := e.store.Commit(ctx, []wire.Condition{{Path: HolderKey}, {Path: TermKey, Stamp: item.Stamp}}, changes)
-	return Term{N: number, Stamp: revision, Restored: restored}, err
+	return Term{Number: number, Revision: revision, Restored: restored}, err
 }
 
 // lead renews the lease until the term is over. The lease was asked for at sent.
@@ -410,7 +410,7 @@
 	e.begin(t, cancel)
 	e.renewed(sent)
 	go e.extendLease(ctx)
-	e.options.Hooks.Elected(ctx, t)
+	e.options.Hooks.TermStarted(ctx, t)
 	next := e.keepLease(ctx, t, lease)
 	e.move(next)
 	e.setLeader("")
@@ -420,7 +420,7 @@
 func (e *Elector) begin(t Term, endTerm context.CancelFunc) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.term, e.leader, e.endTerm, e.resigning, e.successor = t, e.options.Member, endTerm, false, ""
+	e.term, e.leader, e.cancelTerm, e.resigning, e.successor = t, e.options.Member, endTerm, false, ""
 	e.moveLocked(Leading)
 }
 
@@ -452,7 +452,7 @@
 	lapsed := !e.HoldsLease(sent)
 	err := e.store.Touch(ctx, lease)
 	if errors.Is(err, statestore.ErrNotFound) {
-		slog.Warn("lease lost", "term", t.N)
+		slog.Warn("lease lost", "term", t.Number)
 		return false
 	}
 	if err != nil {
@@ -461,8 +461,8 @@
 	}
 	e.renewed(sent)
 	if lapsed && e.HoldsLease(time.Now()) {
-		slog.Info(resumedMessage, "term", t.N)
-		e.options.Hooks.Resumed()
+		slog.Info(resumedMessage, "term", t.Number)
+		e.options.Hooks.LeaseResumed()
 	}
 	return true
 }
--- a/internal/leadership/elector_test.go
+++ b/internal/leadership/elector_test.go
@@ -170,12 +170,12 @@
 		}
 		others := append(append([]string{}, names[:i]...), names[i+1:]...)
 		l := New(client{tr.store, name}, Options{Member: name, Others: others, TTL: ttl, Hooks: Hooks{RequestExtension: hook,
-			Elected: func(_ context.Context, t Term) {
+			TermStarted: func(_ context.Context, t Term) {
 				tr.mu.Lock()
 				defer tr.mu.Unlock()
-				tr.terms = append(tr.terms, t.N)
+				tr.terms = append(tr.terms, t.Number)
 			},
-			Resumed: func() {}, Unreached: func() bool { return false },
+			LeaseResumed: func() {}, HeartbeatsMissing: func() bool { return false },
 		}})
 		tr.electors = append(tr.electors, l)
 		go func() { _ = l.Run(ctx) }() // ends with ctx
@@ -283,8 +283,8 @@
 		began := time.Now()
 		var after time.Duration
 		e := New(client{newFake(), "a"}, Options{Member: "a", TTL: 3 * time.Second, Hooks: Hooks{
-			Elected: func(context.Context, Term) { after = time.Since(began) },
-			Resumed: func() {}, Unreached: func() bool { return true }}})
+			TermStarted:  func(context.Context, Term) { after = time.Since(began) },
+			LeaseResumed: func() {}, HeartbeatsMissing: func() bool { return true }}})
 		go func() { _ = e.Run(ctx) }() // ends with ctx
 		time.Sleep(5 * time.Second)
 		cancel()
--- a/internal/leadership/extension.go
+++ b/internal/leadership/extension.go
@@ -98,7 +98,7 @@
 	}
 	e.validUntil = until
 	if !e.extended {
-		slog.Warn(extendedMessage, "term", e.term.N)
+		slog.Warn(extendedMessage, "term", e.term.Number)
 	}
 	e.extended = true
 }
--- a/internal/leadership/extension_test.go
+++ b/internal/leadership/extension_test.go
@@ -136,7 +136,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		tr := &trio{store: store}
 		first := New(client{tr.store, "b"}, Options{Member: "b", TTL: 3 * time.Second, Hooks: Hooks{
-			Elected: func(context.Context, Term) {}, Resumed: func() {}, Unreached: func() bool { return false }}})
+			TermStarted: func(context.Context, Term) {}, LeaseResumed: func() {}, HeartbeatsMissing: func() bool { return false }}})
 		go func() { _ = first.Run(ctx) }() // ends with ctx
 		time.Sleep(time.Second)
 		cancel()
--- a/internal/leadership/hand_over_test.go
+++ b/internal/leadership/hand_over_test.go
@@ -10,8 +10,8 @@
 // handOverNode is a node of a test with its claim delay.
 func handOverNode(store *fakeStore, name string, others []string, delay time.Duration, vacant func()) *Elector {
 	return New(client{store, name}, Options{Member: name, Others: others, TTL: 3 * time.Second, Hooks: Hooks{
-		Elected: func(context.Context, Term) {}, Resumed: func() {}, Unreached: func() bool { return false },
-		ClaimDelay: func() time.Duration { return delay }, Vacant: vacant,
+		TermStarted: func(context.Context, Term) {}, LeaseResumed: func() {}, HeartbeatsMissing: func() bool { return false },
+		ClaimDelay: func() time.Duration { return delay }, LeaderLost: vacant,
 	}})
 }
 
--- a/internal/simulation/admission.go
+++ b/internal/simulation/admission.go
@@ -127,14 +127,14 @@
 	if !n.holdsLease() || n.cutOff() {
 		return
 	}
-	if n.planner == nil || n.plannerTerm != n.term.N {
+	if n.planner == nil || n.plannerTerm != n.term.Number {
 		stored, ok := n.storedPolicy()
 		if !ok {
 			return
 		}
 		n.planner = admission.NewPlanner(n.local(), admission.PlannerOptions{Teams: n.w.teams, Floor: simulatedFloor, EnterBacklog: simulatedEnter,
-			ExitBacklog: simulatedExit, Interval: simulatedPolicyEvery}, n.term.N, stored)
-		n.plannerTerm, n.latestPolicy = n.term.N, stored
+			ExitBacklog: simulatedExit, Interval: simulatedPolicyEvery}, n.term.Number, stored)
+		n.plannerTerm, n.latestPolicy = n.term.Number, stored
 	}
 	load := n.eng.Load(n.local())
 	batches := []admission.Batch{n.gate.TakeCounts(n.local())}
--- a/internal/simulation/checker.go
+++ b/internal/simulation/checker.go
@@ -128,11 +128,11 @@
 		switch {
 		case !n.holdsLease():
 		case who != nil:
-			c.fail("two leaders: %s of term %d and %s of term %d", who.name, who.term.N, n.name, n.term.N)
-		case n.term.N < c.newest:
-			c.fail("leader of the past: %s acts in term %d after term %d", n.name, n.term.N, c.newest)
+			c.fail("two leaders: %s of term %d and %s of term %d", who.name, who.term.Number, n.name, n.term.Number)
+		case n.term.Number < c.newest:
+			c.fail("leader of the past: %s acts in term %d after term %d", n.name, n.term.Number, c.newest)
 		default:
-			who, c.newest = n, n.term.N
+			who, c.newest = n, n.term.Number
 		}
 	}
 }
--- a/internal/simulation/drains_test.go
+++ b/internal/simulation/drains_test.go
@@ -96,7 +96,7 @@
 	if len(charges) > 0 {
 		term, jobs := n.term, n.jobs
 		n.step(core.WritesStarted{Batch: charges})
-		n.step(core.WritesFinished{Batch: charges, OK: true, Version: term.Stamp})
+		n.step(core.WritesFinished{Batch: charges, OK: true, Version: term.Revision})
 		n.w.after(chargeDelay, func() { _, _, _ = jobs.Apply(bg, term, charges) })
 	}
 	return rest
--- a/internal/simulation/election.go
+++ b/internal/simulation/election.go
@@ -70,7 +70,7 @@
 			return
 		}
 		n.claiming = 0
-		if t.N != 0 && n.eng == nil {
+		if t.Number != 0 && n.eng == nil {
 			n.elected(t, lease, sent)
 		}
 	}, true)
@@ -102,7 +102,7 @@
 	}
 	w.lease.id++
 	w.lease.until = w.now.Add(w.o.LeaseTTL)
-	return leadership.Term{N: tv.N, Stamp: rev, Restored: restored}, w.lease.id
+	return leadership.Term{Number: tv.N, Revision: rev, Restored: restored}, w.lease.id
 }
 
 // storeLease is the lease under the leader's key.
@@ -132,7 +132,7 @@
 	}
 	n.term, n.lease, n.writing, n.leaseUntil, n.extensions = t, lease, false, time.Time{}, map[*node]time.Time{}
 	snap.Restored = t.Restored
-	n.eng = core.New(n.local(), n.coreConfig(), t.N, snap, rand.New(rand.NewPCG(t.N, n.w.o.Seed)))
+	n.eng = core.New(n.local(), n.coreConfig(), t.Number, snap, rand.New(rand.NewPCG(t.Number, n.w.o.Seed)))
 	n.warmStart(t, revision)
 	n.prove(sent)
 	n.step(core.CatalogUpdated{Types: n.w.catalog})
--- a/internal/simulation/fault_scenarios.go
+++ b/internal/simulation/fault_scenarios.go
@@ -127,8 +127,8 @@
 		return
 	}
 	for _, n := range s.w.nodes {
-		if n.holdsLease() && !s.terms[n.term.N] {
-			s.terms[n.term.N] = true
+		if n.holdsLease() && !s.terms[n.term.Number] {
+			s.terms[n.term.Number] = true
 			s.leader = n
 			s.note("leaders")
 			s.begins(n)
--- a/internal/simulation/standby.go
+++ b/internal/simulation/standby.go
@@ -95,9 +95,9 @@
 		return
 	}
 	s := n.w.standbys
-	n.standby.Claimed(standby.Claim{Term: t.N, Revision: t.Stamp})
+	n.standby.Claimed(standby.Claim{Term: t.Number, Revision: t.Revision})
 	view, err := n.standby.Confirm(n.local(), revision)
-	n.publisher = standby.NewPublisher(t.N, standby.Options{
+	n.publisher = standby.NewPublisher(t.Number, standby.Options{
 		QueueBound: simulatedQueueBound, SnapshotInterval: simulatedSnapshotPace, Heartbeat: simulatedHeartbeat,
 	})
 	if err != nil {
@@ -117,11 +117,11 @@
 	s.note("attempts unstored", outcome.Unstored)
 }
 
-// endTerm ends the node's term.
+// cancelTerm ends the node's term.
 func (n *node) endTerm() {
 	n.eng, n.publisher = nil, nil
 	if n.standby != nil {
-		n.standby.TermEnded(n.term.N)
+		n.standby.TermEnded(n.term.Number)
 	}
 }
 
