--- a/cmd/gingertally/user.go
+++ b/cmd/gingertally/user.go
@@ -9,7 +9,6 @@
 	"os"
 
 	"gingertally/internal/client"
-	"gingertally/internal/wire"
 )
 
 // Exit codes of the users' commands, besides 0 and 1.
@@ -87,7 +86,7 @@
 	if err := show(run, err); err != nil {
 		return err
 	}
-	if run.Status == wire.StatusCancelled {
+	if run.Cancelled() {
 		return exitError{errors.New("the job was cancelled"), exitCancelled}
 	}
 	return nil
--- a/internal/agentapi/agentapi.go
+++ b/internal/agentapi/agentapi.go
@@ -9,6 +9,7 @@
 	"sync"
 	"time"
 
+	"gingertally/internal/codec"
 	"gingertally/internal/core"
 	"gingertally/internal/core/fleet"
 	"gingertally/internal/wire"
@@ -94,13 +95,21 @@
 
 // Redirected has a worker report to the leader.
 func Redirected(leader string) Answer {
-	return Answer{http.StatusMisdirectedRequest, wire.MustMarshal(wire.Redirect{Clerk: leader})}
+	return Answer{http.StatusMisdirectedRequest, codec.MustMarshal(wire.Redirect{Clerk: leader})}
+}
+
+// OrdersPath is where a worker takes direct commands.
+const OrdersPath = "/orders"
+
+// DirectCommands is the body of a request to a worker to carry commands out at once.
+func DirectCommands(direct core.Direct) []byte {
+	return codec.MustMarshal(wire.Orders{Gavel: direct.FencingToken, Shift: direct.Incarnation, Orders: wire.OrdersOf(direct.Commands)})
 }
 
 // Accepted is the leader's answer to a worker's heartbeat.
 func Accepted(reply core.HeartbeatResponse) Answer {
 	orders := wire.Orders{Gavel: reply.FencingToken, Orders: wire.OrdersOf(reply.Commands)}
-	return Answer{http.StatusOK, wire.MustMarshal(orders)}
+	return Answer{http.StatusOK, codec.MustMarshal(orders)}
 }
 
 // Relayed serves a heartbeat that another node relayed. It never goes further.
--- a/internal/agentapi/agentapi_test.go
+++ b/internal/agentapi/agentapi_test.go
@@ -5,6 +5,7 @@
 	"errors"
 	"testing"
 
+	"gingertally/internal/codec"
 	"gingertally/internal/core"
 	"gingertally/internal/core/fleet"
 	"gingertally/internal/wire"
@@ -38,7 +39,7 @@
 }
 
 func beat(machine string) []byte {
-	return wire.MustMarshal(map[string]any{"stall": machine, "endpoint": "x:1", "build": "g8", "yard": "a", "loaners": true,
+	return codec.MustMarshal(map[string]any{"stall": machine, "endpoint": "x:1", "build": "g8", "yard": "a", "loaners": true,
 		"shift": 1, "tick": 1, "gavel": 0, "lots": []any{}})
 }
 
@@ -59,7 +60,7 @@
 	}
 	l.here, l.reply = true, core.HeartbeatResponse{OK: true, FencingToken: 7}
 	var o wire.Orders
-	if a := s.Heartbeat(ctx, beat("m-1")); a.Status != 200 || wire.Unmarshal(a.Body, &o) != nil || o.Gavel != 7 {
+	if a := s.Heartbeat(ctx, beat("m-1")); a.Status != 200 || codec.Unmarshal(a.Body, &o) != nil || o.Gavel != 7 {
 		t.Fatalf("valid lease: %d, %+v", a.Status, o)
 	}
 	l.reply = core.HeartbeatResponse{}
@@ -75,7 +76,7 @@
 	l := &leader{name: "n-1"}
 	s := &Service{Self: "n-0", Leader: l}
 	var r wire.Redirect
-	if a := s.Heartbeat(ctx, beat("m-1")); a.Status != 421 || wire.Unmarshal(a.Body, &r) != nil || r.Clerk != "n-1" {
+	if a := s.Heartbeat(ctx, beat("m-1")); a.Status != 421 || codec.Unmarshal(a.Body, &r) != nil || r.Clerk != "n-1" {
 		t.Fatalf("first report: %d, %+v", a.Status, r)
 	}
 	if a := s.Heartbeat(ctx, beat("m-2")); a.Status != 421 {
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -13,6 +13,7 @@
 
 	"github.com/valyala/fasthttp"
 
+	"gingertally/internal/codec"
 	"gingertally/internal/wire"
 )
 
@@ -59,6 +60,9 @@
 	Running int    `cbor:"running" json:"running"`
 }
 
+// Cancelled tells whether the job was cancelled.
+func (r Run) Cancelled() bool { return r.Status == wire.StatusCancelled }
+
 // Over tells whether the job's state is final.
 func (r Run) Over() bool { return r.Status == wire.StatusDone || r.Status == wire.StatusCancelled }
 
@@ -157,7 +161,7 @@
 	}
 	switch status := resp.StatusCode(); status {
 	case fasthttp.StatusOK, fasthttp.StatusCreated:
-		err = wire.Unmarshal(resp.Body(), &run)
+		err = codec.Unmarshal(resp.Body(), &run)
 		return run, 0, err
 	case fasthttp.StatusBadRequest, fasthttp.StatusUnprocessableEntity:
 		return run, 0, fmt.Errorf("%w (%d): %s", ErrRefused, status, reason(resp.Body()))
@@ -173,7 +177,7 @@
 	var refusal struct {
 		Error string `cbor:"error"`
 	}
-	if wire.Unmarshal(body, &refusal) != nil {
+	if codec.Unmarshal(body, &refusal) != nil {
 		return ""
 	}
 	return refusal.Error
@@ -199,7 +203,7 @@
 	if decoder.More() {
 		return nil, errors.New("job: more than one JSON value")
 	}
-	return wire.Marshal(plain(fields))
+	return codec.Marshal(plain(fields))
 }
 
 // plain replaces JSON's numbers, at any depth, by whole numbers or floats.
--- a/internal/client/client_test.go
+++ b/internal/client/client_test.go
@@ -10,6 +10,7 @@
 	"github.com/valyala/fasthttp"
 	"github.com/valyala/fasthttp/fasthttputil"
 
+	"gingertally/internal/codec"
 	"gingertally/internal/wire"
 )
 
@@ -33,7 +34,7 @@
 					t.Errorf("submitted %+v after %v, %v", spec, awaits, err)
 				}
 			}
-			rc.SetBody(wire.MustMarshal(wire.RunState{Ref: "j-000412", Status: map[int]string{200: "done", 201: "queued"}[st]}))
+			rc.SetBody(codec.MustMarshal(wire.RunState{Ref: "j-000412", Status: map[int]string{200: "done", 201: "queued"}[st]}))
 		case 429:
 			rc.Response.Header.Set("Retry-After", "7")
 		}
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,4 +1,8 @@
-// Package cloud is the client of the cloud's interface.
+// Package cloud is the client of the cloud's interface: it creates, deletes and lists machines, within
+// the rate that the cloud allows. It maps the protocol's messages to the field's terms; nothing above it
+// knows them.
+//
+// A Client may be used from any goroutine.
 package cloud
 
 import (
@@ -11,19 +15,38 @@
 	"github.com/valyala/fasthttp"
 	"golang.org/x/time/rate"
 
+	"gingertally/internal/codec"
+	"gingertally/internal/core"
 	"gingertally/internal/wire"
 )
 
-// Errors of the cloud.
+// Errors of the cloud's interface. Every error of a Client is a *RequestError around one of these, an
+// *UnexpectedStatusError or an error of the codec.
 var (
 	// ErrNoCapacity says that the cloud has no such machines at the moment.
 	ErrNoCapacity = errors.New("no capacity")
 	// ErrUnavailable says that the request was certainly not executed.
-	ErrUnavailable = errors.New("cloud unavailable")
-	// ErrUnknown says that the request may have been executed, or may yet be.
-	ErrUnknown = errors.New("no answer from the cloud")
+	ErrUnavailable = errors.New("unavailable")
+	// ErrUnknownOutcome says that the request may have been executed, or may yet be.
+	ErrUnknownOutcome = errors.New("unknown outcome")
 )
 
+// RequestError says which request failed, and why.
+type RequestError struct {
+	Operation string
+	Err       error
+}
+
+func (e *RequestError) Error() string { return fmt.Sprintf("cloud: %s: %v", e.Operation, e.Err) }
+
+// Unwrap returns the cause.
+func (e *RequestError) Unwrap() error { return e.Err }
+
+// UnexpectedStatusError is an answer with a status that the protocol doesn't have.
+type UnexpectedStatusError struct{ Status int }
+
+func (e *UnexpectedStatusError) Error() string { return fmt.Sprintf("unexpected status %d", e.Status) }
+
 // noCapacityText is the cloud's word for ErrNoCapacity.
 const noCapacityText = "no capacity"
 
@@ -57,14 +80,23 @@
 	}
 }
 
-// call is a request to the cloud; in and out are the messages, nil for none.
+// call is a request to the cloud; body and answer are nil for none.
 type call struct {
+	operation   string
 	method, uri string
-	in, out     any
+	body        []byte
+	answer      any
 }
 
 // do sends a request and decodes its answer.
 func (c *Client) do(ctx context.Context, call call) error {
+	if err := c.send(ctx, call); err != nil {
+		return &RequestError{call.operation, err}
+	}
+	return nil
+}
+
+func (c *Client) send(ctx context.Context, call call) error {
 	if err := c.requests.Wait(ctx); err != nil {
 		return fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
@@ -73,28 +105,24 @@
 	defer fasthttp.ReleaseResponse(response)
 	request.Header.SetMethod(call.method)
 	request.SetRequestURI("http://" + c.http.Addr + call.uri)
-	if call.in != nil {
-		body, err := wire.Marshal(call.in)
-		if err != nil {
-			return fmt.Errorf("%s %s: %w", call.method, call.uri, err)
-		}
+	if call.body != nil {
 		request.Header.SetContentType("application/cbor")
-		request.SetBodyRaw(body)
+		request.SetBodyRaw(call.body)
 	}
 	if err := c.http.DoTimeout(request, response, callTimeout); err != nil {
-		return fmt.Errorf("%w: %w", ErrUnknown, err)
+		return fmt.Errorf("%w: %w", ErrUnknownOutcome, err)
 	}
-	if err := statusError(call, response); err != nil {
+	if err := statusError(response); err != nil {
 		return err
 	}
-	if call.out == nil {
+	if call.answer == nil {
 		return nil
 	}
-	return wire.Unmarshal(response.Body(), call.out)
+	return codec.Unmarshal(response.Body(), call.answer)
 }
 
 // statusError is what an answer's status says; nil if the request was executed.
-func statusError(call call, response *fasthttp.Response) error {
+func statusError(response *fasthttp.Response) error {
 	switch status := response.StatusCode(); status {
 	case fasthttp.StatusOK:
 		return nil
@@ -104,47 +132,48 @@
 		var refusal struct {
 			Error string `cbor:"error"`
 		}
-		if wire.Unmarshal(response.Body(), &refusal) == nil && refusal.Error == noCapacityText {
+		if codec.Unmarshal(response.Body(), &refusal) == nil && refusal.Error == noCapacityText {
 			return ErrNoCapacity
 		}
 		return fmt.Errorf("%w: status %d", ErrUnavailable, status)
 	default:
-		return fmt.Errorf("%s %s: unexpected status %d", call.method, call.uri, status)
+		return &UnexpectedStatusError{status}
 	}
 }
 
 // MachineTypes reads the machine types with their present prices.
-func (c *Client) MachineTypes(ctx context.Context) ([]wire.Flavor, error) {
+func (c *Client) MachineTypes(ctx context.Context) (MachineTypes, error) {
 	var flavors wire.Flavors
-	err := c.do(ctx, call{method: fasthttp.MethodGet, uri: "/flavors", out: &flavors})
-	return flavors.Builds, err
+	err := c.do(ctx, call{operation: "read machine types", method: fasthttp.MethodGet, uri: "/flavors", answer: &flavors})
+	return MachineTypes{flavors.Builds}, err
 }
 
-// ScaleOut asks for machines. The same request may be repeated until answered.
-func (c *Client) ScaleOut(ctx context.Context, request wire.RentalRequest) ([]string, error) {
-	var machines wire.Stalls
-	err := c.do(ctx, call{method: fasthttp.MethodPost, uri: "/rentals", in: request, out: &machines})
-	return machines.Stalls, err
+// ScaleOut asks for machines, and returns the names of those that were created, up to as many as
+// were asked for. The same request may be repeated until it is answered: it creates machines once.
+func (c *Client) ScaleOut(ctx context.Context, request core.ScaleOut) ([]string, error) {
+	var created wire.Stalls
+	err := c.do(ctx, call{operation: "scale out", method: fasthttp.MethodPost, uri: "/rentals", body: ScaleOutBody(request), answer: &created})
+	return created.Stalls, err
 }
 
-// ScaleIn gives machines back; without an error they are gone.
+// ScaleIn deletes machines; without an error they, and all on them, are gone.
 func (c *Client) ScaleIn(ctx context.Context, names []string) error {
-	return c.do(ctx, call{method: fasthttp.MethodPost, uri: "/rentals/release", in: wire.Stalls{Stalls: names}})
+	return c.do(ctx, call{operation: "scale in", method: fasthttp.MethodPost, uri: "/rentals/release", body: ScaleInBody(names)})
 }
 
-// ListInstances reads the whole list of machines.
-func (c *Client) ListInstances(ctx context.Context) ([]wire.Rental, error) {
-	var rentals []wire.Rental
+// ListInstances reads the whole list of machines. It lags behind what was created and deleted.
+func (c *Client) ListInstances(ctx context.Context) ([]core.Instance, error) {
+	instances := []core.Instance{}
 	after := ""
 	for {
 		var page wire.RentalPage
 		uri := fmt.Sprintf("/rentals?since=%s&most=%d", url.QueryEscape(after), pageSize)
-		if err := c.do(ctx, call{method: fasthttp.MethodGet, uri: uri, out: &page}); err != nil {
+		if err := c.do(ctx, call{operation: "list instances", method: fasthttp.MethodGet, uri: uri, answer: &page}); err != nil {
 			return nil, err
 		}
-		rentals = append(rentals, page.Stalls...)
+		instances = appendInstances(instances, page.Stalls)
 		if !page.HasNext || len(page.Stalls) == 0 {
-			return rentals, nil
+			return instances, nil
 		}
 		after = page.Stalls[len(page.Stalls)-1].Ref
 	}
--- /dev/null
+++ b/internal/cloud/convert.go
@@ -0,0 +1,71 @@
+package cloud
+
+import (
+	"time"
+
+	"gingertally/internal/codec"
+	"gingertally/internal/core"
+	"gingertally/internal/core/placement"
+	"gingertally/internal/wire"
+)
+
+// The protocol's messages and the terms that the rest of the program knows them by.
+
+// MachineTypes are the machine types that the cloud offers, with their prices, as it told them.
+type MachineTypes struct{ flavors []wire.Flavor }
+
+// Catalog is what placement needs of the types.
+func (t MachineTypes) Catalog() placement.Catalog {
+	catalog := placement.Catalog{}
+	for _, flavor := range t.flavors {
+		catalog[flavor.Label] = &placement.Type{
+			Name: flavor.Label, CPUs: flavor.VCPUs, GPUs: flavor.Cards, MemGB: flavor.MemGB, CacheGB: flavor.LocalGB,
+			FetchGBPerS: flavor.PullGBPerS, Hourly: flavor.Hourly, SpotHour: flavor.SpotPrice,
+			Boot: seconds(flavor.ReadyS), Zones: flavor.Yards,
+		}
+	}
+	return catalog
+}
+
+// Encode puts the types into the form in which they are stored.
+func (t MachineTypes) Encode() []byte { return codec.MustMarshal(wire.Flavors{Builds: t.flavors}) }
+
+// DecodeMachineTypes reads types that were stored.
+func DecodeMachineTypes(value []byte) (MachineTypes, error) {
+	var message wire.Flavors
+	err := codec.Unmarshal(value, &message)
+	return MachineTypes{message.Builds}, err
+}
+
+// ScaleOutBody is the body of a request for machines.
+func ScaleOutBody(request core.ScaleOut) []byte {
+	return codec.MustMarshal(wire.RentalRequest{Hire: request.Name, Build: request.Type, Yard: request.Zone, Loaners: request.Spot, Count: request.Count})
+}
+
+// ScaleInBody is the body of a request to delete machines.
+func ScaleInBody(names []string) []byte { return codec.MustMarshal(wire.Stalls{Stalls: names}) }
+
+// instanceStatuses are the cloud's words for an instance's status.
+var instanceStatuses = map[string]core.InstanceStatus{
+	wire.RentalStarting: core.InstanceStarting,
+	wire.RentalRunning:  core.InstanceRunning,
+	wire.RentalFailed:   core.InstanceFailed,
+}
+
+// appendInstances adds a page of the cloud's list. Instances with a status that isn't known here
+// are left out.
+func appendInstances(instances []core.Instance, page []wire.Rental) []core.Instance {
+	for _, rental := range page {
+		status, known := instanceStatuses[rental.Status]
+		if !known {
+			continue
+		}
+		instances = append(instances, core.Instance{
+			Name: rental.Ref, Addr: rental.Endpoint, Type: rental.Build, Zone: rental.Yard, Spot: rental.Loaners,
+			Status: status, Age: seconds(rental.HeldS),
+		})
+	}
+	return instances
+}
+
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/wire/codec.go
+++ b/internal/codec/codec.go
@@ -1,7 +1,6 @@
-// Package wire holds the messages of gingertally's outside interfaces: their
-// CBOR form, their wire names, and the checks on what arrives. No other package
-// knows a wire name.
-package wire
+// Package codec encodes and decodes CBOR, the form of all stored records and of the messages of the
+// outside interfaces.
+package codec
 
 import (
 	"encoding/json"
@@ -12,10 +11,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// MaxBody is the largest body a user or worker may send or be sent.
-const MaxBody = 64 << 10
-
-// ErrMalformed says that a message is not what the protocol allows.
+// ErrMalformed says that a record or message isn't what it has to be.
 var ErrMalformed = errors.New("malformed message")
 
 var (
@@ -41,8 +37,8 @@
 	return m
 }
 
-// Raw is an undecoded CBOR value.
-type Raw = cbor.RawMessage
+// RawMessage is a value that isn't decoded.
+type RawMessage = cbor.RawMessage
 
 // Marshal encodes v.
 func Marshal(v any) ([]byte, error) { return encMode.Marshal(v) }
@@ -64,9 +60,9 @@
 	return nil
 }
 
-// isMap tells whether b starts a CBOR map (major type 5): a decoder alone would
+// IsMap tells whether b starts a CBOR map (major type 5): a decoder alone would
 // also take null for an empty struct.
-func isMap(b []byte) bool { return len(b) > 0 && b[0]>>5 == 5 }
+func IsMap(b []byte) bool { return len(b) > 0 && b[0]>>5 == 5 }
 
 // JSONSize is what an encoded value takes in the JSON form that the protocol's
 // limits are counted in.
--- a/internal/core/fleet/attempt.go
+++ b/internal/core/fleet/attempt.go
@@ -1,6 +1,9 @@
 package fleet
 
-import "time"
+import (
+	"strconv"
+	"time"
+)
 
 // TaskState is the state of an attempt on its machine.
 type TaskState uint8
@@ -35,6 +38,9 @@
 	Task int
 }
 
+// String names the task as users and workers do: j-000412/3.
+func (t TaskID) String() string { return t.Ref + "/" + strconv.Itoa(t.Task) }
+
 // Attempt is one attempt that is, or may be, on a machine.
 type Attempt struct {
 	TaskID
--- a/internal/core/pipeline/spec.go
+++ b/internal/core/pipeline/spec.go
@@ -1,6 +1,9 @@
 package pipeline
 
-import "time"
+import (
+	"regexp"
+	"time"
+)
 
 // Shape is the kind of a job.
 type Shape uint8
@@ -59,3 +62,8 @@
 	}
 	return false
 }
+
+var refForm = regexp.MustCompile(`^j-[0-9]{1,32}$`)
+
+// ValidRef tells whether a text has the form of a job's reference.
+func ValidRef(s string) bool { return refForm.MatchString(s) }
--- a/internal/daemon/admission.go
+++ b/internal/daemon/admission.go
@@ -9,11 +9,11 @@
 	"time"
 
 	"gingertally/internal/admission"
+	"gingertally/internal/codec"
 	"gingertally/internal/core"
 	"gingertally/internal/core/pipeline"
 	"gingertally/internal/jobstore"
 	"gingertally/internal/operator"
-	"gingertally/internal/wire"
 )
 
 // This file joins admission control to the process: every node decides by its gate, and the
@@ -123,11 +123,11 @@
 // serveExchange takes the leader's policy, and answers with this node's counts.
 func (d *Daemon) serveExchange(body []byte) (int, []byte) {
 	var policy admission.Policy
-	if d.admission == nil || wire.Unmarshal(body, &policy) != nil {
+	if d.admission == nil || codec.Unmarshal(body, &policy) != nil {
 		return http.StatusNotFound, nil
 	}
 	d.admission.take(policy)
-	return http.StatusOK, wire.MustMarshal(d.admission.takeCounts())
+	return http.StatusOK, codec.MustMarshal(d.admission.takeCounts())
 }
 
 // admissionLoop is the leader's part: measure, plan, store, send.
@@ -195,7 +195,7 @@
 	if err != nil || !found {
 		return policy, err
 	}
-	return policy, wire.Unmarshal(item.V, &policy)
+	return policy, codec.Unmarshal(item.Value, &policy)
 }
 
 // admissionLoad is what the engine tells of capacity and backlog.
@@ -213,7 +213,7 @@
 // or are of a version without admission control, count nothing.
 func (s *leaderSession) exchange(policy admission.Policy) []admission.Batch {
 	batches := []admission.Batch{s.daemon.admission.takeCounts()}
-	body := wire.MustMarshal(policy)
+	body := codec.MustMarshal(policy)
 	var mu sync.Mutex
 	var asking sync.WaitGroup
 	ctx, cancel := context.WithTimeout(s.ctx, exchangeTimeout)
@@ -222,7 +222,7 @@
 		asking.Go(func() {
 			status, answer, err := s.daemon.peers.Relay(ctx, peer.Member, http.MethodPost, admissionPath, body)
 			var theirs admission.Batch
-			if err != nil || status != http.StatusOK || wire.Unmarshal(answer, &theirs) != nil {
+			if err != nil || status != http.StatusOK || codec.Unmarshal(answer, &theirs) != nil {
 				return
 			}
 			mu.Lock()
@@ -237,7 +237,7 @@
 // storePolicy stores a policy under this term; false if it isn't known to be stored.
 func (s *leaderSession) storePolicy(policy admission.Policy) bool {
 	policy = s.fitting(policy)
-	err := s.daemon.records.Put(s.ctx, s.term, policyKey, wire.MustMarshal(policy))
+	err := s.daemon.records.Put(s.ctx, s.term, policyKey, codec.MustMarshal(policy))
 	if errors.Is(err, jobstore.ErrDeposed) {
 		s.daemon.elector.EndTerm()
 	}
@@ -251,7 +251,7 @@
 // that refuse least first: classes without a share count like the least of their team's.
 func (s *leaderSession) fitting(policy admission.Policy) admission.Policy {
 	for len(policy.Shares) > 0 {
-		size, err := wire.JSONSize(wire.MustMarshal(policy))
+		size, err := codec.JSONSize(codec.MustMarshal(policy))
 		if err == nil && size <= s.daemon.coreConfig.MaxValueBytes {
 			break
 		}
--- a/internal/daemon/admission_test.go
+++ b/internal/daemon/admission_test.go
@@ -7,10 +7,10 @@
 	"time"
 
 	"gingertally/internal/admission"
+	"gingertally/internal/codec"
 	"gingertally/internal/config"
 	"gingertally/internal/core/pipeline"
 	"gingertally/internal/operator"
-	"gingertally/internal/wire"
 )
 
 // admissionDaemon is a controller with or without admission control, which isn't running.
@@ -32,9 +32,9 @@
 	d := admissionDaemon(t, true)
 	key := admission.Key{Team: "t", Class: "c", Priority: pipeline.Normal}
 	exchange := func(p admission.Policy) admission.Batch {
-		status, body := d.servePeer(t.Context(), "n-2", http.MethodPost, admissionPath, wire.MustMarshal(p))
+		status, body := d.servePeer(t.Context(), "n-2", http.MethodPost, admissionPath, codec.MustMarshal(p))
 		var batch admission.Batch
-		if err := wire.Unmarshal(body, &batch); status != http.StatusOK || err != nil {
+		if err := codec.Unmarshal(body, &batch); status != http.StatusOK || err != nil {
 			t.Fatalf("status %d, %v", status, err)
 		}
 		return batch
@@ -69,7 +69,7 @@
 // A node without admission control tells the leader so, admits everything, and shows nothing.
 func TestExchangeWithoutAdmission(t *testing.T) {
 	d := admissionDaemon(t, false)
-	status, _ := d.servePeer(t.Context(), "n-2", http.MethodPost, admissionPath, wire.MustMarshal(admission.Policy{Term: 1}))
+	status, _ := d.servePeer(t.Context(), "n-2", http.MethodPost, admissionPath, codec.MustMarshal(admission.Policy{Term: 1}))
 	if status != http.StatusNotFound || d.users.Admission != nil || d.status(time.Now()).Admission != nil {
 		t.Fatalf("status %d", status)
 	}
@@ -85,7 +85,7 @@
 		p.Shares = append(p.Shares, admission.Share{Key: admission.Key{Team: "t", Class: fmt.Sprintf("class-%03d", i)}, Fraction: float64(i+1) / 200})
 	}
 	fits := s.fitting(p)
-	size, err := wire.JSONSize(wire.MustMarshal(fits))
+	size, err := codec.JSONSize(codec.MustMarshal(fits))
 	if err != nil || size > d.coreConfig.MaxValueBytes || len(fits.Shares) < 20 {
 		t.Fatalf("%d bytes with %d shares, %v", size, len(fits.Shares), err)
 	}
@@ -99,7 +99,7 @@
 // A refusal of another node keeps its time to come back, although answers between nodes have
 // no header.
 func TestForwardedRetryAfter(t *testing.T) {
-	body := wire.MustMarshal(map[string]any{"error": "overloaded: backlog", "retry_after_s": 7.0})
+	body := codec.MustMarshal(map[string]any{"error": "overloaded: backlog", "retry_after_s": 7.0})
 	if got := forwardedRetryAfter(peerAnswer{status: 429, body: body}); got != 7*time.Second {
 		t.Errorf("%s", got)
 	}
--- a/internal/daemon/catalog.go
+++ b/internal/daemon/catalog.go
@@ -5,9 +5,12 @@
 	"log/slog"
 	"time"
 
+	"gingertally/internal/cloud"
+	"gingertally/internal/codec"
+	"gingertally/internal/statestore"
+
 	"gingertally/internal/core/placement"
 	"gingertally/internal/leadership"
-	"gingertally/internal/wire"
 )
 
 // catalogKey holds the machine types for nodes that start while the cloud's
@@ -29,24 +32,16 @@
 
 // fetchCatalog learns the machine types from the cloud.
 func (d *Daemon) fetchCatalog(ctx context.Context) error {
-	flavors, err := d.cloud.MachineTypes(ctx)
+	types, err := d.cloud.MachineTypes(ctx)
 	if err != nil {
 		return err
 	}
-	d.setCatalog(flavors)
+	d.setCatalog(types)
 	return nil
 }
 
-func (d *Daemon) setCatalog(flavors []wire.Flavor) {
-	catalog := placement.Catalog{}
-	for _, flavor := range flavors {
-		catalog[flavor.Label] = &placement.Type{
-			Name: flavor.Label, CPUs: flavor.VCPUs, GPUs: flavor.Cards, MemGB: flavor.MemGB, CacheGB: flavor.LocalGB,
-			FetchGBPerS: flavor.PullGBPerS, Hourly: flavor.Hourly, SpotHour: flavor.SpotPrice,
-			Boot: time.Duration(flavor.ReadyS * float64(time.Second)), Zones: flavor.Yards,
-		}
-	}
-	if len(catalog) > 0 {
+func (d *Daemon) setCatalog(types cloud.MachineTypes) {
+	if catalog := types.Catalog(); len(catalog) > 0 {
 		d.catalog.Store(&catalog)
 	}
 }
@@ -56,17 +51,17 @@
 	if _, found, err := d.store.Get(ctx, catalogKey); err != nil || found {
 		return
 	}
-	flavors, err := d.cloud.MachineTypes(ctx)
+	types, err := d.cloud.MachineTypes(ctx)
 	if err != nil {
 		return
 	}
-	value := wire.MustMarshal(wire.Flavors{Builds: flavors})
-	if size, err := wire.JSONSize(value); err != nil || size > d.coreConfig.MaxValueBytes {
+	value := types.Encode()
+	if size, err := codec.JSONSize(value); err != nil || size > d.coreConfig.MaxValueBytes {
 		slog.Debug("machine types too many to share", "bytes", size, "error", err)
 		return
 	}
-	_, err = d.store.Commit(ctx, []wire.Condition{{Path: leadership.TermKey, Stamp: term.Revision}},
-		[]wire.Change{{Put: catalogKey, V: value}})
+	_, err = d.store.Commit(ctx, []statestore.Compare{{Key: leadership.TermKey, ModRevision: term.Revision}},
+		[]statestore.Op{statestore.Put(catalogKey, value)})
 	if err != nil {
 		slog.Debug("share machine types", "error", err)
 	}
@@ -96,8 +91,7 @@
 	if err != nil || !found {
 		return
 	}
-	var flavors wire.Flavors
-	if wire.Unmarshal(item.V, &flavors) == nil {
-		d.setCatalog(flavors.Builds)
+	if types, err := cloud.DecodeMachineTypes(item.Value); err == nil {
+		d.setCatalog(types)
 	}
 }
--- a/internal/daemon/controller_test.go
+++ b/internal/daemon/controller_test.go
@@ -15,6 +15,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"gingertally/internal/client"
+	"gingertally/internal/codec"
 	"gingertally/internal/config"
 	"gingertally/internal/operator"
 	"gingertally/internal/peer"
@@ -141,7 +142,7 @@
 	for _, lot := range w.lots {
 		lots = append(lots, lot)
 	}
-	body := wire.MustMarshal(map[string]any{"stall": machine, "endpoint": "127.0.0.1:1", "build": "c8", "yard": "a", "loaners": false,
+	body := codec.MustMarshal(map[string]any{"stall": machine, "endpoint": "127.0.0.1:1", "build": "c8", "yard": "a", "loaners": false,
 		"shift": 1, "tick": w.seq, "gavel": w.token, "lots": lots})
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
@@ -157,7 +158,7 @@
 		return response.StatusCode()
 	}
 	var orders wire.Orders
-	if err := wire.Unmarshal(response.Body(), &orders); err != nil {
+	if err := codec.Unmarshal(response.Body(), &orders); err != nil {
 		t.Fatal(err)
 	}
 	w.token = orders.Gavel
--- a/internal/daemon/direct_commands.go
+++ b/internal/daemon/direct_commands.go
@@ -6,8 +6,8 @@
 
 	"github.com/valyala/fasthttp"
 
+	"gingertally/internal/agentapi"
 	"gingertally/internal/core"
-	"gingertally/internal/wire"
 )
 
 // maxDirectCommands bounds the direct commands under way. One that can't go now is
@@ -19,8 +19,6 @@
 	directTimeout = 3 * time.Second
 	// directIdle is how long a connection to a worker is kept for the next one.
 	directIdle = 10 * time.Second
-	// ordersPath is where a worker takes direct commands.
-	ordersPath = "/orders"
 )
 
 // commandSender sends direct commands to workers, a few at a time.
@@ -58,9 +56,9 @@
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
 	request.Header.SetMethod(fasthttp.MethodPost)
-	request.SetRequestURI("http://" + commands.Addr + ordersPath)
+	request.SetRequestURI("http://" + commands.Addr + agentapi.OrdersPath)
 	request.Header.SetContentType(contentTypeCBOR)
-	request.SetBodyRaw(wire.MustMarshal(wire.Orders{Gavel: commands.FencingToken, Shift: commands.Incarnation, Orders: wire.OrdersOf(commands.Commands)}))
+	request.SetBodyRaw(agentapi.DirectCommands(commands))
 	err := c.http.DoTimeout(request, response, directTimeout)
 	slog.Debug("direct commands", "machine", commands.Machine, "status", response.StatusCode(), "error", err)
 }
--- a/internal/daemon/drains.go
+++ b/internal/daemon/drains.go
@@ -12,7 +12,6 @@
 	"gingertally/internal/drain"
 	"gingertally/internal/jobstore"
 	"gingertally/internal/statestore"
-	"gingertally/internal/wire"
 )
 
 // This file joins operators' drains to the leader's session: it reads what is stored of them
@@ -37,7 +36,7 @@
 	go s.measureDrains()
 	since := s.ledger
 	for s.ctx.Err() == nil {
-		news, err := s.daemon.store.Follow(s.ctx, jobstore.DrainPlanPrefix, since)
+		news, err := s.daemon.store.Watch(s.ctx, jobstore.DrainPlanPrefix, since)
 		switch {
 		case errors.Is(err, statestore.ErrCompacted):
 			since = s.readAllPlans(since)
@@ -45,7 +44,7 @@
 			sleep(s.ctx, watchRetry)
 		default:
 			s.takePlans(news)
-			since = max(since, news.Ledger)
+			since = max(since, news.Revision)
 		}
 	}
 	return s.ctx.Err()
@@ -66,12 +65,12 @@
 }
 
 // takePlans brings the engine the changed plans.
-func (s *leaderSession) takePlans(news wire.News) {
-	for _, change := range news.News {
-		if change.Put == "" {
+func (s *leaderSession) takePlans(news statestore.WatchResponse) {
+	for _, change := range news.Events {
+		if change.Delete {
 			continue
 		}
-		plan, err := jobstore.DecodeDrainPlan(wire.StoreItem{Path: change.Put, V: change.V, Stamp: change.Stamp})
+		plan, err := jobstore.DecodeDrainPlan(change.KeyValue)
 		if err != nil {
 			slog.Error("drain plan", "error", err)
 			continue
--- a/internal/daemon/golden_test.go
+++ b/internal/daemon/golden_test.go
@@ -11,6 +11,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"gingertally/internal/admission"
+	"gingertally/internal/agentapi"
+	"gingertally/internal/codec"
 	"gingertally/internal/core"
 	"gingertally/internal/core/fleet"
 	"gingertally/internal/drain"
@@ -27,11 +29,11 @@
 func TestNodeMessagesGolden(t *testing.T) {
 	var lines goldentest.Lines
 	lines.Add("view %x", encodeView(goldentest.Filled[core.JobView]()))
-	lines.Add("%s %x", policyKey, wire.MustMarshal(goldentest.Filled[admission.Policy]()))
-	lines.Add("counts %x", wire.MustMarshal(goldentest.Filled[admission.Batch]()))
-	lines.Add("%s %x", catalogKey, wire.MustMarshal(goldentest.Filled[wire.Flavors]()))
-	lines.Add("refusal %x", wire.MustMarshal(goldentest.Filled[userapi.Refusal]()))
-	for _, path := range []string{heartbeatPath, pingPath, extensionPath, admissionPath, drainPreviewPath, StatusPath, viewPath, DrainsPath, runsPath, cancelVerb, healthPath, metricsPath, ordersPath} {
+	lines.Add("%s %x", policyKey, codec.MustMarshal(goldentest.Filled[admission.Policy]()))
+	lines.Add("counts %x", codec.MustMarshal(goldentest.Filled[admission.Batch]()))
+	lines.Add("%s %x", catalogKey, codec.MustMarshal(goldentest.Filled[wire.Flavors]()))
+	lines.Add("refusal %x", codec.MustMarshal(goldentest.Filled[userapi.Refusal]()))
+	for _, path := range []string{heartbeatPath, pingPath, extensionPath, admissionPath, drainPreviewPath, StatusPath, viewPath, DrainsPath, runsPath, cancelVerb, healthPath, metricsPath, agentapi.OrdersPath} {
 		lines.Add("path %s", path)
 	}
 	lines.Check(t, "node_messages.txt")
--- a/internal/daemon/http.go
+++ b/internal/daemon/http.go
@@ -7,9 +7,9 @@
 	"strings"
 	"time"
 
-	"github.com/valyala/fasthttp"
+	"gingertally/internal/userapi"
 
-	"gingertally/internal/wire"
+	"github.com/valyala/fasthttp"
 )
 
 // Paths of the interfaces to users, workers and operators.
@@ -52,7 +52,7 @@
 				request.SetConnectionClose()
 			}
 		},
-		MaxRequestBodySize:    wire.MaxBody,
+		MaxRequestBodySize:    userapi.MaxBody,
 		Concurrency:           d.clientConns(),
 		IdleTimeout:           idleHeartbeats*d.coreConfig.HeartbeatInterval + idleSlack,
 		ReadTimeout:           httpReadTimeout,
--- a/internal/daemon/instances.go
+++ b/internal/daemon/instances.go
@@ -7,7 +7,6 @@
 
 	"gingertally/internal/cloud"
 	"gingertally/internal/core"
-	"gingertally/internal/wire"
 )
 
 const (
@@ -17,9 +16,8 @@
 )
 
 // scaleOut asks the cloud for machines, and brings the engine the answer.
-func (s *leaderSession) scaleOut(rent core.ScaleOut) {
-	request := wire.RentalRequest{Hire: rent.Name, Build: rent.Type, Yard: rent.Zone, Loaners: rent.Spot, Count: rent.Count}
-	result := core.ScaleOutAnswered{Request: rent, OutcomeUnknown: true}
+func (s *leaderSession) scaleOut(request core.ScaleOut) {
+	result := core.ScaleOutAnswered{Request: request, OutcomeUnknown: true}
 	for try := 0; try < scaleOutTries && s.holdsLease(); try++ {
 		names, err := s.daemon.cloud.ScaleOut(s.ctx, request)
 		if err == nil || errors.Is(err, cloud.ErrNoCapacity) {
@@ -85,34 +83,10 @@
 
 // readList brings the engine the cloud's list of machines.
 func (s *leaderSession) readList() {
-	rentals, err := s.daemon.cloud.ListInstances(s.ctx)
+	instances, err := s.daemon.cloud.ListInstances(s.ctx)
 	if err != nil {
 		slog.Debug("list machines", "error", err)
 		return
 	}
-	s.step(core.InstancesListed{Instances: listedMachines(rentals)})
-}
-
-// listStatuses are the cloud's words for a machine's state.
-var listStatuses = map[string]core.InstanceStatus{
-	wire.RentalStarting: core.InstanceStarting,
-	wire.RentalRunning:  core.InstanceRunning,
-	wire.RentalFailed:   core.InstanceFailed,
-}
-
-// listedMachines is the cloud's list as the engine takes it. Machines in a state that
-// isn't known here are left out.
-func listedMachines(rentals []wire.Rental) []core.Instance {
-	machines := make([]core.Instance, 0, len(rentals))
-	for _, rental := range rentals {
-		status, known := listStatuses[rental.Status]
-		if !known {
-			continue
-		}
-		machines = append(machines, core.Instance{
-			Name: rental.Ref, Addr: rental.Endpoint, Type: rental.Build, Zone: rental.Yard, Spot: rental.Loaners,
-			Status: status, Age: time.Duration(rental.HeldS * float64(time.Second)),
-		})
-	}
-	return machines
+	s.step(core.InstancesListed{Instances: instances})
 }
--- a/internal/daemon/peer_calls.go
+++ b/internal/daemon/peer_calls.go
@@ -6,9 +6,9 @@
 	"strings"
 	"time"
 
+	"gingertally/internal/codec"
 	"gingertally/internal/core"
 	"gingertally/internal/core/pipeline"
-	"gingertally/internal/wire"
 )
 
 // viewPath is where a node asks the leader about a job; between nodes only.
@@ -38,7 +38,7 @@
 	if answer.Body == nil {
 		return answer.Status, nil
 	}
-	return answer.Status, wire.MustMarshal(answer.Body)
+	return answer.Status, codec.MustMarshal(answer.Body)
 }
 
 // serveView tells another node what this one, as the leader, knows of a job.
@@ -56,10 +56,10 @@
 	Done, Running int
 }
 
-func encodeView(view core.JobView) []byte { return wire.MustMarshal(viewMessage(view)) }
+func encodeView(view core.JobView) []byte { return codec.MustMarshal(viewMessage(view)) }
 
 func decodeView(body []byte) (core.JobView, bool) {
 	var message viewMessage
-	err := wire.Unmarshal(body, &message)
+	err := codec.Unmarshal(body, &message)
 	return core.JobView(message), err == nil
 }
--- a/internal/daemon/services_test.go
+++ b/internal/daemon/services_test.go
@@ -11,6 +11,7 @@
 
 	"github.com/valyala/fasthttp"
 
+	"gingertally/internal/codec"
 	"gingertally/internal/wire"
 )
 
@@ -30,7 +31,7 @@
 // answer writes a message with a status.
 func answer(request *fasthttp.RequestCtx, status int, message any) {
 	request.SetStatusCode(status)
-	request.SetBody(wire.MustMarshal(message))
+	request.SetBody(codec.MustMarshal(message))
 }
 
 // fakeStore is a state service in memory. Its leases end only when they are revoked.
@@ -100,7 +101,7 @@
 
 func (f *fakeStore) commit(request *fasthttp.RequestCtx) {
 	var commit wire.Commit
-	if wire.Unmarshal(request.PostBody(), &commit) != nil {
+	if codec.Unmarshal(request.PostBody(), &commit) != nil {
 		request.SetStatusCode(400)
 		return
 	}
--- a/internal/daemon/session_watch.go
+++ b/internal/daemon/session_watch.go
@@ -7,10 +7,10 @@
 	"strings"
 	"time"
 
+	"gingertally/internal/codec"
 	"gingertally/internal/core"
 	"gingertally/internal/jobstore"
 	"gingertally/internal/statestore"
-	"gingertally/internal/wire"
 )
 
 // Pauses after reads that failed.
@@ -23,7 +23,7 @@
 func (s *leaderSession) watchLoop() error {
 	since := s.ledger
 	for s.ctx.Err() == nil {
-		news, err := s.daemon.store.Follow(s.ctx, jobstore.JobPrefix, since)
+		news, err := s.daemon.store.Watch(s.ctx, jobstore.JobPrefix, since)
 		switch {
 		case errors.Is(err, statestore.ErrCompacted):
 			since = s.readAllJobs(since)
@@ -32,7 +32,7 @@
 		case !s.takeNews(news):
 			return s.ctx.Err()
 		default:
-			since = max(since, news.Ledger)
+			since = max(since, news.Revision)
 		}
 	}
 	return s.ctx.Err()
@@ -53,12 +53,12 @@
 }
 
 // takeNews brings the engine the changed records; false if the session is over.
-func (s *leaderSession) takeNews(news wire.News) bool {
-	for _, change := range news.News {
-		if change.Put == "" {
+func (s *leaderSession) takeNews(news statestore.WatchResponse) bool {
+	for _, change := range news.Events {
+		if change.Delete {
 			continue
 		}
-		if !s.jobStored(wire.StoreItem{Path: change.Put, V: change.V, Stamp: change.Stamp}) {
+		if !s.jobStored(change.KeyValue) {
 			return false
 		}
 	}
@@ -68,17 +68,17 @@
 // jobStored brings the engine a job's record, or, where that can't be completed any
 // more since the job has moved on, what the store now holds; false if the session is
 // over.
-func (s *leaderSession) jobStored(item wire.StoreItem) bool {
+func (s *leaderSession) jobStored(item statestore.KeyValue) bool {
 	for {
 		job, err := s.daemon.records.ReadJob(s.ctx, item)
 		switch {
 		case err == nil:
 			s.step(core.JobStored{Job: job})
 			return true
-		case errors.Is(err, wire.ErrMalformed):
+		case errors.Is(err, codec.ErrMalformed):
 			slog.Error("job record", "error", err)
 			return true
-		case s.refresh(strings.TrimPrefix(item.Path, jobstore.JobPrefix)):
+		case s.refresh(strings.TrimPrefix(item.Key, jobstore.JobPrefix)):
 			return true
 		}
 		slog.Warn("job record", "error", err)
--- a/internal/daemon/session_writes.go
+++ b/internal/daemon/session_writes.go
@@ -81,7 +81,7 @@
 		s.step(core.WritesFinished{Batch: sent, OK: true, Version: revision})
 		return true, nil
 	}
-	if errors.Is(err, statestore.ErrRefused) {
+	if errors.Is(err, statestore.ErrRejected) {
 		s.step(core.WriteRejected{Write: sent[0]})
 		return true, nil
 	}
--- a/internal/daemon/standby_follow.go
+++ b/internal/daemon/standby_follow.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// followRetry is the pause after a stream that has ended, or while nobody leads.
+	// watchRetry is the pause after a stream that has ended, or while nobody leads.
 	followRetry = 200 * time.Millisecond
 	// followUnsupported is the pause where the leader is of a version without the stream.
 	followUnsupported = 10 * time.Second
--- a/internal/daemon/user_calls.go
+++ b/internal/daemon/user_calls.go
@@ -9,8 +9,8 @@
 
 	"github.com/valyala/fasthttp"
 
+	"gingertally/internal/codec"
 	"gingertally/internal/userapi"
-	"gingertally/internal/wire"
 )
 
 // How long a call is worked on in all: a user waits 5 s for a submission and 2 s
@@ -65,7 +65,7 @@
 // answer has no header.
 func forwardedRetryAfter(answer peerAnswer) time.Duration {
 	var refusal userapi.Refusal
-	if answer.status != fasthttp.StatusTooManyRequests || wire.Unmarshal(answer.body, &refusal) != nil {
+	if answer.status != fasthttp.StatusTooManyRequests || codec.Unmarshal(answer.body, &refusal) != nil {
 		return 0
 	}
 	return time.Duration(refusal.RetryAfterS * float64(time.Second))
@@ -77,7 +77,7 @@
 	setRetryAfter(request, answer.RetryAfter)
 	if answer.Body != nil {
 		request.SetContentType(contentTypeCBOR)
-		request.SetBody(wire.MustMarshal(answer.Body))
+		request.SetBody(codec.MustMarshal(answer.Body))
 	}
 }
 
--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -18,8 +18,8 @@
 	"strconv"
 	"strings"
 
+	"gingertally/internal/codec"
 	"gingertally/internal/standby"
-	"gingertally/internal/wire"
 )
 
 const (
@@ -168,7 +168,7 @@
 		return frame, 0, errTorn
 	}
 	var stored storedFrame
-	if err := wire.Unmarshal(payload, &stored); err != nil {
+	if err := codec.Unmarshal(payload, &stored); err != nil {
 		return frame, 0, errTorn
 	}
 	frame = stored.Frame
@@ -197,7 +197,7 @@
 		stored.Stored = append(stored.Stored, storedEntry{Key: []byte(e.Key), Value: e.Value})
 	}
 	stored.Entries = nil
-	payload := wire.MustMarshal(stored)
+	payload := codec.MustMarshal(stored)
 	out := make([]byte, headerBytes, headerBytes+len(payload))
 	binary.LittleEndian.PutUint32(out[:4], uint32(len(payload)))
 	binary.LittleEndian.PutUint32(out[4:], crc32.Checksum(payload, checksums))
--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -6,6 +6,7 @@
 
 	"github.com/valyala/fasthttp"
 
+	"gingertally/internal/codec"
 	"gingertally/internal/wire"
 )
 
@@ -71,7 +72,7 @@
 // rent serves a request for machines, once by its name.
 func (c *Cloud) rent(request *fasthttp.RequestCtx) {
 	var hire wire.RentalRequest
-	if c.Boot == nil || wire.Unmarshal(request.PostBody(), &hire) != nil || hire.Loaners {
+	if c.Boot == nil || codec.Unmarshal(request.PostBody(), &hire) != nil || hire.Loaners {
 		reply(request, fasthttp.StatusServiceUnavailable, map[string]string{"error": "no capacity"})
 		return
 	}
@@ -94,7 +95,7 @@
 // release deletes machines. Where machines stay, it is answered as if it couldn't be served.
 func (c *Cloud) release(request *fasthttp.RequestCtx) {
 	var named wire.Stalls
-	if c.Delete == nil || wire.Unmarshal(request.PostBody(), &named) != nil {
+	if c.Delete == nil || codec.Unmarshal(request.PostBody(), &named) != nil {
 		request.SetStatusCode(fasthttp.StatusServiceUnavailable)
 		return
 	}
--- a/internal/emulator/state.go
+++ b/internal/emulator/state.go
@@ -13,6 +13,7 @@
 
 	"github.com/valyala/fasthttp"
 
+	"gingertally/internal/codec"
 	"gingertally/internal/wire"
 )
 
@@ -146,7 +147,7 @@
 
 func (s *StateService) commit(request *fasthttp.RequestCtx) {
 	var commit wire.Commit
-	if wire.Unmarshal(request.PostBody(), &commit) != nil {
+	if codec.Unmarshal(request.PostBody(), &commit) != nil {
 		request.SetStatusCode(fasthttp.StatusBadRequest)
 		return
 	}
@@ -175,7 +176,7 @@
 
 func (s *StateService) grant(request *fasthttp.RequestCtx) {
 	var asked wire.LeaseRequest
-	if wire.Unmarshal(request.PostBody(), &asked) != nil {
+	if codec.Unmarshal(request.PostBody(), &asked) != nil {
 		request.SetStatusCode(fasthttp.StatusBadRequest)
 		return
 	}
@@ -249,7 +250,7 @@
 // reply writes a message with a status.
 func reply(request *fasthttp.RequestCtx, status int, message any) {
 	request.SetStatusCode(status)
-	request.SetBody(wire.MustMarshal(message))
+	request.SetBody(codec.MustMarshal(message))
 }
 
 // Serve serves a handler on a loopback address until stop, and returns the address.
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -7,6 +7,7 @@
 
 	"github.com/valyala/fasthttp"
 
+	"gingertally/internal/codec"
 	"gingertally/internal/wire"
 )
 
@@ -169,7 +170,7 @@
 // redirected has the worker go to the controller that a redirect names, if that is another.
 func (w *Worker) redirected(body []byte, from string) bool {
 	var redirect wire.Redirect
-	if wire.Unmarshal(body, &redirect) != nil || redirect.Clerk == from {
+	if codec.Unmarshal(body, &redirect) != nil || redirect.Clerk == from {
 		return false
 	}
 	for i, name := range w.names {
@@ -199,7 +200,7 @@
 func (w *Worker) nextHeartbeat() (body []byte, target string, session uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return wire.MustMarshal(w.heartbeatNow()), w.names[w.target], w.session
+	return codec.MustMarshal(w.heartbeatNow()), w.names[w.target], w.session
 }
 
 func (w *Worker) heartbeatNow() heartbeat {
@@ -214,7 +215,7 @@
 // obeyAnswer carries out what an answer to a heartbeat says, unless its fencing token is too low.
 func (w *Worker) obeyAnswer(body []byte, sent time.Time) {
 	var orders wire.Orders
-	if wire.Unmarshal(body, &orders) != nil || orders.Gavel < w.token || w.isDeleted() {
+	if codec.Unmarshal(body, &orders) != nil || orders.Gavel < w.token || w.isDeleted() {
 		return
 	}
 	if orders.Gavel > w.token {
@@ -234,7 +235,7 @@
 	switch {
 	case string(request.Path()) == "/status":
 		status = fasthttp.StatusOK
-	case wire.Unmarshal(request.PostBody(), &orders) != nil:
+	case codec.Unmarshal(request.PostBody(), &orders) != nil:
 		status = fasthttp.StatusBadRequest
 	case orders.Gavel >= w.token && orders.Shift == w.session && !w.isDeleted():
 		status = fasthttp.StatusOK
@@ -250,7 +251,7 @@
 		if err != nil {
 			continue
 		}
-		key := wire.MustMarshal([]any{o.Lot, o.Try})
+		key := codec.MustMarshal([]any{o.Lot, o.Try})
 		l := w.lots[string(key)]
 		switch {
 		case o.Verb == verbStart && l == nil:
--- a/internal/jobstore/cancel.go
+++ b/internal/jobstore/cancel.go
@@ -7,11 +7,11 @@
 	"slices"
 	"time"
 
+	"gingertally/internal/codec"
 	"gingertally/internal/core"
 	"gingertally/internal/core/pipeline"
 	"gingertally/internal/leadership"
 	"gingertally/internal/statestore"
-	"gingertally/internal/wire"
 )
 
 // cancelTries bounds the races of one cancellation with the leader's writes.
@@ -22,7 +22,7 @@
 // no leader goes on telling users an older state: it is the leader's own term,
 // or that nobody leads (docs/design.md, "The bound of a cancellation";
 // TestCancelWithoutAnswer).
-func (j *Jobs) Cancel(ctx context.Context, ref string, now time.Time, guard wire.Condition) (State, error) {
+func (j *Jobs) Cancel(ctx context.Context, ref string, now time.Time, guard statestore.Compare) (State, error) {
 	for range cancelTries {
 		state, err := j.Load(ctx, ref)
 		switch {
@@ -51,26 +51,26 @@
 var errRecordChanged = errors.New("record keeps changing")
 
 // commitCancelled writes the record of a cancelled job over the version that was read.
-func (j *Jobs) commitCancelled(ctx context.Context, ref string, state State, guard wire.Condition) (uint64, error) {
+func (j *Jobs) commitCancelled(ctx context.Context, ref string, state State, guard statestore.Compare) (uint64, error) {
 	key := JobPrefix + ref
-	value, err := wire.Marshal(state.Record)
+	value, err := codec.Marshal(state.Record)
 	if err != nil {
 		return 0, fmt.Errorf("%s: %w", key, err)
 	}
-	revision, err := j.store.Commit(ctx, []wire.Condition{guard, {Path: key, Stamp: state.Version}},
-		[]wire.Change{{Put: key, V: value}})
+	revision, err := j.store.Commit(ctx, []statestore.Compare{guard, {Key: key, ModRevision: state.Version}},
+		[]statestore.Op{statestore.Put(key, value)})
 	var conflict *statestore.ConflictError
 	switch {
 	case err == nil:
 		return revision, nil
-	case errors.Is(err, statestore.ErrUnavailable), errors.Is(err, statestore.ErrRefused):
-		return 0, err
-	case !errors.As(err, &conflict):
-		return 0, fmt.Errorf("%w: %w", ErrUnknownOutcome, err)
-	case slices.Contains(conflict.Failed, guard.Path):
+	case errors.As(err, &conflict) && slices.Contains(conflict.Keys, guard.Key):
 		return 0, ErrNotLeader
+	case errors.As(err, &conflict):
+		return 0, errRecordChanged
+	case statestore.NotExecuted(err), errors.Is(err, statestore.ErrUnknownOutcome):
+		return 0, err
 	}
-	return 0, errRecordChanged
+	return 0, fmt.Errorf("%w: %w", statestore.ErrUnknownOutcome, err)
 }
 
 // cancelRecord turns a job's record into that of a cancelled one. What no longer
@@ -88,7 +88,7 @@
 func CancelEvent(ref string, state State, err error) core.Event {
 	switch {
 	case err != nil:
-		return core.CancelUndecided{Ref: ref, Unknown: errors.Is(err, ErrUnknownOutcome), Version: state.Version}
+		return core.CancelUndecided{Ref: ref, Unknown: errors.Is(err, statestore.ErrUnknownOutcome), Version: state.Version}
 	case state.Over:
 		return core.JobFinished{Ref: ref, Final: state.Final}
 	}
@@ -96,6 +96,6 @@
 }
 
 // UnderTerm is the guard of a cancellation by the leader itself.
-func UnderTerm(term leadership.Term) wire.Condition {
-	return wire.Condition{Path: leadership.TermKey, Stamp: term.Revision}
+func UnderTerm(term leadership.Term) statestore.Compare {
+	return statestore.Compare{Key: leadership.TermKey, ModRevision: term.Revision}
 }
--- a/internal/jobstore/dependencies.go
+++ b/internal/jobstore/dependencies.go
@@ -8,9 +8,9 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"gingertally/internal/codec"
 	"gingertally/internal/core/pipeline"
 	"gingertally/internal/statestore"
-	"gingertally/internal/wire"
 )
 
 // singleLookups is how many jobs are looked up one by one; beyond that, all unfinished
@@ -39,7 +39,7 @@
 func (j *Jobs) checkDependencies(ctx context.Context, ref string, dependencies []string) error {
 	unchecked := make([]string, 0, len(dependencies))
 	for _, dependency := range dependencies {
-		if dependency == ref || !wire.ValidRef(dependency) {
+		if dependency == ref || !pipeline.ValidRef(dependency) {
 			return ErrBadDependency
 		}
 		if !j.cache.isAccepted(dependency) {
@@ -75,9 +75,9 @@
 	if err != nil {
 		return err
 	}
-	unfinished := make(map[string]statestore.Item, len(items))
+	unfinished := make(map[string]statestore.KeyValue, len(items))
 	for _, item := range items {
-		unfinished[strings.TrimPrefix(item.Path, JobPrefix)] = item
+		unfinished[strings.TrimPrefix(item.Key, JobPrefix)] = item
 	}
 	var rest []string
 	for _, ref := range refs {
@@ -87,7 +87,7 @@
 			continue
 		}
 		var record pipeline.Record
-		if err := wire.Unmarshal(item.V, &record); err != nil {
+		if err := codec.Unmarshal(item.Value, &record); err != nil {
 			return fmt.Errorf("job %s: %w", ref, err)
 		}
 		if record.Spec.Shape == pipeline.Service {
@@ -108,16 +108,16 @@
 	for most := conditionsPerOp * j.limits.TxnOps; len(refs) > 0; {
 		asked := refs[:min(most, len(refs))]
 		refs = refs[len(asked):]
-		conditions := make([]wire.Condition, len(asked))
+		conditions := make([]statestore.Compare, len(asked))
 		for i, ref := range asked {
-			conditions[i].Path = finalPrefix + ref
+			conditions[i].Key = finalPrefix + ref
 		}
 		_, err := j.store.Commit(ctx, conditions, nil)
 		var present *statestore.ConflictError
 		if err != nil && !errors.As(err, &present) {
 			return err
 		}
-		if present == nil || len(present.Failed) < len(asked) {
+		if present == nil || len(present.Keys) < len(asked) {
 			return ErrBadDependency
 		}
 		for _, ref := range asked {
--- a/internal/jobstore/dependencies_test.go
+++ b/internal/jobstore/dependencies_test.go
@@ -11,10 +11,10 @@
 	"testing"
 	"time"
 
+	"gingertally/internal/codec"
 	"gingertally/internal/core"
 	"gingertally/internal/core/pipeline"
 	"gingertally/internal/statestore"
-	"gingertally/internal/wire"
 )
 
 // A job may wait for jobs that were accepted, whatever became of them, and for
@@ -114,7 +114,7 @@
 	left int
 }
 
-func (f *failing) Commit(c context.Context, conds []wire.Condition, changes []wire.Change) (uint64, error) {
+func (f *failing) Commit(c context.Context, conds []statestore.Compare, changes []statestore.Op) (uint64, error) {
 	if f.left--; f.left < 0 {
 		return 0, statestore.ErrUnavailable
 	}
@@ -125,7 +125,7 @@
 // once all its pages are stored, each within the limit, and a retry goes on where
 // the last try stopped.
 func TestLongListIsTakenWholeOrNotAtAll(t *testing.T) {
-	m := &memory{items: map[string]statestore.Item{}}
+	m := &memory{items: map[string]statestore.KeyValue{}}
 	limits := Limits{ValueBytes: 1000, TxnOps: 2}
 	var refs []string
 	for i := range 4000 {
@@ -145,7 +145,7 @@
 		t.Fatal("the list fits one try: nothing was tested")
 	}
 	for k, it := range m.items {
-		if n, err := wire.JSONSize(it.V); err != nil || n > 1024 {
+		if n, err := codec.JSONSize(it.Value); err != nil || n > 1024 {
 			t.Errorf("%s takes %d bytes, %v", k, n, err)
 		}
 	}
@@ -173,14 +173,14 @@
 	if err != nil || len(s.Record.Dependencies) != 100 {
 		t.Fatalf("%+v, %v", s, err)
 	}
-	writes := []core.Write{{Kind: core.WriteFinal, Name: "j-9", Version: late.Stamp, Final: pipeline.Final{Phase: pipeline.Cancelled}}}
+	writes := []core.Write{{Kind: core.WriteFinal, Name: "j-9", Version: late.ModRevision, Final: pipeline.Final{Phase: pipeline.Cancelled}}}
 	for i := range s.Record.DependencyPages {
 		writes = append(writes, core.Write{Kind: core.DropDependencies, Name: "j-9", Sum: s.Record.DependencyListSum, Chunk: i})
 	}
 	if sent, _, err := j.Apply(ctx, term, writes); err != nil || len(sent) != len(writes) {
 		t.Fatal(err)
 	}
-	if _, err := j.ReadJob(ctx, late); err == nil || errors.Is(err, wire.ErrMalformed) {
+	if _, err := j.ReadJob(ctx, late); err == nil || errors.Is(err, codec.ErrMalformed) {
 		t.Fatalf("the late record is complete: %v", err)
 	}
 	if st, err := j.Load(ctx, "j-9"); err != nil || !st.Over {
@@ -191,7 +191,7 @@
 // A job whose record was written when values could be larger can still be
 // cancelled, and is still known when it is submitted again.
 func TestLargeRecordsFromBefore(t *testing.T) {
-	m := &memory{items: map[string]statestore.Item{}}
+	m := &memory{items: map[string]statestore.KeyValue{}}
 	spec := pipeline.Spec{Ref: "j-1", Class: strings.Repeat("c", 200), Team: "t", Image: strings.Repeat("i", 200), Tasks: 2000}
 	for i := range 20 {
 		spec.Types = append(spec.Types, fmt.Sprintf("a-type-with-a-long-name-%d", i))
@@ -210,7 +210,7 @@
 	if _, err := low.Cancel(ctx, "j-1", time.Now(), nobodyLeads); err != nil {
 		t.Fatal(err)
 	}
-	if n, err := wire.JSONSize(m.items["j/j-1"].V); err != nil || n > 1000 {
+	if n, err := codec.JSONSize(m.items["j/j-1"].Value); err != nil || n > 1000 {
 		t.Fatalf("the cancelled record takes %d bytes, %v", n, err)
 	}
 }
@@ -221,7 +221,7 @@
 	r := &refusing{m}
 	batch := []core.Write{{Kind: core.WriteImages, Name: "bad"}, {Kind: core.WriteImages, Name: "good"}}
 	sent, _, err := New(r, j.limits).Apply(ctx, term, batch)
-	if !errors.Is(err, statestore.ErrRefused) || len(sent) != 1 || sent[0].Name != "bad" {
+	if !errors.Is(err, statestore.ErrRejected) || len(sent) != 1 || sent[0].Name != "bad" {
 		t.Fatalf("sent %v, %v", sent, err)
 	}
 	if sent, _, err = New(r, j.limits).Apply(ctx, term, batch[1:]); err != nil || len(sent) != 1 {
@@ -231,10 +231,10 @@
 
 type refusing struct{ *memory }
 
-func (r *refusing) Commit(c context.Context, conds []wire.Condition, changes []wire.Change) (uint64, error) {
+func (r *refusing) Commit(c context.Context, conds []statestore.Compare, changes []statestore.Op) (uint64, error) {
 	for _, ch := range changes {
-		if ch.Put == "i/bad" {
-			return 0, statestore.ErrRefused
+		if ch.Key == "i/bad" {
+			return 0, statestore.ErrRejected
 		}
 	}
 	return r.memory.Commit(c, conds, changes)
@@ -244,14 +244,14 @@
 // were made) are read as they were meant, and what is written for jobs that wait
 // for nothing is what that version writes, to the byte.
 func TestRecordsOfTheVersionInProduction(t *testing.T) {
-	m := &memory{items: map[string]statestore.Item{}}
+	m := &memory{items: map[string]statestore.KeyValue{}}
 	for _, line := range productionLines(t) {
 		key, v, _ := strings.Cut(line, " ")
 		b, err := hex.DecodeString(v)
 		if err != nil {
 			t.Fatal(err)
 		}
-		m.items[key] = statestore.Item{Path: key, V: b, Stamp: 7}
+		m.items[key] = statestore.KeyValue{Key: key, Value: b, ModRevision: 7}
 	}
 	j := New(m, Limits{ValueBytes: 4000, TxnOps: 8})
 	snap, _, err := j.Snapshot(ctx)
@@ -266,7 +266,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if back := wire.MustMarshal(job.Record(4000)); !slices.Equal(back, m.items["j/"+job.Ref].V) {
+		if back := codec.MustMarshal(job.Record(4000)); !slices.Equal(back, m.items["j/"+job.Ref].Value) {
 			t.Errorf("%s is written back as %x", job.Ref, back)
 		}
 	}
@@ -275,7 +275,7 @@
 		if err != nil || !st.Over || st.Phase != want {
 			t.Errorf("%s: %+v, %v", ref, st, err)
 		}
-		if back := wire.MustMarshal(st.Final); !slices.Equal(back, m.items["f/"+ref].V) {
+		if back := codec.MustMarshal(st.Final); !slices.Equal(back, m.items["f/"+ref].Value) {
 			t.Errorf("%s is written as %x", ref, back)
 		}
 	}
--- a/internal/jobstore/dependency_pages.go
+++ b/internal/jobstore/dependency_pages.go
@@ -7,8 +7,10 @@
 	"fmt"
 	"strings"
 
+	"gingertally/internal/codec"
+	"gingertally/internal/statestore"
+
 	"gingertally/internal/core/pipeline"
-	"gingertally/internal/wire"
 )
 
 // sumBytes is how much of the hash of a list of dependencies names its pages.
@@ -39,7 +41,7 @@
 		if stored[key] {
 			continue
 		}
-		if _, err := j.store.Commit(ctx, nil, []wire.Change{{Put: key, V: wire.MustMarshal(page)}}); err != nil {
+		if _, err := j.store.Commit(ctx, nil, []statestore.Op{statestore.Put(key, codec.MustMarshal(page))}); err != nil {
 			return err
 		}
 	}
@@ -67,7 +69,7 @@
 	}
 	stored := map[string]bool{}
 	for _, item := range items {
-		stored[item.Path] = true
+		stored[item.Key] = true
 	}
 	return stored, nil
 }
@@ -88,8 +90,8 @@
 	record.Dependencies = nil
 	for _, item := range items {
 		var refs []string
-		if err := wire.Unmarshal(item.V, &refs); err != nil {
-			return fmt.Errorf("%s: %w", item.Path, err)
+		if err := codec.Unmarshal(item.Value, &refs); err != nil {
+			return fmt.Errorf("%s: %w", item.Key, err)
 		}
 		record.Dependencies = append(record.Dependencies, refs...)
 	}
--- a/internal/jobstore/drains.go
+++ b/internal/jobstore/drains.go
@@ -7,10 +7,10 @@
 	"strings"
 	"time"
 
+	"gingertally/internal/codec"
 	"gingertally/internal/drain"
 	"gingertally/internal/leadership"
 	"gingertally/internal/statestore"
-	"gingertally/internal/wire"
 )
 
 // Prefixes of the keys of drains. Plans are written by any controller over a version; cordons
@@ -45,9 +45,9 @@
 		return stored, err
 	}
 	for _, item := range items {
-		page := drain.StoredMachines{Name: strings.TrimPrefix(item.Path, cordonPrefix), Version: item.Stamp}
-		if err := wire.Unmarshal(item.V, &page.Record); err != nil {
-			return stored, fmt.Errorf("%s: %w", item.Path, err)
+		page := drain.StoredMachines{Name: strings.TrimPrefix(item.Key, cordonPrefix), Version: item.ModRevision}
+		if err := codec.Unmarshal(item.Value, &page.Record); err != nil {
+			return stored, fmt.Errorf("%s: %w", item.Key, err)
 		}
 		stored.Machines = append(stored.Machines, page)
 	}
@@ -56,9 +56,9 @@
 		return stored, err
 	}
 	for _, item := range items {
-		page := drain.StoredCharges{Name: strings.TrimPrefix(item.Path, chargePrefix), Version: item.Stamp}
-		if err := wire.Unmarshal(item.V, &page.Record); err != nil {
-			return stored, fmt.Errorf("%s: %w", item.Path, err)
+		page := drain.StoredCharges{Name: strings.TrimPrefix(item.Key, chargePrefix), Version: item.ModRevision}
+		if err := codec.Unmarshal(item.Value, &page.Record); err != nil {
+			return stored, fmt.Errorf("%s: %w", item.Key, err)
 		}
 		stored.Charges = append(stored.Charges, page)
 	}
@@ -83,10 +83,10 @@
 }
 
 // DecodeDrainPlan reads a plan from its item.
-func DecodeDrainPlan(item statestore.Item) (drain.StoredPlan, error) {
-	stored := drain.StoredPlan{Version: item.Stamp}
-	if err := wire.Unmarshal(item.V, &stored.Plan); err != nil {
-		return stored, fmt.Errorf("%s: %w", item.Path, err)
+func DecodeDrainPlan(item statestore.KeyValue) (drain.StoredPlan, error) {
+	stored := drain.StoredPlan{Version: item.ModRevision}
+	if err := codec.Unmarshal(item.Value, &stored.Plan); err != nil {
+		return stored, fmt.Errorf("%s: %w", item.Key, err)
 	}
 	return stored, nil
 }
@@ -144,19 +144,19 @@
 
 // WriteDrainPlan writes the leader's change of a plan over the version that it knows.
 func (j *Jobs) WriteDrainPlan(ctx context.Context, term leadership.Term, w drain.PlanWrite) error {
-	_, err := j.putDrainPlan(ctx, []wire.Condition{UnderTerm(term)}, w)
+	_, err := j.putDrainPlan(ctx, []statestore.Compare{UnderTerm(term)}, w)
 	return err
 }
 
-func (j *Jobs) putDrainPlan(ctx context.Context, conditions []wire.Condition, w drain.PlanWrite) (uint64, error) {
+func (j *Jobs) putDrainPlan(ctx context.Context, conditions []statestore.Compare, w drain.PlanWrite) (uint64, error) {
 	key := DrainPlanPrefix + w.Plan.ID
-	conditions = append(conditions, wire.Condition{Path: key, Stamp: w.Version})
+	conditions = append(conditions, statestore.Compare{Key: key, ModRevision: w.Version})
 	if w.Drop {
-		return j.store.Commit(ctx, conditions, []wire.Change{{Drop: key}})
+		return j.store.Commit(ctx, conditions, []statestore.Op{statestore.Delete(key)})
 	}
-	value, err := wire.Marshal(w.Plan)
+	value, err := codec.Marshal(w.Plan)
 	if err != nil {
 		return 0, err
 	}
-	return j.store.Commit(ctx, conditions, []wire.Change{{Put: key, V: value}})
+	return j.store.Commit(ctx, conditions, []statestore.Op{statestore.Put(key, value)})
 }
--- a/internal/jobstore/drains_test.go
+++ b/internal/jobstore/drains_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
+	"gingertally/internal/codec"
 	"gingertally/internal/drain"
-	"gingertally/internal/wire"
 )
 
 // Pages of drains and the largest plan fit the smallest value of all deployments, in the JSON form
@@ -42,7 +42,7 @@
 		plan.Selector.Machines = append(plan.Selector.Machines, fmt.Sprintf("m-%06d", i))
 	}
 	for _, value := range append(values, plan) {
-		if size, err := wire.JSONSize(wire.MustMarshal(value)); err != nil || size > limit {
+		if size, err := codec.JSONSize(codec.MustMarshal(value)); err != nil || size > limit {
 			t.Errorf("%T takes %d bytes, %d at the most (%v)", value, size, limit, err)
 		}
 	}
--- a/internal/jobstore/golden_test.go
+++ b/internal/jobstore/golden_test.go
@@ -9,13 +9,15 @@
 	"testing"
 	"time"
 
+	"gingertally/internal/codec"
+	"gingertally/internal/statestore"
+
 	"gingertally/internal/core"
 	"gingertally/internal/core/fleet"
 	"gingertally/internal/core/pipeline"
 	"gingertally/internal/drain"
 	"gingertally/internal/goldentest"
 	"gingertally/internal/leadership"
-	"gingertally/internal/wire"
 )
 
 // leaderWrites are writes of every kind that puts something, in which every field is set.
@@ -47,7 +49,7 @@
 func TestStoredFormsGolden(t *testing.T) {
 	store, jobs, term := setup(t)
 	clear(store.items)
-	if _, err := store.Commit(ctx, nil, []wire.Change{{Put: leadership.TermKey, V: wire.MustMarshal(1)}}); err != nil {
+	if _, err := store.Commit(ctx, nil, []statestore.Op{statestore.Put(leadership.TermKey, codec.MustMarshal(1))}); err != nil {
 		t.Fatal(err)
 	}
 	term.Revision = store.rev
@@ -80,14 +82,14 @@
 	}
 	var lines goldentest.Lines
 	for _, key := range slices.Sorted(maps.Keys(store.items)) {
-		lines.Add("%s %x", key, store.items[key].V)
+		lines.Add("%s %x", key, store.items[key].Value)
 	}
 	for _, w := range leaderDeletes() {
 		txn, err := encode(w)
 		if err != nil {
 			t.Fatal(err)
 		}
-		lines.Add("delete %s, %d conditions", txn.changes[0].Drop, len(txn.conditions))
+		lines.Add("delete %s, %d conditions", txn.changes[0].Key, len(txn.conditions))
 	}
 	lines.Check(t, "stored.txt")
 }
@@ -99,12 +101,12 @@
 		goldentest.Filled[fleet.ImageRecord](), goldentest.Filled[drain.ChargePage](), goldentest.Filled[drain.MachinePage](),
 		goldentest.Filled[drain.Plan](),
 	} {
-		encoded := wire.MustMarshal(value)
+		encoded := codec.MustMarshal(value)
 		read := reflect.New(reflect.TypeOf(value))
-		if err := wire.Unmarshal(encoded, read.Interface()); err != nil {
+		if err := codec.Unmarshal(encoded, read.Interface()); err != nil {
 			t.Errorf("%T: %v", value, err)
 		}
-		if again := wire.MustMarshal(read.Interface()); !bytes.Equal(again, encoded) {
+		if again := codec.MustMarshal(read.Interface()); !bytes.Equal(again, encoded) {
 			t.Errorf("%T: read and written again it is %x, not %x", value, again, encoded)
 		}
 	}
--- a/internal/jobstore/jobstore.go
+++ b/internal/jobstore/jobstore.go
@@ -10,21 +10,20 @@
 	"fmt"
 	"time"
 
+	"gingertally/internal/codec"
 	"gingertally/internal/core"
 	"gingertally/internal/core/pipeline"
 	"gingertally/internal/statestore"
-	"gingertally/internal/wire"
 )
 
 // Errors of the job store.
 var (
-	ErrExists         = errors.New("job exists")
-	ErrUnknownJob     = errors.New("unknown job")
-	ErrDeposed        = errors.New("the term is over")
-	ErrNotLeader      = errors.New("another node leads")
-	ErrBadDependency  = errors.New("a job to wait for is unknown, a service or the job itself")
-	ErrTooLarge       = errors.New("too large to be stored")
-	ErrUnknownOutcome = errors.New("the change may have been made, or may yet be")
+	ErrExists        = errors.New("job exists")
+	ErrUnknownJob    = errors.New("unknown job")
+	ErrDeposed       = errors.New("the term is over")
+	ErrNotLeader     = errors.New("another node leads")
+	ErrBadDependency = errors.New("a job to wait for is unknown, a service or the job itself")
+	ErrTooLarge      = errors.New("too large to be stored")
 )
 
 // Limits are what the state service takes.
@@ -37,9 +36,9 @@
 
 // Store is what the job store needs of the state service.
 type Store interface {
-	Get(ctx context.Context, key string) (statestore.Item, bool, error)
-	List(ctx context.Context, prefix string) ([]statestore.Item, uint64, error)
-	Commit(ctx context.Context, conds []wire.Condition, changes []wire.Change) (uint64, error)
+	Get(ctx context.Context, key string) (statestore.KeyValue, bool, error)
+	List(ctx context.Context, prefix string) ([]statestore.KeyValue, uint64, error)
+	Commit(ctx context.Context, conds []statestore.Compare, changes []statestore.Op) (uint64, error)
 }
 
 // Jobs is the job store.
@@ -75,13 +74,13 @@
 	if err := j.putDependencies(ctx, &record, dependencies); err != nil {
 		return err
 	}
-	value, err := wire.Marshal(record)
+	value, err := codec.Marshal(record)
 	if err != nil {
 		return fmt.Errorf("job %s: %w", spec.Ref, err)
 	}
 	_, err = j.store.Commit(ctx,
-		[]wire.Condition{{Path: JobPrefix + spec.Ref}, {Path: finalPrefix + spec.Ref}},
-		[]wire.Change{{Put: JobPrefix + spec.Ref, V: value}})
+		[]statestore.Compare{{Key: JobPrefix + spec.Ref}, {Key: finalPrefix + spec.Ref}},
+		[]statestore.Op{statestore.Put(JobPrefix+spec.Ref, value)})
 	var conflict *statestore.ConflictError
 	if errors.As(err, &conflict) {
 		return ErrExists
@@ -118,8 +117,8 @@
 	if !found {
 		return j.loadFinal(ctx, ref)
 	}
-	state := State{Found: true, Version: item.Stamp}
-	if err := wire.Unmarshal(item.V, &state.Record); err != nil {
+	state := State{Found: true, Version: item.ModRevision}
+	if err := codec.Unmarshal(item.Value, &state.Record); err != nil {
 		return State{}, fmt.Errorf("job %s: %w", ref, err)
 	}
 	state.Phase = state.Record.Phase
@@ -145,7 +144,7 @@
 		return State{}, err
 	}
 	var final pipeline.Final
-	if err := wire.Unmarshal(item.V, &final); err != nil {
+	if err := codec.Unmarshal(item.Value, &final); err != nil {
 		return State{}, fmt.Errorf("job %s: %w", ref, err)
 	}
 	j.cache.noteFinal(ref, final)
@@ -161,10 +160,10 @@
 }
 
 // ReadJob turns a job's item into what the core takes.
-func (j *Jobs) ReadJob(ctx context.Context, item statestore.Item) (core.StoredJob, error) {
-	job := core.StoredJob{Version: item.Stamp}
-	if err := wire.Unmarshal(item.V, &job.Record); err != nil {
-		return job, fmt.Errorf("%s: %w", item.Path, err)
+func (j *Jobs) ReadJob(ctx context.Context, item statestore.KeyValue) (core.StoredJob, error) {
+	job := core.StoredJob{Version: item.ModRevision}
+	if err := codec.Unmarshal(item.Value, &job.Record); err != nil {
+		return job, fmt.Errorf("%s: %w", item.Key, err)
 	}
 	err := j.readDependencies(ctx, &job.Record)
 	return job, err
--- a/internal/jobstore/jobstore_test.go
+++ b/internal/jobstore/jobstore_test.go
@@ -9,51 +9,51 @@
 	"testing"
 	"time"
 
+	"gingertally/internal/codec"
 	"gingertally/internal/core"
 	"gingertally/internal/core/fleet"
 	"gingertally/internal/core/pipeline"
 	"gingertally/internal/leadership"
 	"gingertally/internal/statestore"
-	"gingertally/internal/wire"
 )
 
 // memory is a state service in memory.
 type memory struct {
-	items map[string]statestore.Item
+	items map[string]statestore.KeyValue
 	rev   uint64
 }
 
-func (m *memory) Get(_ context.Context, key string) (statestore.Item, bool, error) {
+func (m *memory) Get(_ context.Context, key string) (statestore.KeyValue, bool, error) {
 	it, ok := m.items[key]
 	return it, ok, nil
 }
 
-func (m *memory) List(_ context.Context, prefix string) (out []statestore.Item, rev uint64, err error) {
+func (m *memory) List(_ context.Context, prefix string) (out []statestore.KeyValue, rev uint64, err error) {
 	for k, it := range m.items {
 		if strings.HasPrefix(k, prefix) {
 			out = append(out, it)
 		}
 	}
-	slices.SortFunc(out, func(a, b statestore.Item) int { return strings.Compare(a.Path, b.Path) })
+	slices.SortFunc(out, func(a, b statestore.KeyValue) int { return strings.Compare(a.Key, b.Key) })
 	return out, m.rev, nil
 }
 
-func (m *memory) Commit(_ context.Context, conds []wire.Condition, changes []wire.Change) (uint64, error) {
+func (m *memory) Commit(_ context.Context, conds []statestore.Compare, changes []statestore.Op) (uint64, error) {
 	var failed []string
 	for _, c := range conds {
-		if m.items[c.Path].Stamp != c.Stamp {
-			failed = append(failed, c.Path)
+		if m.items[c.Key].ModRevision != c.ModRevision {
+			failed = append(failed, c.Key)
 		}
 	}
 	if failed != nil {
-		return 0, &statestore.ConflictError{Failed: failed}
+		return 0, &statestore.ConflictError{Keys: failed}
 	}
 	m.rev++
 	for _, c := range changes {
-		if c.Drop != "" {
-			delete(m.items, c.Drop)
+		if c.Delete {
+			delete(m.items, c.Key)
 		} else {
-			m.items[c.Put] = statestore.Item{Path: c.Put, V: c.V, Stamp: m.rev}
+			m.items[c.Key] = statestore.KeyValue{Key: c.Key, Value: c.Value, ModRevision: m.rev}
 		}
 	}
 	return m.rev, nil
@@ -63,8 +63,8 @@
 
 func setup(t *testing.T) (*memory, *Jobs, leadership.Term) {
 	t.Helper()
-	m := &memory{items: map[string]statestore.Item{}}
-	rev, err := m.Commit(ctx, nil, []wire.Change{{Put: leadership.TermKey, V: wire.MustMarshal(1)}})
+	m := &memory{items: map[string]statestore.KeyValue{}}
+	rev, err := m.Commit(ctx, nil, []statestore.Op{statestore.Put(leadership.TermKey, codec.MustMarshal(1))})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -103,7 +103,7 @@
 func TestDeposedLeaderCannotWrite(t *testing.T) {
 	m, j, term := setup(t)
 	st, _ := j.Load(ctx, "j-1")
-	if _, err := m.Commit(ctx, nil, []wire.Change{{Put: leadership.TermKey, V: wire.MustMarshal(2)}}); err != nil {
+	if _, err := m.Commit(ctx, nil, []statestore.Op{statestore.Put(leadership.TermKey, codec.MustMarshal(2))}); err != nil {
 		t.Fatal(err)
 	}
 	w := core.Write{Kind: core.WriteJob, Name: "j-1", Version: st.Version, Job: st.Record}
@@ -118,11 +118,11 @@
 // unanswered is a state service that carries transactions out, and whose answers are lost.
 type unanswered struct{ *memory }
 
-func (u unanswered) Commit(ctx context.Context, conds []wire.Condition, changes []wire.Change) (uint64, error) {
+func (u unanswered) Commit(ctx context.Context, conds []statestore.Compare, changes []statestore.Op) (uint64, error) {
 	if _, err := u.memory.Commit(ctx, conds, changes); err != nil {
 		return 0, err
 	}
-	return 0, statestore.ErrUnknown
+	return 0, statestore.ErrUnknownOutcome
 }
 
 // Of a cancellation without an answer the leader hears that its outcome is unknown, and against
@@ -132,7 +132,7 @@
 	before, _ := j.Load(ctx, "j-1")
 	st, err := New(unanswered{m}, j.limits).Cancel(ctx, "j-1", time.Now(), UnderTerm(term))
 	want := core.CancelUndecided{Ref: "j-1", Unknown: true, Version: before.Version}
-	if got := CancelEvent("j-1", st, err); !errors.Is(err, ErrUnknownOutcome) || got != want {
+	if got := CancelEvent("j-1", st, err); !errors.Is(err, statestore.ErrUnknownOutcome) || got != want {
 		t.Fatalf("%+v, %v", got, err)
 	}
 	if now, _ := j.Load(ctx, "j-1"); now.Phase != pipeline.Cancelled {
@@ -144,7 +144,7 @@
 }
 
 // nobodyLeads is a guard that holds while the place is free.
-var nobodyLeads = wire.Condition{Path: leadership.HolderKey}
+var nobodyLeads = statestore.Compare{Key: leadership.HolderKey}
 
 // Between a cancellation and a result, the version of the one record decides.
 func TestCancelAgainstDone(t *testing.T) {
@@ -157,7 +157,7 @@
 	if _, _, err := j.Apply(ctx, term, []core.Write{final}); err == nil {
 		t.Fatal("a result was written over a cancellation")
 	}
-	m.items[leadership.HolderKey] = statestore.Item{Stamp: 7}
+	m.items[leadership.HolderKey] = statestore.KeyValue{ModRevision: 7}
 	if _, err := j.Cancel(ctx, "j-1", time.Now(), nobodyLeads); err != nil {
 		t.Fatalf("repeating a cancellation: %v", err)
 	}
@@ -191,7 +191,7 @@
 func TestOldMachineRecords(t *testing.T) {
 	m, j, term := setup(t)
 	old := map[string]any{"ty": "g8", "zo": "a", "so": true, "ad": "x:1", "e": []any{[]any{"j-1", 3, 77}}}
-	rev, err := m.Commit(ctx, nil, []wire.Change{{Put: "m/m-000231", V: wire.MustMarshal(old)}})
+	rev, err := m.Commit(ctx, nil, []statestore.Op{statestore.Put("m/m-000231", codec.MustMarshal(old))})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/jobstore/limits_test.go
+++ b/internal/jobstore/limits_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
+	"gingertally/internal/codec"
 	"gingertally/internal/core/pipeline"
-	"gingertally/internal/wire"
 )
 
 // What is written fits the limit, however ragged a job's progress and long its
@@ -54,7 +54,7 @@
 	}
 	job.MarkWriting(0, record.Done)
 	for _, value := range values {
-		if size, err := wire.JSONSize(wire.MustMarshal(value)); err != nil || size > limit {
+		if size, err := codec.JSONSize(codec.MustMarshal(value)); err != nil || size > limit {
 			t.Fatalf("limit %d: a value of %d bytes, %v", limit, size, err)
 		}
 	}
--- a/internal/jobstore/snapshot.go
+++ b/internal/jobstore/snapshot.go
@@ -6,10 +6,10 @@
 	"strconv"
 	"strings"
 
+	"gingertally/internal/codec"
 	"gingertally/internal/core"
 	"gingertally/internal/core/fleet"
 	"gingertally/internal/statestore"
-	"gingertally/internal/wire"
 )
 
 // Snapshot reads all that a new leader needs, and the revision to watch on from.
@@ -32,7 +32,7 @@
 }
 
 // itemsByPrefix are all items of a snapshot, by the prefix of their keys.
-type itemsByPrefix map[string][]statestore.Item
+type itemsByPrefix map[string][]statestore.KeyValue
 
 // listAll reads the items, jobs first: the revision is that of the list of jobs, so
 // that watching on from it misses none.
@@ -69,14 +69,14 @@
 }
 
 // readChunks reads the done ranges beyond the records', by job and number of the chunk.
-func readChunks(items []statestore.Item) (map[string]map[int][]int, error) {
+func readChunks(items []statestore.KeyValue) (map[string]map[int][]int, error) {
 	byJob := map[string]map[int][]int{}
 	for _, item := range items {
-		ref, number, ok := strings.Cut(strings.TrimPrefix(item.Path, chunkPrefix), "/")
+		ref, number, ok := strings.Cut(strings.TrimPrefix(item.Key, chunkPrefix), "/")
 		chunk, err := strconv.Atoi(number)
 		var runs []int
-		if !ok || err != nil || wire.Unmarshal(item.V, &runs) != nil {
-			return nil, fmt.Errorf("unreadable key %s", item.Path)
+		if !ok || err != nil || codec.Unmarshal(item.Value, &runs) != nil {
+			return nil, fmt.Errorf("unreadable key %s", item.Key)
 		}
 		if byJob[ref] == nil {
 			byJob[ref] = map[int][]int{}
@@ -91,9 +91,9 @@
 func readPages(items itemsByPrefix) ([]core.StoredPage, error) {
 	var pages []core.StoredPage
 	for _, item := range items[pagePrefix] {
-		page := core.StoredPage{Name: strings.TrimPrefix(item.Path, pagePrefix), Version: item.Stamp}
-		if err := wire.Unmarshal(item.V, &page.Record); err != nil {
-			return nil, fmt.Errorf("%s: %w", item.Path, err)
+		page := core.StoredPage{Name: strings.TrimPrefix(item.Key, pagePrefix), Version: item.ModRevision}
+		if err := codec.Unmarshal(item.Value, &page.Record); err != nil {
+			return nil, fmt.Errorf("%s: %w", item.Key, err)
 		}
 		pages = append(pages, page)
 	}
@@ -109,30 +109,30 @@
 
 // readMachineRecord reads the record of one machine, which earlier versions kept in
 // place of the start log, as a page. Its name is its key.
-func readMachineRecord(item statestore.Item) (core.StoredPage, error) {
+func readMachineRecord(item statestore.KeyValue) (core.StoredPage, error) {
 	var record struct {
 		Type    string                `cbor:"ty"`
 		Zone    string                `cbor:"zo"`
 		Spot    bool                  `cbor:"so"`
 		Entries []fleet.StartLogEntry `cbor:"e"`
 	}
-	if err := wire.Unmarshal(item.V, &record); err != nil {
-		return core.StoredPage{}, fmt.Errorf("%s: %w", item.Path, err)
+	if err := codec.Unmarshal(item.Value, &record); err != nil {
+		return core.StoredPage{}, fmt.Errorf("%s: %w", item.Key, err)
 	}
 	machine := fleet.MachineStarts{
-		Machine: strings.TrimPrefix(item.Path, machinePrefix),
+		Machine: strings.TrimPrefix(item.Key, machinePrefix),
 		Type:    record.Type, Zone: record.Zone, Spot: record.Spot, Entries: record.Entries,
 	}
-	return core.StoredPage{Name: item.Path, Version: item.Stamp, Record: fleet.StartLogRecord{Placed: []fleet.MachineStarts{machine}}}, nil
+	return core.StoredPage{Name: item.Key, Version: item.ModRevision, Record: fleet.StartLogRecord{Placed: []fleet.MachineStarts{machine}}}, nil
 }
 
 // readImages reads the image log.
-func readImages(items []statestore.Item) ([]core.StoredImages, error) {
+func readImages(items []statestore.KeyValue) ([]core.StoredImages, error) {
 	var pages []core.StoredImages
 	for _, item := range items {
-		page := core.StoredImages{Name: strings.TrimPrefix(item.Path, imagePrefix)}
-		if err := wire.Unmarshal(item.V, &page.Record); err != nil {
-			return nil, fmt.Errorf("%s: %w", item.Path, err)
+		page := core.StoredImages{Name: strings.TrimPrefix(item.Key, imagePrefix)}
+		if err := codec.Unmarshal(item.Value, &page.Record); err != nil {
+			return nil, fmt.Errorf("%s: %w", item.Key, err)
 		}
 		pages = append(pages, page)
 	}
--- a/internal/jobstore/writes.go
+++ b/internal/jobstore/writes.go
@@ -6,10 +6,10 @@
 	"fmt"
 	"slices"
 
+	"gingertally/internal/codec"
 	"gingertally/internal/core"
 	"gingertally/internal/leadership"
 	"gingertally/internal/statestore"
-	"gingertally/internal/wire"
 )
 
 // maxTxnBytes keeps a transaction below the state service's limit (PROTOCOL:
@@ -18,15 +18,15 @@
 
 // transaction is what one commit asks for.
 type transaction struct {
-	conditions []wire.Condition
-	changes    []wire.Change
+	conditions []statestore.Compare
+	changes    []statestore.Op
 }
 
 // bytes is the size of the transaction's keys and values.
 func (t *transaction) bytes() int {
 	size := 0
 	for _, change := range t.changes {
-		size += len(change.V) + len(change.Put) + len(change.Drop)
+		size += len(change.Value) + len(change.Key)
 	}
 	return size
 }
@@ -42,7 +42,7 @@
 // the term, ErrDeposed (docs/design.md, "Safety arguments" 2;
 // TestDeposedLeaderCannotWrite).
 func (j *Jobs) Apply(ctx context.Context, term leadership.Term, writes []core.Write) ([]core.Write, uint64, error) {
-	txn := transaction{conditions: []wire.Condition{UnderTerm(term)}}
+	txn := transaction{conditions: []statestore.Compare{UnderTerm(term)}}
 	size, count := 0, 0
 	for _, write := range writes {
 		part, err := encode(write)
@@ -58,11 +58,11 @@
 	}
 	sent := writes[:count]
 	revision, err := j.store.Commit(ctx, txn.conditions, txn.changes)
-	if errors.Is(err, statestore.ErrRefused) && count > 1 {
+	if errors.Is(err, statestore.ErrRejected) && count > 1 {
 		return j.Apply(ctx, term, writes[:1]) // one that is refused mustn't stop the others
 	}
 	var conflict *statestore.ConflictError
-	if errors.As(err, &conflict) && slices.Contains(conflict.Failed, leadership.TermKey) {
+	if errors.As(err, &conflict) && slices.Contains(conflict.Keys, leadership.TermKey) {
 		return sent, 0, ErrDeposed
 	}
 	return sent, revision, err
@@ -70,7 +70,7 @@
 
 // Put writes a value of the leader's own that no other write depends on, under its term.
 func (j *Jobs) Put(ctx context.Context, term leadership.Term, key string, value []byte) error {
-	_, err := j.store.Commit(ctx, []wire.Condition{UnderTerm(term)}, []wire.Change{{Put: key, V: value}})
+	_, err := j.store.Commit(ctx, []statestore.Compare{UnderTerm(term)}, []statestore.Op{statestore.Put(key, value)})
 	var conflict *statestore.ConflictError
 	if errors.As(err, &conflict) {
 		return ErrDeposed
@@ -80,7 +80,7 @@
 
 // Drop removes a value of the leader's own, under its term.
 func (j *Jobs) Drop(ctx context.Context, term leadership.Term, key string) error {
-	_, err := j.store.Commit(ctx, []wire.Condition{UnderTerm(term)}, []wire.Change{{Drop: key}})
+	_, err := j.store.Commit(ctx, []statestore.Compare{UnderTerm(term)}, []statestore.Op{statestore.Delete(key)})
 	return err
 }
 
@@ -119,31 +119,31 @@
 func encodeFinal(write core.Write) (transaction, error) {
 	txn, err := putVersion(finalPrefix+write.Name, write.Final, 0)
 	key := JobPrefix + write.Name
-	txn.add(transaction{[]wire.Condition{{Path: key, Stamp: write.Version}}, []wire.Change{{Drop: key}}})
+	txn.add(transaction{[]statestore.Compare{{Key: key, ModRevision: write.Version}}, []statestore.Op{statestore.Delete(key)}})
 	return txn, err
 }
 
 // putVersion writes a value over a version of it; 0 stands for none.
 func putVersion(key string, value any, version uint64) (transaction, error) {
 	txn, err := put(key, value)
-	txn.conditions = []wire.Condition{{Path: key, Stamp: version}}
+	txn.conditions = []statestore.Compare{{Key: key, ModRevision: version}}
 	return txn, err
 }
 
 // put writes a value whatever was there.
 func put(key string, value any) (transaction, error) {
-	encoded, err := wire.Marshal(value)
-	return transaction{changes: []wire.Change{{Put: key, V: encoded}}}, err
+	encoded, err := codec.Marshal(value)
+	return transaction{changes: []statestore.Op{statestore.Put(key, encoded)}}, err
 }
 
 // drop deletes a key whatever was there.
 func drop(key string) transaction {
-	return transaction{changes: []wire.Change{{Drop: key}}}
+	return transaction{changes: []statestore.Op{statestore.Delete(key)}}
 }
 
 // dropVersion deletes a version of a key; 0 stands for none.
 func dropVersion(key string, version uint64) transaction {
-	return transaction{[]wire.Condition{{Path: key, Stamp: version}}, []wire.Change{{Drop: key}}}
+	return transaction{[]statestore.Compare{{Key: key, ModRevision: version}}, []statestore.Op{statestore.Delete(key)}}
 }
 
 // versionedKey is the key of a page that is written over a version of it; empty for all else.
@@ -167,5 +167,5 @@
 		return 0, false, nil
 	}
 	item, _, err := j.store.Get(ctx, key)
-	return item.Stamp, true, err
+	return item.ModRevision, true, err
 }
--- a/internal/leadership/elector.go
+++ b/internal/leadership/elector.go
@@ -16,8 +16,8 @@
 	"sync"
 	"time"
 
+	"gingertally/internal/codec"
 	"gingertally/internal/statestore"
-	"gingertally/internal/wire"
 )
 
 // Keys of the store.
@@ -32,12 +32,12 @@
 
 // Store is what leadership needs of the state service.
 type Store interface {
-	Get(ctx context.Context, key string) (statestore.Item, bool, error)
-	Commit(ctx context.Context, conds []wire.Condition, changes []wire.Change) (uint64, error)
-	Grant(ctx context.Context, ttl time.Duration) (uint64, error)
-	Touch(ctx context.Context, lease uint64) error
-	Revoke(ctx context.Context, lease uint64) error
-	Follow(ctx context.Context, prefix string, since uint64) (wire.News, error)
+	Get(ctx context.Context, key string) (statestore.KeyValue, bool, error)
+	Commit(ctx context.Context, conds []statestore.Compare, changes []statestore.Op) (uint64, error)
+	Grant(ctx context.Context, ttl time.Duration) (statestore.LeaseID, error)
+	KeepAlive(ctx context.Context, lease statestore.LeaseID) error
+	Revoke(ctx context.Context, lease statestore.LeaseID) error
+	Watch(ctx context.Context, prefix string, since uint64) (statestore.WatchResponse, error)
 }
 
 type holder struct {
@@ -210,7 +210,7 @@
 }
 
 // RestoredValue is the value of RestoredKey.
-func RestoredValue(highestTerm uint64) wire.Raw { return wire.MustMarshal(termValue{highestTerm}) }
+func RestoredValue(highestTerm uint64) []byte { return codec.MustMarshal(termValue{highestTerm}) }
 
 // EndTerm ends a term at once: somebody else has claimed a higher one.
 func (e *Elector) EndTerm() {
@@ -271,7 +271,7 @@
 	holderRetry      = 150 * time.Millisecond // the holder couldn't be read
 	holderRetryRange = 150 * time.Millisecond
 	yieldCheck       = 300 * time.Millisecond // another node may have claimed
-	followRetry      = 200 * time.Millisecond // the watch failed
+	watchRetry       = 200 * time.Millisecond // the watch failed
 	revokeRetry      = 100 * time.Millisecond
 	claimCheck       = 50 * time.Millisecond // this node may not claim yet
 	grantRetry       = 100 * time.Millisecond
@@ -320,24 +320,24 @@
 }
 
 // follow waits while another node leads.
-func (e *Elector) follow(ctx context.Context, it statestore.Item) {
+func (e *Elector) follow(ctx context.Context, it statestore.KeyValue) {
 	var h holder
-	if err := wire.Unmarshal(it.V, &h); err != nil {
+	if err := codec.Unmarshal(it.Value, &h); err != nil {
 		slog.Error("holder unreadable", "error", err)
 	}
 	if h.Member == e.options.Member {
 		// This node before its restart, or a claim whose answer was lost: nobody
 		// acts under that lease, so it needn't expire first.
-		if err := e.store.Revoke(ctx, it.Hold); err != nil {
+		if err := e.store.Revoke(ctx, it.Lease); err != nil {
 			pause(ctx, revokeRetry)
 		}
 		return
 	}
 	e.move(Follower)
 	e.setLeader(h.Member)
-	since := it.Stamp
-	if _, err := e.store.Follow(ctx, HolderKey, since); err != nil && !errors.Is(err, statestore.ErrCompacted) {
-		pause(ctx, followRetry)
+	since := it.ModRevision
+	if _, err := e.store.Watch(ctx, HolderKey, since); err != nil && !errors.Is(err, statestore.ErrCompacted) {
+		pause(ctx, watchRetry)
 	}
 }
 
@@ -373,14 +373,14 @@
 }
 
 // commitClaim takes the leader's key and the next term in one transaction.
-func (e *Elector) commitClaim(ctx context.Context, lease uint64) (Term, error) {
+func (e *Elector) commitClaim(ctx context.Context, lease statestore.LeaseID) (Term, error) {
 	var last termValue
 	item, found, err := e.store.Get(ctx, TermKey)
 	if err != nil {
 		return Term{}, err
 	}
 	if found {
-		if err := wire.Unmarshal(item.V, &last); err != nil {
+		if err := codec.Unmarshal(item.Value, &last); err != nil {
 			return Term{}, fmt.Errorf("term: %w", err)
 		}
 	}
@@ -390,21 +390,21 @@
 	}
 	var highest termValue
 	if restored {
-		if err := wire.Unmarshal(seen.V, &highest); err != nil {
+		if err := codec.Unmarshal(seen.Value, &highest); err != nil {
 			return Term{}, fmt.Errorf("highest term seen: %w", err)
 		}
 	}
 	number := max(last.N, highest.N) + 1
-	changes := []wire.Change{
-		{Put: HolderKey, V: wire.MustMarshal(holder{e.options.Member}), Hold: lease},
-		{Put: TermKey, V: wire.MustMarshal(termValue{number})},
+	changes := []statestore.Op{
+		{Key: HolderKey, Value: codec.MustMarshal(holder{e.options.Member}), Lease: lease},
+		statestore.Put(TermKey, codec.MustMarshal(termValue{number})),
 	}
-	revision, err := e.store.Commit(ctx, []wire.Condition{{Path: HolderKey}, {Path: TermKey, Stamp: item.Stamp}}, changes)
+	revision, err := e.store.Commit(ctx, []statestore.Compare{{Key: HolderKey}, {Key: TermKey, ModRevision: item.ModRevision}}, changes)
 	return Term{Number: number, Revision: revision, Restored: restored}, err
 }
 
 // lead renews the lease until the term is over. The lease was asked for at sent.
-func (e *Elector) lead(ctx context.Context, t Term, lease uint64, sent time.Time) {
+func (e *Elector) lead(ctx context.Context, t Term, lease statestore.LeaseID, sent time.Time) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	e.begin(t, cancel)
@@ -426,7 +426,7 @@
 
 // keepLease renews the lease until it is lost, given up or ctx ends, and returns the
 // role that follows.
-func (e *Elector) keepLease(ctx context.Context, t Term, lease uint64) Role {
+func (e *Elector) keepLease(ctx context.Context, t Term, lease statestore.LeaseID) Role {
 	for ctx.Err() == nil {
 		if e.isResigning() {
 			if err := e.store.Revoke(ctx, lease); err != nil {
@@ -447,11 +447,11 @@
 const resumedMessage = "right resumed"
 
 // renew asks for one renewal; false if the lease is lost.
-func (e *Elector) renew(ctx context.Context, t Term, lease uint64) bool {
+func (e *Elector) renew(ctx context.Context, t Term, lease statestore.LeaseID) bool {
 	sent := time.Now()
 	lapsed := !e.HoldsLease(sent)
-	err := e.store.Touch(ctx, lease)
-	if errors.Is(err, statestore.ErrNotFound) {
+	err := e.store.KeepAlive(ctx, lease)
+	if errors.Is(err, statestore.ErrLeaseExpired) {
 		slog.Warn("lease lost", "term", t.Number)
 		return false
 	}
--- a/internal/leadership/elector_test.go
+++ b/internal/leadership/elector_test.go
@@ -9,24 +9,23 @@
 	"time"
 
 	"gingertally/internal/statestore"
-	"gingertally/internal/wire"
 )
 
 // fakeStore is a state service with one lease kind and faults, in the test's
 // fake time.
 type fakeStore struct {
 	mu     sync.Mutex
-	items  map[string]statestore.Item
+	items  map[string]statestore.KeyValue
 	rev    uint64
-	leases map[uint64]time.Time
-	next   uint64
+	leases map[statestore.LeaseID]time.Time
+	next   statestore.LeaseID
 	ttl    time.Duration
 	down   bool
 	cut    map[string]bool
 }
 
 func newFake() *fakeStore {
-	return &fakeStore{items: map[string]statestore.Item{}, leases: map[uint64]time.Time{}, cut: map[string]bool{}}
+	return &fakeStore{items: map[string]statestore.KeyValue{}, leases: map[statestore.LeaseID]time.Time{}, cut: map[string]bool{}}
 }
 
 // client is one node's view of the store.
@@ -50,46 +49,46 @@
 	return nil
 }
 
-func (f *fakeStore) end(id uint64) {
+func (f *fakeStore) end(id statestore.LeaseID) {
 	delete(f.leases, id)
 	for k, it := range f.items {
-		if it.Hold == id {
+		if it.Lease == id {
 			delete(f.items, k)
 			f.rev++
 		}
 	}
 }
 
-func (c client) Get(_ context.Context, key string) (statestore.Item, bool, error) {
+func (c client) Get(_ context.Context, key string) (statestore.KeyValue, bool, error) {
 	if err := c.enter(); err != nil {
-		return statestore.Item{}, false, err
+		return statestore.KeyValue{}, false, err
 	}
 	defer c.mu.Unlock()
 	it, ok := c.items[key]
 	return it, ok, nil
 }
 
-func (c client) Commit(_ context.Context, conds []wire.Condition, changes []wire.Change) (uint64, error) {
+func (c client) Commit(_ context.Context, conds []statestore.Compare, changes []statestore.Op) (uint64, error) {
 	if err := c.enter(); err != nil {
 		return 0, err
 	}
 	defer c.mu.Unlock()
 	for _, cd := range conds {
-		if c.items[cd.Path].Stamp != cd.Stamp {
-			return 0, &statestore.ConflictError{Failed: []string{cd.Path}}
+		if c.items[cd.Key].ModRevision != cd.ModRevision {
+			return 0, &statestore.ConflictError{Keys: []string{cd.Key}}
 		}
 	}
 	c.rev++
 	for _, ch := range changes {
-		if _, ok := c.leases[ch.Hold]; ch.Hold != 0 && !ok {
+		if _, ok := c.leases[ch.Lease]; ch.Lease != 0 && !ok {
 			return 0, errors.New("no such lease")
 		}
-		c.items[ch.Put] = statestore.Item{Path: ch.Put, V: ch.V, Stamp: c.rev, Hold: ch.Hold}
+		c.items[ch.Key] = statestore.KeyValue{Key: ch.Key, Value: ch.Value, ModRevision: c.rev, Lease: ch.Lease}
 	}
 	return c.rev, nil
 }
 
-func (c client) Grant(_ context.Context, ttl time.Duration) (uint64, error) {
+func (c client) Grant(_ context.Context, ttl time.Duration) (statestore.LeaseID, error) {
 	if err := c.enter(); err != nil {
 		return 0, err
 	}
@@ -100,19 +99,19 @@
 	return c.next, nil
 }
 
-func (c client) Touch(_ context.Context, id uint64) error {
+func (c client) KeepAlive(_ context.Context, id statestore.LeaseID) error {
 	if err := c.enter(); err != nil {
 		return err
 	}
 	defer c.mu.Unlock()
 	if _, ok := c.leases[id]; !ok {
-		return statestore.ErrNotFound
+		return statestore.ErrLeaseExpired
 	}
 	c.leases[id] = time.Now().Add(c.ttl)
 	return nil
 }
 
-func (c client) Revoke(_ context.Context, id uint64) error {
+func (c client) Revoke(_ context.Context, id statestore.LeaseID) error {
 	if err := c.enter(); err != nil {
 		return err
 	}
@@ -121,19 +120,19 @@
 	return nil
 }
 
-func (c client) Follow(ctx context.Context, _ string, since uint64) (wire.News, error) {
+func (c client) Watch(ctx context.Context, _ string, since uint64) (statestore.WatchResponse, error) {
 	for range 50 {
 		if err := c.enter(); err != nil {
-			return wire.News{}, err
+			return statestore.WatchResponse{}, err
 		}
 		rev := c.rev
 		c.mu.Unlock()
 		if rev > since || ctx.Err() != nil {
-			return wire.News{Ledger: rev}, nil
+			return statestore.WatchResponse{Revision: rev}, nil
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	return wire.News{}, nil
+	return statestore.WatchResponse{}, nil
 }
 
 // outage makes the store refuse everybody; afterwards all leases have their full
--- a/internal/leadership/golden_test.go
+++ b/internal/leadership/golden_test.go
@@ -21,7 +21,7 @@
 		time.Sleep(2 * time.Second)
 		var lines goldentest.Lines
 		for _, key := range slices.Sorted(maps.Keys(store.items)) {
-			lines.Add("%s %x", key, store.items[key].V)
+			lines.Add("%s %x", key, store.items[key].Value)
 		}
 		lines.Add("%s %x", RestoredKey, RestoredValue(7))
 		lines.Check(t, "stored.txt")
--- a/internal/simulation/admission.go
+++ b/internal/simulation/admission.go
@@ -8,11 +8,13 @@
 	"slices"
 	"time"
 
+	"gingertally/internal/codec"
+	"gingertally/internal/statestore"
+
 	"gingertally/internal/admission"
 	"gingertally/internal/core"
 	"gingertally/internal/jobstore"
 	"gingertally/internal/userapi"
-	"gingertally/internal/wire"
 )
 
 // admissionWorld is admission control in a world: the nodes' gates and the leader's planner
@@ -81,7 +83,7 @@
 	a, before := n.w.admission, *n.gate.Policy()
 	if p.Number > 0 {
 		key := [2]uint64{p.Term, p.Number}
-		text := fmt.Sprintf("%x", wire.MustMarshal(p))
+		text := fmt.Sprintf("%x", codec.MustMarshal(p))
 		if earlier, known := a.policies[key]; known && earlier != text {
 			n.w.check.fail("policy %d.%d says two things", p.Term, p.Number)
 		}
@@ -106,7 +108,7 @@
 	if err != nil {
 		return p, false
 	}
-	if found && wire.Unmarshal(item.V, &p) != nil {
+	if found && codec.Unmarshal(item.Value, &p) != nil {
 		n.w.check.fail("the policy can't be read")
 	}
 	return p, true
@@ -155,7 +157,7 @@
 	eng, term, view := n.eng, n.term, n.storeView()
 	stored := false
 	n.call(func() {
-		_, err := view.Commit(bg, []wire.Condition{jobstore.UnderTerm(term)}, []wire.Change{{Put: policyKey, V: wire.MustMarshal(policy)}})
+		_, err := view.Commit(bg, []statestore.Compare{jobstore.UnderTerm(term)}, []statestore.Op{statestore.Put(policyKey, codec.MustMarshal(policy))})
 		stored = err == nil
 	}, func() {
 		if stored && n.eng == eng && n.holdsLease() {
--- a/internal/simulation/cancel.go
+++ b/internal/simulation/cancel.go
@@ -7,20 +7,19 @@
 	"gingertally/internal/core"
 	"gingertally/internal/jobstore"
 	"gingertally/internal/statestore"
-	"gingertally/internal/wire"
 )
 
 // commitLater reads at once, and keeps the one transaction that it is given, to be sent.
 type commitLater struct {
 	jobstore.Store
-	conds   []wire.Condition
-	changes []wire.Change
+	conds   []statestore.Compare
+	changes []statestore.Op
 }
 
 // Commit keeps the transaction; nobody knows yet what becomes of it.
-func (c *commitLater) Commit(_ context.Context, conds []wire.Condition, changes []wire.Change) (uint64, error) {
+func (c *commitLater) Commit(_ context.Context, conds []statestore.Compare, changes []statestore.Op) (uint64, error) {
 	c.conds, c.changes = conds, changes
-	return 0, statestore.ErrUnknown
+	return 0, statestore.ErrUnknownOutcome
 }
 
 // cancel is a node's part in a cancellation, as the daemon's: confirmed hears of one that
@@ -41,7 +40,7 @@
 			confirmed(st)
 		}
 	}
-	if !errors.Is(err, jobstore.ErrUnknownOutcome) {
+	if !errors.Is(err, statestore.ErrUnknownOutcome) {
 		outcome()
 		return
 	}
--- a/internal/simulation/checker.go
+++ b/internal/simulation/checker.go
@@ -6,9 +6,12 @@
 	"strings"
 	"time"
 
+	"gingertally/internal/codec"
+	"gingertally/internal/statestore"
+
 	"gingertally/internal/core"
+	"gingertally/internal/core/fleet"
 	"gingertally/internal/core/pipeline"
-	"gingertally/internal/wire"
 )
 
 // checker holds the rules of PROTOCOL against what happens.
@@ -45,7 +48,7 @@
 	}
 }
 
-func name(t *task) string { return wire.TaskName(t.job.spec.Ref, t.index) }
+func name(t *task) string { return fleet.TaskID{Ref: t.job.spec.Ref, Task: t.index}.String() }
 
 // taskStarted checks a task's start: ran_twice, wrong_place, quota, ran_cancelled.
 func (c *checker) taskStarted(t *task) {
@@ -140,10 +143,10 @@
 func (c *checker) left(t *task) { delete(c.on[name(t)], t) }
 
 // stored looks at each change to the store: a job over is never taken back.
-func (c *checker) stored(changes []wire.Change) {
+func (c *checker) stored(changes []statestore.Op) {
 	for _, ch := range changes {
-		ref, ok := strings.CutPrefix(ch.Put, "f/")
-		if !ok {
+		ref, ok := strings.CutPrefix(ch.Key, "f/")
+		if !ok || ch.Delete {
 			continue
 		}
 		f, _ := c.final(ref)
@@ -164,7 +167,7 @@
 	if it == nil {
 		return f, false
 	}
-	if err := wire.Unmarshal(it.v, &f); err != nil {
+	if err := codec.Unmarshal(it.v, &f); err != nil {
 		c.fail("final entry of %s: %v", ref, err)
 	}
 	return f, true
--- a/internal/simulation/consistency_probes.go
+++ b/internal/simulation/consistency_probes.go
@@ -4,6 +4,7 @@
 	"context"
 	"time"
 
+	"gingertally/internal/codec"
 	"gingertally/internal/core"
 	"gingertally/internal/core/pipeline"
 	"gingertally/internal/core/placement"
@@ -106,7 +107,7 @@
 	if n.down || n.stalled() || n.cutOff() {
 		return userapi.Answer{}
 	}
-	answer := n.service().Submit(context.Background(), wire.MustMarshal(body))
+	answer := n.service().Submit(context.Background(), codec.MustMarshal(body))
 	n.w.output.userAnswer(n, "submission", answer)
 	return answer
 }
--- a/internal/simulation/drain_check.go
+++ b/internal/simulation/drain_check.go
@@ -4,11 +4,13 @@
 	"strings"
 	"time"
 
+	"gingertally/internal/codec"
+	"gingertally/internal/statestore"
+
 	"gingertally/internal/core"
 	"gingertally/internal/core/fleet"
 	"gingertally/internal/core/pipeline"
 	"gingertally/internal/drain"
-	"gingertally/internal/wire"
 )
 
 // Keys of what leaders store of drains.
@@ -156,7 +158,7 @@
 			continue
 		}
 		var record drain.ChargePage
-		if wire.Unmarshal(it.v, &record) != nil {
+		if codec.Unmarshal(it.v, &record) != nil {
 			c.d.w.check.fail("%s can't be read", key)
 			return
 		}
@@ -246,13 +248,12 @@
 }
 
 // stored follows which machines the state service holds as cordoned.
-func (c *drainCheck) stored(changes []wire.Change) {
+func (c *drainCheck) stored(changes []statestore.Op) {
 	for _, change := range changes {
-		page := change.Drop
+		page := change.Key
 		var record drain.MachinePage
-		if strings.HasPrefix(change.Put, cordonPrefix) {
-			page = change.Put
-			if wire.Unmarshal(change.V, &record) != nil {
+		if !change.Delete && strings.HasPrefix(page, cordonPrefix) {
+			if codec.Unmarshal(change.Value, &record) != nil {
 				c.d.w.check.fail("%s can't be read", page)
 			}
 		}
--- a/internal/simulation/drains.go
+++ b/internal/simulation/drains.go
@@ -6,11 +6,12 @@
 	"strings"
 	"time"
 
+	"gingertally/internal/statestore"
+
 	"gingertally/internal/core"
 	"gingertally/internal/core/pipeline"
 	"gingertally/internal/drain"
 	"gingertally/internal/jobstore"
-	"gingertally/internal/wire"
 )
 
 // drainWorld adds to a world teams with disruption budgets and operators that have machines
@@ -41,7 +42,7 @@
 type drainFault struct {
 	policy func(drain.Policy) drain.Policy                // that the controllers go by
 	stored func(*drain.Stored)                            // that a new leader reads
-	commit func([]wire.Change) []wire.Change              // that the state service is sent
+	commit func([]statestore.Op) []statestore.Op          // that the state service is sent
 	batch  func(n *node, batch []core.Write) []core.Write // that a leader writes
 }
 
@@ -258,19 +259,21 @@
 }
 
 // drainChanged lets watches see changes of plans, and the checker changes of cordons.
-func (w *World) drainChanged(changes []wire.Change) {
+func (w *World) drainChanged(changes []statestore.Op) {
 	if w.drains == nil {
 		return
 	}
 	w.drains.check.stored(changes)
 	for _, c := range changes {
 		switch {
-		case strings.HasPrefix(c.Put, cordonPrefix):
+		case c.Delete:
+			continue
+		case strings.HasPrefix(c.Key, cordonPrefix):
 			w.drains.call(w.drains.onCordon)
-		case strings.HasPrefix(c.Put, chargePrefix):
+		case strings.HasPrefix(c.Key, chargePrefix):
 			w.drains.call(w.drains.onCharge)
 		}
-		id, ok := strings.CutPrefix(c.Put, jobstore.DrainPlanPrefix)
+		id, ok := strings.CutPrefix(c.Key, jobstore.DrainPlanPrefix)
 		if !ok {
 			continue
 		}
@@ -290,7 +293,7 @@
 }
 
 // spoilCommit carries a deliberate fault out on what the state service is sent.
-func (d *drainWorld) spoilCommit(changes []wire.Change) []wire.Change {
+func (d *drainWorld) spoilCommit(changes []statestore.Op) []statestore.Op {
 	if d == nil || d.fault.commit == nil {
 		return changes
 	}
--- a/internal/simulation/drains_test.go
+++ b/internal/simulation/drains_test.go
@@ -5,9 +5,11 @@
 	"testing"
 	"time"
 
+	"gingertally/internal/codec"
+	"gingertally/internal/statestore"
+
 	"gingertally/internal/core"
 	"gingertally/internal/drain"
-	"gingertally/internal/wire"
 )
 
 // drainSeeds is how many worlds of each family TestDrainWorlds plays.
@@ -103,9 +105,9 @@
 }
 
 // dropCharges has the state service lose pages of charges.
-func dropCharges(changes []wire.Change) (out []wire.Change) {
+func dropCharges(changes []statestore.Op) (out []statestore.Op) {
 	for _, c := range changes {
-		if !strings.HasPrefix(c.Put, chargePrefix) {
+		if c.Delete || !strings.HasPrefix(c.Key, chargePrefix) {
 			out = append(out, c)
 		}
 	}
@@ -113,14 +115,14 @@
 }
 
 // chargeOneTask keeps of each job on a page of charges those of one task.
-func chargeOneTask(changes []wire.Change) (out []wire.Change) {
+func chargeOneTask(changes []statestore.Op) (out []statestore.Op) {
 	for _, c := range changes {
 		var record drain.ChargePage
-		if strings.HasPrefix(c.Put, chargePrefix) && wire.Unmarshal(c.V, &record) == nil {
+		if !c.Delete && strings.HasPrefix(c.Key, chargePrefix) && codec.Unmarshal(c.Value, &record) == nil {
 			for i := range record.Jobs {
 				record.Jobs[i].Entries = record.Jobs[i].Entries[:1]
 			}
-			c.V = wire.MustMarshal(record)
+			c.Value = codec.MustMarshal(record)
 		}
 		out = append(out, c)
 	}
--- a/internal/simulation/election.go
+++ b/internal/simulation/election.go
@@ -4,9 +4,11 @@
 	"math/rand/v2"
 	"time"
 
+	"gingertally/internal/codec"
+	"gingertally/internal/statestore"
+
 	"gingertally/internal/core"
 	"gingertally/internal/leadership"
-	"gingertally/internal/wire"
 )
 
 // lead claims the leader lease, or renews it.
@@ -86,17 +88,17 @@
 		N uint64 `cbor:"n"`
 	}
 	it, found, _ := w.store.Get(bg, leadership.TermKey)
-	if found && wire.Unmarshal(it.V, &tv) != nil {
+	if found && codec.Unmarshal(it.Value, &tv) != nil {
 		return t, 0
 	}
 	seen, restored, _ := w.store.Get(bg, leadership.RestoredKey)
 	highest := tv
-	if restored && wire.Unmarshal(seen.V, &highest) != nil {
+	if restored && codec.Unmarshal(seen.Value, &highest) != nil {
 		return t, 0
 	}
 	tv.N = max(tv.N, highest.N) + 1
-	rev, err := w.store.Commit(bg, []wire.Condition{{Path: leadership.TermKey, Stamp: it.Stamp}},
-		[]wire.Change{{Put: leadership.TermKey, V: wire.MustMarshal(tv)}})
+	rev, err := w.store.Commit(bg, []statestore.Compare{{Key: leadership.TermKey, ModRevision: it.ModRevision}},
+		[]statestore.Op{statestore.Put(leadership.TermKey, codec.MustMarshal(tv))})
 	if err != nil {
 		return t, 0
 	}
--- a/internal/simulation/fault_scenarios.go
+++ b/internal/simulation/fault_scenarios.go
@@ -10,7 +10,6 @@
 	"gingertally/internal/core/pipeline"
 	"gingertally/internal/jobstore"
 	"gingertally/internal/statestore"
-	"gingertally/internal/wire"
 )
 
 // script brings troubles together in a world: at moments, and whenever something
@@ -323,16 +322,16 @@
 }
 
 // Get refuses the nodes that the state service refuses.
-func (v nodeView) Get(ctx context.Context, key string) (statestore.Item, bool, error) {
+func (v nodeView) Get(ctx context.Context, key string) (statestore.KeyValue, bool, error) {
 	if v.n.refused {
 		v.n.w.script.note("refused calls")
-		return statestore.Item{}, false, statestore.ErrUnavailable
+		return statestore.KeyValue{}, false, statestore.ErrUnavailable
 	}
 	return v.Store.Get(ctx, key)
 }
 
 // List refuses the nodes that the state service refuses.
-func (v nodeView) List(ctx context.Context, prefix string) ([]statestore.Item, uint64, error) {
+func (v nodeView) List(ctx context.Context, prefix string) ([]statestore.KeyValue, uint64, error) {
 	if v.n.refused {
 		v.n.w.script.note("refused calls")
 		return nil, 0, statestore.ErrUnavailable
@@ -341,7 +340,7 @@
 }
 
 // Commit refuses the nodes that the state service refuses.
-func (v nodeView) Commit(ctx context.Context, conds []wire.Condition, changes []wire.Change) (uint64, error) {
+func (v nodeView) Commit(ctx context.Context, conds []statestore.Compare, changes []statestore.Op) (uint64, error) {
 	s := v.n.w.script
 	if v.n.refused {
 		s.note("refused commits")
@@ -355,7 +354,7 @@
 		if _, err := v.Store.Commit(ctx, conds, changes); err == nil {
 			s.note("answers of transactions lost")
 		}
-		return 0, statestore.ErrUnknown
+		return 0, statestore.ErrUnknownOutcome
 	}
 	sent := s.w.store.rev
 	late := v.n.late
@@ -370,5 +369,5 @@
 			s.note("late transactions refused")
 		}
 	})
-	return 0, statestore.ErrUnknown
+	return 0, statestore.ErrUnknownOutcome
 }
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -13,7 +13,6 @@
 	"gingertally/internal/leadership"
 	"gingertally/internal/standby"
 	"gingertally/internal/statestore"
-	"gingertally/internal/wire"
 )
 
 // node is a controller: the real core and job store round a simulated shell.
@@ -235,8 +234,8 @@
 func (n *node) noteRestored(token uint64) {
 	term, view := n.term, n.storeView()
 	n.call(func() {
-		_, _ = view.Commit(bg, []wire.Condition{jobstore.UnderTerm(term)},
-			[]wire.Change{{Put: leadership.RestoredKey, V: leadership.RestoredValue(token)}}) // else the next leader finds it again
+		_, _ = view.Commit(bg, []statestore.Compare{jobstore.UnderTerm(term)},
+			[]statestore.Op{statestore.Put(leadership.RestoredKey, leadership.RestoredValue(token))}) // else the next leader finds it again
 	}, func() {})
 }
 
@@ -268,7 +267,7 @@
 	n.step(core.WritesStarted{Batch: batch})
 	var sent []core.Write
 	var rev uint64
-	err := statestore.ErrUnknown
+	err := statestore.ErrUnknownOutcome
 	answered := false
 	n.call(func() { sent, rev, err = jobs.Apply(bg, term, batch) }, func() {
 		if !answered && n.eng == eng {
@@ -281,7 +280,7 @@
 		n.run(life, func() {
 			if !answered && n.eng == eng {
 				answered = true
-				n.written(batch, batch, 0, statestore.ErrUnknown)
+				n.written(batch, batch, 0, statestore.ErrUnknownOutcome)
 			}
 		})
 	})
@@ -301,7 +300,7 @@
 		n.write()
 		return
 	}
-	if errors.Is(err, statestore.ErrRefused) {
+	if errors.Is(err, statestore.ErrRejected) {
 		n.step(core.WriteRejected{Write: sent[0]})
 		return
 	}
@@ -346,7 +345,7 @@
 	for _, ref := range eng.DependenciesToLookUp(3) {
 		answered := false
 		var st jobstore.State
-		err := statestore.ErrUnknown
+		err := statestore.ErrUnknownOutcome
 		n.call(func() { st, err = jobs.LoadFinished(bg, ref) }, func() {
 			if err == nil && st.Found && n.eng == eng {
 				answered = true
@@ -364,10 +363,10 @@
 }
 
 // storeChanged lets watches see changes to jobs.
-func (w *World) storeChanged(changes []wire.Change) {
+func (w *World) storeChanged(changes []statestore.Op) {
 	for _, c := range changes {
-		ref, ok := strings.CutPrefix(c.Put, jobstore.JobPrefix)
-		if !ok {
+		ref, ok := strings.CutPrefix(c.Key, jobstore.JobPrefix)
+		if !ok || c.Delete {
 			continue
 		}
 		for _, n := range w.nodes {
--- a/internal/simulation/output_digest.go
+++ b/internal/simulation/output_digest.go
@@ -7,11 +7,15 @@
 	"hash"
 	"net/http"
 
+	"gingertally/internal/cloud"
+	"gingertally/internal/codec"
+	"gingertally/internal/statestore"
+	"gingertally/internal/wire"
+
 	"gingertally/internal/agentapi"
 	"gingertally/internal/core"
 	"gingertally/internal/core/pipeline"
 	"gingertally/internal/userapi"
-	"gingertally/internal/wire"
 )
 
 // outputDigest sums up everything that the controllers of a world store and send to the outside,
@@ -74,13 +78,13 @@
 }
 
 // commit takes in a committed transaction.
-func (d *outputDigest) commit(w *World, changes []wire.Change) {
+func (d *outputDigest) commit(w *World, changes []statestore.Op) {
 	for _, c := range changes {
-		if c.Drop != "" {
-			d.add(w, outputDelete, c.Drop, nil)
+		if c.Delete {
+			d.add(w, outputDelete, c.Key, nil)
 			continue
 		}
-		d.add(w, outputPut, c.Put, c.V)
+		d.add(w, outputPut, c.Key, c.Value)
 	}
 }
 
@@ -104,17 +108,15 @@
 	if d == nil {
 		return
 	}
-	orders := wire.Orders{Gavel: direct.FencingToken, Shift: direct.Incarnation, Orders: wire.OrdersOf(direct.Commands)}
-	d.add(n.w, outputDirectCommand, direct.Machine, wire.MustMarshal(orders))
+	d.add(n.w, outputDirectCommand, direct.Machine, agentapi.DirectCommands(direct))
 }
 
 // scaleOut takes in a request to the cloud for machines.
-func (d *outputDigest) scaleOut(n *node, rent core.ScaleOut) {
+func (d *outputDigest) scaleOut(n *node, request core.ScaleOut) {
 	if d == nil {
 		return
 	}
-	request := wire.RentalRequest{Hire: rent.Name, Build: rent.Type, Yard: rent.Zone, Loaners: rent.Spot, Count: rent.Count}
-	d.add(n.w, outputScaleOut, n.name, wire.MustMarshal(request))
+	d.add(n.w, outputScaleOut, n.name, cloud.ScaleOutBody(request))
 }
 
 // scaleIn takes in a request to the cloud to take machines back.
@@ -122,7 +124,7 @@
 	if d == nil {
 		return
 	}
-	d.add(n.w, outputScaleIn, n.name, wire.MustMarshal(wire.Stalls{Stalls: machines}))
+	d.add(n.w, outputScaleIn, n.name, cloud.ScaleInBody(machines))
 }
 
 // jobView takes in what a controller tells a user of a job; ok is false if it can't tell.
@@ -130,7 +132,7 @@
 	if d == nil {
 		return
 	}
-	answer := userapi.Answer{Status: http.StatusOK, Body: wire.State(ref, view.Phase, view.Done, view.Running)}
+	answer := userapi.JobState(ref, view)
 	switch {
 	case !ok:
 		answer = userapi.Answer{Status: http.StatusServiceUnavailable}
@@ -155,7 +157,7 @@
 	}
 	var body []byte
 	if answer.Body != nil {
-		body = wire.MustMarshal(answer.Body)
+		body = codec.MustMarshal(answer.Body)
 	}
 	d.add(n.w, outputUserAnswer, fmt.Sprintf("%s from %s, %d, %s", ref, n.name, answer.Status, answer.RetryAfter), body)
 }
--- a/internal/simulation/production.go
+++ b/internal/simulation/production.go
@@ -5,10 +5,10 @@
 	"strings"
 	"time"
 
+	"gingertally/internal/codec"
 	"gingertally/internal/core/pipeline"
 	"gingertally/internal/jobstore"
 	"gingertally/internal/statestore"
-	"gingertally/internal/wire"
 )
 
 // What the version in production (deploy/service.toml) reads of jobs, and so writes
@@ -56,25 +56,25 @@
 // productionView is the state service as the version in production sees it.
 type productionView struct{ *Store }
 
-func (v productionView) read(it statestore.Item) statestore.Item {
+func (v productionView) read(it statestore.KeyValue) statestore.KeyValue {
 	var as any
 	switch {
-	case strings.HasPrefix(it.Path, "j/"):
+	case strings.HasPrefix(it.Key, "j/"):
 		as = &productionRecord{}
-	case strings.HasPrefix(it.Path, "f/"):
+	case strings.HasPrefix(it.Key, "f/"):
 		as = &productionFinal{}
 	default:
 		return it
 	}
-	if err := wire.Unmarshal(it.V, as); err != nil {
-		v.w.check.fail("the version in production can't read %s: %v", it.Path, err)
+	if err := codec.Unmarshal(it.Value, as); err != nil {
+		v.w.check.fail("the version in production can't read %s: %v", it.Key, err)
 	}
-	it.V = wire.MustMarshal(as)
+	it.Value = codec.MustMarshal(as)
 	return it
 }
 
 // Get reads a key.
-func (v productionView) Get(ctx context.Context, key string) (statestore.Item, bool, error) {
+func (v productionView) Get(ctx context.Context, key string) (statestore.KeyValue, bool, error) {
 	it, found, err := v.Store.Get(ctx, key)
 	if found {
 		it = v.read(it)
@@ -83,7 +83,7 @@
 }
 
 // List reads a range.
-func (v productionView) List(ctx context.Context, prefix string) ([]statestore.Item, uint64, error) {
+func (v productionView) List(ctx context.Context, prefix string) ([]statestore.KeyValue, uint64, error) {
 	items, rev, err := v.Store.List(ctx, prefix)
 	for i := range items {
 		items[i] = v.read(items[i])
--- a/internal/simulation/recovery_test.go
+++ b/internal/simulation/recovery_test.go
@@ -5,10 +5,10 @@
 	"testing"
 	"time"
 
+	"gingertally/internal/codec"
 	"gingertally/internal/core/pipeline"
 	"gingertally/internal/leadership"
 	"gingertally/internal/recovery"
-	"gingertally/internal/wire"
 )
 
 // pace is the pace of orders in worlds that bound it.
@@ -50,12 +50,12 @@
 			var term struct {
 				N uint64 `cbor:"n"`
 			}
-			if wire.Unmarshal(it.v, &term) != nil {
+			if codec.Unmarshal(it.v, &term) != nil {
 				s.w.check.fail("term unreadable")
 			}
 			term.N -= min(term.N, terms)
 			store.rev++
-			store.items[key] = &item{wire.MustMarshal(term), store.rev}
+			store.items[key] = &item{codec.MustMarshal(term), store.rev}
 			s.w.check.newest = term.N // later terms are counted anew; fencing tokens keep them apart
 		}
 	}
--- a/internal/simulation/replica_check.go
+++ b/internal/simulation/replica_check.go
@@ -2,8 +2,8 @@
 
 import (
 	"gingertally/internal/core"
+	"gingertally/internal/core/fleet"
 	"gingertally/internal/core/pipeline"
-	"gingertally/internal/wire"
 )
 
 // toldToStop checks, as a replica of a service is told to stop, that the service's
@@ -47,7 +47,7 @@
 			continue
 		}
 		ref, task := x.Args[1].(string), x.Args[3].(int)
-		c.preempted[wire.TaskName(ref, task)] = true
+		c.preempted[fleet.TaskID{Ref: ref, Task: task}.String()] = true
 		c.preemptedAttempts[taskKey(ref, task, x.Args[7].(uint64))] = true
 		if j := c.w.jobs[ref]; j != nil && j.spec.Class == borrowed {
 			c.takenBack++
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -6,9 +6,9 @@
 	"strings"
 	"time"
 
+	"gingertally/internal/codec"
 	"gingertally/internal/jobstore"
 	"gingertally/internal/statestore"
-	"gingertally/internal/wire"
 )
 
 // Store is the state service: keys with versions and atomic transactions. The
@@ -36,20 +36,20 @@
 func (s *Store) lower() { s.low = true }
 
 // takes tells whether the changes are within the limits.
-func (s *Store) takes(changes []wire.Change) error {
+func (s *Store) takes(changes []statestore.Op) error {
 	limits := highLimits
 	if s.low {
 		limits = lowLimits
 	}
 	if len(changes) > limits.TxnOps {
-		return statestore.ErrRefused
+		return statestore.ErrRejected
 	}
 	for _, c := range changes {
-		if c.Drop != "" {
+		if c.Delete {
 			continue
 		}
-		if n, err := wire.JSONSize(c.V); err != nil || n > limits.ValueBytes*1024/1000 {
-			return statestore.ErrRefused
+		if n, err := codec.JSONSize(c.Value); err != nil || n > limits.ValueBytes*1024/1000 {
+			return statestore.ErrRejected
 		}
 	}
 	if !s.low {
@@ -65,39 +65,39 @@
 }
 
 type item struct {
-	v     wire.Raw
+	v     []byte
 	stamp uint64
 }
 
 // Get reads a key.
-func (s *Store) Get(_ context.Context, key string) (statestore.Item, bool, error) {
+func (s *Store) Get(_ context.Context, key string) (statestore.KeyValue, bool, error) {
 	if s.down {
-		return statestore.Item{}, false, statestore.ErrUnavailable
+		return statestore.KeyValue{}, false, statestore.ErrUnavailable
 	}
 	it := s.items[key]
 	if it == nil {
-		return statestore.Item{}, false, nil
+		return statestore.KeyValue{}, false, nil
 	}
-	return statestore.Item{Path: key, V: it.v, Stamp: it.stamp}, true, nil
+	return statestore.KeyValue{Key: key, Value: it.v, ModRevision: it.stamp}, true, nil
 }
 
 // List reads a range.
-func (s *Store) List(_ context.Context, prefix string) ([]statestore.Item, uint64, error) {
+func (s *Store) List(_ context.Context, prefix string) ([]statestore.KeyValue, uint64, error) {
 	if s.down {
 		return nil, 0, statestore.ErrUnavailable
 	}
-	var out []statestore.Item
+	var out []statestore.KeyValue
 	for k, it := range s.items {
 		if strings.HasPrefix(k, prefix) {
-			out = append(out, statestore.Item{Path: k, V: it.v, Stamp: it.stamp})
+			out = append(out, statestore.KeyValue{Key: k, Value: it.v, ModRevision: it.stamp})
 		}
 	}
-	sort.Slice(out, func(i, k int) bool { return out[i].Path < out[k].Path })
+	sort.Slice(out, func(i, k int) bool { return out[i].Key < out[k].Key })
 	return out, s.rev, nil
 }
 
 // Commit applies changes if all conditions hold.
-func (s *Store) Commit(_ context.Context, conds []wire.Condition, changes []wire.Change) (uint64, error) {
+func (s *Store) Commit(_ context.Context, conds []statestore.Compare, changes []statestore.Op) (uint64, error) {
 	if s.down {
 		return 0, statestore.ErrUnavailable
 	}
@@ -107,15 +107,15 @@
 	var failed []string
 	for _, c := range conds {
 		var have uint64
-		if it := s.items[c.Path]; it != nil {
+		if it := s.items[c.Key]; it != nil {
 			have = it.stamp
 		}
-		if have != c.Stamp {
-			failed = append(failed, c.Path)
+		if have != c.ModRevision {
+			failed = append(failed, c.Key)
 		}
 	}
 	if failed != nil {
-		return 0, &statestore.ConflictError{Failed: failed}
+		return 0, &statestore.ConflictError{Keys: failed}
 	}
 	s.w.digest.add(s.w, "commit", "store", changes)
 	if len(changes) > 0 {
@@ -123,11 +123,11 @@
 	}
 	changes = s.w.drains.spoilCommit(changes)
 	for _, c := range changes {
-		if c.Drop != "" {
-			delete(s.items, c.Drop)
+		if c.Delete {
+			delete(s.items, c.Key)
 			continue
 		}
-		s.items[c.Put] = &item{c.V, s.rev}
+		s.items[c.Key] = &item{c.Value, s.rev}
 	}
 	s.w.output.commit(s.w, changes)
 	s.w.storeChanged(changes)
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -165,7 +165,7 @@
 	if len(j.dependencies) == 0 {
 		create()
 	} else { // the check and the write are two calls, between which anything may happen
-		err := statestore.ErrUnknown
+		err := statestore.ErrUnknownOutcome
 		n.call(func() { err = jobs.CheckDependencies(bg, j.spec.Ref, j.dependencyNames()) }, func() {
 			if j.taken(err) {
 				create()
--- a/internal/standby/codec.go
+++ b/internal/standby/codec.go
@@ -3,8 +3,8 @@
 import (
 	"fmt"
 
+	"gingertally/internal/codec"
 	"gingertally/internal/core"
-	"gingertally/internal/wire"
 )
 
 // keyForm is a record's key as it is replicated.
@@ -22,7 +22,7 @@
 	entries := make([]Entry, 0, len(records))
 	for _, r := range records {
 		key := keyForm{Kind: r.Key.Kind, Name: r.Key.Name, Task: r.Key.Task, Zone: r.Key.Zone, Spot: r.Key.Spot}
-		entries = append(entries, Entry{Key: string(wire.MustMarshal(key)), Value: encodeValue(&r)})
+		entries = append(entries, Entry{Key: string(codec.MustMarshal(key)), Value: encodeValue(&r)})
 	}
 	return entries
 }
@@ -30,15 +30,15 @@
 func encodeValue(r *core.WarmRecord) []byte {
 	switch {
 	case r.Machine != nil:
-		return wire.MustMarshal(r.Machine)
+		return codec.MustMarshal(r.Machine)
 	case r.Attempt != nil:
-		return wire.MustMarshal(r.Attempt)
+		return codec.MustMarshal(r.Attempt)
 	case r.Class != nil:
-		return wire.MustMarshal(r.Class)
+		return codec.MustMarshal(r.Class)
 	case r.Offer != nil:
-		return wire.MustMarshal(r.Offer)
+		return codec.MustMarshal(r.Offer)
 	case r.Job != nil:
-		return wire.MustMarshal(r.Job)
+		return codec.MustMarshal(r.Job)
 	}
 	return nil
 }
@@ -49,7 +49,7 @@
 	records := make([]core.WarmRecord, 0, len(entries))
 	for _, e := range entries {
 		var key keyForm
-		if err := wire.Unmarshal([]byte(e.Key), &key); err != nil {
+		if err := codec.Unmarshal([]byte(e.Key), &key); err != nil {
 			return nil, fmt.Errorf("key of the warm state: %w", err)
 		}
 		record := core.WarmRecord{Key: core.WarmKey{Kind: key.Kind, Name: key.Name, Task: key.Task, Zone: key.Zone, Spot: key.Spot}}
@@ -68,19 +68,19 @@
 	switch record.Key.Kind {
 	case core.WarmMachineKind:
 		record.Machine = &core.WarmMachine{}
-		err = wire.Unmarshal(value, record.Machine)
+		err = codec.Unmarshal(value, record.Machine)
 	case core.WarmAttemptKind:
 		record.Attempt = &core.WarmAttempt{}
-		err = wire.Unmarshal(value, record.Attempt)
+		err = codec.Unmarshal(value, record.Attempt)
 	case core.WarmClassKind:
 		record.Class = &core.WarmClass{}
-		err = wire.Unmarshal(value, record.Class)
+		err = codec.Unmarshal(value, record.Class)
 	case core.WarmOfferKind:
 		record.Offer = &core.WarmOffer{}
-		err = wire.Unmarshal(value, record.Offer)
+		err = codec.Unmarshal(value, record.Offer)
 	case core.WarmJobKind:
 		record.Job = &core.WarmJob{}
-		err = wire.Unmarshal(value, record.Job)
+		err = codec.Unmarshal(value, record.Job)
 	default:
 		return false, nil
 	}
--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -1,43 +1,20 @@
-// Package statestore is the client of the state service: conditional
-// transactions, leases and watches, within this node's part of its rates.
+// Package statestore is the client of the state service, a small consensus-backed key-value store:
+// transactions by compare-and-swap, leases and watches, within this node's part of its rates. It maps
+// the protocol's messages to the field's terms; nothing above it knows them.
+//
+// A Client may be used from any goroutine.
 package statestore
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"net"
 	"time"
 
 	"github.com/valyala/fasthttp"
 	"golang.org/x/time/rate"
-
-	"gingertally/internal/wire"
-)
-
-// Errors of the store.
-var (
-	// ErrUnavailable says that the request was certainly not executed.
-	ErrUnavailable = errors.New("state service unavailable")
-	// ErrUnknown says that the request may have been executed, or may yet be.
-	ErrUnknown = errors.New("no answer from the state service")
-	// ErrNotFound says that a lease is over.
-	ErrNotFound = errors.New("not found")
-	// ErrRefused says that the request can never be executed as it stands: it is
-	// larger than the state service takes, say.
-	ErrRefused = errors.New("refused by the state service")
-	// ErrCompacted says that a watch starts too far back.
-	ErrCompacted = errors.New("watch too old")
 )
 
-// ConflictError names the keys whose condition failed.
-type ConflictError struct{ Failed []string }
-
-func (e *ConflictError) Error() string { return fmt.Sprintf("conditions failed: %v", e.Failed) }
-
-// Item is one key with its value.
-type Item = wire.StoreItem
-
 // Contact is what an answer says of the state service.
 type Contact uint8
 
@@ -166,7 +143,7 @@
 		deadline = sooner
 	}
 	if err := call.http.DoDeadline(request, response, deadline); err != nil {
-		return 0, nil, fmt.Errorf("%w: %w", ErrUnknown, err)
+		return 0, nil, fmt.Errorf("%w: no answer: %w", ErrUnknownOutcome, err)
 	}
 	status = response.StatusCode()
 	c.contact(contactOf(status))
@@ -185,7 +162,3 @@
 	}
 	return nil
 }
-
-func unexpected(what string, status int) error {
-	return fmt.Errorf("%s: unexpected status %d", what, status)
-}
--- /dev/null
+++ b/internal/statestore/convert.go
@@ -0,0 +1,36 @@
+package statestore
+
+import "gingertally/internal/wire"
+
+// The protocol's messages and the terms that the rest of the program knows them by.
+
+func keyValueOf(item wire.StoreItem) KeyValue {
+	return KeyValue{Key: item.Path, Value: item.V, ModRevision: item.Stamp, Lease: LeaseID(item.Hold)}
+}
+
+func commitMessage(compares []Compare, ops []Op) wire.Commit {
+	var message wire.Commit
+	for _, c := range compares {
+		message.If = append(message.If, wire.Condition{Path: c.Key, Stamp: c.ModRevision})
+	}
+	for _, op := range ops {
+		if op.Delete {
+			message.Apply = append(message.Apply, wire.Change{Drop: op.Key})
+			continue
+		}
+		message.Apply = append(message.Apply, wire.Change{Put: op.Key, V: op.Value, Hold: uint64(op.Lease)})
+	}
+	return message
+}
+
+func watchResponseOf(news wire.News) WatchResponse {
+	response := WatchResponse{Revision: news.Ledger, Events: make([]Event, 0, len(news.News))}
+	for _, event := range news.News {
+		if event.Put == "" {
+			response.Events = append(response.Events, Event{Delete: true, KeyValue: KeyValue{Key: event.Drop, ModRevision: event.Stamp}})
+			continue
+		}
+		response.Events = append(response.Events, Event{KeyValue: KeyValue{Key: event.Put, Value: event.V, ModRevision: event.Stamp}})
+	}
+	return response
+}
--- a/internal/statestore/leases.go
+++ b/internal/statestore/leases.go
@@ -3,10 +3,12 @@
 import (
 	"context"
 	"fmt"
+	"strconv"
 	"time"
 
 	"github.com/valyala/fasthttp"
 
+	"gingertally/internal/codec"
 	"gingertally/internal/wire"
 )
 
@@ -14,43 +16,57 @@
 // loses the lease.
 
 // Grant makes a lease.
-func (c *Client) Grant(ctx context.Context, ttl time.Duration) (uint64, error) {
-	body := wire.MustMarshal(wire.LeaseRequest{LifeMS: ttl.Milliseconds()})
+func (c *Client) Grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
+	lease, err := c.grant(ctx, ttl)
+	if err != nil {
+		return 0, &RequestError{"grant lease", "", err}
+	}
+	return lease, nil
+}
+
+func (c *Client) grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
+	body := codec.MustMarshal(wire.LeaseRequest{LifeMS: ttl.Milliseconds()})
 	status, answer, err := c.do(ctx, call{c.http, fasthttp.MethodPost, "/leases", body, callTimeout})
 	if err != nil {
 		return 0, err
 	}
 	if status != fasthttp.StatusOK {
-		return 0, unexpected("grant", status)
+		return 0, unexpected(status, answer)
 	}
 	var grant wire.LeaseGrant
-	if err := wire.Unmarshal(answer, &grant); err != nil {
-		return 0, err
-	}
-	return grant.Hold, nil
+	err = codec.Unmarshal(answer, &grant)
+	return LeaseID(grant.Hold), err
 }
 
-// Touch renews a lease; ErrNotFound says that it is over.
-func (c *Client) Touch(ctx context.Context, lease uint64) error {
+// KeepAlive renews a lease for its full length; ErrLeaseExpired says that it is over.
+func (c *Client) KeepAlive(ctx context.Context, lease LeaseID) error {
 	uri := fmt.Sprintf("/leases/%d/touch", lease)
-	status, _, err := c.do(ctx, call{c.http, fasthttp.MethodPost, uri, nil, renewTimeout})
+	status, body, err := c.do(ctx, call{c.http, fasthttp.MethodPost, uri, nil, renewTimeout})
 	switch {
 	case err != nil:
-		return err
 	case status == fasthttp.StatusNotFound:
-		return ErrNotFound
+		err = ErrLeaseExpired
 	case status != fasthttp.StatusOK:
-		return unexpected("touch", status)
+		err = unexpected(status, body)
 	}
-	return nil
+	return leaseError("keep lease alive", lease, err)
 }
 
-// Revoke ends a lease.
-func (c *Client) Revoke(ctx context.Context, lease uint64) error {
+// Revoke ends a lease, and deletes the keys attached to it. One that is over already is left
+// alone.
+func (c *Client) Revoke(ctx context.Context, lease LeaseID) error {
 	uri := fmt.Sprintf("/leases/%d", lease)
-	status, _, err := c.do(ctx, call{c.http, fasthttp.MethodDelete, uri, nil, callTimeout})
+	status, body, err := c.do(ctx, call{c.http, fasthttp.MethodDelete, uri, nil, callTimeout})
 	if err == nil && status != fasthttp.StatusOK && status != fasthttp.StatusNotFound {
-		return unexpected("revoke", status)
+		err = unexpected(status, body)
+	}
+	return leaseError("revoke lease", lease, err)
+}
+
+// leaseError says which request about a lease failed; nil if none did.
+func leaseError(operation string, lease LeaseID, err error) error {
+	if err == nil {
+		return nil
 	}
-	return err
+	return &RequestError{operation, strconv.FormatUint(uint64(lease), 10), err}
 }
--- a/internal/userapi/userapi.go
+++ b/internal/userapi/userapi.go
@@ -48,6 +48,9 @@
 	Known(ctx context.Context, ref string) bool
 }
 
+// MaxBody is the largest body that a user or worker may send or be sent.
+const MaxBody = wire.MaxBody
+
 // Service serves users.
 type Service struct {
 	Jobs      Jobs
@@ -175,7 +178,7 @@
 
 // Get tells a job's state.
 func (s *Service) Get(ctx context.Context, ref string) Answer {
-	if !wire.ValidRef(ref) {
+	if !pipeline.ValidRef(ref) {
 		return notFound()
 	}
 	return s.state(ctx, ref)
@@ -185,10 +188,10 @@
 // store (docs/design.md, "Safety arguments" 9; TestNoAnswerInDoubt).
 func (s *Service) state(ctx context.Context, ref string) Answer {
 	if view, ok := s.Leader.View(ref); ok {
-		return stateAnswer(ref, view)
+		return JobState(ref, view)
 	}
 	if view, ok := s.Leader.Ask(ctx, ref); ok {
-		return stateAnswer(ref, view)
+		return JobState(ref, view)
 	}
 	state, err := s.Jobs.Load(ctx, ref)
 	if err != nil {
@@ -200,10 +203,11 @@
 	if cancelled, err := s.Jobs.DependencyCancelled(ctx, state, time.Now()); err != nil || cancelled {
 		return later()
 	}
-	return stateAnswer(ref, core.JobView{Phase: state.Phase, Done: state.Done})
+	return JobState(ref, core.JobView{Phase: state.Phase, Done: state.Done})
 }
 
-func stateAnswer(ref string, view core.JobView) Answer {
+// JobState is the answer about a job that is known.
+func JobState(ref string, view core.JobView) Answer {
 	return Answer{Status: http.StatusOK, Body: wire.State(ref, view.Phase, view.Done, view.Running)}
 }
 
@@ -215,7 +219,7 @@
 
 // Cancel cancels a job, unless it is done.
 func (s *Service) Cancel(ctx context.Context, ref string) Answer {
-	if !wire.ValidRef(ref) {
+	if !pipeline.ValidRef(ref) {
 		return notFound()
 	}
 	phase, err := s.Leader.Cancel(ctx, ref)
@@ -225,5 +229,10 @@
 	case err != nil:
 		return later()
 	}
+	return Cancelled(ref, phase)
+}
+
+// Cancelled is the answer to a cancellation, of a job that is over or now cancelled.
+func Cancelled(ref string, phase pipeline.Phase) Answer {
 	return Answer{Status: http.StatusOK, Body: cancelledMessage{Ref: ref, Status: wire.StatusOf(phase, 0)}}
 }
--- a/internal/userapi/userapi_test.go
+++ b/internal/userapi/userapi_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"gingertally/internal/admission"
+	"gingertally/internal/codec"
 	"gingertally/internal/core"
 	"gingertally/internal/core/pipeline"
 	"gingertally/internal/core/placement"
@@ -77,7 +78,7 @@
 	for k, v := range change {
 		m[k] = v
 	}
-	return wire.MustMarshal(m)
+	return codec.MustMarshal(m)
 }
 
 func service(w *world) *Service {
--- a/internal/wire/agent.go
+++ b/internal/wire/agent.go
@@ -5,6 +5,7 @@
 	"math"
 	"time"
 
+	"gingertally/internal/codec"
 	"gingertally/internal/core/fleet"
 )
 
@@ -41,13 +42,13 @@
 	"busy": fleet.CauseAlreadyPresent, "no_such": fleet.CauseUnknownTask,
 }
 
-// ParseHeartbeat decodes and checks a worker's heartbeat. Every error is ErrMalformed.
+// ParseHeartbeat decodes and checks a worker's heartbeat. Every error is a codec.ErrMalformed.
 func ParseHeartbeat(body []byte) (fleet.Heartbeat, error) {
-	if len(body) > MaxBody || !isMap(body) {
-		return fleet.Heartbeat{}, fmt.Errorf("%w: not a map within the size limit", ErrMalformed)
+	if len(body) > MaxBody || !codec.IsMap(body) {
+		return fleet.Heartbeat{}, fmt.Errorf("%w: not a map within the size limit", codec.ErrMalformed)
 	}
 	var beat Heartbeat
-	if err := Unmarshal(body, &beat); err != nil {
+	if err := codec.Unmarshal(body, &beat); err != nil {
 		return fleet.Heartbeat{}, err
 	}
 	report, err := parseMachineStatus(&beat)
@@ -72,7 +73,7 @@
 	named := beat.Stall != nil && *beat.Stall != "" && beat.Endpoint != nil && beat.Build != nil && beat.Yard != nil && beat.Loaners != nil
 	ordered := beat.Shift != nil && beat.Tick != nil && beat.Gavel != nil
 	if !named || !ordered {
-		return fleet.Heartbeat{}, fmt.Errorf("%w: a field of the report is missing", ErrMalformed)
+		return fleet.Heartbeat{}, fmt.Errorf("%w: a field of the report is missing", codec.ErrMalformed)
 	}
 	report := fleet.Heartbeat{
 		Machine: *beat.Stall, Addr: *beat.Endpoint, Type: *beat.Build, Zone: *beat.Yard, Spot: *beat.Loaners,
@@ -82,7 +83,7 @@
 		return report, nil
 	}
 	if math.IsNaN(*beat.WarningS) || math.IsInf(*beat.WarningS, 0) {
-		return report, fmt.Errorf("%w: warning_s", ErrMalformed)
+		return report, fmt.Errorf("%w: warning_s", codec.ErrMalformed)
 	}
 	report.InterruptionIn = max(0, time.Duration(*beat.WarningS*float64(time.Second)))
 	return report, nil
@@ -92,7 +93,7 @@
 func parseTaskStatus(lot *heartbeatTask) (fleet.TaskStatus, error) {
 	var task fleet.TaskStatus
 	if lot.Lot == nil || lot.Try == nil || lot.Status == nil {
-		return task, fmt.Errorf("%w: a field of a reported task is missing", ErrMalformed)
+		return task, fmt.Errorf("%w: a field of a reported task is missing", codec.ErrMalformed)
 	}
 	ref, number, err := ParseTaskName(*lot.Lot)
 	if err != nil {
@@ -100,14 +101,14 @@
 	}
 	state, known := taskStates[*lot.Status]
 	if !known {
-		return task, fmt.Errorf("%w: task state %q", ErrMalformed, *lot.Status)
+		return task, fmt.Errorf("%w: task state %q", codec.ErrMalformed, *lot.Status)
 	}
 	task = fleet.TaskStatus{Ref: ref, Task: number, Attempt: *lot.Try, State: state}
 	if state != fleet.Exited {
 		return task, nil
 	}
 	if lot.Cause == nil {
-		return task, fmt.Errorf("%w: exit without a cause", ErrMalformed)
+		return task, fmt.Errorf("%w: exit without a cause", codec.ErrMalformed)
 	}
 	if task.Cause, known = exitCauses[*lot.Cause]; !known {
 		task.Cause = fleet.CauseError // an unknown cause is a bad exit
@@ -141,7 +142,7 @@
 func OrdersOf(commands []fleet.Command) []Order {
 	orders := make([]Order, 0, len(commands))
 	for _, command := range commands {
-		order := Order{Lot: TaskName(command.Ref, command.Task), Try: command.Attempt}
+		order := Order{Lot: fleet.TaskID{Ref: command.Ref, Task: command.Task}.String(), Try: command.Attempt}
 		switch command.Kind {
 		case fleet.Start:
 			order.Verb = "start"
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -6,6 +6,7 @@
 	"slices"
 	"testing"
 
+	"gingertally/internal/codec"
 	"gingertally/internal/core/fleet"
 	"gingertally/internal/goldentest"
 )
@@ -14,13 +15,13 @@
 // read and written again bit for bit.
 func addMessage[T any](t *testing.T, lines *goldentest.Lines, name string) {
 	t.Helper()
-	encoded := MustMarshal(goldentest.Filled[T]())
+	encoded := codec.MustMarshal(goldentest.Filled[T]())
 	lines.Add("%s %x", name, encoded)
 	var read T
-	if err := Unmarshal(encoded, &read); err != nil {
+	if err := codec.Unmarshal(encoded, &read); err != nil {
 		t.Errorf("%s: %v", name, err)
 	}
-	if again := MustMarshal(read); !bytes.Equal(again, encoded) {
+	if again := codec.MustMarshal(read); !bytes.Equal(again, encoded) {
 		t.Errorf("%s: read and written again it is %x, not %x", name, again, encoded)
 	}
 }
@@ -64,7 +65,7 @@
 	}
 	for _, op := range []fleet.CommandKind{fleet.Start, fleet.Stop, fleet.Forget} {
 		command := fleet.Command{Kind: op, Ref: "j-000412", Task: 3, Attempt: 1<<24 + 9, Grace: 10e9}
-		lines.Add("command %d %x", op, MustMarshal(OrdersOf([]fleet.Command{command})))
+		lines.Add("command %d %x", op, codec.MustMarshal(OrdersOf([]fleet.Command{command})))
 	}
 	lines.Check(t, "words.txt")
 }
@@ -73,12 +74,12 @@
 func TestParseSubmissionGolden(t *testing.T) {
 	body := good()
 	body["awaits"] = []string{"j-000001", "j-000002", "j-000001"}
-	spec, dependencies, err := ParseSubmission(MustMarshal(body))
+	spec, dependencies, err := ParseSubmission(codec.MustMarshal(body))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var lines goldentest.Lines
-	lines.Add("spec %x", MustMarshal(spec))
+	lines.Add("spec %x", codec.MustMarshal(spec))
 	lines.Add("dependencies %q", dependencies)
 	lines.Check(t, "submission.txt")
 }
--- a/internal/wire/store.go
+++ b/internal/wire/store.go
@@ -1,11 +1,13 @@
 package wire
 
+import "gingertally/internal/codec"
+
 // StoreItem mirrors one key of the state service.
 type StoreItem struct {
-	Path  string `cbor:"path"`
-	V     Raw    `cbor:"v"`
-	Stamp uint64 `cbor:"stamp"`
-	Hold  uint64 `cbor:"hold"`
+	Path  string           `cbor:"path"`
+	V     codec.RawMessage `cbor:"v"`
+	Stamp uint64           `cbor:"stamp"`
+	Hold  uint64           `cbor:"hold"`
 }
 
 // StorePage mirrors a range read.
@@ -23,10 +25,10 @@
 
 // Change is one put or drop.
 type Change struct {
-	Put  string `cbor:"put,omitempty"`
-	V    Raw    `cbor:"v,omitempty"`
-	Hold uint64 `cbor:"hold,omitempty"`
-	Drop string `cbor:"drop,omitempty"`
+	Put  string           `cbor:"put,omitempty"`
+	V    codec.RawMessage `cbor:"v,omitempty"`
+	Hold uint64           `cbor:"hold,omitempty"`
+	Drop string           `cbor:"drop,omitempty"`
 }
 
 // Commit mirrors POST /commit.
@@ -59,8 +61,8 @@
 
 // NewsEvent is one change seen by a watch.
 type NewsEvent struct {
-	Put   string `cbor:"put"`
-	V     Raw    `cbor:"v"`
-	Drop  string `cbor:"drop"`
-	Stamp uint64 `cbor:"stamp"`
+	Put   string           `cbor:"put"`
+	V     codec.RawMessage `cbor:"v"`
+	Drop  string           `cbor:"drop"`
+	Stamp uint64           `cbor:"stamp"`
 }
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -3,43 +3,38 @@
 import (
 	"fmt"
 	"math"
-	"regexp"
 	"time"
 
+	"gingertally/internal/codec"
 	"gingertally/internal/core/pipeline"
 )
 
 // MaxTasks is the largest number of tasks a job may have.
 const MaxTasks = 100_000
 
-var refForm = regexp.MustCompile(`^j-[0-9]{1,32}$`)
-
-// ValidRef tells whether s has the form of a job id.
-func ValidRef(s string) bool { return refForm.MatchString(s) }
-
 // submission mirrors the body of POST /v2/runs; pointers tell absent from zero.
 type submission struct {
-	Ref     *string   `cbor:"ref"`
-	Class   *string   `cbor:"lot_kind"`
-	Team    *string   `cbor:"owner"`
-	Shape   *string   `cbor:"shape"`
-	Urgency *string   `cbor:"urgency"`
-	Lots    *uint64   `cbor:"lots"`
-	VCPUs   *float64  `cbor:"vcpus"`
-	Cards   *float64  `cbor:"cards"`
-	MemGB   *float64  `cbor:"mem_gb"`
-	Kit     *string   `cbor:"kit"`
-	PullGB  *float64  `cbor:"pull_gb"`
-	Builds  []*string `cbor:"builds"`
-	Yard    *string   `cbor:"yard"`
-	OneZone *bool     `cbor:"one_zone"`
-	Apart   *bool     `cbor:"apart"`
-	Loaners *bool     `cbor:"loaners"`
-	GuessS  *float64  `cbor:"guess_s"`
-	MarkS   *float64  `cbor:"mark_s"`
-	StashS  *float64  `cbor:"stash_s"`
-	DueS    *float64  `cbor:"due_s"`
-	Awaits  Raw       `cbor:"awaits"`
+	Ref     *string          `cbor:"ref"`
+	Class   *string          `cbor:"lot_kind"`
+	Team    *string          `cbor:"owner"`
+	Shape   *string          `cbor:"shape"`
+	Urgency *string          `cbor:"urgency"`
+	Lots    *uint64          `cbor:"lots"`
+	VCPUs   *float64         `cbor:"vcpus"`
+	Cards   *float64         `cbor:"cards"`
+	MemGB   *float64         `cbor:"mem_gb"`
+	Kit     *string          `cbor:"kit"`
+	PullGB  *float64         `cbor:"pull_gb"`
+	Builds  []*string        `cbor:"builds"`
+	Yard    *string          `cbor:"yard"`
+	OneZone *bool            `cbor:"one_zone"`
+	Apart   *bool            `cbor:"apart"`
+	Loaners *bool            `cbor:"loaners"`
+	GuessS  *float64         `cbor:"guess_s"`
+	MarkS   *float64         `cbor:"mark_s"`
+	StashS  *float64         `cbor:"stash_s"`
+	DueS    *float64         `cbor:"due_s"`
+	Awaits  codec.RawMessage `cbor:"awaits"`
 }
 
 // Bounds of a submission's fields. Amounts and durations are bounded so that sums and
@@ -58,13 +53,13 @@
 }
 
 // ParseSubmission decodes and checks a submitted job, and which jobs have to be done
-// before it. Every error is ErrMalformed.
+// before it. Every error is a codec.ErrMalformed.
 func ParseSubmission(body []byte) (pipeline.Spec, []string, error) {
-	if len(body) > MaxBody || !isMap(body) {
-		return pipeline.Spec{}, nil, fmt.Errorf("%w: not a map within the size limit", ErrMalformed)
+	if len(body) > MaxBody || !codec.IsMap(body) {
+		return pipeline.Spec{}, nil, fmt.Errorf("%w: not a map within the size limit", codec.ErrMalformed)
 	}
 	var message submission
-	if err := Unmarshal(body, &message); err != nil {
+	if err := codec.Unmarshal(body, &message); err != nil {
 		return pipeline.Spec{}, nil, err
 	}
 	var fields fieldReader
@@ -93,25 +88,25 @@
 // identity reads what the job is called and of which kind it is.
 func (f *fieldReader) identity(spec *pipeline.Spec, message *submission) {
 	spec.Ref = f.text("ref", message.Ref)
-	if spec.Ref != "" && !ValidRef(spec.Ref) {
-		f.note(fmt.Errorf("%w: ref has not the form of a job id", ErrMalformed))
+	if spec.Ref != "" && !pipeline.ValidRef(spec.Ref) {
+		f.note(fmt.Errorf("%w: ref has not the form of a job id", codec.ErrMalformed))
 	}
 	spec.Class = f.text("lot_kind", message.Class)
 	spec.Team = f.text("owner", message.Team)
 	spec.Image = f.text("kit", message.Kit)
 	var known bool
 	if spec.Shape, known = shapes[f.text("shape", message.Shape)]; !known {
-		f.note(fmt.Errorf("%w: shape is unknown", ErrMalformed))
+		f.note(fmt.Errorf("%w: shape is unknown", codec.ErrMalformed))
 	}
 	if spec.Priority, known = priorities[f.text("urgency", message.Urgency)]; !known {
-		f.note(fmt.Errorf("%w: urgency is unknown", ErrMalformed))
+		f.note(fmt.Errorf("%w: urgency is unknown", codec.ErrMalformed))
 	}
 }
 
 // resources reads how many tasks there are, and what each of them takes.
 func (f *fieldReader) resources(spec *pipeline.Spec, message *submission) {
 	if message.Lots == nil || *message.Lots == 0 || *message.Lots > MaxTasks {
-		f.note(fmt.Errorf("%w: lots is missing or out of range", ErrMalformed))
+		f.note(fmt.Errorf("%w: lots is missing or out of range", codec.ErrMalformed))
 	} else {
 		spec.Tasks = int(*message.Lots)
 	}
@@ -150,7 +145,7 @@
 // present notes an error if a field is missing.
 func present[T any](f *fieldReader, name string, field *T) bool {
 	if field == nil {
-		f.note(fmt.Errorf("%w: %s is missing", ErrMalformed, name))
+		f.note(fmt.Errorf("%w: %s is missing", codec.ErrMalformed, name))
 	}
 	return field != nil
 }
@@ -160,7 +155,7 @@
 		return ""
 	}
 	if *field == "" || len(*field) > maxText {
-		f.note(fmt.Errorf("%w: %s is empty or too long", ErrMalformed, name))
+		f.note(fmt.Errorf("%w: %s is empty or too long", codec.ErrMalformed, name))
 		return ""
 	}
 	return *field
@@ -171,7 +166,7 @@
 		return 0
 	}
 	if math.IsNaN(*field) || *field < 0 || *field > maxAmount {
-		f.note(fmt.Errorf("%w: %s out of range", ErrMalformed, name))
+		f.note(fmt.Errorf("%w: %s out of range", codec.ErrMalformed, name))
 		return 0
 	}
 	return *field
@@ -186,19 +181,19 @@
 }
 
 // parseDependencies reads the list of jobs that have to be done first, each named once.
-func parseDependencies(value Raw) ([]string, error) {
+func parseDependencies(value codec.RawMessage) ([]string, error) {
 	if len(value) == 0 {
 		return nil, nil
 	}
 	var refs []*string
-	if err := Unmarshal(value, &refs); err != nil {
-		return nil, fmt.Errorf("%w: awaits is no list of job ids", ErrMalformed)
+	if err := codec.Unmarshal(value, &refs); err != nil {
+		return nil, fmt.Errorf("%w: awaits is no list of job ids", codec.ErrMalformed)
 	}
 	var out []string
 	seen := make(map[string]bool, len(refs))
 	for _, ref := range refs {
 		if ref == nil {
-			return nil, fmt.Errorf("%w: awaits is no list of job ids", ErrMalformed)
+			return nil, fmt.Errorf("%w: awaits is no list of job ids", codec.ErrMalformed)
 		}
 		if !seen[*ref] {
 			seen[*ref] = true
--- a/internal/wire/task_name.go
+++ b/internal/wire/task_name.go
@@ -3,22 +3,22 @@
 import (
 	"fmt"
 	"strings"
+
+	"gingertally/internal/codec"
+	"gingertally/internal/core/pipeline"
 )
 
 // maxTaskDigits is how long a task's number may be.
 const maxTaskDigits = 9
 
-// TaskName names one task of a job on the wire.
-func TaskName(ref string, task int) string { return fmt.Sprintf("%s/%d", ref, task) }
-
 // ParseTaskName splits a task's wire name.
 func ParseTaskName(s string) (ref string, task int, err error) {
 	ref, digits, ok := strings.Cut(s, "/")
-	if !ok || !ValidRef(ref) {
-		return "", 0, fmt.Errorf("%w: task name %q", ErrMalformed, s)
+	if !ok || !pipeline.ValidRef(ref) {
+		return "", 0, fmt.Errorf("%w: task name %q", codec.ErrMalformed, s)
 	}
 	if task, ok = parseTaskNumber(digits); !ok {
-		return "", 0, fmt.Errorf("%w: task name %q", ErrMalformed, s)
+		return "", 0, fmt.Errorf("%w: task name %q", codec.ErrMalformed, s)
 	}
 	return ref, task, nil
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -6,6 +6,7 @@
 	"strings"
 	"testing"
 
+	"gingertally/internal/codec"
 	"gingertally/internal/core/fleet"
 )
 
@@ -16,18 +17,18 @@
 }
 
 func TestParseSubmission(t *testing.T) {
-	if s, _, err := ParseSubmission(MustMarshal(good())); err != nil || s.Tasks != 16 || s.Types[0] != "g8" || s.Deadline.Seconds() != 900 {
+	if s, _, err := ParseSubmission(codec.MustMarshal(good())); err != nil || s.Tasks != 16 || s.Types[0] != "g8" || s.Deadline.Seconds() != 900 {
 		t.Fatalf("good submission: %+v, %v", s, err)
 	}
 	change := func(field string, v any) []byte {
 		m := good()
 		m[field] = v
-		return MustMarshal(m)
+		return codec.MustMarshal(m)
 	}
 	without := func(field string) []byte {
 		m := good()
 		delete(m, field)
-		return MustMarshal(m)
+		return codec.MustMarshal(m)
 	}
 	for name, body := range map[string][]byte{
 		"no builds":      without("builds"),
@@ -44,9 +45,9 @@
 	for name, body := range map[string][]byte{
 		"empty":            {},
 		"not CBOR":         []byte("{\"ref\":1}"),
-		"null":             MustMarshal(nil),
-		"a list":           MustMarshal([]int{1}),
-		"more than one":    append(MustMarshal(good()), 0),
+		"null":             codec.MustMarshal(nil),
+		"a list":           codec.MustMarshal([]int{1}),
+		"more than one":    append(codec.MustMarshal(good()), 0),
 		"too long":         change("kit", strings.Repeat("x", MaxBody)),
 		"no ref":           without("ref"),
 		"no one_zone":      without("one_zone"),
@@ -68,7 +69,7 @@
 		"types not a list": change("builds", "g8"),
 		"type null":        change("builds", []any{nil}),
 	} {
-		if _, _, err := ParseSubmission(body); !errors.Is(err, ErrMalformed) {
+		if _, _, err := ParseSubmission(body); !errors.Is(err, codec.ErrMalformed) {
 			t.Errorf("%s: error %v", name, err)
 		}
 	}
@@ -82,7 +83,7 @@
 }
 
 func TestParseReport(t *testing.T) {
-	r, err := ParseHeartbeat(MustMarshal(goodBeat()))
+	r, err := ParseHeartbeat(codec.MustMarshal(goodBeat()))
 	if err != nil || len(r.Tasks) != 2 || r.InterruptionIn >= 0 || r.Tasks[0].State != fleet.Running ||
 		r.Tasks[1].Cause != fleet.CauseStopped || !r.Tasks[1].Checkpointed || r.Tasks[1].Attempt != 1<<63 {
 		t.Fatalf("good report: %+v, %v", r, err)
@@ -91,7 +92,7 @@
 		"lots": []any{map[string]any{"lot": "j-000412", "try": 2, "status": "running"}}} {
 		m := goodBeat()
 		m[field] = v
-		if _, err := ParseHeartbeat(MustMarshal(m)); !errors.Is(err, ErrMalformed) {
+		if _, err := ParseHeartbeat(codec.MustMarshal(m)); !errors.Is(err, codec.ErrMalformed) {
 			t.Errorf("%s = %v: error %v", field, v, err)
 		}
 	}
@@ -104,7 +105,7 @@
 	} {
 		m := goodBeat()
 		m["lots"] = []any{lot}
-		if _, err := ParseHeartbeat(MustMarshal(m)); !errors.Is(err, ErrMalformed) {
+		if _, err := ParseHeartbeat(codec.MustMarshal(m)); !errors.Is(err, codec.ErrMalformed) {
 			t.Errorf("%v: error %v", lot, err)
 		}
 	}
