--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -4,6 +4,7 @@
 // is proven gone (docs/design.md, safety arguments 3 to 7 and 11).
 
 import (
+	"log/slog"
 	"sort"
 	"time"
 
@@ -82,7 +83,7 @@
 	}
 	if to == fleet.Running {
 		u.running++
-		e.debug("running", "job", a.Ref, "task", a.Task, "machine", m.Name, "after", now.Sub(a.SentAt), "fetch_expected", a.FetchEstimate)
+		e.debug(LogAttemptRunning, logAttempt(a, logSince("since_start_sent", now, a.SentAt), slog.Duration("fetch_estimate", a.FetchEstimate))...)
 	}
 	if to == fleet.Exited {
 		e.settleExit(now, m, a, was)
@@ -149,11 +150,11 @@
 }
 
 // stopJob ends all attempts of a job at once: nothing they could save counts.
-func (e *Engine) stopJob(now time.Time, j *pipeline.Job, why string) {
+func (e *Engine) stopJob(now time.Time, j *pipeline.Job, reason stopReason) {
 	for _, a := range e.attemptsOf(j.Ref) {
 		e.stop(now, a.Machine, a, 0)
 	}
-	e.debug("job stopped", "job", j.Ref, "why", why)
+	e.debug(LogJobTasksStopped, logJob(j), logReason(string(reason)))
 }
 
 // stop has an attempt end, saving first if grace allows. A start that hasn't left is simply
@@ -205,10 +206,10 @@
 }
 
 // attemptLost handles an attempt that is proven gone without a reported exit.
-func (e *Engine) attemptLost(now time.Time, m *fleet.Machine, a *fleet.Attempt, why string) {
+func (e *Engine) attemptLost(now time.Time, m *fleet.Machine, a *fleet.Attempt, reason lostReason) {
 	e.chargeInvoluntary(now, a)
 	e.detach(now, m, a)
-	e.debug("attempt gone", "job", a.Ref, "task", a.Task, "machine", m.Name, "why", why)
+	e.debug(LogAttemptLost, logAttempt(a, logReason(string(reason)))...)
 	e.requeue(a)
 	e.stopBrokenGang(now, a)
 }
@@ -246,7 +247,7 @@
 		return
 	}
 	a.ExitHandled = true
-	e.debug("attempt exited", "job", a.Ref, "task", a.Task, "machine", m.Name, "cause", t.Cause, "saved", t.Checkpointed)
+	e.debug(LogAttemptExited, logAttempt(a, slog.String("cause", t.Cause.String()), slog.Bool("checkpointed", t.Checkpointed))...)
 	if !current {
 		return
 	}
@@ -274,7 +275,7 @@
 // taskDone takes in a task's result. The worker may forget it only once the store holds it
 // (docs/design.md, safety argument 7; TestForgetOnlyAfterWritten).
 func (e *Engine) taskDone(now time.Time, m *fleet.Machine, a *fleet.Attempt) {
-	e.debug("attempt done", "job", a.Ref, "task", a.Task, "machine", m.Name)
+	e.debug(LogAttemptSucceeded, logAttempt(a)...)
 	m.ClearFailures()
 	j := e.jobs[a.Ref]
 	if j == nil || j.Over() || a.Task >= len(j.Tasks) {
@@ -287,7 +288,7 @@
 	e.useOf(a.Ref).results[a] = true
 	j.Finish(a.Task)
 	if j.CompleteIfDone() {
-		e.note("job complete", "job", j.Ref)
+		e.log(LogJobTasksDone, logJob(j))
 	}
 	e.jobWrites.jobChanged(j)
 }
@@ -309,7 +310,7 @@
 	if !m.Quarantined && (len(m.FailedJobs) >= quarantineAfterJobs || m.Failures >= quarantineAfterFailures && len(j.AvoidUntil) == 0) {
 		m.Quarantined = true
 		e.timers.schedule(m, now)
-		e.note("machine taken for sick", "machine", m.Name, "errors", m.Failures)
+		e.log(LogMachineQuarantined, logMachine(m), slog.Int("failures", m.Failures))
 		for ref := range m.FailedJobs {
 			if o := e.jobs[ref]; o != nil {
 				delete(o.AvoidUntil, m.Name)
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -48,7 +48,7 @@
 		e.Step(now, Tick{})
 		for batch := e.Batch(now, 30); len(batch) > 0; batch = e.Batch(now, 30) {
 			e.Step(now, WritesStarted{batch})
-			e.Step(now, WritesFinished{Batch: batch, OK: true, Version: 100})
+			e.Step(now, WritesFinished{Batch: batch, OK: true, Revision: 100})
 		}
 		for i := range reports {
 			for _, c := range hear(i).Commands {
--- a/internal/core/cancel.go
+++ b/internal/core/cancel.go
@@ -108,7 +108,7 @@
 func (c CancelRequested) apply(e *Engine, now time.Time) {
 	e.cancellations.begin(c.Ref)
 	if j := e.jobs[c.Ref]; j != nil {
-		e.stopJob(now, j, "its user cancels it")
+		e.stopJob(now, j, stopCancelRequested)
 	}
 }
 
@@ -184,7 +184,7 @@
 		for _, a := range left {
 			e.stop(now, a.Machine, a, 0)
 			if late {
-				e.scaleIn(now, a.Machine, "holds a cancelled task")
+				e.scaleIn(now, a.Machine, ScaleInCancelledTask)
 			}
 		}
 	}
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -65,7 +65,7 @@
 	a.SentAt, a.FetchEstimate = now, m.FetchLeft(now, a.Image, imageGB, rate)
 	m.UseImage(now, a.Image, imageGB, cache, rate)
 	e.imagesChanged(m)
-	e.debug("start", "job", a.Ref, "task", a.Task, "machine", m.Name, "attempt", a.Number)
+	e.debug(LogStartSent, logAttempt(a)...)
 }
 
 // mayStart tells whether a machine may be given starts (docs/design.md, safety arguments 5
--- a/internal/core/connectivity.go
+++ b/internal/core/connectivity.go
@@ -101,5 +101,5 @@
 	if len(e.unreachable) > max(2, len(e.machines)/4) {
 		return
 	}
-	e.scaleIn(now, m, "hears nothing")
+	e.scaleIn(now, m, ScaleInUnreachable)
 }
--- a/internal/core/consolidate.go
+++ b/internal/core/consolidate.go
@@ -1,6 +1,7 @@
 package core
 
 import (
+	"log/slog"
 	"maps"
 	"math"
 	"sort"
@@ -69,7 +70,7 @@
 		atOnce--
 		m := c.slot.Machine
 		e.emptying[m] = true
-		e.note("machine emptied", "machine", m.Name, "type", m.Type, "tasks", m.ActiveAttempts(), "saves", math.Round(c.gain*100)/100)
+		e.log(LogConsolidationStarted, logMachine(m), slog.String("type", m.Type), logActive(m), slog.Float64("saves_dollars", math.Round(c.gain*100)/100))
 		e.moveByChoice(now, m)
 		e.startDraining(now, m)
 	}
--- a/internal/core/consolidate_test.go
+++ b/internal/core/consolidate_test.go
@@ -48,8 +48,8 @@
 		b.report("m-2", 2, onSecond...)
 		for range 15 {
 			b.now = b.now.Add(200 * time.Millisecond)
-			for _, n := range b.e.Step(b.now, Tick{}).Notes {
-				emptied = emptied || n.Text == "machine emptied" && n.Args[1] == "m-1"
+			for _, line := range b.e.Step(b.now, Tick{}).Log {
+				emptied = emptied || line.Event == LogConsolidationStarted && line.Attrs[0].Value.String() == "m-1"
 			}
 		}
 	}
--- a/internal/core/decide.go
+++ b/internal/core/decide.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"log/slog"
 	"time"
 
 	"gingertally/internal/core/capacity"
@@ -33,7 +34,7 @@
 		return
 	}
 	if e.attemptsUsedUp() {
-		e.out.Resign = "the term's attempt numbers are used up"
+		e.out.AttemptNumbersExhausted = true
 		return
 	}
 	e.replan, e.placedAt = false, now
@@ -166,7 +167,7 @@
 	e.attach(now, d.Slot.Machine, a, fleet.Intended)
 	e.startLog.addAttempt(a)
 	j.Assign(d.Task, d.Slot.Machine.Name, n)
-	e.debug("placed", "job", j.Ref, "task", d.Task, "machine", d.Slot.Machine.Name, "type", d.Slot.Machine.Type)
+	e.debug(LogTaskPlaced, logJob(j), slog.Int(logKeyTask, d.Task), logMachine(d.Slot.Machine), slog.String("type", d.Slot.Machine.Type))
 }
 
 // scaleOut asks for machines for work that nothing has room for.
--- a/internal/core/dependents.go
+++ b/internal/core/dependents.go
@@ -1,6 +1,7 @@
 package core
 
 import (
+	"log/slog"
 	"time"
 
 	"gingertally/internal/core/pipeline"
@@ -43,7 +44,7 @@
 		end = time.UnixMilli(f.EndMS)
 	}
 	for _, j := range e.graph.JobDone(ref, end) {
-		e.note("job let go", "job", j.Ref, "after", now.Sub(j.Submitted))
+		e.log(LogJobDependenciesDone, logJob(j), logSince("waited", now, j.Submitted))
 		e.becameReady(now, j)
 		e.jobWrites.jobChanged(j)
 	}
@@ -54,7 +55,7 @@
 // (TestCancelReachesAllAtOnce).
 func (e *Engine) cancelDependents(now time.Time, ref string) {
 	for _, j := range e.graph.JobCancelled(ref, now) {
-		e.note("job cancelled with one that it needs", "job", j.Ref, "first", ref)
+		e.log(LogJobCancelledDependent, logJob(j), slog.String("dependency", ref))
 		e.jobWrites.jobChanged(j)
 	}
 }
--- a/internal/core/dependents_test.go
+++ b/internal/core/dependents_test.go
@@ -61,8 +61,8 @@
 
 func (b *bench) ended(ref string) (f pipeline.Final, ok bool) {
 	for _, w := range b.e.Batch(b.now, 50) {
-		if w.Kind == WriteFinal && w.Name == ref {
-			return w.Final, true
+		if final, ok := w.(PutFinal); ok && final.Ref == ref {
+			return final.Final, true
 		}
 	}
 	return f, false
@@ -183,15 +183,17 @@
 		b.e.Step(b.now, WritesStarted{batch})
 		for _, w := range batch {
 			entries := 0
-			for _, p := range w.Page.Placed {
-				entries += len(p.Entries)
+			if page, ok := w.(PutStartLogPage); ok {
+				for _, p := range page.Record.Placed {
+					entries += len(p.Entries)
+				}
 			}
-			if w.Kind == WritePage && entries > 10 {
+			if entries > 10 {
 				largest = max(largest, entries)
 				b.e.Step(b.now, WriteRejected{w})
 				continue
 			}
-			b.e.Step(b.now, WritesFinished{Batch: []Write{w}, OK: true, Version: 100})
+			b.e.Step(b.now, WritesFinished{Batch: []Write{w}, OK: true, Revision: 100})
 		}
 	}
 	if largest == 0 || len(started) != 60 {
@@ -201,8 +203,8 @@
 
 // changes is how many puts and drops a batch makes.
 func changes(batch []Write) (n int) {
-	for i := range batch {
-		n += batch[i].changes()
+	for _, w := range batch {
+		n += w.ops()
 	}
 	return n
 }
@@ -221,18 +223,23 @@
 		e.startLog.addPage(p)
 		e.startLog.pageChanged(p)
 	}
-	seen := map[WriteKind]int{}
+	finals, pages := 0, 0
 	for range 2 {
 		batch := e.Batch(time.Unix(1, 0), 2)
 		if changes(batch) > 2 {
 			t.Fatalf("%d changes in a batch of two", changes(batch))
 		}
 		for _, w := range batch {
-			seen[w.Kind]++
+			switch w.(type) {
+			case PutFinal:
+				finals++
+			case PutStartLogPage:
+				pages++
+			}
 		}
 	}
-	if seen[WriteFinal] != 1 || seen[WritePage] != 2 {
-		t.Fatalf("two batches of two changes held %v", seen)
+	if finals != 1 || pages != 2 {
+		t.Fatalf("two batches of two changes held %d final entries and %d pages", finals, pages)
 	}
 }
 
@@ -251,7 +258,7 @@
 	b.e.Step(b.now, JobFinished{Ref: "j-8", Final: pipeline.Final{Phase: pipeline.Cancelled}})
 	var order []string
 	for _, w := range b.e.Batch(b.now, 20) {
-		order = append(order, w.Name)
+		order = append(order, w.Target())
 	}
 	if want := []string{"j-9", "j-5", "j-1", "j-2"}; !slices.Equal(order, want) {
 		t.Fatalf("written in the order %v, want %v", order, want)
@@ -272,7 +279,7 @@
 		b.e.jobs[ref].Finish(0)
 		b.e.jobWrites.jobChanged(b.e.jobs[ref])
 	}
-	if batch := b.e.Batch(b.now, 10); len(batch) != 1 || batch[0].Name != "j-2" {
+	if batch := b.e.Batch(b.now, 10); len(batch) != 1 || batch[0].Target() != "j-2" {
 		t.Fatalf("writes %+v", batch)
 	}
 	b.e.jobs["j-1"].Finish(1)
--- a/internal/core/drain_bench_test.go
+++ b/internal/core/drain_bench_test.go
@@ -55,7 +55,7 @@
 			e.Step(now, Tick{})
 			batch := e.Batch(now, 30)
 			e.Step(now, WritesStarted{batch})
-			e.Step(now, WritesFinished{Batch: batch, OK: true, Version: 100})
+			e.Step(now, WritesFinished{Batch: batch, OK: true, Revision: 100})
 		}
 	}
 	return e, now, reports
--- a/internal/core/drain_eviction.go
+++ b/internal/core/drain_eviction.go
@@ -219,7 +219,7 @@
 	a.Eviction, a.Stopping, a.StopAt, a.CommandSequence = fleet.EvictionSent, true, now, m.Sequence
 	a.Grace = j.CheckpointTime + time.Second
 	e.capacityChanged(m)
-	e.note("evicted", "job", a.Ref, "task", a.Task, "machine", m.Name)
+	e.log(LogTaskEvicted, logAttempt(a)...)
 	return true
 }
 
@@ -367,7 +367,7 @@
 	e.revokeEvictions(m.Name)
 	m.Draining = false
 	e.capacityChanged(m)
-	e.note("machine kept", "machine", m.Name, "busy", m.ActiveAttempts())
+	e.log(LogConsolidationGivenUp, logMachine(m), logActive(m))
 }
 
 // evictOwn evicts what is under a budget on machines that the scheduler empties by choice.
--- a/internal/core/drain_harness_test.go
+++ b/internal/core/drain_harness_test.go
@@ -80,7 +80,7 @@
 		for _, w := range batch {
 			d.store(w)
 		}
-		d.step(WritesFinished{Batch: batch, OK: true, Version: 100})
+		d.step(WritesFinished{Batch: batch, OK: true, Revision: 100})
 	}
 }
 
@@ -106,33 +106,40 @@
 
 // store keeps a write.
 func (d *drainBench) store(w Write) {
-	switch w.Kind {
-	case WriteCharges:
+	switch w := w.(type) {
+	case PutChargePage:
 		d.stored.Charges = append(d.stored.Charges[:0:0], d.stored.Charges...)
 		for i, p := range d.stored.Charges {
 			if p.Name == w.Name {
-				d.stored.Charges[i].Record = w.Charges
+				d.stored.Charges[i].Record = w.Record
 				return
 			}
 		}
-		d.stored.Charges = append(d.stored.Charges, drain.StoredCharges{Name: w.Name, Version: 100, Record: w.Charges})
-	case WriteCordons, DropCordons:
-		for i, p := range d.stored.Machines {
-			if p.Name == w.Name {
-				d.stored.Machines[i].Record = w.Cordons
-				return
-			}
-		}
-		d.stored.Machines = append(d.stored.Machines, drain.StoredMachines{Name: w.Name, Version: 100, Record: w.Cordons})
-	case WritePage:
+		d.stored.Charges = append(d.stored.Charges, drain.StoredCharges{Name: w.Name, Version: 100, Record: w.Record})
+	case PutCordonPage:
+		d.storeCordons(w.Name, w.Record)
+	case DeleteCordonPage:
+		d.storeCordons(w.Name, drain.MachinePage{})
+	case PutStartLogPage:
 		for i, p := range d.pages {
 			if p.Name == w.Name {
-				d.pages[i].Record = w.Page
+				d.pages[i].Record = w.Record
 				return
 			}
 		}
-		d.pages = append(d.pages, StoredPage{Name: w.Name, Version: 100, Record: w.Page})
+		d.pages = append(d.pages, StoredPage{Name: w.Name, Version: 100, Record: w.Record})
+	}
+}
+
+// storeCordons keeps a page of cordons.
+func (d *drainBench) storeCordons(name string, record drain.MachinePage) {
+	for i, p := range d.stored.Machines {
+		if p.Name == name {
+			d.stored.Machines[i].Record = record
+			return
+		}
 	}
+	d.stored.Machines = append(d.stored.Machines, drain.StoredMachines{Name: name, Version: 100, Record: record})
 }
 
 // plan stores a plan and tells the leader.
--- a/internal/core/drain_round.go
+++ b/internal/core/drain_round.go
@@ -1,6 +1,7 @@
 package core
 
 import (
+	"log/slog"
 	"time"
 
 	"gingertally/internal/core/fleet"
@@ -81,7 +82,7 @@
 		c.Cordon(now, name, plan)
 		e.applyCordon(m)
 		e.withdrawUnsentStarts(now, m)
-		e.note("machine cordoned", "machine", name, "plan", plan, "busy", m.ActiveAttempts())
+		e.log(LogMachineCordoned, logMachine(m), slog.String(logKeyPlan, plan), logActive(m))
 	}
 }
 
@@ -150,7 +151,7 @@
 	}
 	verdict := e.judgeAll(now, work, c.PlanDeadline(dm.Plan))
 	if verdict.Kind == drain.Never {
-		e.note("machine can't be emptied", "machine", m.Name, "why", verdict.String())
+		e.log(LogMachineDrainBlocked, logMachine(m), logReason(verdict.String()))
 		c.Defer(now, m.Name, dm.Plan, verdict)
 		e.revokeEvictions(m.Name)
 		e.applyCordon(m)
@@ -168,7 +169,7 @@
 // machineEmptied has a machine on which nothing is left take the way of all that are given back.
 func (e *Engine) machineEmptied(now time.Time, dm *drain.Machine, m *fleet.Machine) {
 	if e.drains.coordinator.Move(dm, drain.Empty) {
-		e.note("machine emptied for its plan", "machine", m.Name, "plan", dm.Plan, "after", now.Sub(dm.Since))
+		e.log(LogMachineDrained, logMachine(m), slog.String(logKeyPlan, dm.Plan), logSince("took", now, dm.Since))
 		e.startDraining(now, m)
 	}
 }
--- /dev/null
+++ b/internal/core/drain_writes.go
@@ -0,0 +1,164 @@
+package core
+
+import (
+	"time"
+
+	"gingertally/internal/drain"
+)
+
+// PutChargePage writes a page of the ledger of charges.
+type PutChargePage struct {
+	Name    string
+	Version uint64
+	Record  drain.ChargePage
+}
+
+// Kind implements Write.
+func (PutChargePage) Kind() string { return "put charge page" }
+
+// Target implements Write.
+func (w PutChargePage) Target() string { return w.Name }
+
+// JobRef implements Write.
+func (PutChargePage) JobRef() string { return "" }
+
+// Encode implements Write.
+func (w PutChargePage) Encode(encoder WriteEncoder) error { return encoder.PutChargePage(w) }
+
+func (PutChargePage) ops() int { return 1 }
+
+func (w PutChargePage) started(e *Engine, _ time.Time) {
+	e.drains.coordinator.Ledger.WriteStarted(w.Name)
+}
+
+func (w PutChargePage) succeeded(e *Engine, _ time.Time, revision uint64) {
+	e.chargePageWritten(w.Name, false, drain.Outcome{OK: true, Version: revision})
+}
+
+func (w PutChargePage) failed(e *Engine, versions map[string]uint64) {
+	e.chargePageWritten(w.Name, false, failedOutcome(w.Name, versions))
+}
+
+func (w PutChargePage) rejected(e *Engine, _ time.Time) { e.drains.coordinator.Ledger.Refused(w.Name) }
+
+// DeleteChargePage deletes a page of the ledger that counts nowhere any more.
+type DeleteChargePage struct {
+	Name    string
+	Version uint64
+}
+
+// Kind implements Write.
+func (DeleteChargePage) Kind() string { return "delete charge page" }
+
+// Target implements Write.
+func (w DeleteChargePage) Target() string { return w.Name }
+
+// JobRef implements Write.
+func (DeleteChargePage) JobRef() string { return "" }
+
+// Encode implements Write.
+func (w DeleteChargePage) Encode(encoder WriteEncoder) error { return encoder.DeleteChargePage(w) }
+
+func (DeleteChargePage) ops() int { return 1 }
+
+func (w DeleteChargePage) started(e *Engine, _ time.Time) {
+	e.drains.coordinator.Ledger.WriteStarted(w.Name)
+}
+
+func (w DeleteChargePage) succeeded(e *Engine, _ time.Time, _ uint64) {
+	e.chargePageWritten(w.Name, true, drain.Outcome{OK: true})
+}
+
+func (w DeleteChargePage) failed(e *Engine, versions map[string]uint64) {
+	e.chargePageWritten(w.Name, true, failedOutcome(w.Name, versions))
+}
+
+func (w DeleteChargePage) rejected(e *Engine, _ time.Time) {
+	e.drains.coordinator.Ledger.Refused(w.Name)
+}
+
+// PutCordonPage writes a page with the states of machines in drains.
+type PutCordonPage struct {
+	Name    string
+	Version uint64
+	Record  drain.MachinePage
+}
+
+// Kind implements Write.
+func (PutCordonPage) Kind() string { return "put cordon page" }
+
+// Target implements Write.
+func (w PutCordonPage) Target() string { return w.Name }
+
+// JobRef implements Write.
+func (PutCordonPage) JobRef() string { return "" }
+
+// Encode implements Write.
+func (w PutCordonPage) Encode(encoder WriteEncoder) error { return encoder.PutCordonPage(w) }
+
+func (PutCordonPage) ops() int { return 1 }
+
+func (w PutCordonPage) started(e *Engine, _ time.Time) { e.drains.coordinator.WriteStarted(w.Name) }
+
+func (w PutCordonPage) succeeded(e *Engine, _ time.Time, revision uint64) {
+	e.cordonPageWritten(w.Name, drain.Outcome{OK: true, Version: revision})
+}
+
+func (w PutCordonPage) failed(e *Engine, versions map[string]uint64) {
+	e.cordonPageWritten(w.Name, failedOutcome(w.Name, versions))
+}
+
+func (w PutCordonPage) rejected(e *Engine, _ time.Time) { e.drains.coordinator.Refused(w.Name) }
+
+// DeleteCordonPage deletes a page that names no machine any more.
+type DeleteCordonPage struct {
+	Name    string
+	Version uint64
+}
+
+// Kind implements Write.
+func (DeleteCordonPage) Kind() string { return "delete cordon page" }
+
+// Target implements Write.
+func (w DeleteCordonPage) Target() string { return w.Name }
+
+// JobRef implements Write.
+func (DeleteCordonPage) JobRef() string { return "" }
+
+// Encode implements Write.
+func (w DeleteCordonPage) Encode(encoder WriteEncoder) error { return encoder.DeleteCordonPage(w) }
+
+func (DeleteCordonPage) ops() int { return 1 }
+
+func (w DeleteCordonPage) started(e *Engine, _ time.Time) { e.drains.coordinator.WriteStarted(w.Name) }
+
+func (w DeleteCordonPage) succeeded(e *Engine, _ time.Time, _ uint64) {
+	e.cordonPageWritten(w.Name, drain.Outcome{OK: true})
+}
+
+func (w DeleteCordonPage) failed(e *Engine, versions map[string]uint64) {
+	e.cordonPageWritten(w.Name, failedOutcome(w.Name, versions))
+}
+
+func (w DeleteCordonPage) rejected(e *Engine, _ time.Time) { e.drains.coordinator.Refused(w.Name) }
+
+// failedOutcome is the outcome of a write that isn't known to have happened, with the version of
+// its page if that was read afterwards.
+func failedOutcome(name string, versions map[string]uint64) drain.Outcome {
+	version, known := versions[name]
+	return drain.Outcome{Version: version, Known: known}
+}
+
+// chargePageWritten brings the ledger the outcome of the write of a page.
+func (e *Engine) chargePageWritten(name string, deleted bool, outcome drain.Outcome) {
+	e.drains.coordinator.Ledger.Written(drain.PageWrite{Name: name, Drop: deleted}, outcome)
+}
+
+// cordonPageWritten brings the outcome of the write of a page of cordons, which hold from then on.
+func (e *Engine) cordonPageWritten(name string, outcome drain.Outcome) {
+	for _, machine := range e.drains.coordinator.Written(name, outcome) {
+		if m := e.machines[machine]; m != nil {
+			e.applyCordon(m)
+		}
+	}
+}
--- a/internal/core/draining.go
+++ b/internal/core/draining.go
@@ -5,6 +5,7 @@
 // work is evicted, and what has become empty takes the way of every machine that is given back.
 
 import (
+	"log/slog"
 	"time"
 
 	"gingertally/internal/core/fleet"
@@ -141,7 +142,7 @@
 			e.revokeEvictions(m.Name)
 		}
 	}
-	e.note("drain plan", "plan", s.Stored.Plan.ID, "phase", s.Stored.Plan.Phase.String())
+	e.log(LogDrainPlanChanged, slog.String(logKeyPlan, s.Stored.Plan.ID), slog.String("phase", s.Stored.Plan.Phase.String()))
 }
 
 // DrainPlanWritten says that the write of a plan's record has ended.
@@ -173,56 +174,21 @@
 	}
 	most := max(1, b.remaining/2)
 	for _, w := range d.coordinator.Writes(most) {
-		kind := WriteCordons
 		if w.Drop {
-			kind = DropCordons
+			b.add(DeleteCordonPage{Name: w.Name, Version: w.Version})
+		} else {
+			b.add(PutCordonPage{Name: w.Name, Version: w.Version, Record: w.Record})
 		}
-		b.add(Write{Kind: kind, Name: w.Name, Version: w.Version, Cordons: w.Record})
 		most--
 	}
 	for _, w := range d.coordinator.Ledger.Writes(now, most) {
-		kind := WriteCharges
 		if w.Drop {
-			kind = DropCharges
+			b.add(DeleteChargePage{Name: w.Name, Version: w.Version})
+		} else {
+			b.add(PutChargePage{Name: w.Name, Version: w.Version, Record: w.Record})
 		}
-		b.add(Write{Kind: kind, Name: w.Name, Version: w.Version, Charges: w.Record})
 	}
 }
 
 // pending tells whether an eviction or a cordon waits for a write.
 func (d *draining) pending() bool { return d != nil && d.coordinator.Pending() }
-
-// writeStarted notes that a page is on its way to the store.
-func (d *draining) writeStarted(w Write) {
-	switch w.Kind {
-	case WriteCharges, DropCharges:
-		d.coordinator.Ledger.WriteStarted(w.Name)
-	default:
-		d.coordinator.WriteStarted(w.Name)
-	}
-}
-
-// drainPageWritten brings the outcome of the write of a page of drains.
-func (e *Engine) drainPageWritten(w Write, outcome drain.Outcome) {
-	c := e.drains.coordinator
-	switch w.Kind {
-	case WriteCharges, DropCharges:
-		c.Ledger.Written(drain.PageWrite{Name: w.Name, Drop: w.Kind == DropCharges}, outcome)
-		return
-	}
-	for _, name := range c.Written(w.Name, outcome) {
-		if m := e.machines[name]; m != nil {
-			e.applyCordon(m)
-		}
-	}
-}
-
-// refused takes in that the store takes a page under no circumstances.
-func (d *draining) refused(w Write) {
-	switch w.Kind {
-	case WriteCharges, DropCharges:
-		d.coordinator.Ledger.Refused(w.Name)
-	default:
-		d.coordinator.Refused(w.Name)
-	}
-}
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -159,13 +159,6 @@
 	Count      int
 }
 
-// Note is a line for the log.
-type Note struct {
-	Debug bool
-	Text  string
-	Args  []any
-}
-
 // Effects is what a step wants done.
 type Effects struct {
 	Response *HeartbeatResponse
@@ -173,13 +166,19 @@
 	ScaleOut []ScaleOut
 	ScaleIn  [][]string
 	Drains   []drain.PlanWrite // plans of drains whose records are to be written
-	Deposed  bool              // a higher term exists
-	// HigherFencingToken is the fencing token that a worker has seen, if that is why.
+	// HigherFencingToken is one that a worker has seen: somebody else has claimed a higher term, or
+	// this one. 0: none has been seen.
 	HigherFencingToken uint64
-	Resign             string // if not empty, why this term has to end; another one can go on
-	Notes              []Note
+	// AttemptNumbersExhausted says that this term has to end for want of attempt numbers; the
+	// next one can go on.
+	AttemptNumbersExhausted bool
+	Preempted               []*fleet.Attempt // attempts that make way for a job with a better claim
+	Log                     []LogRecord
 }
 
+// Deposed tells whether this term is over since a higher one exists.
+func (e *Effects) Deposed() bool { return e.HigherFencingToken != 0 }
+
 // Event is anything that moves the engine on.
 type Event interface {
 	apply(e *Engine, now time.Time)
@@ -242,7 +241,7 @@
 	e.recovery = recovery.New(now, recovery.Options{HeartbeatInterval: cfg.HeartbeatInterval, RestoredBound: fleet.LeaseBound(cfg.Lease), FirstTerm: term <= 1, Pace: cfg.Pace})
 	if snap.Restored {
 		e.recovery.Restored()
-		e.note("the state service was restored from an older copy")
+		e.log(LogRestoreDetected)
 	}
 	if cfg.WarmState {
 		e.warm = newWarmFeed()
@@ -262,7 +261,7 @@
 	e.recoverCharges(now)
 	for _, j := range sortedJobs(e.cancellations.stopping) {
 		// The first answer already says so (TestFirstAnswerStopsCancelled).
-		e.stopJob(now, j, "cancelled before this term")
+		e.stopJob(now, j, stopCancelledInFormerTerm)
 	}
 	return e
 }
@@ -281,19 +280,6 @@
 // Term returns the engine's term, which is also its fencing token.
 func (e *Engine) Term() uint64 { return e.term }
 
-// note adds a line for the log.
-func (e *Engine) note(text string, args ...any) {
-	e.out.Notes = append(e.out.Notes, Note{Text: text, Args: args})
-}
-
-// debug adds a line for the log at debug level, if such are wanted.
-func (e *Engine) debug(text string, args ...any) {
-	if !e.cfg.Debug {
-		return
-	}
-	e.out.Notes = append(e.out.Notes, Note{Debug: true, Text: text, Args: args})
-}
-
 // newPageName makes a name for a page of the start log or image log that no other term
 // can have made.
 func (e *Engine) newPageName() string {
--- a/internal/core/fair_order.go
+++ b/internal/core/fair_order.go
@@ -1,6 +1,7 @@
 package core
 
 import (
+	"log/slog"
 	"math"
 	"time"
 
@@ -19,7 +20,7 @@
 func (f FairOrderChanged) apply(e *Engine, _ time.Time) {
 	if f.On != e.fairOrder.On {
 		e.replan = true
-		e.note("fair order of teams", "on", f.On)
+		e.log(LogFairOrderSwitched, slog.Bool("enabled", f.On))
 	}
 	e.fairOrder = f
 }
--- a/internal/core/fleet/machine.go
+++ b/internal/core/fleet/machine.go
@@ -98,6 +98,9 @@
 		Attempts: map[TaskID]*Attempt{}}
 }
 
+// PoolKey returns the pool that the machine belongs to.
+func (m *Machine) PoolKey() PoolKey { return PoolKey{Type: m.Type, Zone: m.Zone, Spot: m.Spot} }
+
 // State returns the machine's state.
 func (m *Machine) State() MachineState { return m.state }
 
--- a/internal/core/fleet/messages.go
+++ b/internal/core/fleet/messages.go
@@ -18,6 +18,12 @@
 	CauseUnknownTask
 )
 
+var exitCauseNames = [...]string{"none", "done", "stopped", "gang peer lost", "gang incomplete", "error",
+	"insufficient resources", "already present", "unknown task"}
+
+// String returns the cause's name, as the log has it.
+func (c ExitCause) String() string { return exitCauseNames[c] }
+
 // CommandKind is a command to a worker.
 type CommandKind uint8
 
--- a/internal/core/fleet_size_test.go
+++ b/internal/core/fleet_size_test.go
@@ -18,10 +18,10 @@
 // write takes in a batch as the state service would.
 func (s storedPages) write(batch []Write, version uint64) {
 	for _, w := range batch {
-		switch w.Kind {
-		case WritePage:
-			s[w.Name] = StoredPage{Name: w.Name, Record: w.Page, Version: version}
-		case DropPage:
+		switch w := w.(type) {
+		case PutStartLogPage:
+			s[w.Name] = StoredPage{Name: w.Name, Record: w.Record, Version: version}
+		case DeleteStartLogPage:
 			delete(s, w.Name)
 		}
 	}
@@ -64,7 +64,7 @@
 		b.e.Step(b.now, Tick{})
 		for batch := b.e.Batch(b.now, 30); len(batch) > 0; batch = b.e.Batch(b.now, 30) {
 			b.e.Step(b.now, WritesStarted{batch})
-			b.e.Step(b.now, WritesFinished{Batch: batch, OK: true, Version: version})
+			b.e.Step(b.now, WritesFinished{Batch: batch, OK: true, Revision: version})
 			pages.write(batch, version)
 		}
 		report(2)
@@ -111,7 +111,7 @@
 	b.up("m-1")
 	b.e.counter = 1<<attemptBits - attemptReserve
 	b.now = b.now.Add(6 * time.Second)
-	if effects := b.e.Step(b.now, Tick{}); effects.Resign == "" {
+	if effects := b.e.Step(b.now, Tick{}); !effects.AttemptNumbersExhausted {
 		t.Fatal("the term goes on without numbers")
 	}
 	if n := b.e.machines["m-1"].ActiveAttempts(); n != 0 {
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -1,6 +1,7 @@
 package core
 
 import (
+	"log/slog"
 	"sort"
 	"time"
 
@@ -16,7 +17,7 @@
 	rep := r.Heartbeat
 	e.out.Response = &HeartbeatResponse{}
 	if rep.FencingToken > e.term {
-		e.out.Deposed, e.out.HigherFencingToken = true, rep.FencingToken
+		e.out.HigherFencingToken = rep.FencingToken
 		return
 	}
 	if _, gone := e.removed[rep.Machine]; gone {
@@ -27,11 +28,11 @@
 		m = fleet.NewMachine(now, rep.Machine, fleet.PoolKey{Type: rep.Type, Zone: rep.Zone, Spot: rep.Spot}, fleet.Booting)
 		m.TermConfirmed = true // the start log doesn't name it, so it never held a task
 		e.addMachine(now, m)
-		e.note("machine reports unexpectedly", "machine", m.Name, "type", m.Type, "zone", m.Zone)
+		e.log(LogMachineDiscovered, logMachine(m), slog.String("type", m.Type), slog.String("zone", m.Zone))
 	}
 	if rep.FencingToken == e.term && !m.FencingTokenSent {
 		// It has this fencing token from a leader that the state service has forgotten.
-		e.out.Deposed, e.out.HigherFencingToken = true, rep.FencingToken
+		e.out.HigherFencingToken = rep.FencingToken
 		return
 	}
 	if !m.Newer(&rep) {
@@ -63,7 +64,7 @@
 func (e *Engine) staleHeartbeat(now time.Time, m *fleet.Machine, r *fleet.Heartbeat) {
 	restarted := m.StaleHeartbeats.NoteStale(now, r, e.cfg.HeartbeatInterval)
 	if restarted && now.Sub(m.LastHeartbeat) > e.unresponsiveAfter() {
-		e.scaleIn(now, m, "started anew")
+		e.scaleIn(now, m, ScaleInWorkerRestarted)
 	}
 }
 
@@ -116,7 +117,7 @@
 		m.IdleSince = now // it couldn't be used before
 	}
 	if was != fleet.ScalingIn && e.moveMachine(now, m, fleet.Live) {
-		e.note("machine live", "machine", m.Name, "type", m.Type, "zone", m.Zone, "spot", m.Spot, "was", was.String(), "after", now.Sub(m.FirstSeen))
+		e.log(LogMachineLive, append(logPool(m.PoolKey()), logMachine(m), slog.String("previous_state", was.String()), logSince("since_first_seen", now, m.FirstSeen))...)
 	}
 	e.detectOneWayLoss(now, m, r, leaseEnded)
 	m.Addr, m.LastHeartbeat = r.Addr, now
@@ -151,7 +152,7 @@
 			continue // its start hasn't left, so it belongs to no incarnation yet
 		}
 		if !listsAttempt(r, a) && (!a.Inherited || m.TermConfirmed) {
-			e.attemptLost(now, m, a, "session over")
+			e.attemptLost(now, m, a, lostIncarnationEnded)
 		}
 	}
 }
@@ -187,7 +188,7 @@
 		})
 		if finding.Action == recovery.MarkLost {
 			e.recovery.Found(m.Name, finding)
-			e.attemptLost(now, m, a, finding.Reason.String())
+			e.attemptLost(now, m, a, lostReason(finding.Reason.String()))
 		}
 	}
 }
@@ -210,7 +211,7 @@
 	case recovery.Ignore:
 		return
 	case recovery.MarkLost:
-		e.attemptLost(now, m, m.Attempts[k], finding.Reason.String())
+		e.attemptLost(now, m, m.Attempts[k], lostReason(finding.Reason.String()))
 		e.applyTaskStatus(now, m, token, t)
 		return
 	case recovery.WithdrawFirst:
@@ -253,7 +254,7 @@
 		return
 	}
 	if m.InterruptionAt.IsZero() {
-		e.note("machine will be taken", "machine", m.Name, "in", left)
+		e.log(LogInterruptionNotice, logMachine(m), slog.Duration("in", left))
 	}
 	m.InterruptionAt = now.Add(left)
 	e.startDraining(now, m)
--- a/internal/core/image_log.go
+++ b/internal/core/image_log.go
@@ -158,12 +158,12 @@
 	}
 	l.lastWrite, p.lastWrite = now, now
 	if len(p.machines) == 0 && p != l.open {
-		b.add(Write{Kind: DropImages, Name: p.name})
+		b.add(DeleteImagePage{Name: p.name})
 		return
 	}
 	record := l.record(p)
 	l.moveOverflow(p, record)
-	b.add(Write{Kind: WriteImages, Name: p.name, Images: record})
+	b.add(PutImagePage{Name: p.name, Record: record})
 }
 
 // expireInherited forgets, once, machines that were not heard of for long.
@@ -220,8 +220,8 @@
 	}
 }
 
-// dropped notes that the store no longer holds a page.
-func (l *imageLog) dropped(name string) {
+// deleted notes that the store no longer holds a page.
+func (l *imageLog) deleted(name string) {
 	if p := l.pages[name]; p != nil && len(p.machines) == 0 && p != l.open {
 		delete(l.pages, name)
 	}
--- a/internal/core/images_test.go
+++ b/internal/core/images_test.go
@@ -111,11 +111,11 @@
 		batch := b.e.Batch(b.now, 10)
 		b.e.Step(b.now, WritesStarted{batch})
 		for _, w := range batch {
-			if w.Kind == WriteImages {
-				logged = []StoredImages{{w.Name, w.Images}}
+			if w, ok := w.(PutImagePage); ok {
+				logged = []StoredImages{{w.Name, w.Record}}
 			}
 		}
-		b.e.Step(b.now, WritesFinished{Batch: batch, OK: true, Version: 100})
+		b.e.Step(b.now, WritesFinished{Batch: batch, OK: true, Revision: 100})
 	}
 	if len(logged) == 0 {
 		t.Fatal("the image log isn't written")
@@ -128,7 +128,7 @@
 	}
 	next.e.Step(next.now, ScaleInAnswered{Machines: []string{"m-1"}, OK: true})
 	next.now = next.now.Add(time.Minute)
-	if batch := next.e.Batch(next.now, 10); len(batch) != 1 || batch[0].Kind != DropImages || batch[0].Name != logged[0].Name {
+	if batch := next.e.Batch(next.now, 10); len(batch) != 1 || batch[0] != Write(DeleteImagePage{Name: logged[0].Name}) {
 		t.Errorf("the only machine of a page is gone: %+v", batch)
 	}
 
@@ -244,11 +244,11 @@
 		batch := b.e.Batch(b.now, 10)
 		b.e.Step(b.now, WritesStarted{batch})
 		for _, w := range batch {
-			if w.Kind == WriteImages {
-				logged[w.Name] = w.Images
+			if w, ok := w.(PutImagePage); ok {
+				logged[w.Name] = w.Record
 			}
 		}
-		b.e.Step(b.now, WritesFinished{Batch: batch, OK: true, Version: 100})
+		b.e.Step(b.now, WritesFinished{Batch: batch, OK: true, Revision: 100})
 	}
 	seen := map[string]bool{}
 	for name, r := range logged {
--- a/internal/core/instances.go
+++ b/internal/core/instances.go
@@ -1,6 +1,7 @@
 package core
 
 import (
+	"log/slog"
 	"time"
 
 	"gingertally/internal/core/capacity"
@@ -52,7 +53,7 @@
 			m.Addr = lm.Addr
 		}
 		if lm.Status == InstanceFailed {
-			e.scaleIn(now, m, "failed")
+			e.scaleIn(now, m, ScaleInInstanceFailed)
 		}
 	}
 }
@@ -79,7 +80,7 @@
 	}
 	e.drains.replacementAnswered(r)
 	e.replan = true
-	e.note("rental", "type", o.Type, "zone", o.Zone, "spot", o.Spot, "asked", r.Request.Count, "got", len(r.Machines), "refused", r.NoCapacity)
+	e.log(LogScaleOutAnswered, append(logPool(fleet.PoolKey(o)), slog.Int("requested", r.Request.Count), slog.Int("created", len(r.Machines)), slog.Bool("no_capacity", r.NoCapacity))...)
 }
 
 // ScaleInAnswered says that the cloud answered a release with 200: the machines and
--- a/internal/core/job_writes.go
+++ b/internal/core/job_writes.go
@@ -1,6 +1,7 @@
 package core
 
 import (
+	"slices"
 	"sort"
 	"time"
 
@@ -13,16 +14,7 @@
 	changed   map[*pipeline.Job]int // jobs with something that may have to be written, in order of change
 	changes   int                   // counts the changes
 	lastWrite map[string]time.Time  // when a job's record was last written, or until when it isn't tried again
-	cleanup   []jobKey              // keys of jobs that are over
-}
-
-// jobKey names one of the further keys of a job in the store: done ranges past the first
-// chunk, or a page of its list of dependencies.
-type jobKey struct {
-	drop  WriteKind // the kind of write that drops it
-	ref   string
-	sum   string
-	chunk int
+	cleanup   []Write               // deletes of further keys of jobs that are over
 }
 
 func newJobWrites() jobWrites {
@@ -37,39 +29,36 @@
 	}
 }
 
-// jobOver notes that the store holds a job's final entry. Its further keys are dropped
+// jobOver notes that the store holds a job's final entry. Its further keys are deleted
 // when there is nothing else to write.
 func (w *jobWrites) jobOver(j *pipeline.Job) {
 	delete(w.changed, j)
 	delete(w.lastWrite, j.Ref)
 	for c := 1; c*pipeline.ChunkTasks < len(j.Tasks); c++ {
-		w.cleanup = append(w.cleanup, jobKey{drop: DropChunk, ref: j.Ref, chunk: c})
+		w.cleanup = append(w.cleanup, DeleteDoneRanges{Ref: j.Ref, Chunk: c})
 	}
 	sum, pages := j.DependencyPages()
 	for i := range pages {
-		w.cleanup = append(w.cleanup, jobKey{drop: DropDependencies, ref: j.Ref, sum: sum, chunk: i})
+		w.cleanup = append(w.cleanup, DeleteDependencyPage{Ref: j.Ref, ListSum: sum, Page: i})
 	}
 }
 
 // pending tells whether anything of a job waits for a write.
 func (w *jobWrites) pending() bool { return len(w.changed) > 0 }
 
-// addCleanup adds drops of keys of jobs that are over.
+// addCleanup adds deletes of keys of jobs that are over.
 func (w *jobWrites) addCleanup(b *batch) {
-	for _, k := range w.cleanup {
+	for _, key := range w.cleanup {
 		if b.remaining > 0 {
-			b.add(Write{Kind: k.drop, Name: k.ref, Sum: k.sum, Chunk: k.chunk})
+			b.add(key)
 		}
 	}
 }
 
-// dropped notes that a key of a job that is over is gone.
-func (w *jobWrites) dropped(op Write) {
-	for i, k := range w.cleanup {
-		if k.drop == op.Kind && k.ref == op.Name && k.chunk == op.Chunk {
-			w.cleanup = append(w.cleanup[:i], w.cleanup[i+1:]...)
-			return
-		}
+// cleanedUp notes that a key of a job that is over is deleted.
+func (w *jobWrites) cleanedUp(key Write) {
+	if i := slices.Index(w.cleanup, key); i >= 0 {
+		w.cleanup = slices.Delete(w.cleanup, i, i+1)
 	}
 }
 
@@ -156,8 +145,8 @@
 		if e.graph.HasDependents(j.Ref) {
 			f.EndMS = now.UnixMilli()
 		}
-		w := Write{Kind: WriteFinal, Name: j.Ref, Version: j.Version, Final: f}
-		if w.changes() > b.remaining {
+		w := PutFinal{Ref: j.Ref, Version: j.Version, Final: f}
+		if w.ops() > b.remaining {
 			return
 		}
 		b.add(w)
@@ -171,12 +160,12 @@
 		if b.remaining <= 0 {
 			return
 		}
-		b.add(Write{Kind: WriteJob, Name: j.Ref, Version: j.Version, Job: j.Record(limit)})
+		b.add(PutJob{Ref: j.Ref, Version: j.Version, Record: j.Record(limit)})
 		chunks := j.DirtyChunks()
 		sort.Ints(chunks)
 		for _, c := range chunks {
 			if c > 0 && b.remaining > 0 {
-				b.add(Write{Kind: WriteChunk, Name: j.Ref, Chunk: c, Runs: pipeline.FitRuns(j.Chunk(c), limit)})
+				b.add(PutDoneRanges{Ref: j.Ref, Chunk: c, Runs: pipeline.FitRuns(j.Chunk(c), limit)})
 			}
 		}
 	}
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -1,6 +1,7 @@
 package core
 
 import (
+	"log/slog"
 	"slices"
 	"sort"
 	"time"
@@ -27,7 +28,7 @@
 	if j == nil {
 		if _, over := e.finals[ref]; !over {
 			e.addJob(now, s.Job)
-			e.debug("job known", "job", ref)
+			e.debug(LogJobDiscovered, slog.String(logKeyJob, ref))
 		}
 		return
 	}
@@ -49,9 +50,9 @@
 		return
 	}
 	e.graph.RemoveDependencies(j, dependencies)
-	e.note("job cancelled", "job", j.Ref)
+	e.log(LogJobCancelled, logJob(j))
 	e.cancellations.stopping[j] = true
-	e.stopJob(now, j, "cancelled")
+	e.stopJob(now, j, stopCancelled)
 	e.cancelDependents(now, j.Ref)
 }
 
@@ -81,7 +82,7 @@
 	e.removeJob(j)
 	e.jobWrites.jobOver(j)
 	e.drainJobOver(ref)
-	e.note("job over", "job", ref, "phase", f.Phase)
+	e.log(LogJobFinished, slog.String(logKeyJob, ref), slog.String("phase", f.Phase.String()))
 }
 
 // maxFinals bounds the final entries kept at hand.
@@ -91,7 +92,7 @@
 func (e *Engine) addJob(now time.Time, s StoredJob) {
 	j, err := pipeline.NewJob(s.Record, s.Version, s.Chunks)
 	if err != nil {
-		e.note("job record unusable", "job", s.Record.Spec.Ref, "error", err)
+		e.log(LogJobRecordInvalid, slog.String(logKeyJob, s.Record.Spec.Ref), slog.Any("error", err))
 		return
 	}
 	e.jobs[j.Ref] = j
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -1,7 +1,7 @@
 package core
 
 import (
-	"fmt"
+	"log/slog"
 	"time"
 
 	"gingertally/internal/core/fleet"
@@ -104,7 +104,7 @@
 			e.exitNoLongerListed(a)
 			continue
 		}
-		e.attemptLost(now, m, a, "machine gone")
+		e.attemptLost(now, m, a, lostMachineRemoved)
 	}
 	delete(e.machines, m.Name)
 	delete(e.unreachable, m)
@@ -114,16 +114,16 @@
 	e.removed[m.Name] = now
 	e.drainMachineRemoved(m)
 	e.warm.noteMachine(m.Name)
-	e.note("machine gone", "machine", m.Name)
+	e.log(LogMachineRemoved, logMachine(m))
 }
 
 // scaleIn gives a machine back; the answer proves all on it gone.
-func (e *Engine) scaleIn(now time.Time, m *fleet.Machine, why string) {
+func (e *Engine) scaleIn(now time.Time, m *fleet.Machine, reason ScaleInReason) {
 	if m.State() == fleet.ScalingIn && (m.ScaleInAttempts == 0 || now.Before(m.StartsPausedUntil)) {
 		return
 	}
 	if e.moveMachine(now, m, fleet.ScalingIn) {
-		e.note("machine released", "machine", m.Name, "type", m.Type, "why", why, "busy", m.ActiveAttempts())
+		e.log(LogScaleInRequested, logMachine(m), slog.String("type", m.Type), logReason(string(reason)), logActive(m))
 	}
 	m.Draining, m.ScaleInAttempts = true, 0
 	n := len(e.out.ScaleIn)
@@ -172,12 +172,12 @@
 	switch m.State() {
 	case fleet.ScalingIn:
 		if m.ScaleInAttempts > 0 {
-			e.scaleIn(now, m, "again")
+			e.scaleIn(now, m, ScaleInRetry)
 		}
 		next = now.Add(time.Second)
 	case fleet.Booting:
 		if now.Sub(m.FirstSeen) > e.bootLimit(e.bootTime(m)) && now.Sub(e.started) > e.firstHeartbeatTimeout(m) {
-			e.scaleIn(now, m, "never came up")
+			e.scaleIn(now, m, ScaleInNeverLive)
 		}
 		next = now.Add(time.Second)
 	case fleet.Live, fleet.Unresponsive, fleet.AwaitingHeartbeat:
@@ -197,7 +197,7 @@
 		e.withdrawUnsentStarts(now, m)
 	}
 	if m.State() == fleet.Live && (m.Quarantined || m.Draining) && m.ActiveAttempts() == 0 && !e.hasUnstoredResults(m) {
-		e.scaleIn(now, m, "drained")
+		e.scaleIn(now, m, ScaleInDrained)
 	}
 	if !next.After(now) {
 		next = now.Add(recheckEvery)
@@ -268,10 +268,10 @@
 func (e *Engine) checkResponsiveness(now time.Time, m *fleet.Machine) {
 	quiet := now.Sub(m.LastHeartbeat)
 	if m.State() == fleet.Live && quiet > e.unresponsiveAfter() && e.moveMachine(now, m, fleet.Unresponsive) {
-		e.note("machine silent", "machine", m.Name, "busy", m.ActiveAttempts())
+		e.log(LogMachineUnresponsive, logMachine(m), logActive(m))
 	}
 	if m.State() != fleet.Live && quiet > e.unresponsiveAfter() && e.missingFromList(m) {
-		e.scaleIn(now, m, fmt.Sprintf("silent for %s", quiet.Round(time.Second)))
+		e.scaleIn(now, m, ScaleInUnresponsive)
 		return
 	}
 	if !m.LeaseExpired(now, e.cfg.Lease) {
@@ -279,15 +279,15 @@
 	}
 	e.moveMachine(now, m, fleet.Unresponsive) // whatever is placed on it now would be counted as gone at once
 	if m.ActiveAttempts() > 0 {
-		e.note("lease over", "machine", m.Name, "busy", m.ActiveAttempts())
+		e.log(LogWorkerLeaseExpired, logMachine(m), logActive(m))
 	}
 	for _, a := range sortedAttempts(m) {
 		if a.State() != fleet.Exited {
-			e.attemptLost(now, m, a, "lease over")
+			e.attemptLost(now, m, a, lostLeaseExpired)
 		}
 	}
 	if quiet > e.unresponsiveLimit(m) {
-		e.scaleIn(now, m, fmt.Sprintf("silent for %s", quiet.Round(time.Second)))
+		e.scaleIn(now, m, ScaleInUnresponsive)
 	}
 }
 
--- a/internal/core/pipeline/job.go
+++ b/internal/core/pipeline/job.go
@@ -21,6 +21,11 @@
 	Held // waits for other jobs
 )
 
+var phaseNames = [...]string{"active", "done", "cancelled", "held"}
+
+// String returns the phase's name, as the log has it.
+func (p Phase) String() string { return phaseNames[p] }
+
 // TaskState is the state of one task as far as its pipeline is concerned.
 type TaskState uint8
 
--- a/internal/core/preemption.go
+++ b/internal/core/preemption.go
@@ -72,7 +72,8 @@
 
 // preempt stops an attempt to make room.
 func (e *Engine) preempt(now time.Time, a *fleet.Attempt) {
-	e.note("preempted", "job", a.Ref, "task", a.Task, "machine", a.Machine.Name, "attempt", a.Number)
+	e.log(LogTaskPreempted, logAttempt(a)...)
+	e.out.Preempted = append(e.out.Preempted, a)
 	e.chargeInvoluntary(now, a)
 	e.stopWithCheckpoint(now, a.Machine, a, e.jobs[a.Ref])
 }
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -96,7 +96,7 @@
 	e.attach(now, m, a, t.State)
 	e.startLog.addAttempt(a)
 	e.jobs[t.Ref].Assign(t.Task, m.Name, t.Attempt)
-	e.note("unrecorded task adopted", "job", t.Ref, "task", t.Task, "machine", m.Name, "attempt", t.Attempt)
+	e.log(LogAttemptAdopted, logAttempt(a)...)
 }
 
 // adoptUnrecorded takes in an attempt that shouldn't be there, and has it stopped.
@@ -105,7 +105,7 @@
 	e.attach(now, m, a, t.State)
 	a.RunStart = time.Time{}
 	a.Unrecorded = true
-	e.note("unexpected task", "job", t.Ref, "task", t.Task, "machine", m.Name, "attempt", t.Attempt)
+	e.log(LogUnwantedAttempt, logAttempt(a)...)
 	e.stop(now, m, a, 0)
 }
 
--- a/internal/core/reconcile_test.go
+++ b/internal/core/reconcile_test.go
@@ -44,7 +44,11 @@
 		t.Fatalf("not adopted: %+v", a)
 	}
 	batch := b.e.Batch(b.now, 10)
-	if len(batch) == 0 || batch[0].Kind != WritePage || len(batch[0].Page.Placed) != 1 || batch[0].Page.Placed[0].Entries[0].Attempt != a.Number {
+	if len(batch) == 0 {
+		t.Fatal("nothing is recorded")
+	}
+	page, ok := batch[0].(PutStartLogPage)
+	if !ok || len(page.Record.Placed) != 1 || page.Record.Placed[0].Entries[0].Attempt != a.Number {
 		t.Fatalf("not recorded: %+v", batch)
 	}
 	for b.now.Sub(b.e.started) < 28*time.Second { // until the leases of all that may not have been heard of are over
@@ -163,12 +167,12 @@
 	b := newBench(t, 9, Snapshot{Jobs: []StoredJob{job("j-1", 1)}})
 	r := fleet.Heartbeat{Machine: "m-1", Addr: "m-1", Type: "big", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: 9, InterruptionIn: -1}
 	eff := b.e.Step(b.now, HeartbeatReceived{r})
-	if !eff.Deposed || eff.HigherFencingToken != 9 || eff.Response.OK {
+	if !eff.Deposed() || eff.HigherFencingToken != 9 || eff.Response.OK {
 		t.Fatalf("%+v", eff)
 	}
 	b.report("m-2", 0)
 	r.Machine, r.Addr, r.Sequence = "m-2", "m-2", b.seq["m-2"]+1
-	if eff := b.e.Step(b.now, HeartbeatReceived{r}); eff.Deposed {
+	if eff := b.e.Step(b.now, HeartbeatReceived{r}); eff.Deposed() {
 		t.Fatal("a worker that was given the token deposes its leader")
 	}
 }
--- a/internal/core/safety_test.go
+++ b/internal/core/safety_test.go
@@ -55,7 +55,7 @@
 func (b *bench) reportAs(machine string, token, seq uint64, tasks ...fleet.TaskStatus) HeartbeatResponse {
 	r := fleet.Heartbeat{Machine: machine, Addr: machine, Type: "big", Zone: "a", Incarnation: 1, Sequence: seq, FencingToken: token, InterruptionIn: -1, Tasks: tasks}
 	eff := b.e.Step(b.now, HeartbeatReceived{r})
-	if eff.Deposed && token == b.e.term {
+	if eff.Deposed() && token == b.e.term {
 		b.t.Fatalf("%s reports a token that it wasn't given: the test shows nothing", machine)
 	}
 	for eff.Response.Held {
@@ -73,7 +73,7 @@
 		b.e.Step(b.now, Tick{})
 		if batch := b.e.Batch(b.now, 10); written && len(batch) > 0 {
 			b.e.Step(b.now, WritesStarted{batch})
-			b.e.Step(b.now, WritesFinished{Batch: batch, OK: true, Version: 100})
+			b.e.Step(b.now, WritesFinished{Batch: batch, OK: true, Revision: 100})
 		}
 	}
 }
@@ -275,7 +275,7 @@
 func TestHigherTokenDeposes(t *testing.T) {
 	b := newBench(t, 2, Snapshot{})
 	eff := b.e.Step(b.now, HeartbeatReceived{fleet.Heartbeat{Machine: "m-1", Type: "big", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: 3, InterruptionIn: -1}})
-	if !eff.Deposed || eff.Response.OK {
+	if !eff.Deposed() || eff.Response.OK {
 		t.Fatalf("effects: %+v", eff)
 	}
 }
--- a/internal/core/scale_in.go
+++ b/internal/core/scale_in.go
@@ -37,7 +37,7 @@
 			if s.Future || m.HeartbeatExpected || len(m.Attempts) > 0 || e.drains.isReplacement(m.Name) || now.Sub(m.IdleSince) <= keep || neededByDemand(now, p, m, demand) {
 				continue
 			}
-			e.scaleIn(now, m, "idle")
+			e.scaleIn(now, m, ScaleInIdle)
 		}
 	}
 }
--- a/internal/core/start_log.go
+++ b/internal/core/start_log.go
@@ -125,7 +125,7 @@
 		b.add(pageWrite(p))
 		return
 	}
-	b.add(Write{Kind: DropPage, Name: p.Name, Version: p.Version})
+	b.add(DeleteStartLogPage{Name: p.Name, Version: p.Version})
 }
 
 // stalestPage is the page with the most entries that are gone, of those that may be
@@ -152,15 +152,15 @@
 }
 
 // written notes that the store holds a page as it was sent.
-func (l *startLog) written(now time.Time, w Write, version uint64) {
+func (l *startLog) written(now time.Time, w PutStartLogPage, version uint64) {
 	if p := l.pages[w.Name]; p != nil {
-		p.Stored(now, w.Page, version)
+		p.Stored(now, w.Record, version)
 		l.pageChanged(p)
 	}
 }
 
-// dropped notes that the store no longer holds a page.
-func (l *startLog) dropped(now time.Time, name string) {
+// deleted notes that the store no longer holds a page.
+func (l *startLog) deleted(now time.Time, name string) {
 	p := l.pages[name]
 	p.Stored(now, fleet.StartLogRecord{}, 0)
 	if p.Live() == 0 && p != l.open {
@@ -182,8 +182,8 @@
 	l.pageChanged(p)
 }
 
-// refused notes that the store takes a page under no circumstances.
-func (l *startLog) refused(now time.Time, p *fleet.StartLogPage) {
+// rejected notes that the store takes a page under no circumstances.
+func (l *startLog) rejected(now time.Time, p *fleet.StartLogPage) {
 	p.WriteRefused(now)
 	l.pageChanged(p)
 	if l.open == p {
@@ -192,7 +192,7 @@
 }
 
 func pageWrite(p *fleet.StartLogPage) Write {
-	return Write{Kind: WritePage, Name: p.Name, Version: p.Version, Page: p.Record()}
+	return PutStartLogPage{Name: p.Name, Version: p.Version, Record: p.Record()}
 }
 
 func sortedPages(set map[*fleet.StartLogPage]bool) []*fleet.StartLogPage {
--- a/internal/core/starvation_bound_test.go
+++ b/internal/core/starvation_bound_test.go
@@ -21,10 +21,8 @@
 	b.up("m-1")
 	for range 50 { // the store is slow: nothing can leave yet
 		b.now = b.now.Add(200 * time.Millisecond)
-		for _, n := range b.e.Step(b.now, Tick{}).Notes {
-			if n.Text == "preempted" {
-				t.Fatalf("taken again before it has left: %v", n.Args)
-			}
+		if preempted := b.e.Step(b.now, Tick{}).Preempted; len(preempted) > 0 {
+			t.Fatalf("taken again before it has left: %+v", preempted[0])
 		}
 	}
 	b.pass(time.Second, true)
--- a/internal/core/warm_start.go
+++ b/internal/core/warm_start.go
@@ -1,6 +1,7 @@
 package core
 
 import (
+	"log/slog"
 	"time"
 
 	"gingertally/internal/core/capacity"
@@ -55,8 +56,8 @@
 	s.outcome.Differing = len(s.differing)
 	e.warmOutcome = s.outcome
 	e.replan = true
-	e.note("warm start", "confirmed", w.Confirmed, "expected", s.outcome.Expected, "differing", s.outcome.Differing,
-		"unstored", s.outcome.Unstored, "unknown", s.outcome.Unknown)
+	e.log(LogWarmStateApplied, slog.Bool("confirmed", w.Confirmed), slog.Int("machines_expected", s.outcome.Expected), slog.Int("machines_differing", s.outcome.Differing),
+		slog.Int("attempts_unstored", s.outcome.Unstored), slog.Int("attempts_unknown", s.outcome.Unknown))
 }
 
 // WarmOutcome tells what came of the warm start of this term; all zero without one.
@@ -207,5 +208,5 @@
 	e.recovery.ExpectByWarmState(m.Name, false)
 	e.capacityChanged(m)
 	e.withdrawUnsentStarts(now, m)
-	e.note("expected machine has not reported", "machine", m.Name)
+	e.log(LogExpectedHeartbeatLate, logMachine(m))
 }
--- a/internal/daemon/session.go
+++ b/internal/daemon/session.go
@@ -139,7 +139,7 @@
 	snapshot.Restored = s.term.Restored
 	s.engine = core.New(now, s.daemon.coreConfig, s.term.Number, snapshot, newRand())
 	if warm != nil {
-		logNotes(s.engine.Step(now, *warm).Notes)
+		s.logRecords(s.engine.Step(now, *warm).Log)
 	}
 	return nil
 }
@@ -168,15 +168,15 @@
 	if pressing {
 		s.wakeWriter()
 	}
-	logNotes(effects.Notes)
-	if effects.Deposed {
+	s.logRecords(effects.Log)
+	if effects.Deposed() {
 		slog.Warn("a higher token exists", "term", s.term.Number, "token", effects.HigherFencingToken)
 		s.daemon.elector.EndTerm()
 		go s.noteRestored(effects.HigherFencingToken)
 		return effects
 	}
-	if effects.Resign != "" {
-		s.daemon.elector.Resign(effects.Resign)
+	if effects.AttemptNumbersExhausted {
+		s.daemon.elector.Resign("the term's attempt numbers are used up")
 		return effects
 	}
 	for _, command := range effects.Direct {
@@ -194,14 +194,10 @@
 	return effects
 }
 
-// logNotes logs what the engine has to tell the operators.
-func logNotes(notes []core.Note) {
-	for _, note := range notes {
-		if note.Debug {
-			slog.Debug(note.Text, note.Args...)
-		} else {
-			slog.Info(note.Text, note.Args...)
-		}
+// logRecords logs what the engine has to tell the operators.
+func (s *leaderSession) logRecords(records []core.LogRecord) {
+	for _, r := range records {
+		slog.LogAttrs(s.ctx, r.Level, string(r.Event), r.Attrs...)
 	}
 }
 
--- a/internal/daemon/session_writes.go
+++ b/internal/daemon/session_writes.go
@@ -78,7 +78,7 @@
 		s.step(core.WritesFinished{Batch: unsent})
 	}
 	if err == nil {
-		s.step(core.WritesFinished{Batch: sent, OK: true, Version: revision})
+		s.step(core.WritesFinished{Batch: sent, OK: true, Revision: revision})
 		return true, nil
 	}
 	if errors.Is(err, statestore.ErrRejected) {
@@ -111,12 +111,12 @@
 func (s *leaderSession) reread(batch []core.Write) map[string]uint64 {
 	versions := map[string]uint64{}
 	for _, write := range batch {
-		if write.Kind == core.WriteJob || write.Kind == core.WriteFinal {
-			s.refresh(write.Name)
+		if ref := write.JobRef(); ref != "" {
+			s.refresh(ref)
 			continue
 		}
 		if version, versioned, err := s.daemon.records.PageVersion(s.ctx, write); versioned && err == nil {
-			versions[write.Name] = version
+			versions[write.Target()] = version
 		}
 	}
 	return versions
--- a/internal/jobstore/dependencies_test.go
+++ b/internal/jobstore/dependencies_test.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := j.Apply(ctx, term, []core.Write{{Kind: core.WriteFinal, Name: "j-2", Version: st.Version, Final: pipeline.Final{Phase: pipeline.Cancelled}}}); err != nil {
+	if _, _, err := j.Apply(ctx, term, []core.Write{core.PutFinal{Ref: "j-2", Version: st.Version, Final: pipeline.Final{Phase: pipeline.Cancelled}}}); err != nil {
 		t.Fatal(err)
 	}
 	many := []string{"j-1", "j-2", "j-1", "j-1", "j-1", "j-1", "j-1", "j-1", "j-2"}
@@ -102,7 +102,7 @@
 	now = now.Add(10 * time.Second)
 	check()
 	now = now.Add(time.Minute)
-	if _, _, err := j.Apply(ctx, term, []core.Write{{Kind: core.WriteFinal, Name: "j-1", Version: st.Version, Final: pipeline.Final{Phase: pipeline.Cancelled}}}); err != nil {
+	if _, _, err := j.Apply(ctx, term, []core.Write{core.PutFinal{Ref: "j-1", Version: st.Version, Final: pipeline.Final{Phase: pipeline.Cancelled}}}); err != nil {
 		t.Fatal(err)
 	}
 	check()
@@ -173,9 +173,9 @@
 	if err != nil || len(s.Record.Dependencies) != 100 {
 		t.Fatalf("%+v, %v", s, err)
 	}
-	writes := []core.Write{{Kind: core.WriteFinal, Name: "j-9", Version: late.ModRevision, Final: pipeline.Final{Phase: pipeline.Cancelled}}}
+	writes := []core.Write{core.PutFinal{Ref: "j-9", Version: late.ModRevision, Final: pipeline.Final{Phase: pipeline.Cancelled}}}
 	for i := range s.Record.DependencyPages {
-		writes = append(writes, core.Write{Kind: core.DropDependencies, Name: "j-9", Sum: s.Record.DependencyListSum, Chunk: i})
+		writes = append(writes, core.DeleteDependencyPage{Ref: "j-9", ListSum: s.Record.DependencyListSum, Page: i})
 	}
 	if sent, _, err := j.Apply(ctx, term, writes); err != nil || len(sent) != len(writes) {
 		t.Fatal(err)
@@ -219,9 +219,9 @@
 func TestRefusedWriteIsSentAlone(t *testing.T) {
 	m, j, term := setup(t)
 	r := &refusing{m}
-	batch := []core.Write{{Kind: core.WriteImages, Name: "bad"}, {Kind: core.WriteImages, Name: "good"}}
+	batch := []core.Write{core.PutImagePage{Name: "bad"}, core.PutImagePage{Name: "good"}}
 	sent, _, err := New(r, j.limits).Apply(ctx, term, batch)
-	if !errors.Is(err, statestore.ErrRejected) || len(sent) != 1 || sent[0].Name != "bad" {
+	if !errors.Is(err, statestore.ErrRejected) || len(sent) != 1 || sent[0].Target() != "bad" {
 		t.Fatalf("sent %v, %v", sent, err)
 	}
 	if sent, _, err = New(r, j.limits).Apply(ctx, term, batch[1:]); err != nil || len(sent) != 1 {
--- a/internal/jobstore/golden_test.go
+++ b/internal/jobstore/golden_test.go
@@ -23,25 +23,25 @@
 // leaderWrites are writes of every kind that puts something, in which every field is set.
 func leaderWrites() []core.Write {
 	return []core.Write{
-		{Kind: core.WritePage, Name: "7-1", Page: goldentest.Filled[fleet.StartLogRecord]()},
-		{Kind: core.WriteJob, Name: "j-000001", Job: goldentest.Filled[pipeline.Record]()},
-		{Kind: core.WriteChunk, Name: "j-000001", Chunk: 2, Runs: []int{1, 2, 3}},
-		{Kind: core.WriteFinal, Name: "j-000002", Final: goldentest.Filled[pipeline.Final]()},
-		{Kind: core.WriteImages, Name: "7-2", Images: goldentest.Filled[fleet.ImageRecord]()},
-		{Kind: core.WriteCharges, Name: "7-3", Charges: goldentest.Filled[drain.ChargePage]()},
-		{Kind: core.WriteCordons, Name: "7-4", Cordons: goldentest.Filled[drain.MachinePage]()},
+		core.PutStartLogPage{Name: "7-1", Record: goldentest.Filled[fleet.StartLogRecord]()},
+		core.PutJob{Ref: "j-000001", Record: goldentest.Filled[pipeline.Record]()},
+		core.PutDoneRanges{Ref: "j-000001", Chunk: 2, Runs: []int{1, 2, 3}},
+		core.PutFinal{Ref: "j-000002", Final: goldentest.Filled[pipeline.Final]()},
+		core.PutImagePage{Name: "7-2", Record: goldentest.Filled[fleet.ImageRecord]()},
+		core.PutChargePage{Name: "7-3", Record: goldentest.Filled[drain.ChargePage]()},
+		core.PutCordonPage{Name: "7-4", Record: goldentest.Filled[drain.MachinePage]()},
 	}
 }
 
 // leaderDeletes are writes of every kind that deletes something.
 func leaderDeletes() []core.Write {
 	return []core.Write{
-		{Kind: core.DropPage, Name: "7-1"},
-		{Kind: core.DropChunk, Name: "j-000001", Chunk: 2},
-		{Kind: core.DropImages, Name: "7-2"},
-		{Kind: core.DropDependencies, Name: "j-000001", Sum: "00ff", Chunk: 1},
-		{Kind: core.DropCharges, Name: "7-3"},
-		{Kind: core.DropCordons, Name: "7-4"},
+		core.DeleteStartLogPage{Name: "7-1"},
+		core.DeleteDoneRanges{Ref: "j-000001", Chunk: 2},
+		core.DeleteImagePage{Name: "7-2"},
+		core.DeleteDependencyPage{Ref: "j-000001", ListSum: "00ff", Page: 1},
+		core.DeleteChargePage{Name: "7-3"},
+		core.DeleteCordonPage{Name: "7-4"},
 	}
 }
 
--- a/internal/jobstore/jobstore_test.go
+++ b/internal/jobstore/jobstore_test.go
@@ -87,7 +87,7 @@
 	if st.Record.Spec.Types == nil {
 		t.Fatal("a list of no types has become any type")
 	}
-	final := core.Write{Kind: core.WriteFinal, Name: "j-1", Version: st.Version, Final: pipeline.Final{Phase: pipeline.Done, Tasks: 2}}
+	final := core.PutFinal{Ref: "j-1", Version: st.Version, Final: pipeline.Final{Phase: pipeline.Done, Tasks: 2}}
 	if _, _, err := j.Apply(ctx, term, []core.Write{final}); err != nil {
 		t.Fatal(err)
 	}
@@ -106,7 +106,7 @@
 	if _, err := m.Commit(ctx, nil, []statestore.Op{statestore.Put(leadership.TermKey, codec.MustMarshal(2))}); err != nil {
 		t.Fatal(err)
 	}
-	w := core.Write{Kind: core.WriteJob, Name: "j-1", Version: st.Version, Job: st.Record}
+	w := core.PutJob{Ref: "j-1", Version: st.Version, Record: st.Record}
 	if _, _, err := j.Apply(ctx, term, []core.Write{w}); !errors.Is(err, ErrDeposed) {
 		t.Fatalf("error %v", err)
 	}
@@ -153,7 +153,7 @@
 	if _, err := j.Cancel(ctx, "j-1", time.Now(), UnderTerm(term)); err != nil {
 		t.Fatal(err)
 	}
-	final := core.Write{Kind: core.WriteFinal, Name: "j-1", Version: st.Version, Final: pipeline.Final{Phase: pipeline.Done, Tasks: 2}}
+	final := core.PutFinal{Ref: "j-1", Version: st.Version, Final: pipeline.Final{Phase: pipeline.Done, Tasks: 2}}
 	if _, _, err := j.Apply(ctx, term, []core.Write{final}); err == nil {
 		t.Fatal("a result was written over a cancellation")
 	}
@@ -177,7 +177,7 @@
 	_, j, term := setup(t)
 	var writes []core.Write
 	for i := range 30 {
-		writes = append(writes, core.Write{Kind: core.WriteJob, Name: fmt.Sprintf("j-%d", 100+i), Job: pipeline.Record{Spec: pipeline.Spec{Class: strings.Repeat("x", 3000), Tasks: 1}}})
+		writes = append(writes, core.PutJob{Ref: fmt.Sprintf("j-%d", 100+i), Record: pipeline.Record{Spec: pipeline.Spec{Class: strings.Repeat("x", 3000), Tasks: 1}}})
 	}
 	sent, _, err := j.Apply(ctx, term, writes)
 	if err != nil || len(sent) == 0 || len(sent) == len(writes) {
@@ -196,7 +196,7 @@
 		t.Fatal(err)
 	}
 	page := fleet.StartLogRecord{Placed: []fleet.MachineStarts{{Machine: "m-000500", Type: "g8", Zone: "b", Entries: []fleet.StartLogEntry{{Ref: "j-2", Attempt: 5}}}}}
-	if _, _, err := j.Apply(ctx, term, []core.Write{{Kind: core.WritePage, Name: "2-1", Page: page}}); err != nil {
+	if _, _, err := j.Apply(ctx, term, []core.Write{core.PutStartLogPage{Name: "2-1", Record: page}}); err != nil {
 		t.Fatal(err)
 	}
 	snap, _, err := j.Snapshot(ctx)
@@ -214,7 +214,7 @@
 			if pl.Machine != "m-000231" || pl.Zone != "a" || pl.Entries[0] != (fleet.StartLogEntry{Ref: "j-1", Task: 3, Attempt: 77}) || p.Version != rev {
 				t.Errorf("old record %+v", p)
 			}
-			if _, _, err := j.Apply(ctx, term, []core.Write{{Kind: core.DropPage, Name: p.Name, Version: p.Version}}); err != nil {
+			if _, _, err := j.Apply(ctx, term, []core.Write{core.DeleteStartLogPage{Name: p.Name, Version: p.Version}}); err != nil {
 				t.Errorf("drop: %v", err)
 			}
 		default:
@@ -230,7 +230,7 @@
 func TestImageLog(t *testing.T) {
 	_, j, term := setup(t)
 	rec := fleet.RecordImages(map[string][]fleet.Image{"m-1": {{Name: "a", GB: 2.5}, {Name: "b", GB: 1}}, "m-2": {{Name: "b", GB: 1}}}, 4000)
-	if _, _, err := j.Apply(ctx, term, []core.Write{{Kind: core.WriteImages, Name: "2-9", Images: rec}}); err != nil {
+	if _, _, err := j.Apply(ctx, term, []core.Write{core.PutImagePage{Name: "2-9", Record: rec}}); err != nil {
 		t.Fatal(err)
 	}
 	snap, _, err := j.Snapshot(ctx)
@@ -242,7 +242,7 @@
 	if len(got) != 2 || len(got["m-1"]) != 2 || got["m-1"][0] != (fleet.Image{Name: "a", GB: 2.5}) || got["m-2"][0].Name != "b" {
 		t.Errorf("%+v", got)
 	}
-	if _, _, err := j.Apply(ctx, term, []core.Write{{Kind: core.DropImages, Name: "2-9"}}); err != nil {
+	if _, _, err := j.Apply(ctx, term, []core.Write{core.DeleteImagePage{Name: "2-9"}}); err != nil {
 		t.Fatal(err)
 	}
 	if snap, _, err := j.Snapshot(ctx); err != nil || len(snap.Images) != 0 {
--- a/internal/jobstore/keys.go
+++ b/internal/jobstore/keys.go
@@ -16,9 +16,9 @@
 	machinePrefix    = "m/" // records by machine, which earlier versions kept instead of the start log
 )
 
-// pageKey is the key of a page of the start log. Old records by machine are pages
+// startLogKey is the key of a page of the start log. Old records by machine are pages
 // whose name is their key.
-func pageKey(name string) string {
+func startLogKey(name string) string {
 	if strings.HasPrefix(name, machinePrefix) {
 		return name
 	}
--- a/internal/simulation/drains_test.go
+++ b/internal/simulation/drains_test.go
@@ -89,7 +89,7 @@
 func chargeAfterTheStop(n *node, batch []core.Write) []core.Write {
 	var charges, rest []core.Write
 	for _, w := range batch {
-		if w.Kind == core.WriteCharges {
+		if _, ok := w.(core.PutChargePage); ok {
 			charges = append(charges, w)
 		} else {
 			rest = append(rest, w)
@@ -98,7 +98,7 @@
 	if len(charges) > 0 {
 		term, jobs := n.term, n.jobs
 		n.step(core.WritesStarted{Batch: charges})
-		n.step(core.WritesFinished{Batch: charges, OK: true, Version: term.Revision})
+		n.step(core.WritesFinished{Batch: charges, OK: true, Revision: term.Revision})
 		n.w.after(chargeDelay, func() { _, _, _ = jobs.Apply(bg, term, charges) })
 	}
 	return rest
--- a/internal/simulation/fault_scenarios_test.go
+++ b/internal/simulation/fault_scenarios_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"gingertally/internal/core"
 	"gingertally/internal/core/pipeline"
 	"gingertally/internal/core/placement"
 )
@@ -165,7 +166,9 @@
 	s := newScript(w)
 	m.script(s)
 	if trace {
-		w.Trace = func(at time.Duration, node, text string, args []any) { t.Log(at.Seconds(), node, text, args) }
+		w.Trace = func(at time.Duration, node string, line core.LogRecord) {
+			t.Log(at.Seconds(), node, line.Event, line.Attrs)
+		}
 	}
 	if err := w.Run(); err != nil {
 		t.Error(err)
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -194,20 +194,20 @@
 	}
 	eff := n.eng.Step(n.local(), ev)
 	n.w.digest.addStep(n, ev, eff)
-	n.w.check.notePreemptions(eff.Notes)
+	n.w.check.notePreemptions(eff.Preempted)
 	if n.w.o.Pace.Enabled && eff.Response != nil && eff.Response.OK && !eff.Response.Held {
 		n.w.check.paced(n, eff.Response)
 	}
 	n.compute(ev)
 	if n.w.Trace != nil {
-		for _, x := range eff.Notes {
-			n.w.Trace(n.w.now.Sub(n.w.start), n.name, x.Text, x.Args)
+		for _, line := range eff.Log {
+			n.w.Trace(n.w.now.Sub(n.w.start), n.name, line)
 		}
 	}
-	if eff.Deposed {
+	if eff.Deposed() {
 		n.noteRestored(eff.HigherFencingToken)
 	}
-	if eff.Deposed || eff.Resign != "" {
+	if eff.Deposed() || eff.AttemptNumbersExhausted {
 		n.endTerm()
 		return core.Effects{}
 	}
@@ -296,7 +296,7 @@
 		return
 	}
 	if err == nil {
-		n.step(core.WritesFinished{Batch: sent, OK: true, Version: rev})
+		n.step(core.WritesFinished{Batch: sent, OK: true, Revision: rev})
 		n.write()
 		return
 	}
@@ -306,12 +306,12 @@
 	}
 	seen := map[string]uint64{}
 	for _, wr := range sent {
-		if wr.Kind == core.WriteJob || wr.Kind == core.WriteFinal {
-			n.refresh(wr.Name)
+		if ref := wr.JobRef(); ref != "" {
+			n.refresh(ref)
 			continue
 		}
 		if v, versioned, err := n.jobs.PageVersion(bg, wr); versioned && err == nil {
-			seen[wr.Name] = v
+			seen[wr.Target()] = v
 		}
 	}
 	if n.eng != nil {
--- a/internal/simulation/random_test.go
+++ b/internal/simulation/random_test.go
@@ -5,6 +5,8 @@
 	"strconv"
 	"testing"
 	"time"
+
+	"gingertally/internal/core"
 )
 
 func options(seed uint64, faults bool) Options {
@@ -124,8 +126,8 @@
 		o.Jobs = 20
 	}
 	w := NewWorld(o)
-	w.Trace = func(at time.Duration, node, text string, args []any) {
-		t.Log(at.Seconds(), node, text, args)
+	w.Trace = func(at time.Duration, node string, line core.LogRecord) {
+		t.Log(at.Seconds(), node, line.Event, line.Attrs)
 	}
 	if err := w.Run(); err != nil {
 		t.Fatal(err)
--- a/internal/simulation/replica_check.go
+++ b/internal/simulation/replica_check.go
@@ -1,7 +1,6 @@
 package simulation
 
 import (
-	"gingertally/internal/core"
 	"gingertally/internal/core/fleet"
 	"gingertally/internal/core/pipeline"
 )
@@ -40,16 +39,12 @@
 	delete(c.preempted, name(t))
 }
 
-// notePreemptions reads from an engine's log the tasks that it preempts.
-func (c *checker) notePreemptions(notes []core.Note) {
-	for _, x := range notes {
-		if x.Text != "preempted" {
-			continue
-		}
-		ref, task := x.Args[1].(string), x.Args[3].(int)
-		c.preempted[fleet.TaskID{Ref: ref, Task: task}.String()] = true
-		c.preemptedAttempts[taskKey(ref, task, x.Args[7].(uint64))] = true
-		if j := c.w.jobs[ref]; j != nil && j.spec.Class == borrowed {
+// notePreemptions notes the attempts that an engine preempts.
+func (c *checker) notePreemptions(preempted []*fleet.Attempt) {
+	for _, a := range preempted {
+		c.preempted[a.TaskID.String()] = true
+		c.preemptedAttempts[taskKey(a.Ref, a.Task, a.Number)] = true
+		if j := c.w.jobs[a.Ref]; j != nil && j.spec.Class == borrowed {
 			c.takenBack++
 		}
 	}
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -60,7 +60,7 @@
 	check    *checker
 	lease    storeLease
 	// Trace, if set, gets what the controllers log.
-	Trace func(at time.Duration, node, text string, args []any)
+	Trace func(at time.Duration, node string, line core.LogRecord)
 	noNet bool // peace: no losses and delays any more
 	peace time.Time
 	// what the network between zones and nodes does
