--- /dev/null
+++ b/internal/controller/admission_test.go
@@ -0,0 +1,54 @@
+package controller
+
+import (
+	"net/http"
+	"testing"
+	"time"
+
+	"gingertally/internal/admission"
+	"gingertally/internal/codec"
+	"gingertally/internal/config"
+	"gingertally/internal/controller/overload"
+	"gingertally/internal/operator"
+)
+
+// admissionController is a controller with or without admission control, which isn't running.
+func admissionController(t *testing.T, on bool) *Controller {
+	t.Helper()
+	settings := operator.Default()
+	settings.Admission.Enabled = on
+	c, err := New(testSettings("n-1", []config.Peer{{Member: "n-2", Zone: "a", Addr: "127.0.0.1:1"}}, config.Endpoints{Cloud: "127.0.0.1:1", State: "127.0.0.1:1"}), settings)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(c.peers.Close)
+	return c
+}
+
+// exchange has the leader send its policy.
+func exchange(t *testing.T, c *Controller, policy admission.Policy) (status int, body []byte) {
+	t.Helper()
+	return c.servePeer(t.Context(), "n-2", http.MethodPost, overload.ExchangePath, codec.MustMarshal(policy))
+}
+
+// The leader's policy reaches the gate that users' submissions go by, and the status that operators see.
+func TestExchangeWithAdmission(t *testing.T) {
+	c := admissionController(t, true)
+	status, body := exchange(t, c, admission.Policy{Term: 3, Number: 7})
+	var batch admission.Batch
+	if err := codec.Unmarshal(body, &batch); status != http.StatusOK || err != nil {
+		t.Fatalf("status %d, %v", status, err)
+	}
+	if s := c.status(time.Now()).Admission; c.users.Users.Admission == nil || s == nil || s.Term != 3 || s.Number != 7 {
+		t.Fatalf("%+v", s)
+	}
+}
+
+// A controller without admission control tells the leader so, admits everything, and shows nothing.
+func TestExchangeWithoutAdmission(t *testing.T) {
+	c := admissionController(t, false)
+	status, _ := exchange(t, c, admission.Policy{Term: 1})
+	if status != http.StatusNotFound || c.users.Users.Admission != nil || c.status(time.Now()).Admission != nil {
+		t.Fatalf("status %d", status)
+	}
+}
--- a/internal/daemon/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -1,4 +1,4 @@
-package daemon
+package controller
 
 import (
 	"bytes"
@@ -17,19 +17,20 @@
 	"gingertally/internal/client"
 	"gingertally/internal/codec"
 	"gingertally/internal/config"
+	"gingertally/internal/controller/operatorapi"
 	"gingertally/internal/operator"
 	"gingertally/internal/peer"
 	"gingertally/internal/wire"
 )
 
-// controller is one running controller.
-type controller struct {
-	*Daemon
+// runningController is one running controller.
+type runningController struct {
+	*Controller
 	addr string // for users and workers
 }
 
 // startControllers starts controllers that share the outside services.
-func startControllers(t *testing.T, store *fakeStore, names ...string) []controller {
+func startControllers(t *testing.T, store *fakeStore, names ...string) []runningController {
 	t.Helper()
 	state, cloud := serveOn(t, store.handle), serveOn(t, handleCloud)
 	clients, peers := map[string]net.Listener{}, map[string]net.Listener{}
@@ -44,7 +45,7 @@
 			t.Errorf("a controller ended: %v", err)
 		}
 	})
-	var controllers []controller
+	var controllers []runningController
 	for _, name := range names {
 		var others []config.Peer
 		for _, other := range names {
@@ -59,9 +60,9 @@
 		running.Go(func() error { return d.serveHTTP(ctx, clients[name]) })
 		running.Go(func() error { return peer.Serve(ctx, peers[name], d.servePeer) })
 		running.Go(func() error { return d.elector.Run(ctx) })
-		running.Go(func() error { return d.keepCatalog(ctx) })
+		running.Go(func() error { return d.machineTypes.Run(ctx) })
 		running.Go(func() error { return d.keepContact(ctx) })
-		controllers = append(controllers, controller{d, clients[name].Addr().String()})
+		controllers = append(controllers, runningController{d, clients[name].Addr().String()})
 	}
 	return controllers
 }
@@ -100,11 +101,11 @@
 }
 
 // leaderFirst waits for a leader that all know, and puts it first.
-func leaderFirst(t *testing.T, controllers []controller) []controller {
+func leaderFirst(t *testing.T, controllers []runningController) []runningController {
 	t.Helper()
 	eventually(t, "a leader that all know", func() bool {
 		for i, c := range controllers {
-			if c.session.Load() != nil && c.elector.HoldsLease(time.Now()) {
+			if c.term.Load() != nil && c.elector.HoldsLease(time.Now()) {
 				controllers[0], controllers[i] = controllers[i], controllers[0]
 			}
 		}
@@ -114,7 +115,7 @@
 				return false
 			}
 		}
-		return controllers[0].session.Load() != nil
+		return controllers[0].term.Load() != nil
 	})
 	return controllers
 }
@@ -229,7 +230,7 @@
 	before := work.token
 	eventually(t, "another term after a resignation", func() bool {
 		for _, node := range nodes {
-			if s := node.session.Load(); s != nil && s.term.Number == before {
+			if s := node.term.Load(); s != nil && s.Number() == before {
 				node.elector.Resign("test")
 			}
 		}
@@ -242,13 +243,13 @@
 }
 
 // realTimeVariable has the tests run that depend on the machine's pace.
-const realTimeVariable = "DAEMON_REAL_TIME"
+const realTimeVariable = "CONTROLLER_REAL_TIME"
 
 // showsWhole tells whether a node, by way of the leader, shows the whole deployment.
-func showsWhole(t *testing.T, node controller) bool {
+func showsWhole(t *testing.T, node runningController) bool {
 	t.Helper()
-	code, body, err := fasthttp.Get(nil, "http://"+node.addr+StatusPath)
-	var shown Status
+	code, body, err := fasthttp.Get(nil, "http://"+node.addr+operatorapi.StatusPath)
+	var shown operatorapi.Status
 	if err != nil || code != fasthttp.StatusOK || json.Unmarshal(body, &shown) != nil {
 		t.Fatalf("status: %d, %v", code, err)
 	}
@@ -261,10 +262,11 @@
 
 // checkExtension asks a node that doesn't lead to extend the lease: it does so in an
 // outage of the state service, and refuses once that serves it again.
-func checkExtension(t *testing.T, store *fakeStore, nodes []controller) {
+func checkExtension(t *testing.T, store *fakeStore, nodes []runningController) {
 	t.Helper()
 	extends := func() bool {
-		return nodes[0].requestExtension(t.Context(), nodes[1].settings.Member) || nodes[1].requestExtension(t.Context(), nodes[0].settings.Member)
+		return electionNode{nodes[0].Controller}.RequestExtension(t.Context(), nodes[1].settings.Member) ||
+			electionNode{nodes[1].Controller}.RequestExtension(t.Context(), nodes[0].settings.Member)
 	}
 	if extends() {
 		t.Error("extended although the state service serves all")
--- /dev/null
+++ b/internal/controller/core_config.go
@@ -0,0 +1,68 @@
+package controller
+
+import (
+	"context"
+	"log/slog"
+	"time"
+
+	"gingertally/internal/config"
+	"gingertally/internal/controller/limits"
+	"gingertally/internal/core"
+	"gingertally/internal/core/placement"
+	"gingertally/internal/operator"
+)
+
+// roundBudget is how many tasks one round of decisions looks at.
+const roundBudget = 2000
+
+// coreConfig is the core's configuration for a deployment.
+func coreConfig(settings *config.Settings, operatorSettings operator.Settings) core.Config {
+	params := &settings.Params
+	shares := limits.Of(settings)
+	c := core.Config{
+		Teams:             map[string]placement.Quota{},
+		Objectives:        objectives(params.Objectives),
+		HeartbeatInterval: params.Workers.HeartbeatInterval.Duration(),
+		Lease:             params.Workers.Lease.Duration(),
+		CancelWithin:      params.Workers.Cancel.Duration(),
+		GangWait:          params.Workers.GangWait.Duration(),
+		InstanceListLag:   params.Cloud.ListLag.Duration(),
+		RestartLimit:      operatorSettings.RestartLimit,
+		BatchInterval:     operatorSettings.BatchInterval,
+		Weights:           operatorSettings.Weights,
+		Pace:              operatorSettings.Recovery,
+		Admission:         operatorSettings.Admission.Enabled,
+		MaxValueBytes:     shares.MaxValueBytes(),
+		WritesPerSecond:   shares.Leader().Writes,
+		RoundBudget:       roundBudget,
+		Drain:             operatorSettings.Draining.Policy(time.Duration(params.SkewMS * float64(time.Millisecond))),
+		Debug:             slog.Default().Enabled(context.Background(), slog.LevelDebug),
+	}
+	for _, team := range params.Teams {
+		c.Teams[team.Name] = placement.Quota{GuaranteedCPUs: team.GuaranteedCPUs, GuaranteedGPUs: team.GuaranteedGPUs,
+			CPULimit: team.CPULimit, GPULimit: team.GPULimit}
+	}
+	return c
+}
+
+// objectiveKinds are the settings' words for the kinds of objectives.
+var objectiveKinds = map[string]core.ObjectiveKind{
+	"wait": core.StartObjective, "finished": core.FinishObjective, "deadline": core.DeadlineObjective,
+}
+
+// objectives are what operators expect of starts and ends, by class. Kinds not known here are ignored.
+func objectives(settings []config.Objective) map[string][]core.Objective {
+	byClass := map[string][]core.Objective{}
+	for _, objective := range settings {
+		kind, known := objectiveKinds[objective.Kind]
+		if !known {
+			continue
+		}
+		times := objective.Times
+		if times <= 0 {
+			times = 1
+		}
+		byClass[objective.Class] = append(byClass[objective.Class], core.Objective{Kind: kind, Within: objective.Within.Duration(), Times: times})
+	}
+	return byClass
+}
--- a/internal/daemon/services_test.go
+++ b/internal/controller/fake_services_test.go
@@ -1,4 +1,4 @@
-package daemon
+package controller
 
 import (
 	"net"
--- /dev/null
+++ b/internal/controller/metrics/parts.go
@@ -0,0 +1,135 @@
+package metrics
+
+import (
+	"strconv"
+	"time"
+
+	"github.com/prometheus/client_golang/prometheus"
+
+	"gingertally/internal/admission"
+	"gingertally/internal/drain"
+	"gingertally/internal/standby"
+)
+
+// Standby are the metrics of the warm standby.
+type Standby struct {
+	phases    *prometheus.HistogramVec
+	logFailed prometheus.Gauge
+	registry  prometheus.Registerer
+}
+
+func newStandby(registry prometheus.Registerer) *Standby {
+	m := &Standby{
+		phases: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "gingertally_takeover_seconds",
+			Help:    "From when nobody led to each phase of a takeover, by whether it went on from the warm state.",
+			Buckets: latencyBuckets}, []string{"phase", "warm"}),
+		logFailed: prometheus.NewGauge(prometheus.GaugeOpts{Name: "gingertally_decision_log_failed",
+			Help: "1 once the decision log has failed."}),
+		registry: registry,
+	}
+	registry.MustRegister(m.phases, m.logFailed)
+	return m
+}
+
+// ObservePhase notes how long after it saw that nobody led a node reached a phase of a takeover.
+func (m *Standby) ObservePhase(warm bool, phase standby.Phase, since time.Duration) {
+	m.phases.WithLabelValues(phase.String(), strconv.FormatBool(warm)).Observe(since.Seconds())
+}
+
+// DecisionLogFailed notes that the decision log has failed.
+func (m *Standby) DecisionLogFailed() { m.logFailed.Set(1) }
+
+// StandbyState is a node's standby at the moment at which the metrics are read.
+type StandbyState struct {
+	Current    bool // it has all changes that it knows of, or leads
+	LagChanges uint64
+	Lag        time.Duration
+	Snapshots  uint64
+	Drops      uint64
+}
+
+// Watch has the present state of a node's standby shown with the other metrics.
+func (m *Standby) Watch(state func() StandbyState) {
+	gauge := func(name, help string, value func(StandbyState) float64) {
+		m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help},
+			func() float64 { return value(state()) }))
+	}
+	gauge("gingertally_standby_current", "1 while this node has all changes of the leader's warm state that it knows of, or leads.",
+		func(s StandbyState) float64 {
+			if s.Current {
+				return 1
+			}
+			return 0
+		})
+	gauge("gingertally_standby_lag_changes", "Changes that the copy of the warm state is known to lack.",
+		func(s StandbyState) float64 { return float64(s.LagChanges) })
+	gauge("gingertally_standby_lag_seconds", "Time since the leader's stream was last heard.",
+		func(s StandbyState) float64 { return s.Lag.Seconds() })
+	gauge("gingertally_standby_snapshots", "Snapshots of the warm state that were received whole.",
+		func(s StandbyState) float64 { return float64(s.Snapshots) })
+	gauge("gingertally_standby_drops", "How often the copy was dropped for a gap or a differing digest.",
+		func(s StandbyState) float64 { return float64(s.Drops) })
+}
+
+// Admission are the metrics of admission control.
+type Admission struct {
+	decisions *prometheus.CounterVec
+	policy    prometheus.Gauge
+}
+
+func newAdmission(registry prometheus.Registerer) *Admission {
+	m := &Admission{
+		decisions: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "gingertally_admission_decisions_total",
+			Help: "Submissions by team and decision."}, []string{"team", "decision"}),
+		policy: prometheus.NewGauge(prometheus.GaugeOpts{Name: "gingertally_admission_policy",
+			Help: "Number of the admission policy that is applied."}),
+	}
+	registry.MustRegister(m.decisions, m.policy)
+	return m
+}
+
+// CountDecision counts a decision. Teams are those of the settings.
+func (m *Admission) CountDecision(team string, decision admission.Decision) {
+	label := "admitted"
+	if !decision.Admitted {
+		label = decision.Reason.String()
+	}
+	m.decisions.WithLabelValues(team, label).Inc()
+}
+
+// PolicyApplied notes which policy is applied.
+func (m *Admission) PolicyApplied(number uint64) { m.policy.Set(float64(number)) }
+
+// Drains are the gauges of drains, shown by the leader.
+type Drains struct {
+	machines, interruptions *prometheus.GaugeVec
+}
+
+func newDrains(registry prometheus.Registerer) *Drains {
+	m := &Drains{
+		machines: prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "gingertally_drain_machines",
+			Help: "Machines of operators' drain plans, by state."}, []string{"state"}),
+		interruptions: prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: "gingertally_interruptions",
+			Help: "Interruptions of tasks that the ledger holds, by team, class and kind."}, []string{"team", "class", "kind"}),
+	}
+	registry.MustRegister(m.machines, m.interruptions)
+	return m
+}
+
+// Show brings the gauges up to date.
+func (m *Drains) Show(status *drain.Status) {
+	m.Reset()
+	for state, n := range status.States {
+		m.machines.WithLabelValues(state).Set(float64(n))
+	}
+	for _, scope := range status.Scopes {
+		m.interruptions.WithLabelValues(scope.Team, scope.Class, drain.Voluntary.String()).Set(float64(scope.Voluntary))
+		m.interruptions.WithLabelValues(scope.Team, scope.Class, drain.Involuntary.String()).Set(float64(scope.Involuntary))
+	}
+}
+
+// Reset removes the gauges, as when this node leads no longer.
+func (m *Drains) Reset() {
+	m.machines.Reset()
+	m.interruptions.Reset()
+}
--- a/internal/daemon/more_workers_test.go
+++ b/internal/controller/more_workers_test.go
@@ -1,4 +1,4 @@
-package daemon
+package controller
 
 import (
 	"bufio"
@@ -12,6 +12,8 @@
 
 	"gingertally/internal/agentapi"
 	"gingertally/internal/config"
+	"gingertally/internal/controller/limits"
+	"gingertally/internal/controller/metrics"
 )
 
 // Where there are more machines than a node has sockets, each is still answered: connections
@@ -19,8 +21,9 @@
 // kept theirs, and all others were turned away for good.
 func TestMoreWorkersThanSockets(t *testing.T) {
 	const workers, rounds = 400, 3
-	d := &Daemon{settings: &config.Settings{}, metrics: newMetrics(), agents: &agentapi.Service{}}
-	d.settings.Params.Resources.MaxSockets = minClientConns // far fewer than workers
+	settings := &config.Settings{}
+	settings.Params.Resources.MaxSockets = 64 // far fewer than workers
+	d := &Controller{settings: settings, limits: limits.Of(settings), metrics: metrics.New(), agents: &agentapi.Service{}}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	listener := listen(t)
--- /dev/null
+++ b/internal/controller/overload/leader.go
@@ -0,0 +1,118 @@
+package overload
+
+import (
+	"context"
+	"net/http"
+	"sync"
+	"time"
+
+	"gingertally/internal/admission"
+	"gingertally/internal/codec"
+)
+
+const (
+	// exchangeTimeout bounds the exchange with one controller.
+	exchangeTimeout = 700 * time.Millisecond
+	// readRetry is the pause after a policy that couldn't be read.
+	readRetry = 200 * time.Millisecond
+)
+
+// RunLeader implements Controller: measure, plan, store, send.
+func (n *Node) RunLeader(ctx context.Context, term Term) error {
+	latest, err := n.storedPolicy(ctx)
+	if err != nil {
+		return err
+	}
+	planner := admission.NewPlanner(time.Now(), n.planner, term.Number(), latest)
+	n.apply(latest)
+	defer n.setMeasured(nil)
+	for pause(ctx, n.planner.Interval) {
+		if term.HoldsLease() {
+			latest = n.planRound(ctx, term, planner, latest)
+		}
+	}
+	return ctx.Err()
+}
+
+// planRound gathers the counts of all controllers and makes the next policy. It returns the newest
+// policy that is stored: nobody hears of one that isn't.
+func (n *Node) planRound(ctx context.Context, term Term, planner *admission.Planner, latest admission.Policy) admission.Policy {
+	load, settled := term.Load(time.Now())
+	load.Rates.Jobs = n.options.Limits.Submissions()
+	load.Batches = n.exchange(ctx, latest)
+	if !settled {
+		return latest
+	}
+	policy, changed := planner.Plan(time.Now(), load)
+	n.setMeasured(planner.Measured())
+	if changed {
+		policy = n.fitting(policy)
+		if err := term.StoreValue(ctx, PolicyKey, codec.MustMarshal(policy)); err != nil {
+			n.log.Debug("admission policy not stored", "error", err)
+			return latest
+		}
+		latest = policy
+		n.apply(policy)
+	}
+	term.SetFairOrder(latest.Overloaded(), n.options.Settings.Weights)
+	return latest
+}
+
+// setMeasured notes what the leader has measured, for the status.
+func (n *Node) setMeasured(measured []admission.Measured) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.measured = measured
+}
+
+// storedPolicy reads the policy that the state service holds, until it can be had.
+func (n *Node) storedPolicy(ctx context.Context) (admission.Policy, error) {
+	for {
+		policy, err := n.readPolicy(ctx)
+		if err == nil {
+			return policy, nil
+		}
+		n.log.Debug("admission policy not read", "error", err)
+		if !pause(ctx, readRetry) {
+			return policy, ctx.Err()
+		}
+	}
+}
+
+// exchange sends all controllers the policy and gathers their counts. Those that can't be reached,
+// or are of a version without admission control, count nothing.
+func (n *Node) exchange(ctx context.Context, policy admission.Policy) []admission.Batch {
+	batches := []admission.Batch{n.takeCounts()}
+	body := codec.MustMarshal(policy)
+	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
+	defer cancel()
+	var mu sync.Mutex
+	var exchanges sync.WaitGroup
+	for _, member := range n.options.Members {
+		exchanges.Go(func() {
+			status, reply, err := n.options.Peers.Relay(ctx, member, http.MethodPost, ExchangePath, body)
+			var batch admission.Batch
+			if err != nil || status != http.StatusOK || codec.Unmarshal(reply, &batch) != nil {
+				return
+			}
+			mu.Lock()
+			defer mu.Unlock()
+			batches = append(batches, batch)
+		})
+	}
+	exchanges.Wait()
+	return batches
+}
+
+// fitting leaves the shares out for which a value of the state service is too small, those
+// that refuse least first: classes without a share count like the least of their team's.
+func (n *Node) fitting(policy admission.Policy) admission.Policy {
+	for len(policy.Shares) > 0 {
+		size, err := codec.JSONSize(codec.MustMarshal(policy))
+		if err == nil && size <= n.options.Limits.MaxValueBytes() {
+			break
+		}
+		policy.Shares = policy.WithoutWidest()
+	}
+	return policy
+}
--- a/internal/daemon/admission_test.go
+++ b/internal/controller/overload/node_test.go
@@ -1,4 +1,4 @@
-package daemon
+package overload
 
 import (
 	"fmt"
@@ -9,30 +9,28 @@
 	"gingertally/internal/admission"
 	"gingertally/internal/codec"
 	"gingertally/internal/config"
+	"gingertally/internal/controller/limits"
+	"gingertally/internal/controller/metrics"
 	"gingertally/internal/core/pipeline"
+	"gingertally/internal/core/placement"
 	"gingertally/internal/operator"
 )
 
-// admissionDaemon is a controller with or without admission control, which isn't running.
-func admissionDaemon(t *testing.T, on bool) *Daemon {
-	t.Helper()
-	settings := operator.Default()
-	settings.Admission.Enabled = on
-	d, err := New(testSettings("n-1", []config.Peer{{Member: "n-2", Zone: "a", Addr: "127.0.0.1:1"}}, config.Endpoints{Cloud: "127.0.0.1:1", State: "127.0.0.1:1"}), settings)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(d.peers.Close)
-	return d
+// testNode is a controller's part in admission control, which isn't running.
+func testNode() *Node {
+	settings := &config.Settings{Peers: []config.Peer{{Member: "n-2", Zone: "a", Addr: "127.0.0.1:1"}}}
+	settings.Params.State = config.State{RPS: 500, WriteRPS: 200, ValueKB: 4, TxnOps: 12}
+	return New(Options{Settings: operator.Default().Admission, Teams: []string{"t"}, Quotas: map[string]placement.Quota{"t": {}}, Limits: limits.Of(settings),
+		Metrics: metrics.New().Admission})
 }
 
-// A node takes the leader's policy and answers with what it has counted since the last time;
+// A controller takes the leader's policy and answers with what it has counted since the last time;
 // an older policy changes nothing. Its status says what it applies, and why.
 func TestExchange(t *testing.T) {
-	d := admissionDaemon(t, true)
+	n := testNode()
 	key := admission.Key{Team: "t", Class: "c", Priority: pipeline.Normal}
 	exchange := func(p admission.Policy) admission.Batch {
-		status, body := d.servePeer(t.Context(), "n-2", http.MethodPost, admissionPath, codec.MustMarshal(p))
+		status, body := n.ServeExchange(codec.MustMarshal(p))
 		var batch admission.Batch
 		if err := codec.Unmarshal(body, &batch); status != http.StatusOK || err != nil {
 			t.Fatalf("status %d, %v", status, err)
@@ -43,7 +41,7 @@
 	exchange(newest)
 	refused := 0
 	for i := range 50 {
-		if !d.admission.Decide(&pipeline.Spec{Ref: fmt.Sprint("j-", i), Team: "t", Class: "c", Priority: pipeline.Normal, Tasks: 1, CPUs: 1}).Admitted {
+		if !n.Decide(&pipeline.Spec{Ref: fmt.Sprint("j-", i), Team: "t", Class: "c", Priority: pipeline.Normal, Tasks: 1, CPUs: 1}).Admitted {
 			refused++
 		}
 	}
@@ -57,7 +55,7 @@
 	if again := exchange(newest); len(again.Counts) != 0 {
 		t.Fatalf("counted twice: %+v", again)
 	}
-	s := d.status(time.Now()).Admission
+	s := n.Status(time.Now())
 	if s == nil || s.Term != 3 || s.Number != 7 || s.Reason != "backlog" || s.Fallback || len(s.Classes) != 1 {
 		t.Fatalf("%+v", s)
 	}
@@ -66,27 +64,17 @@
 	}
 }
 
-// A node without admission control tells the leader so, admits everything, and shows nothing.
-func TestExchangeWithoutAdmission(t *testing.T) {
-	d := admissionDaemon(t, false)
-	status, _ := d.servePeer(t.Context(), "n-2", http.MethodPost, admissionPath, codec.MustMarshal(admission.Policy{Term: 1}))
-	if status != http.StatusNotFound || d.users.Admission != nil || d.status(time.Now()).Admission != nil {
-		t.Fatalf("status %d", status)
-	}
-}
-
-// A policy with more classes than a value has room for is stored without those that it
+// A policy with more classes than fit a value is stored without those that it
 // refuses least.
 func TestPolicyFitsItsValue(t *testing.T) {
-	d := admissionDaemon(t, true)
-	s := &leaderSession{daemon: d}
+	n := testNode()
 	p := admission.Policy{Term: 1, Number: 1, Reason: admission.Backlog}
 	for i := range 200 {
 		p.Shares = append(p.Shares, admission.Share{Key: admission.Key{Team: "t", Class: fmt.Sprintf("class-%03d", i)}, Fraction: float64(i+1) / 200})
 	}
-	fits := s.fitting(p)
+	fits := n.fitting(p)
 	size, err := codec.JSONSize(codec.MustMarshal(fits))
-	if err != nil || size > d.coreConfig.MaxValueBytes || len(fits.Shares) < 20 {
+	if err != nil || size > n.options.Limits.MaxValueBytes() || len(fits.Shares) < 20 {
 		t.Fatalf("%d bytes with %d shares, %v", size, len(fits.Shares), err)
 	}
 	for _, share := range fits.Shares {
@@ -95,15 +83,3 @@
 		}
 	}
 }
-
-// A refusal of another node keeps its time to come back, although answers between nodes have
-// no header.
-func TestForwardedRetryAfter(t *testing.T) {
-	body := codec.MustMarshal(map[string]any{"error": "overloaded: backlog", "retry_after_s": 7.0})
-	if got := forwardedRetryAfter(peerAnswer{status: 429, body: body}); got != 7*time.Second {
-		t.Errorf("%s", got)
-	}
-	if got := forwardedRetryAfter(peerAnswer{status: 200, body: body}); got != 0 {
-		t.Errorf("%s for an answer that is no refusal", got)
-	}
-}
--- /dev/null
+++ b/internal/controller/overload/status.go
@@ -0,0 +1,77 @@
+package overload
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"gingertally/internal/admission"
+)
+
+// Status is what a controller applies, as operators are shown it. Its JSON is part of their interface.
+type Status struct {
+	Term     uint64        `json:"term"`
+	Number   uint64        `json:"number"`
+	Reason   string        `json:"reason"`
+	Age      time.Duration `json:"age_ns"` // since a leader last confirmed the policy
+	Fallback bool          `json:"fallback"`
+	Classes  []ClassStatus `json:"classes"`
+}
+
+// ClassStatus is what a controller applies to a class of a team's jobs, and has counted of it
+// since its start.
+type ClassStatus struct {
+	Team     string  `json:"team"`
+	Class    string  `json:"class"`
+	Priority int     `json:"priority"`
+	Due      float64 `json:"due"`      // part of the capacity; 0 without overload
+	Asked    float64 `json:"asked"`    // part of the capacity that is asked for, as the leader measures it
+	Got      float64 `json:"got"`      // part of the capacity that is admitted, likewise; 0 where nothing is refused
+	Fraction float64 `json:"fraction"` // of its jobs whose turn comes with each policy; 1: all are taken
+	Offered  int     `json:"offered"`
+	Admitted int     `json:"admitted"`
+	Refused  int     `json:"refused"`
+}
+
+// compareClasses orders classes by team, then priority, then class.
+func compareClasses(a, b ClassStatus) int {
+	return cmp.Or(cmp.Compare(a.Team, b.Team), cmp.Compare(a.Priority, b.Priority), cmp.Compare(a.Class, b.Class))
+}
+
+// Status implements Controller.
+func (n *Node) Status(now time.Time) *Status {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	policy := n.gate.Policy()
+	status := &Status{Term: policy.Term, Number: policy.Number, Reason: policy.Reason.String(),
+		Age: now.Sub(n.gate.HeardAt()), Fallback: n.gate.Fallback(now)}
+	for _, class := range n.classes(policy) {
+		status.Classes = append(status.Classes, *class)
+	}
+	slices.SortFunc(status.Classes, compareClasses)
+	return status
+}
+
+// classes brings together what is known of each class; n.mu is held.
+func (n *Node) classes(policy *admission.Policy) map[admission.Key]*ClassStatus {
+	classes := map[admission.Key]*ClassStatus{}
+	of := func(key admission.Key) *ClassStatus {
+		if classes[key] == nil {
+			classes[key] = &ClassStatus{Team: key.Team, Class: key.Class, Priority: int(key.Priority), Fraction: 1}
+		}
+		return classes[key]
+	}
+	for _, share := range policy.Shares {
+		class := of(share.Key)
+		class.Due, class.Fraction = share.Due, share.Fraction
+	}
+	for _, measured := range n.measured {
+		class := of(measured.Key)
+		class.Asked, class.Got = measured.Offered, measured.Got
+	}
+	for key, total := range n.totals {
+		class := of(key)
+		class.Offered, class.Admitted, class.Refused = total.Offered, total.Admitted, total.Refused
+	}
+	return classes
+}
--- a/internal/daemon/standby_test.go
+++ b/internal/controller/replication/node_test.go
@@ -1,4 +1,4 @@
-package daemon
+package replication
 
 import (
 	"context"
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"gingertally/internal/controller/metrics"
 	"gingertally/internal/core"
 	"gingertally/internal/leadership"
 	"gingertally/internal/operator"
@@ -14,27 +15,27 @@
 )
 
 // testStandby is a node's part in the warm standby.
-func testStandby(t *testing.T, name string, alter func(*operator.Standby)) *standbyNode {
+func testStandby(t *testing.T, name string, alter func(*operator.Standby)) *Node {
 	t.Helper()
 	settings := operator.Default().Standby
 	settings.Enabled, settings.SnapshotInterval = true, time.Millisecond
 	if alter != nil {
 		alter(&settings)
 	}
-	return newStandbyNode(name, settings, time.Second, newMetrics().standby)
+	return newNode(name, settings, time.Second, metrics.New().Standby)
 }
 
 // lead has a node claim a term and begin it.
-func lead(t *testing.T, n *standbyNode, term uint64) *core.WarmStart {
+func lead(t *testing.T, n *Node, term uint64) *core.WarmStart {
 	t.Helper()
-	n.vacant()
-	n.claimed(leadership.Term{Number: term, Revision: 10 * term})
-	if _, ok := n.confirm(leadership.Term{Number: term}, 10*term-1); ok {
-		t.Fatal("records from before the claim are taken")
+	n.LeaderLost()
+	n.TermClaimed(leadership.Term{Number: term, Revision: 10 * term})
+	if _, err := n.Confirm(leadership.Term{Number: term}, 10*term-1); !errors.Is(err, standby.ErrBehindClaim) {
+		t.Fatalf("records from before the claim are taken: %v", err)
 	}
-	start, ok := n.confirm(leadership.Term{Number: term}, 10*term)
-	if !ok {
-		t.Fatal("records as of the claim aren't taken")
+	start, err := n.Confirm(leadership.Term{Number: term}, 10*term)
+	if err != nil {
+		t.Fatalf("records as of the claim aren't taken: %v", err)
 	}
 	return start
 }
@@ -45,7 +46,7 @@
 }
 
 // pumpFrames brings a follower what its leader has for it.
-func pumpFrames(t *testing.T, leader, follower *standbyNode) {
+func pumpFrames(t *testing.T, leader, follower *Node) {
 	t.Helper()
 	for {
 		f, ok, err := leader.Next(follower.self)
@@ -71,17 +72,17 @@
 		t.Fatal(err)
 	}
 	for i := range 50 {
-		a.publish(1, []core.WarmRecord{classRecord(i)})
+		a.Publish(1, []core.WarmRecord{classRecord(i)})
 	}
-	a.publish(7, []core.WarmRecord{classRecord(99)}) // of a term that isn't this one
+	a.Publish(7, []core.WarmRecord{classRecord(99)}) // of a term that isn't this one
 	pumpFrames(t, a, b)
-	if s := a.status(time.Now()); s.State != "active" || s.Followers["b"] != 0 || s.Sequence != 50 {
+	if s := a.Status(time.Now()); s.State != "active" || s.Followers["b"] != 0 || s.Sequence != 50 {
 		t.Fatalf("the leader's status: %+v", s)
 	}
-	if s := b.status(time.Now()); s.State != "following" || s.Entries != 20 || s.LagChanges != 0 {
+	if s := b.Status(time.Now()); s.State != "following" || s.Entries != 20 || s.LagChanges != 0 {
 		t.Fatalf("the follower's status: %+v", s)
 	}
-	a.termEnded(1)
+	a.TermEnded(1)
 	if _, _, err := a.Next("b"); !errors.Is(err, errNotLeading) {
 		t.Fatalf("a node whose term is over: %v", err)
 	}
@@ -89,14 +90,14 @@
 	if start == nil || len(start.Records) != 20 || !start.Confirmed {
 		t.Fatalf("the next leader starts from %+v", start)
 	}
-	b.reach(standby.FirstAnswer)
-	b.reach(standby.FirstStart)
-	taken := b.status(time.Now()).LastTakeover
+	b.PhaseReached(standby.FirstAnswer)
+	b.PhaseReached(standby.FirstStart)
+	taken := b.Status(time.Now()).LastTakeover
 	if taken == nil || !taken.Warm || taken.Term != 2 || len(taken.Phases) != int(standby.FirstStart)+1 {
 		t.Fatalf("the takeover's phases: %+v", taken)
 	}
-	a.termEnded(1) // late news of the old term
-	if s := b.status(time.Now()); s.State != "active" {
+	a.TermEnded(1) // late news of the old term
+	if s := b.Status(time.Now()); s.State != "active" {
 		t.Fatalf("%s", s.State)
 	}
 }
@@ -105,22 +106,22 @@
 func TestNamesTheMostCurrent(t *testing.T) {
 	a, b, c := testStandby(t, "a", nil), testStandby(t, "b", nil), testStandby(t, "c", nil)
 	lead(t, a, 1)
-	for _, n := range []*standbyNode{b, c} {
+	for _, n := range []*Node{b, c} {
 		if _, err := a.Join(n.self, n.position()); err != nil {
 			t.Fatal(err)
 		}
-		a.publish(1, []core.WarmRecord{classRecord(1)})
+		a.Publish(1, []core.WarmRecord{classRecord(1)})
 		pumpFrames(t, a, n)
 	}
-	a.publish(1, []core.WarmRecord{classRecord(2)})
+	a.Publish(1, []core.WarmRecord{classRecord(2)})
 	pumpFrames(t, a, c)
-	if named := a.nameSuccessor([]string{"b", "c"}); named != "c" {
+	if named := a.NameSuccessor([]string{"b", "c"}); named != "c" {
 		t.Fatalf("%q is to take over", named)
 	}
 	pumpFrames(t, a, b)
 	pumpFrames(t, a, c)
-	if !a.caughtUp("c") || c.claimDelay() != 0 || b.claimDelay() == 0 {
-		t.Fatalf("the successor waits %s, the other %s", c.claimDelay(), b.claimDelay())
+	if !a.CaughtUp("c") || c.ClaimDelay() != 0 || b.ClaimDelay() == 0 {
+		t.Fatalf("the successor waits %s, the other %s", c.ClaimDelay(), b.ClaimDelay())
 	}
 }
 
@@ -128,7 +129,7 @@
 // disk that fails is reported and done without.
 func TestDecisionLogOutlivesTheProcess(t *testing.T) {
 	directories := map[string]string{"a": t.TempDir(), "b": t.TempDir()}
-	start := func(name string) *standbyNode {
+	start := func(name string) *Node {
 		return testStandby(t, name, func(s *operator.Standby) { s.LogDirectory = directories[name] })
 	}
 	a, b := start("a"), start("b")
@@ -138,14 +139,14 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	written := make(chan error, 2)
-	for _, n := range []*standbyNode{a, b} {
+	for _, n := range []*Node{a, b} {
 		go func() { written <- n.log.run(ctx) }()
 	}
 	for i := range 60 {
-		a.publish(1, []core.WarmRecord{classRecord(i)})
+		a.Publish(1, []core.WarmRecord{classRecord(i)})
 		pumpFrames(t, a, b)
 	}
-	eventually(t, "both logs written", func() bool { return len(a.log.queue) == 0 && len(b.log.queue) == 0 })
+	waitUntil(t, "both logs written", func() bool { return len(a.log.queue) == 0 && len(b.log.queue) == 0 })
 	// What was taken off the queue last is written before the loop looks at ctx again.
 	cancel()
 	for range 2 {
@@ -158,7 +159,7 @@
 		if at := again.position(); at.Term != 1 || at.Sequence == 0 || at.Sequence > 60 {
 			t.Errorf("%s goes on from %+v", name, at)
 		}
-		if s := again.status(time.Now()); s.Log != "ok" || s.State != "catching up" {
+		if s := again.Status(time.Now()); s.Log != "ok" || s.State != "catching up" {
 			t.Errorf("%s: %+v", name, s)
 		}
 	}
@@ -174,7 +175,7 @@
 	n := testStandby(t, "a", func(s *operator.Standby) { s.LogDirectory = t.TempDir() })
 	lead(t, n, 1)
 	for i := range 5 * logQueue {
-		n.publish(1, []core.WarmRecord{classRecord(i)}) // nobody takes them off the queue
+		n.Publish(1, []core.WarmRecord{classRecord(i)}) // nobody takes them off the queue
 	}
 	if len(n.log.queue) != cap(n.log.queue) {
 		t.Fatalf("%d frames wait for the disk", len(n.log.queue))
@@ -188,3 +189,14 @@
 		t.Fatal("no segment was begun")
 	}
 }
+
+// waitUntil waits until something holds.
+func waitUntil(t *testing.T, what string, holds func() bool) {
+	t.Helper()
+	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+		if holds() {
+			return
+		}
+	}
+	t.Fatalf("never: %s", what)
+}
--- /dev/null
+++ b/internal/controller/term/direct.go
@@ -0,0 +1,72 @@
+package term
+
+import (
+	"context"
+	"log/slog"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"gingertally/internal/agentapi"
+	"gingertally/internal/controller/limits"
+	"gingertally/internal/core"
+)
+
+const (
+	// directTimeout bounds one direct command.
+	directTimeout = 3 * time.Second
+	// directIdle is how long a connection to a worker is kept for the next one.
+	directIdle = 10 * time.Second
+)
+
+// DirectSender sends direct commands to workers, a few at a time. It is shared by all terms of a
+// controller, and may be used from any goroutine.
+type DirectSender struct {
+	http  *fasthttp.Client
+	slots chan struct{} // of commands under way
+}
+
+// NewDirectSender makes a sender.
+func NewDirectSender() *DirectSender {
+	return &DirectSender{
+		http: &fasthttp.Client{MaxConnsPerHost: 1, MaxIdleConnDuration: directIdle, ReadTimeout: directTimeout,
+			WriteTimeout: directTimeout, MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true},
+		slots: make(chan struct{}, limits.MaxDirectCommands),
+	}
+}
+
+// CloseIdleConnections closes the connections to workers that aren't in use.
+func (s *DirectSender) CloseIdleConnections() { s.http.CloseIdleConnections() }
+
+// sendDirectCommands sends commands to a worker, unless too many are under way or the lease isn't
+// valid any more: they are repeated with the worker's next heartbeat anyway.
+func (t *Term) sendDirectCommands(commands core.Direct) {
+	select {
+	case t.deps.Direct.slots <- struct{}{}:
+	default:
+		return
+	}
+	sent := t.background.run(func(context.Context) {
+		defer t.deps.Direct.release()
+		if t.HoldsLease() {
+			t.deps.Direct.post(t.log, commands)
+		}
+	})
+	if !sent {
+		t.deps.Direct.release()
+	}
+}
+
+func (s *DirectSender) release() { <-s.slots }
+
+func (s *DirectSender) post(log *slog.Logger, commands core.Direct) {
+	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(request)
+	defer fasthttp.ReleaseResponse(response)
+	request.Header.SetMethod(fasthttp.MethodPost)
+	request.SetRequestURI("http://" + commands.Addr + agentapi.OrdersPath)
+	request.Header.SetContentType("application/cbor")
+	request.SetBodyRaw(agentapi.DirectCommands(commands))
+	err := s.http.DoTimeout(request, response, directTimeout)
+	log.Debug("direct commands sent", "machine", commands.Machine, "status", response.StatusCode(), "error", err)
+}
--- /dev/null
+++ b/internal/controller/term/takeover.go
@@ -0,0 +1,73 @@
+package term
+
+import (
+	"context"
+	"math/rand/v2"
+	"time"
+
+	"gingertally/internal/core"
+	"gingertally/internal/drain"
+)
+
+// snapshotRetry is the pause after records that couldn't be read.
+const snapshotRetry = 200 * time.Millisecond
+
+// takeOver reads all records and builds the engine from them.
+func (t *Term) takeOver(ctx context.Context) error {
+	for {
+		err := t.readRecords(ctx)
+		if err == nil {
+			return nil
+		}
+		t.log.Warn("records not read", "error", err)
+		if !pause(ctx, snapshotRetry) {
+			return ctx.Err()
+		}
+	}
+}
+
+func (t *Term) readRecords(ctx context.Context) error {
+	snapshot, revision, err := t.deps.Records.Snapshot(ctx)
+	if err != nil {
+		return err
+	}
+	if snapshot.Drains, err = t.readDrains(ctx); err != nil {
+		return err
+	}
+	return t.begin(snapshot, revision)
+}
+
+// readDrains reads what is stored of drains; nothing if they are off.
+func (t *Term) readDrains(ctx context.Context) (drain.Stored, error) {
+	if t.deps.Config.Drain == nil {
+		return drain.Stored{}, nil
+	}
+	return t.deps.Records.Drains(ctx)
+}
+
+// begin builds the engine from the records, and from the copy of the last leader's warm
+// state if there is one that can be trusted.
+func (t *Term) begin(snapshot core.Snapshot, revision uint64) error {
+	warm, err := t.deps.Replicator.Confirm(t.claimed, revision)
+	if err != nil {
+		return err
+	}
+	t.revision = revision
+	t.log.Info("takeover", "jobs", len(snapshot.Jobs), "pages", len(snapshot.Pages))
+	// All earlier leases ended before the claim, so before now
+	// (docs/design.md, "Safety arguments" 1; TestOneLeader).
+	now := time.Now()
+	snapshot.Restored = t.claimed.Restored
+	engine := core.New(now, t.deps.Config, t.claimed.Number, snapshot, newRand())
+	if warm != nil {
+		t.logRecords(engine.Step(now, *warm).Log)
+	}
+	if types := t.deps.MachineTypes.Types(); types != nil {
+		engine.Step(now, core.CatalogUpdated{Types: types})
+	}
+	t.engine = engine
+	return nil
+}
+
+// newRand is a generator with a seed of its own.
+func newRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
--- a/internal/daemon/session_writes.go
+++ b/internal/controller/term/write.go
@@ -1,8 +1,8 @@
-package daemon
+package term
 
 import (
+	"context"
 	"errors"
-	"log/slog"
 	"time"
 
 	"gingertally/internal/core"
@@ -10,55 +10,55 @@
 	"gingertally/internal/statestore"
 )
 
-// Pauses after a failed write; in an outage of the state service, in which this node
+// Pauses after a failed write; in an outage of the state service, in which this controller
 // goes on, a longer one.
 const (
 	writeRetry       = 100 * time.Millisecond
 	writeRetryOutage = 300 * time.Millisecond
 )
 
-// wakeWriter has the write loop look at once whether there is something to write.
-func (s *leaderSession) wakeWriter() {
+// wakeWriteLoop has the write loop look at once whether there is something to write.
+func (t *Term) wakeWriteLoop() {
 	select {
-	case s.wake <- struct{}{}:
+	case t.wakeWriter <- struct{}{}:
 	default:
 	}
 }
 
 // writeLoop writes what the engine has to write, one transaction at a time.
-func (s *leaderSession) writeLoop() error {
+func (t *Term) writeLoop(ctx context.Context) error {
 	for {
 		select {
-		case <-s.ctx.Done():
-			return s.ctx.Err()
-		case <-s.wake:
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-t.wakeWriter:
 		case <-time.After(tickEvery):
 		}
-		if !s.holdsLease() {
+		if !t.HoldsLease() {
 			continue
 		}
-		if err := s.writeAll(); err != nil {
+		if err := t.writeAll(ctx); err != nil {
 			return err
 		}
 	}
 }
 
-// writeAll writes until nothing is left or a write fails. An error ends the session.
-func (s *leaderSession) writeAll() error {
+// writeAll writes until nothing is left or a write fails. An error ends the term.
+func (t *Term) writeAll(ctx context.Context) error {
 	for {
-		more, err := s.writeBatch()
+		more, err := t.writeBatch(ctx)
 		if errors.Is(err, jobstore.ErrDeposed) {
-			s.daemon.elector.EndTerm()
+			t.deps.Lease.EndTerm()
 			return err
 		}
 		if err != nil {
-			slog.Debug("write", "error", err)
-			pause := writeRetry
+			t.log.Debug("batch not written", "error", err)
+			retry := writeRetry
 			if errors.Is(err, statestore.ErrUnavailable) {
-				pause = writeRetryOutage
+				retry = writeRetryOutage
 			}
-			if !sleep(s.ctx, pause) {
-				return s.ctx.Err()
+			if !pause(ctx, retry) {
+				return ctx.Err()
 			}
 		}
 		if !more {
@@ -68,54 +68,54 @@
 }
 
 // writeBatch writes one batch, and tells whether there may be more to write.
-func (s *leaderSession) writeBatch() (more bool, err error) {
-	batch := s.nextBatch()
+func (t *Term) writeBatch(ctx context.Context) (more bool, err error) {
+	batch := t.nextBatch()
 	if len(batch) == 0 {
 		return false, nil
 	}
-	sent, revision, err := s.daemon.records.Apply(s.ctx, s.term, batch)
+	sent, revision, err := t.deps.Records.Apply(ctx, t.claimed, batch)
 	if unsent := batch[len(sent):]; len(unsent) > 0 {
-		s.step(core.WritesFinished{Batch: unsent})
+		t.step(core.WritesFinished{Batch: unsent})
 	}
 	if err == nil {
-		s.step(core.WritesFinished{Batch: sent, OK: true, Revision: revision})
+		t.step(core.WritesFinished{Batch: sent, OK: true, Revision: revision})
 		return true, nil
 	}
 	if errors.Is(err, statestore.ErrRejected) {
-		s.step(core.WriteRejected{Write: sent[0]})
+		t.step(core.WriteRejected{Write: sent[0]})
 		return true, nil
 	}
 	var versions map[string]uint64
 	if !errors.Is(err, statestore.ErrUnavailable) { // else nothing has changed, and nothing can be read
-		versions = s.reread(sent)
+		versions = t.reread(ctx, sent)
 	}
-	s.step(core.WritesFinished{Batch: sent, CurrentVersions: versions})
+	t.step(core.WritesFinished{Batch: sent, CurrentVersions: versions})
 	return false, err
 }
 
 // nextBatch takes the next writes from the engine, which from then on counts them as
 // under way.
-func (s *leaderSession) nextBatch() []core.Write {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (t *Term) nextBatch() []core.Write {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	now := time.Now()
-	batch := s.engine.Batch(now, s.daemon.maxBatch())
+	batch := t.engine.Batch(now, t.deps.MaxBatch)
 	if len(batch) > 0 {
-		s.engine.Step(now, core.WritesStarted{Batch: batch})
+		t.engine.Step(now, core.WritesStarted{Batch: batch})
 	}
 	return batch
 }
 
 // reread finds out what the store holds after a failed or unanswered write: the
 // versions of pages by name. Jobs' records go to the engine at once.
-func (s *leaderSession) reread(batch []core.Write) map[string]uint64 {
+func (t *Term) reread(ctx context.Context, batch []core.Write) map[string]uint64 {
 	versions := map[string]uint64{}
 	for _, write := range batch {
 		if ref := write.JobRef(); ref != "" {
-			s.refresh(ref)
+			t.refreshJob(ctx, ref)
 			continue
 		}
-		if version, versioned, err := s.daemon.records.PageVersion(s.ctx, write); versioned && err == nil {
+		if version, checked, err := t.deps.Records.PageVersion(ctx, write); checked && err == nil {
 			versions[write.Target()] = version
 		}
 	}
--- a/internal/daemon/forward.go
+++ b/internal/controller/usercalls/forward.go
@@ -1,4 +1,4 @@
-package daemon
+package usercalls
 
 import (
 	"context"
@@ -7,44 +7,47 @@
 	"time"
 )
 
-// This file forwards calls that a node can't serve to a peer: at once where it can, and
-// always within the time that the user waits.
-
 const (
-	// nextPeerAfter is how long one node is waited for before the next is asked too.
+	// nextPeerAfter is how long one controller is waited for before the next is asked too.
 	nextPeerAfter = 250 * time.Millisecond
 	// forwardPause is how long no peer is asked after none could serve a call.
 	forwardPause = time.Second
 )
 
-// peerAnswer is a peer's answer to a forwarded call.
-type peerAnswer struct {
-	status int
-	body   []byte
+// Relayer carries a call to another controller. *peer.Client implements it.
+type Relayer interface {
+	// Relay sends a call and returns the answer.
+	Relay(ctx context.Context, to, method, path string, body []byte) (status int, reply []byte, err error)
 }
 
-// relayer carries a call to another node.
-type relayer interface {
-	Relay(ctx context.Context, to, method, path string, body []byte) (status int, reply []byte, err error)
+// Forwarder forwards calls to the other controllers.
+type Forwarder struct {
+	peers        Relayer
+	peerAnswered func()       // is told that another controller has answered
+	pausedUntil  atomic.Int64 // until when no peer is asked, in Unix nanoseconds
 }
 
-// forwarder forwards calls to the other nodes.
-type forwarder struct {
-	peers       relayer
-	answered    func()       // another node has answered
-	pausedUntil atomic.Int64 // until when no peer is asked, in Unix nanoseconds
+// NewForwarder makes a forwarder.
+func NewForwarder(peers Relayer, peerAnswered func()) *Forwarder {
+	return &Forwarder{peers: peers, peerAnswered: peerAnswered}
 }
 
-// forwardedCall is a call that this node couldn't serve.
+// forwardedCall is a call that this controller couldn't serve.
 type forwardedCall struct {
 	method, path string
 	body         []byte
 }
 
-// forward asks the named nodes to serve a call, one a little after the other,
+// peerAnswer is a peer's answer to a forwarded call.
+type peerAnswer struct {
+	status int
+	body   []byte
+}
+
+// forward asks the named controllers to serve a call, one a little after the other,
 // and takes the first answer that settles it. When none could a moment ago, as in
 // an outage that all see, they aren't asked.
-func (f *forwarder) forward(ctx context.Context, names []string, call forwardedCall) (peerAnswer, bool) {
+func (f *Forwarder) forward(ctx context.Context, names []string, call forwardedCall) (peerAnswer, bool) {
 	if time.Now().UnixNano() < f.pausedUntil.Load() {
 		return peerAnswer{}, false
 	}
@@ -68,7 +71,7 @@
 			}
 		case <-next.C:
 			if asked < len(names) {
-				go func(name string) { answers <- f.ask(ctx, name, call) }(names[asked])
+				go func(name string) { answers <- f.request(ctx, name, call) }(names[asked])
 				asked++
 				next.Reset(nextPeerAfter)
 			}
@@ -78,12 +81,12 @@
 	return peerAnswer{}, false
 }
 
-// ask has one node serve a call; one that can't be reached can't serve it.
-func (f *forwarder) ask(ctx context.Context, name string, call forwardedCall) peerAnswer {
+// request has one controller serve a call; one that can't be reached can't serve it.
+func (f *Forwarder) request(ctx context.Context, name string, call forwardedCall) peerAnswer {
 	status, body, err := f.peers.Relay(ctx, name, call.method, call.path, call.body)
 	if err != nil {
 		return peerAnswer{status: http.StatusServiceUnavailable}
 	}
-	f.answered()
+	f.peerAnswered()
 	return peerAnswer{status: status, body: body}
 }
--- a/internal/daemon/forward_test.go
+++ b/internal/controller/usercalls/forward_test.go
@@ -1,4 +1,4 @@
-package daemon
+package usercalls
 
 import (
 	"context"
@@ -7,6 +7,8 @@
 	"testing"
 	"testing/synctest"
 	"time"
+
+	"gingertally/internal/codec"
 )
 
 // nodes answers for the other nodes by name; one that isn't named hangs.
@@ -47,11 +49,11 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			n := &nodes{status: c.status}
-			f := &forwarder{peers: n, answered: func() {}}
+			f := NewForwarder(n, func() {})
 			ctx, cancel := context.WithTimeout(context.Background(), pollTimeout)
 			defer cancel()
 			begun := time.Now()
-			answer, ok := f.forward(ctx, names, forwardedCall{method: "GET", path: runsPath + "/j-1"})
+			answer, ok := f.forward(ctx, names, forwardedCall{method: "GET", path: RunsPath + "/j-1"})
 			if ok != (c.want != 0) || answer.status != c.want || time.Since(begun) > c.within || n.asked.Load() != c.asked {
 				t.Errorf("%s: %d, %v after %s, %d asked", c.name, answer.status, ok, time.Since(begun), n.asked.Load())
 			}
@@ -64,19 +66,31 @@
 func TestForwardingPausesInOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := &nodes{status: map[string]int{"n-1": 503}}
-		f := &forwarder{peers: n, answered: func() {}}
-		ask := func() {
-			f.forward(context.Background(), []string{"n-1"}, forwardedCall{method: "GET", path: runsPath + "/j-1"})
+		f := NewForwarder(n, func() {})
+		forward := func() {
+			f.forward(context.Background(), []string{"n-1"}, forwardedCall{method: "GET", path: RunsPath + "/j-1"})
 		}
-		ask()
-		ask()
+		forward()
+		forward()
 		if n.asked.Load() != 1 {
 			t.Errorf("asked %d times at once", n.asked.Load())
 		}
 		time.Sleep(forwardPause)
-		ask()
+		forward()
 		if n.asked.Load() != 2 {
 			t.Errorf("asked %d times after a rest", n.asked.Load())
 		}
 	})
 }
+
+// A refusal of another controller keeps its time to come back, although answers between controllers have
+// no header.
+func TestForwardedRetryAfter(t *testing.T) {
+	body := codec.MustMarshal(map[string]any{"error": "overloaded: backlog", "retry_after_s": 7.0})
+	if got := forwardedRetryAfter(peerAnswer{status: 429, body: body}); got != 7*time.Second {
+		t.Errorf("%s", got)
+	}
+	if got := forwardedRetryAfter(peerAnswer{status: 200, body: body}); got != 0 {
+		t.Errorf("%s for an answer that is no refusal", got)
+	}
+}
--- a/internal/leadership/elector_test.go
+++ b/internal/leadership/elector_test.go
@@ -150,6 +150,39 @@
 	f.mu.Unlock()
 }
 
+// fakeNode is a node that takes part in an election and does nothing as the leader.
+type fakeNode struct {
+	termStarted      func(t Term)
+	leaderLost       func()
+	withoutHeartbeat bool
+	claimDelay       time.Duration
+	requestExtension func(ctx context.Context, member string) bool
+}
+
+func (n *fakeNode) RunTerm(ctx context.Context, t Term) {
+	if n.termStarted != nil {
+		n.termStarted(t)
+	}
+	<-ctx.Done()
+}
+
+func (*fakeNode) LeaseResumed() {}
+
+func (n *fakeNode) LeaderLost() {
+	if n.leaderLost != nil {
+		n.leaderLost()
+	}
+}
+
+func (n *fakeNode) HeartbeatsMissing() bool { return n.withoutHeartbeat }
+
+func (n *fakeNode) ClaimDelay() time.Duration { return n.claimDelay }
+
+func (n *fakeNode) RequestExtension(ctx context.Context, member string) bool {
+	return n.requestExtension(ctx, member)
+}
+
+// trio is three nodes over one state service.
 type trio struct {
 	store    *fakeStore
 	electors []*Elector
@@ -163,19 +196,16 @@
 	tr := &trio{store: newFake()}
 	names := []string{"a", "b", "c"}
 	for i, name := range names {
-		var hook func(context.Context, string) bool
-		if ask != nil {
-			hook = func(ctx context.Context, to string) bool { return ask(ctx, tr, name, to) }
-		}
-		others := append(append([]string{}, names[:i]...), names[i+1:]...)
-		l := New(client{tr.store, name}, Options{Member: name, Others: others, TTL: ttl, Hooks: Hooks{RequestExtension: hook,
-			TermStarted: func(_ context.Context, t Term) {
+		node := &fakeNode{
+			termStarted: func(t Term) {
 				tr.mu.Lock()
 				defer tr.mu.Unlock()
 				tr.terms = append(tr.terms, t.Number)
 			},
-			LeaseResumed: func() {}, HeartbeatsMissing: func() bool { return false },
-		}})
+			requestExtension: func(ctx context.Context, to string) bool { return ask(ctx, tr, name, to) },
+		}
+		others := append(append([]string{}, names[:i]...), names[i+1:]...)
+		l := New(client{tr.store, name}, node, Options{Member: name, Others: others, TTL: ttl, PeerExtensions: ask != nil})
 		tr.electors = append(tr.electors, l)
 		go func() { _ = l.Run(ctx) }() // ends with ctx
 	}
@@ -281,14 +311,13 @@
 		defer cancel()
 		began := time.Now()
 		var after time.Duration
-		e := New(client{newFake(), "a"}, Options{Member: "a", TTL: 3 * time.Second, Hooks: Hooks{
-			TermStarted:  func(context.Context, Term) { after = time.Since(began) },
-			LeaseResumed: func() {}, HeartbeatsMissing: func() bool { return true }}})
+		node := &fakeNode{termStarted: func(Term) { after = time.Since(began) }, withoutHeartbeat: true}
+		e := New(client{newFake(), "a"}, node, Options{Member: "a", TTL: 3 * time.Second})
 		go func() { _ = e.Run(ctx) }() // ends with ctx
 		time.Sleep(5 * time.Second)
 		cancel()
 		time.Sleep(5 * time.Second)
-		if after < yieldUnreached || after > time.Second {
+		if after < claimDelayWithoutHeartbeats || after > time.Second {
 			t.Fatalf("claimed %s after the place became free", after)
 		}
 	})
--- a/internal/leadership/extension.go
+++ b/internal/leadership/extension.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"log/slog"
 	"sync"
 	"time"
 )
@@ -15,8 +14,8 @@
 // ExtensionFor. While every one of them does, nobody else can claim, whether or not the
 // lease still stands in the state service. An extension only prolongs a valid lease:
 // once that has lapsed, another node may have led meanwhile, and only the state service
-// can tell. A node extends only while the state service doesn't serve it either (the
-// daemon sees to that; safety doesn't rest on it), and a node that can't be reached
+// can tell. A node extends only while the state service doesn't serve it either (its caller
+// sees to that; safety doesn't rest on it), and a node that can't be reached
 // extends nothing, so a leader that is cut off alone loses its lease all the same.
 //
 // The argument is in docs/design.md, "Lease extension"; TestPeersExtendLease,
@@ -38,69 +37,70 @@
 // for it: what two clocks may drift is taken off.
 const ExtensionCounted = ExtensionFor - ExtensionFor/driftDivisor - timerStep
 
-// extendedMessage is the log's line when the peers first extend a lease. Operators know
-// it (docs/operating.md), so its words stay as an earlier version had them.
-const extendedMessage = "the state service doesn't renew the lease; going on by the others' promises"
-
-// needsExtension tells whether so little of a lease is left that renewals have failed:
-// less than 5/8 of its length, while it is renewed every quarter.
-func needsExtension(left, length time.Duration) bool { return left < length*5/8 }
-
-// extendLease has the peers extend the lease, while this node leads and the state
+// extendLease has the peers extend the lease while this node leads and the state
 // service doesn't renew it.
 func (e *Elector) extendLease(ctx context.Context) {
-	if e.options.Hooks.RequestExtension == nil {
+	if !e.options.PeerExtensions {
 		return
 	}
 	for ctx.Err() == nil {
 		pause(ctx, extensionEvery)
-		e.mu.Lock()
-		needed := e.role == Leading && !e.resigning && needsExtension(time.Until(e.validUntil), e.options.TTL)
-		e.mu.Unlock()
-		if needed {
+		if e.needsExtension() {
 			e.requestExtensions(ctx)
 		}
 	}
 }
 
+func (e *Elector) needsExtension() bool {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.role == Leading && !e.resigning && e.lease.NeedsExtension(time.Now())
+}
+
 // requestExtensions asks all peers at once.
 func (e *Elector) requestExtensions(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, extensionTimeout)
 	defer cancel()
-	sent := time.Now()
+	requested := time.Now()
 	var requests sync.WaitGroup
 	for _, peer := range e.options.Others {
 		requests.Go(func() {
-			if e.options.Hooks.RequestExtension(ctx, peer) {
-				e.extensionGranted(peer, time.Now(), sent.Add(ExtensionCounted))
+			if e.node.RequestExtension(ctx, peer) {
+				e.extended(peer, requested.Add(ExtensionCounted))
 			}
 		})
 	}
 	requests.Wait()
 }
 
-// extensionGranted notes one peer's extension, and prolongs the lease to where all
-// peers extend it, unless it has lapsed.
-func (e *Elector) extensionGranted(peer string, now, until time.Time) {
+// extended notes one peer's extension of the lease.
+func (e *Elector) extended(peer string, until time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.role != Leading || e.resigning || !now.Before(e.validUntil) {
-		return
-	}
-	e.extensions[peer] = until
-	for _, other := range e.options.Others {
-		if granted := e.extensions[other]; granted.Before(until) {
-			until = granted
-		}
-	}
-	if !until.After(e.validUntil) {
+	if e.role != Leading || e.resigning {
 		return
 	}
-	e.validUntil = until
-	if !e.extended {
-		slog.Warn(extendedMessage, "term", e.term.Number)
+	if first := e.lease.Extended(peer, time.Now(), until); first {
+		e.log.Warn("leader lease extended by peers", "term", e.term.Number)
 	}
-	e.extended = true
+}
+
+// extensionGrants is until when a node has agreed to claim nothing.
+type extensionGrants struct {
+	grantedUntil time.Time // it has extended the leader's lease until then
+	startedAt    time.Time // it may have extended one before its process started
+}
+
+// grant extends the leader's lease.
+func (g *extensionGrants) grant(now time.Time) { g.grantedUntil = now.Add(ExtensionFor) }
+
+// inForce tells whether an extension that this process has granted still holds.
+func (g *extensionGrants) inForce(now time.Time) bool { return now.Before(g.grantedUntil) }
+
+// maybeBeforeStart tells whether an extension that was granted before the process started may still
+// hold.
+func (g *extensionGrants) maybeBeforeStart(now time.Time) bool {
+	return now.Sub(g.startedAt) < ExtensionFor
 }
 
 // GrantExtension has this node extend the leader's lease: it claims nothing for
@@ -111,7 +111,7 @@
 	if e.role == Leading || e.role == Claiming {
 		return false
 	}
-	e.yieldsUntil = time.Now().Add(ExtensionFor)
+	e.grants.grant(time.Now())
 	return true
 }
 
@@ -126,7 +126,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if time.Now().Before(e.yieldsUntil) {
+	if e.grants.inForce(time.Now()) {
 		return false
 	}
 	e.moveLocked(Claiming)
@@ -136,5 +136,7 @@
 // mayHaveExtendedBeforeStart tells whether an extension that this node granted before
 // its process started may still hold.
 func (e *Elector) mayHaveExtendedBeforeStart() bool {
-	return time.Since(e.startedAt) < ExtensionFor && e.options.Hooks.RequestExtension != nil && len(e.options.Others) > 0
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.options.PeerExtensions && len(e.options.Others) > 0 && e.grants.maybeBeforeStart(time.Now())
 }
--- a/internal/leadership/extension_test.go
+++ b/internal/leadership/extension_test.go
@@ -84,7 +84,7 @@
 			for i, l := range tr.electors {
 				if i != old {
 					l.mu.Lock()
-					l.yieldsUntil, l.startedAt = time.Time{}, time.Now()
+					l.grants = extensionGrants{startedAt: time.Now()}
 					l.mu.Unlock()
 				}
 			}
@@ -106,7 +106,7 @@
 // lease, and one that has extended one claims nothing meanwhile.
 func TestNoExtensionWhileClaiming(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := New(client{newFake(), "a"}, Options{Member: "a", TTL: 3 * time.Second})
+		l := New(client{newFake(), "a"}, &fakeNode{}, Options{Member: "a", TTL: 3 * time.Second})
 		if !l.GrantExtension() {
 			t.Fatal("a follower doesn't extend the lease")
 		}
@@ -128,20 +128,20 @@
 func TestStartedNodeWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newFake()
-		ask := func(context.Context, string) bool { return false }
-		l := New(client{store, "a"}, Options{Member: "a", Others: []string{"b"}, TTL: 3 * time.Second, Hooks: Hooks{RequestExtension: ask}})
+		node := &fakeNode{requestExtension: func(context.Context, string) bool { return false }}
+		options := Options{Member: "a", Others: []string{"b"}, TTL: 3 * time.Second, PeerExtensions: true}
+		l := New(client{store, "a"}, node, options)
 		if !l.mayClaim(t.Context()) {
 			t.Fatal("waits although nobody has ever led")
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		tr := &trio{store: store}
-		first := New(client{tr.store, "b"}, Options{Member: "b", TTL: 3 * time.Second, Hooks: Hooks{
-			TermStarted: func(context.Context, Term) {}, LeaseResumed: func() {}, HeartbeatsMissing: func() bool { return false }}})
+		first := New(client{tr.store, "b"}, &fakeNode{}, Options{Member: "b", TTL: 3 * time.Second})
 		go func() { _ = first.Run(ctx) }() // ends with ctx
 		time.Sleep(time.Second)
 		cancel()
 		time.Sleep(10 * time.Second)
-		l = New(client{store, "a"}, Options{Member: "a", Others: []string{"b"}, TTL: 3 * time.Second, Hooks: Hooks{RequestExtension: ask}})
+		l = New(client{store, "a"}, node, options)
 		if l.mayClaim(t.Context()) {
 			t.Fatal("claims at once after its start")
 		}
--- a/internal/leadership/hand_over_test.go
+++ b/internal/leadership/hand_over_test.go
@@ -9,10 +9,8 @@
 
 // handOverNode is a node of a test with its claim delay.
 func handOverNode(store *fakeStore, name string, others []string, delay time.Duration, vacant func()) *Elector {
-	return New(client{store, name}, Options{Member: name, Others: others, TTL: 3 * time.Second, Hooks: Hooks{
-		TermStarted: func(context.Context, Term) {}, LeaseResumed: func() {}, HeartbeatsMissing: func() bool { return false },
-		ClaimDelay: func() time.Duration { return delay }, LeaderLost: vacant,
-	}})
+	node := &fakeNode{claimDelay: delay, leaderLost: vacant}
+	return New(client{store, name}, node, Options{Member: name, Others: others, TTL: 3 * time.Second})
 }
 
 // A leader that hands over stops acting at once, names its successor from then on, and the
