--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -10,6 +10,7 @@
 	"gingertally/internal/config"
 	"gingertally/internal/controller/overload"
 	"gingertally/internal/operator"
+	"gingertally/internal/peer"
 )
 
 // admissionController is a controller with or without admission control, which isn't running.
@@ -26,18 +27,18 @@
 }
 
 // exchange has the leader send its policy.
-func exchange(t *testing.T, c *Controller, policy admission.Policy) (status int, body []byte) {
+func exchange(t *testing.T, c *Controller, policy admission.Policy) peer.Response {
 	t.Helper()
-	return c.servePeer(t.Context(), "n-2", http.MethodPost, overload.ExchangePath, codec.MustMarshal(policy))
+	return c.servePeer(t.Context(), peer.Request{Method: http.MethodPost, Path: overload.ExchangePath, Body: codec.MustMarshal(policy)})
 }
 
 // The leader's policy reaches the gate that users' submissions go by, and the status that operators see.
 func TestExchangeWithAdmission(t *testing.T) {
 	c := admissionController(t, true)
-	status, body := exchange(t, c, admission.Policy{Term: 3, Number: 7})
+	response := exchange(t, c, admission.Policy{Term: 3, Number: 7})
 	var batch admission.Batch
-	if err := codec.Unmarshal(body, &batch); status != http.StatusOK || err != nil {
-		t.Fatalf("status %d, %v", status, err)
+	if err := codec.Unmarshal(response.Body, &batch); response.Status != http.StatusOK || err != nil {
+		t.Fatalf("status %d, %v", response.Status, err)
 	}
 	if s := c.status(time.Now()).Admission; c.users.Users.Admission == nil || s == nil || s.Term != 3 || s.Number != 7 {
 		t.Fatalf("%+v", s)
@@ -47,8 +48,8 @@
 // A controller without admission control tells the leader so, admits everything, and shows nothing.
 func TestExchangeWithoutAdmission(t *testing.T) {
 	c := admissionController(t, false)
-	status, _ := exchange(t, c, admission.Policy{Term: 1})
-	if status != http.StatusNotFound || c.users.Users.Admission != nil || c.status(time.Now()).Admission != nil {
-		t.Fatalf("status %d", status)
+	response := exchange(t, c, admission.Policy{Term: 1})
+	if response.Status != http.StatusNotFound || c.users.Users.Admission != nil || c.status(time.Now()).Admission != nil {
+		t.Fatalf("status %d", response.Status)
 	}
 }
--- a/internal/controller/contact.go
+++ b/internal/controller/contact.go
@@ -9,6 +9,7 @@
 
 	"gingertally/internal/controller/usercalls"
 	"gingertally/internal/leadership"
+	"gingertally/internal/peer"
 	"gingertally/internal/statestore"
 )
 
@@ -70,7 +71,7 @@
 	answers := make(chan bool, len(names))
 	for _, name := range names {
 		go func() {
-			_, _, err := c.peers.Relay(ctx, name, http.MethodGet, pingPath, nil)
+			_, err := c.peers.Relay(ctx, name, peer.Request{Method: http.MethodGet, Path: pingPath})
 			answers <- err == nil
 		}()
 	}
@@ -125,6 +126,6 @@
 func (p operatorPeers) PeersFirst() []string { return p.c.peersFirst() }
 
 // Relay carries a call to another controller.
-func (p operatorPeers) Relay(ctx context.Context, to, method, path string, body []byte) (int, []byte, error) {
-	return p.c.peers.Relay(ctx, to, method, path, body)
+func (p operatorPeers) Relay(ctx context.Context, to string, request peer.Request) (peer.Response, error) {
+	return p.c.peers.Relay(ctx, to, request)
 }
--- a/internal/controller/leader_view.go
+++ b/internal/controller/leader_view.go
@@ -1,6 +1,7 @@
 package controller
 
 import (
+	"bytes"
 	"context"
 	"net/http"
 	"time"
@@ -11,6 +12,7 @@
 	"gingertally/internal/core/fleet"
 	"gingertally/internal/core/pipeline"
 	"gingertally/internal/jobstore"
+	"gingertally/internal/peer"
 )
 
 // The leader, be it this controller or another, as those see it whom a controller serves.
@@ -41,11 +43,11 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	status, body, err := l.c.peers.Relay(ctx, leader, http.MethodGet, viewPath+ref, nil)
-	if err != nil || status != http.StatusOK {
+	response, err := l.c.peers.Relay(ctx, leader, peer.Request{Method: http.MethodGet, Path: viewPath + ref})
+	if err != nil || response.Status != http.StatusOK {
 		return core.JobView{}, false
 	}
-	return decodeView(body)
+	return decodeView(response.Body)
 }
 
 // Cancel cancels a job as the leader. Any other controller only tells what is final already.
@@ -108,8 +110,10 @@
 }
 
 // RelayHeartbeat passes a worker's heartbeat on to the leader.
-func (l agentLeader) RelayHeartbeat(ctx context.Context, body []byte) (int, []byte, error) {
-	return l.c.peers.Relay(ctx, l.c.elector.Leader(), http.MethodPost, heartbeatPath, append([]byte(nil), body...))
+func (l agentLeader) RelayHeartbeat(ctx context.Context, body []byte) (status int, reply []byte, err error) {
+	request := peer.Request{Method: http.MethodPost, Path: heartbeatPath, Body: bytes.Clone(body)}
+	response, err := l.c.peers.Relay(ctx, l.c.elector.Leader(), request)
+	return response.Status, response.Body, err
 }
 
 // operatorTerm is this controller's term as operators' calls see it.
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -7,6 +7,7 @@
 
 	"gingertally/internal/controller/term"
 	"gingertally/internal/leadership"
+	"gingertally/internal/peer"
 )
 
 const (
@@ -71,12 +72,12 @@
 
 // RequestExtension asks a peer to extend this controller's lease.
 func (n electionNode) RequestExtension(ctx context.Context, member string) bool {
-	status, _, err := n.c.peers.Relay(ctx, member, http.MethodPost, extensionPath, nil)
+	response, err := n.c.peers.Relay(ctx, member, peer.Request{Method: http.MethodPost, Path: extensionPath})
 	if err != nil {
 		return false
 	}
 	n.c.health.PeerAnswered(time.Now())
-	return status == http.StatusOK
+	return response.Status == http.StatusOK
 }
 
 // grantExtension is the answer to a leader that can't renew its lease. A controller that the
--- a/internal/controller/operatorapi/drains.go
+++ b/internal/controller/operatorapi/drains.go
@@ -1,6 +1,7 @@
 package operatorapi
 
 import (
+	"bytes"
 	"context"
 	"encoding/json"
 	"errors"
@@ -12,6 +13,7 @@
 
 	"gingertally/internal/drain"
 	"gingertally/internal/jobstore"
+	"gingertally/internal/peer"
 )
 
 // Paths of the operators' interface to drains.
@@ -120,17 +122,18 @@
 	if answer.status != http.StatusServiceUnavailable || leader == "" || leader == s.Self {
 		return answer
 	}
-	status, reply, err := s.Peers.Relay(ctx, leader, fasthttp.MethodPost, DrainPreviewPath, append([]byte(nil), body...))
+	request := peer.Request{Method: http.MethodPost, Path: DrainPreviewPath, Body: bytes.Clone(body)}
+	response, err := s.Peers.Relay(ctx, leader, request)
 	if err != nil {
 		return answer
 	}
-	return drainAnswer{status, reply}
+	return drainAnswer{response.Status, response.Body}
 }
 
 // PreviewDrain tells another controller what a plan would do, if this one leads.
-func (s *Service) PreviewDrain(body []byte) (status int, reply []byte) {
+func (s *Service) PreviewDrain(body []byte) peer.Response {
 	answer := s.preview(body)
-	return answer.status, answer.body
+	return peer.Response{Status: answer.status, Body: answer.body}
 }
 
 // preview tells what a plan would do, if this controller leads.
--- a/internal/controller/operatorapi/operatorapi.go
+++ b/internal/controller/operatorapi/operatorapi.go
@@ -14,6 +14,7 @@
 	"gingertally/internal/core"
 	"gingertally/internal/drain"
 	"gingertally/internal/jobstore"
+	"gingertally/internal/peer"
 )
 
 const contentTypeJSON = "application/json"
@@ -25,7 +26,7 @@
 	// PeersFirst lists the other controllers, the leader before the rest.
 	PeersFirst() []string
 	// Relay carries a call to another controller.
-	Relay(ctx context.Context, to, method, path string, body []byte) (status int, reply []byte, err error)
+	Relay(ctx context.Context, to string, request peer.Request) (peer.Response, error)
 }
 
 // Term is what operators ask of the leader's term.
--- a/internal/controller/operatorapi/status.go
+++ b/internal/controller/operatorapi/status.go
@@ -12,6 +12,7 @@
 	"gingertally/internal/controller/overload"
 	"gingertally/internal/controller/replication"
 	"gingertally/internal/core"
+	"gingertally/internal/peer"
 )
 
 // StatusPath is where operators ask any controller for the status.
@@ -117,8 +118,8 @@
 	for i, name := range names {
 		requests.Go(func() {
 			var status Status
-			code, body, err := s.Peers.Relay(ctx, name, http.MethodGet, StatusPath, nil)
-			if err == nil && code == http.StatusOK && json.Unmarshal(body, &status) == nil {
+			response, err := s.Peers.Relay(ctx, name, peer.Request{Method: http.MethodGet, Path: StatusPath})
+			if err == nil && response.Status == http.StatusOK && json.Unmarshal(response.Body, &status) == nil {
 				answers[i] = &status
 			}
 		})
--- a/internal/controller/overload/leader.go
+++ b/internal/controller/overload/leader.go
@@ -8,6 +8,7 @@
 
 	"gingertally/internal/admission"
 	"gingertally/internal/codec"
+	"gingertally/internal/peer"
 )
 
 const (
@@ -83,16 +84,16 @@
 // or are of a version without admission control, count nothing.
 func (n *Node) exchange(ctx context.Context, policy admission.Policy) []admission.Batch {
 	batches := []admission.Batch{n.takeCounts()}
-	body := codec.MustMarshal(policy)
+	request := peer.Request{Method: http.MethodPost, Path: ExchangePath, Body: codec.MustMarshal(policy)}
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	var mu sync.Mutex
 	var exchanges sync.WaitGroup
 	for _, member := range n.options.Members {
 		exchanges.Go(func() {
-			status, reply, err := n.options.Peers.Relay(ctx, member, http.MethodPost, ExchangePath, body)
+			response, err := n.options.Peers.Relay(ctx, member, request)
 			var batch admission.Batch
-			if err != nil || status != http.StatusOK || codec.Unmarshal(reply, &batch) != nil {
+			if err != nil || response.Status != http.StatusOK || codec.Unmarshal(response.Body, &batch) != nil {
 				return
 			}
 			mu.Lock()
--- a/internal/controller/overload/node.go
+++ b/internal/controller/overload/node.go
@@ -15,6 +15,7 @@
 	"gingertally/internal/core/placement"
 	"gingertally/internal/jobstore"
 	"gingertally/internal/operator"
+	"gingertally/internal/peer"
 	"gingertally/internal/statestore"
 )
 
@@ -30,7 +31,7 @@
 // Peers reaches the other controllers.
 type Peers interface {
 	// Relay carries a call to another controller.
-	Relay(ctx context.Context, to, method, path string, body []byte) (status int, reply []byte, err error)
+	Relay(ctx context.Context, to string, request peer.Request) (peer.Response, error)
 }
 
 // Options are what a Node works with.
@@ -127,13 +128,13 @@
 }
 
 // ServeExchange implements Controller.
-func (n *Node) ServeExchange(body []byte) (status int, reply []byte) {
+func (n *Node) ServeExchange(body []byte) peer.Response {
 	var policy admission.Policy
 	if codec.Unmarshal(body, &policy) != nil {
-		return statusNoPart, nil
+		return peer.Response{Status: statusNoPart}
 	}
 	n.apply(policy)
-	return http.StatusOK, codec.MustMarshal(n.takeCounts())
+	return peer.Response{Status: http.StatusOK, Body: codec.MustMarshal(n.takeCounts())}
 }
 
 // readPolicy reads the policy that the state service holds; the zero policy if there is none.
--- a/internal/controller/overload/node_test.go
+++ b/internal/controller/overload/node_test.go
@@ -30,10 +30,10 @@
 	n := testNode()
 	key := admission.Key{Team: "t", Class: "c", Priority: pipeline.Normal}
 	exchange := func(p admission.Policy) admission.Batch {
-		status, body := n.ServeExchange(codec.MustMarshal(p))
+		response := n.ServeExchange(codec.MustMarshal(p))
 		var batch admission.Batch
-		if err := codec.Unmarshal(body, &batch); status != http.StatusOK || err != nil {
-			t.Fatalf("status %d, %v", status, err)
+		if err := codec.Unmarshal(response.Body, &batch); response.Status != http.StatusOK || err != nil {
+			t.Fatalf("status %d, %v", response.Status, err)
 		}
 		return batch
 	}
--- a/internal/controller/overload/overload.go
+++ b/internal/controller/overload/overload.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"gingertally/internal/admission"
+	"gingertally/internal/peer"
 )
 
 // PolicyKey holds the policy in the state service.
@@ -27,7 +28,7 @@
 	// RunLeader is the leader's part of one term, until ctx ends.
 	RunLeader(ctx context.Context, term Term) error
 	// ServeExchange takes the leader's policy, and answers with this controller's counts.
-	ServeExchange(body []byte) (status int, reply []byte)
+	ServeExchange(body []byte) peer.Response
 	// Status is what operators are shown; nil if admission control is off.
 	Status(now time.Time) *Status
 }
@@ -43,7 +44,9 @@
 func (Disabled) RunLeader(context.Context, Term) error { return nil }
 
 // ServeExchange implements Controller: the leader is told that this controller takes no part.
-func (Disabled) ServeExchange([]byte) (status int, reply []byte) { return statusNoPart, nil }
+func (Disabled) ServeExchange([]byte) peer.Response {
+	return peer.Response{Status: statusNoPart}
+}
 
 // Status implements Controller.
 func (Disabled) Status(time.Time) *Status { return nil }
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -7,39 +7,40 @@
 
 	"gingertally/internal/controller/operatorapi"
 	"gingertally/internal/controller/overload"
+	"gingertally/internal/peer"
 )
 
 // viewPath is where a controller asks the leader about a job; between controllers only.
 const viewPath = "/view/"
 
 // servePeer serves what another controller forwarded or asks.
-func (c *Controller) servePeer(ctx context.Context, _, method, path string, body []byte) (status int, reply []byte) {
-	switch path {
+func (c *Controller) servePeer(ctx context.Context, request peer.Request) peer.Response {
+	switch request.Path {
 	case heartbeatPath:
-		answer := c.agents.Relayed(body)
-		return answer.Status, answer.Body
+		answer := c.agents.Relayed(request.Body)
+		return peer.Response{Status: answer.Status, Body: answer.Body}
 	case pingPath:
-		return http.StatusOK, nil
+		return peer.Response{Status: http.StatusOK}
 	case extensionPath:
-		return c.grantExtension(ctx), nil
+		return peer.Response{Status: c.grantExtension(ctx)}
 	case overload.ExchangePath:
-		return c.overload.ServeExchange(body)
+		return c.overload.ServeExchange(request.Body)
 	case operatorapi.DrainPreviewPath:
-		return c.operators.PreviewDrain(body)
+		return c.operators.PreviewDrain(request.Body)
 	case operatorapi.StatusPath:
-		return http.StatusOK, c.operators.PeerStatus()
+		return peer.Response{Status: http.StatusOK, Body: c.operators.PeerStatus()}
 	}
-	if ref, ok := strings.CutPrefix(path, viewPath); ok {
+	if ref, ok := strings.CutPrefix(request.Path, viewPath); ok {
 		return c.serveView(ref)
 	}
-	return c.users.Forwarded(ctx, method, path, body)
+	return c.users.Forwarded(ctx, request)
 }
 
 // serveView tells another controller what this one, as the leader, knows of a job.
-func (c *Controller) serveView(ref string) (status int, reply []byte) {
+func (c *Controller) serveView(ref string) peer.Response {
 	view, ok := userLeader{c}.View(ref)
 	if !ok {
-		return http.StatusNotFound, nil
+		return peer.Response{Status: http.StatusNotFound}
 	}
-	return http.StatusOK, encodeView(view)
+	return peer.Response{Status: http.StatusOK, Body: encodeView(view)}
 }
--- a/internal/controller/usercalls/forward.go
+++ b/internal/controller/usercalls/forward.go
@@ -1,10 +1,13 @@
 package usercalls
 
 import (
+	"bytes"
 	"context"
 	"net/http"
 	"sync/atomic"
 	"time"
+
+	"gingertally/internal/peer"
 )
 
 const (
@@ -17,7 +20,7 @@
 // Relayer carries a call to another controller. *peer.Client implements it.
 type Relayer interface {
 	// Relay sends a call and returns the answer.
-	Relay(ctx context.Context, to, method, path string, body []byte) (status int, reply []byte, err error)
+	Relay(ctx context.Context, to string, request peer.Request) (peer.Response, error)
 }
 
 // Forwarder forwards calls to the other controllers.
@@ -32,38 +35,26 @@
 	return &Forwarder{peers: peers, peerAnswered: peerAnswered}
 }
 
-// forwardedCall is a call that this controller couldn't serve.
-type forwardedCall struct {
-	method, path string
-	body         []byte
-}
-
-// peerAnswer is a peer's answer to a forwarded call.
-type peerAnswer struct {
-	status int
-	body   []byte
-}
-
 // forward asks the named controllers to serve a call, one a little after the other,
 // and takes the first answer that settles it. When none could a moment ago, as in
 // an outage that all see, they aren't asked.
-func (f *Forwarder) forward(ctx context.Context, names []string, call forwardedCall) (peerAnswer, bool) {
+func (f *Forwarder) forward(ctx context.Context, names []string, call peer.Request) (peer.Response, bool) {
 	if time.Now().UnixNano() < f.pausedUntil.Load() {
-		return peerAnswer{}, false
+		return peer.Response{}, false
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	call.body = append([]byte(nil), call.body...) // the server reuses its buffer
-	answers := make(chan peerAnswer, len(names))
+	call.Body = bytes.Clone(call.Body) // the server reuses its buffer
+	answers := make(chan peer.Response, len(names))
 	next := time.NewTimer(0)
 	defer next.Stop()
 	asked, failed := 0, 0
 	for failed < len(names) {
 		select {
 		case <-ctx.Done():
-			return peerAnswer{}, false
+			return peer.Response{}, false
 		case answer := <-answers:
-			if answer.status != http.StatusServiceUnavailable {
+			if answer.Status != http.StatusServiceUnavailable {
 				return answer, true
 			}
 			if failed++; failed == asked {
@@ -78,15 +69,15 @@
 		}
 	}
 	f.pausedUntil.Store(time.Now().Add(forwardPause).UnixNano())
-	return peerAnswer{}, false
+	return peer.Response{}, false
 }
 
 // request has one controller serve a call; one that can't be reached can't serve it.
-func (f *Forwarder) request(ctx context.Context, name string, call forwardedCall) peerAnswer {
-	status, body, err := f.peers.Relay(ctx, name, call.method, call.path, call.body)
+func (f *Forwarder) request(ctx context.Context, name string, call peer.Request) peer.Response {
+	response, err := f.peers.Relay(ctx, name, call)
 	if err != nil {
-		return peerAnswer{status: http.StatusServiceUnavailable}
+		return peer.Response{Status: http.StatusServiceUnavailable}
 	}
 	f.peerAnswered()
-	return peerAnswer{status: status, body: body}
+	return response
 }
--- a/internal/controller/usercalls/forward_test.go
+++ b/internal/controller/usercalls/forward_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"gingertally/internal/codec"
+	"gingertally/internal/peer"
 )
 
 // nodes answers for the other nodes by name; one that isn't named hangs.
@@ -17,16 +18,16 @@
 	asked  atomic.Int32
 }
 
-func (n *nodes) Relay(ctx context.Context, to, _, _ string, _ []byte) (int, []byte, error) {
+func (n *nodes) Relay(ctx context.Context, to string, _ peer.Request) (peer.Response, error) {
 	n.asked.Add(1)
 	if st, ok := n.status[to]; ok {
 		if st == 0 {
-			return 0, nil, errors.New("refused")
+			return peer.Response{}, errors.New("refused")
 		}
-		return st, []byte(to), nil
+		return peer.Response{Status: st, Body: []byte(to)}, nil
 	}
 	<-ctx.Done()
-	return 0, nil, ctx.Err()
+	return peer.Response{}, ctx.Err()
 }
 
 // A call that a node can't serve is forwarded within the time that its user
@@ -53,9 +54,9 @@
 			ctx, cancel := context.WithTimeout(context.Background(), pollTimeout)
 			defer cancel()
 			begun := time.Now()
-			answer, ok := f.forward(ctx, names, forwardedCall{method: "GET", path: RunsPath + "/j-1"})
-			if ok != (c.want != 0) || answer.status != c.want || time.Since(begun) > c.within || n.asked.Load() != c.asked {
-				t.Errorf("%s: %d, %v after %s, %d asked", c.name, answer.status, ok, time.Since(begun), n.asked.Load())
+			answer, ok := f.forward(ctx, names, peer.Request{Method: "GET", Path: RunsPath + "/j-1"})
+			if ok != (c.want != 0) || answer.Status != c.want || time.Since(begun) > c.within || n.asked.Load() != c.asked {
+				t.Errorf("%s: %d, %v after %s, %d asked", c.name, answer.Status, ok, time.Since(begun), n.asked.Load())
 			}
 		})
 	}
@@ -68,7 +69,7 @@
 		n := &nodes{status: map[string]int{"n-1": 503}}
 		f := NewForwarder(n, func() {})
 		forward := func() {
-			f.forward(context.Background(), []string{"n-1"}, forwardedCall{method: "GET", path: RunsPath + "/j-1"})
+			f.forward(context.Background(), []string{"n-1"}, peer.Request{Method: "GET", Path: RunsPath + "/j-1"})
 		}
 		forward()
 		forward()
@@ -87,10 +88,10 @@
 // no header.
 func TestForwardedRetryAfter(t *testing.T) {
 	body := codec.MustMarshal(map[string]any{"error": "overloaded: backlog", "retry_after_s": 7.0})
-	if got := forwardedRetryAfter(peerAnswer{status: 429, body: body}); got != 7*time.Second {
+	if got := forwardedRetryAfter(peer.Response{Status: 429, Body: body}); got != 7*time.Second {
 		t.Errorf("%s", got)
 	}
-	if got := forwardedRetryAfter(peerAnswer{status: 200, body: body}); got != 0 {
+	if got := forwardedRetryAfter(peer.Response{Status: 200, Body: body}); got != 0 {
 		t.Errorf("%s for an answer that is no refusal", got)
 	}
 }
--- a/internal/controller/usercalls/usercalls.go
+++ b/internal/controller/usercalls/usercalls.go
@@ -15,6 +15,7 @@
 
 	"gingertally/internal/codec"
 	"gingertally/internal/health"
+	"gingertally/internal/peer"
 	"gingertally/internal/userapi"
 )
 
@@ -68,7 +69,8 @@
 		writeAnswer(request, answer)
 		return
 	}
-	if forwarded, ok := s.Forwarder.forward(ctx, s.PeersFirst(), forwardedCall{method: method, path: path, body: body}); ok {
+	call := peer.Request{Method: method, Path: path, Body: body}
+	if forwarded, ok := s.Forwarder.forward(ctx, s.PeersFirst(), call); ok {
 		writeForwarded(request, forwarded)
 		return
 	}
@@ -79,12 +81,12 @@
 }
 
 // Forwarded serves a call that another controller has forwarded. It never goes further.
-func (s *Service) Forwarded(ctx context.Context, method, path string, body []byte) (status int, reply []byte) {
-	answer := s.serveWithin(ctx, submitTimeout, method, path, body)
+func (s *Service) Forwarded(ctx context.Context, request peer.Request) peer.Response {
+	answer := s.serveWithin(ctx, submitTimeout, request.Method, request.Path, request.Body)
 	if answer.Body == nil {
-		return answer.Status, nil
+		return peer.Response{Status: answer.Status}
 	}
-	return answer.Status, codec.MustMarshal(answer.Body)
+	return peer.Response{Status: answer.Status, Body: codec.MustMarshal(answer.Body)}
 }
 
 // serveWithin serves a user's call at this controller within a time.
@@ -120,10 +122,10 @@
 }
 
 // writeForwarded puts another controller's answer to a user's call on the wire.
-func writeForwarded(request *fasthttp.RequestCtx, answer peerAnswer) {
-	request.SetStatusCode(answer.status)
+func writeForwarded(request *fasthttp.RequestCtx, answer peer.Response) {
+	request.SetStatusCode(answer.Status)
 	request.SetContentType(contentTypeCBOR)
-	request.SetBody(answer.body)
+	request.SetBody(answer.Body)
 	setRetryAfter(request, forwardedRetryAfter(answer))
 }
 
@@ -136,9 +138,9 @@
 
 // forwardedRetryAfter is the wait that another controller's refusal asks for: between controllers an
 // answer has no header.
-func forwardedRetryAfter(answer peerAnswer) time.Duration {
+func forwardedRetryAfter(answer peer.Response) time.Duration {
 	var refusal userapi.Refusal
-	if answer.status != fasthttp.StatusTooManyRequests || codec.Unmarshal(answer.body, &refusal) != nil {
+	if answer.Status != fasthttp.StatusTooManyRequests || codec.Unmarshal(answer.Body, &refusal) != nil {
 		return 0
 	}
 	return time.Duration(refusal.RetryAfterS * float64(time.Second))
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,5 +1,7 @@
-// Package peer carries requests between the controllers over gRPC: a node that
-// can't serve a request itself passes it on to one that may.
+// Package peer carries calls between the controllers over gRPC: a controller that can't serve a
+// call itself relays it to one that can. It owns one connection to each other controller; gRPC
+// makes it when it is first used and again when it is lost. Client and handlers may be used from
+// any goroutine.
 package peer
 
 import (
@@ -19,50 +21,64 @@
 )
 
 const (
-	// maxMessage bounds a message between nodes: a user's or worker's body and a little.
-	maxMessage = 128 << 10
-	// maxStreams bounds the requests of one node at once. A node that relays the heartbeats
-	// of a zone with more than a thousand machines has about one of them under way for
-	// each, since the leader may hold an answer for 2 s.
+	// maxMessageBytes bounds a message between controllers: a user's or worker's body and a little.
+	maxMessageBytes = 128 << 10
+	// maxStreams bounds the calls of one controller at once. One that relays the heartbeats of
+	// a zone with more than a thousand machines has about one of them under way for each,
+	// since the leader may hold an answer for 2 s.
 	maxStreams = 2048
-	// bufferSize keeps the many mostly idle connections small.
-	bufferSize = 8 << 10
+	// bufferBytes keeps the mostly idle connections small.
+	bufferBytes = 8 << 10
 )
 
-// Signs of life between nodes, and how a lost connection is made again.
+// Keepalives, and the backoff with which a lost connection is made again.
 const (
-	keepaliveEvery   = 10 * time.Second
-	keepaliveTimeout = 4 * time.Second
-	keepaliveLeast   = 4 * time.Second // more often a client may not ask
-	connectTimeout   = 2 * time.Second
-	redialFirst      = 200 * time.Millisecond
-	redialMost       = 2 * time.Second
-	redialFactor     = 1.5
-	redialJitter     = 0.2
+	keepaliveInterval    = 10 * time.Second
+	keepaliveTimeout     = 4 * time.Second
+	keepaliveMinInterval = 4 * time.Second // a client that pings more often is cut off
+	connectTimeout       = 2 * time.Second
+	backoffBase          = 200 * time.Millisecond
+	backoffMax           = 2 * time.Second
+	backoffFactor        = 1.5
+	backoffJitter        = 0.2
 )
 
-// Handler serves a relayed request.
-type Handler func(ctx context.Context, from, method, path string, body []byte) (status int, reply []byte)
+// Request is a call that one controller relays to another: an HTTP request without headers.
+type Request struct {
+	Method string
+	Path   string
+	Body   []byte
+}
+
+// Response is the answer to a Request.
+type Response struct {
+	Status int // an HTTP status code
+	Body   []byte
+}
+
+// Handler serves a relayed request. It is called from many goroutines at once.
+type Handler func(ctx context.Context, request Request) Response
 
 type server struct {
 	peerpb.UnimplementedPeerServer
 	handle Handler
 }
 
-// Relay serves a request that another node passed on.
-func (s *server) Relay(ctx context.Context, request *peerpb.Request) (*peerpb.Reply, error) {
-	status, body := s.handle(ctx, request.From, request.Method, request.Path, request.Body)
-	return &peerpb.Reply{Status: int32(status), Body: body}, nil
+// Relay serves a request that another controller relayed.
+func (s *server) Relay(ctx context.Context, message *peerpb.Request) (*peerpb.Reply, error) {
+	request := Request{Method: message.Method, Path: message.Path, Body: message.Body}
+	response := s.handle(ctx, request)
+	return &peerpb.Reply{Status: int32(response.Status), Body: response.Body}, nil
 }
 
-// Serve answers the other nodes until ctx ends. Further services between the nodes may be
-// registered beside the relay.
+// Serve answers the other controllers until ctx ends. Further services between the controllers
+// may be registered beside the relay.
 func Serve(ctx context.Context, listener net.Listener, handle Handler, register ...func(grpc.ServiceRegistrar)) error {
 	s := grpc.NewServer(
-		grpc.MaxRecvMsgSize(maxMessage), grpc.MaxConcurrentStreams(maxStreams),
-		grpc.KeepaliveParams(keepalive.ServerParameters{Time: keepaliveEvery, Timeout: keepaliveTimeout}),
-		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: keepaliveLeast, PermitWithoutStream: true}),
-		grpc.ReadBufferSize(bufferSize), grpc.WriteBufferSize(bufferSize),
+		grpc.MaxRecvMsgSize(maxMessageBytes), grpc.MaxConcurrentStreams(maxStreams),
+		grpc.KeepaliveParams(keepalive.ServerParameters{Time: keepaliveInterval, Timeout: keepaliveTimeout}),
+		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: keepaliveMinInterval, PermitWithoutStream: true}),
+		grpc.ReadBufferSize(bufferBytes), grpc.WriteBufferSize(bufferBytes),
 	)
 	peerpb.RegisterPeerServer(s, &server{handle: handle})
 	for _, add := range register {
@@ -76,19 +92,20 @@
 	return nil
 }
 
-// Client reaches the other nodes by name, over one connection each.
+// Client reaches the other controllers by name, over one connection each.
 type Client struct {
 	self        string
 	connections map[string]*grpc.ClientConn
 }
 
-// NewClient makes a client; addrs are the other nodes' addresses by name.
+// NewClient makes the client of the controller named self; addrs are the others' addresses by
+// name.
 func NewClient(self string, addrs map[string]string) (*Client, error) {
 	c := &Client{self: self, connections: map[string]*grpc.ClientConn{}}
 	for name, addr := range addrs {
 		connection, err := dial(addr)
 		if err != nil {
-			return nil, fmt.Errorf("peer %s: %w", name, err)
+			return nil, fmt.Errorf("connect to peer %s at %s: %w", name, addr, err)
 		}
 		c.connections[name] = connection
 	}
@@ -97,33 +114,35 @@
 
 // dial prepares a connection, which is made when it is first used.
 func dial(addr string) (*grpc.ClientConn, error) {
-	redial := backoff.Config{BaseDelay: redialFirst, Multiplier: redialFactor, Jitter: redialJitter, MaxDelay: redialMost}
+	retry := backoff.Config{BaseDelay: backoffBase, Multiplier: backoffFactor, Jitter: backoffJitter, MaxDelay: backoffMax}
 	return grpc.NewClient("passthrough:///"+addr,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: connectTimeout, Backoff: redial}),
-		grpc.WithReadBufferSize(bufferSize), grpc.WithWriteBufferSize(bufferSize),
+		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: connectTimeout, Backoff: retry}),
+		grpc.WithReadBufferSize(bufferBytes), grpc.WithWriteBufferSize(bufferBytes),
 		grpc.WithDisableServiceConfig(), grpc.WithNoProxy(),
 	)
 }
 
-// ErrUnknownPeer says that no node has the name.
+// ErrUnknownPeer says that no other controller has the name. It is also the answer while no
+// leader is known, whose name is then empty.
 var ErrUnknownPeer = errors.New("no such peer")
 
-// Relay passes a request on to a node.
-func (c *Client) Relay(ctx context.Context, to, method, path string, body []byte) (int, []byte, error) {
-	connection := c.connections[to]
-	if connection == nil {
-		return 0, nil, fmt.Errorf("%w: %q", ErrUnknownPeer, to)
+// Relay sends a request to the controller named to and returns its response. The error says
+// which call to which peer failed; whether the peer has served it is then unknown.
+func (c *Client) Relay(ctx context.Context, to string, request Request) (Response, error) {
+	connection, err := c.Connection(to)
+	if err != nil {
+		return Response{}, fmt.Errorf("relay %s %s: %w", request.Method, request.Path, err)
 	}
-	request := &peerpb.Request{From: c.self, Method: method, Path: path, Body: body}
-	reply, err := peerpb.NewPeerClient(connection).Relay(ctx, request)
+	message := &peerpb.Request{From: c.self, Method: request.Method, Path: request.Path, Body: request.Body}
+	reply, err := peerpb.NewPeerClient(connection).Relay(ctx, message)
 	if err != nil {
-		return 0, nil, fmt.Errorf("relay to %s: %w", to, err)
+		return Response{}, fmt.Errorf("relay %s %s to %s: %w", request.Method, request.Path, to, err)
 	}
-	return int(reply.Status), reply.Body, nil
+	return Response{Status: int(reply.Status), Body: reply.Body}, nil
 }
 
-// Connection is the connection to a node, for services other than the relay.
+// Connection is the connection to a controller, for services other than the relay.
 func (c *Client) Connection(to string) (grpc.ClientConnInterface, error) {
 	connection := c.connections[to]
 	if connection == nil {
@@ -136,7 +155,7 @@
 func (c *Client) Close() {
 	for name, connection := range c.connections {
 		if err := connection.Close(); err != nil {
-			slog.Debug("close peer", "peer", name, "error", err)
+			slog.Debug("close connection to peer failed", "peer", name, "error", err)
 		}
 	}
 }
