--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -18,7 +18,13 @@
 	t.Helper()
 	settings := operator.Default()
 	settings.Admission.Enabled = on
-	c, err := New(testSettings("n-1", []config.Peer{{Member: "n-2", Zone: "a", Addr: "127.0.0.1:1"}}, config.Endpoints{Cloud: "127.0.0.1:1", State: "127.0.0.1:1"}), settings)
+	c, err := New(
+		testSettings(
+			"n-1", []config.Peer{{Member: "n-2", Zone: "a", Addr: "127.0.0.1:1"}},
+			config.Endpoints{Cloud: "127.0.0.1:1", State: "127.0.0.1:1"},
+		),
+		settings,
+	)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,7 +35,11 @@
 // exchange has the leader send its policy.
 func exchange(t *testing.T, c *Controller, policy admission.Policy) peer.Response {
 	t.Helper()
-	return c.servePeer(t.Context(), peer.Request{Method: http.MethodPost, Path: overload.ExchangePath, Body: codec.MustMarshal(policy)})
+	return c.servePeer(t.Context(), peer.Request{
+		Method: http.MethodPost,
+		Path:   overload.ExchangePath,
+		Body:   codec.MustMarshal(policy),
+	})
 }
 
 // The leader's policy reaches the gate that users' submissions go by, and the status that operators see.
@@ -49,7 +59,8 @@
 func TestExchangeWithoutAdmission(t *testing.T) {
 	c := admissionController(t, false)
 	response := exchange(t, c, admission.Policy{Term: 1})
-	if response.Status != http.StatusNotFound || c.users.Users.Admission != nil || c.status(time.Now()).Admission != nil {
+	if response.Status != http.StatusNotFound || c.users.Users.Admission != nil ||
+		c.status(time.Now()).Admission != nil {
 		t.Fatalf("status %d", response.Status)
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -103,7 +103,9 @@
 		return nil, err
 	}
 	c.machineTypes = machinetypes.New(c.cloud, c.store, c.core.MaxValueBytes)
-	c.replicator = replication.New(settings.Member, operatorSettings.Standby, c.core.HeartbeatInterval, c.metrics.Standby)
+	c.replicator = replication.New(
+		settings.Member, operatorSettings.Standby, c.core.HeartbeatInterval, c.metrics.Standby,
+	)
 	c.core.WarmState = c.replicator.Enabled()
 	whole := c.limits.Whole() // claims wait for nobody's part of the rates
 	c.elector = leadership.New(c.store.Part(whole.Requests, whole.Writes), electionNode{c}, leadership.Options{
@@ -194,7 +196,9 @@
 		c.log.Warn("cancellations wait for tasks to be gone: lease_s is too long for cancel_s",
 			"bound", c.core.CancelBound(), "cancel_within", c.core.CancelWithin)
 	}
-	c.log.Info("controller serving", "version", Version, "member", c.settings.Member, "clients", c.settings.ClientListen, "peers", c.settings.PeerListen)
+	c.log.Info("controller serving",
+		"version", Version, "member", c.settings.Member, "clients", c.settings.ClientListen,
+		"peers", c.settings.PeerListen)
 	return c.serve(ctx, clients, peers)
 }
 
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -175,7 +175,13 @@
 		w.lots[order.Lot] = map[string]any{"lot": order.Lot, "try": order.Try, "status": "running"}
 	case "halt":
 		w.stops++
-		w.lots[order.Lot] = map[string]any{"lot": order.Lot, "try": order.Try, "status": "ended", "cause": "stopped", "kept": false}
+		w.lots[order.Lot] = map[string]any{
+			"lot":    order.Lot,
+			"try":    order.Try,
+			"status": "ended",
+			"cause":  "stopped",
+			"kept":   false,
+		}
 	case "clear":
 		delete(w.lots, order.Lot)
 	}
@@ -217,14 +223,17 @@
 	})
 	eventually(t, "a redirect", func() bool {
 		atLeader, atFollower := &worker{addrs: []string{leader.addr}}, &worker{addrs: []string{follower.addr}}
-		return atFollower.report(t) == fasthttp.StatusMisdirectedRequest || atLeader.report(t) == fasthttp.StatusMisdirectedRequest
+		return atFollower.report(t) == fasthttp.StatusMisdirectedRequest ||
+			atLeader.report(t) == fasthttp.StatusMisdirectedRequest
 	})
 	work.finish("j-1/0")
 	eventually(t, "the first job is done", func() bool { return status("j-1") == wire.StatusDone })
 	if run, err := user.Cancel(t.Context(), "j-2"); err != nil || run.Status != wire.StatusCancelled {
 		t.Fatalf("cancel: %+v, %v", run, err)
 	}
-	eventually(t, "the second job's task stops", func() bool { return status("j-2") == wire.StatusCancelled && work.stops > 0 })
+	eventually(t, "the second job's task stops", func() bool {
+		return status("j-2") == wire.StatusCancelled && work.stops > 0
+	})
 	eventually(t, "a status of the whole", func() bool { work.report(t); return showsWhole(t, follower) })
 	checkExtension(t, store, nodes)
 	before := work.token
@@ -257,7 +266,8 @@
 	if err != nil || code != fasthttp.StatusOK || !bytes.Contains(body, []byte("gingertally_user_calls_total")) {
 		t.Fatalf("metrics: %d, %v", code, err)
 	}
-	return shown.Leading != nil && shown.Node == shown.Leader && len(shown.Versions) == 2 && shown.Versions[node.settings.Member] == Version
+	return shown.Leading != nil && shown.Node == shown.Leader && len(shown.Versions) == 2 &&
+		shown.Versions[node.settings.Member] == Version
 }
 
 // checkExtension asks a node that doesn't lead to extend the lease: it does so in an
--- a/internal/controller/core_config.go
+++ b/internal/controller/core_config.go
@@ -62,7 +62,11 @@
 		if times <= 0 {
 			times = 1
 		}
-		byClass[objective.Class] = append(byClass[objective.Class], core.Objective{Kind: kind, Within: objective.Within.Duration(), Times: times})
+		byClass[objective.Class] = append(byClass[objective.Class], core.Objective{
+			Kind:   kind,
+			Within: objective.Within.Duration(),
+			Times:  times,
+		})
 	}
 	return byClass
 }
--- a/internal/controller/drains_test.go
+++ b/internal/controller/drains_test.go
@@ -20,7 +20,13 @@
 func drainDaemon(t *testing.T, store *fakeStore) *Controller {
 	t.Helper()
 	settings := testSettings("n-1", nil, config.Endpoints{State: serveOn(t, store.handle)})
-	client := statestore.New(statestore.Options{Addr: settings.Endpoints.State, MaxConns: 2, Requests: 1000, Writes: 1000, Burst: 100})
+	client := statestore.New(statestore.Options{
+		Addr:     settings.Endpoints.State,
+		MaxConns: 2,
+		Requests: 1000,
+		Writes:   1000,
+		Burst:    100,
+	})
 	jobs := jobstore.New(client, jobstore.Limits{ValueBytes: 4000, TxnOps: 12})
 	return &Controller{settings: settings, operators: &operatorapi.Service{Self: "n-1", Jobs: jobs, Drains: true}}
 }
@@ -80,7 +86,11 @@
 		}
 	}
 	store.setDown(true)
-	if status, body := drainCall(t, first, operatorapi.DrainsPath, drain.Plan{ID: "p3", Selector: drain.Selector{All: true}, MaxAtOnce: 1}); status != 503 {
+	if status, body := drainCall(t, first, operatorapi.DrainsPath, drain.Plan{
+		ID:        "p3",
+		Selector:  drain.Selector{All: true},
+		MaxAtOnce: 1,
+	}); status != 503 {
 		t.Errorf("while the state service is down: %d %s", status, body)
 	}
 	first.operators.Drains = false
--- a/internal/controller/fake_services_test.go
+++ b/internal/controller/fake_services_test.go
@@ -176,12 +176,32 @@
 func handleCloud(request *fasthttp.RequestCtx) {
 	switch string(request.Path()) {
 	case "/flavors":
-		answer(request, 200, wire.Flavors{Builds: []wire.Flavor{{Label: "c8", VCPUs: 8, MemGB: 32, LocalGB: 100, PullGBPerS: 1, Hourly: 1, SpotPrice: 0.5, ReadyS: 10, Yards: []string{"a"}}}})
+		answer(
+			request, 200,
+			wire.Flavors{Builds: []wire.Flavor{
+				{
+					Label:      "c8",
+					VCPUs:      8,
+					MemGB:      32,
+					LocalGB:    100,
+					PullGBPerS: 1,
+					Hourly:     1,
+					SpotPrice:  0.5,
+					ReadyS:     10,
+					Yards:      []string{"a"},
+				},
+			}},
+		)
 	case "/rentals":
 		if request.IsPost() {
 			answer(request, 503, map[string]string{"error": "no capacity"})
 			return
 		}
-		answer(request, 200, wire.RentalPage{Stalls: []wire.Rental{{Ref: machine, Endpoint: "127.0.0.1:1", Build: "c8", Yard: "a", Status: wire.RentalRunning, HeldS: 1}}})
+		answer(
+			request, 200,
+			wire.RentalPage{Stalls: []wire.Rental{
+				{Ref: machine, Endpoint: "127.0.0.1:1", Build: "c8", Yard: "a", Status: wire.RentalRunning, HeldS: 1},
+			}},
+		)
 	}
 }
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -29,7 +29,11 @@
 	lines.Add("counts %x", codec.MustMarshal(goldentest.Filled[admission.Batch]()))
 	lines.Add("%s %x", machinetypes.Key, codec.MustMarshal(goldentest.Filled[wire.Flavors]()))
 	lines.Add("refusal %x", codec.MustMarshal(goldentest.Filled[userapi.Refusal]()))
-	for _, path := range []string{heartbeatPath, pingPath, extensionPath, overload.ExchangePath, operatorapi.DrainPreviewPath, operatorapi.StatusPath, viewPath, operatorapi.DrainsPath, usercalls.RunsPath, usercalls.CancelVerb, healthPath, metricsPath, agentapi.OrdersPath} {
+	for _, path := range []string{
+		heartbeatPath, pingPath, extensionPath, overload.ExchangePath, operatorapi.DrainPreviewPath,
+		operatorapi.StatusPath, viewPath, operatorapi.DrainsPath, usercalls.RunsPath, usercalls.CancelVerb,
+		healthPath, metricsPath, agentapi.OrdersPath,
+	} {
 		lines.Add("path %s", path)
 	}
 	lines.Check(t, "node_messages.txt")
@@ -61,7 +65,10 @@
 	for _, reason := range recovery.Reasons() {
 		lines.Add("finding %d %s", reason, reason)
 	}
-	for _, reason := range []string{core.ReasonTakeover, core.ReasonPause, core.ReasonFails, core.ReasonQuota, core.ReasonOldGang, core.ReasonAsking, core.ReasonRefused, core.ReasonRoom} {
+	for _, reason := range []string{
+		core.ReasonTakeover, core.ReasonPause, core.ReasonFails, core.ReasonQuota, core.ReasonOldGang,
+		core.ReasonAsking, core.ReasonRefused, core.ReasonRoom,
+	} {
 		lines.Add("waiting: %s", reason)
 	}
 	lines.Check(t, "state_names.txt")
--- a/internal/controller/limits/limits_test.go
+++ b/internal/controller/limits/limits_test.go
@@ -53,7 +53,9 @@
 // once the limit, 2,301 for 2,800 workers: the rest would have been turned away for
 // good. All that a controller opens or accepts must still fit its sockets.
 func TestClientConnectionsFitTheSockets(t *testing.T) {
-	for _, c := range []struct{ sockets, peers, workers int }{{3068, 6, 2800}, {2747, 4, 1920}, {800, 4, 561}, {800, 2, 51}} {
+	for _, c := range []struct{ sockets, peers, workers int }{
+		{3068, 6, 2800}, {2747, 4, 1920}, {800, 4, 561}, {800, 2, 51},
+	} {
 		settings := &config.Settings{}
 		settings.Params.Resources.MaxSockets = c.sockets
 		for i := range c.peers {
--- a/internal/controller/machinetypes/machinetypes.go
+++ b/internal/controller/machinetypes/machinetypes.go
@@ -37,7 +37,12 @@
 
 // New makes a catalog that knows no type yet.
 func New(client *cloud.Client, store *statestore.Client, maxValueBytes int) *Catalog {
-	return &Catalog{cloud: client, store: store, maxValueBytes: maxValueBytes, log: slog.With("component", "machine types")}
+	return &Catalog{
+		cloud:         client,
+		store:         store,
+		maxValueBytes: maxValueBytes,
+		log:           slog.With("component", "machine types"),
+	}
 }
 
 // Types are the machine types with their prices, as last learnt; empty if none are known yet.
--- a/internal/controller/metrics/metrics.go
+++ b/internal/controller/metrics/metrics.go
@@ -54,8 +54,14 @@
 			Help: "How long ticks with their rounds of decisions took.", Buckets: latencyBuckets}),
 		store: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "gingertally_store_answers_total",
 			Help: "Answers of the state service, by whether the request was served."}, []string{"served"}),
-		leading: prometheus.NewGauge(prometheus.GaugeOpts{Name: "gingertally_leading", Help: "1 while this node leads."}),
-		term:    prometheus.NewGauge(prometheus.GaugeOpts{Name: "gingertally_term", Help: "The last term that this node led in."}),
+		leading: prometheus.NewGauge(prometheus.GaugeOpts{
+			Name: "gingertally_leading",
+			Help: "1 while this node leads.",
+		}),
+		term: prometheus.NewGauge(prometheus.GaugeOpts{
+			Name: "gingertally_term",
+			Help: "The last term that this node led in.",
+		}),
 	}
 	commands := prometheus.NewCounterVec(prometheus.CounterOpts{Name: "gingertally_commands_total",
 		Help: "Commands given in answer to heartbeats."}, []string{"command"})
--- a/internal/controller/metrics/parts.go
+++ b/internal/controller/metrics/parts.go
@@ -124,7 +124,9 @@
 	}
 	for _, scope := range status.Scopes {
 		m.interruptions.WithLabelValues(scope.Team, scope.Class, drain.Voluntary.String()).Set(float64(scope.Voluntary))
-		m.interruptions.WithLabelValues(scope.Team, scope.Class, drain.Involuntary.String()).Set(float64(scope.Involuntary))
+		m.interruptions.WithLabelValues(
+			scope.Team, scope.Class, drain.Involuntary.String(),
+		).Set(float64(scope.Involuntary))
 	}
 }
 
--- a/internal/controller/more_workers_test.go
+++ b/internal/controller/more_workers_test.go
@@ -23,7 +23,12 @@
 	const workers, rounds = 400, 3
 	settings := &config.Settings{}
 	settings.Params.Resources.MaxSockets = 64 // far fewer than workers
-	d := &Controller{settings: settings, limits: limits.Of(settings), metrics: metrics.New(), agents: &agentapi.Service{}}
+	d := &Controller{
+		settings: settings,
+		limits:   limits.Of(settings),
+		metrics:  metrics.New(),
+		agents:   &agentapi.Service{},
+	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	listener := listen(t)
--- a/internal/controller/operatorapi/status.go
+++ b/internal/controller/operatorapi/status.go
@@ -70,7 +70,11 @@
 	own := s.own(time.Now())
 	names := s.Peers.PeersFirst()
 	shown := own
-	all := summary{versions: map[string]string{}, standbys: map[string]*replication.Status{}, policies: map[string]uint64{}}
+	all := summary{
+		versions: map[string]string{},
+		standbys: map[string]*replication.Status{},
+		policies: map[string]uint64{},
+	}
 	all.add(own.Node, &own)
 	for i, status := range s.peersStatus(ctx, names) {
 		all.add(names[i], status)
--- a/internal/controller/overload/leader.go
+++ b/internal/controller/overload/leader.go
@@ -37,7 +37,9 @@
 
 // planRound gathers the counts of all controllers and makes the next policy. It returns the newest
 // policy that is stored: nobody hears of one that isn't.
-func (n *Node) planRound(ctx context.Context, term Term, planner *admission.Planner, latest admission.Policy) admission.Policy {
+func (n *Node) planRound(
+	ctx context.Context, term Term, planner *admission.Planner, latest admission.Policy,
+) admission.Policy {
 	load, settled := term.Load(time.Now())
 	load.Rates.Jobs = n.options.Limits.Submissions()
 	load.Batches = n.exchange(ctx, latest)
--- a/internal/controller/overload/node.go
+++ b/internal/controller/overload/node.go
@@ -96,7 +96,9 @@
 	defer n.mu.Unlock()
 	before := n.gate.Policy().Reason
 	if n.gate.Take(time.Now(), policy) && policy.Reason != before {
-		n.log.Info("admission policy changed", "term", policy.Term, "number", policy.Number, "reason", policy.Reason.String(), "previous_reason", before.String())
+		n.log.Info("admission policy changed",
+			"term", policy.Term, "number", policy.Number, "reason", policy.Reason.String(),
+			"previous_reason", before.String())
 	}
 	n.options.Metrics.PolicyApplied(n.gate.Policy().Number)
 }
--- a/internal/controller/overload/node_test.go
+++ b/internal/controller/overload/node_test.go
@@ -37,11 +37,24 @@
 		}
 		return batch
 	}
-	newest := admission.Policy{Term: 3, Number: 7, Reason: admission.Backlog, Interval: time.Second, Shares: []admission.Share{{Key: key, Fraction: 0.0005, Due: 0.25}}}
+	newest := admission.Policy{
+		Term:     3,
+		Number:   7,
+		Reason:   admission.Backlog,
+		Interval: time.Second,
+		Shares:   []admission.Share{{Key: key, Fraction: 0.0005, Due: 0.25}},
+	}
 	exchange(newest)
 	refused := 0
 	for i := range 50 {
-		if !n.Decide(&pipeline.Spec{Ref: fmt.Sprint("j-", i), Team: "t", Class: "c", Priority: pipeline.Normal, Tasks: 1, CPUs: 1}).Admitted {
+		if !n.Decide(&pipeline.Spec{
+			Ref:      fmt.Sprint("j-", i),
+			Team:     "t",
+			Class:    "c",
+			Priority: pipeline.Normal,
+			Tasks:    1,
+			CPUs:     1,
+		}).Admitted {
 			refused++
 		}
 	}
@@ -49,7 +62,8 @@
 	older.Term, older.Number, older.Shares = 2, 9, nil
 	batch := exchange(older)
 	// The counts once lost the class on their way, since two fields had one name.
-	if refused < 45 || len(batch.Counts) != 1 || batch.Counts[0].Key != key || batch.Counts[0].Refused != refused || batch.Counts[0].Offered != 50 {
+	if refused < 45 || len(batch.Counts) != 1 || batch.Counts[0].Key != key ||
+		batch.Counts[0].Refused != refused || batch.Counts[0].Offered != 50 {
 		t.Fatalf("%d refused, counted %+v", refused, batch)
 	}
 	if again := exchange(newest); len(again.Counts) != 0 {
@@ -70,7 +84,10 @@
 	n := testNode()
 	p := admission.Policy{Term: 1, Number: 1, Reason: admission.Backlog}
 	for i := range 200 {
-		p.Shares = append(p.Shares, admission.Share{Key: admission.Key{Team: "t", Class: fmt.Sprintf("class-%03d", i)}, Fraction: float64(i+1) / 200})
+		p.Shares = append(p.Shares, admission.Share{
+			Key:      admission.Key{Team: "t", Class: fmt.Sprintf("class-%03d", i)},
+			Fraction: float64(i+1) / 200,
+		})
 	}
 	fits := n.fitting(p)
 	size, err := codec.JSONSize(codec.MustMarshal(fits))
--- a/internal/controller/replication/follow.go
+++ b/internal/controller/replication/follow.go
@@ -91,7 +91,8 @@
 	now := time.Now()
 	verdict := n.standby.Receive(now, frame)
 	if verdict.Lost() {
-		n.logger.Info("warm state copy dropped", "reason", verdict.String(), "term", frame.Term, "sequence", frame.Sequence)
+		n.logger.Info("warm state copy dropped",
+			"reason", verdict.String(), "term", frame.Term, "sequence", frame.Sequence)
 	}
 	if verdict == standby.Applied && n.log != nil {
 		n.log.offer(frame)
--- a/internal/controller/replication/log_writer.go
+++ b/internal/controller/replication/log_writer.go
@@ -27,7 +27,9 @@
 }
 
 // newLogWriter opens the log that the settings name.
-func newLogWriter(settings operator.Standby, snapshot func() (standby.Frame, bool)) (*logWriter, decisionlog.Recovered, error) {
+func newLogWriter(
+	settings operator.Standby, snapshot func() (standby.Frame, bool),
+) (*logWriter, decisionlog.Recovered, error) {
 	log, recovered, err := decisionlog.Open(settings.LogDirectory, settings.LogBytes)
 	if err != nil {
 		return nil, recovered, err
--- a/internal/controller/replication/node.go
+++ b/internal/controller/replication/node.go
@@ -40,17 +40,25 @@
 }
 
 // New makes a controller's part in the warm standby, with what its decision log holds.
-func New(self string, settings operator.Standby, workerHeartbeats time.Duration, standbyMetrics *metrics.Standby) Replicator {
+func New(
+	self string, settings operator.Standby, workerHeartbeats time.Duration, standbyMetrics *metrics.Standby,
+) Replicator {
 	if !settings.Enabled {
 		return Disabled{}
 	}
 	return newNode(self, settings, workerHeartbeats, standbyMetrics)
 }
 
-func newNode(self string, settings operator.Standby, workerHeartbeats time.Duration, standbyMetrics *metrics.Standby) *Node {
+func newNode(
+	self string, settings operator.Standby, workerHeartbeats time.Duration, standbyMetrics *metrics.Standby,
+) *Node {
 	n := &Node{
 		self: self, metrics: standbyMetrics, streams: map[string]chan struct{}{}, logger: slog.With("component", "standby"),
-		options: standby.Options{QueueBound: settings.QueueBound, SnapshotInterval: settings.SnapshotInterval, Heartbeat: heartbeatInterval},
+		options: standby.Options{
+			QueueBound:       settings.QueueBound,
+			SnapshotInterval: settings.SnapshotInterval,
+			Heartbeat:        heartbeatInterval,
+		},
 		standby: standby.New(self, standby.TimeoutsFor(workerHeartbeats, settings.SnapshotInterval)),
 	}
 	n.openLog(settings)
@@ -72,7 +80,8 @@
 	n.log = writer
 	writer.onFailure = n.metrics.DecisionLogFailed
 	n.standby.Restore(recovered.Replica)
-	n.logger.Info("decision log opened", "records", recovered.Records, "torn_bytes", recovered.TornBytes, "entries", recovered.Replica.Size())
+	n.logger.Info("decision log opened",
+		"records", recovered.Records, "torn_bytes", recovered.TornBytes, "entries", recovered.Replica.Size())
 }
 
 // snapshot is the whole state that this node knows: its own as the leader, or its copy.
@@ -143,7 +152,8 @@
 		return nil, nil
 	}
 	n.takeover.Warm = true
-	n.logger.Info("warm takeover", "term", term.Number, "entries", len(view.Entries), "age", view.Age, "recent", view.Recent)
+	n.logger.Info("warm takeover",
+		"term", term.Number, "entries", len(view.Entries), "age", view.Age, "recent", view.Recent)
 	return &core.WarmStart{Records: records, Confirmed: view.Recent}, nil
 }
 
@@ -189,7 +199,8 @@
 	}
 	if since, known := n.takeover.Since(phase); known && phase > standby.Vacant {
 		n.metrics.ObservePhase(n.takeover.Warm, phase, since)
-		n.logger.Info("takeover phase reached", "term", n.takeover.Term, "phase", phase.String(), "warm", n.takeover.Warm, "after", since)
+		n.logger.Info("takeover phase reached",
+			"term", n.takeover.Term, "phase", phase.String(), "warm", n.takeover.Warm, "after", since)
 	}
 	if phase == standby.FirstStart {
 		n.nextPhase = standby.FirstStart + 1 // nothing is left to note
--- a/internal/controller/replication/node_test.go
+++ b/internal/controller/replication/node_test.go
@@ -42,7 +42,10 @@
 
 func classRecord(i int) core.WarmRecord {
 	name := fmt.Sprint("class-", i%20)
-	return core.WarmRecord{Key: core.WarmKey{Kind: core.WarmClassKind, Name: name}, Class: &core.WarmClass{Name: name, Ratio: 1, Runs: i}}
+	return core.WarmRecord{
+		Key:   core.WarmKey{Kind: core.WarmClassKind, Name: name},
+		Class: &core.WarmClass{Name: name, Ratio: 1, Runs: i},
+	}
 }
 
 // pumpFrames brings a follower what its leader has for it.
--- a/internal/controller/replication/status.go
+++ b/internal/controller/replication/status.go
@@ -92,5 +92,11 @@
 func (n *Node) metricsState() metrics.StandbyState {
 	s := n.Status(time.Now())
 	current := s.State == standby.Following.String() || s.State == standby.Active.String()
-	return metrics.StandbyState{Current: current, LagChanges: s.LagChanges, Lag: s.LagTime, Snapshots: s.Snapshots, Drops: s.Gaps + s.Mismatches}
+	return metrics.StandbyState{
+		Current:    current,
+		LagChanges: s.LagChanges,
+		Lag:        s.LagTime,
+		Snapshots:  s.Snapshots,
+		Drops:      s.Gaps + s.Mismatches,
+	}
 }
--- a/internal/controller/term/drains.go
+++ b/internal/controller/term/drains.go
@@ -25,7 +25,12 @@
 	if t.deps.Config.Drain == nil {
 		return nil
 	}
-	return t.watch(ctx, watched{prefix: jobstore.DrainPlanPrefix, changed: t.drainPlanChanged, readAll: t.readAllDrainPlans, readAllRetry: watchRetry})
+	return t.watch(ctx, watched{
+		prefix:       jobstore.DrainPlanPrefix,
+		changed:      t.drainPlanChanged,
+		readAll:      t.readAllDrainPlans,
+		readAllRetry: watchRetry,
+	})
 }
 
 // readAllDrainPlans brings the engine all plans.
--- a/internal/controller/term/step.go
+++ b/internal/controller/term/step.go
@@ -129,7 +129,11 @@
 	cluster := t.engine.Load(now)
 	t.mu.Unlock()
 	load.Backlog = cluster.Backlog
-	load.Rates = admission.Rates{CPUs: cluster.Capacity.CPUs, GPUs: cluster.Capacity.GPUs, MemGB: cluster.Capacity.MemGB}
+	load.Rates = admission.Rates{
+		CPUs:  cluster.Capacity.CPUs,
+		GPUs:  cluster.Capacity.GPUs,
+		MemGB: cluster.Capacity.MemGB,
+	}
 	return load, cluster.Settled
 }
 
--- a/internal/controller/term/watch.go
+++ b/internal/controller/term/watch.go
@@ -58,7 +58,12 @@
 
 // watchJobs learns of new and cancelled jobs.
 func (t *Term) watchJobs(ctx context.Context) error {
-	return t.watch(ctx, watched{prefix: jobstore.JobPrefix, changed: t.jobChanged, readAll: t.readAllJobs, readAllRetry: snapshotRetry})
+	return t.watch(ctx, watched{
+		prefix:       jobstore.JobPrefix,
+		changed:      t.jobChanged,
+		readAll:      t.readAllJobs,
+		readAllRetry: snapshotRetry,
+	})
 }
 
 // readAllJobs brings the engine all jobs.
@@ -104,7 +109,9 @@
 }
 
 // loadJob loads a job and brings the engine what was found; false if nothing was.
-func (t *Term) loadJob(ctx context.Context, ref string, load func(context.Context, string) (jobstore.State, error)) bool {
+func (t *Term) loadJob(
+	ctx context.Context, ref string, load func(context.Context, string) (jobstore.State, error),
+) bool {
 	state, err := load(ctx, ref)
 	if err != nil || !state.Found {
 		return false
--- a/internal/controller/term_test.go
+++ b/internal/controller/term_test.go
@@ -21,9 +21,9 @@
 // heldLease is a leader's lease that is held until it is given up.
 type heldLease struct{ over atomic.Bool }
 
-func (l *heldLease) HoldsLease(time.Time) bool       { return !l.over.Load() }
+func (l *heldLease) HoldsLease(time.Time) bool      { return !l.over.Load() }
 func (l *heldLease) Resign(leadership.ResignReason) { l.over.Store(true) }
-func (l *heldLease) EndTerm()                        { l.over.Store(true) }
+func (l *heldLease) EndTerm()                       { l.over.Store(true) }
 
 // termGoroutines are the stacks of all goroutines that run code of package term.
 func termGoroutines() []string {
@@ -57,7 +57,17 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(c.peers.Close)
-	spec := pipeline.Spec{Ref: "j-1", Class: "c", Team: "t", Priority: pipeline.Normal, Tasks: 50, CPUs: 4, MemGB: 8, Image: "i", Estimate: time.Minute}
+	spec := pipeline.Spec{
+		Ref:      "j-1",
+		Class:    "c",
+		Team:     "t",
+		Priority: pipeline.Normal,
+		Tasks:    50,
+		CPUs:     4,
+		MemGB:    8,
+		Image:    "i",
+		Estimate: time.Minute,
+	}
 	if err := c.jobs.Create(t.Context(), spec, nil, time.Now()); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controller/usercalls/forward_test.go
+++ b/internal/controller/usercalls/forward_test.go
@@ -55,7 +55,8 @@
 			defer cancel()
 			begun := time.Now()
 			answer, ok := f.forward(ctx, names, peer.Request{Method: "GET", Path: RunsPath + "/j-1"})
-			if ok != (c.want != 0) || answer.Status != c.want || time.Since(begun) > c.within || n.asked.Load() != c.asked {
+			if ok != (c.want != 0) || answer.Status != c.want || time.Since(begun) > c.within ||
+				n.asked.Load() != c.asked {
 				t.Errorf("%s: %d, %v after %s, %d asked", c.name, answer.Status, ok, time.Since(begun), n.asked.Load())
 			}
 		})
--- a/internal/controller/usercalls/usercalls.go
+++ b/internal/controller/usercalls/usercalls.go
@@ -90,7 +90,9 @@
 }
 
 // serveWithin serves a user's call at this controller within a time.
-func (s *Service) serveWithin(ctx context.Context, limit time.Duration, method, path string, body []byte) userapi.Answer {
+func (s *Service) serveWithin(
+	ctx context.Context, limit time.Duration, method, path string, body []byte,
+) userapi.Answer {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	return s.serve(ctx, method, path, body)
--- a/internal/leadership/elector_test.go
+++ b/internal/leadership/elector_test.go
@@ -25,7 +25,11 @@
 }
 
 func newFake() *fakeStore {
-	return &fakeStore{items: map[string]statestore.KeyValue{}, leases: map[statestore.LeaseID]time.Time{}, cut: map[string]bool{}}
+	return &fakeStore{
+		items:  map[string]statestore.KeyValue{},
+		leases: map[statestore.LeaseID]time.Time{},
+		cut:    map[string]bool{},
+	}
 }
 
 // client is one node's view of the store.
@@ -192,7 +196,9 @@
 
 func start(ctx context.Context, ttl time.Duration) *trio { return startWithPeers(ctx, ttl, nil) }
 
-func startWithPeers(ctx context.Context, ttl time.Duration, ask func(ctx context.Context, tr *trio, from, to string) bool) *trio {
+func startWithPeers(
+	ctx context.Context, ttl time.Duration, ask func(ctx context.Context, tr *trio, from, to string) bool,
+) *trio {
 	tr := &trio{store: newFake()}
 	names := []string{"a", "b", "c"}
 	for i, name := range names {
@@ -205,7 +211,12 @@
 			requestExtension: func(ctx context.Context, to string) bool { return ask(ctx, tr, name, to) },
 		}
 		others := append(append([]string{}, names[:i]...), names[i+1:]...)
-		l := New(client{tr.store, name}, node, Options{Member: name, Others: others, TTL: ttl, PeerExtensions: ask != nil})
+		l := New(client{tr.store, name}, node, Options{
+			Member:         name,
+			Others:         others,
+			TTL:            ttl,
+			PeerExtensions: ask != nil,
+		})
 		tr.electors = append(tr.electors, l)
 		go func() { _ = l.Run(ctx) }() // ends with ctx
 	}
--- a/internal/leadership/hand_over_test.go
+++ b/internal/leadership/hand_over_test.go
@@ -38,7 +38,8 @@
 		}
 		time.Sleep(1500 * time.Millisecond)
 		if !c.HoldsLease(time.Now()) || b.HoldsLease(time.Now()) || vacant == 0 {
-			t.Fatalf("c leads: %v, b leads: %v, seen vacant %d times", c.HoldsLease(time.Now()), b.HoldsLease(time.Now()), vacant)
+			t.Fatalf("c leads: %v, b leads: %v, seen vacant %d times",
+				c.HoldsLease(time.Now()), b.HoldsLease(time.Now()), vacant)
 		}
 		if !a.FollowsAnother() || a.Leader() != "c" {
 			t.Fatalf("the old leader takes %q for the leader", a.Leader())
--- a/internal/pagecheck/log_test.go
+++ b/internal/pagecheck/log_test.go
@@ -14,7 +14,10 @@
 const logPage = "docs/operating.md"
 
 // notLogged are the directories whose code doesn't run in a controller.
-var notLogged = []string{"internal/simulation", "internal/emulator", "internal/surge", "internal/goldentest", "internal/pagecheck", "tools"}
+var notLogged = []string{
+	"internal/simulation", "internal/emulator", "internal/surge", "internal/goldentest", "internal/pagecheck",
+	"tools",
+}
 
 // logLines collects the texts that are logged at level info and above: the first argument of Info,
 // Warn and Error, and the events that the core logs.
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -77,7 +77,10 @@
 	s := grpc.NewServer(
 		grpc.MaxRecvMsgSize(maxMessageBytes), grpc.MaxConcurrentStreams(maxStreams),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: keepaliveInterval, Timeout: keepaliveTimeout}),
-		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: keepaliveMinInterval, PermitWithoutStream: true}),
+		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{
+			MinTime:             keepaliveMinInterval,
+			PermitWithoutStream: true,
+		}),
 		grpc.ReadBufferSize(bufferBytes), grpc.WriteBufferSize(bufferBytes),
 	)
 	peerpb.RegisterPeerServer(s, &server{handle: handle})
@@ -114,7 +117,12 @@
 
 // dial prepares a connection, which is made when it is first used.
 func dial(addr string) (*grpc.ClientConn, error) {
-	retry := backoff.Config{BaseDelay: backoffBase, Multiplier: backoffFactor, Jitter: backoffJitter, MaxDelay: backoffMax}
+	retry := backoff.Config{
+		BaseDelay:  backoffBase,
+		Multiplier: backoffFactor,
+		Jitter:     backoffJitter,
+		MaxDelay:   backoffMax,
+	}
 	return grpc.NewClient("passthrough:///"+addr,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: connectTimeout, Backoff: retry}),
