--- a/internal/jobstore/cache.go
+++ b/internal/jobstore/cache.go
@@ -7,22 +7,27 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// Bounds of the jobs kept at hand; a full cache is emptied.
+// Bounds of the cache, in jobs. A map that is full is emptied: all in it can be read again.
 const (
 	maxFinals   = 5_000
 	maxAccepted = 20_000
 )
 
-// cache keeps what was read of jobs and can't change, or counts for a while.
+// cache holds facts about jobs that have been read: such that never change, and such that
+// are relied on for a limited time. It is safe for concurrent use.
 type cache struct {
 	mu             sync.Mutex
-	finals         map[string]pipeline.Final // final entries
-	accepted       map[string]bool           // jobs that were accepted and are no services
-	notCancelledAt map[string]time.Time      // when jobs, and all that they need, weren't cancelled
+	finals         map[string]pipeline.Final // final entries, which never change
+	accepted       map[string]bool           // jobs that were accepted and aren't services
+	notCancelledAt map[string]time.Time      // when neither the job nor any of its dependencies was cancelled
 }
 
 func newCache() *cache {
-	return &cache{finals: map[string]pipeline.Final{}, accepted: map[string]bool{}, notCancelledAt: map[string]time.Time{}}
+	return &cache{
+		finals:         map[string]pipeline.Final{},
+		accepted:       map[string]bool{},
+		notCancelledAt: map[string]time.Time{},
+	}
 }
 
 func (c *cache) noteFinal(ref string, final pipeline.Final) {
@@ -34,11 +39,11 @@
 	c.finals[ref] = final
 }
 
-func (c *cache) final(ref string) (pipeline.Final, bool) {
+func (c *cache) final(ref string) (final pipeline.Final, known bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	final, ok := c.finals[ref]
-	return final, ok
+	final, known = c.finals[ref]
+	return final, known
 }
 
 func (c *cache) noteAccepted(ref string) {
--- a/internal/jobstore/cancel.go
+++ b/internal/jobstore/cancel.go
@@ -14,14 +14,21 @@
 	"gingertally/internal/statestore"
 )
 
-// cancelTries bounds the races of one cancellation with the leader's writes.
+// cancelTries is how often one cancellation is tried while the leader keeps writing the job's
+// record.
 const cancelTries = 4
 
-// Cancel cancels a job unless it is done; it returns what then holds. Against
-// the leader's writes the record's version decides. The guard makes sure that
-// no leader goes on telling users an older state: it is the leader's own term,
-// or that nobody leads (docs/design.md, "The bound of a cancellation";
-// TestCancelWithoutAnswer).
+// errRecordChanged says that the leader wrote the record after it was read.
+var errRecordChanged = errors.New("record keeps changing")
+
+// Cancel cancels a job unless it is over, and returns the state that holds then. The record's
+// version decides between a cancellation and the leader's writes of the same record.
+//
+// The guard is a condition by which no leader goes on answering users with an older state: it
+// holds while the caller's own term lasts (UnderTerm), or while nobody leads (docs/design.md,
+// "The bound of a cancellation"; TestCancelWithoutAnswer). If it fails, the error is
+// ErrNotLeader. On statestore.ErrUnknownOutcome the returned state has the version over which
+// the cancellation may have been written.
 func (j *Jobs) Cancel(ctx context.Context, ref string, now time.Time, guard statestore.Compare) (State, error) {
 	for range cancelTries {
 		state, err := j.Load(ctx, ref)
@@ -41,21 +48,19 @@
 			return state, nil
 		}
 		if !errors.Is(err, errRecordChanged) {
-			return state, err
+			return state, fmt.Errorf("cancel job %s: %w", ref, err)
 		}
 	}
-	return State{}, fmt.Errorf("job %s: %w", ref, errRecordChanged)
+	return State{}, fmt.Errorf("cancel job %s: %w", ref, errRecordChanged)
 }
 
-// errRecordChanged says that the leader wrote the record meanwhile.
-var errRecordChanged = errors.New("record keeps changing")
-
-// commitCancelled writes the record of a cancelled job over the version that was read.
+// commitCancelled writes the record of a cancelled job over the version that was read, and
+// returns the new version.
 func (j *Jobs) commitCancelled(ctx context.Context, ref string, state State, guard statestore.Compare) (uint64, error) {
 	key := JobPrefix + ref
 	value, err := codec.Marshal(state.Record)
 	if err != nil {
-		return 0, fmt.Errorf("%s: %w", key, err)
+		return 0, fmt.Errorf("encode %s: %w", key, err)
 	}
 	revision, err := j.store.Commit(ctx, []statestore.Compare{guard, {Key: key, ModRevision: state.Version}},
 		[]statestore.Op{statestore.Put(key, value)})
@@ -73,9 +78,9 @@
 	return 0, fmt.Errorf("%w: %w", statestore.ErrUnknownOutcome, err)
 }
 
-// cancelRecord turns a job's record into that of a cancelled one. What no longer
-// matters is left out, the description too if the record was written when values
-// could be larger.
+// cancelRecord turns a job's record into that of a cancelled job and removes what no longer
+// matters. A record from when values could be larger also loses its description, without
+// which it fits.
 func (j *Jobs) cancelRecord(record *pipeline.Record, now time.Time) {
 	record.Phase, record.CancelledMS = pipeline.Cancelled, now.UnixMilli()
 	record.Done, record.Restarts, record.Dependencies = nil, nil, nil
@@ -84,7 +89,7 @@
 	}
 }
 
-// CancelEvent is what a leader's engine hears of the outcome of Cancel.
+// CancelEvent returns the event by which a leader's engine learns the outcome of Cancel.
 func CancelEvent(ref string, state State, err error) core.Event {
 	switch {
 	case err != nil:
@@ -95,7 +100,7 @@
 	return core.JobStored{Job: core.StoredJob{Record: state.Record, Version: state.Version}}
 }
 
-// UnderTerm is the guard of a cancellation by the leader itself.
+// UnderTerm returns the condition that a leader's term isn't over.
 func UnderTerm(term leadership.Term) statestore.Compare {
 	return statestore.Compare{Key: leadership.TermKey, ModRevision: term.Revision}
 }
--- a/internal/jobstore/dependency_pages.go
+++ b/internal/jobstore/dependency_pages.go
@@ -8,17 +8,27 @@
 	"strings"
 
 	"gingertally/internal/codec"
-	"gingertally/internal/statestore"
-
 	"gingertally/internal/core/pipeline"
+	"gingertally/internal/statestore"
 )
 
-// sumBytes is how much of the hash of a list of dependencies names its pages.
-const sumBytes = 8
+// listSumBytes is how many bytes of a hash name the pages of a list of dependencies.
+const listSumBytes = 8
+
+// MissingPagesError says that a job's record names more pages of dependencies than the store
+// holds, or fewer: the record is out of date, or a submission of the job is under way.
+type MissingPagesError struct {
+	Ref          string
+	Stored, Want int
+}
+
+func (e *MissingPagesError) Error() string {
+	return fmt.Sprintf("read dependencies of job %s: %d pages are stored, not %d", e.Ref, e.Stored, e.Want)
+}
 
-// putDependencies puts the jobs that a job waits for into its record, or, if they would
-// make it too large, on pages of their own. Those are written before the record,
-// which alone makes them count; a retry leaves those that are there (docs/design.md,
+// putDependencies puts a job's dependencies into its record or, if that would make the record
+// too large, stores them on pages of their own. The pages are written before the record and
+// count only with it; a repeated submission skips those that are stored (docs/design.md,
 // "Safety arguments" 16; TestLongListIsTakenWholeOrNotAtAll).
 func (j *Jobs) putDependencies(ctx context.Context, record *pipeline.Record, dependencies []string) error {
 	if len(dependencies) == 0 {
@@ -29,10 +39,10 @@
 		return nil
 	}
 	sum := sha256.Sum256([]byte(strings.Join(dependencies, " ")))
-	record.DependencyListSum = hex.EncodeToString(sum[:sumBytes])
+	record.DependencyListSum = hex.EncodeToString(sum[:listSumBytes])
 	pages := splitPages(dependencies, j.limits.ValueBytes)
 	record.DependencyPages = len(pages)
-	stored, err := j.storedPages(ctx, record)
+	stored, err := j.storedDependencyKeys(ctx, record)
 	if err != nil {
 		return err
 	}
@@ -48,7 +58,8 @@
 	return nil
 }
 
-// splitPages splits a list into pages that fit a value each.
+// splitPages splits a list into pages of at most valueBytes each. A single dependency always
+// fits.
 func splitPages(dependencies []string, valueBytes int) [][]string {
 	var pages [][]string
 	for rest := dependencies; len(rest) > 0; {
@@ -61,37 +72,38 @@
 	return pages
 }
 
-// storedPages are the keys of the pages of a record's list that the store has.
-func (j *Jobs) storedPages(ctx context.Context, record *pipeline.Record) (map[string]bool, error) {
-	items, _, err := j.store.List(ctx, dependencyPages(record.Spec.Ref, record.DependencyListSum))
+// storedDependencyKeys returns the keys of those pages of a record's list that are stored.
+func (j *Jobs) storedDependencyKeys(ctx context.Context, record *pipeline.Record) (map[string]bool, error) {
+	items, _, err := j.store.List(ctx, dependencyPagesPrefix(record.Spec.Ref, record.DependencyListSum))
 	if err != nil {
 		return nil, err
 	}
-	stored := map[string]bool{}
+	stored := make(map[string]bool, len(items))
 	for _, item := range items {
 		stored[item.Key] = true
 	}
 	return stored, nil
 }
 
-// readDependencies completes a record of a job that waits for others by the pages of its
-// list.
+// readDependencies completes the record of a job that waits: it reads the pages of its
+// dependencies if they aren't in the record itself.
 func (j *Jobs) readDependencies(ctx context.Context, record *pipeline.Record) error {
 	if !record.Held() || record.DependencyPages == 0 {
 		return nil
 	}
-	items, _, err := j.store.List(ctx, dependencyPages(record.Spec.Ref, record.DependencyListSum))
+	prefix := dependencyPagesPrefix(record.Spec.Ref, record.DependencyListSum)
+	items, _, err := j.store.List(ctx, prefix)
 	if err != nil {
 		return err
 	}
 	if len(items) != record.DependencyPages {
-		return fmt.Errorf("job %s: %d pages of jobs to wait for, not %d", record.Spec.Ref, len(items), record.DependencyPages)
+		return &MissingPagesError{Ref: record.Spec.Ref, Stored: len(items), Want: record.DependencyPages}
 	}
 	record.Dependencies = nil
 	for _, item := range items {
 		var refs []string
-		if err := codec.Unmarshal(item.Value, &refs); err != nil {
-			return fmt.Errorf("%s: %w", item.Key, err)
+		if err := decodeValue(item, &refs); err != nil {
+			return err
 		}
 		record.Dependencies = append(record.Dependencies, refs...)
 	}
--- a/internal/jobstore/drains.go
+++ b/internal/jobstore/drains.go
@@ -13,85 +13,61 @@
 	"gingertally/internal/statestore"
 )
 
-// Prefixes of the keys of drains. Plans are written by any controller over a version; cordons
-// and charges by the leader alone, under its term.
-const (
-	DrainPlanPrefix = "drain/plan/"
-	cordonPrefix    = "drain/cordon/"
-	chargePrefix    = "drain/charge/"
-)
-
-// Errors of the plans of drains.
+// Outcomes of operations on drain plans, which callers tell apart with errors.Is. Operators see
+// their texts.
 var (
-	ErrUnknownPlan  = errors.New("unknown drain plan")
-	ErrOtherPlan    = errors.New("another drain plan has this id")
-	ErrPlanOver     = errors.New("the drain plan can't do that any more")
-	errPlanContends = errors.New("the drain plan changes all the time")
+	// ErrUnknownPlan says that no plan has this id.
+	ErrUnknownPlan = errors.New("unknown drain plan")
+	// ErrOtherPlan says that a plan with this id exists and asks for something else.
+	ErrOtherPlan = errors.New("another drain plan has this id")
+	// ErrPlanOver says that the plan's phase doesn't allow the change.
+	ErrPlanOver = errors.New("the drain plan can't do that any more")
+	// errPlanContended says that others kept changing the plan.
+	errPlanContended = errors.New("the drain plan changes all the time")
 )
 
-// planTries bounds the tries to change a plan that others change as well.
+// planTries is how often one change of a plan is tried while others change it as well.
 const planTries = 5
 
-// Drains reads all that is stored of drains.
+// Drains reads all that is stored about drains: plans, cordoned machines and charges.
 func (j *Jobs) Drains(ctx context.Context) (drain.Stored, error) {
 	var stored drain.Stored
-	plans, _, err := j.DrainPlans(ctx)
-	if err != nil {
+	var err error
+	if stored.Plans, _, err = j.DrainPlans(ctx); err != nil {
 		return stored, err
 	}
-	stored.Plans = plans
-	items, _, err := j.store.List(ctx, cordonPrefix)
-	if err != nil {
+	if stored.Machines, _, err = listAndDecode(ctx, j.store, cordonPrefix, decodeCordonPage); err != nil {
 		return stored, err
 	}
-	for _, item := range items {
-		page := drain.StoredMachines{Name: strings.TrimPrefix(item.Key, cordonPrefix), Version: item.ModRevision}
-		if err := codec.Unmarshal(item.Value, &page.Record); err != nil {
-			return stored, fmt.Errorf("%s: %w", item.Key, err)
-		}
-		stored.Machines = append(stored.Machines, page)
-	}
-	items, _, err = j.store.List(ctx, chargePrefix)
-	if err != nil {
-		return stored, err
-	}
-	for _, item := range items {
-		page := drain.StoredCharges{Name: strings.TrimPrefix(item.Key, chargePrefix), Version: item.ModRevision}
-		if err := codec.Unmarshal(item.Value, &page.Record); err != nil {
-			return stored, fmt.Errorf("%s: %w", item.Key, err)
-		}
-		stored.Charges = append(stored.Charges, page)
-	}
-	return stored, nil
+	stored.Charges, _, err = listAndDecode(ctx, j.store, chargePrefix, decodeChargePage)
+	return stored, err
+}
+
+func decodeCordonPage(item statestore.KeyValue) (drain.StoredMachines, error) {
+	page := drain.StoredMachines{Name: strings.TrimPrefix(item.Key, cordonPrefix), Version: item.ModRevision}
+	err := decodeValue(item, &page.Record)
+	return page, err
 }
 
-// DrainPlans reads all plans, and the revision to watch on from.
+func decodeChargePage(item statestore.KeyValue) (drain.StoredCharges, error) {
+	page := drain.StoredCharges{Name: strings.TrimPrefix(item.Key, chargePrefix), Version: item.ModRevision}
+	err := decodeValue(item, &page.Record)
+	return page, err
+}
+
+// DrainPlans reads all plans, and the revision from which to watch them.
 func (j *Jobs) DrainPlans(ctx context.Context) ([]drain.StoredPlan, uint64, error) {
-	items, revision, err := j.store.List(ctx, DrainPlanPrefix)
-	if err != nil {
-		return nil, 0, err
-	}
-	var plans []drain.StoredPlan
-	for _, item := range items {
-		plan, err := DecodeDrainPlan(item)
-		if err != nil {
-			return nil, 0, err
-		}
-		plans = append(plans, plan)
-	}
-	return plans, revision, nil
+	return listAndDecode(ctx, j.store, DrainPlanPrefix, DecodeDrainPlan)
 }
 
-// DecodeDrainPlan reads a plan from its item.
+// DecodeDrainPlan decodes a plan from its key and value.
 func DecodeDrainPlan(item statestore.KeyValue) (drain.StoredPlan, error) {
 	stored := drain.StoredPlan{Version: item.ModRevision}
-	if err := codec.Unmarshal(item.Value, &stored.Plan); err != nil {
-		return stored, fmt.Errorf("%s: %w", item.Key, err)
-	}
-	return stored, nil
+	err := decodeValue(item, &stored.Plan)
+	return stored, err
 }
 
-// DrainPlan reads a plan; ErrUnknownPlan if there is none of that name.
+// DrainPlan reads a plan. The error is ErrUnknownPlan if no plan has this id.
 func (j *Jobs) DrainPlan(ctx context.Context, id string) (drain.StoredPlan, error) {
 	item, found, err := j.store.Get(ctx, DrainPlanPrefix+id)
 	switch {
@@ -103,8 +79,8 @@
 	return DecodeDrainPlan(item)
 }
 
-// CreateDrainPlan writes a new plan. A repeat of the request changes nothing and returns the
-// plan as it now is; ErrOtherPlan if a plan of that name asks for something else.
+// CreateDrainPlan stores a new plan. A repeated request changes nothing and returns the plan as
+// it is now. The error is ErrOtherPlan if a plan with this id asks for something else.
 func (j *Jobs) CreateDrainPlan(ctx context.Context, plan drain.Plan, now time.Time) (drain.StoredPlan, error) {
 	if err := plan.Check(); err != nil {
 		return drain.StoredPlan{}, err
@@ -122,7 +98,8 @@
 	return stored, err
 }
 
-// ChangeDrainPlan takes a plan to another phase. One that is there already is left as it is.
+// ChangeDrainPlan moves a plan to another phase; a plan that is in it is left as it is. The error
+// is ErrPlanOver if the plan's phase doesn't allow that.
 func (j *Jobs) ChangeDrainPlan(ctx context.Context, id string, to drain.Phase) (drain.StoredPlan, error) {
 	for range planTries {
 		stored, err := j.DrainPlan(ctx, id)
@@ -139,15 +116,17 @@
 			return stored, err
 		}
 	}
-	return drain.StoredPlan{}, errPlanContends
+	return drain.StoredPlan{}, errPlanContended
 }
 
-// WriteDrainPlan writes the leader's change of a plan over the version that it knows.
+// WriteDrainPlan stores a change that the leader makes of a plan, under its term and over the
+// version that it knows.
 func (j *Jobs) WriteDrainPlan(ctx context.Context, term leadership.Term, w drain.PlanWrite) error {
 	_, err := j.putDrainPlan(ctx, []statestore.Compare{UnderTerm(term)}, w)
 	return err
 }
 
+// putDrainPlan stores or deletes a plan over a version of it, and returns the revision.
 func (j *Jobs) putDrainPlan(ctx context.Context, conditions []statestore.Compare, w drain.PlanWrite) (uint64, error) {
 	key := DrainPlanPrefix + w.Plan.ID
 	conditions = append(conditions, statestore.Compare{Key: key, ModRevision: w.Version})
@@ -156,7 +135,7 @@
 	}
 	value, err := codec.Marshal(w.Plan)
 	if err != nil {
-		return 0, err
+		return 0, fmt.Errorf("encode %s: %w", key, err)
 	}
 	return j.store.Commit(ctx, conditions, []statestore.Op{statestore.Put(key, value)})
 }
--- a/internal/jobstore/encode.go
+++ b/internal/jobstore/encode.go
@@ -2,20 +2,21 @@
 
 import (
 	"context"
+	"fmt"
 
 	"gingertally/internal/codec"
 	"gingertally/internal/core"
 	"gingertally/internal/statestore"
 )
 
-// encodedWrite is one of the leader's writes in the form in which it is stored. It implements
-// core.WriteEncoder: a write puts itself into it.
+// encodedWrite is one of the leader's writes as a transaction of the store. It implements
+// core.WriteEncoder: each kind of write calls the method of its kind.
 type encodedWrite struct {
 	transaction
-	pageKey string // of a page that is written over a version of it; empty for all else
+	pageKey string // the key of a page that is written over its version; empty for all other writes
 }
 
-// encode puts one of the leader's writes into the store's form.
+// encode turns one of the leader's writes into a transaction.
 func encode(write core.Write) (encodedWrite, error) {
 	var encoded encodedWrite
 	err := write.Encode(&encoded)
@@ -54,14 +55,15 @@
 	return nil
 }
 
-// PutFinal implements core.WriteEncoder: the final entry takes the place of the record.
+// PutFinal implements core.WriteEncoder. The final entry replaces the record.
 func (e *encodedWrite) PutFinal(w core.PutFinal) error {
 	err := e.putVersion(finalPrefix+w.Ref, w.Final, 0)
 	e.deleteVersion(JobPrefix+w.Ref, w.Version)
 	return err
 }
 
-// PutImagePage implements core.WriteEncoder. Only the leader writes these, one after the other.
+// PutImagePage implements core.WriteEncoder. It needs no version: only the leader writes these
+// pages, one transaction at a time, and they are no more than hints.
 func (e *encodedWrite) PutImagePage(w core.PutImagePage) error {
 	return e.put(imagePrefix+w.Name, w.Record)
 }
@@ -92,43 +94,47 @@
 	return e.deletePage(cordonPrefix+w.Name, w.Version)
 }
 
-// putPage writes a page over a version of it; 0 stands for none.
+// putPage stores a page over a version of it, which PageVersion can then read again.
 func (e *encodedWrite) putPage(key string, record any, version uint64) error {
 	e.pageKey = key
 	return e.putVersion(key, record, version)
 }
 
-// deletePage deletes a version of a page; 0 stands for none.
+// deletePage deletes a version of a page, which PageVersion can then read again.
 func (e *encodedWrite) deletePage(key string, version uint64) error {
 	e.pageKey = key
 	e.deleteVersion(key, version)
 	return nil
 }
 
-// putVersion writes a value over a version of it; 0 stands for none.
+// putVersion stores a record if the key has a version; 0 means that the key doesn't exist.
 func (e *encodedWrite) putVersion(key string, record any, version uint64) error {
 	e.conditions = append(e.conditions, statestore.Compare{Key: key, ModRevision: version})
 	return e.put(key, record)
 }
 
-// put writes a value whatever was there.
+// put stores a record, whatever the key holds.
 func (e *encodedWrite) put(key string, record any) error {
 	value, err := codec.Marshal(record)
+	if err != nil {
+		return fmt.Errorf("encode %s: %w", key, err)
+	}
 	e.changes = append(e.changes, statestore.Put(key, value))
-	return err
+	return nil
 }
 
-// deleteVersion deletes a version of a key; 0 stands for none.
+// deleteVersion deletes a key if it has a version; 0 means that it doesn't exist.
 func (e *encodedWrite) deleteVersion(key string, version uint64) {
 	e.conditions = append(e.conditions, statestore.Compare{Key: key, ModRevision: version})
 	e.delete(key)
 }
 
-// delete deletes a key whatever was there.
+// delete deletes a key, whatever it holds.
 func (e *encodedWrite) delete(key string) { e.changes = append(e.changes, statestore.Delete(key)) }
 
-// PageVersion reads the version of the page that a write is about; 0 if the page doesn't exist.
-// Checked is false if the write is about no page that has its version checked.
+// PageVersion reads the current version of the page that a write puts or deletes; 0 if the page
+// doesn't exist. Checked is false for a write that has no page, or whose page is written without
+// regard to its version.
 func (j *Jobs) PageVersion(ctx context.Context, write core.Write) (version uint64, checked bool, err error) {
 	encoded, err := encode(write)
 	if err != nil || encoded.pageKey == "" {
--- a/internal/jobstore/keys.go
+++ b/internal/jobstore/keys.go
@@ -7,17 +7,24 @@
 
 // Prefixes of keys (docs/design.md, "Records").
 const (
-	JobPrefix        = "j/" // unfinished jobs
-	finalPrefix      = "f/" // how jobs ended
-	chunkPrefix      = "d/" // further done ranges
-	dependencyPrefix = "a/" // pages of long lists of the jobs that a job waits for
+	JobPrefix        = "j/" // records of unfinished jobs, by reference
+	finalPrefix      = "f/" // final entries of jobs that are over, by reference
+	chunkPrefix      = "d/" // done ranges that a job's record has no room for, by reference and chunk
+	dependencyPrefix = "a/" // pages of dependencies that a job's record has no room for
 	pagePrefix       = "s/" // pages of the start log
 	imagePrefix      = "i/" // pages of the image log
-	machinePrefix    = "m/" // records by machine, which earlier versions kept instead of the start log
+	machinePrefix    = "m/" // records by machine, which earlier versions kept in place of the start log
 )
 
-// startLogKey is the key of a page of the start log. Old records by machine are pages
-// whose name is their key.
+// Prefixes of the keys of drains.
+const (
+	DrainPlanPrefix = "drain/plan/"   // plans, by their id
+	cordonPrefix    = "drain/cordon/" // pages of cordoned machines
+	chargePrefix    = "drain/charge/" // pages of charges to disruption budgets
+)
+
+// startLogKey returns the key of a page of the start log. A record of an earlier version is
+// taken for a page that is named by its whole key (see decodeMachineRecord).
 func startLogKey(name string) string {
 	if strings.HasPrefix(name, machinePrefix) {
 		return name
@@ -25,18 +32,18 @@
 	return pagePrefix + name
 }
 
-// chunkKey is the key of one chunk of a job's done ranges.
+// chunkKey returns the key of one chunk of a job's done ranges.
 func chunkKey(ref string, chunk int) string {
 	return fmt.Sprintf("%s%s/%05d", chunkPrefix, ref, chunk)
 }
 
-// dependencyPages is the prefix of all pages of one list of dependencies, which its
-// sum names.
-func dependencyPages(ref, sum string) string {
+// dependencyPagesPrefix returns the common prefix of the pages of one list of dependencies.
+// The sum tells the list from those of other submissions of the same job.
+func dependencyPagesPrefix(ref, sum string) string {
 	return dependencyPrefix + ref + "/" + sum + "-"
 }
 
-// dependencyKey is the key of one page of such a list.
+// dependencyKey returns the key of one page of a list of dependencies.
 func dependencyKey(ref, sum string, page int) string {
-	return fmt.Sprintf("%s%05d", dependencyPages(ref, sum), page)
+	return fmt.Sprintf("%s%05d", dependencyPagesPrefix(ref, sum), page)
 }
--- a/internal/jobstore/snapshot.go
+++ b/internal/jobstore/snapshot.go
@@ -12,30 +12,31 @@
 	"gingertally/internal/statestore"
 )
 
-// Snapshot reads all that a new leader needs, and the revision to watch on from.
+// Snapshot reads all that a new leader's engine starts from, and the revision from which it
+// then watches the jobs.
 func (j *Jobs) Snapshot(ctx context.Context) (core.Snapshot, uint64, error) {
 	var snapshot core.Snapshot
 	items, revision, err := j.listAll(ctx)
 	if err != nil {
 		return snapshot, 0, err
 	}
-	if snapshot.Jobs, err = j.readJobs(ctx, items); err != nil {
+	if snapshot.Jobs, err = j.decodeJobs(ctx, items); err != nil {
 		return snapshot, 0, err
 	}
-	if snapshot.Pages, err = readPages(items); err != nil {
+	if snapshot.Pages, err = decodeStartLog(items); err != nil {
 		return snapshot, 0, err
 	}
-	if snapshot.Images, err = readImages(items[imagePrefix]); err != nil {
+	if snapshot.Images, err = decodeAll(items[imagePrefix], decodeImagePage); err != nil {
 		return snapshot, 0, err
 	}
 	return snapshot, revision, nil
 }
 
-// itemsByPrefix are all items of a snapshot, by the prefix of their keys.
+// itemsByPrefix holds the items of a snapshot by the prefix of their keys.
 type itemsByPrefix map[string][]statestore.KeyValue
 
-// listAll reads the items, jobs first: the revision is that of the list of jobs, so
-// that watching on from it misses none.
+// listAll lists the items of a snapshot. The jobs come first, and the revision is that of
+// their list: a watch from there on misses no change of a job.
 func (j *Jobs) listAll(ctx context.Context) (itemsByPrefix, uint64, error) {
 	jobs, revision, err := j.store.List(ctx, JobPrefix)
 	if err != nil {
@@ -50,33 +51,32 @@
 	return items, revision, nil
 }
 
-// readJobs reads the jobs' records, each with its further done ranges.
-func (j *Jobs) readJobs(ctx context.Context, items itemsByPrefix) ([]core.StoredJob, error) {
-	chunks, err := readChunks(items[chunkPrefix])
+// decodeJobs decodes the jobs' records, and adds the chunks of done ranges to each.
+func (j *Jobs) decodeJobs(ctx context.Context, items itemsByPrefix) ([]core.StoredJob, error) {
+	chunks, err := decodeChunks(items[chunkPrefix])
 	if err != nil {
 		return nil, err
 	}
-	var jobs []core.StoredJob
-	for _, item := range items[JobPrefix] {
+	return decodeAll(items[JobPrefix], func(item statestore.KeyValue) (core.StoredJob, error) {
 		job, err := j.ReadJob(ctx, item)
-		if err != nil {
-			return nil, err
-		}
 		job.Chunks = chunks[job.Record.Spec.Ref]
-		jobs = append(jobs, job)
-	}
-	return jobs, nil
+		return job, err
+	})
 }
 
-// readChunks reads the done ranges beyond the records', by job and number of the chunk.
-func readChunks(items []statestore.KeyValue) (map[string]map[int][]int, error) {
+// decodeChunks decodes the done ranges that records have no room for, by job and by the number
+// of the chunk.
+func decodeChunks(items []statestore.KeyValue) (map[string]map[int][]int, error) {
 	byJob := map[string]map[int][]int{}
 	for _, item := range items {
-		ref, number, ok := strings.Cut(strings.TrimPrefix(item.Key, chunkPrefix), "/")
+		ref, number, _ := strings.Cut(strings.TrimPrefix(item.Key, chunkPrefix), "/")
 		chunk, err := strconv.Atoi(number)
+		if err != nil {
+			return nil, fmt.Errorf("%w: key %s of done ranges has no number: %w", codec.ErrMalformed, item.Key, err)
+		}
 		var runs []int
-		if !ok || err != nil || codec.Unmarshal(item.Value, &runs) != nil {
-			return nil, fmt.Errorf("unreadable key %s", item.Key)
+		if err := decodeValue(item, &runs); err != nil {
+			return nil, err
 		}
 		if byJob[ref] == nil {
 			byJob[ref] = map[int][]int{}
@@ -86,55 +86,53 @@
 	return byJob, nil
 }
 
-// readPages reads the start log, and after it the records by machine of earlier
-// versions.
-func readPages(items itemsByPrefix) ([]core.StoredPage, error) {
-	var pages []core.StoredPage
-	for _, item := range items[pagePrefix] {
-		page := core.StoredPage{Name: strings.TrimPrefix(item.Key, pagePrefix), Version: item.ModRevision}
-		if err := codec.Unmarshal(item.Value, &page.Record); err != nil {
-			return nil, fmt.Errorf("%s: %w", item.Key, err)
-		}
-		pages = append(pages, page)
+// decodeStartLog decodes the pages of the start log, and after them the records by machine of
+// earlier versions.
+func decodeStartLog(items itemsByPrefix) ([]core.StoredPage, error) {
+	pages, err := decodeAll(items[pagePrefix], decodeStartLogPage)
+	if err != nil {
+		return nil, err
 	}
-	for _, item := range items[machinePrefix] {
-		page, err := readMachineRecord(item)
-		if err != nil {
-			return nil, err
-		}
-		pages = append(pages, page)
+	machines, err := decodeAll(items[machinePrefix], decodeMachineRecord)
+	if err != nil {
+		return nil, err
 	}
-	return pages, nil
+	return append(pages, machines...), nil
 }
 
-// readMachineRecord reads the record of one machine, which earlier versions kept in
-// place of the start log, as a page. Its name is its key.
-func readMachineRecord(item statestore.KeyValue) (core.StoredPage, error) {
-	var record struct {
-		Type    string                `cbor:"ty"`
-		Zone    string                `cbor:"zo"`
-		Spot    bool                  `cbor:"so"`
-		Entries []fleet.StartLogEntry `cbor:"e"`
-	}
-	if err := codec.Unmarshal(item.Value, &record); err != nil {
-		return core.StoredPage{}, fmt.Errorf("%s: %w", item.Key, err)
+func decodeStartLogPage(item statestore.KeyValue) (core.StoredPage, error) {
+	page := core.StoredPage{Name: strings.TrimPrefix(item.Key, pagePrefix), Version: item.ModRevision}
+	err := decodeValue(item, &page.Record)
+	return page, err
+}
+
+// machineRecord is what earlier versions stored of a machine in place of the start log.
+type machineRecord struct {
+	Type    string                `cbor:"ty"`
+	Zone    string                `cbor:"zo"`
+	Spot    bool                  `cbor:"so"`
+	Entries []fleet.StartLogEntry `cbor:"e"`
+}
+
+// decodeMachineRecord decodes the record of one machine as a page of the start log. The page's
+// name is the whole key, under which startLogKey finds it when the page is deleted.
+func decodeMachineRecord(item statestore.KeyValue) (core.StoredPage, error) {
+	var record machineRecord
+	if err := decodeValue(item, &record); err != nil {
+		return core.StoredPage{}, err
 	}
 	machine := fleet.MachineStarts{
 		Machine: strings.TrimPrefix(item.Key, machinePrefix),
 		Type:    record.Type, Zone: record.Zone, Spot: record.Spot, Entries: record.Entries,
 	}
-	return core.StoredPage{Name: item.Key, Version: item.ModRevision, Record: fleet.StartLogRecord{Placed: []fleet.MachineStarts{machine}}}, nil
+	return core.StoredPage{
+		Name: item.Key, Version: item.ModRevision,
+		Record: fleet.StartLogRecord{Placed: []fleet.MachineStarts{machine}},
+	}, nil
 }
 
-// readImages reads the image log.
-func readImages(items []statestore.KeyValue) ([]core.StoredImages, error) {
-	var pages []core.StoredImages
-	for _, item := range items {
-		page := core.StoredImages{Name: strings.TrimPrefix(item.Key, imagePrefix)}
-		if err := codec.Unmarshal(item.Value, &page.Record); err != nil {
-			return nil, fmt.Errorf("%s: %w", item.Key, err)
-		}
-		pages = append(pages, page)
-	}
-	return pages, nil
+func decodeImagePage(item statestore.KeyValue) (core.StoredImages, error) {
+	page := core.StoredImages{Name: strings.TrimPrefix(item.Key, imagePrefix)}
+	err := decodeValue(item, &page.Record)
+	return page, err
 }
--- a/internal/jobstore/writes.go
+++ b/internal/jobstore/writes.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"slices"
 
 	"gingertally/internal/core"
@@ -10,17 +11,17 @@
 	"gingertally/internal/statestore"
 )
 
-// maxTxnBytes keeps a transaction below the state service's limit (PROTOCOL:
-// 64 KiB in its JSON form, which is somewhat larger than CBOR).
+// maxTxnBytes bounds the keys and values of a transaction. The state service's limit is 64 KiB
+// of the transaction's JSON form, which is somewhat larger than the CBOR that is counted here.
 const maxTxnBytes = 40 << 10
 
-// transaction is what one commit asks for.
+// transaction holds the conditions and changes of one commit.
 type transaction struct {
 	conditions []statestore.Compare
 	changes    []statestore.Op
 }
 
-// bytes is the size of the transaction's keys and values.
+// bytes returns the size of the transaction's keys and values.
 func (t *transaction) bytes() int {
 	size := 0
 	for _, change := range t.changes {
@@ -29,23 +30,40 @@
 	return size
 }
 
-// add joins another transaction to this one.
+// add appends another transaction to this one.
 func (t *transaction) add(other transaction) {
 	t.conditions = append(t.conditions, other.conditions...)
 	t.changes = append(t.changes, other.changes...)
 }
 
-// Apply writes as many of the leader's writes, in order, as one transaction
-// takes. It returns those it covered, and their revision. On a conflict over
-// the term, ErrDeposed (docs/design.md, "Safety arguments" 2;
-// TestDeposedLeaderCannotWrite).
+// Apply carries out as many of the leader's writes as one transaction takes, in their order,
+// under the condition of the leader's term. It returns those that the transaction covered, and
+// its revision. The caller sends the others again.
+//
+// If the term is over, the error is ErrDeposed and nothing was written (docs/design.md, "Safety
+// arguments" 2; TestDeposedLeaderCannotWrite). On statestore.ErrRejected the covered writes are
+// a single one, which can't ever be written.
 func (j *Jobs) Apply(ctx context.Context, term leadership.Term, writes []core.Write) ([]core.Write, uint64, error) {
-	txn := transaction{conditions: []statestore.Compare{UnderTerm(term)}}
-	size, count := 0, 0
+	txn, count, err := joinWrites(writes)
+	if err != nil {
+		return nil, 0, err
+	}
+	sent := writes[:count]
+	revision, err := j.commitUnderTerm(ctx, term, txn)
+	if errors.Is(err, statestore.ErrRejected) && count > 1 {
+		return j.Apply(ctx, term, writes[:1]) // a write that is rejected mustn't hold up the others
+	}
+	return sent, revision, err
+}
+
+// joinWrites encodes as many writes as one transaction takes, one at least, and returns how
+// many these are.
+func joinWrites(writes []core.Write) (txn transaction, count int, err error) {
+	size := 0
 	for _, write := range writes {
 		part, err := encode(write)
 		if err != nil {
-			return nil, 0, err
+			return transaction{}, 0, err
 		}
 		size += part.bytes()
 		if size > maxTxnBytes && count > 0 {
@@ -54,30 +72,32 @@
 		txn.add(part.transaction)
 		count++
 	}
-	sent := writes[:count]
-	revision, err := j.store.Commit(ctx, txn.conditions, txn.changes)
-	if errors.Is(err, statestore.ErrRejected) && count > 1 {
-		return j.Apply(ctx, term, writes[:1]) // one that is refused mustn't stop the others
-	}
-	var conflict *statestore.ConflictError
-	if errors.As(err, &conflict) && slices.Contains(conflict.Keys, leadership.TermKey) {
-		return sent, 0, ErrDeposed
-	}
-	return sent, revision, err
+	return txn, count, nil
 }
 
-// Put writes a value of the leader's own that no other write depends on, under its term.
+// Put stores a value of the leader's own, whatever the key held before. The error is ErrDeposed
+// if the leader's term is over.
 func (j *Jobs) Put(ctx context.Context, term leadership.Term, key string, value []byte) error {
-	_, err := j.store.Commit(ctx, []statestore.Compare{UnderTerm(term)}, []statestore.Op{statestore.Put(key, value)})
-	var conflict *statestore.ConflictError
-	if errors.As(err, &conflict) {
-		return ErrDeposed
-	}
+	_, err := j.commitUnderTerm(ctx, term, transaction{changes: []statestore.Op{statestore.Put(key, value)}})
 	return err
 }
 
-// Drop removes a value of the leader's own, under its term.
+// Drop deletes a key of the leader's own, whatever it held. The error is ErrDeposed if the
+// leader's term is over.
 func (j *Jobs) Drop(ctx context.Context, term leadership.Term, key string) error {
-	_, err := j.store.Commit(ctx, []statestore.Compare{UnderTerm(term)}, []statestore.Op{statestore.Delete(key)})
+	_, err := j.commitUnderTerm(ctx, term, transaction{changes: []statestore.Op{statestore.Delete(key)}})
 	return err
 }
+
+// commitUnderTerm commits a transaction under the further condition that a leader's term isn't
+// over, and returns its revision. The error is ErrDeposed if that condition failed, and a
+// *statestore.ConflictError if only others did.
+func (j *Jobs) commitUnderTerm(ctx context.Context, term leadership.Term, txn transaction) (uint64, error) {
+	conditions := append([]statestore.Compare{UnderTerm(term)}, txn.conditions...)
+	revision, err := j.store.Commit(ctx, conditions, txn.changes)
+	var conflict *statestore.ConflictError
+	if errors.As(err, &conflict) && slices.Contains(conflict.Keys, leadership.TermKey) {
+		return 0, fmt.Errorf("commit under term %d: %w", term.Number, ErrDeposed)
+	}
+	return revision, err
+}
