--- a/internal/jobstore/drains_test.go
+++ b/internal/jobstore/drains_test.go
@@ -10,8 +10,9 @@
 	"gingertally/internal/drain"
 )
 
-// Pages of drains and the largest plan fit the smallest value of all deployments, in the JSON form
-// that the state service counts in, with the longest numbers.
+// Pages of drains and the largest plan, with the longest numbers, fit the smallest value that any
+// deployment has, in the JSON form in which the state service counts. A page that doesn't fit is
+// rejected, and a new leader would forget its cordons or charges.
 func TestDrainValuesFit(t *testing.T) {
 	const limit = 4000 // of 4 KiB, as the daemon sets it
 	now := time.Unix(1_800_000_000, 0)
--- a/internal/jobstore/golden_test.go
+++ b/internal/jobstore/golden_test.go
@@ -10,14 +10,13 @@
 	"time"
 
 	"gingertally/internal/codec"
-	"gingertally/internal/statestore"
-
 	"gingertally/internal/core"
 	"gingertally/internal/core/fleet"
 	"gingertally/internal/core/pipeline"
 	"gingertally/internal/drain"
 	"gingertally/internal/goldentest"
 	"gingertally/internal/leadership"
+	"gingertally/internal/statestore"
 )
 
 // leaderWrites are writes of every kind that puts something, in which every field is set.
@@ -45,7 +44,8 @@
 	}
 }
 
-// The keys and values of everything that the job store writes.
+// The keys and values of everything that the package writes. Another version, during an upgrade or
+// after its rollback, has to be able to read them.
 func TestStoredFormsGolden(t *testing.T) {
 	store, jobs, term := setup(t)
 	clear(store.items)
@@ -94,7 +94,8 @@
 	lines.Check(t, "stored.txt")
 }
 
-// Everything that is stored is read, and written again bit for bit.
+// Every stored record is encoded to the same bytes again once it has been decoded: a field that is
+// lost in between would be lost by each update of the record.
 func TestStoredFormsRoundTrip(t *testing.T) {
 	for _, value := range []any{
 		goldentest.Filled[fleet.StartLogRecord](), goldentest.Filled[pipeline.Record](), goldentest.Filled[pipeline.Final](),
--- a/internal/jobstore/limits_test.go
+++ b/internal/jobstore/limits_test.go
@@ -10,8 +10,8 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// What is written fits the limit, however ragged a job's progress and long its
-// texts, and a result that was left out counts as not stored.
+// Every value of a job fits the limit, whichever tasks are done and however long its texts, and a
+// task whose result didn't fit isn't taken for stored: its result would be lost.
 func TestValuesFit(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 5))
 	for _, limit := range []int{1000, 2000, 4000} {
@@ -21,7 +21,7 @@
 	}
 }
 
-// raggedJob is a job of which random tasks are done, and others were restarted.
+// raggedJob returns a job of which random tasks are done and random tasks were restarted.
 func raggedJob(t *testing.T, rng *rand.Rand) *pipeline.Job {
 	t.Helper()
 	spec := pipeline.Spec{Ref: "j-123456", Class: strings.Repeat("c\"", 1+rng.IntN(10)), Team: "tea<m", Image: "i", Tasks: 1 + rng.IntN(5000),
@@ -41,7 +41,7 @@
 	return job
 }
 
-// checkValuesFit writes a job within a limit, and reads it back.
+// checkValuesFit encodes a job within a limit, and decodes it again.
 func checkValuesFit(t *testing.T, job *pipeline.Job, limit int) {
 	t.Helper()
 	record := job.Record(limit)
