--- a/internal/recovery/findings.go
+++ b/internal/recovery/findings.go
@@ -1,49 +1,47 @@
-// Package recovery settles what workers report against what the state service records, at the
-// start of every leader's term. It says for each difference what it is and what is done about
-// it, which machines are settled, when placing may begin, and at what pace orders then go out.
-//
-// The package has no input or output, no goroutines and no clock. The core asks it and acts;
-// docs/recovery.md has the reasons.
 package recovery
 
-// Reason is how a reported or recorded attempt differs from what the other side says.
+// Reason says in which way a reported attempt and the records differ.
 type Reason uint8
 
 // Reasons.
 const (
-	// RunningRecorded is no difference: the start log names the attempt that is reported.
+	// RunningRecorded is no difference: the attempt that is reported is recorded.
 	RunningRecorded Reason = iota
-	// RunningUnrecorded attempts are reported under this term, and no page names them.
+	// RunningUnrecorded is an attempt that is reported under this term and isn't recorded.
 	RunningUnrecorded
-	// RecordedUnreported attempts are named by a page and missing from a heartbeat.
+	// RecordedUnreported is a recorded attempt that a heartbeat of its machine lacks.
 	RecordedUnreported
-	// DoneUnrecorded results are reported, and the job's record doesn't hold them.
+	// DoneUnrecorded is a reported result that the job's record lacks.
 	DoneUnrecorded
-	// DoneJobOver results are of a job that is over, cancelled or unknown.
+	// DoneJobOver is a reported result of a job that is over, cancelled or unknown, or of a task
+	// that is done already.
 	DoneJobOver
-	// RunningJobOver attempts run on for a job that is over, cancelled or unknown.
+	// RunningJobOver is an attempt that still runs for such a job or task.
 	RunningJobOver
-	// OlderHeartbeat reports don't carry this term's fencing token: they may be late copies.
+	// OlderHeartbeat is an attempt in a heartbeat without this term's fencing token. The heartbeat
+	// may have been delayed or duplicated on its way.
 	OlderHeartbeat
-	// NewerThere means that a machine reports a later attempt of a task than its record names.
-	NewerThere
-	// OlderThere means that a machine reports an earlier attempt of a task than is meant for it.
-	OlderThere
-	// HeldElsewhere means that another machine holds the task, or may.
+	// NewerAttemptReported says that a machine reports a later attempt of a task than is recorded.
+	NewerAttemptReported
+	// OlderAttemptReported says that a machine reports an earlier attempt of a task than is
+	// recorded, or about to be sent.
+	OlderAttemptReported
+	// HeldElsewhere says that another machine holds the task, or may hold it.
 	HeldElsewhere
-	// Failed attempts have exited without a result.
+	// Failed is an attempt that has exited without a result.
 	Failed
 	reasons
 )
 
+// reasonNames are shown to operators; other programs may look for them, too.
 var reasonNames = [...]string{"running and recorded", "running and never recorded", "recorded and not reported",
 	"done, and the record isn't", "done, and the job is over", "running, and the job is over", "of an older term or epoch",
 	"a newer attempt is there", "an older attempt is there", "another machine holds the task", "exited without a result"}
 
-// String returns the reason's name, as operators see it.
+// String returns the name by which operators know the reason.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Reasons lists all reasons.
+// Reasons returns all reasons.
 func Reasons() []Reason {
 	all := make([]Reason, 0, reasons)
 	for r := RunningRecorded; r < reasons; r++ {
@@ -52,91 +50,92 @@
 	return all
 }
 
-// Action is what is done about a difference.
+// Action says what is done about a difference.
 type Action uint8
 
 // Actions.
 const (
-	// Keep takes the report as the state of the recorded attempt.
+	// Keep takes the reported status for that of the recorded attempt.
 	Keep Action = iota
-	// Adopt records the attempt as it runs, in place of placing its task again.
+	// Adopt records the attempt as it runs, so that its task isn't placed again.
 	Adopt
-	// Stop has the worker end the attempt, which counts until it is proven gone.
+	// Stop makes the worker end the attempt, which counts as running until it is proven gone.
 	Stop
-	// Ignore draws no conclusion.
+	// Ignore concludes nothing from the report.
 	Ignore
-	// Wait leaves the attempt where it may be until a heartbeat under this term's fencing token, the end
-	// of the worker's lease or a release proves it gone.
+	// Wait assumes that the attempt may run until a heartbeat under this term's fencing token, the
+	// expiry of the worker's lease or the machine's deletion proves that it is gone.
 	Wait
-	// MarkLost takes the recorded attempt for gone: its task may be placed again.
+	// MarkLost takes the recorded attempt for gone, so that its task may be placed again.
 	MarkLost
-	// TakeResult stores the result, and only then lets the worker forget it.
+	// TakeResult stores the result, and lets the worker forget the attempt only then.
 	TakeResult
 	// Forget lets the worker forget the attempt.
 	Forget
-	// WithdrawFirst takes back a start that hasn't left, and then looks again.
+	// WithdrawFirst withdraws a start that hasn't been sent, and then classifies the report again.
 	WithdrawFirst
-	// Requeue has the task placed again.
+	// Requeue lets the task be placed again.
 	Requeue
 )
 
 var actionNames = [...]string{"keep", "adopt", "stop", "ignore", "wait", "prove gone", "take the result", "forget", "withdraw first", "requeue"}
 
-// String returns the action's name.
+// String returns the name of the action.
 func (a Action) String() string { return actionNames[a] }
 
-// Finding is a difference and what is done about it.
+// Finding is the classification of a reported or recorded attempt.
 type Finding struct {
 	Reason Reason
 	Action Action
 }
 
-// Holder is who holds, or may hold, a task as far as is recorded.
+// Holder says which attempt of a reported task the records name, and whether on the machine that
+// reports it ("here") or on another one ("elsewhere").
 type Holder uint8
 
 // Holders.
 const (
-	Nobody          Holder = iota // no attempt of the task is recorded anywhere
-	ThisAttempt                   // the reported attempt, on the reporting machine
-	OlderHere                     // an earlier attempt on the reporting machine
-	NewerHere                     // a later attempt on the reporting machine, its start sent
-	UnsentHere                    // a later attempt on the reporting machine, its start not sent
-	UnsentElsewhere               // another attempt on another machine, its start not sent
-	Elsewhere                     // another attempt on another machine
+	Nobody          Holder = iota // no attempt of the task is recorded
+	ThisAttempt                   // the reported attempt, here
+	OlderHere                     // an earlier attempt, here
+	NewerHere                     // a later attempt, here; its start was sent
+	UnsentHere                    // a later attempt, here; its start hasn't been sent
+	UnsentElsewhere               // another attempt, elsewhere; its start hasn't been sent
+	Elsewhere                     // another attempt, elsewhere
 )
 
-// ObservedTask is a task in a heartbeat, and what is recorded of it.
+// ObservedTask is a task as a heartbeat reports it, and what is recorded of it.
 type ObservedTask struct {
 	Holder    Holder
-	Inherited bool // the holder is from an earlier term, and no heartbeat has confirmed it
-	Exited    bool
-	Done      bool // exited with a result
-	JobOpen   bool // the job is known and neither over nor cancelled
-	Wanted    bool // the task isn't done
+	Inherited bool // the holder's attempt is from an earlier term, and no heartbeat has confirmed it
+	Exited    bool // the attempt has ended
+	Done      bool // the attempt has ended with a result
+	JobOpen   bool // the job is known and is neither over nor cancelled
+	Wanted    bool // the task isn't done yet
 	Confirmed bool // the heartbeat carries this term's fencing token
-	Whole     bool // the task runs only together with others of its attempt (a gang)
+	Whole     bool // the task belongs to a gang of several, which runs whole or not at all
 }
 
-// Classify says what a reported task is, and what is done about it.
+// Classify decides what a reported task is and what is done about it.
 func Classify(r ObservedTask) Finding {
 	switch r.Holder {
 	case ThisAttempt:
-		return classifyKnown(r)
+		return classifyRecorded(r)
 	case OlderHere:
 		if r.Inherited {
-			return Finding{NewerThere, MarkLost} // a later one was placed only once it was proven gone
+			return Finding{NewerAttemptReported, MarkLost} // proven gone, or the later one wouldn't have been placed
 		}
-		return Finding{OlderThere, Ignore}
+		return Finding{OlderAttemptReported, Ignore}
 	case UnsentHere:
-		return Finding{OlderThere, WithdrawFirst}
+		return Finding{OlderAttemptReported, WithdrawFirst}
 	case NewerHere:
-		return Finding{OlderThere, Ignore}
+		return Finding{OlderAttemptReported, Ignore}
 	}
-	return classifyUnknown(r)
+	return classifyUnrecorded(r)
 }
 
-// classifyKnown is about an attempt that the start log names on this machine.
-func classifyKnown(r ObservedTask) Finding {
+// classifyRecorded classifies an attempt that is recorded on the machine that reports it.
+func classifyRecorded(r ObservedTask) Finding {
 	switch {
 	case !r.Exited:
 		return Finding{RunningRecorded, Keep}
@@ -148,8 +147,8 @@
 	return Finding{Failed, Requeue}
 }
 
-// classifyUnknown is about an attempt that no record names on this machine.
-func classifyUnknown(r ObservedTask) Finding {
+// classifyUnrecorded classifies an attempt that isn't recorded on the machine that reports it.
+func classifyUnrecorded(r ObservedTask) Finding {
 	switch {
 	case r.Done && r.JobOpen && r.Wanted:
 		return Finding{DoneUnrecorded, TakeResult}
@@ -171,18 +170,23 @@
 	return Finding{RunningUnrecorded, Adopt}
 }
 
-// UnreportedAttempt is a recorded attempt that a newer heartbeat of its machine lacks.
+// UnreportedAttempt is a recorded attempt that a later heartbeat of its machine lacks.
 type UnreportedAttempt struct {
-	Inherited bool // from an earlier term
+	Inherited bool // the attempt is from an earlier term
 	Confirmed bool // the heartbeat carries this term's fencing token
-	Answered  bool // its start went with the answer to an earlier heartbeat than this one
-	Seen      bool // an earlier heartbeat of this term listed it
+	Answered  bool // the start went with the response to an earlier heartbeat than this one
+	Seen      bool // an earlier heartbeat of this term reported the attempt
 }
 
-// ClassifyUnreported says what such an attempt is, and what is done about it.
+// ClassifyUnreported decides what an unreported attempt is and what is done about it. An attempt
+// of this term is gone once the worker has seen it or its start; one of an earlier term is gone
+// if the heartbeat shows that the worker knows of this term, since it then drops late starts.
 func ClassifyUnreported(u UnreportedAttempt) Finding {
-	switch {
-	case u.Inherited && u.Confirmed, u.Seen && !u.Inherited, u.Answered && !u.Inherited:
+	gone := u.Seen || u.Answered
+	if u.Inherited {
+		gone = u.Confirmed
+	}
+	if gone {
 		return Finding{RecordedUnreported, MarkLost}
 	}
 	return Finding{RecordedUnreported, Wait}
--- a/internal/recovery/pacer.go
+++ b/internal/recovery/pacer.go
@@ -2,79 +2,84 @@
 
 import "time"
 
-// PaceOptions bound the pace of orders at the start of a term.
+// PaceOptions are the settings of a Pacer.
 type PaceOptions struct {
-	Enabled bool
-	Initial float64 // starts a second at first
-	Highest float64 // above which the pace isn't bounded any more
+	Enabled bool    // else starts aren't limited
+	Initial float64 // starts per second at the beginning of a term
+	Highest float64 // starts per second from which on they aren't limited any more
 }
 
-// Pacer releases orders at a pace that begins low, rises while answers and the state service
-// keep up, and falls when they don't. Stops and cancellations are never held back, nor are
-// starts of urgent work, which use the pace up first. Once it has reached its highest, it costs
-// nothing any more. It isn't safe for concurrent use.
+// Pacer limits the rate at which starts are sent at the beginning of a term, so that they don't
+// overload workers and state service. It is a token bucket whose rate begins low, rises while
+// answers and the state service keep up, and is lowered while they don't. Starts of urgent tasks are
+// never held back, but use the rate up first; stops and cancellations don't pass through it. Once
+// the highest rate is reached, starts aren't limited any more in this term. A Pacer isn't safe for
+// concurrent use.
 type Pacer struct {
-	options PaceOptions
-	rate    float64
-	tokens  float64
-	filled  time.Time // when tokens were last filled up
-	raised  time.Time // when the rate last changed
-	lowered time.Time // when it last fell
-	over    bool      // the highest pace was reached
+	options    PaceOptions
+	rate       float64 // starts per second
+	tokens     float64 // starts that may be sent at once; below 0 after urgent ones
+	refilledAt time.Time
+	changedAt  time.Time // when the rate was last raised or lowered
+	loweredAt  time.Time
+	unlimited  bool
 }
 
 const (
-	// raiseEvery is how often the pace may rise, and raiseBy by what.
-	raiseEvery = time.Second
-	raiseBy    = 1.5
-	// lowerBy is by what the pace falls, and lowerEvery how often it may.
-	lowerBy    = 0.5
-	lowerEvery = time.Second
-	// burstSeconds is how many seconds' orders may go at once.
+	// raiseInterval is how long the rate stays the same before it is raised by raiseFactor.
+	raiseInterval = time.Second
+	raiseFactor   = 1.5
+	// lowerInterval is how long the rate isn't lowered again once it was lowered by lowerFactor.
+	lowerInterval = time.Second
+	lowerFactor   = 0.5
+	// burstSeconds is for how many seconds' starts the bucket has room.
 	burstSeconds = 0.5
 )
 
-// NewPacer makes the pace of a term.
+// NewPacer returns the limiter of a term that begins now.
 func NewPacer(now time.Time, options PaceOptions) *Pacer {
-	return &Pacer{options: options, rate: options.Initial, tokens: options.Initial * burstSeconds, filled: now, raised: now, over: !options.Enabled}
+	return &Pacer{
+		options: options, rate: options.Initial, tokens: options.Initial * burstSeconds,
+		refilledAt: now, changedAt: now, unlimited: !options.Enabled,
+	}
 }
 
-// AtHighest tells whether the pace isn't bounded any more.
-func (p *Pacer) AtHighest() bool { return p.over }
+// AtHighest returns whether starts aren't limited, or not any more.
+func (p *Pacer) AtHighest() bool { return p.unlimited }
 
-// Rate is the pace, in starts a second; 0 if it isn't bounded.
+// Rate returns how many starts per second are sent; 0 if they aren't limited.
 func (p *Pacer) Rate() float64 {
-	if p.over {
+	if p.unlimited {
 		return 0
 	}
 	return p.rate
 }
 
-// Pass lets time pass. Healthy says that answers, the state service and the machines keep up.
+// Pass lets time pass up to now. Healthy says that workers and state service keep up.
 func (p *Pacer) Pass(now time.Time, healthy bool) {
-	if p.over {
+	if p.unlimited {
 		return
 	}
-	limit := max(1, p.rate*burstSeconds)
-	p.tokens = min(p.tokens+p.rate*now.Sub(p.filled).Seconds(), limit)
-	p.filled = now
+	room := max(1, p.rate*burstSeconds)
+	p.tokens = min(p.tokens+p.rate*now.Sub(p.refilledAt).Seconds(), room)
+	p.refilledAt = now
 	switch {
-	case !healthy && now.Sub(p.lowered) >= lowerEvery:
-		p.rate = max(p.rate*lowerBy, p.options.Initial*lowerBy)
-		p.raised, p.lowered = now, now
-	case healthy && now.Sub(p.raised) >= raiseEvery:
-		p.rate, p.raised = p.rate*raiseBy, now
-		p.over = p.rate >= p.options.Highest
+	case !healthy && now.Sub(p.loweredAt) >= lowerInterval:
+		p.rate = max(p.rate*lowerFactor, p.options.Initial*lowerFactor)
+		p.changedAt, p.loweredAt = now, now
+	case healthy && now.Sub(p.changedAt) >= raiseInterval:
+		p.rate, p.changedAt = p.rate*raiseFactor, now
+		p.unlimited = p.rate >= p.options.Highest
 	}
 }
 
-// Take tells whether an order may go now. Urgent ones always may.
+// Take returns whether a start may be sent now, and counts it if so. An urgent one always may.
 func (p *Pacer) Take(urgent bool) bool {
 	switch {
-	case p.over:
+	case p.unlimited:
 		return true
 	case urgent:
-		p.tokens = max(p.tokens-1, -p.rate) // the rest waits for it, for a second at the most
+		p.tokens = max(p.tokens-1, -p.rate) // other starts wait for it, but no more than a second
 		return true
 	case p.tokens < 1:
 		return false
--- /dev/null
+++ b/internal/recovery/reconciler_test.go
@@ -0,0 +1,166 @@
+package recovery
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+)
+
+var start = time.Unix(5000, 0)
+
+func at(d time.Duration) time.Time { return start.Add(d) }
+
+// options returns the settings of a recovery with a heartbeat every 3 s and leases of 30 s.
+func options(pace PaceOptions) Options {
+	return Options{HeartbeatInterval: 3 * time.Second, RestoredBound: 30 * time.Second, Pace: pace}
+}
+
+// Placing begins once four fifths of the recorded machines have sent a heartbeat, once half of them
+// have where the warm state confirms the others, or once all should have. Before that tasks would
+// be placed on the few machines known; without a bound one machine that hangs would hold up all.
+func TestMayPlace(t *testing.T) {
+	fleet := func(n int) *Reconciler {
+		r := New(start, options(PaceOptions{}))
+		for i := range n {
+			r.Expect(fmt.Sprint("m-", i))
+		}
+		return r
+	}
+	r := fleet(10)
+	for i := range 8 {
+		if r.MayPlace(at(time.Second), true) {
+			t.Fatalf("may place with %d of 10 machines heard", i)
+		}
+		r.HeartbeatReceived(fmt.Sprint("m-", i), false, false)
+	}
+	if !r.MayPlace(at(time.Second), true) || r.MayPlace(at(time.Second), false) {
+		t.Fatal("with 8 of 10 machines heard, and the list or not")
+	}
+	if !fleet(10).MayPlace(at(5*time.Second), false) {
+		t.Fatal("may not place after a heartbeat interval")
+	}
+	r = fleet(10)
+	for i := range 5 {
+		r.ExpectByWarmState(fmt.Sprint("m-", i), true)
+	}
+	if !r.MayPlace(at(0), false) {
+		t.Fatal("may not place with half of the machines confirmed")
+	}
+	r.ExpectByWarmState("m-0", false)
+	if r.MayPlace(at(0), false) {
+		t.Fatal("may place with less than half of them confirmed")
+	}
+	r.ExpectByWarmState("m-0", true)
+	r.GivenUp("m-1")
+	r.MachineRemoved("m-2")
+	if s := r.Status(at(0)); s.Machines["expected"] != 8 || s.Machines["missing"] != 1 || r.expectedByWarmState != 3 {
+		t.Fatalf("%+v, %d confirmed", s.Machines, r.expectedByWarmState)
+	}
+}
+
+// After a restore of the state service nothing is placed before the leases of all workers that
+// haven't sent a heartbeat have expired: attempts that the state service has forgotten may run on
+// any of them, and would run twice.
+func TestRestored(t *testing.T) {
+	r := New(start, options(PaceOptions{}))
+	r.Restored()
+	r.Discover("m-1")
+	r.HeartbeatReceived("m-1", true, false)
+	if r.MayPlace(at(29*time.Second), true) || r.RestoreSettled(at(29*time.Second)) {
+		t.Fatal("may place while a machine that isn't listed may run something")
+	}
+	if !r.MayPlace(at(31*time.Second), true) || !r.RestoreSettled(at(31*time.Second)) {
+		t.Fatal("may not place after all leases have expired")
+	}
+}
+
+// If no machine is recorded, placing waits until a worker shows by its fencing token that the records
+// aren't older than the machines, or for a heartbeat interval, except in the first term of all. The
+// records of a restored state service may lack machines on which tasks run.
+func TestNoMachineOnRecord(t *testing.T) {
+	r := New(start, options(PaceOptions{}))
+	r.Discover("m-1")
+	r.HeartbeatReceived("m-1", false, false)
+	if r.MayPlace(at(time.Second), true) {
+		t.Fatal("may place, and no worker has confirmed the records")
+	}
+	if !r.MayPlace(at(5*time.Second), true) {
+		t.Fatal("may not place after a heartbeat interval")
+	}
+	r.ConfirmPreviousTerm()
+	if !r.MayPlace(at(time.Second), true) {
+		t.Fatal("may not place after a worker has confirmed the records")
+	}
+	first := options(PaceOptions{})
+	first.FirstTerm = true
+	r = New(start, first)
+	r.Discover("m-1")
+	if !r.MayPlace(at(time.Second), true) {
+		t.Fatal("may not place in the first term")
+	}
+}
+
+// Whatever is observed in whatever order, a term never goes back to an earlier state, doesn't stay in
+// the first one, and the counts by state are those of the machines: a count that drifts would keep a
+// recovery from ever ending.
+func TestStatesFollow(t *testing.T) {
+	for seed := range uint64(300) {
+		rng := rand.New(rand.NewPCG(seed, 1))
+		r := New(start, options(PaceOptions{Enabled: true, Initial: 10, Highest: 100}))
+		last := r.State()
+		for step := range 400 {
+			now := at(time.Duration(step) * 100 * time.Millisecond)
+			name := fmt.Sprint("m-", rng.IntN(12))
+			observeAtRandom(rng, r, name, step < 20)
+			r.Pacer().Pass(now, true)
+			r.Advance(now, true)
+			if r.State() < last {
+				t.Fatalf("seed %d: from %v back to %v", seed, last, r.State())
+			}
+			last = r.State()
+			checkCounts(t, r)
+		}
+		if last == Collecting {
+			t.Fatalf("seed %d: still collecting after 40 s", seed)
+		}
+	}
+}
+
+// observeAtRandom reports a random observation of a machine. Machines are recorded only early on.
+func observeAtRandom(rng *rand.Rand, r *Reconciler, name string, early bool) {
+	switch rng.IntN(7) {
+	case 0:
+		if early {
+			r.Expect(name)
+		}
+	case 1:
+		r.Discover(name)
+	case 2:
+		r.HeartbeatReceived(name, rng.IntN(2) == 0, rng.IntN(5) == 0)
+	case 3:
+		r.GivenUp(name)
+	case 4:
+		r.MachineRemoved(name)
+	case 5:
+		r.ExpectByWarmState(name, rng.IntN(2) == 0)
+	case 6:
+		r.Found(name, Finding{Reason(rng.IntN(int(reasons))), Stop})
+	}
+}
+
+// checkCounts compares the counts by state with the machines.
+func checkCounts(t *testing.T, r *Reconciler) {
+	t.Helper()
+	counts := [machineStates]int{}
+	confirmed := 0
+	for _, m := range r.machines {
+		counts[m.state]++
+		if m.expectedByWarmState {
+			confirmed++
+		}
+	}
+	if counts != r.counts || confirmed != r.expectedByWarmState {
+		t.Fatalf("counts are %v and %d, want %v and %d", r.counts, r.expectedByWarmState, counts, confirmed)
+	}
+}
--- /dev/null
+++ b/internal/recovery/status.go
@@ -0,0 +1,71 @@
+package recovery
+
+import (
+	"maps"
+	"slices"
+	"time"
+)
+
+// Status is the recovery as operators see it.
+type Status struct {
+	State     string         `json:"state"`
+	Since     time.Duration  `json:"since_ns"` // since the term's start
+	Took      time.Duration  `json:"took_ns"`  // from the term's start to the end of the recovery; 0: it isn't over
+	Machines  map[string]int `json:"machines"` // number of machines by state
+	Findings  map[string]int `json:"findings"` // number of findings by reason
+	Unsettled []Unsettled    `json:"unsettled,omitempty"`
+	Restored  bool           `json:"restored,omitempty"` // the state service was restored from an older copy
+	Pace      float64        `json:"pace"`               // starts per second; 0: not limited
+}
+
+// Unsettled is a machine that isn't settled yet.
+type Unsettled struct {
+	Machine string `json:"machine"`
+	State   string `json:"state"`
+	Why     string `json:"why,omitempty"` // the last difference that was found; empty if none was
+}
+
+// maxUnsettled is how many machines a Status names.
+const maxUnsettled = 100
+
+// Status returns the state of the recovery for operators.
+func (r *Reconciler) Status(now time.Time) Status {
+	s := Status{
+		State: r.state.String(), Since: now.Sub(r.started), Restored: r.restored, Pace: r.pacer.Rate(),
+		Machines: map[string]int{}, Findings: map[string]int{},
+	}
+	if !r.finished.IsZero() {
+		s.Took = r.finished.Sub(r.started)
+	}
+	for state, count := range r.counts {
+		if count > 0 {
+			s.Machines[MachineState(state).String()] = count
+		}
+	}
+	for reason, count := range r.findings {
+		if count > 0 {
+			s.Findings[Reason(reason).String()] = count
+		}
+	}
+	if r.state != Normal {
+		s.Unsettled = r.unsettled()
+	}
+	return s
+}
+
+// unsettled returns the machines that aren't settled, by name and no more than maxUnsettled.
+func (r *Reconciler) unsettled() []Unsettled {
+	var list []Unsettled
+	for _, name := range slices.Sorted(maps.Keys(r.machines)) {
+		m := r.machines[name]
+		if m.state == Settled || len(list) >= maxUnsettled {
+			continue
+		}
+		entry := Unsettled{Machine: name, State: m.state.String()}
+		if m.differs {
+			entry.Why = m.lastDifference.String()
+		}
+		list = append(list, entry)
+	}
+	return list
+}
