--- a/internal/standby/codec.go
+++ b/internal/standby/codec.go
@@ -7,7 +7,7 @@
 	"gingertally/internal/core"
 )
 
-// keyForm is a record's key as it is replicated.
+// keyForm is the form in which a record's key is replicated.
 type keyForm struct {
 	_    struct{} `cbor:",toarray"`
 	Kind core.WarmKind
@@ -17,45 +17,49 @@
 	Spot bool
 }
 
-// Encode puts records of the warm state into the form in which they are replicated.
+// Encode encodes records of the warm state as entries. A record without a value becomes an entry
+// without one, by which the record is deleted.
 func Encode(records []core.WarmRecord) []Entry {
 	entries := make([]Entry, 0, len(records))
-	for _, r := range records {
-		key := keyForm{Kind: r.Key.Kind, Name: r.Key.Name, Task: r.Key.Task, Zone: r.Key.Zone, Spot: r.Key.Spot}
-		entries = append(entries, Entry{Key: string(codec.MustMarshal(key)), Value: encodeValue(&r)})
+	for i := range records {
+		key := &records[i].Key
+		form := keyForm{Kind: key.Kind, Name: key.Name, Task: key.Task, Zone: key.Zone, Spot: key.Spot}
+		entries = append(entries, Entry{Key: string(codec.MustMarshal(form)), Value: encodeValue(&records[i])})
 	}
 	return entries
 }
 
-func encodeValue(r *core.WarmRecord) []byte {
+// encodeValue encodes the value of a record; nil if it has none.
+func encodeValue(record *core.WarmRecord) []byte {
 	switch {
-	case r.Machine != nil:
-		return codec.MustMarshal(r.Machine)
-	case r.Attempt != nil:
-		return codec.MustMarshal(r.Attempt)
-	case r.Class != nil:
-		return codec.MustMarshal(r.Class)
-	case r.Offer != nil:
-		return codec.MustMarshal(r.Offer)
-	case r.Job != nil:
-		return codec.MustMarshal(r.Job)
+	case record.Machine != nil:
+		return codec.MustMarshal(record.Machine)
+	case record.Attempt != nil:
+		return codec.MustMarshal(record.Attempt)
+	case record.Class != nil:
+		return codec.MustMarshal(record.Class)
+	case record.Offer != nil:
+		return codec.MustMarshal(record.Offer)
+	case record.Job != nil:
+		return codec.MustMarshal(record.Job)
 	}
 	return nil
 }
 
-// Decode reads entries. Records of kinds that aren't known here, as of a later version, are
-// left out; one that can't be read spoils the whole.
+// Decode decodes entries of a whole state. Records of kinds that this version doesn't know are left
+// out. The first entry that can't be decoded is the error, which wraps codec.ErrMalformed: a state
+// that is known in part only would be misleading.
 func Decode(entries []Entry) ([]core.WarmRecord, error) {
 	records := make([]core.WarmRecord, 0, len(entries))
 	for _, e := range entries {
 		var key keyForm
 		if err := codec.Unmarshal([]byte(e.Key), &key); err != nil {
-			return nil, fmt.Errorf("key of the warm state: %w", err)
+			return nil, fmt.Errorf("decode key %x of the warm state: %w", e.Key, err)
 		}
 		record := core.WarmRecord{Key: core.WarmKey{Kind: key.Kind, Name: key.Name, Task: key.Task, Zone: key.Zone, Spot: key.Spot}}
 		known, err := decodeValue(e.Value, &record)
 		if err != nil {
-			return nil, fmt.Errorf("warm state of %q: %w", key.Name, err)
+			return nil, fmt.Errorf("decode warm state of %q: %w", key.Name, err)
 		}
 		if known {
 			records = append(records, record)
@@ -64,6 +68,8 @@
 	return records, nil
 }
 
+// decodeValue decodes the value of a record according to the kind in its key. Known is false for a
+// kind that only a later version has.
 func decodeValue(value []byte, record *core.WarmRecord) (known bool, err error) {
 	switch record.Key.Kind {
 	case core.WarmMachineKind:
--- a/internal/standby/doc.go
+++ b/internal/standby/doc.go
@@ -1,10 +1,20 @@
-// Package standby replicates a leader's warm state to the other controllers, so that the
-// next leader goes on from it. The leader's Publisher numbers each change of the state; a
-// follower's Replica takes the numbered changes in and drops its copy whenever it can't be
-// sure of it; Standby is the follower's state machine up to the takeover.
+// Package standby replicates a leader's warm state to the other controllers, so that the next
+// leader needn't wait until it has learned the same anew.
 //
-// The package has no input or output, no goroutines and no clock: frames, times and the
-// outcome of a claim come from outside (package daemon, package simulation). Nothing that is
-// safe depends on it: a takeover goes by the state service, and the warm state only saves it
-// time (docs/standby.md; docs/design.md, safety arguments 17 to 19).
+//   - Publisher is the leader's end: it numbers the changes of its term and decides for each
+//     follower which frame is sent next.
+//   - Replica is a follower's copy. It applies frames, and is emptied whenever a change is missing
+//     or its digest differs.
+//   - Standby is a controller's state machine round its copy: from following a leader to claiming
+//     a term, confirming the copy for the takeover, and leading.
+//   - Takeover records when the phases of a takeover were reached.
+//
+// Nothing that is safe depends on this package. The state service alone proves that the earlier
+// leader can't act any more and which attempts were recorded; the warm state only saves time
+// (docs/standby.md; docs/design.md, safety arguments 17 to 19).
+//
+// The package has no input or output, starts no goroutine and reads no clock, and none of its types
+// is safe for concurrent use. The daemon calls it under one mutex from the goroutines that serve
+// followers, follow a leader and run a term; the simulation calls it from its single goroutine.
+// Frames travel by package standbyrpc, and are kept on disk by package decisionlog.
 package standby
--- a/internal/standby/golden_test.go
+++ b/internal/standby/golden_test.go
@@ -7,7 +7,7 @@
 	"gingertally/internal/goldentest"
 )
 
-// warmRecords has a record of each kind in which every field is set, and one that is gone.
+// warmRecords returns a record of each kind in which every field is set, and a deleted one.
 func warmRecords() []core.WarmRecord {
 	machine, attempt := goldentest.Filled[core.WarmMachine](), goldentest.Filled[core.WarmAttempt]()
 	class, offer, job := goldentest.Filled[core.WarmClass](), goldentest.Filled[core.WarmOffer](), goldentest.Filled[core.WarmJob]()
@@ -21,7 +21,8 @@
 	}
 }
 
-// The form in which the warm state is replicated and logged.
+// The form in which the warm state is replicated and logged: controllers of another version, during
+// an upgrade, and this one after a restart have to be able to read it.
 func TestWarmRecordsGolden(t *testing.T) {
 	var lines goldentest.Lines
 	entries := Encode(warmRecords())
--- a/internal/standby/publisher.go
+++ b/internal/standby/publisher.go
@@ -5,58 +5,50 @@
 	"time"
 )
 
-// Options bound the stream.
+// Options are the settings of the stream.
 type Options struct {
-	// QueueBound is how many changes a leader keeps for followers that are behind. One
-	// that is further behind gets a snapshot.
+	// QueueBound is how many changes a leader keeps for followers that are behind. A follower that
+	// is further behind is sent a snapshot.
 	QueueBound int
-	// SnapshotInterval is how much time lies between two snapshots to one follower at the
-	// least.
+	// SnapshotInterval is the shortest time between two snapshots to one follower.
 	SnapshotInterval time.Duration
-	// Heartbeat is how often a follower hears of its leader at the least.
+	// Heartbeat is the longest time between two frames to one follower.
 	Heartbeat time.Duration
 }
 
-const (
-	// frameBytes is about how large a frame may get.
-	frameBytes = 48 << 10
-	// digestEvery is after how many changes at the most a frame has a digest.
-	digestEvery = 64
-)
-
-// Publisher is the leader's end of the stream: it numbers the changes of its term, and says
-// for each follower what comes next. It never waits for a follower. It isn't safe for
-// concurrent use.
+// Publisher is the leader's end of the stream in one term. It numbers the changes of the warm state
+// from 1 on, and decides for each follower which frame is sent next; it never waits for a follower.
+// It isn't safe for concurrent use.
 type Publisher struct {
 	term      uint64
 	options   Options
-	state     table
-	newest    uint64  // sequence number of the newest change
+	state     entrySet
+	newest    uint64  // number of the newest change
 	recent    []Entry // the newest changes, the last of them numbered newest
 	followers map[string]*follower
-	successor string // once the leader hands over
+	successor string // empty unless the leader hands over
 }
 
-// follower is what the leader knows of a follower.
+// follower is what the leader knows of one follower.
 type follower struct {
-	sent         uint64 // the newest change sent to it
-	acknowledged uint64
-	parts        []Entry // what is left of a snapshot under way
-	part         int
-	needsAll     bool // it needs a snapshot
-	snapshotAt   time.Time
-	snapshots    int
-	sentAt       time.Time
-	lastDigest   uint64 // sequence number of its last frame with a digest
-	toldHandOver bool
-}
-
-// NewPublisher makes the leader's end of the stream of a term.
+	sent          uint64 // number of the newest change that was sent
+	acknowledged  uint64 // number of the newest change that the follower is known to have
+	needsSnapshot bool
+	snapshot      []Entry // what is left to send of a snapshot; nil: none is being sent
+	nextPart      int     // number of the snapshot's next part
+	snapshotAt    time.Time
+	snapshots     int // that were begun
+	frameAt       time.Time
+	lastDigest    uint64 // sequence number of the last frame with a digest
+	handOverSent  bool
+}
+
+// NewPublisher returns the leader's end of the stream of a term.
 func NewPublisher(term uint64, options Options) *Publisher {
-	return &Publisher{term: term, options: options, state: newTable(), followers: map[string]*follower{}}
+	return &Publisher{term: term, options: options, state: newEntrySet(), followers: map[string]*follower{}}
 }
 
-// Publish numbers changes of the state. What changes nothing gets no number.
+// Publish applies changes to the state and numbers them. One that changes nothing gets no number.
 func (p *Publisher) Publish(entries []Entry) {
 	for _, e := range entries {
 		if !p.state.set(e) {
@@ -70,171 +62,85 @@
 	}
 }
 
-// Snapshot is the whole state as one frame.
+// Snapshot returns the whole state as one frame.
 func (p *Publisher) Snapshot() Frame {
-	return Frame{
-		Kind: Snapshot, Term: p.term, Sequence: p.newest, Newest: p.newest, Entries: p.state.entries(),
-		Last: true, HasDigest: true, Digest: p.state.digest,
-	}
+	return p.state.snapshot(Position{Term: p.term, Sequence: p.newest})
 }
 
-// Followers lists how far each follower has acknowledged, by name.
-func (p *Publisher) Followers() map[string]uint64 {
-	out := make(map[string]uint64, len(p.followers))
-	for name, f := range p.followers {
-		out[name] = f.acknowledged
-	}
-	return out
-}
-
-// Newest is the number of the newest change.
+// Newest returns the number of the newest change.
 func (p *Publisher) Newest() uint64 { return p.newest }
 
-// Follow has a follower served from a position on. One that has nothing of this term, or is
-// too far behind, gets a snapshot first.
+// Follow begins to serve a follower, or serves it anew, from a position on. If the position is of
+// another term or too far back, the follower is sent a snapshot first.
 func (p *Publisher) Follow(name string, from Position) {
 	f := p.followers[name]
 	if f == nil {
 		f = &follower{}
 		p.followers[name] = f
 	}
-	f.parts, f.part, f.toldHandOver = nil, 0, false
+	f.snapshot, f.nextPart, f.handOverSent = nil, 0, false
 	f.sent, f.acknowledged, f.lastDigest = from.Sequence, from.Sequence, from.Sequence
-	f.needsAll = from.Term != p.term || from.Sequence > p.newest || !p.keeps(from.Sequence)
-	if f.needsAll {
+	f.needsSnapshot = from.Term != p.term || from.Sequence > p.newest || !p.keepsAfter(from.Sequence)
+	if f.needsSnapshot {
 		f.acknowledged = 0
 	}
-	f.sentAt = time.Time{}
+	f.frameAt = time.Time{}
 }
 
-// Leave forgets that a follower is served. When it had its last snapshot is remembered.
+// Leave ends the serving of a follower. The time of its last snapshot is kept, so that a follower
+// which comes back at once doesn't get snapshots more often.
 func (p *Publisher) Leave(name string) {
 	if f := p.followers[name]; f != nil {
-		f.acknowledged, f.parts, f.needsAll = 0, nil, true
+		f.acknowledged, f.snapshot, f.needsSnapshot = 0, nil, true
 	}
 }
 
-// keeps tells whether all changes after a number are still kept.
-func (p *Publisher) keeps(sequence uint64) bool {
+// keepsAfter returns whether all changes after a number are still kept.
+func (p *Publisher) keepsAfter(sequence uint64) bool {
 	return p.newest-sequence <= uint64(len(p.recent))
 }
 
-// Acknowledge notes what a follower has.
+// Acknowledge takes in which changes a follower has.
 func (p *Publisher) Acknowledge(name string, at Position) {
 	if f := p.followers[name]; f != nil && at.Term == p.term && at.Sequence <= p.newest {
 		f.acknowledged = max(f.acknowledged, at.Sequence)
 	}
 }
 
-// Snapshots counts the snapshots begun for a follower.
-func (p *Publisher) Snapshots(name string) int {
-	if f := p.followers[name]; f != nil {
-		return f.snapshots
+// Followers returns the number of the newest change that each follower has acknowledged, by name.
+func (p *Publisher) Followers() map[string]uint64 {
+	acknowledged := make(map[string]uint64, len(p.followers))
+	for name, f := range p.followers {
+		acknowledged[name] = f.acknowledged
 	}
-	return 0
+	return acknowledged
 }
 
-// Next is the next frame for a follower; false if there is none for now.
-func (p *Publisher) Next(now time.Time, name string) (Frame, bool) {
+// CaughtUp returns whether a follower has acknowledged all changes.
+func (p *Publisher) CaughtUp(name string) bool {
 	f := p.followers[name]
-	if f == nil {
-		return Frame{}, false
-	}
-	if f.parts == nil && !f.needsAll && !p.keeps(f.sent) {
-		f.needsAll = true // it has fallen behind
-	}
-	switch {
-	case f.parts != nil:
-		return p.snapshotPart(now, f), true
-	case f.needsAll && (f.snapshotAt.IsZero() || now.Sub(f.snapshotAt) >= p.options.SnapshotInterval):
-		p.beginSnapshot(now, f)
-		return p.snapshotPart(now, f), true
-	case !f.needsAll && f.sent < p.newest:
-		return p.changes(now, f), true
-	case p.successor != "" && !f.toldHandOver:
-		f.toldHandOver = true
-		return p.stamp(now, f, Frame{Kind: HandOver, Successor: p.successor}), true
-	case now.Sub(f.sentAt) >= p.options.Heartbeat:
-		return p.heartbeat(now, f), true
-	}
-	return Frame{}, false
+	return f != nil && f.hasState() && f.acknowledged == p.newest
 }
 
-// stamp fills in what every frame holds.
-func (p *Publisher) stamp(now time.Time, f *follower, frame Frame) Frame {
-	f.sentAt = now
-	frame.Term, frame.Sequence, frame.Newest = p.term, f.sent, p.newest
-	return frame
-}
+// hasState returns whether the follower was sent the whole state, so that it needs only changes.
+func (f *follower) hasState() bool { return !f.needsSnapshot && f.snapshot == nil }
 
-// heartbeat is a sign of life. With nothing left to send, it has a digest.
-func (p *Publisher) heartbeat(now time.Time, f *follower) Frame {
-	frame := p.stamp(now, f, Frame{Kind: Heartbeat})
-	if !f.needsAll {
-		frame.HasDigest, frame.Digest = true, p.state.digest
-	}
-	return frame
-}
-
-// beginSnapshot takes the state as it is now. Values are never changed in place, so that it
-// is enough to take the list of them.
-func (p *Publisher) beginSnapshot(now time.Time, f *follower) {
-	f.parts, f.part, f.needsAll = p.state.entries(), 0, false
-	f.sent, f.snapshotAt = p.newest, now
-	f.snapshots++
-}
-
-// snapshotPart takes the next part off a snapshot. If the changes since it was begun aren't
-// kept any more once it is sent, the next frame begins another one.
-func (p *Publisher) snapshotPart(now time.Time, f *follower) Frame {
-	n := fitting(f.parts)
-	frame := p.stamp(now, f, Frame{Kind: Snapshot, Part: f.part, Entries: f.parts[:n], Last: n == len(f.parts)})
-	f.part++
-	f.parts = f.parts[n:]
-	if frame.Last {
-		f.parts = nil
-		f.lastDigest = f.sent
-		if f.sent == p.newest {
-			frame.HasDigest, frame.Digest = true, p.state.digest
-		}
-	}
-	return frame
-}
-
-// changes takes the next changes for a follower. Only a frame that brings it up to the
-// newest change can have a digest, since the state itself is kept as of that change alone.
-func (p *Publisher) changes(now time.Time, f *follower) Frame {
-	pending := p.recent[uint64(len(p.recent))-(p.newest-f.sent):]
-	n := fitting(pending)
-	f.sent += uint64(n)
-	frame := p.stamp(now, f, Frame{Kind: Changes, Entries: slices.Clone(pending[:n])})
-	if f.sent == p.newest && f.sent-f.lastDigest >= digestEvery {
-		frame.HasDigest, frame.Digest = true, p.state.digest
-		f.lastDigest = f.sent
-	}
-	return frame
-}
-
-// fitting is how many of the entries fit into a frame, one at the least if there are any.
-func fitting(entries []Entry) int {
-	size := 0
-	for i, e := range entries {
-		size += len(e.Key) + len(e.Value)
-		if i > 0 && size > frameBytes {
-			return i
-		}
+// Snapshots returns how many snapshots were begun for a follower.
+func (p *Publisher) Snapshots(name string) int {
+	if f := p.followers[name]; f != nil {
+		return f.snapshots
 	}
-	return len(entries)
+	return 0
 }
 
-// HandOver has all followers told that the leader is about to resign, and returns the name
-// of its successor: the one of the given followers that has acknowledged the most. Empty if
-// none has the state of this term.
+// HandOver chooses the successor of a leader that is about to give up its lease: the candidate that
+// has acknowledged the most changes of this term, and the first by name of several. All followers
+// are sent its name, which is returned; empty if no candidate has any state of this term.
 func (p *Publisher) HandOver(candidates []string) string {
 	var best *follower
 	for _, name := range slices.Sorted(slices.Values(candidates)) {
 		f := p.followers[name]
-		if f == nil || f.needsAll || f.parts != nil || f.acknowledged == 0 {
+		if f == nil || !f.hasState() || f.acknowledged == 0 {
 			continue
 		}
 		if best == nil || f.acknowledged > best.acknowledged {
@@ -243,9 +149,3 @@
 	}
 	return p.successor
 }
-
-// CaughtUp tells whether a follower has acknowledged all changes.
-func (p *Publisher) CaughtUp(name string) bool {
-	f := p.followers[name]
-	return f != nil && !f.needsAll && f.parts == nil && f.acknowledged == p.newest
-}
--- a/internal/standby/replica.go
+++ b/internal/standby/replica.go
@@ -1,49 +1,51 @@
 package standby
 
-// Verdict is what became of a frame.
-type Verdict uint8
+// Outcome says what became of a frame that was applied to a copy.
+type Outcome uint8
 
-// Verdicts.
+// Outcomes.
 const (
-	// Applied frames are in the copy.
-	Applied Verdict = iota
-	// Ignored frames are of an older term or bring nothing new.
+	// Applied says that the copy has what the frame brought.
+	Applied Outcome = iota
+	// Ignored says that the frame brought nothing new, or is of an earlier term.
 	Ignored
-	// Gap means that changes before the frame are missing: the copy was dropped.
+	// Gap says that changes between the copy and the frame are missing.
 	Gap
-	// Mismatch means that the copy's digest isn't the leader's: the copy was dropped.
+	// Mismatch says that the copy's digest isn't the leader's, though no change is missing.
 	Mismatch
 )
 
-var verdictNames = [...]string{"applied", "ignored", "gap", "mismatch"}
+// outcomeNames are shown in the log.
+var outcomeNames = [...]string{"applied", "ignored", "gap", "mismatch"}
 
-// String returns the verdict's name.
-func (v Verdict) String() string { return verdictNames[v] }
+// String returns the outcome's name.
+func (o Outcome) String() string { return outcomeNames[o] }
 
-// Lost tells whether the copy was dropped, so that a snapshot has to be asked for.
-func (v Verdict) Lost() bool { return v == Gap || v == Mismatch }
+// Lost returns whether the copy was dropped, or a snapshot on its way to it was, so that another
+// snapshot has to be requested.
+func (o Outcome) Lost() bool { return o == Gap || o == Mismatch }
 
 // Replica is a follower's copy of a leader's warm state. It isn't safe for concurrent use.
 type Replica struct {
 	term     uint64
-	state    table
-	sequence uint64 // of the newest change in the copy
-	newest   uint64 // of the newest change that the leader is known to have made
-	complete bool   // the copy is the whole state at sequence
-	building *snapshotBuild
+	state    entrySet
+	sequence uint64 // number of the newest change in the copy
+	newest   uint64 // number of the newest change that the leader is known to have made
+	complete bool   // the copy is the leader's whole state as of sequence
+	incoming *incomingSnapshot
 }
 
-// snapshotBuild is a snapshot of which parts have come.
-type snapshotBuild struct {
-	state    table
+// incomingSnapshot is a snapshot of which some parts have come.
+type incomingSnapshot struct {
+	state    entrySet
 	sequence uint64
-	next     int // the part that is to come next
+	nextPart int
 }
 
-// NewReplica makes an empty copy.
-func NewReplica() *Replica { return &Replica{state: newTable()} }
+// NewReplica returns an empty copy.
+func NewReplica() *Replica { return &Replica{state: newEntrySet()} }
 
-// Position is what the copy has; zero unless it is complete.
+// Position returns what the copy has; the zero Position unless it is complete.
 func (r *Replica) Position() Position {
 	if !r.complete {
 		return Position{}
@@ -51,33 +53,31 @@
 	return Position{Term: r.term, Sequence: r.sequence}
 }
 
-// Term is the term of the leader that the copy is of.
+// Term returns the term of the leader whose state is copied.
 func (r *Replica) Term() uint64 { return r.term }
 
-// Behind is how many changes the copy is known to lack; false if it isn't complete.
+// Behind returns how many changes the copy is known to lack; false if it isn't complete at all.
 func (r *Replica) Behind() (changes uint64, complete bool) {
 	return r.newest - min(r.newest, r.sequence), r.complete
 }
 
-// Snapshot is the whole copy as one frame; false if it isn't complete.
-func (r *Replica) Snapshot() (Frame, bool) {
+// Snapshot returns the whole copy as one frame; false if it isn't complete.
+func (r *Replica) Snapshot() (snapshot Frame, complete bool) {
 	if !r.complete {
 		return Frame{}, false
 	}
-	return Frame{
-		Kind: Snapshot, Term: r.term, Sequence: r.sequence, Newest: r.sequence, Entries: r.state.entries(),
-		Last: true, HasDigest: true, Digest: r.state.digest,
-	}, true
+	return r.state.snapshot(r.Position()), true
 }
 
-// Entries lists the copy's entries by key.
+// Entries returns the copy's entries, sorted by key.
 func (r *Replica) Entries() []Entry { return r.state.entries() }
 
-// Size is how many entries the copy has.
+// Size returns the number of entries in the copy.
 func (r *Replica) Size() int { return len(r.state.values) }
 
-// Apply takes a frame in. Frames may come late, twice or out of order, and be of any term.
-func (r *Replica) Apply(f Frame) Verdict {
+// Apply applies a frame to the copy. Frames may come late, more than once and out of order, and be
+// of any term; a frame of a later term replaces the copy of an earlier one.
+func (r *Replica) Apply(f Frame) Outcome {
 	switch {
 	case f.Term < r.term:
 		return Ignored
@@ -88,80 +88,81 @@
 	r.newest = max(r.newest, f.Newest)
 	switch f.Kind {
 	case Snapshot:
-		return r.applyPart(f)
+		return r.applySnapshotPart(f)
 	case Changes:
 		return r.applyChanges(f)
 	default:
-		return r.check(f)
+		return r.compareDigest(f)
 	}
 }
 
-// Reset drops the copy.
+// Reset empties the copy.
 func (r *Replica) Reset() {
-	r.state, r.sequence, r.complete, r.building = newTable(), 0, false, nil
+	r.state, r.sequence, r.complete, r.incoming = newEntrySet(), 0, false, nil
 }
 
-// lose drops the copy for a reason.
-func (r *Replica) lose(why Verdict) Verdict {
+// drop empties the copy and returns the outcome that has made it useless.
+func (r *Replica) drop(outcome Outcome) Outcome {
 	r.Reset()
-	return why
+	return outcome
 }
 
-// applyPart takes in a part of a snapshot. The present copy stays until all parts are there.
-func (r *Replica) applyPart(f Frame) Verdict {
+// applySnapshotPart adds a part to the incoming snapshot. The present copy stays as it is until the
+// last part has come.
+func (r *Replica) applySnapshotPart(f Frame) Outcome {
 	if r.complete && f.Sequence < r.sequence {
-		return Ignored // begun before what is there already
+		return Ignored // the copy is newer than the snapshot
 	}
 	if f.Part == 0 {
-		r.building = &snapshotBuild{state: newTable(), sequence: f.Sequence}
+		r.incoming = &incomingSnapshot{state: newEntrySet(), sequence: f.Sequence}
 	}
-	b := r.building
+	incoming := r.incoming
 	switch {
-	case b == nil || f.Sequence < b.sequence || f.Sequence == b.sequence && f.Part < b.next:
-		return Ignored // of a snapshot that was given up, or a copy
-	case f.Sequence > b.sequence || f.Part > b.next:
-		r.building = nil
+	case incoming == nil || f.Sequence < incoming.sequence || f.Sequence == incoming.sequence && f.Part < incoming.nextPart:
+		return Ignored // a duplicate, or of a snapshot that was given up
+	case f.Sequence > incoming.sequence || f.Part > incoming.nextPart:
+		r.incoming = nil // a part is missing
 		if r.complete {
 			return Ignored
 		}
 		return Gap
 	}
 	for _, e := range f.Entries {
-		b.state.set(e)
+		incoming.state.set(e)
 	}
-	b.next++
+	incoming.nextPart++
 	if !f.Last {
 		return Applied
 	}
-	r.state, r.sequence, r.complete, r.building = b.state, b.sequence, true, nil
-	return r.check(f)
+	r.state, r.sequence, r.complete, r.incoming = incoming.state, incoming.sequence, true, nil
+	return r.compareDigest(f)
 }
 
-// applyChanges takes in the changes that aren't in the copy yet.
-func (r *Replica) applyChanges(f Frame) Verdict {
+// applyChanges applies those changes of a frame that the copy lacks.
+func (r *Replica) applyChanges(f Frame) Outcome {
 	first := f.Sequence - uint64(len(f.Entries)) + 1
 	switch {
-	case !r.complete && r.building == nil && first == 1:
-		r.complete = true // from the beginning of the term
+	case !r.complete && r.incoming == nil && first == 1:
+		r.complete = true // the frame begins with the first change of the term: nothing is missing
 	case !r.complete:
-		return r.lose(Gap)
+		return r.drop(Gap)
 	}
 	switch {
 	case f.Sequence <= r.sequence:
 		return Ignored
 	case first > r.sequence+1:
-		return r.lose(Gap)
+		return r.drop(Gap)
 	}
 	for _, e := range f.Entries[r.sequence+1-first:] {
 		r.state.set(e)
 	}
 	r.sequence = f.Sequence
-	return r.check(f)
+	return r.compareDigest(f)
 }
 
-// check compares the copy's digest with that of a frame for the same change. A heartbeat
-// that tells of changes which the copy lacks shows nothing: they may still be on their way.
-func (r *Replica) check(f Frame) Verdict {
+// compareDigest compares the copy's digest with that of a frame as of the same change. A heartbeat
+// or hand-over as of another change proves nothing, since the changes up to it may still come.
+func (r *Replica) compareDigest(f Frame) Outcome {
 	if !r.complete || f.Sequence != r.sequence {
 		if f.Kind == Heartbeat || f.Kind == HandOver {
 			return Ignored
@@ -169,7 +170,7 @@
 		return Applied
 	}
 	if f.HasDigest && f.Digest != r.state.digest {
-		return r.lose(Mismatch)
+		return r.drop(Mismatch)
 	}
 	return Applied
 }
--- a/internal/standby/standby.go
+++ b/internal/standby/standby.go
@@ -1,98 +1,59 @@
 package standby
 
-import (
-	"errors"
-	"time"
-)
-
-// State is the state of a controller towards the leader's warm state.
+import "time"
+
+// State is the state of a controller with regard to the leader's warm state.
+//
+// A controller begins in CatchingUp and goes back and forth between that and Following as frames
+// come (Receive). A claim takes it to Confirming (Claimed), the decision on its copy to Active
+// (Confirm), and the end of its term from either to SteppedDown (TermEnded). From there the next
+// frame leads back to Following or CatchingUp.
 type State uint8
 
 // States of a standby.
 const (
-	// CatchingUp standbys have no complete copy, or know that it lacks changes.
+	// CatchingUp has no complete copy, or one that is known to lack changes.
 	CatchingUp State = iota
-	// Following standbys have all changes that they know of.
+	// Following has a complete copy with all changes that it knows of.
 	Following
-	// Confirming standbys have claimed a term and are reading the state service.
+	// Confirming has claimed a term and is reading the records from the state service.
 	Confirming
-	// Active controllers lead.
+	// Active leads.
 	Active
-	// SteppedDown controllers led, and haven't heard of another leader since.
+	// SteppedDown has led, and hasn't received a frame of another leader since.
 	SteppedDown
 )
 
+// stateNames are shown to operators; other programs may look for them, too.
 var stateNames = [...]string{"catching up", "following", "confirming", "active", "stepped down"}
 
-// String returns the state's name, as operators see it.
+// String returns the name by which operators know the state.
 func (s State) String() string { return stateNames[s] }
 
-// Reasons for which a takeover goes without the copy.
-var (
-	// ErrNotConfirming says that no claim was noted.
-	ErrNotConfirming = errors.New("no claim is being confirmed")
-	// ErrBehindClaim says that the state service was read as of a moment before the claim:
-	// writes of the old leader might be missing.
-	ErrBehindClaim = errors.New("the state service was read before the claim")
-	// ErrIncomplete says that the copy isn't complete, or lacks changes.
-	ErrIncomplete = errors.New("the copy is incomplete")
-	// ErrOtherTerm says that the copy isn't of the term right before the claimed one:
-	// another leader may have acted since.
-	ErrOtherTerm = errors.New("the copy is of another term than the last")
-)
-
-// Claim is a term that this controller has claimed from the state service, which grants it
-// only once the lease of the leader before has lapsed or was given up.
-type Claim struct {
-	Term     uint64
-	Revision uint64 // of the state service, at which the claim was stored
-}
-
-// View is what a new leader starts from.
-type View struct {
-	Entries []Entry
-	// Recent says that the old leader was heard so shortly before that what it knew of
-	// machines still holds.
-	Recent bool
-	Age    time.Duration // since the old leader was last heard
-}
-
-// Timeouts are a standby's margins, derived from the deployment's settings.
-type Timeouts struct {
-	// Recent is for how long the last word of a leader on its machines is counted on.
-	Recent time.Duration
-	// ClaimDelay is how long a standby that lacks the state lets others claim first.
-	ClaimDelay time.Duration
-	// HandOver is how long a standby lets the named successor of a leader claim first.
-	HandOver time.Duration
-	// Resync is how much time lies between two requests for a snapshot at the least.
-	Resync time.Duration
-}
-
-// Standby is a controller's copy of the leader's warm state and what it may be used for. It
-// isn't safe for concurrent use.
+// Standby is a controller's copy of the leader's warm state, and the state machine that says what the
+// copy may be used for. It isn't safe for concurrent use.
 type Standby struct {
 	name     string
 	timeouts Timeouts
 	state    State
 	replica  *Replica
-	claim    Claim
-	heardAt  time.Time // when the leader of the replica's term was last heard
-	resyncAt time.Time // when a snapshot was last asked for
+	claim    Claim     // the last term that this controller has claimed
+	heardAt  time.Time // when the last frame of the replica's term came
+	resyncAt time.Time // when a snapshot was last requested
 	counts   Counts
 
-	successor   string    // that a leader has named for the time after it
-	successorAt time.Time // when it did
+	successor   string // whom the leader has named to claim after it; empty: nobody
+	successorAt time.Time
 }
 
-// Counts say what a standby has gone through.
+// Counts counts what a standby has gone through.
 type Counts struct {
-	Frames, Ignored, Gaps, Mismatches uint64
-	Snapshots                         uint64 // completed
+	Frames, Ignored, Gaps, Mismatches uint64 // frames received, and those with the named outcomes
+	Snapshots                         uint64 // snapshots completed
 	Confirmed, Unconfirmed            uint64 // takeovers with and without the copy
 }
 
-// New makes the standby of a controller.
+// New returns the standby of a controller, which is known to others by name.
 func New(name string, timeouts Timeouts) *Standby {
 	return &Standby{name: name, timeouts: timeouts, replica: NewReplica()}
 }
@@ -100,29 +61,44 @@
 // State returns the standby's state.
 func (s *Standby) State() State { return s.state }
 
-// Counts returns what it has gone through.
+// Counts returns what the standby has gone through.
 func (s *Standby) Counts() Counts { return s.counts }
 
-// move is the one place where the state changes.
+// move changes the state; nothing else does.
 func (s *Standby) move(to State) { s.state = to }
 
-// Restore takes over a copy that was kept on disk. It is as good as any other: a leader of
-// the same term goes on from it, one of a later term replaces it.
-func (s *Standby) Restore(copied *Replica) {
+// Restore uses a copy that was kept on disk, unless frames have come already. Such a copy is as good
+// as any other: a leader of the same term continues it, and one of a later term replaces it.
+func (s *Standby) Restore(replica *Replica) {
 	if s.state == CatchingUp && s.replica.Term() == 0 {
-		s.replica = copied
+		s.replica = replica
 	}
 }
 
-// Receive takes a frame of a leader's stream in.
-func (s *Standby) Receive(now time.Time, f Frame) Verdict {
+// Receive takes in a frame of a leader's stream. From its claim to the end of its term a controller
+// ignores all frames: they are of a leader that is over, or of one that follows this controller and
+// will be received once this term has ended.
+func (s *Standby) Receive(now time.Time, f Frame) Outcome {
 	s.counts.Frames++
 	if s.state == Confirming || s.state == Active {
 		s.counts.Ignored++
-		return Ignored // of a leader that is over, or still to be deposed
+		return Ignored
 	}
-	verdict := s.replica.Apply(f)
-	switch verdict {
+	outcome := s.replica.Apply(f)
+	s.count(f, outcome)
+	if f.Term == s.replica.Term() {
+		s.heardAt = now
+		if f.Kind == HandOver {
+			s.successor, s.successorAt = f.Successor, now
+		}
+	}
+	s.moveByReplica()
+	return outcome
+}
+
+// count counts the outcome of a frame.
+func (s *Standby) count(f Frame, outcome Outcome) {
+	switch outcome {
 	case Gap:
 		s.counts.Gaps++
 	case Mismatch:
@@ -134,32 +110,31 @@
 			s.counts.Snapshots++
 		}
 	}
-	if f.Term == s.replica.Term() {
-		s.heardAt = now
-	}
-	if f.Kind == HandOver && f.Term == s.replica.Term() {
-		s.successor, s.successorAt = f.Successor, now
-	}
-	s.updateState()
-	return verdict
 }
 
-// updateState tells a standby that has all changes from one that lacks some.
-func (s *Standby) updateState() {
-	if behind, complete := s.replica.Behind(); complete && behind == 0 {
+// moveByReplica moves to Following if the copy has all changes, else to CatchingUp.
+func (s *Standby) moveByReplica() {
+	if s.replicaIsCurrent() {
 		s.move(Following)
 	} else {
 		s.move(CatchingUp)
 	}
 }
 
-// Position is what the copy has.
+// replicaIsCurrent returns whether the copy is complete and lacks no change that is known.
+func (s *Standby) replicaIsCurrent() bool {
+	behind, complete := s.replica.Behind()
+	return complete && behind == 0
+}
+
+// Position returns what the copy has.
 func (s *Standby) Position() Position { return s.replica.Position() }
 
-// Replica returns the copy, for the log on disk.
+// Replica returns the copy, which the decision log keeps on disk.
 func (s *Standby) Replica() *Replica { return s.replica }
 
-// MayResync tells whether a snapshot may be asked for now, and notes that it is.
+// MayResync returns whether a snapshot may be requested now. If so, the caller requests one: the next
+// is counted from now on.
 func (s *Standby) MayResync(now time.Time) bool {
 	if !s.resyncAt.IsZero() && now.Sub(s.resyncAt) < s.timeouts.Resync {
 		return false
@@ -168,7 +143,8 @@
 	return true
 }
 
-// Lag is how many changes the copy is known to lack, and how long ago its leader was heard.
+// Lag returns how many changes the copy is known to lack, and the time since the last frame of its
+// leader; 0 if none has come.
 func (s *Standby) Lag(now time.Time) (changes uint64, age time.Duration) {
 	changes, _ = s.replica.Behind()
 	if !s.heardAt.IsZero() {
@@ -176,71 +152,3 @@
 	}
 	return changes, age
 }
-
-// ClaimDelay is how long this controller lets others claim first once no leader is left: one
-// that has the state goes before one that lacks it, and the successor that a leader has
-// named before all. The delay is bounded, so that a lagging standby still takes over where
-// it is the only one.
-func (s *Standby) ClaimDelay(now time.Time) time.Duration {
-	if s.successor != "" && now.Sub(s.successorAt) < s.timeouts.Recent {
-		if s.successor == s.name {
-			return 0
-		}
-		return s.timeouts.HandOver
-	}
-	if s.state == Following {
-		return 0
-	}
-	return s.timeouts.ClaimDelay
-}
-
-// Claimed notes that this controller has claimed a term.
-func (s *Standby) Claimed(c Claim) {
-	s.claim, s.successor = c, ""
-	s.move(Confirming)
-}
-
-// Confirm decides whether the takeover goes on from the copy, once the state service was
-// read as of a revision. The claim itself proves that the old leader can no longer act;
-// that the records read are the newest follows from the revision, and that the copy is the
-// old leader's from the term. Without a copy the takeover goes on from the records alone.
-func (s *Standby) Confirm(now time.Time, readRevision uint64) (View, error) {
-	if s.state != Confirming {
-		return View{}, ErrNotConfirming
-	}
-	if readRevision < s.claim.Revision {
-		return View{}, ErrBehindClaim
-	}
-	view, err := s.view(now)
-	if err == nil {
-		s.counts.Confirmed++
-	} else {
-		s.counts.Unconfirmed++
-	}
-	s.move(Active)
-	return view, err
-}
-
-// view is the copy, if it is the last state of the leader before.
-func (s *Standby) view(now time.Time) (View, error) {
-	if behind, complete := s.replica.Behind(); !complete || behind > 0 {
-		return View{}, ErrIncomplete
-	}
-	if s.replica.Term()+1 != s.claim.Term {
-		return View{}, ErrOtherTerm
-	}
-	age := now.Sub(s.heardAt)
-	recent := !s.heardAt.IsZero() && age <= s.timeouts.Recent
-	return View{Entries: s.replica.Entries(), Recent: recent, Age: age}, nil
-}
-
-// TermEnded notes that a term of this controller is over. What it knew is replaced by the
-// next leader's state. It may have claimed a later term already.
-func (s *Standby) TermEnded(term uint64) {
-	if s.claim.Term != term || s.state != Confirming && s.state != Active {
-		return
-	}
-	s.replica.Reset()
-	s.heardAt = time.Time{}
-	s.move(SteppedDown)
-}
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// followingPair is a follower that has all changes.
+// followingPair returns a leader with a follower that has all changes.
 func followingPair(t *testing.T) *pair {
 	p := newPair(t, 7)
 	p.change(30)
@@ -17,8 +17,9 @@
 	return p
 }
 
-// The copy is used only by a claim of the very next term, after the state service was read as
-// of the claim, and if no change is missing. Whatever else, the takeover goes on without it.
+// A takeover uses the copy only if the claim is of the very next term, the records were read as of
+// the claim and no change is missing; else it goes on without. A copy that is used though another
+// leader has acted since would place tasks by a state that isn't true any more.
 func TestConfirm(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -31,14 +32,14 @@
 		{name: "current", claim: Claim{2, 70}, read: 70, recent: true},
 		{name: "read before the claim", claim: Claim{2, 70}, read: 69, want: ErrBehindClaim},
 		{name: "another leader in between", claim: Claim{3, 70}, read: 70, want: ErrOtherTerm},
-		{name: "changes missing", prepare: func(p *pair) {
+		{name: "changes known to be missing", prepare: func(p *pair) {
 			p.change(10)
 			p.follower.Receive(p.now, Frame{Kind: Heartbeat, Term: 1, Sequence: p.publisher.newest, Newest: p.publisher.newest})
 		}, claim: Claim{2, 70}, read: 70, want: ErrIncomplete},
-		{name: "a gap", prepare: func(p *pair) {
+		{name: "dropped after a gap", prepare: func(p *pair) {
 			p.follower.Receive(p.now, Frame{Kind: Changes, Term: 1, Sequence: 99, Newest: 99, Entries: []Entry{{Key: "k"}}})
 		}, claim: Claim{2, 70}, read: 70, want: ErrIncomplete},
-		{name: "long ago", prepare: func(p *pair) { p.now = p.now.Add(testTimeouts().Recent + time.Second) }, claim: Claim{2, 70}, read: 71},
+		{name: "leader last heard long ago", prepare: func(p *pair) { p.now = p.now.Add(testTimeouts().Recent + time.Second) }, claim: Claim{2, 70}, read: 71},
 	} {
 		p := followingPair(t)
 		if c.prepare != nil {
@@ -64,15 +65,16 @@
 	}
 }
 
-// Frames of a leader that is over, such as one that was paused and has woken up, change
-// nothing once this controller has claimed, nor once another leader was heard.
+// Frames of an earlier leader, such as one that was paused and goes on, change nothing once this
+// controller has claimed a term or has received frames of a later leader: they would mix two
+// leaders' states.
 func TestOldLeaderWakes(t *testing.T) {
 	p := followingPair(t)
 	p.follower.Claimed(Claim{2, 70})
 	p.change(5)
 	p.pump()
 	if p.follower.State() != Confirming {
-		t.Fatalf("an old leader's frame ends the claim: %v", p.follower.State())
+		t.Fatalf("%v after an earlier leader's frames, want confirming", p.follower.State())
 	}
 	if _, err := p.follower.Confirm(p.now, 70); err != nil {
 		t.Fatal(err)
@@ -91,8 +93,8 @@
 	}
 	old.Publish([]Entry{{Key: "late", Value: []byte("x")}})
 	for f, ok := old.Next(p.now, "b"); ok; f, ok = old.Next(p.now, "b") {
-		if verdict := p.follower.Receive(p.now, f); verdict != Ignored {
-			t.Fatalf("a frame of the older term is %v", verdict)
+		if outcome := p.follower.Receive(p.now, f); outcome != Ignored {
+			t.Fatalf("a frame of the older term is %v", outcome)
 		}
 	}
 	if p.follower.Position() != at {
@@ -100,18 +102,19 @@
 	}
 }
 
-// A current standby claims at once, one that lacks changes lets it go first, but not for
-// good; the named successor of a leader goes before all.
+// The successor that a leader has named claims first, and a standby with a current copy before one
+// without; a successor that doesn't claim doesn't hold the others back for good. Otherwise takeovers
+// would be cold though a copy is there, or not come about at all.
 func TestWhoClaimsFirst(t *testing.T) {
 	p := followingPair(t)
 	lagging := New("c", testTimeouts())
 	if p.follower.ClaimDelay(p.now) != 0 || lagging.ClaimDelay(p.now) != testTimeouts().ClaimDelay {
-		t.Fatal("a lagging standby doesn't wait for a current one")
+		t.Fatal("the lagging standby doesn't let the current one claim first")
 	}
 	other := New("d", testTimeouts())
 	p.publisher.Follow("d", Position{})
 	if named := p.publisher.HandOver([]string{"b", "d", "x"}); named != "b" {
-		t.Fatalf("%q is to take over, and has nothing", named)
+		t.Fatalf("%q is named, want b, the only one with the state", named)
 	}
 	for f, ok := p.publisher.Next(p.now, "d"); ok; f, ok = p.publisher.Next(p.now, "d") {
 		other.Receive(p.now, f)
@@ -126,12 +129,13 @@
 	}
 }
 
-// A leader whose followers all lack its state names no successor.
+// A leader whose followers all lack its state names no successor: the others would let one claim first
+// that is no better than they are.
 func TestNoSuccessor(t *testing.T) {
 	p := NewPublisher(4, testOptions())
 	p.Publish([]Entry{{Key: "k", Value: []byte("v")}})
 	p.Follow("b", Position{})
 	if named := p.HandOver([]string{"b", "c"}); named != "" {
-		t.Fatalf("%q is to take over", named)
+		t.Fatalf("%q is named, and has no state", named)
 	}
 }
--- a/internal/standby/phases.go
+++ b/internal/standby/takeover_phases.go
@@ -2,33 +2,44 @@
 
 import "time"
 
-// Phase is a moment of a takeover.
+// Phase is a step of a takeover that is timed.
 type Phase uint8
 
 // Phases of a takeover, in their order.
 const (
-	LastHeard   Phase = iota // the old leader was last heard
-	Vacant                   // the leader's lease was seen to have lapsed or been given up
-	ClaimStored              // the claim was stored
-	ViewCurrent              // the state service was read, and the copy confirmed or given up
-	FirstAnswer              // a worker's heartbeat was answered
-	FirstStart               // a start was given
+	LastHeard   Phase = iota // the last frame of the earlier leader came
+	Vacant                   // the leader's lease was seen to have expired or been given up
+	ClaimStored              // the state service has stored the claim
+	ViewCurrent              // the records were read, and the copy confirmed or given up
+	FirstAnswer              // the first heartbeat of a worker was answered
+	FirstStart               // the first start was sent
 	phases
 )
 
+// phaseNames are labels of metrics.
 var phaseNames = [...]string{"last heard", "vacant", "claimed", "view current", "first answer", "first start"}
 
 // String returns the phase's name.
 func (p Phase) String() string { return phaseNames[p] }
 
-// Takeover is when each phase of a takeover was first reached.
+// Phases returns all phases in their order.
+func Phases() []Phase {
+	all := make([]Phase, 0, phases)
+	for p := LastHeard; p < phases; p++ {
+		all = append(all, p)
+	}
+	return all
+}
+
+// Takeover records when each phase of a takeover was reached.
 type Takeover struct {
 	Term uint64
 	Warm bool // it went on from the copy
 	at   [phases]time.Time
 }
 
-// Reached notes that a phase is reached; only the first time counts. It tells whether it was.
+// Reached records that a phase was reached, and returns whether this is the first time; later times
+// aren't recorded.
 func (t *Takeover) Reached(p Phase, at time.Time) bool {
 	if !t.at[p].IsZero() {
 		return false
@@ -37,23 +48,13 @@
 	return true
 }
 
-// At is when a phase was reached; zero if it wasn't.
+// At returns when a phase was reached; zero if it wasn't.
 func (t *Takeover) At(p Phase) time.Time { return t.at[p] }
 
-// Since is how long after the place was seen vacant a phase was reached; false if either
-// wasn't.
-func (t *Takeover) Since(p Phase) (time.Duration, bool) {
+// Since returns the time from Vacant to a phase; false if either wasn't reached.
+func (t *Takeover) Since(p Phase) (elapsed time.Duration, reached bool) {
 	if t.at[Vacant].IsZero() || t.at[p].IsZero() {
 		return 0, false
 	}
 	return t.at[p].Sub(t.at[Vacant]), true
 }
-
-// Phases lists all phases in their order.
-func Phases() []Phase {
-	all := make([]Phase, 0, phases)
-	for p := LastHeard; p < phases; p++ {
-		all = append(all, p)
-	}
-	return all
-}
--- a/internal/standby/timeouts.go
+++ b/internal/standby/timeouts.go
@@ -2,21 +2,36 @@
 
 import "time"
 
+// Timeouts are the time bounds of a standby, derived from the deployment's settings.
+type Timeouts struct {
+	// Recent is for how long after the last frame of a leader its knowledge of machines is taken to
+	// hold, and its choice of a successor is respected.
+	Recent time.Duration
+	// ClaimDelay is how long a standby without a current copy lets others claim first.
+	ClaimDelay time.Duration
+	// HandOver is how long a standby lets the successor that a leader has named claim first.
+	HandOver time.Duration
+	// Resync is the shortest time between two requests for a snapshot.
+	Resync time.Duration
+}
+
 const (
-	// recentSlack is what the last word of a leader may be older than two heartbeat intervals:
-	// the lease of a leader that has died has to lapse first. It is the same as the time
-	// after which a leader takes a machine for unresponsive.
+	// recentSlack is by how much the last frame of a leader may be older than two heartbeat
+	// intervals, since the lease of a leader that has died has to expire first. A leader takes a
+	// machine for unresponsive after the same time.
 	recentSlack = 5 * time.Second
-	// claimDelay is how long a standby that lacks the state lets others claim first. A
-	// claim takes about a tenth of a second.
+	// claimDelay leaves time for a claim, which takes about 0.1 s.
 	claimDelay = 400 * time.Millisecond
-	// handOverDelay is how long the others let the named successor claim first.
+	// handOverDelay leaves the successor time to learn that the lease was given up.
 	handOverDelay = time.Second
 )
 
-// TimeoutsFor derives a standby's margins from a deployment's settings.
-func TimeoutsFor(reportEvery, snapshotInterval time.Duration) Timeouts {
+// TimeoutsFor derives the time bounds of a standby from a deployment's settings.
+func TimeoutsFor(heartbeatInterval, snapshotInterval time.Duration) Timeouts {
 	return Timeouts{
-		Recent: 2*reportEvery + recentSlack, ClaimDelay: claimDelay, HandOver: handOverDelay, Resync: snapshotInterval,
+		Recent:     2*heartbeatInterval + recentSlack,
+		ClaimDelay: claimDelay,
+		HandOver:   handOverDelay,
+		Resync:     snapshotInterval,
 	}
 }
