--- a/internal/standbyrpc/client.go
+++ b/internal/standbyrpc/client.go
@@ -13,17 +13,18 @@
 	"gingertally/internal/standby/standbypb"
 )
 
-// ErrUnsupported says that the leader is of a version without the stream.
+// ErrUnsupported says that the leader's version doesn't have the stream.
 var ErrUnsupported = errors.New("the leader has no warm state to follow")
 
 // Received is what a follower answers to a frame.
 type Received struct {
-	At     standby.Position
-	Resync bool // its copy was dropped, and it asks for another
+	At     standby.Position // what its copy has
+	Resync bool             // it has dropped its copy and requests a snapshot
 }
 
-// Follow follows a leader from a position on, and hands each frame to receive, until the
-// stream or ctx ends.
+// Follow receives the frames of a leader, from a position on, and passes each to receive, whose
+// result is sent back. It returns once the stream or ctx ends, always with an error: ErrUnsupported,
+// or one that says how the stream ended.
 func Follow(ctx context.Context, connection grpc.ClientConnInterface, self string, from standby.Position, receive func(standby.Frame) Received) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -31,11 +32,10 @@
 	if err != nil {
 		return followError(err)
 	}
-	request := &standbypb.FollowRequest{From: self, Term: from.Term, Sequence: from.Sequence}
-	if err := stream.Send(request); err != nil {
+	last := Received{At: from}
+	if err := stream.Send(followRequest(self, last)); err != nil {
 		return followError(err)
 	}
-	last := Received{At: from}
 	for {
 		message, err := stream.Recv()
 		if err != nil {
@@ -43,16 +43,23 @@
 		}
 		received := receive(fromWire(message))
 		if received == last && !received.Resync {
-			continue
+			continue // the leader knows
 		}
 		last = received
-		answer := &standbypb.FollowRequest{From: self, Term: received.At.Term, Sequence: received.At.Sequence, Resync: received.Resync}
-		if err := stream.Send(answer); err != nil {
+		if err := stream.Send(followRequest(self, received)); err != nil {
 			return followError(err)
 		}
 	}
 }
 
+// followRequest returns the message that tells the leader what a follower has.
+func followRequest(self string, received Received) *standbypb.FollowRequest {
+	return &standbypb.FollowRequest{
+		From: self, Term: received.At.Term, Sequence: received.At.Sequence, Resync: received.Resync,
+	}
+}
+
+// followError returns the error by which a stream has ended.
 func followError(err error) error {
 	if status.Code(err) == codes.Unimplemented {
 		return ErrUnsupported
--- a/internal/standbyrpc/convert.go
+++ b/internal/standbyrpc/convert.go
@@ -1,4 +1,3 @@
-// Package standbyrpc carries the stream of the warm state between the controllers over gRPC.
 package standbyrpc
 
 import (
@@ -6,18 +5,10 @@
 	"gingertally/internal/standby/standbypb"
 )
 
-// kinds are the wire's words for the kinds of frames.
-var kinds = map[standby.FrameKind]standbypb.Frame_Kind{
-	standby.Snapshot:  standbypb.Frame_SNAPSHOT,
-	standby.Changes:   standbypb.Frame_CHANGES,
-	standby.Heartbeat: standbypb.Frame_HEARTBEAT,
-	standby.HandOver:  standbypb.Frame_HAND_OVER,
-}
-
-// toWire puts a frame into its wire form.
+// toWire converts a frame to its message.
 func toWire(f standby.Frame) *standbypb.Frame {
 	message := &standbypb.Frame{
-		Kind: kinds[f.Kind], Term: f.Term, Sequence: f.Sequence, Newest: f.Newest,
+		Kind: kindToWire(f.Kind), Term: f.Term, Sequence: f.Sequence, Newest: f.Newest,
 		Part: uint32(f.Part), Last: f.Last, Successor: f.Successor,
 		Entries: make([]*standbypb.Entry, 0, len(f.Entries)),
 	}
@@ -30,18 +21,12 @@
 	return message
 }
 
-// fromWire reads a frame. Frames of unknown kinds, as of a later version, become heartbeats:
-// what they bring is missing then, and the digest will tell.
+// fromWire converts a message to its frame.
 func fromWire(message *standbypb.Frame) standby.Frame {
 	f := standby.Frame{
-		Kind: standby.Heartbeat, Term: message.Term, Sequence: message.Sequence, Newest: message.Newest,
+		Kind: kindFromWire(message.Kind), Term: message.Term, Sequence: message.Sequence, Newest: message.Newest,
 		Part: int(message.Part), Last: message.Last, Successor: message.Successor,
 	}
-	for kind, name := range kinds {
-		if name == message.Kind {
-			f.Kind = kind
-		}
-	}
 	if message.Digest != nil {
 		f.HasDigest, f.Digest = true, *message.Digest
 	}
@@ -50,3 +35,31 @@
 	}
 	return f
 }
+
+func kindToWire(kind standby.FrameKind) standbypb.Frame_Kind {
+	switch kind {
+	case standby.Snapshot:
+		return standbypb.Frame_SNAPSHOT
+	case standby.Changes:
+		return standbypb.Frame_CHANGES
+	case standby.Heartbeat:
+		return standbypb.Frame_HEARTBEAT
+	case standby.HandOver:
+		return standbypb.Frame_HAND_OVER
+	}
+	return standbypb.Frame_UNKNOWN
+}
+
+// kindFromWire takes a kind that only a later version has for a heartbeat. If such a frame brings
+// changes, the follower's copy lacks them, which the next digest shows.
+func kindFromWire(kind standbypb.Frame_Kind) standby.FrameKind {
+	switch kind {
+	case standbypb.Frame_SNAPSHOT:
+		return standby.Snapshot
+	case standbypb.Frame_CHANGES:
+		return standby.Changes
+	case standbypb.Frame_HAND_OVER:
+		return standby.HandOver
+	}
+	return standby.Heartbeat
+}
--- a/internal/standbyrpc/golden_test.go
+++ b/internal/standbyrpc/golden_test.go
@@ -11,7 +11,8 @@
 	"gingertally/internal/standby/standbypb"
 )
 
-// The form of the stream's messages.
+// The encoded form of the stream's messages, by which controllers of different versions understand
+// each other during an upgrade.
 func TestFramesGolden(t *testing.T) {
 	var lines goldentest.Lines
 	marshal := proto.MarshalOptions{Deterministic: true}
--- a/internal/standbyrpc/server.go
+++ b/internal/standbyrpc/server.go
@@ -12,41 +12,45 @@
 	"gingertally/internal/standby/standbypb"
 )
 
-// Source is the leader's end of the stream. Its methods may be called at the same time.
+// Source is the leader's end of the stream. Its methods are called concurrently.
 type Source interface {
-	// Join has a follower served from a position on. The channel is signalled when there
-	// may be a next frame. It fails on a node that doesn't lead.
+	// Join begins to serve a follower from a position on. The channel is signalled when there may
+	// be another frame. The error says that this controller doesn't lead.
 	Join(follower string, from standby.Position) (wake <-chan struct{}, err error)
-	// Next is the next frame for a follower, if there is one. It fails once the node leads
-	// no longer.
+	// Next returns the next frame for a follower; false if there is none now. The error says that
+	// this controller doesn't lead any more.
 	Next(follower string) (frame standby.Frame, ok bool, err error)
-	// Acknowledge notes a follower's position; resync says that its copy was dropped.
+	// Acknowledge takes in what a follower has; resync requests a snapshot for it.
 	Acknowledge(follower string, at standby.Position, resync bool)
-	// Leave forgets a follower, unless it has joined anew since.
+	// Leave ends the serving of a follower, unless it has joined again since and so has another
+	// channel.
 	Leave(follower string, wake <-chan struct{})
 }
 
+// server implements the gRPC service.
 type server struct {
 	standbypb.UnimplementedStandbyServer
 	source Source
 }
 
-// Register has a gRPC server serve followers.
+// Register adds the stream of a source to a gRPC server.
 func Register(registrar grpc.ServiceRegistrar, source Source) {
 	standbypb.RegisterStandbyServer(registrar, &server{source: source})
 }
 
-// pollEvery is how often a stream looks for a frame that nothing has signalled, such as a
-// heartbeat.
-const pollEvery = 100 * time.Millisecond
+// pollInterval is how often a stream asks for a frame that no signal announces, such as a heartbeat.
+const pollInterval = 100 * time.Millisecond
 
-// Follow serves one follower until it or the leader's term ends.
+// Follow serves one follower until its stream or the leader's term ends.
+//
+// The goroutine that receives isn't waited for: gRPC lets its Recv return only once this method has
+// returned.
 func (s *server) Follow(stream standbypb.Standby_FollowServer) error {
 	first, err := stream.Recv()
 	if err != nil {
 		return err
 	}
-	wake, err := s.source.Join(first.From, standby.Position{Term: first.Term, Sequence: first.Sequence})
+	wake, err := s.source.Join(first.From, positionOf(first))
 	if err != nil {
 		return status.Error(codes.FailedPrecondition, err.Error())
 	}
@@ -55,25 +59,31 @@
 	defer cancel()
 	go func() {
 		defer cancel()
-		s.receive(stream) // ends at the latest once this call has returned
+		s.receive(stream)
 	}()
 	return s.send(ctx, stream, first.From, wake)
 }
 
-// receive takes in the follower's positions until the stream ends.
+// positionOf returns the position in a follower's message.
+func positionOf(request *standbypb.FollowRequest) standby.Position {
+	return standby.Position{Term: request.Term, Sequence: request.Sequence}
+}
+
+// receive passes the follower's messages to the source until the stream ends.
 func (s *server) receive(stream standbypb.Standby_FollowServer) {
 	for {
 		request, err := stream.Recv()
 		if err != nil {
 			return
 		}
-		s.source.Acknowledge(request.From, standby.Position{Term: request.Term, Sequence: request.Sequence}, request.Resync)
+		s.source.Acknowledge(request.From, positionOf(request), request.Resync)
 	}
 }
 
-// send sends frames as they come. A follower that is slow holds up this stream alone.
+// send sends frames until ctx or the leader's term ends. A slow follower holds up only its own
+// stream.
 func (s *server) send(ctx context.Context, stream standbypb.Standby_FollowServer, follower string, wake <-chan struct{}) error {
-	poll := time.NewTicker(pollEvery)
+	poll := time.NewTicker(pollInterval)
 	defer poll.Stop()
 	for {
 		frame, ok, err := s.source.Next(follower)
--- a/internal/standbyrpc/standbyrpc_test.go
+++ b/internal/standbyrpc/standbyrpc_test.go
@@ -15,17 +15,17 @@
 	"gingertally/internal/standby"
 )
 
-// source is a leader, or, without a publisher, a node that doesn't lead.
+// source is a Source with a real publisher; without one it is that of a controller that doesn't lead.
 type source struct {
 	mu        sync.Mutex
 	publisher *standby.Publisher // nil: it doesn't lead
 	wake      chan struct{}
-	left      int
+	left      int // calls of Leave
 }
 
 var errNotLeading = errors.New("not leading")
 
-// Join has a follower served.
+// Join implements Source.
 func (s *source) Join(follower string, from standby.Position) (<-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -36,18 +36,18 @@
 	return s.wake, nil
 }
 
-// Next is the next frame.
+// Next implements Source.
 func (s *source) Next(follower string) (standby.Frame, bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.publisher == nil {
 		return standby.Frame{}, false, errNotLeading
 	}
-	f, ok := s.publisher.Next(time.Now(), follower)
-	return f, ok, nil
+	frame, ok := s.publisher.Next(time.Now(), follower)
+	return frame, ok, nil
 }
 
-// Acknowledge notes a position.
+// Acknowledge implements Source.
 func (s *source) Acknowledge(follower string, at standby.Position, resync bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -60,13 +60,14 @@
 	}
 }
 
-// Leave counts followers that are gone.
+// Leave implements Source.
 func (s *source) Leave(string, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.left++
 }
 
+// change publishes the changes with numbers from up to to, and signals them.
 func (s *source) change(from, to int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,14 +80,15 @@
 	}
 }
 
+// caughtUp returns whether follower b has all changes.
 func (s *source) caughtUp() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.publisher.CaughtUp("b")
 }
 
-// serve serves a source on loopback, nil standing for a version without the stream, and
-// returns a connection to it.
+// serve serves a source on the loopback interface and returns a connection to it. A nil source stands
+// for a version without the stream.
 func serve(t *testing.T, s *source) *grpc.ClientConn {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -107,13 +109,14 @@
 	return connection
 }
 
+// leading returns the source of a leader in term 3.
 func leading() *source {
 	options := standby.Options{QueueBound: 1000, SnapshotInterval: time.Millisecond, Heartbeat: 20 * time.Millisecond}
 	return &source{publisher: standby.NewPublisher(3, options), wake: make(chan struct{}, 1)}
 }
 
-// A follower gets a snapshot and then each change, asks anew when it has lost its copy, and
-// ends in the leader's state.
+// A follower receives a snapshot and then each change, requests a snapshot when it has dropped its
+// copy, and has the leader's state in the end. Otherwise every takeover would be a cold one.
 func TestFollow(t *testing.T) {
 	s := leading()
 	connection := serve(t, s)
@@ -122,28 +125,28 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	frames := 0
-	over := make(chan error, 1)
+	ended := make(chan error, 1)
 	go func() {
-		over <- Follow(ctx, connection, "b", replica.Position(), func(f standby.Frame) Received {
+		ended <- Follow(ctx, connection, "b", replica.Position(), func(f standby.Frame) Received {
 			if frames++; frames == 4 {
 				replica.Reset() // as if it had been found to differ
 				return Received{Resync: true}
 			}
-			verdict := replica.Apply(f)
-			return Received{At: replica.Position(), Resync: verdict.Lost()}
+			outcome := replica.Apply(f)
+			return Received{At: replica.Position(), Resync: outcome.Lost()}
 		})
 	}()
 	for i := range 20 {
 		s.change(200+20*i, 220+20*i)
 		time.Sleep(2 * time.Millisecond)
 	}
-	for end := time.Now().Add(20 * time.Second); !s.caughtUp(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(20 * time.Second); !s.caughtUp(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatal("the follower never caught up")
 		}
 	}
 	cancel()
-	if err := <-over; err == nil {
+	if err := <-ended; err == nil {
 		t.Fatal("no error at the stream's end")
 	}
 	s.mu.Lock()
@@ -156,20 +159,21 @@
 	}
 }
 
-// A node that doesn't lead refuses followers, and one of a version without the stream is told
-// apart, so that it is left alone.
+// A controller that doesn't lead refuses followers, and one whose version doesn't have the stream is
+// told apart by ErrUnsupported: it would otherwise be asked again all the time.
 func TestNobodyToFollow(t *testing.T) {
 	receive := func(standby.Frame) Received { return Received{} }
 	err := Follow(t.Context(), serve(t, &source{}), "b", standby.Position{}, receive)
 	if err == nil || errors.Is(err, ErrUnsupported) {
-		t.Fatalf("from a node that doesn't lead: %v", err)
+		t.Fatalf("from a controller that doesn't lead: %v", err)
 	}
 	if err := Follow(t.Context(), serve(t, nil), "b", standby.Position{}, receive); !errors.Is(err, ErrUnsupported) {
 		t.Fatalf("from a version without the stream: %v", err)
 	}
 }
 
-// Every frame is the same after the wire, and one of a later version's kind is no change.
+// A frame is the same after it was sent and received, and one of a kind that only a later version has
+// is taken for a heartbeat: it must neither end the stream nor change the copy.
 func TestFramesOnTheWire(t *testing.T) {
 	for _, f := range []standby.Frame{
 		{Kind: standby.Snapshot, Term: 1, Sequence: 9, Newest: 12, Part: 2, Last: true, HasDigest: true, Digest: 77, Entries: []standby.Entry{{Key: "a", Value: []byte("x")}}},
@@ -188,28 +192,28 @@
 	}
 }
 
-// The stream ends with the leader's term, though nothing closes the connection: the follower
-// must be free to follow the next term, also of the same node. It once waited for good.
+// The stream ends with the leader's term, though nothing closes the connection, so that the follower
+// can follow the next leader, which may be the same controller. It once waited for good.
 func TestStreamEndsWithTheTerm(t *testing.T) {
 	s := leading()
 	connection := serve(t, s)
 	s.change(0, 10)
-	over := make(chan error, 1)
-	heard := make(chan struct{}, 1000)
+	ended := make(chan error, 1)
+	received := make(chan struct{}, 1000)
 	replica := standby.NewReplica()
 	go func() {
-		over <- Follow(t.Context(), connection, "b", standby.Position{}, func(f standby.Frame) Received {
+		ended <- Follow(t.Context(), connection, "b", standby.Position{}, func(f standby.Frame) Received {
 			replica.Apply(f)
-			heard <- struct{}{}
+			received <- struct{}{}
 			return Received{At: replica.Position()}
 		})
 	}()
-	<-heard
+	<-received
 	s.mu.Lock()
 	s.publisher = nil
 	s.mu.Unlock()
 	select {
-	case err := <-over:
+	case err := <-ended:
 		if err == nil || errors.Is(err, ErrUnsupported) {
 			t.Fatalf("the stream ended with %v", err)
 		}
@@ -219,6 +223,6 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.left != 1 {
-		t.Fatalf("the follower was let go %d times", s.left)
+		t.Fatalf("Leave was called %d times", s.left)
 	}
 }
