--- a/internal/decisionlog/decisionlog_test.go
+++ b/internal/decisionlog/decisionlog_test.go
@@ -12,9 +12,10 @@
 	"gingertally/internal/standby"
 )
 
+// testBytes is the size of the logs in tests.
 const testBytes = 40_000
 
-// writer is a leader whose changes a log takes.
+// writer is a leader with a log to which its changes are written.
 type writer struct {
 	t         *testing.T
 	rng       *rand.Rand
@@ -23,6 +24,7 @@
 	now       time.Time
 }
 
+// newWriter opens the log in a directory, and returns a new leader that writes it and what it held.
 func newWriter(t *testing.T, directory string, seed uint64) (*writer, Recovered) {
 	t.Helper()
 	log, recovered, err := Open(directory, testBytes)
@@ -35,10 +37,10 @@
 	return w, recovered
 }
 
-// change makes changes and has the log take them, and returns the first error.
+// change makes n random changes and writes them to the log; it returns the first error.
 func (w *writer) change(n int) error {
 	for range n {
-		// Keys are bytes, not text: once such a log couldn't be read again.
+		// The key isn't valid text: a log with such keys once couldn't be read again.
 		e := standby.Entry{Key: fmt.Sprint("\xff\x80", w.rng.IntN(40))}
 		if w.rng.IntN(5) > 0 {
 			e.Value = fmt.Appendf(nil, "%0100d", w.rng.IntN(1000))
@@ -62,6 +64,7 @@
 	return nil
 }
 
+// size returns the size of all files in a directory, and their paths.
 func size(t *testing.T, directory string) (bytes int64, files []string) {
 	t.Helper()
 	entries, err := os.ReadDir(directory)
@@ -79,8 +82,8 @@
 	return bytes, files
 }
 
-// A log that is read again holds the leader's last state, however many segments were begun,
-// and takes no more than its bound.
+// A log that is opened again holds the leader's last state, however many segments were begun, and it
+// stays within its size: else a restart would begin without a copy, or the disk fill up.
 func TestLogIsReadAgain(t *testing.T) {
 	for seed := range uint64(10) {
 		directory := t.TempDir()
@@ -99,7 +102,7 @@
 		}
 		_, recovered := newWriter(t, directory, seed)
 		if at := recovered.Replica.Position(); at.Term != 7 || at.Sequence != w.publisher.Newest() || recovered.TornBytes != 0 {
-			t.Fatalf("seed %d: read up to %+v of %d, %d bytes torn", seed, at, w.publisher.Newest(), recovered.TornBytes)
+			t.Fatalf("seed %d: position %+v, want sequence %d, %d bytes torn", seed, at, w.publisher.Newest(), recovered.TornBytes)
 		}
 		if got, want := recovered.Replica.Entries(), w.publisher.Snapshot().Entries; fmt.Sprint(got) != fmt.Sprint(want) {
 			t.Fatalf("seed %d: read %d entries, the leader has %d", seed, len(got), len(want))
@@ -107,8 +110,9 @@
 	}
 }
 
-// A log that ends anywhere in a record, or has flipped bits, is read up to there; what follows is
-// cut off, and the log goes on behind it.
+// A log that ends anywhere in a record, or has flipped bits, is read up to there, and what follows is
+// cut off, so that the log can be written and read again. A damaged record must neither be taken for
+// a change nor keep the controller from starting.
 func TestTornTail(t *testing.T) {
 	for seed := range uint64(60) {
 		directory := t.TempDir()
@@ -154,7 +158,7 @@
 	}
 }
 
-// failingFile is a file on a disk that is full after so many bytes.
+// failingFile is a file on a disk that has room for so many more bytes.
 type failingFile struct {
 	File
 	left int
@@ -162,7 +166,7 @@
 
 var errFull = errors.New("no space left on device")
 
-// Write writes until the disk is full.
+// Write implements File.
 func (f *failingFile) Write(data []byte) (int, error) {
 	if len(data) > f.left {
 		n, _ := f.File.Write(data[:f.left])
@@ -173,7 +177,8 @@
 	return f.File.Write(data)
 }
 
-// A full disk is told, and leaves a log that can be read.
+// A full disk is an error, and the log can be read up to there: the controller goes on without the log,
+// and after a restart with what was written.
 func TestFullDisk(t *testing.T) {
 	directory := t.TempDir()
 	w, _ := newWriter(t, directory, 1)
@@ -193,7 +198,8 @@
 	}
 }
 
-// What is no segment of this format is left out, and a directory that isn't there is told.
+// Files that aren't segments of this format are left out, and a directory that doesn't exist is an
+// error: it is most likely a mistake in the settings.
 func TestForeignFiles(t *testing.T) {
 	directory := t.TempDir()
 	for name, content := range map[string]string{segmentPrefix + "0000000000000004" + segmentSuffix: "another format", "notes.txt": "x"} {
@@ -206,6 +212,30 @@
 		t.Fatalf("%+v, segment %d", recovered, w.log.number)
 	}
 	if _, _, err := Open(filepath.Join(directory, "none"), testBytes); err == nil {
-		t.Fatal("a directory that isn't there is taken")
+		t.Fatal("no error for a directory that doesn't exist")
+	}
+}
+
+// A frame can't be appended before a segment was begun: it would be written without the snapshot that
+// it changes.
+func TestAppendNeedsASegment(t *testing.T) {
+	log, _, err := Open(t.TempDir(), testBytes)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := log.Append(standby.Frame{}); !errors.Is(err, ErrNoSegment) || !log.Full() {
+		t.Errorf("without a segment: %v, full %v", err, log.Full())
+	}
+	if err := log.Begin(standby.Frame{Kind: standby.Snapshot, Last: true}); err != nil {
+		t.Fatal(err)
+	}
+	if err := log.Append(standby.Frame{}); err != nil {
+		t.Errorf("after a segment was begun: %v", err)
+	}
+	if err := log.Close(); err != nil {
+		t.Fatal(err)
+	}
+	if err := log.Append(standby.Frame{}); !errors.Is(err, ErrNoSegment) {
+		t.Errorf("after Close: %v", err)
 	}
 }
--- a/internal/decisionlog/golden_test.go
+++ b/internal/decisionlog/golden_test.go
@@ -9,11 +9,12 @@
 	"gingertally/internal/standby"
 )
 
-// The form of a segment on disk.
+// The form of a segment on disk, which a controller has to be able to read after an upgrade. Every
+// field of a frame is stored: one that is added to standby.Frame alone would be lost by a restart.
 func TestSegmentGolden(t *testing.T) {
 	frame := goldentest.Filled[standby.Frame]()
 	frame.Entries = append(frame.Entries, standby.Entry{Key: "\xff\x80"})
-	written := record(frame)
+	written := encodeRecord(frame)
 	var lines goldentest.Lines
 	lines.Add("magic %q", magic)
 	lines.Add("record %x", written)
--- /dev/null
+++ b/internal/decisionlog/record_test.go
@@ -0,0 +1,42 @@
+package decisionlog
+
+import (
+	"bytes"
+	"encoding/binary"
+	"errors"
+	"hash/crc32"
+	"testing"
+
+	"gingertally/internal/codec"
+)
+
+// recordOf returns a record with a payload.
+func recordOf(payload []byte) []byte {
+	record := binary.LittleEndian.AppendUint32(nil, uint32(len(payload)))
+	record = binary.LittleEndian.AppendUint32(record, crc32.Checksum(payload, checksumTable))
+	return append(record, payload...)
+}
+
+// A record that isn't one of this version's is torn, also if its checksum is right. Of a record of
+// the first version, whose entries stood elsewhere, everything but the entries would be read.
+func TestUnreadableRecordIsTorn(t *testing.T) {
+	frame := map[string]any{"Kind": 2, "Term": 1, "Sequence": 1, "Entries": nil}
+	if _, _, err := readRecord(bytes.NewReader(recordOf(codec.MustMarshal(frame)))); err != nil {
+		t.Fatalf("a record without entries: %v", err)
+	}
+	frame["Entries"] = []map[string]any{{"Key": "k", "Value": []byte{1}}}
+	wrongSum := recordOf(codec.MustMarshal("text"))
+	wrongSum[headerBytes-1] ^= 1
+	for name, record := range map[string][]byte{
+		"of the first version": recordOf(codec.MustMarshal(frame)),
+		"not a frame":          recordOf(codec.MustMarshal("text")),
+		"not CBOR":             recordOf([]byte{0xff}),
+		"wrong checksum":       wrongSum,
+		"too long":             binary.LittleEndian.AppendUint64(nil, maxRecordBytes+1),
+		"end of the segment":   nil,
+	} {
+		if frame, size, err := readRecord(bytes.NewReader(record)); !errors.Is(err, errTorn) || size != 0 {
+			t.Errorf("%s: %+v, %d bytes, %v", name, frame, size, err)
+		}
+	}
+}
--- /dev/null
+++ b/internal/decisionlog/replay.go
@@ -0,0 +1,60 @@
+package decisionlog
+
+import (
+	"bufio"
+	"io"
+	"os"
+)
+
+// magic is the beginning of each segment. A file that begins otherwise has another format, and counts
+// as damaged from its first byte.
+const magic = "GTDLOG1\n"
+
+// replaySegment applies the records of a segment up to the first that can't be read, and cuts off the
+// rest of the file.
+func (r *Recovered) replaySegment(path string) error {
+	intact, err := r.replayRecords(path)
+	if err != nil {
+		return err
+	}
+	return r.cutOff(path, intact)
+}
+
+// replayRecords applies the records of a segment up to the first that can't be read, and returns how
+// many bytes these and the magic take.
+func (r *Recovered) replayRecords(path string) (intact int64, err error) {
+	file, err := os.Open(path)
+	if err != nil {
+		return 0, err
+	}
+	defer func() { _ = file.Close() }() // it is only read
+	reader := bufio.NewReader(file)
+	begin := make([]byte, len(magic))
+	if _, err := io.ReadFull(reader, begin); err != nil || string(begin) != magic {
+		return 0, nil
+	}
+	intact = int64(len(magic))
+	for {
+		frame, size, err := readRecord(reader)
+		if err != nil {
+			return intact, nil
+		}
+		r.Replica.Apply(frame)
+		r.Records++
+		intact += size
+	}
+}
+
+// cutOff truncates a segment after its intact bytes.
+func (r *Recovered) cutOff(path string, intact int64) error {
+	info, err := os.Stat(path)
+	if err != nil {
+		return err
+	}
+	torn := info.Size() - intact
+	if torn <= 0 {
+		return nil
+	}
+	r.TornBytes += torn
+	return os.Truncate(path, intact)
+}
