--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -1,8 +1,3 @@
-// Package statestore is the client of the state service, a small consensus-backed key-value store:
-// transactions by compare-and-swap, leases and watches, within this node's part of its rates. It maps
-// the protocol's messages to the field's terms; nothing above it knows them.
-//
-// A Client may be used from any goroutine.
 package statestore
 
 import (
@@ -15,15 +10,16 @@
 	"golang.org/x/time/rate"
 )
 
-// Contact is what an answer says of the state service.
+// Contact says what a response shows about the state service.
 type Contact uint8
 
 // Kinds of contact.
 const (
-	Served  Contact = iota // it serves this node
-	Refused                // it answers, but only that it can't serve
+	Served  Contact = iota // it serves this controller
+	Refused                // it responds, but only that it can't serve
 )
 
+// contactOf returns what a status shows about the state service.
 func contactOf(status int) Contact {
 	if status == fasthttp.StatusServiceUnavailable {
 		return Refused
@@ -33,55 +29,55 @@
 
 // Client is a client of the state service.
 type Client struct {
-	http     *fasthttp.HostClient
+	http     *fasthttp.HostClient // for all requests but watches
 	watches  *fasthttp.HostClient
-	requests *rate.Limiter
-	writes   *rate.Limiter
+	requests *rate.Limiter // of all requests but those about leases
+	writes   *rate.Limiter // of the changes in transactions
 	contact  func(Contact)
 }
 
-// Options bound what a client asks for.
+// Options are the settings of a client.
 type Options struct {
 	Addr             string
-	Requests, Writes float64 // this node's part of the rates, per second
-	Burst            int     // of writes at once
-	MaxConns         int
-	// Contact is told of each answer. It may be nil.
+	Requests, Writes float64 // this controller's part of the rates, per second
+	Burst            int     // writes that may be sent at once
+	MaxConns         int     // connections, besides those of watches
+	// Contact is called with each response, from the goroutine of the request. It may be nil.
 	Contact func(Contact)
 }
 
 const (
 	dialTimeout  = time.Second
 	writeTimeout = 2 * time.Second
-	// callTimeout leaves room for the occasional few hundred milliseconds.
+	// callTimeout leaves room for responses that take a few hundred milliseconds now and then.
 	callTimeout = 1500 * time.Millisecond
-	// renewTimeout is short: a renewal that hangs is better sent again.
-	renewTimeout = 800 * time.Millisecond
-	listTimeout  = 2 * callTimeout
-	// watchBlock is how long the state service waits for news, watchTimeout for how
-	// long the answer is waited for, and watchReadTimeout how long a read may take.
+	// keepAliveTimeout is short: rather than waited for, a keep-alive is sent again.
+	keepAliveTimeout = 800 * time.Millisecond
+	listTimeout      = 2 * callTimeout
+	// watchBlock is how long the state service waits for changes, watchTimeout for how long the
+	// client waits for the response, and watchReadTimeout how long it may take to read it.
 	watchBlock       = 5 * time.Second
 	watchTimeout     = watchBlock + 2*time.Second
 	watchReadTimeout = watchBlock + 3*time.Second
-	// rateWait bounds the wait for a node's part of a rate.
-	rateWait = time.Second
-	idleConn = time.Minute
+	// maxRateWait is how long a request waits for this controller's part of the rates.
+	maxRateWait     = time.Second
+	idleConnTimeout = time.Minute
 )
 
 const (
-	// maxWatches bounds the watches at once.
-	maxWatches = 4
-	// maxResponse bounds an answer's body.
-	maxResponse = 8 << 20
-	// minBurst is how many requests may go at once however low the rate is.
+	// maxWatchConns bounds the connections of watches.
+	maxWatchConns = 4
+	// maxResponseBytes bounds the body of a response.
+	maxResponseBytes = 8 << 20
+	// minBurst is how many requests or writes may be sent at once, however low the rate is.
 	minBurst = 4
-	// pageSize is how many keys a list asks for at a time.
+	// pageSize is how many keys one request of a list asks for.
 	pageSize = 500
-	// shownBytes is how much of a refusal's text is passed on.
-	shownBytes = 200
+	// maxShownBytes is how much of the body of an unexpected response its error has.
+	maxShownBytes = 200
 )
 
-// New makes a client.
+// New returns a client. It connects with the first request.
 func New(options Options) *Client {
 	if options.Contact == nil {
 		options.Contact = func(Contact) {}
@@ -89,7 +85,7 @@
 	return &Client{
 		contact:  options.Contact,
 		http:     newHostClient(options.Addr, callTimeout, options.MaxConns),
-		watches:  newHostClient(options.Addr, watchReadTimeout, maxWatches),
+		watches:  newHostClient(options.Addr, watchReadTimeout, maxWatchConns),
 		requests: requestLimiter(options.Requests),
 		writes:   rate.NewLimiter(rate.Limit(options.Writes), max(minBurst, options.Burst)),
 	}
@@ -98,19 +94,19 @@
 func newHostClient(addr string, readTimeout time.Duration, conns int) *fasthttp.HostClient {
 	return &fasthttp.HostClient{
 		Addr: addr, MaxConns: conns, ReadTimeout: readTimeout, WriteTimeout: writeTimeout,
-		MaxIdleConnDuration: idleConn, MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true,
-		DisablePathNormalizing: true, MaxResponseBodySize: maxResponse,
+		MaxIdleConnDuration: idleConnTimeout, MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true,
+		DisablePathNormalizing: true, MaxResponseBodySize: maxResponseBytes,
 		Dial: func(addr string) (net.Conn, error) { return fasthttp.DialTimeout(addr, dialTimeout) },
 	}
 }
 
-// requestLimiter allows half a second's requests at once.
+// requestLimiter returns a limiter that lets half a second's requests be sent at once.
 func requestLimiter(perSecond float64) *rate.Limiter {
 	return rate.NewLimiter(rate.Limit(perSecond), max(minBurst, int(perSecond/2)))
 }
 
-// Part is the same client with a part of the rates of its own, so that neither
-// user of the two waits for the other.
+// Part returns a client that shares the connections of this one and has rates of its own, so that
+// the users of neither wait for those of the other.
 func (c *Client) Part(requests, writes float64) *Client {
 	part := *c
 	part.requests = requestLimiter(requests)
@@ -118,44 +114,52 @@
 	return &part
 }
 
-// call is a request to the state service.
-type call struct {
-	http    *fasthttp.HostClient
+// request is a request to the state service.
+type request struct {
+	client  *fasthttp.HostClient
 	method  string
 	uri     string
-	body    []byte
+	body    []byte // nil: none
 	timeout time.Duration
 }
 
-// do sends a request, without regard to the node's part of the rates.
-func (c *Client) do(ctx context.Context, call call) (status int, body []byte, err error) {
-	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
-	defer fasthttp.ReleaseRequest(request)
-	defer fasthttp.ReleaseResponse(response)
-	request.Header.SetMethod(call.method)
-	request.SetRequestURI("http://" + c.http.Addr + call.uri)
-	if call.body != nil {
-		request.Header.SetContentType("application/cbor")
-		request.SetBodyRaw(call.body)
+// response is the response to a request.
+type response struct {
+	status int
+	body   []byte
+}
+
+// do sends a request, whatever has been used of the rates. The error is ErrUnknownOutcome without a
+// response, and ErrUnavailable if the response says that the request wasn't executed.
+func (c *Client) do(ctx context.Context, r request) (response, error) {
+	httpRequest, httpResponse := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(httpRequest)
+	defer fasthttp.ReleaseResponse(httpResponse)
+	httpRequest.Header.SetMethod(r.method)
+	httpRequest.SetRequestURI("http://" + c.http.Addr + r.uri)
+	if r.body != nil {
+		httpRequest.Header.SetContentType("application/cbor")
+		httpRequest.SetBodyRaw(r.body)
 	}
-	deadline := time.Now().Add(call.timeout)
-	if sooner, ok := ctx.Deadline(); ok && sooner.Before(deadline) {
-		deadline = sooner
+	deadline := time.Now().Add(r.timeout)
+	if earlier, ok := ctx.Deadline(); ok && earlier.Before(deadline) {
+		deadline = earlier
 	}
-	if err := call.http.DoDeadline(request, response, deadline); err != nil {
-		return 0, nil, fmt.Errorf("%w: no answer: %w", ErrUnknownOutcome, err)
+	if err := r.client.DoDeadline(httpRequest, httpResponse, deadline); err != nil {
+		return response{}, fmt.Errorf("%w: no answer: %w", ErrUnknownOutcome, err)
 	}
-	status = response.StatusCode()
+	status := httpResponse.StatusCode()
 	c.contact(contactOf(status))
 	if status == fasthttp.StatusServiceUnavailable || status == fasthttp.StatusTooManyRequests {
-		return status, nil, fmt.Errorf("%w: status %d", ErrUnavailable, status)
+		return response{status: status}, fmt.Errorf("%w: status %d", ErrUnavailable, status)
 	}
-	return status, append([]byte(nil), response.Body()...), nil
+	return response{status, append([]byte(nil), httpResponse.Body()...)}, nil
 }
 
-// take waits for the node's part of a rate, but not for long.
-func take(ctx context.Context, limiter *rate.Limiter, n int) error {
-	ctx, cancel := context.WithTimeout(ctx, rateWait)
+// waitForRate waits until n more requests or writes are within a rate, or fails with ErrUnavailable
+// if that takes too long.
+func waitForRate(ctx context.Context, limiter *rate.Limiter, n int) error {
+	ctx, cancel := context.WithTimeout(ctx, maxRateWait)
 	defer cancel()
 	if err := limiter.WaitN(ctx, min(n, limiter.Burst())); err != nil {
 		return fmt.Errorf("%w: rate limit", ErrUnavailable)
--- a/internal/statestore/client_test.go
+++ b/internal/statestore/client_test.go
@@ -8,16 +8,17 @@
 	"time"
 )
 
-// A node that had been served within the last second once took that for service, and a busy
-// one whose rate was used up took itself for one in an outage. In the first case leaders
-// that were refused shortly before an outage lost their lease in it, and with it every task.
+// Serves asks the state service now, and takes a used-up rate for service. A controller that had been
+// served within the last second once took that for service: leaders that were refused shortly before
+// an outage lost their lease in it, and with it every task. And a busy one whose rate was used up took
+// itself for one in an outage.
 func TestServes(t *testing.T) {
 	status := http.StatusOK
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) }))
 	defer server.Close()
 	client := New(Options{Addr: strings.TrimPrefix(server.URL, "http://"), Requests: 0.001, Writes: 1, MaxConns: 2})
 	for range minBurst {
-		if err := take(t.Context(), client.requests, 1); err != nil {
+		if err := waitForRate(t.Context(), client.requests, 1); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -30,8 +31,8 @@
 		if got := client.Serves(t.Context(), "lead/holder"); got != c.want {
 			t.Errorf("status %d: serves %v", c.status, got)
 		}
-		if d := time.Since(began); d > rateWait/2 {
-			t.Errorf("status %d: took %s with the node's part of the rate used up", c.status, d)
+		if d := time.Since(began); d > maxRateWait/2 {
+			t.Errorf("status %d: took %s with the rate used up", c.status, d)
 		}
 	}
 }
--- a/internal/statestore/convert.go
+++ b/internal/statestore/convert.go
@@ -2,7 +2,7 @@
 
 import "gingertally/internal/wire"
 
-// The protocol's messages and the terms that the rest of the program knows them by.
+// This file converts between the protocol's messages and this package's types.
 
 func keyValueOf(item wire.StoreItem) KeyValue {
 	return KeyValue{Key: item.Path, Value: item.V, ModRevision: item.Stamp, Lease: LeaseID(item.Hold)}
--- a/internal/statestore/errors.go
+++ b/internal/statestore/errors.go
@@ -5,34 +5,36 @@
 	"fmt"
 )
 
-// Errors of the state service. Every error of a Client is a *RequestError around one of these, a
-// *ConflictError, an *UnexpectedStatusError or an error of the codec.
+// Causes of errors, which callers tell apart with errors.Is. Every error of a Client is a
+// *RequestError that wraps one of these, a *ConflictError, an *UnexpectedStatusError or
+// codec.ErrMalformed.
 var (
-	// ErrUnavailable says that the request was certainly not executed.
+	// ErrUnavailable says that the request was not executed: the state service can't serve it now,
+	// or a rate is used up. It may be sent again later.
 	ErrUnavailable = errors.New("unavailable")
 	// ErrUnknownOutcome says that the request may have been executed, or may yet be: there was no
-	// answer, or none that can be read.
+	// response, or none that can be understood.
 	ErrUnknownOutcome = errors.New("unknown outcome")
-	// ErrLeaseExpired says that a lease is over.
+	// ErrLeaseExpired says that a lease has ended.
 	ErrLeaseExpired = errors.New("lease expired")
-	// ErrRejected says that the request can never be executed as it stands: it is larger than
-	// the state service takes, say.
+	// ErrRejected says that the request was not executed and never can be, for example because it
+	// is larger than the state service takes.
 	ErrRejected = errors.New("rejected")
-	// ErrCompacted says that a watch starts too far back: the keys have to be read again.
+	// ErrCompacted says that the changes from which a watch starts aren't kept any more.
 	ErrCompacted = errors.New("compacted")
 )
 
-// NotExecuted tells whether an error says that a transaction was certainly not executed.
+// NotExecuted returns whether an error says that a transaction was not executed.
 func NotExecuted(err error) bool {
 	var conflict *ConflictError
 	return errors.Is(err, ErrUnavailable) || errors.Is(err, ErrRejected) || errors.As(err, &conflict)
 }
 
-// RequestError says which request failed, and why.
+// RequestError says which request failed and why.
 type RequestError struct {
 	Operation string // get, list, commit, …
-	Key       string // key or prefix, or the lease; empty if there is no one key
-	Err       error
+	Key       string // the key, prefix or lease, or one key of a transaction; empty if there is none
+	Err       error  // the cause
 }
 
 func (e *RequestError) Error() string {
@@ -45,12 +47,14 @@
 // Unwrap returns the cause.
 func (e *RequestError) Unwrap() error { return e.Err }
 
-// ConflictError names the keys whose conditions failed.
-type ConflictError struct{ Keys []string }
+// ConflictError says that a transaction was not executed since some of its conditions failed.
+type ConflictError struct {
+	Keys []string // of the conditions that failed
+}
 
 func (e *ConflictError) Error() string { return fmt.Sprintf("conditions failed: %v", e.Keys) }
 
-// UnexpectedStatusError is an answer with a status that the protocol doesn't have.
+// UnexpectedStatusError says that a response has a status that the protocol doesn't have.
 type UnexpectedStatusError struct {
 	Status int
 	Body   []byte // the beginning of it
@@ -60,7 +64,7 @@
 	return fmt.Sprintf("unexpected status %d: %s", e.Status, e.Body)
 }
 
-// unexpected is an answer with a status that the protocol doesn't have.
-func unexpected(status int, body []byte) error {
-	return &UnexpectedStatusError{Status: status, Body: body[:min(len(body), shownBytes)]}
+// unexpectedStatus returns the error for a response with an unexpected status.
+func unexpectedStatus(r response) error {
+	return &UnexpectedStatusError{Status: r.status, Body: r.body[:min(len(r.body), maxShownBytes)]}
 }
--- a/internal/statestore/leases.go
+++ b/internal/statestore/leases.go
@@ -12,10 +12,10 @@
 	"gingertally/internal/wire"
 )
 
-// Calls about leases don't wait for the node's part of the rates: a renewal that waits
-// loses the lease.
+// Requests about leases don't wait for this controller's part of the rates: a keep-alive that waits
+// would lose the lease.
 
-// Grant makes a lease.
+// Grant makes a lease that ends after a time unless it is kept alive.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	lease, err := c.grant(ctx, ttl)
 	if err != nil {
@@ -26,44 +26,46 @@
 
 func (c *Client) grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	body := codec.MustMarshal(wire.LeaseRequest{LifeMS: ttl.Milliseconds()})
-	status, answer, err := c.do(ctx, call{c.http, fasthttp.MethodPost, "/leases", body, callTimeout})
+	response, err := c.do(ctx, request{
+		client: c.http, method: fasthttp.MethodPost, uri: "/leases", body: body, timeout: callTimeout,
+	})
 	if err != nil {
 		return 0, err
 	}
-	if status != fasthttp.StatusOK {
-		return 0, unexpected(status, answer)
+	if response.status != fasthttp.StatusOK {
+		return 0, unexpectedStatus(response)
 	}
 	var grant wire.LeaseGrant
-	err = codec.Unmarshal(answer, &grant)
+	err = codec.Unmarshal(response.body, &grant)
 	return LeaseID(grant.Hold), err
 }
 
-// KeepAlive renews a lease for its full length; ErrLeaseExpired says that it is over.
+// KeepAlive renews a lease for its whole length. The error is ErrLeaseExpired if it has ended.
 func (c *Client) KeepAlive(ctx context.Context, lease LeaseID) error {
 	uri := fmt.Sprintf("/leases/%d/touch", lease)
-	status, body, err := c.do(ctx, call{c.http, fasthttp.MethodPost, uri, nil, renewTimeout})
+	response, err := c.do(ctx, request{client: c.http, method: fasthttp.MethodPost, uri: uri, timeout: keepAliveTimeout})
 	switch {
 	case err != nil:
-	case status == fasthttp.StatusNotFound:
+	case response.status == fasthttp.StatusNotFound:
 		err = ErrLeaseExpired
-	case status != fasthttp.StatusOK:
-		err = unexpected(status, body)
+	case response.status != fasthttp.StatusOK:
+		err = unexpectedStatus(response)
 	}
 	return leaseError("keep lease alive", lease, err)
 }
 
-// Revoke ends a lease, and deletes the keys attached to it. One that is over already is left
-// alone.
+// Revoke ends a lease, by which the keys that are attached to it are deleted. It is no error if the
+// lease has ended already.
 func (c *Client) Revoke(ctx context.Context, lease LeaseID) error {
 	uri := fmt.Sprintf("/leases/%d", lease)
-	status, body, err := c.do(ctx, call{c.http, fasthttp.MethodDelete, uri, nil, callTimeout})
-	if err == nil && status != fasthttp.StatusOK && status != fasthttp.StatusNotFound {
-		err = unexpected(status, body)
+	response, err := c.do(ctx, request{client: c.http, method: fasthttp.MethodDelete, uri: uri, timeout: callTimeout})
+	if err == nil && response.status != fasthttp.StatusOK && response.status != fasthttp.StatusNotFound {
+		err = unexpectedStatus(response)
 	}
 	return leaseError("revoke lease", lease, err)
 }
 
-// leaseError says which request about a lease failed; nil if none did.
+// leaseError returns the error of a request about a lease; nil if err is.
 func leaseError(operation string, lease LeaseID, err error) error {
 	if err == nil {
 		return nil
--- a/internal/statestore/kv.go
+++ b/internal/statestore/types.go
@@ -8,11 +8,11 @@
 	Key         string
 	Value       []byte
 	ModRevision uint64  // revision of the key's last change
-	Lease       LeaseID // the key is deleted when it ends; 0: none
+	Lease       LeaseID // the key is deleted when the lease ends; 0: none
 }
 
-// Compare is a condition of a transaction: the key's last change has this revision, 0 meaning
-// that the key doesn't exist.
+// Compare is a condition of a transaction: the key's last change has this revision. 0 says that the
+// key doesn't exist.
 type Compare struct {
 	Key         string
 	ModRevision uint64
@@ -26,19 +26,20 @@
 	Lease  LeaseID // of a put; 0 detaches the key from its lease
 }
 
-// Put sets a key's value.
+// Put returns the change that sets a key's value.
 func Put(key string, value []byte) Op { return Op{Key: key, Value: value} }
 
-// Delete deletes a key; one that doesn't exist is left alone.
+// Delete returns the change that deletes a key. It changes nothing if the key doesn't exist.
 func Delete(key string) Op { return Op{Key: key, Delete: true} }
 
-// Event is one change that a watch has seen. Of a delete, only key and revision are set.
+// Event is one change that a watch has seen. A delete has only the key and its revision.
 type Event struct {
 	KeyValue
 	Delete bool
 }
 
-// WatchResponse is what a watch has seen, and the revision up to which that is all.
+// WatchResponse holds the changes that a watch has seen, in their order, and the revision up to which
+// there were no others.
 type WatchResponse struct {
 	Revision uint64
 	Events   []Event
