--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -1,5 +1,9 @@
-// Package codec encodes and decodes CBOR, the form of all stored records and of the messages of the
-// outside interfaces.
+// Package codec encodes and decodes CBOR (RFC 8949), the form of stored records and of the messages of
+// the outside interfaces.
+//
+// Structs are encoded field by field in the order of their declaration. Maps aren't sorted: the same map
+// may have different bytes each time. Fields that a decoded struct doesn't have are ignored: they are
+// those of a later version. The functions are safe for concurrent use.
 package codec
 
 import (
@@ -11,78 +15,88 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ErrMalformed says that a record or message isn't what it has to be.
+// ErrMalformed says that bytes can't be decoded as the value that is wanted.
 var ErrMalformed = errors.New("malformed message")
 
+// Bounds of a decoded value. Lists from the cloud and the state service are long; bodies from users and
+// workers are bounded by their size before they are decoded.
+const (
+	maxArrayElements = 1 << 20
+	maxMapPairs      = 1 << 16
+)
+
 var (
-	encMode = mustEnc()
-	decMode = mustDec()
+	encMode = mustEncMode(cbor.EncOptions{Sort: cbor.SortNone})
+	decMode = mustDecMode(cbor.DecOptions{MaxArrayElements: maxArrayElements, MaxMapPairs: maxMapPairs})
+	// jsonMode decodes maps to the type that package json can encode.
+	jsonMode = mustDecMode(cbor.DecOptions{
+		MaxArrayElements: maxArrayElements, DefaultMapType: reflect.TypeFor[map[string]any](),
+	})
 )
 
-func mustEnc() cbor.EncMode {
-	m, err := cbor.EncOptions{Sort: cbor.SortNone}.EncMode()
+func mustEncMode(options cbor.EncOptions) cbor.EncMode {
+	mode, err := options.EncMode()
 	if err != nil {
-		panic(err)
+		panic(fmt.Sprintf("options of the encoder: %v", err))
 	}
-	return m
+	return mode
 }
 
-func mustDec() cbor.DecMode {
-	// Generous bounds for lists from the cloud and the store; bodies from users
-	// and workers are bounded by their size long before.
-	m, err := cbor.DecOptions{MaxArrayElements: 1 << 20, MaxMapPairs: 1 << 16}.DecMode()
+func mustDecMode(options cbor.DecOptions) cbor.DecMode {
+	mode, err := options.DecMode()
 	if err != nil {
-		panic(err)
+		panic(fmt.Sprintf("options of the decoder: %v", err))
 	}
-	return m
+	return mode
 }
 
-// RawMessage is a value that isn't decoded.
+// RawMessage is an encoded value that is passed on as it is.
 type RawMessage = cbor.RawMessage
 
-// Marshal encodes v.
+// Marshal returns the encoded form of v.
 func Marshal(v any) ([]byte, error) { return encMode.Marshal(v) }
 
-// MustMarshal encodes a value built only of types that always encode.
+// MustMarshal returns the encoded form of v, whose type must be one that can always be encoded; it
+// panics otherwise.
 func MustMarshal(v any) []byte {
-	b, err := encMode.Marshal(v)
+	encoded, err := encMode.Marshal(v)
 	if err != nil {
 		panic(fmt.Sprintf("encode %T: %v", v, err))
 	}
-	return b
+	return encoded
 }
 
-// Unmarshal decodes exactly one value from b.
-func Unmarshal(b []byte, v any) error {
-	if err := decMode.Unmarshal(b, v); err != nil {
+// Unmarshal decodes exactly one value into the variable to which v points. Its error wraps
+// ErrMalformed.
+func Unmarshal(encoded []byte, v any) error {
+	if err := decMode.Unmarshal(encoded, v); err != nil {
 		return fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	return nil
 }
 
-// IsMap tells whether b starts a CBOR map (major type 5): a decoder alone would
-// also take null for an empty struct.
-func IsMap(b []byte) bool { return len(b) > 0 && b[0]>>5 == 5 }
+// majorTypeMap is the major type of maps, which the upper three bits of a value's first byte hold.
+const (
+	majorTypeMap   = 5
+	majorTypeShift = 5
+)
+
+// IsMap returns whether an encoded value is a map. Unmarshal alone doesn't show that: it also decodes
+// null into a struct, and leaves that as it was.
+func IsMap(encoded []byte) bool {
+	return len(encoded) > 0 && encoded[0]>>majorTypeShift == majorTypeMap
+}
 
-// JSONSize is what an encoded value takes in the JSON form that the protocol's
-// limits are counted in.
-func JSONSize(b []byte) (int, error) {
-	var v any
-	if err := jsonMode.Unmarshal(b, &v); err != nil {
+// JSONSize returns the length of an encoded value's JSON form, in which the protocol's limits are
+// counted. Its error wraps ErrMalformed if the value can't be decoded.
+func JSONSize(encoded []byte) (int, error) {
+	var value any
+	if err := jsonMode.Unmarshal(encoded, &value); err != nil {
 		return 0, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
-	j, err := json.Marshal(v)
+	text, err := json.Marshal(value)
 	if err != nil {
-		return 0, fmt.Errorf("as JSON: %w", err)
+		return 0, fmt.Errorf("encode as JSON: %w", err)
 	}
-	return len(j), nil
+	return len(text), nil
 }
-
-// jsonMode decodes maps as JSON has them.
-var jsonMode = func() cbor.DecMode {
-	m, err := cbor.DecOptions{MaxArrayElements: 1 << 20, DefaultMapType: reflect.TypeFor[map[string]any]()}.DecMode()
-	if err != nil {
-		panic(err)
-	}
-	return m
-}()
