--- a/internal/goldentest/fill.go
+++ b/internal/goldentest/fill.go
@@ -6,29 +6,35 @@
 	"time"
 )
 
-// Filled returns a value of a type in which every field that can be set is set, to values that
-// differ, so that its encoded form shows every name and every type in it.
+// Filled returns a value of a type in which every exported field is set, each to another value, so that
+// the encoded form shows the name and type of every field. The same type always gets the same value.
 func Filled[T any]() T {
 	var value T
-	f := filler{}
+	var f filler
 	f.fill(reflect.ValueOf(&value).Elem(), 0)
 	return value
 }
 
-// maxDepth bounds how far types that contain themselves are filled.
+// maxDepth bounds how deep values are filled whose types contain themselves.
 const maxDepth = 12
 
 // fillTime is the first of the times that values are filled with.
 var fillTime = time.Unix(1_800_000_000, 0).UTC()
 
-// filler fills values with numbers that count up.
+// smallIntegers is how many integers CBOR encodes in one byte. Bytes are filled with one of them, since
+// a field of bytes may be a value that is encoded already.
+const smallIntegers = 24
+
+// filler fills values with numbers that count up, or what is made of them.
 type filler struct{ count int }
 
+// next returns the next number.
 func (f *filler) next() int {
 	f.count++
 	return f.count
 }
 
+// fill sets a value, and all values in it down to maxDepth.
 func (f *filler) fill(v reflect.Value, depth int) {
 	if depth > maxDepth || !v.CanSet() {
 		return
@@ -53,6 +59,7 @@
 	}
 }
 
+// fillCompound fills a value that consists of others. Slices and maps get one element.
 func (f *filler) fillCompound(v reflect.Value, depth int) {
 	switch v.Kind() {
 	case reflect.Pointer:
@@ -60,7 +67,7 @@
 		f.fill(v.Elem(), depth+1)
 	case reflect.Slice:
 		if v.Type().Elem().Kind() == reflect.Uint8 {
-			v.SetBytes([]byte{byte(f.next() % 24)}) // a small integer in CBOR
+			v.SetBytes([]byte{byte(f.next() % smallIntegers)})
 			return
 		}
 		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -1,6 +1,9 @@
-// Package goldentest compares what tests produce with golden files: with what an earlier version
-// of the program produced. Golden files hold forms that must not change, such as stored values and
-// messages; they are written anew by running a package's tests with -update.
+// Package goldentest compares what tests produce with golden files, which hold what an earlier version
+// of the program produced. They are for forms that must not change by accident, such as stored values,
+// messages and names that operators see.
+//
+// A golden file stands in the testdata of the package whose test checks it, and is written by running
+// that test with -update. Only tests import this package.
 package goldentest
 
 import (
@@ -14,21 +17,19 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "write golden files instead of comparing with them")
 
-// Updating tells whether golden files are being written anew.
-func Updating() bool { return *update }
-
-// Lines collects the lines of a golden file.
+// Lines collects the lines of a golden file. The zero Lines has none.
 type Lines struct{ text strings.Builder }
 
-// Add adds a line.
+// Add adds a line, formatted like by fmt.Sprintf.
 func (l *Lines) Add(format string, args ...any) {
 	fmt.Fprintf(&l.text, format, args...)
 	l.text.WriteByte('\n')
 }
 
-// Check compares the lines with a golden file in the package's testdata.
+// Check compares the lines with a golden file, which is named relative to the package's testdata, and
+// fails the test if they differ.
 func (l *Lines) Check(t *testing.T, name string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -44,9 +45,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	compare(t, path, string(content), got)
+	for _, difference := range differences(string(content), got) {
+		t.Errorf("%s:%s", path, difference)
+	}
 }
 
+// write writes a golden file and the directories to it.
 func write(t *testing.T, path, content string) {
 	t.Helper()
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
@@ -57,17 +61,22 @@
 	}
 }
 
-// compare reports each line that differs.
-func compare(t *testing.T, path, want, got string) {
-	t.Helper()
+// differences returns the lines that differ, each after its number.
+func differences(want, got string) []string {
+	var found []string
 	wantLines, gotLines := strings.Split(want, "\n"), strings.Split(got, "\n")
 	for i := range max(len(wantLines), len(gotLines)) {
-		if w, g := lineAt(wantLines, i), lineAt(gotLines, i); w != g {
-			t.Errorf("%s:%d:\n%q, the golden file has\n%q", path, i+1, g, w)
+		if wantLine, gotLine := lineAt(wantLines, i), lineAt(gotLines, i); wantLine != gotLine {
+			found = append(found, fmt.Sprintf("%d:\n%q, the golden file has\n%q", i+1, gotLine, wantLine))
 		}
 	}
+	if found == nil && want != got {
+		found = append(found, "the number of empty lines at the end differs")
+	}
+	return found
 }
 
+// lineAt returns a line; empty if there are fewer.
 func lineAt(lines []string, i int) string {
 	if i < len(lines) {
 		return lines[i]
