--- a/internal/decisionlog/decisionlog_test.go
+++ b/internal/decisionlog/decisionlog_test.go
@@ -202,7 +202,10 @@
 // error: it is most likely a mistake in the settings.
 func TestForeignFiles(t *testing.T) {
 	directory := t.TempDir()
-	for name, content := range map[string]string{segmentPrefix + "0000000000000004" + segmentSuffix: "another format", "notes.txt": "x"} {
+	for name, content := range map[string]string{
+		segmentPrefix + "0000000000000004" + segmentSuffix: "another format",
+		"notes.txt": "x",
+	} {
 		if err := os.WriteFile(filepath.Join(directory, name), []byte(content), fileMode); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/jobstore/cancel_test.go
+++ b/internal/jobstore/cancel_test.go
@@ -15,7 +15,9 @@
 // unanswered is a store that carries out transactions and whose answers are lost.
 type unanswered struct{ *memory }
 
-func (u unanswered) Commit(ctx context.Context, conditions []statestore.Compare, changes []statestore.Op) (uint64, error) {
+func (u unanswered) Commit(
+	ctx context.Context, conditions []statestore.Compare, changes []statestore.Op,
+) (uint64, error) {
 	if _, err := u.memory.Commit(ctx, conditions, changes); err != nil {
 		return 0, err
 	}
--- a/internal/jobstore/dependencies_test.go
+++ b/internal/jobstore/dependencies_test.go
@@ -14,6 +14,11 @@
 	"gingertally/internal/statestore"
 )
 
+// cancelledFinal returns the write by which the final entry of a cancelled job replaces its record.
+func cancelledFinal(ref string, version uint64) core.Write {
+	return core.PutFinal{Ref: ref, Version: version, Final: pipeline.Final{Phase: pipeline.Cancelled}}
+}
+
 // A job may depend on jobs that were accepted, whatever became of them, and on nothing else.
 // If an accepted job's dependencies were checked again, a user who repeats a submission would
 // be refused once the rest of the store has moved on.
@@ -28,7 +33,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := jobs.Apply(ctx, term, []core.Write{core.PutFinal{Ref: "j-2", Version: state.Version, Final: pipeline.Final{Phase: pipeline.Cancelled}}}); err != nil {
+	if _, _, err := jobs.Apply(ctx, term, []core.Write{cancelledFinal("j-2", state.Version)}); err != nil {
 		t.Fatal(err)
 	}
 	many := []string{"j-1", "j-2", "j-1", "j-1", "j-1", "j-1", "j-1", "j-1", "j-2"}
@@ -102,7 +107,7 @@
 	now = now.Add(10 * time.Second)
 	checkCancelled()
 	now = now.Add(time.Minute)
-	if _, _, err := jobs.Apply(ctx, term, []core.Write{core.PutFinal{Ref: "j-1", Version: state.Version, Final: pipeline.Final{Phase: pipeline.Cancelled}}}); err != nil {
+	if _, _, err := jobs.Apply(ctx, term, []core.Write{cancelledFinal("j-1", state.Version)}); err != nil {
 		t.Fatal(err)
 	}
 	checkCancelled()
@@ -114,11 +119,13 @@
 	left int // transactions that are still carried out
 }
 
-func (f *failing) Commit(c context.Context, conditions []statestore.Compare, changes []statestore.Op) (uint64, error) {
+func (f *failing) Commit(
+	ctx context.Context, conditions []statestore.Compare, changes []statestore.Op,
+) (uint64, error) {
 	if f.left--; f.left < 0 {
 		return 0, statestore.ErrUnavailable
 	}
-	return f.memory.Commit(c, conditions, changes)
+	return f.memory.Commit(ctx, conditions, changes)
 }
 
 // A job counts as accepted only once all pages of its dependencies are stored, each within the
@@ -174,7 +181,7 @@
 	if err != nil || len(job.Record.Dependencies) != 100 {
 		t.Fatalf("%+v, %v", job, err)
 	}
-	writes := []core.Write{core.PutFinal{Ref: "j-9", Version: late.ModRevision, Final: pipeline.Final{Phase: pipeline.Cancelled}}}
+	writes := []core.Write{cancelledFinal("j-9", late.ModRevision)}
 	for i := range job.Record.DependencyPages {
 		writes = append(writes, core.DeleteDependencyPage{Ref: "j-9", ListSum: job.Record.DependencyListSum, Page: i})
 	}
--- a/internal/jobstore/drains_test.go
+++ b/internal/jobstore/drains_test.go
@@ -19,8 +19,12 @@
 	pages := 0
 	newName := func() string { pages++; return fmt.Sprintf("1-%d", pages) }
 	policy := &drain.Policy{}
-	plan := drain.Plan{ID: "replace-all", Selector: drain.Selector{All: true}, MaxAtOnce: 1000, Through: "m-999999", CreatedMS: now.UnixMilli()}
-	c := drain.NewCoordinator(now, policy, drain.Stored{Plans: []drain.StoredPlan{{Plan: plan, Version: 1}}}, newName, func() int { return limit })
+	plan := drain.Plan{
+		ID: "replace-all", Selector: drain.Selector{All: true},
+		MaxAtOnce: 1000, Through: "m-999999", CreatedMS: now.UnixMilli(),
+	}
+	stored := drain.Stored{Plans: []drain.StoredPlan{{Plan: plan, Version: 1}}}
+	c := drain.NewCoordinator(now, policy, stored, newName, func() int { return limit })
 	for i := range 300 {
 		name := fmt.Sprintf("m-%06d", i)
 		c.Add(drain.MachineID{Name: name})
@@ -44,7 +48,7 @@
 	}
 	for _, value := range append(values, plan) {
 		if size, err := codec.JSONSize(codec.MustMarshal(value)); err != nil || size > limit {
-			t.Errorf("%T takes %d bytes, %d at the most (%v)", value, size, limit, err)
+			t.Errorf("%T takes %d bytes, want %d or less (%v)", value, size, limit, err)
 		}
 	}
 }
--- a/internal/jobstore/golden_test.go
+++ b/internal/jobstore/golden_test.go
@@ -73,7 +73,10 @@
 	if _, err := jobs.Cancel(ctx, "j-000003", at, UnderTerm(term)); err != nil {
 		t.Fatal(err)
 	}
-	plan := drain.Plan{ID: "plan-1", Selector: drain.Selector{Machines: []string{"m-1"}, Zone: "a"}, MaxAtOnce: 2, Surge: 1, Deadline: time.Hour, KeepCordoned: true}
+	plan := drain.Plan{
+		ID: "plan-1", Selector: drain.Selector{Machines: []string{"m-1"}, Zone: "a"},
+		MaxAtOnce: 2, Surge: 1, Deadline: time.Hour, KeepCordoned: true,
+	}
 	if _, err := jobs.CreateDrainPlan(ctx, plan, at); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/jobstore/limits_test.go
+++ b/internal/jobstore/limits_test.go
@@ -24,8 +24,11 @@
 // raggedJob returns a job of which random tasks are done and random tasks were restarted.
 func raggedJob(t *testing.T, rng *rand.Rand) *pipeline.Job {
 	t.Helper()
-	spec := pipeline.Spec{Ref: "j-123456", Class: strings.Repeat("c\"", 1+rng.IntN(10)), Team: "tea<m", Image: "i", Tasks: 1 + rng.IntN(5000),
-		CPUs: rng.Float64() * 1e7, MemGB: rng.Float64(), ImageGB: rng.Float64(), Estimate: time.Duration(rng.Int64N(1e17)), CheckpointTime: time.Duration(rng.Int64N(1e17))}
+	spec := pipeline.Spec{
+		Ref: "j-123456", Class: strings.Repeat("c\"", 1+rng.IntN(10)), Team: "tea<m", Image: "i",
+		Tasks: 1 + rng.IntN(5000), CPUs: rng.Float64() * 1e7, MemGB: rng.Float64(), ImageGB: rng.Float64(),
+		Estimate: time.Duration(rng.Int64N(1e17)), CheckpointTime: time.Duration(rng.Int64N(1e17)),
+	}
 	job, err := pipeline.NewJob(pipeline.Record{Spec: spec, SubmittedMS: time.Now().UnixMilli()}, 1, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -66,7 +69,8 @@
 		finished := job.Tasks[i].State() == pipeline.Finished
 		readAsFinished := again.Tasks[i].State() == pipeline.Finished
 		if finished && job.ResultStored(i) && !readAsFinished || readAsFinished && !finished {
-			t.Fatalf("limit %d: task %d of %d is stored %v, and taken for %v", limit, i, job.Spec.Tasks, readAsFinished, job.ResultStored(i))
+			t.Fatalf("limit %d: task %d of %d is stored %v, and taken for %v",
+				limit, i, job.Spec.Tasks, readAsFinished, job.ResultStored(i))
 		}
 	}
 }
--- a/internal/jobstore/snapshot_test.go
+++ b/internal/jobstore/snapshot_test.go
@@ -75,7 +75,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	page := fleet.StartLogRecord{Placed: []fleet.MachineStarts{{Machine: "m-000500", Type: "g8", Zone: "b", Entries: []fleet.StartLogEntry{{Ref: "j-2", Attempt: 5}}}}}
+	page := fleet.StartLogRecord{Placed: []fleet.MachineStarts{{
+		Machine: "m-000500", Type: "g8", Zone: "b", Entries: []fleet.StartLogEntry{{Ref: "j-2", Attempt: 5}},
+	}}}
 	if _, _, err := jobs.Apply(ctx, term, []core.Write{core.PutStartLogPage{Name: "2-1", Record: page}}); err != nil {
 		t.Fatal(err)
 	}
@@ -91,10 +93,12 @@
 				t.Errorf("page %+v", p)
 			}
 		case "m/m-000231":
-			if placed.Machine != "m-000231" || placed.Zone != "a" || placed.Entries[0] != (fleet.StartLogEntry{Ref: "j-1", Task: 3, Attempt: 77}) || p.Version != revision {
+			want := fleet.StartLogEntry{Ref: "j-1", Task: 3, Attempt: 77}
+			if placed.Machine != "m-000231" || placed.Zone != "a" || placed.Entries[0] != want || p.Version != revision {
 				t.Errorf("old record %+v", p)
 			}
-			if _, _, err := jobs.Apply(ctx, term, []core.Write{core.DeleteStartLogPage{Name: p.Name, Version: p.Version}}); err != nil {
+			deletion := core.DeleteStartLogPage{Name: p.Name, Version: p.Version}
+			if _, _, err := jobs.Apply(ctx, term, []core.Write{deletion}); err != nil {
 				t.Errorf("delete: %v", err)
 			}
 		default:
@@ -110,7 +114,10 @@
 // up in the store, or tasks would be placed by wrong hints.
 func TestImageLog(t *testing.T) {
 	_, jobs, term := setup(t)
-	record := fleet.RecordImages(map[string][]fleet.Image{"m-1": {{Name: "a", GB: 2.5}, {Name: "b", GB: 1}}, "m-2": {{Name: "b", GB: 1}}}, 4000)
+	record := fleet.RecordImages(map[string][]fleet.Image{
+		"m-1": {{Name: "a", GB: 2.5}, {Name: "b", GB: 1}},
+		"m-2": {{Name: "b", GB: 1}},
+	}, 4000)
 	if _, _, err := jobs.Apply(ctx, term, []core.Write{core.PutImagePage{Name: "2-9", Record: record}}); err != nil {
 		t.Fatal(err)
 	}
@@ -120,7 +127,8 @@
 	}
 	got := map[string][]fleet.Image{}
 	snapshot.Images[0].Record.Each(func(machine string, images []fleet.Image) { got[machine] = images })
-	if len(got) != 2 || len(got["m-1"]) != 2 || got["m-1"][0] != (fleet.Image{Name: "a", GB: 2.5}) || got["m-2"][0].Name != "b" {
+	first := fleet.Image{Name: "a", GB: 2.5}
+	if len(got) != 2 || len(got["m-1"]) != 2 || got["m-1"][0] != first || got["m-2"][0].Name != "b" {
 		t.Errorf("%+v", got)
 	}
 	if _, _, err := jobs.Apply(ctx, term, []core.Write{core.DeleteImagePage{Name: "2-9"}}); err != nil {
--- a/internal/jobstore/writes_test.go
+++ b/internal/jobstore/writes_test.go
@@ -35,7 +35,9 @@
 // rejectingStore rejects all transactions that put one certain key.
 type rejectingStore struct{ *memory }
 
-func (r *rejectingStore) Commit(ctx context.Context, conditions []statestore.Compare, changes []statestore.Op) (uint64, error) {
+func (r *rejectingStore) Commit(
+	ctx context.Context, conditions []statestore.Compare, changes []statestore.Op,
+) (uint64, error) {
 	for _, change := range changes {
 		if change.Key == "i/bad" {
 			return 0, statestore.ErrRejected
@@ -77,7 +79,8 @@
 	_, jobs, term := setup(t)
 	var writes []core.Write
 	for i := range 30 {
-		writes = append(writes, core.PutJob{Ref: fmt.Sprintf("j-%d", 100+i), Record: pipeline.Record{Spec: pipeline.Spec{Class: strings.Repeat("x", 3000), Tasks: 1}}})
+		spec := pipeline.Spec{Class: strings.Repeat("x", 3000), Tasks: 1}
+		writes = append(writes, core.PutJob{Ref: fmt.Sprintf("j-%d", 100+i), Record: pipeline.Record{Spec: spec}})
 	}
 	sent, _, err := jobs.Apply(ctx, term, writes)
 	if err != nil || len(sent) == 0 || len(sent) == len(writes) {
--- a/internal/recovery/findings.go
+++ b/internal/recovery/findings.go
@@ -34,9 +34,19 @@
 )
 
 // reasonNames are shown to operators; other programs may look for them, too.
-var reasonNames = [...]string{"running and recorded", "running and never recorded", "recorded and not reported",
-	"done, and the record isn't", "done, and the job is over", "running, and the job is over", "of an older term or epoch",
-	"a newer attempt is there", "an older attempt is there", "another machine holds the task", "exited without a result"}
+var reasonNames = [...]string{
+	"running and recorded",
+	"running and never recorded",
+	"recorded and not reported",
+	"done, and the record isn't",
+	"done, and the job is over",
+	"running, and the job is over",
+	"of an older term or epoch",
+	"a newer attempt is there",
+	"an older attempt is there",
+	"another machine holds the task",
+	"exited without a result",
+}
 
 // String returns the name by which operators know the reason.
 func (r Reason) String() string { return reasonNames[r] }
@@ -78,7 +88,9 @@
 	Requeue
 )
 
-var actionNames = [...]string{"keep", "adopt", "stop", "ignore", "wait", "prove gone", "take the result", "forget", "withdraw first", "requeue"}
+var actionNames = [...]string{
+	"keep", "adopt", "stop", "ignore", "wait", "prove gone", "take the result", "forget", "withdraw first", "requeue",
+}
 
 // String returns the name of the action.
 func (a Action) String() string { return actionNames[a] }
--- a/internal/recovery/findings_test.go
+++ b/internal/recovery/findings_test.go
@@ -2,57 +2,154 @@
 
 import "testing"
 
+// taskWith returns a running task of an open job that isn't recorded and is reported under this term,
+// with a change.
+func taskWith(change func(*ObservedTask)) ObservedTask {
+	task := ObservedTask{JobOpen: true, Wanted: true, Confirmed: true}
+	if change != nil {
+		change(&task)
+	}
+	return task
+}
+
+// reportedCases are the rows of the table about attempts that are reported.
+var reportedCases = []struct {
+	name string
+	task ObservedTask
+	want Finding
+}{
+	{
+		"running and recorded",
+		taskWith(func(r *ObservedTask) { r.Holder = ThisAttempt }),
+		Finding{RunningRecorded, Keep},
+	},
+	{
+		"running and recorded, by a late copy",
+		taskWith(func(r *ObservedTask) { r.Holder, r.Confirmed, r.Inherited = ThisAttempt, false, true }),
+		Finding{RunningRecorded, Keep},
+	},
+	{
+		"running and never recorded",
+		taskWith(nil),
+		Finding{RunningUnrecorded, Adopt},
+	},
+	{
+		"running and never recorded, a gang's",
+		taskWith(func(r *ObservedTask) { r.Whole = true }),
+		Finding{RunningUnrecorded, Stop},
+	},
+	{
+		"running and never recorded, by a late copy",
+		taskWith(func(r *ObservedTask) { r.Confirmed = false }),
+		Finding{OlderHeartbeat, Ignore},
+	},
+	{
+		"running, another machine holds it",
+		taskWith(func(r *ObservedTask) { r.Holder = Elsewhere }),
+		Finding{HeldElsewhere, Stop},
+	},
+	{
+		"running, another machine's start hasn't been sent",
+		taskWith(func(r *ObservedTask) { r.Holder = UnsentElsewhere }),
+		Finding{HeldElsewhere, WithdrawFirst},
+	},
+	{
+		"running, another machine's start hasn't been sent, a gang's",
+		taskWith(func(r *ObservedTask) { r.Holder, r.Whole = UnsentElsewhere, true }),
+		Finding{RunningUnrecorded, Stop},
+	},
+	{
+		"running, the job is over",
+		taskWith(func(r *ObservedTask) { r.JobOpen = false }),
+		Finding{RunningJobOver, Stop},
+	},
+	{
+		"running, the task is done",
+		taskWith(func(r *ObservedTask) { r.Wanted = false }),
+		Finding{RunningJobOver, Stop},
+	},
+	{
+		"a newer attempt than its record",
+		taskWith(func(r *ObservedTask) { r.Holder, r.Inherited = OlderHere, true }),
+		Finding{NewerAttemptReported, MarkLost},
+	},
+	{
+		"a newer attempt than one that this term started",
+		taskWith(func(r *ObservedTask) { r.Holder = OlderHere }),
+		Finding{OlderAttemptReported, Ignore},
+	},
+	{
+		"an older attempt than its record",
+		taskWith(func(r *ObservedTask) { r.Holder, r.Inherited = NewerHere, true }),
+		Finding{OlderAttemptReported, Ignore},
+	},
+	{
+		"an older attempt than one whose start hasn't been sent",
+		taskWith(func(r *ObservedTask) { r.Holder = UnsentHere }),
+		Finding{OlderAttemptReported, WithdrawFirst},
+	},
+	{
+		"done, and the record isn't",
+		taskWith(func(r *ObservedTask) { r.Holder, r.Exited, r.Done = ThisAttempt, true, true }),
+		Finding{DoneUnrecorded, TakeResult},
+	},
+	{
+		"done and never recorded",
+		taskWith(func(r *ObservedTask) { r.Exited, r.Done = true, true }),
+		Finding{DoneUnrecorded, TakeResult},
+	},
+	{
+		"done minutes late, another machine holds it",
+		taskWith(func(r *ObservedTask) { r.Holder, r.Exited, r.Done = Elsewhere, true, true }),
+		Finding{DoneUnrecorded, TakeResult},
+	},
+	{
+		"done, the job is over",
+		taskWith(func(r *ObservedTask) { r.Exited, r.Done, r.JobOpen = true, true, false }),
+		Finding{DoneJobOver, Forget},
+	},
+	{
+		"done, the task is done already",
+		taskWith(func(r *ObservedTask) { r.Holder, r.Exited, r.Done, r.Wanted = ThisAttempt, true, true, false }),
+		Finding{DoneJobOver, Forget},
+	},
+	{
+		"exited without a result",
+		taskWith(func(r *ObservedTask) { r.Holder, r.Exited = ThisAttempt, true }),
+		Finding{Failed, Requeue},
+	},
+	{
+		"exited without a result, never recorded",
+		taskWith(func(r *ObservedTask) { r.Exited = true }),
+		Finding{Failed, Forget},
+	},
+}
+
+// unreportedCases are the rows of the table about recorded attempts that aren't reported.
+var unreportedCases = []struct {
+	name    string
+	attempt UnreportedAttempt
+	want    Action
+}{
+	{
+		"recorded by an earlier leader, missing from a heartbeat under this term",
+		UnreportedAttempt{Inherited: true, Confirmed: true}, MarkLost,
+	},
+	{"recorded by an earlier leader, missing from what may be a late copy", UnreportedAttempt{Inherited: true}, Wait},
+	{"the start was answered or dropped", UnreportedAttempt{Answered: true, Confirmed: true}, MarkLost},
+	{"seen before", UnreportedAttempt{Seen: true, Confirmed: true}, MarkLost},
+	{"the start hasn't left, or may still be on its way", UnreportedAttempt{Confirmed: true}, Wait},
+}
+
 // Each row of the table of differences in docs/recovery.md is classified as it says there. A wrong
 // action either runs a task twice or loses it.
 func TestTableOfDifferences(t *testing.T) {
-	open := ObservedTask{JobOpen: true, Wanted: true, Confirmed: true}
-	with := func(change func(*ObservedTask)) ObservedTask {
-		r := open
-		change(&r)
-		return r
-	}
-	for _, c := range []struct {
-		name string
-		task ObservedTask
-		want Finding
-	}{
-		{"running and recorded", with(func(r *ObservedTask) { r.Holder = ThisAttempt }), Finding{RunningRecorded, Keep}},
-		{"running and recorded, by a late copy", with(func(r *ObservedTask) { r.Holder, r.Confirmed, r.Inherited = ThisAttempt, false, true }), Finding{RunningRecorded, Keep}},
-		{"running and never recorded", open, Finding{RunningUnrecorded, Adopt}},
-		{"running and never recorded, a gang's", with(func(r *ObservedTask) { r.Whole = true }), Finding{RunningUnrecorded, Stop}},
-		{"running and never recorded, by a late copy", with(func(r *ObservedTask) { r.Confirmed = false }), Finding{OlderHeartbeat, Ignore}},
-		{"running, another machine holds it", with(func(r *ObservedTask) { r.Holder = Elsewhere }), Finding{HeldElsewhere, Stop}},
-		{"running, another machine's start hasn't been sent", with(func(r *ObservedTask) { r.Holder = UnsentElsewhere }), Finding{HeldElsewhere, WithdrawFirst}},
-		{"running, another machine's start hasn't been sent, a gang's", with(func(r *ObservedTask) { r.Holder, r.Whole = UnsentElsewhere, true }), Finding{RunningUnrecorded, Stop}},
-		{"running, the job is over", with(func(r *ObservedTask) { r.JobOpen = false }), Finding{RunningJobOver, Stop}},
-		{"running, the task is done", with(func(r *ObservedTask) { r.Wanted = false }), Finding{RunningJobOver, Stop}},
-		{"a newer attempt than its record", with(func(r *ObservedTask) { r.Holder, r.Inherited = OlderHere, true }), Finding{NewerAttemptReported, MarkLost}},
-		{"a newer attempt than one that this term started", with(func(r *ObservedTask) { r.Holder = OlderHere }), Finding{OlderAttemptReported, Ignore}},
-		{"an older attempt than its record", with(func(r *ObservedTask) { r.Holder, r.Inherited = NewerHere, true }), Finding{OlderAttemptReported, Ignore}},
-		{"an older attempt than one whose start hasn't been sent", with(func(r *ObservedTask) { r.Holder = UnsentHere }), Finding{OlderAttemptReported, WithdrawFirst}},
-		{"done, and the record isn't", with(func(r *ObservedTask) { r.Holder, r.Exited, r.Done = ThisAttempt, true, true }), Finding{DoneUnrecorded, TakeResult}},
-		{"done and never recorded", with(func(r *ObservedTask) { r.Exited, r.Done = true, true }), Finding{DoneUnrecorded, TakeResult}},
-		{"done minutes late, another machine holds it", with(func(r *ObservedTask) { r.Holder, r.Exited, r.Done = Elsewhere, true, true }), Finding{DoneUnrecorded, TakeResult}},
-		{"done, the job is over", with(func(r *ObservedTask) { r.Exited, r.Done, r.JobOpen = true, true, false }), Finding{DoneJobOver, Forget}},
-		{"done, the task is done already", with(func(r *ObservedTask) { r.Holder, r.Exited, r.Done, r.Wanted = ThisAttempt, true, true, false }), Finding{DoneJobOver, Forget}},
-		{"exited without a result", with(func(r *ObservedTask) { r.Holder, r.Exited = ThisAttempt, true }), Finding{Failed, Requeue}},
-		{"exited without a result, never recorded", with(func(r *ObservedTask) { r.Exited = true }), Finding{Failed, Forget}},
-	} {
+	for _, c := range reportedCases {
 		if got := Classify(c.task); got != c.want {
 			t.Errorf("%s: %v, %v", c.name, got.Reason, got.Action)
 		}
 	}
-	for _, c := range []struct {
-		name    string
-		attempt UnreportedAttempt
-		want    Action
-	}{
-		{"recorded by an earlier leader, missing from a heartbeat under this term", UnreportedAttempt{Inherited: true, Confirmed: true}, MarkLost},
-		{"recorded by an earlier leader, missing from what may be a late copy", UnreportedAttempt{Inherited: true}, Wait},
-		{"the start was answered or dropped", UnreportedAttempt{Answered: true, Confirmed: true}, MarkLost},
-		{"seen before", UnreportedAttempt{Seen: true, Confirmed: true}, MarkLost},
-		{"the start hasn't left, or may still be on its way", UnreportedAttempt{Confirmed: true}, Wait},
-	} {
+	for _, c := range unreportedCases {
 		if got := ClassifyUnreported(c.attempt); got != (Finding{RecordedUnreported, c.want}) {
 			t.Errorf("%s: %v, %v", c.name, got.Reason, got.Action)
 		}
@@ -67,7 +164,10 @@
 	for holder := Nobody; holder <= Elsewhere; holder++ {
 		for bits := range 128 {
 			bit := func(i int) bool { return bits>>i&1 == 1 }
-			r := ObservedTask{Holder: holder, Inherited: bit(0), Exited: bit(1) || bit(2), Done: bit(2), JobOpen: bit(3), Wanted: bit(4), Confirmed: bit(5), Whole: bit(6)}
+			r := ObservedTask{
+				Holder: holder, Inherited: bit(0), Exited: bit(1) || bit(2), Done: bit(2),
+				JobOpen: bit(3), Wanted: bit(4), Confirmed: bit(5), Whole: bit(6),
+			}
 			f := Classify(r)
 			seen[f.Reason] = true
 			switch {
--- a/internal/recovery/reconciler_test.go
+++ b/internal/recovery/reconciler_test.go
@@ -30,12 +30,15 @@
 	r := fleet(10)
 	for i := range 8 {
 		if r.MayPlace(at(time.Second), true) {
-			t.Fatalf("may place with %d of 10 machines heard", i)
+			t.Fatalf("may place after heartbeats of %d of 10 machines", i)
 		}
 		r.HeartbeatReceived(fmt.Sprint("m-", i), false, false)
 	}
-	if !r.MayPlace(at(time.Second), true) || r.MayPlace(at(time.Second), false) {
-		t.Fatal("with 8 of 10 machines heard, and the list or not")
+	if !r.MayPlace(at(time.Second), true) {
+		t.Fatal("may not place after heartbeats of 8 of 10 machines")
+	}
+	if r.MayPlace(at(time.Second), false) {
+		t.Fatal("may place before the cloud's list was read")
 	}
 	if !fleet(10).MayPlace(at(5*time.Second), false) {
 		t.Fatal("may not place after a heartbeat interval")
--- a/internal/standby/codec.go
+++ b/internal/standby/codec.go
@@ -56,7 +56,9 @@
 		if err := codec.Unmarshal([]byte(e.Key), &key); err != nil {
 			return nil, fmt.Errorf("decode key %x of the warm state: %w", e.Key, err)
 		}
-		record := core.WarmRecord{Key: core.WarmKey{Kind: key.Kind, Name: key.Name, Task: key.Task, Zone: key.Zone, Spot: key.Spot}}
+		record := core.WarmRecord{
+			Key: core.WarmKey{Kind: key.Kind, Name: key.Name, Task: key.Task, Zone: key.Zone, Spot: key.Spot},
+		}
 		known, err := decodeValue(e.Value, &record)
 		if err != nil {
 			return nil, fmt.Errorf("decode warm state of %q: %w", key.Name, err)
--- a/internal/standby/golden_test.go
+++ b/internal/standby/golden_test.go
@@ -10,7 +10,8 @@
 // warmRecords returns a record of each kind in which every field is set, and a deleted one.
 func warmRecords() []core.WarmRecord {
 	machine, attempt := goldentest.Filled[core.WarmMachine](), goldentest.Filled[core.WarmAttempt]()
-	class, offer, job := goldentest.Filled[core.WarmClass](), goldentest.Filled[core.WarmOffer](), goldentest.Filled[core.WarmJob]()
+	class, offer := goldentest.Filled[core.WarmClass](), goldentest.Filled[core.WarmOffer]()
+	job := goldentest.Filled[core.WarmJob]()
 	return []core.WarmRecord{
 		{Key: core.WarmKey{Kind: core.WarmMachineKind, Name: "m-1"}, Machine: &machine},
 		{Key: core.WarmKey{Kind: core.WarmAttemptKind, Name: "j-1", Task: 3}, Attempt: &attempt},
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -39,7 +39,9 @@
 		{name: "dropped after a gap", prepare: func(p *pair) {
 			p.follower.Receive(p.now, Frame{Kind: Changes, Term: 1, Sequence: 99, Newest: 99, Entries: []Entry{{Key: "k"}}})
 		}, claim: Claim{2, 70}, read: 70, want: ErrIncomplete},
-		{name: "leader last heard long ago", prepare: func(p *pair) { p.now = p.now.Add(testTimeouts().Recent + time.Second) }, claim: Claim{2, 70}, read: 71},
+		{name: "the leader's last frame long ago", prepare: func(p *pair) {
+			p.now = p.now.Add(testTimeouts().Recent + time.Second)
+		}, claim: Claim{2, 70}, read: 71},
 	} {
 		p := followingPair(t)
 		if c.prepare != nil {
--- a/internal/standby/stream_test.go
+++ b/internal/standby/stream_test.go
@@ -33,8 +33,9 @@
 				p.publisher.Follow("b", p.follower.Position())
 			}
 		}
-		if p.follower.State() != Following || p.follower.Position() != (Position{p.publisher.term, p.publisher.newest}) || !p.publisher.CaughtUp("b") {
-			t.Fatalf("seed %d: %v at %+v, the leader at %d", seed, p.follower.State(), p.follower.Position(), p.publisher.newest)
+		newest := Position{p.publisher.term, p.publisher.newest}
+		if p.follower.State() != Following || p.follower.Position() != newest || !p.publisher.CaughtUp("b") {
+			t.Fatalf("seed %d: %v at %+v, the leader at %d", seed, p.follower.State(), p.follower.Position(), newest.Sequence)
 		}
 	}
 	if gaps < 300 {
@@ -75,7 +76,8 @@
 	if !ok || !f.HasDigest {
 		t.Fatalf("no digest after a second without changes: %+v", f)
 	}
-	if outcome := p.follower.Receive(p.now, f); outcome != Mismatch || p.follower.State() != CatchingUp || p.follower.Position() != (Position{}) {
+	outcome := p.follower.Receive(p.now, f)
+	if outcome != Mismatch || p.follower.State() != CatchingUp || p.follower.Position() != (Position{}) {
 		t.Fatalf("%v, %v", outcome, p.follower.State())
 	}
 }
--- a/internal/standbyrpc/client.go
+++ b/internal/standbyrpc/client.go
@@ -25,7 +25,10 @@
 // Follow receives the frames of a leader, from a position on, and passes each to receive, whose
 // result is sent back. It returns once the stream or ctx ends, always with an error: ErrUnsupported,
 // or one that says how the stream ended.
-func Follow(ctx context.Context, connection grpc.ClientConnInterface, self string, from standby.Position, receive func(standby.Frame) Received) error {
+func Follow(
+	ctx context.Context, connection grpc.ClientConnInterface, self string, from standby.Position,
+	receive func(standby.Frame) Received,
+) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	stream, err := standbypb.NewStandbyClient(connection).Follow(ctx)
--- a/internal/standbyrpc/server.go
+++ b/internal/standbyrpc/server.go
@@ -82,7 +82,9 @@
 
 // send sends frames until ctx or the leader's term ends. A slow follower holds up only its own
 // stream.
-func (s *server) send(ctx context.Context, stream standbypb.Standby_FollowServer, follower string, wake <-chan struct{}) error {
+func (s *server) send(
+	ctx context.Context, stream standbypb.Standby_FollowServer, follower string, wake <-chan struct{},
+) error {
 	poll := time.NewTicker(pollInterval)
 	defer poll.Stop()
 	for {
--- a/internal/standbyrpc/standbyrpc_test.go
+++ b/internal/standbyrpc/standbyrpc_test.go
@@ -176,8 +176,14 @@
 // is taken for a heartbeat: it must neither end the stream nor change the copy.
 func TestFramesOnTheWire(t *testing.T) {
 	for _, f := range []standby.Frame{
-		{Kind: standby.Snapshot, Term: 1, Sequence: 9, Newest: 12, Part: 2, Last: true, HasDigest: true, Digest: 77, Entries: []standby.Entry{{Key: "a", Value: []byte("x")}}},
-		{Kind: standby.Changes, Term: 1, Sequence: 9, Newest: 9, Entries: []standby.Entry{{Key: "a"}, {Key: "b", Value: []byte{0}}}},
+		{
+			Kind: standby.Snapshot, Term: 1, Sequence: 9, Newest: 12, Part: 2, Last: true, HasDigest: true, Digest: 77,
+			Entries: []standby.Entry{{Key: "a", Value: []byte("x")}},
+		},
+		{
+			Kind: standby.Changes, Term: 1, Sequence: 9, Newest: 9,
+			Entries: []standby.Entry{{Key: "a"}, {Key: "b", Value: []byte{0}}},
+		},
 		{Kind: standby.Heartbeat, Term: 2, Sequence: 1, Newest: 1, HasDigest: true},
 		{Kind: standby.HandOver, Term: 2, Successor: "c"},
 	} {
--- a/internal/statestore/client_test.go
+++ b/internal/statestore/client_test.go
@@ -25,7 +25,12 @@
 	for _, c := range []struct {
 		status int
 		want   bool
-	}{{http.StatusOK, true}, {http.StatusNotFound, true}, {http.StatusTooManyRequests, true}, {http.StatusServiceUnavailable, false}} {
+	}{
+		{http.StatusOK, true},
+		{http.StatusNotFound, true},
+		{http.StatusTooManyRequests, true},
+		{http.StatusServiceUnavailable, false},
+	} {
 		status = c.status
 		began := time.Now()
 		if got := client.Serves(t.Context(), "lead/holder"); got != c.want {
--- a/internal/statestore/convert.go
+++ b/internal/statestore/convert.go
@@ -26,11 +26,15 @@
 func watchResponseOf(news wire.News) WatchResponse {
 	response := WatchResponse{Revision: news.Ledger, Events: make([]Event, 0, len(news.News))}
 	for _, event := range news.News {
-		if event.Put == "" {
-			response.Events = append(response.Events, Event{Delete: true, KeyValue: KeyValue{Key: event.Drop, ModRevision: event.Stamp}})
-			continue
-		}
-		response.Events = append(response.Events, Event{KeyValue: KeyValue{Key: event.Put, Value: event.V, ModRevision: event.Stamp}})
+		response.Events = append(response.Events, eventOf(event))
 	}
 	return response
 }
+
+// eventOf converts an event, which names the key either as put or as dropped.
+func eventOf(event wire.NewsEvent) Event {
+	if event.Put == "" {
+		return Event{Delete: true, KeyValue: KeyValue{Key: event.Drop, ModRevision: event.Stamp}}
+	}
+	return Event{KeyValue: KeyValue{Key: event.Put, Value: event.V, ModRevision: event.Stamp}}
+}
