--- a/internal/jobstore/cancel_test.go
+++ b/internal/jobstore/cancel_test.go
@@ -29,13 +29,13 @@
 // for cancelled that isn't.
 func TestCancelUnknownOutcome(t *testing.T) {
 	store, jobs, term := setup(t)
-	before, _ := jobs.Load(ctx, "j-1")
-	state, err := New(unanswered{store}, jobs.limits).Cancel(ctx, "j-1", time.Now(), UnderTerm(term))
+	before, _ := jobs.Load(t.Context(), "j-1")
+	state, err := New(unanswered{store}, jobs.limits).Cancel(t.Context(), "j-1", time.Now(), UnderTerm(term))
 	want := core.CancelUndecided{Ref: "j-1", Unknown: true, Version: before.Version}
 	if got := CancelEvent("j-1", state, err); !errors.Is(err, statestore.ErrUnknownOutcome) || got != want {
 		t.Fatalf("%+v, %v", got, err)
 	}
-	if now, _ := jobs.Load(ctx, "j-1"); now.Phase != pipeline.Cancelled {
+	if now, _ := jobs.Load(t.Context(), "j-1"); now.Phase != pipeline.Cancelled {
 		t.Fatalf("%+v", now)
 	}
 	if got := CancelEvent("j-1", state, ErrNotLeader); got != (core.CancelUndecided{Ref: "j-1", Version: before.Version}) {
@@ -51,25 +51,25 @@
 // one may cancel.
 func TestCancelAgainstDone(t *testing.T) {
 	store, jobs, term := setup(t)
-	state, _ := jobs.Load(ctx, "j-1")
-	if _, err := jobs.Cancel(ctx, "j-1", time.Now(), UnderTerm(term)); err != nil {
+	state, _ := jobs.Load(t.Context(), "j-1")
+	if _, err := jobs.Cancel(t.Context(), "j-1", time.Now(), UnderTerm(term)); err != nil {
 		t.Fatal(err)
 	}
 	final := core.PutFinal{Ref: "j-1", Version: state.Version, Final: pipeline.Final{Phase: pipeline.Done, Tasks: 2}}
-	if _, _, err := jobs.Apply(ctx, term, []core.Write{final}); err == nil {
+	if _, _, err := jobs.Apply(t.Context(), term, []core.Write{final}); err == nil {
 		t.Fatal("a result was written over a cancellation")
 	}
 	store.items[leadership.HolderKey] = statestore.KeyValue{ModRevision: 7}
-	if _, err := jobs.Cancel(ctx, "j-1", time.Now(), nobodyLeads); err != nil {
+	if _, err := jobs.Cancel(t.Context(), "j-1", time.Now(), nobodyLeads); err != nil {
 		t.Fatalf("repeating a cancellation: %v", err)
 	}
-	if err := jobs.Create(ctx, pipeline.Spec{Ref: "j-2", Tasks: 1}, nil, time.Now()); err != nil {
+	if err := jobs.Create(t.Context(), pipeline.Spec{Ref: "j-2", Tasks: 1}, nil, time.Now()); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := jobs.Cancel(ctx, "j-2", time.Now(), nobodyLeads); !errors.Is(err, ErrNotLeader) {
+	if _, err := jobs.Cancel(t.Context(), "j-2", time.Now(), nobodyLeads); !errors.Is(err, ErrNotLeader) {
 		t.Fatalf("cancellation by a controller that doesn't lead: %v", err)
 	}
-	if _, err := jobs.Cancel(ctx, "j-3", time.Now(), UnderTerm(term)); !errors.Is(err, ErrUnknownJob) {
+	if _, err := jobs.Cancel(t.Context(), "j-3", time.Now(), UnderTerm(term)); !errors.Is(err, ErrUnknownJob) {
 		t.Fatalf("cancellation of an unknown job: %v", err)
 	}
 }
--- a/internal/jobstore/dependencies_test.go
+++ b/internal/jobstore/dependencies_test.go
@@ -25,15 +25,15 @@
 func TestCheckDependencies(t *testing.T) {
 	store, jobs, term := setup(t)
 	for ref, shape := range map[string]pipeline.Shape{"j-2": pipeline.Array, "j-3": pipeline.Service} {
-		if err := jobs.Create(ctx, pipeline.Spec{Ref: ref, Tasks: 1, Shape: shape}, nil, time.Now()); err != nil {
+		if err := jobs.Create(t.Context(), pipeline.Spec{Ref: ref, Tasks: 1, Shape: shape}, nil, time.Now()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	state, err := jobs.Load(ctx, "j-2")
+	state, err := jobs.Load(t.Context(), "j-2")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := jobs.Apply(ctx, term, []core.Write{cancelledFinal("j-2", state.Version)}); err != nil {
+	if _, _, err := jobs.Apply(t.Context(), term, []core.Write{cancelledFinal("j-2", state.Version)}); err != nil {
 		t.Fatal(err)
 	}
 	many := []string{"j-1", "j-2", "j-1", "j-1", "j-1", "j-1", "j-1", "j-1", "j-2"}
@@ -56,7 +56,7 @@
 		{"many, one a service", "j-5", append(many[:9:9], "j-3"), ErrBadDependency},
 	} {
 		uncached := New(store, Limits{ValueBytes: 4000, TxnOps: 2})
-		err := uncached.CheckDependencies(ctx, c.ref, c.dependencies)
+		err := uncached.CheckDependencies(t.Context(), c.ref, c.dependencies)
 		if !errors.Is(err, c.want) || c.want == nil && err != nil {
 			t.Errorf("%s: %s after %v: %v, want %v", c.name, c.ref, c.dependencies, err, c.want)
 		}
@@ -70,7 +70,8 @@
 func TestDependencyCancelled(t *testing.T) {
 	store, jobs, term := setup(t)
 	for i, dependencies := range [][]string{{"j-1"}, {"j-2"}, {"j-2", "j-3"}} {
-		if err := jobs.Create(ctx, pipeline.Spec{Ref: fmt.Sprintf("j-%d", i+2), Tasks: 1}, dependencies, time.Now()); err != nil {
+		spec := pipeline.Spec{Ref: fmt.Sprintf("j-%d", i+2), Tasks: 1}
+		if err := jobs.Create(t.Context(), spec, dependencies, time.Now()); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -78,11 +79,11 @@
 	asked := New(store, Limits{ValueBytes: 4000, TxnOps: 8, NotCancelledFor: 10 * time.Second})
 	cancelled := func(ref string) bool {
 		t.Helper()
-		state, err := asked.Load(ctx, ref)
+		state, err := asked.Load(t.Context(), ref)
 		if err != nil || !state.Found {
 			t.Fatalf("%s: %+v, %v", ref, state, err)
 		}
-		dependencyCancelled, err := asked.DependencyCancelled(ctx, state, now)
+		dependencyCancelled, err := asked.DependencyCancelled(t.Context(), state, now)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -91,7 +92,7 @@
 	if cancelled("j-1") || cancelled("j-2") || cancelled("j-4") {
 		t.Error("a dependency counts as cancelled, and no job is")
 	}
-	state, err := jobs.Cancel(ctx, "j-1", time.Now(), nobodyLeads)
+	state, err := jobs.Cancel(t.Context(), "j-1", time.Now(), nobodyLeads)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,7 +108,7 @@
 	now = now.Add(10 * time.Second)
 	checkCancelled()
 	now = now.Add(time.Minute)
-	if _, _, err := jobs.Apply(ctx, term, []core.Write{cancelledFinal("j-1", state.Version)}); err != nil {
+	if _, _, err := jobs.Apply(t.Context(), term, []core.Write{cancelledFinal("j-1", state.Version)}); err != nil {
 		t.Fatal(err)
 	}
 	checkCancelled()
@@ -141,10 +142,10 @@
 	}
 	tries := 0
 	for err := error(statestore.ErrUnavailable); err != nil; tries++ {
-		if state, err := New(store, limits).Load(ctx, "j-9"); err != nil || state.Found {
+		if state, err := New(store, limits).Load(t.Context(), "j-9"); err != nil || state.Found {
 			t.Fatalf("half accepted: %+v, %v", state, err)
 		}
-		err = New(&failing{store, 7}, limits).Create(ctx, pipeline.Spec{Ref: "j-9", Tasks: 1}, refs, time.Now())
+		err = New(&failing{store, 7}, limits).Create(t.Context(), pipeline.Spec{Ref: "j-9", Tasks: 1}, refs, time.Now())
 		if err != nil && !errors.Is(err, statestore.ErrUnavailable) || tries > 10 {
 			t.Fatalf("try %d: %v", tries, err)
 		}
@@ -157,7 +158,7 @@
 			t.Errorf("%s takes %d bytes, %v", key, size, err)
 		}
 	}
-	snapshot, _, err := New(store, limits).Snapshot(ctx)
+	snapshot, _, err := New(store, limits).Snapshot(t.Context())
 	if err != nil || len(snapshot.Jobs) != 1 || !slices.Equal(snapshot.Jobs[0].Record.Dependencies, refs) {
 		t.Fatalf("read back %d jobs, %v", len(snapshot.Jobs), err)
 	}
@@ -173,11 +174,11 @@
 	for i := range refs {
 		refs[i] = fmt.Sprintf("j-%06d", i)
 	}
-	if err := low.Create(ctx, pipeline.Spec{Ref: "j-9", Tasks: 1}, refs, time.Now()); err != nil {
+	if err := low.Create(t.Context(), pipeline.Spec{Ref: "j-9", Tasks: 1}, refs, time.Now()); err != nil {
 		t.Fatal(err)
 	}
 	late := store.items["j/j-9"]
-	job, err := jobs.ReadJob(ctx, late)
+	job, err := jobs.ReadJob(t.Context(), late)
 	if err != nil || len(job.Record.Dependencies) != 100 {
 		t.Fatalf("%+v, %v", job, err)
 	}
@@ -185,10 +186,10 @@
 	for i := range job.Record.DependencyPages {
 		writes = append(writes, core.DeleteDependencyPage{Ref: "j-9", ListSum: job.Record.DependencyListSum, Page: i})
 	}
-	if sent, _, err := jobs.Apply(ctx, term, writes); err != nil || len(sent) != len(writes) {
+	if sent, _, err := jobs.Apply(t.Context(), term, writes); err != nil || len(sent) != len(writes) {
 		t.Fatal(err)
 	}
-	_, err = jobs.ReadJob(ctx, late)
+	_, err = jobs.ReadJob(t.Context(), late)
 	var missing *MissingPagesError
 	if !errors.As(err, &missing) || errors.Is(err, codec.ErrMalformed) {
 		t.Fatalf("reading the late record: %v", err)
@@ -196,7 +197,7 @@
 	if missing.Ref != "j-9" || missing.Stored != 0 || missing.Want != job.Record.DependencyPages {
 		t.Errorf("%+v", missing)
 	}
-	if state, err := jobs.Load(ctx, "j-9"); err != nil || !state.Over {
+	if state, err := jobs.Load(t.Context(), "j-9"); err != nil || !state.Over {
 		t.Fatalf("%+v, %v", state, err)
 	}
 }
--- a/internal/jobstore/golden_test.go
+++ b/internal/jobstore/golden_test.go
@@ -15,8 +15,6 @@
 	"gingertally/internal/core/pipeline"
 	"gingertally/internal/drain"
 	"gingertally/internal/goldentest"
-	"gingertally/internal/leadership"
-	"gingertally/internal/statestore"
 )
 
 // leaderWrites are writes of every kind that puts something, in which every field is set.
@@ -49,13 +47,10 @@
 func TestStoredFormsGolden(t *testing.T) {
 	store, jobs, term := setup(t)
 	clear(store.items)
-	if _, err := store.Commit(ctx, nil, []statestore.Op{statestore.Put(leadership.TermKey, codec.MustMarshal(1))}); err != nil {
-		t.Fatal(err)
-	}
-	term.Revision = store.rev
+	term.Revision = putTerm(t, store, 1)
 	at := time.UnixMilli(1_800_000_000_123)
 	for _, w := range leaderWrites() {
-		if _, _, err := jobs.Apply(ctx, term, []core.Write{w}); err != nil {
+		if _, _, err := jobs.Apply(t.Context(), term, []core.Write{w}); err != nil {
 			t.Fatalf("%+v: %v", w, err)
 		}
 	}
@@ -64,23 +59,23 @@
 		long[i] = "j-" + strings.Repeat("1", 1+i%30)
 	}
 	small := pipeline.Spec{Ref: "j-000003", Tasks: 2, Types: []string{}}
-	if err := jobs.Create(ctx, small, []string{"j-000001"}, at); err != nil {
+	if err := jobs.Create(t.Context(), small, []string{"j-000001"}, at); err != nil {
 		t.Fatal(err)
 	}
-	if err := jobs.Create(ctx, pipeline.Spec{Ref: "j-000004", Tasks: 2}, long, at); err != nil {
+	if err := jobs.Create(t.Context(), pipeline.Spec{Ref: "j-000004", Tasks: 2}, long, at); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := jobs.Cancel(ctx, "j-000003", at, UnderTerm(term)); err != nil {
+	if _, err := jobs.Cancel(t.Context(), "j-000003", at, UnderTerm(term)); err != nil {
 		t.Fatal(err)
 	}
 	plan := drain.Plan{
 		ID: "plan-1", Selector: drain.Selector{Machines: []string{"m-1"}, Zone: "a"},
 		MaxAtOnce: 2, Surge: 1, Deadline: time.Hour, KeepCordoned: true,
 	}
-	if _, err := jobs.CreateDrainPlan(ctx, plan, at); err != nil {
+	if _, err := jobs.CreateDrainPlan(t.Context(), plan, at); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := jobs.ChangeDrainPlan(ctx, "plan-1", drain.Paused); err != nil {
+	if _, err := jobs.ChangeDrainPlan(t.Context(), "plan-1", drain.Paused); err != nil {
 		t.Fatal(err)
 	}
 	var lines goldentest.Lines
--- a/internal/jobstore/memory_test.go
+++ b/internal/jobstore/memory_test.go
@@ -55,18 +55,24 @@
 	return m.rev, nil
 }
 
-var ctx = context.Background()
+// putTerm stores the number of a leader's term, by which that term begins and all earlier ones are over.
+func putTerm(t *testing.T, store *memory, number int) (revision uint64) {
+	t.Helper()
+	op := statestore.Put(leadership.TermKey, codec.MustMarshal(number))
+	revision, err := store.Commit(t.Context(), nil, []statestore.Op{op})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return revision
+}
 
 // setup returns a store with a leader's term and one job, j-1, that has two tasks.
 func setup(t *testing.T) (*memory, *Jobs, leadership.Term) {
 	t.Helper()
 	store := &memory{items: map[string]statestore.KeyValue{}}
-	revision, err := store.Commit(ctx, nil, []statestore.Op{statestore.Put(leadership.TermKey, codec.MustMarshal(1))})
-	if err != nil {
-		t.Fatal(err)
-	}
+	revision := putTerm(t, store, 1)
 	jobs := New(store, Limits{ValueBytes: 4000, TxnOps: 8})
-	if err := jobs.Create(ctx, pipeline.Spec{Ref: "j-1", Tasks: 2, Types: []string{}}, nil, time.Now()); err != nil {
+	if err := jobs.Create(t.Context(), pipeline.Spec{Ref: "j-1", Tasks: 2, Types: []string{}}, nil, time.Now()); err != nil {
 		t.Fatal(err)
 	}
 	return store, jobs, leadership.Term{Number: 1, Revision: revision}
--- a/internal/jobstore/records_test.go
+++ b/internal/jobstore/records_test.go
@@ -18,22 +18,24 @@
 // accepted jobs unreachable.
 func TestLargeRecordsFromBefore(t *testing.T) {
 	store := &memory{items: map[string]statestore.KeyValue{}}
-	spec := pipeline.Spec{Ref: "j-1", Class: strings.Repeat("c", 200), Team: "t", Image: strings.Repeat("i", 200), Tasks: 2000}
+	spec := pipeline.Spec{
+		Ref: "j-1", Class: strings.Repeat("c", 200), Team: "t", Image: strings.Repeat("i", 200), Tasks: 2000,
+	}
 	for i := range 20 {
 		spec.Types = append(spec.Types, fmt.Sprintf("a-type-with-a-long-name-%d", i))
 	}
-	if err := New(store, Limits{ValueBytes: 4000, TxnOps: 8}).Create(ctx, spec, nil, time.Now()); err != nil {
+	if err := New(store, Limits{ValueBytes: 4000, TxnOps: 8}).Create(t.Context(), spec, nil, time.Now()); err != nil {
 		t.Fatal(err)
 	}
 	low := New(store, Limits{ValueBytes: 1000, TxnOps: 2})
-	if err := low.Create(ctx, spec, nil, time.Now()); !errors.Is(err, ErrExists) {
+	if err := low.Create(t.Context(), spec, nil, time.Now()); !errors.Is(err, ErrExists) {
 		t.Fatalf("submitted again: %v", err)
 	}
 	spec.Ref = "j-2"
-	if err := low.Create(ctx, spec, nil, time.Now()); !errors.Is(err, ErrTooLarge) {
+	if err := low.Create(t.Context(), spec, nil, time.Now()); !errors.Is(err, ErrTooLarge) {
 		t.Fatalf("submitted now: %v", err)
 	}
-	if _, err := low.Cancel(ctx, "j-1", time.Now(), nobodyLeads); err != nil {
+	if _, err := low.Cancel(t.Context(), "j-1", time.Now(), nobodyLeads); err != nil {
 		t.Fatal(err)
 	}
 	if size, err := codec.JSONSize(store.items["j/j-1"].Value); err != nil || size > 1000 {
@@ -45,10 +47,10 @@
 // repeated submission that replaced the job would run it twice.
 func TestCreateOnce(t *testing.T) {
 	_, jobs, term := setup(t)
-	if err := jobs.Create(ctx, pipeline.Spec{Ref: "j-1", Tasks: 9}, nil, time.Now()); !errors.Is(err, ErrExists) {
+	if err := jobs.Create(t.Context(), pipeline.Spec{Ref: "j-1", Tasks: 9}, nil, time.Now()); !errors.Is(err, ErrExists) {
 		t.Fatalf("second creation: %v", err)
 	}
-	state, err := jobs.Load(ctx, "j-1")
+	state, err := jobs.Load(t.Context(), "j-1")
 	if err != nil || !state.Found || state.Record.Spec.Tasks != 2 {
 		t.Fatalf("%+v, %v", state, err)
 	}
@@ -56,13 +58,13 @@
 		t.Fatal("a list of no types has become any type")
 	}
 	final := core.PutFinal{Ref: "j-1", Version: state.Version, Final: pipeline.Final{Phase: pipeline.Done, Tasks: 2}}
-	if _, _, err := jobs.Apply(ctx, term, []core.Write{final}); err != nil {
+	if _, _, err := jobs.Apply(t.Context(), term, []core.Write{final}); err != nil {
 		t.Fatal(err)
 	}
-	if err := jobs.Create(ctx, pipeline.Spec{Ref: "j-1", Tasks: 2}, nil, time.Now()); !errors.Is(err, ErrExists) {
+	if err := jobs.Create(t.Context(), pipeline.Spec{Ref: "j-1", Tasks: 2}, nil, time.Now()); !errors.Is(err, ErrExists) {
 		t.Fatalf("creation of a job that is over: %v", err)
 	}
-	if state, err := jobs.Load(ctx, "j-1"); err != nil || !state.Over || state.Phase != pipeline.Done || state.Done != 2 {
+	if state, err := jobs.Load(t.Context(), "j-1"); err != nil || !state.Over || state.Phase != pipeline.Done || state.Done != 2 {
 		t.Fatalf("%+v, %v", state, err)
 	}
 }
--- a/internal/jobstore/snapshot_test.go
+++ b/internal/jobstore/snapshot_test.go
@@ -29,7 +29,7 @@
 		store.items[key] = statestore.KeyValue{Key: key, Value: b, ModRevision: 7}
 	}
 	jobs := New(store, Limits{ValueBytes: 4000, TxnOps: 8})
-	snapshot, _, err := jobs.Snapshot(ctx)
+	snapshot, _, err := jobs.Snapshot(t.Context())
 	if err != nil || len(snapshot.Jobs) != 2 || len(snapshot.Pages) != 2 || len(snapshot.Images) != 1 {
 		t.Fatalf("%+v, %v", snapshot, err)
 	}
@@ -46,7 +46,7 @@
 		}
 	}
 	for ref, want := range map[string]pipeline.Phase{"j-000003": pipeline.Done, "j-000004": pipeline.Cancelled} {
-		state, err := jobs.Load(ctx, ref)
+		state, err := jobs.Load(t.Context(), ref)
 		if err != nil || !state.Over || state.Phase != want {
 			t.Errorf("%s: %+v, %v", ref, state, err)
 		}
@@ -71,17 +71,17 @@
 func TestOldMachineRecords(t *testing.T) {
 	store, jobs, term := setup(t)
 	old := map[string]any{"ty": "g8", "zo": "a", "so": true, "ad": "x:1", "e": []any{[]any{"j-1", 3, 77}}}
-	revision, err := store.Commit(ctx, nil, []statestore.Op{statestore.Put("m/m-000231", codec.MustMarshal(old))})
+	revision, err := store.Commit(t.Context(), nil, []statestore.Op{statestore.Put("m/m-000231", codec.MustMarshal(old))})
 	if err != nil {
 		t.Fatal(err)
 	}
 	page := fleet.StartLogRecord{Placed: []fleet.MachineStarts{{
 		Machine: "m-000500", Type: "g8", Zone: "b", Entries: []fleet.StartLogEntry{{Ref: "j-2", Attempt: 5}},
 	}}}
-	if _, _, err := jobs.Apply(ctx, term, []core.Write{core.PutStartLogPage{Name: "2-1", Record: page}}); err != nil {
+	if _, _, err := jobs.Apply(t.Context(), term, []core.Write{core.PutStartLogPage{Name: "2-1", Record: page}}); err != nil {
 		t.Fatal(err)
 	}
-	snapshot, _, err := jobs.Snapshot(ctx)
+	snapshot, _, err := jobs.Snapshot(t.Context())
 	if err != nil || len(snapshot.Pages) != 2 {
 		t.Fatalf("pages %+v, %v", snapshot.Pages, err)
 	}
@@ -98,7 +98,7 @@
 				t.Errorf("old record %+v", p)
 			}
 			deletion := core.DeleteStartLogPage{Name: p.Name, Version: p.Version}
-			if _, _, err := jobs.Apply(ctx, term, []core.Write{deletion}); err != nil {
+			if _, _, err := jobs.Apply(t.Context(), term, []core.Write{deletion}); err != nil {
 				t.Errorf("delete: %v", err)
 			}
 		default:
@@ -118,10 +118,10 @@
 		"m-1": {{Name: "a", GB: 2.5}, {Name: "b", GB: 1}},
 		"m-2": {{Name: "b", GB: 1}},
 	}, 4000)
-	if _, _, err := jobs.Apply(ctx, term, []core.Write{core.PutImagePage{Name: "2-9", Record: record}}); err != nil {
+	if _, _, err := jobs.Apply(t.Context(), term, []core.Write{core.PutImagePage{Name: "2-9", Record: record}}); err != nil {
 		t.Fatal(err)
 	}
-	snapshot, _, err := jobs.Snapshot(ctx)
+	snapshot, _, err := jobs.Snapshot(t.Context())
 	if err != nil || len(snapshot.Images) != 1 || snapshot.Images[0].Name != "2-9" {
 		t.Fatalf("%+v, %v", snapshot.Images, err)
 	}
@@ -131,10 +131,10 @@
 	if len(got) != 2 || len(got["m-1"]) != 2 || got["m-1"][0] != first || got["m-2"][0].Name != "b" {
 		t.Errorf("%+v", got)
 	}
-	if _, _, err := jobs.Apply(ctx, term, []core.Write{core.DeleteImagePage{Name: "2-9"}}); err != nil {
+	if _, _, err := jobs.Apply(t.Context(), term, []core.Write{core.DeleteImagePage{Name: "2-9"}}); err != nil {
 		t.Fatal(err)
 	}
-	if snapshot, _, err := jobs.Snapshot(ctx); err != nil || len(snapshot.Images) != 0 {
+	if snapshot, _, err := jobs.Snapshot(t.Context()); err != nil || len(snapshot.Images) != 0 {
 		t.Errorf("after the deletion: %+v, %v", snapshot.Images, err)
 	}
 }
@@ -142,9 +142,9 @@
 // A value that can't be decoded is an error that names its key. A leader that left the value out
 // would take a job or a machine for unknown.
 func TestMalformedValueIsNamed(t *testing.T) {
-	snapshot := func(jobs *Jobs) error { _, _, err := jobs.Snapshot(ctx); return err }
-	drains := func(jobs *Jobs) error { _, err := jobs.Drains(ctx); return err }
-	load := func(jobs *Jobs) error { _, err := jobs.Load(ctx, "j-1"); return err }
+	snapshot := func(jobs *Jobs) error { _, _, err := jobs.Snapshot(t.Context()); return err }
+	drains := func(jobs *Jobs) error { _, err := jobs.Drains(t.Context()); return err }
+	load := func(jobs *Jobs) error { _, err := jobs.Load(t.Context(), "j-1"); return err }
 	for _, c := range []struct {
 		key  string
 		read func(*Jobs) error
--- a/internal/jobstore/writes_test.go
+++ b/internal/jobstore/writes_test.go
@@ -10,7 +10,6 @@
 	"testing"
 	"time"
 
-	"gingertally/internal/codec"
 	"gingertally/internal/core"
 	"gingertally/internal/core/pipeline"
 	"gingertally/internal/leadership"
@@ -23,11 +22,11 @@
 	store, jobs, term := setup(t)
 	rejecting := &rejectingStore{store}
 	batch := []core.Write{core.PutImagePage{Name: "bad"}, core.PutImagePage{Name: "good"}}
-	sent, _, err := New(rejecting, jobs.limits).Apply(ctx, term, batch)
+	sent, _, err := New(rejecting, jobs.limits).Apply(t.Context(), term, batch)
 	if !errors.Is(err, statestore.ErrRejected) || len(sent) != 1 || sent[0].Target() != "bad" {
 		t.Fatalf("sent %v, %v", sent, err)
 	}
-	if sent, _, err = New(rejecting, jobs.limits).Apply(ctx, term, batch[1:]); err != nil || len(sent) != 1 {
+	if sent, _, err = New(rejecting, jobs.limits).Apply(t.Context(), term, batch[1:]); err != nil || len(sent) != 1 {
 		t.Fatalf("sent %v, %v", sent, err)
 	}
 }
@@ -50,22 +49,20 @@
 // what its successor has written.
 func TestDeposedLeaderCannotWrite(t *testing.T) {
 	store, jobs, term := setup(t)
-	state, _ := jobs.Load(ctx, "j-1")
-	if _, err := store.Commit(ctx, nil, []statestore.Op{statestore.Put(leadership.TermKey, codec.MustMarshal(2))}); err != nil {
-		t.Fatal(err)
-	}
+	state, _ := jobs.Load(t.Context(), "j-1")
+	putTerm(t, store, 2)
 	before := maps.Clone(store.items)
 	write := core.PutJob{Ref: "j-1", Version: state.Version, Record: state.Record}
-	if _, _, err := jobs.Apply(ctx, term, []core.Write{write}); !errors.Is(err, ErrDeposed) {
+	if _, _, err := jobs.Apply(t.Context(), term, []core.Write{write}); !errors.Is(err, ErrDeposed) {
 		t.Fatalf("write under an old term: %v", err)
 	}
-	if _, err := jobs.Cancel(ctx, "j-1", time.Now(), UnderTerm(term)); !errors.Is(err, ErrNotLeader) {
+	if _, err := jobs.Cancel(t.Context(), "j-1", time.Now(), UnderTerm(term)); !errors.Is(err, ErrNotLeader) {
 		t.Fatalf("cancellation under an old term: %v", err)
 	}
-	if err := jobs.Put(ctx, term, leadership.RestoredKey, []byte{1}); !errors.Is(err, ErrDeposed) {
+	if err := jobs.Put(t.Context(), term, leadership.RestoredKey, []byte{1}); !errors.Is(err, ErrDeposed) {
 		t.Fatalf("put under an old term: %v", err)
 	}
-	if err := jobs.Drop(ctx, term, JobPrefix+"j-1"); !errors.Is(err, ErrDeposed) {
+	if err := jobs.Drop(t.Context(), term, JobPrefix+"j-1"); !errors.Is(err, ErrDeposed) {
 		t.Fatalf("delete under an old term: %v", err)
 	}
 	if !reflect.DeepEqual(store.items, before) {
@@ -82,7 +79,7 @@
 		spec := pipeline.Spec{Class: strings.Repeat("x", 3000), Tasks: 1}
 		writes = append(writes, core.PutJob{Ref: fmt.Sprintf("j-%d", 100+i), Record: pipeline.Record{Spec: spec}})
 	}
-	sent, _, err := jobs.Apply(ctx, term, writes)
+	sent, _, err := jobs.Apply(t.Context(), term, writes)
 	if err != nil || len(sent) == 0 || len(sent) == len(writes) {
 		t.Fatalf("%d of %d, %v", len(sent), len(writes), err)
 	}
