--- a/internal/jobstore/drains_test.go
+++ b/internal/jobstore/drains_test.go
@@ -10,16 +10,21 @@
 	"gingertally/internal/drain"
 )
 
-// Pages of drains and the largest plan fit the smallest value of all deployments, in the JSON form
-// that the state service counts in, with the longest numbers.
+// Pages of drains and the largest plan, with the longest numbers, fit the smallest value that any
+// deployment has, in the JSON form in which the state service counts. A page that doesn't fit is
+// rejected, and a new leader would forget its cordons or charges.
 func TestDrainValuesFit(t *testing.T) {
 	const limit = 4000 // of 4 KiB, as the daemon sets it
 	now := time.Unix(1_800_000_000, 0)
 	pages := 0
 	newName := func() string { pages++; return fmt.Sprintf("1-%d", pages) }
 	policy := &drain.Policy{}
-	plan := drain.Plan{ID: "replace-all", Selector: drain.Selector{All: true}, MaxAtOnce: 1000, Through: "m-999999", CreatedMS: now.UnixMilli()}
-	c := drain.NewCoordinator(now, policy, drain.Stored{Plans: []drain.StoredPlan{{Plan: plan, Version: 1}}}, newName, func() int { return limit })
+	plan := drain.Plan{
+		ID: "replace-all", Selector: drain.Selector{All: true},
+		MaxAtOnce: 1000, Through: "m-999999", CreatedMS: now.UnixMilli(),
+	}
+	stored := drain.Stored{Plans: []drain.StoredPlan{{Plan: plan, Version: 1}}}
+	c := drain.NewCoordinator(now, policy, stored, newName, func() int { return limit })
 	for i := range 300 {
 		name := fmt.Sprintf("m-%06d", i)
 		c.Add(drain.MachineID{Name: name})
@@ -43,7 +48,7 @@
 	}
 	for _, value := range append(values, plan) {
 		if size, err := codec.JSONSize(codec.MustMarshal(value)); err != nil || size > limit {
-			t.Errorf("%T takes %d bytes, %d at the most (%v)", value, size, limit, err)
+			t.Errorf("%T takes %d bytes, want %d or less (%v)", value, size, limit, err)
 		}
 	}
 }
