--- a/internal/drain/budget.go
+++ b/internal/drain/budget.go
@@ -1,26 +1,30 @@
-// Package drain empties machines that operators want replaced, within the disruption budgets
-// that teams have declared: which plans there are and how far each machine is, what every
-// interruption is charged to, and whether a task may be moved now. It does no input or output
-// and reads no clock; the core carries out what it decides (docs/draining.md).
 package drain
 
 import (
 	"slices"
+	"strings"
 	"time"
 )
 
 // Unlimited is the value of a limit that bounds nothing.
 const Unlimited = -1
 
-// Budget is the voluntary disruption that a team, or a class of a team's jobs, tolerates. All
-// budgets that apply to a task have to allow its eviction.
+// Budget is the voluntary disruption that a team, or a class of a team's jobs, tolerates. A task
+// may be evicted only if all budgets that apply to it allow that.
 type Budget struct {
-	TaskInterruptions   int           // of one task, over its life; Unlimited: any number
-	WindowInterruptions int           // of all tasks in scope within Window; Unlimited: any number
-	Window              time.Duration // in which WindowInterruptions are counted
-	MaxUnavailable      int           // tasks of one job that may be down at a time; Unlimited: any number
-	Closed              []ClosedWindow
-	FinishWait          time.Duration // that tasks which don't save are left to finish; 0: the default
+	// TaskInterruptions limits the interruptions of one task over its life, or is Unlimited.
+	TaskInterruptions int
+	// WindowInterruptions limits the interruptions of all tasks in scope within any time as long
+	// as Window, or is Unlimited.
+	WindowInterruptions int
+	Window              time.Duration
+	// MaxUnavailable limits how many tasks of one job may be down at a time, or is Unlimited.
+	MaxUnavailable int
+	// Closed are times of day during which nothing in scope may be evicted.
+	Closed []ClosedWindow
+	// FinishWait is how long tasks without checkpoints are left to finish by themselves before
+	// they are evicted; 0 stands for the policy's default.
+	FinishWait time.Duration
 }
 
 // NewBudget makes a budget that limits nothing.
@@ -42,22 +46,26 @@
 	return s.Team + "/" + s.Class
 }
 
-// Policy is all budgets.
+// Compare orders scopes by their text, which is that of the team, then the class.
+func (s Scope) Compare(o Scope) int { return strings.Compare(s.String(), o.String()) }
+
+// Policy holds the budgets of all scopes, and the defaults beside them.
 type Policy struct {
 	Budgets map[Scope]Budget
-	// FinishWait is how long tasks that don't save are left to finish where no budget says so.
+	// FinishWait applies where no budget has a FinishWait of its own.
 	FinishWait time.Duration
 	// Skew bounds how far a controller's time of day is off.
 	Skew time.Duration
 }
 
-// scopedBudget is a budget with what it applies to.
+// scopedBudget is a budget together with its scope.
 type scopedBudget struct {
 	scope  Scope
 	budget Budget
 }
 
-// applying are the budgets that apply to a team's jobs of a class, the team's first.
+// applying returns the budgets that apply to a team's jobs of a class: the budget of the whole team
+// first. A job without a class is in the team's scope only, which counts once.
 func (p *Policy) applying(team, class string) []scopedBudget {
 	var out []scopedBudget
 	for _, scope := range []Scope{{Team: team}, {Team: team, Class: class}} {
@@ -69,11 +77,11 @@
 	return out
 }
 
-// Limits tells whether any budget applies to a team's jobs of a class.
+// Limits reports whether any budget applies to a team's jobs of a class.
 func (p *Policy) Limits(team, class string) bool { return len(p.applying(team, class)) > 0 }
 
-// LimitsUnavailable tells whether a budget says how many tasks of a team's job of a class may be
-// down at a time.
+// LimitsUnavailable reports whether any budget that applies to a team's jobs of a class limits how
+// many tasks of a job may be down at a time.
 func (p *Policy) LimitsUnavailable(team, class string) bool {
 	for _, b := range p.applying(team, class) {
 		if b.budget.MaxUnavailable != Unlimited {
@@ -83,7 +91,7 @@
 	return false
 }
 
-// longestWindow is the longest time over which interruptions are counted.
+// longestWindow returns the longest window of all budgets: a charge older than that counts in none.
 func (p *Policy) longestWindow() time.Duration {
 	longest := time.Duration(0)
 	for _, b := range p.Budgets {
@@ -92,11 +100,12 @@
 	return longest
 }
 
-// margin is how much longer than its window an interruption counts: the clocks of two
-// controllers that see it may be off in opposite directions.
-func (p *Policy) margin() time.Duration { return 2 * p.Skew }
+// clockMargin returns how much longer than its window an interruption counts. The leader that
+// recorded it and the leader that judges by it may have clocks that are off in opposite directions.
+func (p *Policy) clockMargin() time.Duration { return 2 * p.Skew }
 
-// finishWait is how long a task that doesn't save is left to finish by itself.
+// finishWait returns how long a task without checkpoints is left to finish by itself: the longest
+// wait of the budgets that apply, or the default.
 func (p *Policy) finishWait(budgets []scopedBudget) time.Duration {
 	wait := time.Duration(0)
 	for _, b := range budgets {
--- /dev/null
+++ b/internal/drain/charge_pages.go
@@ -0,0 +1,123 @@
+package drain
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+// prunePause is the time between two searches for pages that are no longer needed.
+const prunePause = 30 * time.Second
+
+// chargePages divides the ledger's charges into pages that fit a value of the state service, and
+// keeps track of which pages have to be written.
+type chargePages struct {
+	newName   func() string // returns a name that no page has had
+	pageLimit func() int    // bytes that a page may have
+	byName    map[string]*chargePage
+	filling   *chargePage // takes new charges; nil: the next charge begins a page
+	dirty     map[*chargePage]bool
+	prunedAt  time.Time // when pages that are no longer needed were last searched for
+}
+
+func newChargePages(newName func() string, pageLimit func() int) chargePages {
+	return chargePages{newName: newName, pageLimit: pageLimit, byName: map[string]*chargePage{}, dirty: map[*chargePage]bool{}}
+}
+
+// newPage makes an empty page.
+func (s *chargePages) newPage(name string) *chargePage {
+	p := newChargePage(name)
+	s.byName[name] = p
+	return p
+}
+
+// append puts a new charge on the page that is being filled. A page whose write is under way takes
+// no more: the write wouldn't contain the charge.
+func (s *chargePages) append(c *Charge) {
+	if s.filling == nil || s.filling.writing || s.filling.bytes+c.bytes() > s.pageLimit() {
+		s.filling = s.newPage(s.newName())
+	}
+	s.filling.add(c)
+	s.dirty[s.filling] = true
+}
+
+// changed notes that the page of a charge has to be written.
+func (s *chargePages) changed(c *Charge) { s.dirty[c.page] = true }
+
+// dirtyWrites lists writes of pages that have changed, by name and no more than the limit.
+func (s *chargePages) dirtyWrites(limit int) []PageWrite {
+	var due []*chargePage
+	for p := range s.dirty {
+		if !p.writing && p.writtenAfter == nil {
+			due = append(due, p)
+		}
+	}
+	slices.SortFunc(due, func(a, b *chargePage) int { return cmp.Compare(a.name, b.name) })
+	var out []PageWrite
+	for _, p := range due[:max(0, min(limit, len(due)))] {
+		out = append(out, PageWrite{Name: p.name, Version: p.version, Record: p.record()})
+	}
+	return out
+}
+
+// obsolete returns the first page by name of which no charge is needed any more; nil if there is
+// none.
+func (s *chargePages) obsolete(needed func(*Charge) bool) *chargePage {
+	var first *chargePage
+	for _, p := range s.byName {
+		if p == s.filling || p.writing || slices.ContainsFunc(p.charges, needed) {
+			continue
+		}
+		if first == nil || p.name < first.name {
+			first = p
+		}
+	}
+	return first
+}
+
+// writeStarted notes that a write of a page is under way, with the charges that it has now.
+func (s *chargePages) writeStarted(name string) {
+	if p := s.byName[name]; p != nil {
+		p.writing, p.chargesInWrite = true, len(p.charges)
+		delete(s.dirty, p)
+	}
+}
+
+// written takes in that the state service holds a page as it was sent.
+func (s *chargePages) written(p *chargePage) {
+	for _, c := range p.charges[:p.chargesInWrite] {
+		c.stored = true
+	}
+	for waiting := range s.dirty {
+		if waiting.writtenAfter == p {
+			waiting.writtenAfter = nil
+		}
+	}
+}
+
+// split moves half of a page that the state service rejects to a new page. The new page is written
+// first, so that every charge is on a stored page at any time.
+func (s *chargePages) split(name string) {
+	p := s.byName[name]
+	if p == nil {
+		return
+	}
+	p.writing = false
+	s.dirty[p] = true
+	if len(p.charges) < 2 {
+		return
+	}
+	half := len(p.charges) / 2
+	moved := p.charges[half:]
+	p.charges = p.charges[:half:half]
+	second := s.newPage(s.newName())
+	for _, c := range moved {
+		second.add(c)
+		p.bytes -= c.bytes()
+	}
+	p.writtenAfter = second
+	s.dirty[second] = true
+	if s.filling == p {
+		s.filling = nil
+	}
+}
--- a/internal/drain/coordinator_test.go
+++ b/internal/drain/coordinator_test.go
@@ -113,7 +113,7 @@
 	}
 	takeOver(1)
 	for released := 0; released < machines; {
-		now = now.Add(lookAgain)
+		now = now.Add(queueRetryInterval)
 		for {
 			name, id := c.Next(now)
 			if name == "" {
@@ -206,7 +206,7 @@
 	}
 	first.Version, first.Plan.Phase = 3, Cancelled
 	c.SetPlan(testStart, first)
-	if name, id := c.Next(testStart.Add(lookAgain)); name == "" || id != "b" {
+	if name, id := c.Next(testStart.Add(queueRetryInterval)); name == "" || id != "b" {
 		t.Fatalf("%q goes to %q", name, id)
 	}
 }
@@ -231,7 +231,7 @@
 	if name, _ := c.Next(testStart); last != machineID(4).Name || name != "" {
 		t.Fatalf("%q, then %q", last, name)
 	}
-	if name, _ := c.Next(testStart.Add(lookAgain)); name != machineID(0).Name {
+	if name, _ := c.Next(testStart.Add(queueRetryInterval)); name != machineID(0).Name {
 		t.Errorf("%q after the pause", name)
 	}
 }
@@ -375,7 +375,7 @@
 	if open := l.OpenCharges(); len(open) != 1 {
 		t.Fatalf("%d open charges", len(open))
 	}
-	if n, _ := l.windowUse(Scope{Team: "red"}, time.Minute, testStart, nil); n != 1 {
+	if n, _ := l.windows.use(Scope{Team: "red"}, time.Minute, testStart, nil); n != 1 {
 		t.Errorf("counted %d times", n)
 	}
 	expect(t, "interrupted once", p.Judge(testStart, l, candidate("j-1", 0, 8)), NotYet, CauseTaskBudget)
--- /dev/null
+++ b/internal/drain/doc.go
@@ -0,0 +1,16 @@
+// Package drain decides how operators' drains empty machines within the disruption budgets that
+// teams have declared.
+//
+// It owns three kinds of state for one leader's term. A Coordinator holds the plans and the
+// machines that they have claimed; a Ledger holds a Charge for every interruption of a task; a
+// Policy holds the budgets and judges from the ledger whether a task may be evicted now. The
+// stored forms of plans and of the pages of machines and charges are declared here as well, so
+// that other packages can encode them.
+//
+// The package does no input or output, starts no goroutines and reads no clock: every method is
+// given the time. It may assume that only the leader of the current term changes the pages, and
+// that WriteStarted and the outcome are reported for every write that it proposes. Coordinator and
+// Ledger aren't safe for concurrent use: package core calls them from the goroutine that steps its
+// engine and carries out what they decide. Plan, Budget and the stored forms are plain values that
+// any package may use (docs/draining.md).
+package drain
--- /dev/null
+++ b/internal/drain/machine_page.go
@@ -0,0 +1,80 @@
+package drain
+
+import (
+	"slices"
+	"strings"
+)
+
+// MachineEntry is one machine in a stored page. Machines that are only planned, or were uncordoned,
+// have none.
+type MachineEntry struct {
+	_       struct{} `cbor:",toarray"`
+	Name    string
+	Plan    string
+	State   MachineState
+	SinceMS int64
+}
+
+// MachinePage is the stored form of one page of machines.
+type MachinePage struct {
+	Machines []MachineEntry `cbor:"m"`
+}
+
+// StoredMachines is a page of machines as the state service holds it.
+type StoredMachines struct {
+	Name    string
+	Version uint64
+	Record  MachinePage
+}
+
+// entryBytes is an upper bound of the stored size of an entry without its names, in the JSON form
+// that the state service counts in.
+const entryBytes = 28
+
+// bytes bounds what the machine takes of a page.
+func (m *Machine) bytes() int { return entryBytes + len(m.Name) + len(m.Plan) }
+
+// machinePage is one page of machines with the state of its writes.
+type machinePage struct {
+	pageState
+	machines      map[*Machine]bool
+	mayExist      bool                      // the state service may hold the page
+	statesInWrite map[*Machine]MachineState // what the write under way contains
+	// removed are machines that were taken off the page and that the stored page may still name,
+	// in the order of their removal. The write under way is without the first removedInWrite.
+	removed        []string
+	removedInWrite int
+	writtenAfter   *machinePage // has to be stored before this page; nil: none
+}
+
+// add puts a machine on the page.
+func (p *machinePage) add(m *Machine) {
+	p.machines[m] = true
+	p.bytes += m.bytes()
+	m.page = p
+}
+
+// remove takes a machine off the page.
+func (p *machinePage) remove(m *Machine) {
+	delete(p.machines, m)
+	p.bytes -= m.bytes()
+}
+
+// sorted lists the machines of the page by name.
+func (p *machinePage) sorted() []*Machine {
+	out := make([]*Machine, 0, len(p.machines))
+	for m := range p.machines {
+		out = append(out, m)
+	}
+	slices.SortFunc(out, func(a, b *Machine) int { return strings.Compare(a.Name, b.Name) })
+	return out
+}
+
+// record returns the stored form of the page.
+func (p *machinePage) record() MachinePage {
+	out := MachinePage{}
+	for _, m := range p.sorted() {
+		out.Machines = append(out.Machines, MachineEntry{Name: m.Name, Plan: m.Plan, State: m.state, SinceMS: m.Since.UnixMilli()})
+	}
+	return out
+}
--- a/internal/drain/preview.go
+++ b/internal/drain/preview.go
@@ -1,37 +1,32 @@
 package drain
 
-import "strings"
-
-// Preview is what a plan would do as things are now.
+// Preview says what a plan would do if it were created now.
 type Preview struct {
 	Machines    int              `json:"machines"`
 	Stages      int              `json:"stages"`
-	Interrupted []PreviewScope   `json:"interrupted,omitempty"` // if nothing finished by itself
-	Listed      []PreviewMachine `json:"listed,omitempty"`      // the first of them
+	Interrupted []PreviewScope   `json:"interrupted,omitempty"` // at most: no task finishes by itself before
+	Listed      []PreviewMachine `json:"listed,omitempty"`      // the first of the machines
 }
 
-// PreviewScope is how many tasks of a team's jobs of a class run on the machines.
+// PreviewScope says how many tasks of a team's jobs of a class run on the machines.
 type PreviewScope struct {
 	Scope
 	Tasks int `json:"tasks"`
 }
 
 // PreviewMachine is a machine of a plan, the stage in which it would be drained, and what runs
-// there.
+// on it.
 type PreviewMachine struct {
 	Name    string        `json:"name"`
 	Stage   int           `json:"stage"`
-	Blocked string        `json:"blocked,omitempty"` // why it couldn't be begun with now
+	Blocked string        `json:"blocked,omitempty"` // why it couldn't be cordoned now
 	Work    []PreviewWork `json:"work,omitempty"`
 }
 
-// PreviewWork is what would be interrupted together.
+// PreviewWork is one task, or a whole gang, that would be interrupted.
 type PreviewWork struct {
 	Scope
 	Job     string `json:"job"`
 	Tasks   int    `json:"tasks"`
-	Verdict string `json:"verdict,omitempty"` // why not now; empty: it could be at once
+	Verdict string `json:"verdict,omitempty"` // why it can't be evicted now; empty: it can
 }
-
-// Compare orders scopes by team and class.
-func (s Scope) Compare(o Scope) int { return strings.Compare(s.String(), o.String()) }
--- a/internal/drain/status.go
+++ b/internal/drain/status.go
@@ -1,11 +1,11 @@
 package drain
 
 import (
-	"sort"
+	"slices"
 	"time"
 )
 
-// Status is what operators are shown of drains.
+// Status is what operators see of drains.
 type Status struct {
 	Plans  []PlanStatus   `json:"plans"` // the oldest first
 	Scopes []ScopeStatus  `json:"interruptions,omitempty"`
@@ -18,90 +18,91 @@
 	PhaseName string          `json:"phase_name"`
 	Machines  map[string]int  `json:"machines"` // by state
 	Waiting   []MachineStatus `json:"waiting,omitempty"`
-	More      int             `json:"more,omitempty"` // that wait and aren't listed
+	More      int             `json:"more,omitempty"` // further machines that wait and aren't listed
 }
 
-// MachineStatus is a machine that isn't empty yet, and why.
+// MachineStatus is a machine that isn't empty yet, with the reason.
 type MachineStatus struct {
 	Name   string `json:"name"`
 	State  string `json:"state"`
 	Reason string `json:"reason,omitempty"`
 }
 
-// ScopeStatus is what a team or class has been interrupted, and what its budget allows.
+// ScopeStatus says how often a team or class was interrupted, and what its budget allows.
 type ScopeStatus struct {
 	Scope
 	Totals
 	InWindow int           `json:"in_window"`
-	Limit    int           `json:"limit"` // in the window; -1: none
+	Limit    int           `json:"limit"` // in the window, or Unlimited
 	Window   time.Duration `json:"window,omitempty"`
 }
 
-// listedMachines is how many machines of a plan a status lists.
-const listedMachines = 100
+// maxListedMachines is how many machines of a plan a status lists.
+const maxListedMachines = 100
 
-// Status tells of all plans and budgets.
+// Status returns the status of all plans and budgets.
 func (c *Coordinator) Status(now time.Time) Status {
 	s := Status{States: map[string]int{}}
-	for _, p := range c.order {
+	for _, p := range c.plans.byAge {
 		plan := c.planStatus(p)
 		for state, n := range plan.Machines {
 			s.States[state] += n
 		}
 		s.Plans = append(s.Plans, plan)
 	}
-	s.Scopes = c.scopes(now)
+	s.Scopes = c.scopeStatus(now)
 	return s
 }
 
-func (c *Coordinator) planStatus(p *planState) PlanStatus {
+func (c *Coordinator) planStatus(p *planProgress) PlanStatus {
 	out := PlanStatus{Plan: p.Plan, PhaseName: p.Phase.String(), Machines: map[string]int{}}
-	list := func(name string, state MachineState, why Verdict) {
-		if len(out.Waiting) >= listedMachines {
+	list := func(name string, state MachineState, verdict Verdict) {
+		if len(out.Waiting) >= maxListedMachines {
 			out.More++
 			return
 		}
-		out.Waiting = append(out.Waiting, MachineStatus{Name: name, State: state.String(), Reason: why.String()})
+		out.Waiting = append(out.Waiting, MachineStatus{Name: name, State: state.String(), Reason: verdict.String()})
 	}
-	for _, m := range c.machinesOf(p.ID) {
+	for _, m := range c.machines.of(p.ID) {
 		out.Machines[m.state.String()]++
 		if m.state != Released {
 			list(m.Name, m.state, m.Verdict)
 		}
 	}
-	for _, name := range p.queue {
+	for _, name := range p.queue.names {
 		out.Machines[Planned.String()]++
-		list(name, Planned, p.deferred[name])
+		list(name, Planned, p.queue.deferredFor[name])
 	}
 	return out
 }
 
-// scopes tells of every budget, and of all that was interrupted without one.
-func (c *Coordinator) scopes(now time.Time) []ScopeStatus {
+// scopeStatus lists every scope that has a budget or was interrupted. An interruption counts in the
+// scope of the class and in that of the whole team.
+func (c *Coordinator) scopeStatus(now time.Time) []ScopeStatus {
 	byScope := map[Scope]*ScopeStatus{}
-	of := func(scope Scope) *ScopeStatus {
+	statusOf := func(scope Scope) *ScopeStatus {
 		if byScope[scope] == nil {
 			byScope[scope] = &ScopeStatus{Scope: scope, Limit: Unlimited}
 		}
 		return byScope[scope]
 	}
 	for scope, budget := range c.Policy.Budgets {
-		s := of(scope)
+		s := statusOf(scope)
 		s.Limit, s.Window = budget.WindowInterruptions, budget.Window
 		if budget.Window > 0 {
-			s.InWindow, _ = c.Ledger.windowUse(scope, budget.Window, now, nil)
+			s.InWindow, _ = c.Ledger.windows.use(scope, budget.Window, now, nil)
 		}
 	}
 	for scope, totals := range c.Ledger.totals {
-		for _, of := range []*ScopeStatus{of(scope), of(Scope{Team: scope.Team})} {
-			of.Voluntary += totals.Voluntary
-			of.Involuntary += totals.Involuntary
+		for _, s := range []*ScopeStatus{statusOf(scope), statusOf(Scope{Team: scope.Team})} {
+			s.Voluntary += totals.Voluntary
+			s.Involuntary += totals.Involuntary
 		}
 	}
 	var out []ScopeStatus
 	for _, s := range byScope {
 		out = append(out, *s)
 	}
-	sort.Slice(out, func(i, k int) bool { return out[i].Scope.Compare(out[k].Scope) < 0 })
+	slices.SortFunc(out, func(a, b ScopeStatus) int { return a.Scope.Compare(b.Scope) })
 	return out
 }
--- a/internal/drain/verdict.go
+++ b/internal/drain/verdict.go
@@ -5,25 +5,27 @@
 	"time"
 )
 
-// TaskAttempt is an attempt of a task.
+// TaskAttempt names an attempt of a task.
 type TaskAttempt struct {
 	TaskKey
 	Attempt uint64
 }
 
-// Candidate is what would be interrupted together to empty a machine: one task, or all tasks
-// of a gang.
+// Candidate is what would be evicted together to empty a machine: one task, or all tasks of a gang.
 type Candidate struct {
 	Team, Class string
 	Job         string
 	Tasks       []TaskAttempt
-	Down        int           // other tasks of the job that are down
-	Replicas    int           // of a service; 0: it isn't one, and comes to an end by itself
-	Checkpoints bool          // it saves its progress when it is stopped
-	Takes       time.Duration // from the decision until the last task has left, at the most
-	Since       time.Time     // since when its machine has been cordoned
+	Down        int           // other tasks of the job that don't run
+	Replicas    int           // of a service; 0: the job isn't one, and its tasks finish by themselves
+	Checkpoints bool          // tasks save their progress when they are stopped
+	Takes       time.Duration // at most, from the decision until the last task is gone
+	Since       time.Time     // when its machine was cordoned
 }
 
+// isService reports whether the candidate runs until its job is cancelled.
+func (c *Candidate) isService() bool { return c.Replicas > 0 }
+
 // VerdictKind says whether something may be evicted.
 type VerdictKind uint8
 
@@ -34,7 +36,7 @@
 	Never               // nothing that lies ahead will allow it
 )
 
-// Cause is why something may not be evicted, or a machine isn't empty yet.
+// Cause is the reason why something may not be evicted, or why a machine isn't empty yet.
 type Cause uint8
 
 // Causes.
@@ -75,15 +77,14 @@
 // String returns the cause as operators see it.
 func (c Cause) String() string { return causeTexts[c] }
 
-// Verdict tells whether something may be evicted, and if not, why, because of whose budget,
-// and until when.
+// Verdict says whether something may be evicted, and if not, for what reason.
 type Verdict struct {
 	Kind  VerdictKind
 	Cause Cause
-	Scope Scope     // whose budget; empty: nobody's
-	Job   string    // which job it is about
-	Until time.Time // zero: not known
-	// OnlyEnds says that no budget will ever allow it: it has to come to its end.
+	Scope Scope     // of the budget that forbids it; empty: no budget does
+	Job   string    // of the tasks that are judged
+	Until time.Time // when the cause ends; zero: not known
+	// OnlyEnds says that no budget will ever allow the eviction: the tasks have to finish.
 	OnlyEnds bool
 }
 
@@ -105,11 +106,12 @@
 	return text
 }
 
-// serviceUnavailableParts: of a service without a budget, one replica of so many may be down
-// at a time, and always one.
-const serviceUnavailableParts = 10
+// serviceUnavailableDivisor: of a service without a budget, a tenth of the replicas may be down at a
+// time, and at least one.
+const serviceUnavailableDivisor = 10
 
-// Judge tells whether a candidate may be evicted now, as far as budgets go.
+// Judge returns whether a candidate may be evicted now, as far as budgets are concerned. Of several
+// causes, the verdict names the one that forbids the most.
 func (p *Policy) Judge(now time.Time, ledger *Ledger, c *Candidate) Verdict {
 	budgets := p.applying(c.Team, c.Class)
 	worst := Verdict{Job: c.Job}
@@ -117,25 +119,25 @@
 		worst = worse(worst, judgeLimits(now, ledger, c, b))
 		worst = worse(worst, p.judgeClosed(now, c, b))
 	}
-	if c.Replicas > 1 && c.Down+len(c.Tasks) > p.mostReplicasDown(c) {
+	if c.Replicas > 1 && c.Down+len(c.Tasks) > p.maxReplicasDown(c) {
 		worst = worse(worst, Verdict{Kind: NotYet, Cause: CauseUnavailable, Job: c.Job})
 	}
-	if until := c.Since.Add(p.finishWait(budgets)); !c.Checkpoints && c.Replicas == 0 && now.Before(until) {
+	if until := c.Since.Add(p.finishWait(budgets)); !c.Checkpoints && !c.isService() && now.Before(until) {
 		worst = worse(worst, Verdict{Kind: NotYet, Cause: CauseFinishing, Job: c.Job, Until: until})
 	}
 	return worst
 }
 
-// mostReplicasDown is how many of a service's replicas may be down at a time. Whatever a
-// budget says, one stays up.
-func (p *Policy) mostReplicasDown(c *Candidate) int {
+// maxReplicasDown returns how many of a service's replicas may be down at a time. Whatever a budget
+// says, one stays up.
+func (p *Policy) maxReplicasDown(c *Candidate) int {
 	if p.LimitsUnavailable(c.Team, c.Class) {
-		return c.Replicas - 1 // the budget's own limit is judged beside this one
+		return c.Replicas - 1 // the budget's own limit is judged by judgeLimits
 	}
-	return max(1, c.Replicas/serviceUnavailableParts)
+	return max(1, c.Replicas/serviceUnavailableDivisor)
 }
 
-// worse is the verdict that forbids more.
+// worse returns the verdict that forbids more, or else for longer.
 func worse(a, b Verdict) Verdict {
 	switch {
 	case a.Kind != b.Kind:
@@ -152,47 +154,71 @@
 	return a
 }
 
-// judgeLimits holds one budget's numbers against a candidate.
+// judgeLimits judges a candidate by one budget's limits, of which the first that forbids it counts.
 func judgeLimits(now time.Time, ledger *Ledger, c *Candidate, b scopedBudget) Verdict {
-	n := len(c.Tasks)
-	if limit := b.budget.TaskInterruptions; limit != Unlimited {
-		for _, t := range c.Tasks {
-			if ledger.interruptions(t)+1 > limit {
-				return c.exhausted(b.scope, CauseTaskBudget)
-			}
-		}
+	if v := judgeTasks(ledger, c, b); v.Kind != Allowed {
+		return v
 	}
-	if limit := b.budget.WindowInterruptions; limit != Unlimited {
-		used, until := ledger.windowUse(b.scope, b.budget.Window, now, c.Tasks)
-		if n > limit {
-			return c.exhausted(b.scope, CauseWindowBudget)
-		}
-		if used+n > limit {
-			return Verdict{Kind: NotYet, Cause: CauseWindowBudget, Scope: b.scope, Job: c.Job, Until: until}
-		}
+	if v := judgeWindow(now, ledger, c, b); v.Kind != Allowed {
+		return v
 	}
-	if limit := b.budget.MaxUnavailable; limit != Unlimited {
-		if n > limit {
-			return c.exhausted(b.scope, CauseUnavailable)
-		}
-		if c.Down+n > limit {
-			return Verdict{Kind: NotYet, Cause: CauseUnavailable, Scope: b.scope, Job: c.Job}
+	return judgeUnavailable(c, b)
+}
+
+// judgeTasks judges by the interruptions that each task has left over its life.
+func judgeTasks(ledger *Ledger, c *Candidate, b scopedBudget) Verdict {
+	limit := b.budget.TaskInterruptions
+	if limit == Unlimited {
+		return Verdict{}
+	}
+	for _, t := range c.Tasks {
+		if ledger.index.otherInterruptions(t)+1 > limit {
+			return c.exhausted(b.scope, CauseTaskBudget)
 		}
 	}
-	return Verdict{Job: c.Job}
+	return Verdict{}
+}
+
+// judgeWindow judges by the interruptions that are left in the budget's window.
+func judgeWindow(now time.Time, ledger *Ledger, c *Candidate, b scopedBudget) Verdict {
+	limit := b.budget.WindowInterruptions
+	if limit == Unlimited {
+		return Verdict{}
+	}
+	if len(c.Tasks) > limit {
+		return c.exhausted(b.scope, CauseWindowBudget)
+	}
+	if used, until := ledger.windows.use(b.scope, b.budget.Window, now, c.Tasks); used+len(c.Tasks) > limit {
+		return Verdict{Kind: NotYet, Cause: CauseWindowBudget, Scope: b.scope, Job: c.Job, Until: until}
+	}
+	return Verdict{}
+}
+
+// judgeUnavailable judges by how many tasks of the job may be down at a time.
+func judgeUnavailable(c *Candidate, b scopedBudget) Verdict {
+	limit := b.budget.MaxUnavailable
+	switch {
+	case limit == Unlimited:
+		return Verdict{}
+	case len(c.Tasks) > limit:
+		return c.exhausted(b.scope, CauseUnavailable)
+	case c.Down+len(c.Tasks) > limit:
+		return Verdict{Kind: NotYet, Cause: CauseUnavailable, Scope: b.scope, Job: c.Job}
+	}
+	return Verdict{}
 }
 
-// exhausted is the verdict on what no budget will ever allow: it is left to finish, or, if it
-// doesn't come to an end by itself, its machine can't be emptied.
+// exhausted returns the verdict on what no budget will ever allow. Tasks that finish by themselves
+// are left to do so; the machine of a service's replica can't be emptied.
 func (c *Candidate) exhausted(scope Scope, cause Cause) Verdict {
 	kind := NotYet
-	if c.Replicas > 0 {
+	if c.isService() {
 		kind = Never
 	}
 	return Verdict{Kind: kind, Cause: cause, Scope: scope, Job: c.Job, OnlyEnds: true}
 }
 
-// judgeClosed tells whether a candidate would leave outside all closed windows of a budget.
+// judgeClosed judges by whether a candidate would be gone before any closed window of a budget begins.
 func (p *Policy) judgeClosed(now time.Time, c *Candidate, b scopedBudget) Verdict {
 	open, ok := openFrom(b.budget.Closed, now, c.Takes, p.Skew)
 	switch {
@@ -204,8 +230,8 @@
 	return Verdict{Job: c.Job}
 }
 
-// MayMoveNow tells whether no closed window forbids that a team's work leaves its machine
-// within a time from now.
+// MayMoveNow reports whether tasks of a team's jobs of a class may leave their machine within a given
+// time from now, as far as closed windows are concerned.
 func (p *Policy) MayMoveNow(now time.Time, team, class string, takes time.Duration) bool {
 	for _, b := range p.applying(team, class) {
 		if open, ok := openFrom(b.budget.Closed, now, takes, p.Skew); !ok || open.After(now) {
