--- a/internal/drain/closed_window.go
+++ b/internal/drain/closed_window.go
@@ -2,40 +2,45 @@
 
 import "time"
 
-// ClosedWindow is a daily time in which work must not be moved, as opening hours are.
+// ClosedWindow is a time of day during which tasks must not be evicted, for example opening hours.
 type ClosedWindow struct {
-	Days     [7]bool       // by time.Weekday, on which it begins
-	From, To time.Duration // time of day; To at or before From is on the next day
+	Days     [7]bool       // on which weekdays it begins, by time.Weekday
+	From, To time.Duration // time of day; if To isn't after From, it is on the next day
 	Location *time.Location
 }
 
-// searchDays is how many days ahead the end of a closed time is looked for: more than a week,
-// so that every weekday has come by.
+// searchDays is how many days ahead an open time is searched for: more than a week, so that every
+// weekday is covered, whatever day the search begins on.
 const searchDays = 9
 
-// startingOn is the window that begins on the day of a moment, shifted by some days.
-func (w *ClosedWindow) startingOn(now time.Time, shift int) (from, to time.Time, ok bool) {
-	local := now.In(w.Location)
-	year, month, day := local.Date()
-	if !w.Days[time.Date(year, month, day+shift, 12, 0, 0, 0, w.Location).Weekday()] {
+// startingOn returns the window that begins on the day of a moment or some days after it; ok is
+// false if none begins on that weekday.
+func (w *ClosedWindow) startingOn(day time.Time, daysAfter int) (from, to time.Time, ok bool) {
+	local := day.In(w.Location)
+	year, month, date := local.Date()
+	first := date + daysAfter
+	if !w.Days[time.Date(year, month, first, 12, 0, 0, 0, w.Location).Weekday()] {
 		return time.Time{}, time.Time{}, false
 	}
-	last := day + shift
+	last := first
 	if w.To <= w.From {
 		last++
 	}
-	return w.clock(year, month, day+shift, w.From), w.clock(year, month, last, w.To), true
+	return w.wallClock(year, month, first, w.From), w.wallClock(year, month, last, w.To), true
 }
 
-// clock is the moment at which the clocks of a place show a time of a day.
-func (w *ClosedWindow) clock(year int, month time.Month, day int, at time.Duration) time.Time {
-	return time.Date(year, month, day, int(at/time.Hour), int(at%time.Hour/time.Minute), int(at%time.Minute/time.Second), 0, w.Location)
+// wallClock returns the moment at which clocks at the window's location show a time of a day. It
+// isn't that much after midnight on days on which summer time begins or ends.
+func (w *ClosedWindow) wallClock(year int, month time.Month, day int, at time.Duration) time.Time {
+	hour, minute, second := at/time.Hour, at%time.Hour/time.Minute, at%time.Minute/time.Second
+	return time.Date(year, month, day, int(hour), int(minute), int(second), 0, w.Location)
 }
 
-// overlapping is the end of the window that an interval overlaps; ok is false if none.
+// overlapping returns the end of the latest window that overlaps an interval; ok is false if none
+// does. The window may begin on the day before the interval, or on the day after its beginning.
 func (w *ClosedWindow) overlapping(begin, end time.Time) (until time.Time, ok bool) {
-	for shift := -1; shift <= 1; shift++ {
-		from, to, exists := w.startingOn(begin, shift)
+	for daysAfter := -1; daysAfter <= 1; daysAfter++ {
+		from, to, exists := w.startingOn(begin, daysAfter)
 		if exists && from.Before(end) && to.After(begin) && to.After(until) {
 			until, ok = to, true
 		}
@@ -43,16 +48,17 @@
 	return until, ok
 }
 
-// openFrom is the first moment at or after now from which none of the windows is closed for as
-// long as something takes, whatever the clock is off; ok is false if there is none in over a
-// week.
+// openFrom returns the first moment, now or later, at which an eviction that takes a given time can
+// begin and end outside all windows, even if the clock is off by the skew; ok is false if there is
+// none within searchDays.
 func openFrom(windows []ClosedWindow, now time.Time, takes, skew time.Duration) (open time.Time, ok bool) {
 	latest := now.Add(searchDays * 24 * time.Hour)
 	for at := now; at.Before(latest); {
 		next := at
 		for i := range windows {
-			if until, closed := windows[i].overlapping(at.Add(-skew), at.Add(takes+skew)); closed && until.Add(skew).After(next) {
-				next = until.Add(skew)
+			until, closed := windows[i].overlapping(at.Add(-skew), at.Add(takes+skew))
+			if reopens := until.Add(skew); closed && reopens.After(next) {
+				next = reopens
 			}
 		}
 		if !next.After(at) {
