--- a/internal/drain/charge_index.go
+++ b/internal/drain/charge_index.go
@@ -20,7 +20,11 @@
 }
 
 func newChargeIndex() chargeIndex {
-	return chargeIndex{byTask: map[TaskKey][]*Charge{}, tasksByJob: map[string]map[int]bool{}, finishedJobs: map[string]bool{}}
+	return chargeIndex{
+		byTask:       map[TaskKey][]*Charge{},
+		tasksByJob:   map[string]map[int]bool{},
+		finishedJobs: map[string]bool{},
+	}
 }
 
 func (x *chargeIndex) add(c *Charge) {
--- a/internal/drain/charge_pages.go
+++ b/internal/drain/charge_pages.go
@@ -21,7 +21,12 @@
 }
 
 func newChargePages(newName func() string, pageLimit func() int) chargePages {
-	return chargePages{newName: newName, pageLimit: pageLimit, byName: map[string]*chargePage{}, dirty: map[*chargePage]bool{}}
+	return chargePages{
+		newName:   newName,
+		pageLimit: pageLimit,
+		byName:    map[string]*chargePage{},
+		dirty:     map[*chargePage]bool{},
+	}
 }
 
 // newPage makes an empty page.
--- a/internal/drain/coordinator_test.go
+++ b/internal/drain/coordinator_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// testStore stands in for the state service: pages by name with versions.
+// testStore stands in for the state service: it holds pages by name and checks that each write names
+// the version that it replaces.
 type testStore struct {
 	charges  map[string]StoredCharges
 	machines map[string]StoredMachines
@@ -19,7 +20,7 @@
 	return &testStore{charges: map[string]StoredCharges{}, machines: map[string]StoredMachines{}}
 }
 
-// writeAll writes everything that a coordinator has to write.
+// writeAll carries out all writes that a coordinator proposes, until it proposes none.
 func (s *testStore) writeAll(t *testing.T, now time.Time, c *Coordinator) {
 	t.Helper()
 	for range 50 {
@@ -34,7 +35,7 @@
 			s.writeMachines(t, c, w)
 		}
 	}
-	t.Fatal("there is always something to write")
+	t.Fatal("writes are proposed without end")
 }
 
 func (s *testStore) writeCharges(t *testing.T, c *Coordinator, w PageWrite) {
@@ -69,7 +70,7 @@
 	c.Written(w.Name, outcome)
 }
 
-// stored is what a new leader reads.
+// stored returns what a leader that takes over reads.
 func (s *testStore) stored(plans ...StoredPlan) Stored {
 	out := Stored{Plans: plans}
 	for _, p := range s.charges {
@@ -83,20 +84,23 @@
 
 func newTestCoordinator(now time.Time, stored Stored, term int, limit int) *Coordinator {
 	n := 0
-	return NewCoordinator(now, testPolicy(nil), stored, func() string { n++; return fmt.Sprintf("%d-%d", term, n) }, func() int { return limit })
+	newName := func() string { n++; return fmt.Sprintf("%d-%d", term, n) }
+	return NewCoordinator(now, testPolicy(nil), stored, newName, func() int { return limit })
 }
 
+// planOf returns a running plan for all machines.
 func planOf(id string, maxAtOnce int, version uint64) StoredPlan {
-	return StoredPlan{Version: version, Plan: Plan{ID: id, Selector: Selector{All: true}, MaxAtOnce: maxAtOnce, Through: "m-999999", CreatedMS: testStart.UnixMilli()}}
+	return StoredPlan{Version: version, Plan: Plan{ID: id, Selector: Selector{All: true}, MaxAtOnce: maxAtOnce,
+		Through: "m-999999", CreatedMS: testStart.UnixMilli()}}
 }
 
 func machineID(i int) MachineID {
 	return MachineID{Name: fmt.Sprintf("m-%06d", i), Type: "t", Zone: "z"}
 }
 
-// 4,000 machines in one plan, ten at a time, with a takeover after each fifty: each machine is
-// cordoned once, none is lost over the takeovers, pages fit their values, and at the end
-// nothing but the plan is left in the state service.
+// A plan of 4,000 machines, ten at a time, with a takeover after each 500, drains each machine once,
+// keeps its pages within the limit and completes. It guards against machines that are forgotten or
+// drained again by a new leader, and against pages that stay in the state service for good.
 func TestFourThousandMachinesInOnePlan(t *testing.T) {
 	const machines, atOnce, limit = 4000, 10, 4000
 	store, now := newTestStore(), testStart
@@ -154,8 +158,8 @@
 	}
 }
 
-// A machine stays cordoned over a takeover, and after the end of its plan until the state
-// service holds that.
+// A machine stays cordoned over a takeover, and after its plan's end until the state service holds
+// that. It guards against starts on a machine that the next leader finds cordoned and empties.
 func TestCordonOutlivesItsLeader(t *testing.T) {
 	store, plan := newTestStore(), planOf("p", 1, 1)
 	c := newTestCoordinator(testStart, store.stored(plan), 1, 4000)
@@ -189,8 +193,8 @@
 	}
 }
 
-// Two plans that want the same machines: each machine belongs to one of them, and what the first
-// gives up the second takes.
+// Of two plans that select a machine, the older one claims it, and the other takes it once it is
+// given up. It guards against a machine that two plans drain, or that neither does.
 func TestTwoPlansForOneMachine(t *testing.T) {
 	store := newTestStore()
 	first, second := planOf("a", 1, 1), planOf("b", 1, 2)
@@ -211,8 +215,8 @@
 	}
 }
 
-// Machines that can't be drained don't keep a plan from those behind them: all of its queue is
-// looked at in one go, and then again after a pause.
+// Every machine of a queue is proposed before one that was deferred is proposed again, after a pause.
+// It guards against a plan that stops at its first machine that can't be drained.
 func TestBlockedMachinesAreBypassed(t *testing.T) {
 	c := newTestCoordinator(testStart, newTestStore().stored(planOf("p", 1, 1)), 1, 4000)
 	for i := range 5 {
@@ -236,8 +240,8 @@
 	}
 }
 
-// At its deadline a plan ends: what isn't empty is uncordoned, or stays cordoned until an
-// operator cancels.
+// At its deadline a plan expires, and its machines are uncordoned, or stay cordoned until an operator
+// cancels it. It guards against machines that no plan drains and that get no starts.
 func TestDeadline(t *testing.T) {
 	for _, keep := range []bool{false, true} {
 		store, plan := newTestStore(), planOf("p", 1, 1)
@@ -271,7 +275,8 @@
 	}
 }
 
-// Plans that have long been over are forgotten, the oldest first.
+// Of more finished plans than are kept, the oldest is deleted. It guards against records of plans
+// that fill the state service, and against the loss of recent ones.
 func TestOldPlansAreForgotten(t *testing.T) {
 	c := newTestCoordinator(testStart, Stored{}, 1, 4000)
 	for i := range keptPlans + 2 {
@@ -292,7 +297,7 @@
 	}
 }
 
-// chargingLeaders are leaders that charge at random and end at random.
+// chargingLeaders is a succession of leaders that charge at random and end at random.
 type chargingLeaders struct {
 	t      *testing.T
 	seed   uint64
@@ -303,7 +308,7 @@
 	leader *Coordinator
 }
 
-// smallPages is a bound of pages that takes a few charges.
+// smallPages is a limit of pages that fits a few charges.
 const smallPages = 1200
 
 func (c *chargingLeaders) charge(attempt int) {
@@ -339,12 +344,13 @@
 	}
 }
 
-// Charges at random, by leaders that end at random between a charge and its write: what the
-// next leader finds is what was stored, with nothing missing; pages that the state service
-// refuses are parted and lose nothing.
+// A charge that was stored is found by every later leader, whenever leaders end between a charge and
+// its write, and whichever pages the state service rejects. It guards against interruptions that a
+// takeover forgets, so that a budget is exceeded.
 func TestLedgerOverTakeovers(t *testing.T) {
 	for seed := range uint64(50) {
-		c := &chargingLeaders{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 1)), store: newTestStore(), now: testStart, stored: map[TaskAttempt]bool{}}
+		c := &chargingLeaders{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 1)), store: newTestStore(), now: testStart,
+			stored: map[TaskAttempt]bool{}}
 		c.takeOver(1)
 		for step := range 300 {
 			c.now = c.now.Add(time.Second)
@@ -362,12 +368,15 @@
 	}
 }
 
-// A leader that ends between the writes of the two halves of a refused page leaves charges on
-// both: each counts once, and open if either page has it so.
+// A charge that is on both pages of a split counts once, and is open if either page says so. It guards
+// against an interruption that counts twice after a leader has ended between the writes of the two.
 func TestChargeOnTwoPages(t *testing.T) {
-	p := testPolicy(map[Scope]Budget{{Team: "red"}: budget(func(b *Budget) { b.TaskInterruptions, b.WindowInterruptions, b.Window = 1, 2, time.Minute })})
+	p := testPolicy(map[Scope]Budget{{Team: "red"}: budget(func(b *Budget) {
+		b.TaskInterruptions, b.WindowInterruptions, b.Window = 1, 2, time.Minute
+	})})
 	entry := func(end int64) ChargePage {
-		return ChargePage{Jobs: []JobCharges{{Job: "j-1", Team: "red", Class: "c", Entries: []ChargeEntry{{Task: 0, Attempt: 7, AtMS: 1, EndMS: end}}}}}
+		charge := ChargeEntry{Task: 0, Attempt: 7, AtMS: 1, EndMS: end}
+		return ChargePage{Jobs: []JobCharges{{Job: "j-1", Team: "red", Class: "c", Entries: []ChargeEntry{charge}}}}
 	}
 	l := newTestLedger(p)
 	l.Recover(StoredCharges{Name: "1-1", Version: 1, Record: entry(testStart.UnixMilli())})
@@ -381,8 +390,8 @@
 	expect(t, "interrupted once", p.Judge(testStart, l, candidate("j-1", 0, 8)), NotYet, CauseTaskBudget)
 }
 
-// A charge that is certain not to be spent is void; one whose page is being written isn't yet,
-// since the write may still be on its way.
+// A charge can be withdrawn, but not while its page is being written. It guards against a write that
+// stores a charge after it was withdrawn, which no leader would ever end.
 func TestVoidCharge(t *testing.T) {
 	store := newTestStore()
 	c := newTestCoordinator(testStart, store.stored(), 1, 4000)
@@ -404,14 +413,26 @@
 	}
 }
 
-// Each change of a machine's or a plan's state goes through one function, which refuses those
-// that the page of states doesn't name.
+// A machine and a plan change state only as docs/draining.md says. It guards against a machine that
+// is emptied or released twice, and against a plan that goes on after its end.
 func TestStateChanges(t *testing.T) {
 	m := &Machine{}
 	for _, c := range []struct {
 		to MachineState
 		ok bool
-	}{{Empty, false}, {Cordoned, true}, {Cordoned, false}, {Emptying, true}, {Replacing, true}, {Emptying, true}, {Empty, true}, {Uncordoned, false}, {Planned, false}, {Released, true}, {Planned, false}} {
+	}{
+		{Empty, false},
+		{Cordoned, true},
+		{Cordoned, false},
+		{Emptying, true},
+		{Replacing, true},
+		{Emptying, true},
+		{Empty, true},
+		{Uncordoned, false},
+		{Planned, false},
+		{Released, true},
+		{Planned, false},
+	} {
 		if m.move(c.to) != c.ok {
 			t.Errorf("to %s: %v expected, is %s", c.to, c.ok, m.state)
 		}
@@ -420,7 +441,15 @@
 	for _, c := range []struct {
 		to Phase
 		ok bool
-	}{{Running, false}, {Paused, true}, {Completed, false}, {Running, true}, {Completed, true}, {Running, false}, {Cancelled, false}} {
+	}{
+		{Running, false},
+		{Paused, true},
+		{Completed, false},
+		{Running, true},
+		{Completed, true},
+		{Running, false},
+		{Cancelled, false},
+	} {
 		if p.MoveTo(c.to) != c.ok {
 			t.Errorf("to %s: %v expected, is %s", c.to, c.ok, p.Phase)
 		}
--- a/internal/drain/machine.go
+++ b/internal/drain/machine.go
@@ -20,7 +20,9 @@
 	Failed                         // the plan's deadline has passed, and it stays cordoned
 )
 
-var machineStateNames = [...]string{"planned", "cordoned", "replacing", "emptying", "empty", "released", "uncordoned", "failed"}
+var machineStateNames = [...]string{
+	"planned", "cordoned", "replacing", "emptying", "empty", "released", "uncordoned", "failed",
+}
 
 // String returns the state's name, as operators see it.
 func (s MachineState) String() string { return machineStateNames[s] }
--- a/internal/drain/plan_writes.go
+++ b/internal/drain/plan_writes.go
@@ -42,7 +42,9 @@
 }
 
 // planWrite returns the write of a plan's record that is due now, if any.
-func (c *Coordinator) planWrite(now time.Time, p *planProgress, newest string, complete bool) (write PlanWrite, due bool) {
+func (c *Coordinator) planWrite(
+	now time.Time, p *planProgress, newest string, complete bool,
+) (write PlanWrite, due bool) {
 	write = PlanWrite{Plan: p.Plan, Version: p.version}
 	switch end := p.End(); {
 	case p.Phase.Final():
--- a/internal/drain/verdict_test.go
+++ b/internal/drain/verdict_test.go
@@ -8,7 +8,7 @@
 
 var testStart = time.Date(2026, 12, 2, 10, 0, 0, 0, time.UTC)
 
-// newTestLedger is an empty ledger whose pages take a few charges each.
+// newTestLedger returns an empty ledger whose pages fit a few charges each.
 func newTestLedger(p *Policy) *Ledger {
 	n := 0
 	return NewLedger(p, func() string { n++; return fmt.Sprintf("1-%d", n) }, func() int { return 400 })
@@ -24,7 +24,7 @@
 	return b
 }
 
-// candidate is a task of a job of team red that saves.
+// candidate returns a task, with checkpoints, of a job of team red.
 func candidate(job string, task int, attempt uint64) *Candidate {
 	return &Candidate{Team: "red", Class: "c", Job: job, Checkpoints: true, Takes: 5 * time.Second, Since: testStart,
 		Tasks: []TaskAttempt{{TaskKey{job, task}, attempt}}}
@@ -43,9 +43,9 @@
 	}
 }
 
-// "May restart once": the second interruption of a task is left to its end, or, where it has
-// none, makes its machine impossible to empty. The charge of the attempt itself doesn't count
-// against it: a leader that takes over carries out what was charged.
+// A task that has used up its interruptions is left to finish, and a service's replica in its place
+// makes its machine impossible to empty. The attempt's own charge doesn't count against it: otherwise
+// a leader that takes over couldn't carry out an eviction that was charged.
 func TestTaskBudget(t *testing.T) {
 	p := testPolicy(map[Scope]Budget{{Team: "red"}: budget(func(b *Budget) { b.TaskInterruptions = 1 })})
 	l := newTestLedger(p)
@@ -62,10 +62,13 @@
 	expect(t, "after an involuntary one", p.Judge(testStart, l, candidate("j-1", 2, 9)), NotYet, CauseTaskBudget)
 }
 
-// A window counts an interruption from its charge until its length, and twice the skew, after
-// its attempt is known to be gone; a gang counts with all its tasks.
+// An interruption counts in a window from its charge until the window's length and twice the skew
+// after its attempt is known to be gone, and a gang counts with all its tasks. It guards against
+// windows that are exceeded because an eviction took long, or because clocks differ.
 func TestWindowBudget(t *testing.T) {
-	p := testPolicy(map[Scope]Budget{{Team: "red"}: budget(func(b *Budget) { b.WindowInterruptions, b.Window = 2, time.Minute })})
+	p := testPolicy(map[Scope]Budget{{Team: "red"}: budget(func(b *Budget) {
+		b.WindowInterruptions, b.Window = 2, time.Minute
+	})})
 	l := newTestLedger(p)
 	first, second := candidate("j-1", 0, 1), candidate("j-1", 1, 2)
 	first.chargeAll(l, testStart)
@@ -83,14 +86,16 @@
 	if until := at.Add(time.Minute + 2*time.Second); !v.Until.Equal(until) {
 		t.Errorf("until %s, expected %s", v.Until, until)
 	}
-	expect(t, "just before it leaves the window", p.Judge(at.Add(time.Minute+time.Second), l, third), NotYet, CauseWindowBudget)
-	expect(t, "once it has left", p.Judge(at.Add(time.Minute+2*time.Second), l, third), Allowed, CauseNone)
+	leaves := at.Add(time.Minute + 2*time.Second)
+	expect(t, "just before it leaves the window", p.Judge(leaves.Add(-time.Second), l, third), NotYet, CauseWindowBudget)
+	expect(t, "once it has left", p.Judge(leaves, l, third), Allowed, CauseNone)
 	gang.Tasks = append(gang.Tasks, TaskAttempt{TaskKey{"j-2", 2}, 3})
 	gang.Replicas = 3
 	expect(t, "more at once than ever allowed", p.Judge(at.Add(time.Hour), l, gang), Never, CauseWindowBudget)
 }
 
-// All budgets that apply have to agree: the team's and that of the class.
+// Both the team's budget and that of the class have to allow an eviction. It guards against a budget
+// of a class that replaces its team's.
 func TestBudgetsAgree(t *testing.T) {
 	p := testPolicy(map[Scope]Budget{
 		{Team: "red"}:             budget(func(b *Budget) { b.MaxUnavailable = 2 }),
@@ -108,7 +113,8 @@
 	expect(t, "no budget", p.Judge(testStart, l, blue), Allowed, CauseNone)
 }
 
-// Work that doesn't save is left to finish, and a service keeps replicas up whatever is allowed.
+// A task without checkpoints is left to finish for a while, and a service keeps a replica up whatever
+// its budget allows. It guards against lost work and against services that are down.
 func TestWaitsAndReplicas(t *testing.T) {
 	p := testPolicy(map[Scope]Budget{{Team: "red"}: budget(func(b *Budget) { b.MaxUnavailable = 9 })})
 	l := newTestLedger(p)
@@ -124,10 +130,11 @@
 	expect(t, "a third of twenty, no budget", p.Judge(testStart, l, c), NotYet, CauseUnavailable)
 }
 
-// A closed window forbids what wouldn't be over before it begins, by the worst clock; the
-// window's end counts only once it is over by the worst clock.
+// A closed window forbids what might not be over when it begins, and ends only when it is over by the
+// worst clock. It guards against evictions within the window by a leader whose clock is off.
 func TestClosedWindowWithSkew(t *testing.T) {
-	closed := ClosedWindow{Days: [7]bool{true, true, true, true, true, true, true}, From: 12 * time.Hour, To: 13 * time.Hour, Location: time.UTC}
+	closed := ClosedWindow{From: 12 * time.Hour, To: 13 * time.Hour, Location: time.UTC}
+	closed.Days = [7]bool{true, true, true, true, true, true, true}
 	p := testPolicy(map[Scope]Budget{{Team: "red"}: budget(func(b *Budget) { b.Closed = []ClosedWindow{closed} })})
 	l := newTestLedger(p)
 	noon := time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
@@ -152,8 +159,9 @@
 	}
 }
 
-// Windows that adjoin are one; one over midnight belongs to the day on which it begins; a time
-// zone with summer time is gone by; a window without end never opens.
+// The next open time is found over windows that adjoin, that pass midnight, and on days on which summer
+// time begins or ends; if windows cover all time, none is found. It guards against evictions an hour
+// inside a window, and against a search without end.
 func TestClosedWindows(t *testing.T) {
 	zone, err := time.LoadLocation("Europe/Berlin")
 	if err != nil {
@@ -165,7 +173,10 @@
 		}
 		return out
 	}
-	every := day(0, 1, 2, 3, 4, 5, 6)
+	daily := day(0, 1, 2, 3, 4, 5, 6)
+	window := func(days [7]bool, from, to int) ClosedWindow {
+		return ClosedWindow{days, time.Duration(from) * time.Hour, time.Duration(to) * time.Hour, zone}
+	}
 	at := func(text string) time.Time {
 		moment, err := time.ParseInLocation("2006-01-02 15:04", text, zone)
 		if err != nil {
@@ -178,14 +189,14 @@
 		windows   []ClosedWindow
 		now, open string // open: empty for never
 	}{
-		{"open", []ClosedWindow{{every, 8 * time.Hour, 10 * time.Hour, zone}}, "2026-12-02 11:00", "2026-12-02 11:00"},
-		{"adjoining", []ClosedWindow{{every, 8 * time.Hour, 10 * time.Hour, zone}, {every, 10 * time.Hour, 12 * time.Hour, zone}}, "2026-12-02 09:00", "2026-12-02 12:00"},
-		{"over midnight, from Friday", []ClosedWindow{{day(time.Friday), 22 * time.Hour, 6 * time.Hour, zone}}, "2026-12-05 03:00", "2026-12-05 06:00"},
-		{"over midnight, not from Saturday", []ClosedWindow{{day(time.Friday), 22 * time.Hour, 6 * time.Hour, zone}}, "2026-12-06 03:00", "2026-12-06 03:00"},
-		{"the night clocks go back", []ClosedWindow{{every, 1 * time.Hour, 4 * time.Hour, zone}}, "2026-10-25 01:30", "2026-10-25 04:00"},
-		{"the night clocks go forward", []ClosedWindow{{every, 1 * time.Hour, 4 * time.Hour, zone}}, "2026-03-29 01:30", "2026-03-29 04:00"},
-		{"always", []ClosedWindow{{every, 0, 0, zone}}, "2026-12-02 11:00", ""},
-		{"a whole weekday", []ClosedWindow{{day(time.Wednesday), 0, 0, zone}}, "2026-12-02 11:00", "2026-12-03 00:00"},
+		{"open", []ClosedWindow{window(daily, 8, 10)}, "2026-12-02 11:00", "2026-12-02 11:00"},
+		{"adjoining", []ClosedWindow{window(daily, 8, 10), window(daily, 10, 12)}, "2026-12-02 09:00", "2026-12-02 12:00"},
+		{"over midnight, from Friday", []ClosedWindow{window(day(time.Friday), 22, 6)}, "2026-12-05 03:00", "2026-12-05 06:00"},
+		{"over midnight, not from Saturday", []ClosedWindow{window(day(time.Friday), 22, 6)}, "2026-12-06 03:00", "2026-12-06 03:00"},
+		{"the night clocks go back", []ClosedWindow{window(daily, 1, 4)}, "2026-10-25 01:30", "2026-10-25 04:00"},
+		{"the night clocks go forward", []ClosedWindow{window(daily, 1, 4)}, "2026-03-29 01:30", "2026-03-29 04:00"},
+		{"always", []ClosedWindow{window(daily, 0, 0)}, "2026-12-02 11:00", ""},
+		{"a whole weekday", []ClosedWindow{window(day(time.Wednesday), 0, 0)}, "2026-12-02 11:00", "2026-12-03 00:00"},
 	} {
 		open, ok := openFrom(c.windows, at(c.now), time.Second, 0)
 		if ok != (c.open != "") || ok && !open.Equal(at(c.open)) {
