--- a/internal/admission/counter.go
+++ b/internal/admission/counter.go
@@ -1,28 +1,28 @@
 package admission
 
 import (
-	"sort"
+	"slices"
 	"time"
 )
 
-// Count is what a controller has seen of a key since it was last asked.
+// Count is what a controller has counted of a key since it was last asked.
 type Count struct {
 	Key
-	Offered  int     `cbor:"o"` // jobs, refused ones that come again included
+	Offered  int     `cbor:"o"` // submissions, including those that were refused before
 	Admitted int     `cbor:"a"`
 	Refused  int     `cbor:"r"`
-	Cost     float64 `cbor:"x"` // of the offered, see JobCost
-	Taken    float64 `cbor:"k"` // of the admitted
+	Cost     float64 `cbor:"x"` // of the offered jobs, see JobCost
+	Taken    float64 `cbor:"k"` // cost of the admitted jobs
 }
 
-// Batch is what a controller has counted in a time.
+// Batch is what a controller has counted in a period.
 type Batch struct {
 	Period time.Duration `cbor:"p"`
 	Counts []Count       `cbor:"c"`
 }
 
-// Bounds of what is counted apart: classes beyond them are counted as one class of their
-// team. Teams are those of the settings.
+// Bounds of what is counted. A team's further classes are counted together as otherClass, so that
+// new names don't take up memory without bound. Teams are those of the settings.
 const (
 	maxClassesPerTeam = 32
 	otherClass        = "(other)"
@@ -30,33 +30,33 @@
 
 // counter counts by key. Its size is bounded by teams and classes, not by jobs.
 type counter struct {
-	counts  map[Key]*Count
-	classes map[string]int // keys by team
+	counts     map[Key]*Count
+	keysOfTeam map[string]int // how many keys are counted
 }
 
-func newCounter() counter { return counter{counts: map[Key]*Count{}, classes: map[string]int{}} }
+func newCounter() counter { return counter{counts: map[Key]*Count{}, keysOfTeam: map[string]int{}} }
 
-// of returns the count of a key, or that of its team's other classes.
-func (c *counter) of(k Key) *Count {
-	if n := c.counts[k]; n != nil {
-		return n
+// countOf returns the count of a key, or that of its team's other classes.
+func (c *counter) countOf(k Key) *Count {
+	if count := c.counts[k]; count != nil {
+		return count
 	}
-	if c.classes[k.Team] >= maxClassesPerTeam && k.Class != otherClass {
-		return c.of(Key{Team: k.Team, Class: otherClass, Priority: k.Priority})
+	if c.keysOfTeam[k.Team] >= maxClassesPerTeam && k.Class != otherClass {
+		return c.countOf(Key{Team: k.Team, Class: otherClass, Priority: k.Priority})
 	}
-	c.classes[k.Team]++
-	n := &Count{Key: k}
-	c.counts[k] = n
-	return n
+	c.keysOfTeam[k.Team]++
+	count := &Count{Key: k}
+	c.counts[k] = count
+	return count
 }
 
-// take returns all counts by key, and begins anew.
-func (c *counter) take() []Count {
+// collect returns all counts by key, and resets them.
+func (c *counter) collect() []Count {
 	out := make([]Count, 0, len(c.counts))
-	for _, n := range c.counts {
-		out = append(out, *n)
+	for _, count := range c.counts {
+		out = append(out, *count)
 	}
-	sort.Slice(out, func(i, k int) bool { return out[i].Key.before(out[k].Key) })
+	slices.SortFunc(out, func(a, b Count) int { return a.Key.compare(b.Key) })
 	*c = newCounter()
 	return out
 }
--- a/internal/admission/planner.go
+++ b/internal/admission/planner.go
@@ -1,20 +1,19 @@
 package admission
 
 import (
-	"sort"
+	"slices"
 	"time"
 
 	"gingertally/internal/core/placement"
 )
 
-// PlannerOptions are the leader's part of an admission.
+// PlannerOptions configure the leader's planner.
 type PlannerOptions struct {
 	Teams   map[string]placement.Quota
-	Weights map[string]float64 // by team; those that aren't named weigh 1
-	// Floor is the part of the capacity that each class is left.
+	Weights map[string]float64 // by team; 1 where none is set
+	// Floor is the part of the capacity that each class is given first.
 	Floor float64
-	// EnterBacklog and ExitBacklog are how long the machines need for what waits when
-	// overload begins and ends.
+	// EnterBacklog and ExitBacklog are the backlogs at which overload begins and ends.
 	EnterBacklog, ExitBacklog time.Duration
 	// Interval is the time between two policies under overload.
 	Interval time.Duration
@@ -23,64 +22,45 @@
 // Load is what the leader has measured.
 type Load struct {
 	Rates   Rates
-	Backlog time.Duration // that the machines need for what waits
-	Batches []Batch       // of all controllers that could be asked, since each was last asked
+	Backlog time.Duration // how long the machines need for the tasks that wait
+	Batches []Batch       // of all controllers that answered, since each was last asked
 }
 
-// Bounds of the planner's control.
+// Marks of overload. It begins and ends at different ones, so that it doesn't come and go with
+// every measurement.
 const (
-	// minFraction is the least by which a window moves: a job that keeps asking has its turn
-	// within as many policies as go into 1.
-	minFraction = 1.0 / 2000
-	// smoothing is the weight of the newest measurement.
-	smoothing = 0.2
-	// creditSeconds is for how many seconds a key that gets less than it is due is owed the
-	// rest, and one that got more pays it back.
-	creditSeconds = 60.0
-	// repaySeconds is in how many seconds that is made up for.
-	repaySeconds = 10.0
-	// maxStep bounds by how much a fraction changes from one policy to the next.
-	maxStep = 4.0
-	// writesEnter and writesExit are the parts of the state service's rate of jobs that are
+	// enterWritesPart and exitWritesPart are the parts of the state service's rate of jobs that are
 	// asked for when overload by writes begins and ends.
-	writesEnter, writesExit = 0.9, 0.6
-	// exitRate is the part of the capacity below which the demand must be for overload to
-	// end.
-	exitRate = 0.9
-	// forgetAfter is after how long without offers a key is dropped.
+	enterWritesPart, exitWritesPart = 0.9, 0.6
+	// demandPart is the part of the capacity that has to be asked for while there is overload by
+	// backlog. With less, the backlog shrinks by itself.
+	demandPart = 0.9
+	// inflowPartAboveMark is the part of the capacity that is admitted while the backlog is above
+	// the mark at which overload began, so that it shrinks.
+	inflowPartAboveMark = 0.8
+	// forgetAfter is how long after its last submission a key is forgotten.
 	forgetAfter = time.Minute
-	// loweredInflow is the part of the capacity that is admitted while the backlog is above
-	// where overload began.
-	loweredInflow = 0.8
+	// similarPart is by which factor two measurements of the capacity may differ and still count as
+	// the same.
+	similarPart = 0.8
 )
 
-// Planner measures and makes the policies of a term. It isn't safe for concurrent use.
+// Planner measures load and makes the policies of a leader's term. It isn't safe for concurrent use.
 type Planner struct {
-	options  PlannerOptions
-	term     uint64
-	policy   Policy
-	keys     map[Key]*keyState
-	jobsRate float64 // offered, smoothed
-	planned  time.Time
+	options   PlannerOptions
+	term      uint64
+	policy    Policy
+	keys      map[Key]*keyControl
+	jobRate   float64 // jobs offered in a second, smoothed
+	plannedAt time.Time
 }
 
-// keyState is what the planner knows of a key.
-type keyState struct {
-	offered  float64 // cost a second, smoothed
-	taken    float64 // cost a second that was admitted under overload, smoothed
-	fraction float64 // by which that was brought about, smoothed
-	credit   float64 // cost that it is owed
-	due      float64
-	share    Share
-	seenAt   time.Time
-}
-
-// NewPlanner makes the planner of a term. It goes on from the policy that the state service
-// holds; the zero policy is that of a deployment that never had one.
+// NewPlanner makes the planner of a term. It goes on from the policy that the state service holds;
+// a deployment that never had one starts with the zero policy.
 func NewPlanner(now time.Time, options PlannerOptions, term uint64, stored Policy) *Planner {
-	p := &Planner{options: options, term: term, policy: stored, keys: map[Key]*keyState{}, planned: now}
+	p := &Planner{options: options, term: term, policy: stored, keys: map[Key]*keyControl{}, plannedAt: now}
 	for _, s := range stored.Shares {
-		p.keys[s.Key] = &keyState{share: s, due: s.Due, offered: s.Due, seenAt: now}
+		p.keys[s.Key] = &keyControl{share: s, due: s.Due, offered: s.Due, offeredAt: now}
 	}
 	return p
 }
@@ -91,129 +71,116 @@
 // Measured is what the planner has measured of a key, in parts of the capacity.
 type Measured struct {
 	Key
-	Offered, Due, Got float64 // Got is 0 without overload, or where nothing is refused
+	Offered, Due float64
+	Got          float64 // what was admitted; 0 without overload, or where nothing is refused
 }
 
 // Measured lists what was measured, by key.
 func (p *Planner) Measured() []Measured {
 	var out []Measured
 	for _, k := range p.sortedKeys() {
-		s := p.keys[k]
-		out = append(out, Measured{Key: k, Offered: s.offered, Due: s.due, Got: s.taken})
+		control := p.keys[k]
+		out = append(out, Measured{Key: k, Offered: control.offered, Due: control.due, Got: control.admitted})
 	}
 	return out
 }
 
-// Plan takes in what was measured since the last plan, and makes the next policy. Changed
-// tells whether it differs from the one before, and so has to be stored; without overload it
-// mostly doesn't.
+// Plan takes in what was measured since the last call and makes the next policy. If changed is true
+// it has to be stored. Without overload a policy stands for the whole term, unless the capacity changes.
 func (p *Planner) Plan(now time.Time, load Load) (policy Policy, changed bool) {
-	elapsed := now.Sub(p.planned).Seconds()
-	p.planned = now
+	elapsed := now.Sub(p.plannedAt).Seconds()
+	p.plannedAt = now
 	if elapsed <= 0 {
 		return p.policy, false
 	}
 	p.measure(now, load.Batches, elapsed)
-	was := p.policy
+	last := p.policy
 	reason := p.nextReason(load)
-	if reason == NotOverloaded && !was.Overloaded() && was.Term == p.term && sameRates(was.Rate, load.Rates) {
+	if reason == NotOverloaded && !last.Overloaded() && last.Term == p.term && last.Rate.similar(load.Rates) {
 		return p.policy, false
 	}
-	p.policy = Policy{Term: p.term, Number: was.Number + 1, Reason: reason, Interval: p.options.Interval, Rate: load.Rates}
-	if reason != NotOverloaded {
-		p.share(load, elapsed)
+	p.policy = Policy{Term: p.term, Number: last.Number + 1, Reason: reason, Interval: p.options.Interval, Rate: load.Rates}
+	if reason == NotOverloaded {
+		for _, control := range p.keys {
+			control.reset()
+		}
 	} else {
-		p.reset()
+		p.policy.Shares = p.shares(load, elapsed)
 	}
 	return p.policy, true
 }
 
-// sameRates tells whether two measurements of the capacity are about the same.
-func sameRates(a, b Rates) bool {
-	near := func(x, y float64) bool { return x == y || x > y*0.8 && x < y*1.25 }
-	return near(a.CPUs, b.CPUs) && near(a.GPUs, b.GPUs) && near(a.MemGB, b.MemGB) && near(a.Jobs, b.Jobs)
+// similar reports whether two measurements of the capacity are about the same.
+func (r Rates) similar(o Rates) bool {
+	near := func(x, y float64) bool { return x == y || x > y*similarPart && x < y*(1/similarPart) }
+	return near(r.CPUs, o.CPUs) && near(r.GPUs, o.GPUs) && near(r.MemGB, o.MemGB) && near(r.Jobs, o.Jobs)
 }
 
-// measured is what was counted of a key, in a second.
-type measured struct{ offered, taken float64 }
-
 // measure takes in the controllers' counts.
 func (p *Planner) measure(now time.Time, batches []Batch, elapsed float64) {
-	byKey := map[Key]measured{}
+	costs := map[Key]costRate{}
 	jobs := 0.0
 	for _, b := range batches {
 		seconds := max(b.Period.Seconds(), elapsed)
 		for _, c := range b.Counts {
-			m := byKey[c.Key]
-			m.offered += c.Cost / seconds
-			m.taken += c.Taken / seconds
-			byKey[c.Key] = m
+			rate := costs[c.Key]
+			rate.offered += c.Cost / seconds
+			rate.admitted += c.Taken / seconds
+			costs[c.Key] = rate
 			jobs += float64(c.Offered) / seconds
 		}
 	}
-	p.jobsRate += (jobs - p.jobsRate) * smoothing
-	for k := range byKey {
+	smooth(&p.jobRate, jobs)
+	for k := range costs {
 		if p.keys[k] == nil {
-			p.keys[k] = &keyState{share: Share{Key: k, Fraction: 1}}
+			p.keys[k] = &keyControl{share: Share{Key: k, Fraction: 1}}
 		}
 	}
-	for k, s := range p.keys {
-		m, seen := byKey[k]
-		if seen {
-			s.seenAt = now
+	for k, control := range p.keys {
+		rate, offered := costs[k]
+		if offered {
+			control.offeredAt = now
 		}
-		if now.Sub(s.seenAt) > forgetAfter {
+		if now.Sub(control.offeredAt) > forgetAfter {
 			delete(p.keys, k)
 			continue
 		}
-		s.offered += (m.offered - s.offered) * smoothing
-		if p.policy.Overloaded() {
-			s.credit -= m.taken * elapsed
-			s.taken += (m.taken - s.taken) * smoothing
-			s.fraction += (min(s.share.Fraction, 1) - s.fraction) * smoothing
-		}
+		control.measure(rate, elapsed, p.policy.Overloaded())
 	}
 }
 
-// nextReason decides whether the deployment is overloaded. It enters and leaves that state at
-// different marks.
+// nextReason decides whether the deployment is overloaded. Overload by backlog begins only if more
+// is asked for than can be done, and ends when backlog and demand are both below their marks.
 func (p *Planner) nextReason(load Load) Reason {
 	demand := 0.0
-	for _, s := range p.keys {
-		demand += s.offered
+	for _, control := range p.keys {
+		demand += control.offered
 	}
-	writes := 0.0
+	writesPart := 0.0
 	if load.Rates.Jobs > 0 {
-		writes = p.jobsRate / load.Rates.Jobs
+		writesPart = p.jobRate / load.Rates.Jobs
 	}
 	switch p.policy.Reason {
 	case Backlog:
-		if load.Backlog > p.options.ExitBacklog || demand > exitRate {
+		if load.Backlog > p.options.ExitBacklog || demand > demandPart {
 			return Backlog
 		}
 	case Writes:
-		if writes > writesExit {
+		if writesPart > exitWritesPart {
 			return Writes
 		}
 	}
 	switch {
-	case load.Backlog >= p.options.EnterBacklog && demand > exitRate:
+	case load.Backlog >= p.options.EnterBacklog && demand > demandPart:
 		return Backlog
-	case writes >= writesEnter:
+	case writesPart >= enterWritesPart:
 		return Writes
 	}
 	return NotOverloaded
 }
 
-// reset forgets what overload has left behind.
-func (p *Planner) reset() {
-	for _, s := range p.keys {
-		s.credit, s.taken, s.fraction, s.share.Fraction = 0, 0, 0, 1
-	}
-}
-
-// share fills the policy with each key's share.
-func (p *Planner) share(load Load, elapsed float64) {
+// shares returns each key's share of the next policy.
+func (p *Planner) shares(load Load, elapsed float64) []Share {
 	keys := p.sortedKeys()
 	demands := make([]Demand, len(keys))
 	teams := map[string]TeamShare{}
@@ -221,60 +188,40 @@
 		demands[i] = Demand{Key: k, Rate: p.keys[k].offered}
 		teams[k.Team] = TeamShare{Weight: weightOf(p.options.Weights, k.Team), Guarantee: p.guarantee(k.Team, load.Rates)}
 	}
-	given := Allocate(p.inflow(load), p.options.Floor, teams, demands)
+	due := Allocate(p.inflow(load), p.options.Floor, teams, demands)
+	var out []Share
 	for i, k := range keys {
-		p.policy.Shares = append(p.policy.Shares, p.keys[k].next(k, given[i], elapsed))
+		out = append(out, p.keys[k].nextShare(due[i], elapsed))
 	}
+	return out
 }
 
-// inflow is the part of the capacity that is admitted: less while the backlog still grows.
+// inflow returns the part of the capacity that is shared out: less than all while the backlog is
+// above the mark at which overload began.
 func (p *Planner) inflow(load Load) float64 {
 	if p.policy.Reason == Backlog && load.Backlog > p.options.EnterBacklog {
-		return loweredInflow
+		return inflowPartAboveMark
 	}
 	return 1
 }
 
-// guarantee is a team's guarantee as a part of the capacity.
+// guarantee returns a team's guarantee as a part of the capacity: the larger one of its resources.
 func (p *Planner) guarantee(team string, r Rates) float64 {
-	t, part := p.options.Teams[team], 0.0
+	quota, part := p.options.Teams[team], 0.0
 	if r.CPUs > 0 {
-		part = t.GuaranteedCPUs / r.CPUs
+		part = quota.GuaranteedCPUs / r.CPUs
 	}
 	if r.GPUs > 0 {
-		part = max(part, t.GuaranteedGPUs/r.GPUs)
+		part = max(part, quota.GuaranteedGPUs/r.GPUs)
 	}
 	return min(part, 1)
 }
 
-// next moves a key's window on, and decides by how much: so that what the key is due, and a
-// part of what it is owed, is admitted, as far as its windows have shown what a fraction
-// admits. A key that asks for no more than it is due is never refused.
-func (s *keyState) next(k Key, due, elapsed float64) Share {
-	s.due = due
-	if due >= s.offered-smallest {
-		s.credit, s.taken, s.fraction = 0, 0, 0
-		s.share = Share{Key: k, Fraction: 1, Due: due}
-		return s.share
-	}
-	bound := due * creditSeconds
-	s.credit = min(max(s.credit+due*elapsed, -bound), bound)
-	target := max(due+s.credit/repaySeconds, 0)
-	fraction := target / s.offered
-	if s.share.Fraction < 1 && s.taken > 0 {
-		fraction = target * s.fraction / s.taken
-	}
-	fraction = min(max(fraction, s.share.Fraction/maxStep), s.share.Fraction*maxStep)
-	offset := wrap(s.share.Offset + min(s.share.Fraction, 1))
-	s.share = Share{Key: k, Fraction: min(max(fraction, minFraction), 1), Offset: offset, Due: due}
-	return s.share
-}
-
 func (p *Planner) sortedKeys() []Key {
 	keys := make([]Key, 0, len(p.keys))
 	for k := range p.keys {
 		keys = append(keys, k)
 	}
-	sort.Slice(keys, func(i, k int) bool { return keys[i].before(keys[k]) })
+	slices.SortFunc(keys, Key.compare)
 	return keys
 }
--- a/internal/admission/policy.go
+++ b/internal/admission/policy.go
@@ -1,16 +1,9 @@
-// Package admission decides under overload which jobs are taken. The leader's Planner
-// measures demand, backlog and capacity, computes the share of each team and class by
-// weighted max-min fairness, and numbers a small policy; every controller's Gate applies the
-// same policy as a pure function of the job's team, class, priority and id.
-//
-// The package has no input or output, no goroutines and no clock. The reasons are in
-// docs/admission.md.
 package admission
 
 import (
+	"cmp"
 	"math"
 	"slices"
-	"sort"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
@@ -18,32 +11,26 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// Key names the work that is counted and decided together.
+// Key names the jobs that are counted and decided together: those of a team, class and priority.
 type Key struct {
 	Team     string            `cbor:"t"`
 	Class    string            `cbor:"c"`
 	Priority pipeline.Priority `cbor:"p"`
 }
 
-// before orders keys by team, then priority, then class.
-func (k Key) before(o Key) bool {
-	if k.Team != o.Team {
-		return k.Team < o.Team
-	}
-	if k.Priority != o.Priority {
-		return k.Priority < o.Priority
-	}
-	return k.Class < o.Class
+// compare orders keys by team, then priority, then class.
+func (k Key) compare(o Key) int {
+	return cmp.Or(cmp.Compare(k.Team, o.Team), cmp.Compare(k.Priority, o.Priority), cmp.Compare(k.Class, o.Class))
 }
 
-// Reason is why a policy refuses work.
+// Reason says why a policy refuses jobs.
 type Reason uint8
 
 // Reasons of overload.
 const (
 	NotOverloaded Reason = iota
-	Backlog              // the machines need too long for what is waiting
-	Writes               // more jobs come than the state service takes
+	Backlog              // the machines need too long for the tasks that wait
+	Writes               // more jobs are submitted than the state service can take
 )
 
 var reasonNames = [...]string{"not overloaded", "backlog", "writes"}
@@ -51,38 +38,38 @@
 // String returns the reason's name.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Share is what a policy admits of a key.
+// Share says which jobs of a key a policy admits: those with a position in a window on the unit
+// circle.
 type Share struct {
 	Key
-	// Fraction is by how much the window of admitted positions moves with each policy; at
-	// 1 all is admitted.
+	// Fraction is by how much each policy moves the window on; at 1 all jobs are admitted.
 	Fraction float64 `cbor:"f"`
 	Offset   float64 `cbor:"o"` // where the window begins
-	Due      float64 `cbor:"d"` // part of the capacity that the key is due
+	Due      float64 `cbor:"d"` // the key's fair share, as a part of the capacity
 }
 
-// Policy is the admission policy of a moment. It is replaced, never changed.
+// Policy is what all gates decide by, until a newer one replaces it. It is never changed.
 type Policy struct {
 	Term     uint64        `cbor:"m"`
-	Number   uint64        `cbor:"n"` // rises with each policy, over all terms
+	Number   uint64        `cbor:"n"` // rises with each policy, across terms
 	Reason   Reason        `cbor:"r"`
 	Interval time.Duration `cbor:"i"` // between two policies under overload
 	Shares   []Share       `cbor:"s"` // by key; empty without overload
 	Rate     Rates         `cbor:"c"`
 }
 
-// Rates is what the deployment can do in a second.
+// Rates is what the deployment can do in a second: its capacity.
 type Rates struct {
 	CPUs  float64 `cbor:"c"`
 	GPUs  float64 `cbor:"g"`
 	MemGB float64 `cbor:"m"`
-	Jobs  float64 `cbor:"j"` // that the state service takes
+	Jobs  float64 `cbor:"j"` // that the state service can take
 }
 
-// Overloaded tells whether the policy refuses anything.
+// Overloaded reports whether the policy may refuse jobs.
 func (p *Policy) Overloaded() bool { return p.Reason != NotOverloaded }
 
-// Newer tells whether the policy replaces another: one of an older term never does.
+// Newer reports whether the policy replaces another. One of an older term never does.
 func (p *Policy) Newer(o *Policy) bool {
 	if p.Term != o.Term {
 		return p.Term > o.Term
@@ -90,7 +77,7 @@
 	return p.Number > o.Number
 }
 
-// WithoutWidest is the shares without the one that refuses least.
+// WithoutWidest returns the shares without the one that refuses the smallest part of its jobs.
 func (p *Policy) WithoutWidest() []Share {
 	widest := 0
 	for i := range p.Shares {
@@ -103,12 +90,11 @@
 
 // Bounds of a decision.
 const (
-	// windowSpan is for how many policies a job's turn lasts, so that one that comes a
-	// little late, or meets a controller with the policy before, doesn't miss it.
+	// windowSpan is how many policies a job's turn lasts. A job that comes a little late, or at a
+	// controller with the policy before, still has its turn.
 	windowSpan = 3
 	// maxRetryAfter is the longest pause that users obey (PROTOCOL).
 	maxRetryAfter = 30 * time.Second
-	// minRetryAfter is the shortest.
 	minRetryAfter = time.Second
 )
 
@@ -119,7 +105,7 @@
 	Reason     Reason
 }
 
-// Admit is the decision that takes a job.
+// Admit is the decision to admit a job.
 var Admit = Decision{Admitted: true}
 
 // Decide decides about a job by the policy alone.
@@ -129,67 +115,80 @@
 	}
 	share := p.shareOf(k)
 	if share.Fraction >= 1.0/windowSpan {
-		return Admit
+		return Admit // the windows of windowSpan policies cover the whole circle
 	}
-	ahead := wrap(position(job) - share.Offset) // by how much the job's turn is ahead
-	if ahead < share.Fraction || ahead >= 1-(windowSpan-1)*share.Fraction {
+	ahead := wrap(position(job) - share.Offset) // how far the window has to move to reach the job
+	if ahead < share.Fraction || passedRecently(ahead, share.Fraction) {
 		return Admit
 	}
-	turns := math.Floor(ahead / share.Fraction)
-	wait := time.Duration(turns * float64(p.Interval))
+	policiesAhead := math.Floor(ahead / share.Fraction)
+	wait := time.Duration(policiesAhead * float64(p.Interval))
 	return Decision{RetryAfter: min(max(wait, minRetryAfter), maxRetryAfter), Reason: p.Reason}
 }
 
-// shareOf is the share of a key. A class that the policy doesn't know has the least of its
-// team's, so that new names gain nothing; a team that it doesn't know asks for little.
+// passedRecently reports whether a job was in the window of one of the windowSpan-1 policies before,
+// if the fraction was the same.
+func passedRecently(ahead, fraction float64) bool { return ahead >= 1-(windowSpan-1)*fraction }
+
+// shareOf returns the share of a key. A class that the policy doesn't know has the smallest one of
+// its team, so that new names gain nothing. A team that it doesn't know is admitted in full: it
+// asked for little until now.
 func (p *Policy) shareOf(k Key) Share {
-	i := sort.Search(len(p.Shares), func(i int) bool { return !p.Shares[i].Key.before(k) })
-	if i < len(p.Shares) && p.Shares[i].Key == k {
+	i, known := slices.BinarySearchFunc(p.Shares, k, func(s Share, k Key) int { return s.Key.compare(k) })
+	if known {
 		return p.Shares[i]
 	}
-	least := Share{Key: k, Fraction: 1}
-	first := sort.Search(len(p.Shares), func(i int) bool { return p.Shares[i].Team >= k.Team })
+	smallest := Share{Key: k, Fraction: 1}
+	first, _ := slices.BinarySearchFunc(p.Shares, k.Team, func(s Share, team string) int {
+		return cmp.Compare(s.Team, team)
+	})
 	for _, s := range p.Shares[first:] {
 		if s.Team != k.Team {
 			break
 		}
-		if s.Fraction < least.Fraction {
-			least = s
+		if s.Fraction < smallest.Fraction {
+			smallest = s
 		}
 	}
-	return least
+	return smallest
 }
 
-// position is a job's place on the circle that the windows move along, from 0 to 1.
+// position returns a job's place on the circle that the windows move along, from 0 to 1.
 func position(job string) float64 {
-	const bits = 53
+	const bits = 53 // what a float64 represents exactly
 	return float64(xxhash.Sum64String(job)>>(64-bits)) / (1 << bits)
 }
 
-// wrap brings a number onto the circle.
+// wrap returns the place on the circle that a number stands for: its fractional part.
 func wrap(x float64) float64 {
 	x -= math.Floor(x)
 	if x >= 1 {
-		return 0
+		return 0 // the difference of a tiny negative number and its floor is rounded to 1
 	}
 	return x
 }
 
-// JobCost is what a job takes of the deployment: for how many seconds it has the whole of
-// its dominant resource, or of the state service's rate.
+// serviceSeconds is for how many seconds a service's replica counts, which runs until its job is
+// cancelled.
+const serviceSeconds = 600
+
+// JobCost returns what a job takes of the capacity, as a time in seconds: for how long it would
+// have all of its dominant resource, or of the state service's rate of jobs, for itself.
 func JobCost(s *pipeline.Spec, run time.Duration, r Rates) float64 {
 	seconds := run.Seconds() * float64(s.Tasks)
 	if s.Shape == pipeline.Service {
 		seconds = serviceSeconds * float64(s.Tasks)
 	}
 	cost := 0.0
-	for _, part := range [...][2]float64{{s.CPUs * seconds, r.CPUs}, {s.GPUs * seconds, r.GPUs}, {s.MemGB * seconds, r.MemGB}, {1, r.Jobs}} {
-		if part[1] > 0 {
-			cost = max(cost, part[0]/part[1])
+	for _, use := range [...]struct{ amount, rate float64 }{
+		{s.CPUs * seconds, r.CPUs},
+		{s.GPUs * seconds, r.GPUs},
+		{s.MemGB * seconds, r.MemGB},
+		{1, r.Jobs},
+	} {
+		if use.rate > 0 {
+			cost = max(cost, use.amount/use.rate)
 		}
 	}
 	return cost
 }
-
-// serviceSeconds is what a replica counts as, which runs until its service is cancelled.
-const serviceSeconds = 600
