--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -24,7 +24,7 @@
 	return total
 }
 
-// randomDemands are demands of a few teams with their shares.
+// randomDemands returns demands of a few teams, and the teams' shares.
 func randomDemands(rng *rand.Rand) (map[string]TeamShare, []Demand) {
 	teams := map[string]TeamShare{}
 	var demands []Demand
@@ -36,13 +36,14 @@
 		}
 		teams[team] = share
 		for c := range 1 + rng.IntN(4) {
-			demands = append(demands, Demand{Key{team, fmt.Sprint("c", c), pipeline.Priority(rng.IntN(4))}, rng.Float64() * 0.6})
+			key := Key{team, fmt.Sprint("c", c), pipeline.Priority(rng.IntN(4))}
+			demands = append(demands, Demand{key, rng.Float64() * 0.6})
 		}
 	}
 	return teams, demands
 }
 
-// teamSums are what each team asks for and is given.
+// teamSums returns what each team asks for and what it is given.
 func teamSums(demands []Demand, given []float64) (want, got map[string]float64) {
 	want, got = map[string]float64{}, map[string]float64{}
 	for i, d := range demands {
@@ -58,7 +59,7 @@
 	tolerance = 1e-6
 )
 
-// allocation of seeded random demands.
+// allocated is what Allocate has given for random demands of a seed.
 type allocated struct {
 	*testing.T
 	seed      uint64
@@ -68,10 +69,10 @@
 	want, got map[string]float64 // by team
 }
 
-// The shares of seeded random demands keep every rule of the allocation: nobody gets more
-// than it asks for, nothing is left while somebody wants it, floors and guarantees come first,
-// the higher priority of a team first, and what a hungry team gets is no less for its weight
-// than what any other has beyond its guarantee and floors.
+// An allocation gives nobody more than it asks for, leaves nothing while somebody asks for it, gives
+// floors and guarantees first and the higher priorities of a team first, and gives no team more for
+// its weight, beyond guarantee and floors, than one whose demand isn't met. It guards against a team
+// that floods the others, and against capacity that is left unused under overload.
 func TestAllocate(t *testing.T) {
 	for seed := range uint64(3000) {
 		a := &allocated{T: t, seed: seed}
@@ -85,7 +86,7 @@
 	}
 }
 
-// checkAmounts: nobody gets more than it asks for or less than its floor, and nothing is left.
+// checkAmounts checks that nobody gets more than it asks for or less than its floor, and nothing is left.
 func (a *allocated) checkAmounts() {
 	a.Helper()
 	total := 0.0
@@ -100,7 +101,7 @@
 	}
 }
 
-// checkGuarantees: all are kept if they fit together with the floors.
+// checkGuarantees checks that all guarantees are kept if they fit together with the floors.
 func (a *allocated) checkGuarantees() {
 	a.Helper()
 	floors := map[string]float64{}
@@ -118,7 +119,8 @@
 	}
 }
 
-// checkWeights: no team has more for its weight than a hungry one, but by guarantee and floors.
+// checkWeights checks that no team has more for its weight than one whose demand isn't met, except by
+// its guarantee and floors.
 func (a *allocated) checkWeights() {
 	a.Helper()
 	for name, share := range a.teams {
@@ -128,14 +130,15 @@
 		for other, o := range a.teams {
 			beyond := a.got[other] - max(o.Guarantee, 4*testFloor)
 			if beyond > tolerance && a.got[other]/o.Weight > a.got[name]/share.Weight+tolerance {
-				a.Fatalf("seed %d: %s has %g for its weight, hungry %s %g", a.seed, other, a.got[other]/o.Weight, name, a.got[name]/share.Weight)
+				a.Fatalf("seed %d: %s has %g for its weight, and %s, which asks for more, %g",
+					a.seed, other, a.got[other]/o.Weight, name, a.got[name]/share.Weight)
 			}
 		}
 	}
 }
 
-// checkPriorities: within a team nothing but floors goes to a lower priority while a higher
-// one lacks some.
+// checkPriorities checks that within a team only floors go to a lower priority while the demand of a
+// higher one isn't met.
 func (a *allocated) checkPriorities() {
 	a.Helper()
 	for i, x := range a.demands {
@@ -147,15 +150,15 @@
 	}
 }
 
-// overloaded is a policy that admits a fraction of one key.
+// overloaded returns a policy that admits a fraction of one key.
 func overloaded(number uint64, fraction, offset float64) Policy {
 	return Policy{Term: 1, Number: number, Reason: Backlog, Interval: time.Second,
 		Shares: []Share{{Key: Key{"a", "c", pipeline.Normal}, Fraction: fraction, Offset: offset}}}
 }
 
-// As windows move on, every job has its turn within as many policies as its fraction goes
-// into 1, its turn lasts three policies, and Retry-After points at it as long as the fraction
-// stays.
+// Every job has its turn within as many policies as the fraction goes into 1, the turn lasts windowSpan
+// policies, and Retry-After names it while the fraction stays. It guards against jobs that are refused
+// for good, and against users who are told to come at the wrong time.
 func TestEveryJobHasItsTurn(t *testing.T) {
 	for _, fraction := range []float64{0.3, 0.1, 0.0137, 0.002} {
 		bound := int(math.Ceil(1/fraction)) + 1
@@ -166,7 +169,8 @@
 				t.Fatalf("fraction %g: %s had %d turns in %d policies", fraction, job, turns.admitted, bound)
 			}
 			if turns.promised >= 0 && (turns.first < turns.promised-1 || turns.first > turns.promised+1) {
-				t.Fatalf("fraction %g: %s was told to come at policy %d, and had its turn at %d", fraction, job, turns.promised, turns.first)
+				t.Fatalf("fraction %g: %s was told to come at policy %d, and had its turn at %d",
+					fraction, job, turns.promised, turns.first)
 			}
 		}
 	}
@@ -179,7 +183,7 @@
 	promised int // the one that Retry-After first pointed at; -1: none
 }
 
-// turnsOf has a job ask under so many policies with one fraction.
+// turnsOf submits a job under successive policies with the same fraction.
 func turnsOf(job string, fraction, offset float64, policies int) turns {
 	t := turns{first: -1, promised: -1}
 	for n := range policies {
@@ -199,7 +203,8 @@
 	return t
 }
 
-// The fraction is about the part of the jobs that a policy admits, whatever their names.
+// A policy admits about windowSpan times the fraction of the jobs, whatever their ids. It guards against
+// positions that aren't spread evenly over the circle.
 func TestFractionOfJobs(t *testing.T) {
 	p := overloaded(1, 0.05, 0.9)
 	admitted := 0
@@ -213,8 +218,8 @@
 	}
 }
 
-// Names that a policy doesn't know gain nothing: they count like the least share of their
-// team. A team that it doesn't know is admitted.
+// A class that the policy doesn't know has the smallest share of its team, and a team that it doesn't
+// know is admitted. It guards against users who evade a refusal by new names.
 func TestUnknownKeys(t *testing.T) {
 	p := overloaded(1, 0.002, 0)
 	refused := 0
@@ -233,18 +238,28 @@
 }
 
 func gate(age time.Duration) *Gate {
-	return NewGate(start, GateOptions{Teams: []string{"a", "b", "c"}, Weights: map[string]float64{"b": 2}, Jobs: 5, PolicyAge: age})
+	weights := map[string]float64{"b": 2}
+	return NewGate(start, GateOptions{Teams: []string{"a", "b", "c"}, Weights: weights, Jobs: 5, PolicyAge: age})
 }
 
-// Policies that come late, twice, or from a leader of an older term are never taken after a
-// newer one.
+// A policy that arrives late or twice, or comes from a leader of an older term, doesn't replace a newer
+// one. It guards against controllers that give different answers.
 func TestOlderPoliciesAreNotTaken(t *testing.T) {
 	g := gate(time.Minute)
-	policies := []Policy{{Term: 1, Number: 1}, {Term: 1, Number: 2}, {Term: 3, Number: 3}, {Term: 2, Number: 9}, {Term: 3, Number: 3}, {Term: 3, Number: 2}, {Term: 4, Number: 4}}
-	taken := []bool{true, true, true, false, false, false, true}
-	for i, p := range policies {
-		if got := g.Take(at(time.Duration(i)), p); got != taken[i] {
-			t.Errorf("policy %d.%d: taken %v", p.Term, p.Number, got)
+	for i, c := range []struct {
+		policy Policy
+		taken  bool
+	}{
+		{Policy{Term: 1, Number: 1}, true},
+		{Policy{Term: 1, Number: 2}, true},
+		{Policy{Term: 3, Number: 3}, true},
+		{Policy{Term: 2, Number: 9}, false},
+		{Policy{Term: 3, Number: 3}, false},
+		{Policy{Term: 3, Number: 2}, false},
+		{Policy{Term: 4, Number: 4}, true},
+	} {
+		if taken := g.Take(at(time.Duration(i)), c.policy); taken != c.taken {
+			t.Errorf("policy %d.%d: taken %v", c.policy.Term, c.policy.Number, taken)
 		}
 	}
 	if p := g.Policy(); p.Term != 4 || p.Number != 4 {
@@ -252,8 +267,8 @@
 	}
 }
 
-// Without news for longer than its age, a policy is moved on by the controller's own clock:
-// nobody is shut out.
+// A policy that wasn't confirmed for longer than its age is moved on by the controller's own clock, until
+// it is confirmed again. It guards against jobs that a controller refuses for good while it is cut off.
 func TestFallback(t *testing.T) {
 	g := gate(10 * time.Second)
 	g.Take(start, overloaded(1, 0.02, 0))
@@ -279,8 +294,8 @@
 	}
 }
 
-// A thousand jobs of one team in one second at one controller leave the other teams their
-// part, before any policy knows of the surge.
+// A thousand jobs of one team in a second at one controller leave the other teams their part before any
+// policy knows of the surge. It guards against a queue that one team fills within a second.
 func TestThousandJobsInASecond(t *testing.T) {
 	g := gate(time.Minute)
 	admitted := map[string]int{}
@@ -311,11 +326,13 @@
 	}
 }
 
-// What is counted apart is bounded by teams and classes, however many names come.
+// The number of counts is bounded by teams and classes, and no submission is missing. It guards against
+// memory and messages that grow with the names that users choose.
 func TestCountsAreBounded(t *testing.T) {
 	g := gate(time.Minute)
 	for i := range 5000 {
-		g.Decide(start, Offer{Job: fmt.Sprint("j-", i), Spec: &pipeline.Spec{Team: []string{"a", "b"}[i%2], Class: fmt.Sprint("class-", i), Tasks: 1}})
+		spec := &pipeline.Spec{Team: []string{"a", "b"}[i%2], Class: fmt.Sprint("class-", i), Tasks: 1}
+		g.Decide(start, Offer{Job: fmt.Sprint("j-", i), Spec: spec})
 	}
 	counts := g.TakeCounts(at(time.Second)).Counts
 	offered := 0
@@ -327,17 +344,27 @@
 	}
 }
 
-// A new leader goes on from the stored policy; without overload nothing is stored but once a
-// term; overload is entered and left at different marks.
+// plannerOptions returns options of a deployment with one team.
+func plannerOptions(enter, exit time.Duration) PlannerOptions {
+	return PlannerOptions{Teams: map[string]placement.Quota{"a": {}}, EnterBacklog: enter, ExitBacklog: exit,
+		Interval: time.Second, Floor: 0.02}
+}
+
+// oneSecond returns what one controller has counted in a second.
+func oneSecond(count Count) []Batch { return []Batch{{Period: time.Second, Counts: []Count{count}}} }
+
+// A new leader goes on from the stored policy, a policy is stored once a term without overload, and
+// overload begins and ends at different marks. It guards against a takeover that admits everything, and
+// against writes and refusals that come and go with every measurement.
 func TestPlannerTermsAndMarks(t *testing.T) {
-	options := PlannerOptions{Teams: map[string]placement.Quota{"a": {}}, EnterBacklog: 2 * time.Minute, ExitBacklog: time.Minute, Interval: time.Second, Floor: 0.02}
+	options := plannerOptions(2*time.Minute, time.Minute)
 	p := NewPlanner(start, options, 1, Policy{})
 	now := start
 	stored := 0
 	plan := func(backlog time.Duration, cost float64) Policy {
 		now = now.Add(time.Second)
 		count := Count{Key: Key{"a", "c", pipeline.Normal}, Offered: 1, Admitted: 1, Cost: cost, Taken: cost * 0.3}
-		policy, changed := p.Plan(now, Load{Rates: Rates{CPUs: 100, Jobs: 50}, Backlog: backlog, Batches: []Batch{{Period: time.Second, Counts: []Count{count}}}})
+		policy, changed := p.Plan(now, Load{Rates: Rates{CPUs: 100, Jobs: 50}, Backlog: backlog, Batches: oneSecond(count)})
 		if changed {
 			stored++
 		}
@@ -372,22 +399,27 @@
 	}
 }
 
-// Writes alone can overload the deployment too.
+// The rate of submissions alone can overload the deployment. It guards against a state service that is
+// flooded by jobs for which there are machines enough.
 func TestOverloadByWrites(t *testing.T) {
-	p := NewPlanner(start, PlannerOptions{Teams: map[string]placement.Quota{"a": {}}, EnterBacklog: time.Hour, ExitBacklog: time.Minute, Interval: time.Second}, 1, Policy{})
-	counts := []Count{{Key: Key{"a", "c", pipeline.Normal}, Offered: 100, Cost: 10, Taken: 1}}
+	options := plannerOptions(time.Hour, time.Minute)
+	options.Floor = 0
+	p := NewPlanner(start, options, 1, Policy{})
+	count := Count{Key: Key{"a", "c", pipeline.Normal}, Offered: 100, Cost: 10, Taken: 1}
 	for i := range 20 {
-		p.Plan(at(time.Duration(i+1)*time.Second), Load{Rates: Rates{CPUs: 1e6, Jobs: 10}, Batches: []Batch{{Period: time.Second, Counts: counts}}})
+		now := at(time.Duration(i+1) * time.Second)
+		p.Plan(now, Load{Rates: Rates{CPUs: 1e6, Jobs: 10}, Batches: oneSecond(count)})
 	}
-	if p.Policy().Reason != Writes || !slices.ContainsFunc(p.Policy().Shares, func(s Share) bool { return s.Fraction < 1 }) {
-		t.Fatalf("%+v", p.Policy())
+	policy := p.Policy()
+	if policy.Reason != Writes || !slices.ContainsFunc(policy.Shares, func(s Share) bool { return s.Fraction < 1 }) {
+		t.Fatalf("%+v", policy)
 	}
 }
 
-// Under overload the planner's windows follow each other without a gap, also over a change of
-// leader: otherwise some jobs would never have their turn.
+// Under overload each window begins where the one before ends, also over a takeover. It guards against
+// jobs in a gap between windows, which would never have their turn.
 func TestWindowsFollowEachOther(t *testing.T) {
-	options := PlannerOptions{Teams: map[string]placement.Quota{"a": {}}, EnterBacklog: time.Minute, ExitBacklog: time.Second, Interval: time.Second, Floor: 0.02}
+	options := plannerOptions(time.Minute, time.Second)
 	rng := rand.New(rand.NewPCG(5, 5))
 	p := NewPlanner(start, options, 1, Policy{})
 	var last Share
@@ -397,8 +429,9 @@
 			p = NewPlanner(at(time.Duration(second)*time.Second), options, 2, p.Policy())
 		}
 		taken := 2 * last.Fraction * (0.5 + rng.Float64())
-		counts := []Count{{Key: Key{"a", "c", pipeline.Normal}, Offered: 20, Cost: 8 * (0.5 + rng.Float64()), Taken: taken}}
-		policy, _ := p.Plan(at(time.Duration(second+1)*time.Second), Load{Rates: Rates{CPUs: 100}, Backlog: 2 * time.Minute, Batches: []Batch{{Period: time.Second, Counts: counts}}})
+		count := Count{Key: Key{"a", "c", pipeline.Normal}, Offered: 20, Cost: 8 * (0.5 + rng.Float64()), Taken: taken}
+		load := Load{Rates: Rates{CPUs: 100}, Backlog: 2 * time.Minute, Batches: oneSecond(count)}
+		policy, _ := p.Plan(at(time.Duration(second+1)*time.Second), load)
 		if len(policy.Shares) != 1 {
 			t.Fatalf("second %d: %+v", second, policy)
 		}
