--- a/internal/core/pipeline/pipeline_test.go
+++ b/internal/core/pipeline/pipeline_test.go
@@ -1,6 +1,8 @@
 package pipeline
 
 import (
+	"encoding/json"
+	"errors"
 	"math/rand/v2"
 	"reflect"
 	"testing"
@@ -16,8 +18,58 @@
 	return j
 }
 
-// TestDoneRanges: what is written of finished tasks is what is read again, also
-// for a job of the largest size, and each value stays within the smallest limit.
+// A record from which no job can be restored is told apart by its error. It guards against a job without
+// tasks, and against one that is ready before its dependencies are known.
+func TestRecordsThatCannotBeRestored(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		record Record
+		want   error
+		text   string
+	}{
+		{"no tasks", Record{Spec: Spec{Ref: "j-1"}}, ErrNoTasks, "job j-1: record without tasks"},
+		{"negative tasks", Record{Spec: Spec{Ref: "j-1", Tasks: -1}}, ErrNoTasks, "job j-1: record without tasks"},
+		{"dependencies on pages that weren't read", Record{Spec: Spec{Ref: "j-2", Tasks: 1}, DependencyPages: 2},
+			ErrNoDependencies, "job j-2: record without the jobs that it waits for"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			j, err := NewJob(c.record, 1, nil)
+			if j != nil || !errors.Is(err, c.want) || err.Error() != c.text {
+				t.Errorf("%v, %v", j, err)
+			}
+		})
+	}
+}
+
+// Done ranges that don't fit a limit are cut to whole pairs of runs that do, and the tasks left out don't
+// count as stored. It guards against values that the state service rejects, and against results that
+// only this leader knows and takes for stored.
+func TestDoneRangesAreCutToFit(t *testing.T) {
+	j := newJob(t, Spec{Ref: "j-1", Tasks: 100})
+	for i := 1; i < 100; i += 2 {
+		j.Finish(i)
+	}
+	for maxBytes := range 300 {
+		runs := FitRuns(j.Chunk(0), maxBytes)
+		encoded, err := json.Marshal(runs)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if len(runs)%2 != 0 || len(runs) > 0 && len(encoded) > maxBytes {
+			t.Fatalf("%d runs in %d bytes, limit %d", len(runs), len(encoded), maxBytes)
+		}
+		j.MarkWriting(0, runs)
+		for i := 1; i < 100; i += 2 {
+			if j.ResultStored(i) != (i < len(runs)) {
+				t.Fatalf("task %d of %d runs: stored %v", i, len(runs), j.ResultStored(i))
+			}
+		}
+		j.MarkDirty(0)
+	}
+}
+
+// Done ranges that are written and read again name the same tasks, also for a job of the largest size. It
+// guards against tasks that a takeover runs again, and against results that never were.
 func TestDoneRanges(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for _, n := range []int{1, 7, ChunkTasks, ChunkTasks + 1, 100_000} {
@@ -33,7 +85,7 @@
 	}
 }
 
-// checkReadAgain writes a job's done ranges and reads them again.
+// checkReadAgain writes a job's done ranges, reads them and compares.
 func checkReadAgain(t *testing.T, j *Job) {
 	t.Helper()
 	n := len(j.Tasks)
@@ -60,7 +112,8 @@
 	}
 }
 
-// TestCancelAgainstDone: the store decides which came first.
+// Of a cancellation and a result, the one that was stored first holds. It guards against users who are
+// told an end that the next leader doesn't know of.
 func TestCancelAgainstDone(t *testing.T) {
 	now := time.Unix(1000, 0)
 	j := newJob(t, Spec{Ref: "j-1", Tasks: 1})
@@ -80,6 +133,8 @@
 	}
 }
 
+// All tasks of a gang finish together, and stay finished. It guards against tasks of a gang that are
+// started again alone.
 func TestGangFinishesTogether(t *testing.T) {
 	j := newJob(t, Spec{Ref: "j-1", Tasks: 3, Shape: Gang})
 	j.Assign(1, "m", 5)
@@ -93,7 +148,8 @@
 	}
 }
 
-// TestRestarts: past the limit a lone job is repeated ever more slowly, not failed.
+// Past the restart limit a task is retried less and less often, and its restarts are stored. It guards
+// against a task that exits at once and takes a machine up, and against one that is given up.
 func TestRestarts(t *testing.T) {
 	now := time.Unix(1000, 0)
 	j := newJob(t, Spec{Ref: "j-1", Tasks: 2})
