--- /dev/null
+++ b/internal/surge/leader.go
@@ -0,0 +1,123 @@
+package surge
+
+import (
+	"slices"
+	"time"
+
+	"gingertally/internal/admission"
+)
+
+const (
+	// takeoverTime is how long there is no leader after one has failed.
+	takeoverTime = 3500 * time.Millisecond
+	// policyLatency is how long a policy takes to arrive at a controller.
+	policyLatency = 20 * time.Millisecond
+	// duplicateDelay is how much later a policy arrives the second time.
+	duplicateDelay = 5 * time.Second
+)
+
+// leader is the leader's part of a world, with the policy that the state service holds.
+type leader struct {
+	planner   *admission.Planner // nil: there is no leader
+	term      uint64
+	noneUntil time.Duration // there is no leader before
+	nextRound time.Duration
+	stored    admission.Policy
+	inFlight  []policyMessage
+}
+
+// policyMessage is a policy that is being sent to a controller.
+type policyMessage struct {
+	arrives    time.Duration
+	controller int
+	policy     admission.Policy
+}
+
+// beginTerm makes the planner of a leader, which goes on from the stored policy.
+func (w *World) beginTerm() {
+	settings := &w.options.Settings
+	w.leader.planner = admission.NewPlanner(start.Add(w.now), admission.PlannerOptions{
+		Teams:        w.options.Teams,
+		Weights:      w.options.Weights,
+		Floor:        settings.Floor,
+		EnterBacklog: settings.EnterBacklog,
+		ExitBacklog:  settings.ExitBacklog,
+		Interval:     settings.Interval,
+	}, w.leader.term, w.leader.stored)
+}
+
+// changeLeader ends the leader if that is a fault at this time, and begins the next term once another
+// controller can lead.
+func (w *World) changeLeader() {
+	for i := range w.options.Faults {
+		if f := &w.options.Faults[i]; f.LeaderFails && w.now >= f.From && w.now < f.From+step {
+			w.leader.noneUntil, w.leader.planner = w.now+takeoverTime, nil
+		}
+	}
+	if w.leader.planner == nil && w.now >= w.leader.noneUntil && !w.options.storeOutage(w.now) {
+		w.leader.term++
+		w.beginTerm()
+	}
+}
+
+// leaderRound collects the counts of the controllers that the leader reaches, makes a policy, stores it
+// and sends it to them.
+func (w *World) leaderRound() {
+	if w.leader.planner == nil {
+		return
+	}
+	cutOff := w.options.cutOff(w.now)
+	load := admission.Load{
+		Rates:   admission.Rates{CPUs: w.options.CPUs(w.now), Jobs: w.options.JobsRate},
+		Backlog: w.machines.backlog(w.now),
+	}
+	for i, g := range w.gates {
+		if !slices.Contains(cutOff, i) {
+			load.Batches = append(load.Batches, g.TakeCounts(w.clock(i)))
+		}
+	}
+	policy, changed := w.leader.planner.Plan(start.Add(w.now), load)
+	if changed {
+		if w.options.storeOutage(w.now) {
+			return // a policy that isn't stored isn't sent
+		}
+		w.leader.stored = policy
+		w.result.policyStored(w.now)
+	}
+	for i := range w.gates {
+		if !slices.Contains(cutOff, i) {
+			w.sendPolicy(i)
+		}
+	}
+}
+
+// sendPolicy sends the stored policy to a controller.
+func (w *World) sendPolicy(controller int) {
+	fault := w.options.deliveryFault(w.now)
+	arrives := w.now + policyLatency + fault.PolicyDelay
+	w.leader.inFlight = append(w.leader.inFlight, policyMessage{arrives, controller, w.leader.stored})
+	if fault.DuplicatePolicies {
+		again := policyMessage{arrives + duplicateDelay, controller, w.leader.stored}
+		w.leader.inFlight = append(w.leader.inFlight, again)
+	}
+}
+
+// deliverPolicies brings the policies that arrive now to their controllers, and checks that none of
+// them goes back to an older one.
+func (w *World) deliverPolicies() {
+	remaining := w.leader.inFlight[:0]
+	for _, message := range w.leader.inFlight {
+		if message.arrives > w.now {
+			remaining = append(remaining, message)
+			continue
+		}
+		gate := w.gates[message.controller]
+		before := *gate.Policy()
+		gate.Take(w.clock(message.controller), message.policy)
+		if after := gate.Policy(); before.Newer(after) {
+			w.result.violated("controller %d went back from policy %d.%d to %d.%d",
+				message.controller, before.Term, before.Number, after.Term, after.Number)
+		}
+	}
+	w.leader.inFlight = remaining
+}
