--- a/tools/surge/loopback.go
+++ b/tools/surge/loopback.go
@@ -16,21 +16,29 @@
 	"gingertally/tools/plots"
 )
 
-// The cluster on loopback: 12 machines of 8 GuaranteedCPUs, jobs of up to four tasks of two GuaranteedCPUs.
+// The cluster on loopback. Its machines have 8 CPUs, and its tasks ask for 2.
 const (
 	loopbackMachines = 12
-	loopbackTasks    = 4
-	loopbackRun      = 3 * time.Second
-	loopbackDrain    = 4 * time.Minute
+	loopbackMaxTasks = 4 // of a job
+	loopbackRunTime  = 3 * time.Second
+	// loopbackEndWait is how long, after the load, is waited for admitted jobs to end.
+	loopbackEndWait = 4 * time.Minute
 )
 
-// loopbackTeams are the teams with how many users each has, who submit one job after the
-// other.
-var loopbackTeams = []struct {
+// Bounds, in milliseconds, and precision of the histograms of waits.
+const (
+	lowestMS, highestMS = 1, 3_600_000
+	digits              = 3
+)
+
+// loopbackTeam is a team with its users, who each submit one job after the other.
+type loopbackTeam struct {
 	config.Team
 	users   int
 	urgency string
-}{
+}
+
+var loopbackTeams = []loopbackTeam{
 	{config.Team{Name: "pharmacy", GuaranteedCPUs: 32}, 4, "urgent"},
 	{config.Team{Name: "large"}, 240, "normal"},
 	{config.Team{Name: "small"}, 4, "normal"},
@@ -40,12 +48,18 @@
 standby { enabled: true }
 `
 
-// runLoopback plays real controllers under overload, ends the leader twice, and prints what
-// each team got.
+// action is something that is done at a time after the beginning of the load.
+type action struct {
+	after time.Duration
+	do    func()
+}
+
+// runLoopback runs real controllers under overload, ends the leader twice, and prints what each team
+// got.
 func runLoopback(o options) error {
 	directory, err := os.MkdirTemp("", "surge")
 	if err != nil {
-		return err
+		return fmt.Errorf("make a directory for the cluster: %w", err)
 	}
 	defer func() { _ = os.RemoveAll(directory) }()
 	var teams []config.Team
@@ -54,34 +68,50 @@
 	}
 	cluster, err := emulator.StartCluster(emulator.ClusterOptions{
 		Directory: directory, Controllers: 3, Machines: loopbackMachines, Teams: teams,
-		Timings:          emulator.Timings{Heartbeat: time.Second, Lease: 15 * time.Second, RunTime: loopbackRun},
+		Timings:          emulator.Timings{Heartbeat: time.Second, Lease: 15 * time.Second, RunTime: loopbackRunTime},
 		OperatorSettings: fmt.Sprintf(loopbackSettings, !o.Without),
 		Command:          emulator.Program(o.Binary),
 	})
 	if err != nil {
-		return err
+		return fmt.Errorf("start the cluster: %w", err)
 	}
 	defer cluster.Stop()
 	load, stop := context.WithTimeout(context.Background(), o.Length)
 	defer stop()
-	for _, after := range []time.Duration{o.Length / 3, o.Length * 2 / 3} {
-		time.AfterFunc(after, func() { endLeader(cluster) })
-	}
-	time.AfterFunc(o.Length*9/10, func() { showAdmission(cluster) })
-	var users sync.WaitGroup
-	first := 0
+	var running sync.WaitGroup
+	running.Go(func() {
+		runActions(load, []action{
+			{o.Length / 3, func() { restartLeader(cluster) }},
+			{o.Length * 2 / 3, func() { restartLeader(cluster) }},
+			{o.Length * 9 / 10, func() { printAdmission(cluster) }},
+		})
+	})
+	firstUser := 0
 	for _, t := range loopbackTeams {
-		u := cluster.Users(t.users, loopbackTasks)
-		u.Team, u.Urgency, u.First = t.Name, t.urgency, first
-		first += t.users
-		users.Go(func() { u.Run(load, loopbackDrain) })
+		users := cluster.Users(t.users, loopbackMaxTasks)
+		users.Team, users.Urgency, users.First = t.Name, t.urgency, firstUser
+		firstUser += t.users
+		running.Go(func() { users.Run(load, loopbackEndWait) })
 	}
-	users.Wait()
+	running.Wait()
 	return reportLoopback(o, cluster)
 }
 
-// endLeader kills the leader and starts it again.
-func endLeader(cluster *emulator.Cluster) {
+// runActions does each action when its time has come. Those that are left when the load ends aren't done.
+func runActions(load context.Context, actions []action) {
+	begin := time.Now()
+	for _, a := range actions {
+		select {
+		case <-time.After(time.Until(begin.Add(a.after))):
+			a.do()
+		case <-load.Done():
+			return
+		}
+	}
+}
+
+// restartLeader kills the leader and starts it again.
+func restartLeader(cluster *emulator.Cluster) {
 	c, _ := cluster.Leader()
 	if c == nil {
 		fmt.Println("no leader to end")
@@ -96,8 +126,8 @@
 	}
 }
 
-// showAdmission prints what the controllers apply.
-func showAdmission(cluster *emulator.Cluster) {
+// printAdmission prints the policy that the controllers apply, as the first one that answers has it.
+func printAdmission(cluster *emulator.Cluster) {
 	for _, c := range cluster.Controllers {
 		s, err := c.Status()
 		if err != nil || s.Admission == nil {
@@ -106,60 +136,82 @@
 		a := s.Admission
 		fmt.Printf("policy %d of term %d: %s; applied by %v\n", a.Number, a.Term, a.Reason, s.Policies)
 		for _, class := range a.Classes {
-			fmt.Printf("  %-9s asked %.3f due %.3f got %.3f, %.3f of the jobs each policy; offered %d, refused %d\n", class.Team, class.Asked, class.Due, class.Got,
-				class.Fraction, class.Offered, class.Refused)
+			fmt.Printf("  %-9s asked %.3f due %.3f got %.3f, %.3f of the jobs each policy; offered %d, refused %d\n",
+				class.Team, class.Asked, class.Due, class.Got, class.Fraction, class.Offered, class.Refused)
 		}
 		return
 	}
 }
 
-// reportLoopback prints what each team got.
+// teamResult is what was measured of a team.
+type teamResult struct {
+	jobs, accepted, tasks int
+	waits                 *hdrhistogram.Histogram // from the first submission to the first start
+	admissions            *hdrhistogram.Histogram // from the first submission to the acceptance
+}
+
+// measureTeam sums the history of a team's jobs up.
+func measureTeam(cluster *emulator.Cluster, team string) teamResult {
+	r := teamResult{
+		waits:      hdrhistogram.New(lowestMS, highestMS, digits),
+		admissions: hdrhistogram.New(lowestMS, highestMS, digits),
+	}
+	for _, j := range cluster.History.Jobs() {
+		if j.Team != team {
+			continue
+		}
+		r.jobs++
+		if j.Admission >= 0 {
+			r.accepted++
+			record(r.admissions, j.Admission)
+		}
+		if j.Started >= 0 {
+			r.tasks += j.Tasks
+			record(r.waits, j.Started)
+		}
+	}
+	return r
+}
+
+// reportLoopback prints what each team got, and fails if a rule was violated.
 func reportLoopback(o options, cluster *emulator.Cluster) error {
-	name := map[bool]string{true: "without admission control", false: "with admission control"}[o.Without]
-	fmt.Printf("%s, %s on loopback, the leader killed twice\n", name, o.Length)
-	fmt.Printf("%-10s %8s %8s %8s  %9s %9s %9s  %9s %9s\n", "team", "jobs", "accepted", "tasks", "wait p50", "p90", "max", "adm. p90", "max")
-	chart := plots.Chart{Title: "Waits " + name, Subtitle: "loopback, from the first submission to the first start", X: "percentile", Y: "ms", Lines: map[string][]plots.Point{}}
+	title := "with admission control"
+	if o.Without {
+		title = "without admission control"
+	}
+	fmt.Printf("%s, %s on loopback, the leader killed twice\n", title, o.Length)
+	fmt.Printf("%-10s %8s %8s %8s  %9s %9s %9s  %9s %9s\n",
+		"team", "jobs", "accepted", "tasks", "wait p50", "p90", "max", "adm. p90", "max")
+	chart := plots.Chart{Title: "Waits " + title, Subtitle: "loopback, from the first submission to the first start",
+		X: "percentile", Y: "ms", Lines: map[string][]plots.Point{}}
 	for _, t := range loopbackTeams {
-		waits, admissions := hdrhistogram.New(1, 3_600_000, 3), hdrhistogram.New(1, 3_600_000, 3)
-		jobs, accepted, tasks := 0, 0, 0
-		for _, j := range cluster.History.Jobs() {
-			if j.Team != t.Name {
-				continue
-			}
-			jobs++
-			if j.Admission >= 0 {
-				accepted++
-				record(admissions, j.Admission)
-			}
-			if j.Started >= 0 {
-				tasks += j.Tasks
-				record(waits, j.Started)
-			}
-		}
-		fmt.Printf("%-10s %8d %8d %8d  %9s %9s %9s  %9s %9s\n", t.Name, jobs, accepted, tasks, quantile(waits, 50), quantile(waits, 90), quantile(waits, 100),
-			quantile(admissions, 90), quantile(admissions, 100))
-		chart.Lines[t.Name] = plots.Percentiles(waits)
+		r := measureTeam(cluster, t.Name)
+		fmt.Printf("%-10s %8d %8d %8d  %9s %9s %9s  %9s %9s\n", t.Name, r.jobs, r.accepted, r.tasks,
+			quantile(r.waits, 50), quantile(r.waits, 90), quantile(r.waits, 100),
+			quantile(r.admissions, 90), quantile(r.admissions, 100))
+		chart.Lines[t.Name] = plots.Percentiles(r.waits)
 	}
-	broken := cluster.History.Broken()
-	fmt.Printf("rules broken: %d, accepted jobs that never came to an end: %d\n", len(broken), len(cluster.History.Open()))
-	for _, rule := range broken {
-		fmt.Println(" ", rule)
+	violations, open := cluster.History.Broken(), cluster.History.Open()
+	fmt.Printf("rules broken: %d, accepted jobs that never came to an end: %d\n", len(violations), len(open))
+	for _, violation := range violations {
+		fmt.Println(" ", violation)
 	}
 	if o.Page != "" {
 		if err := plots.WritePage(o.Page, []plots.Chart{chart}); err != nil {
-			return err
+			return fmt.Errorf("write the plots to %s: %w", o.Page, err)
 		}
 	}
-	if len(broken)+len(cluster.History.Open()) > 0 {
+	if len(violations)+len(open) > 0 {
 		return errors.New("rules were broken")
 	}
 	return nil
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(max(1, d.Milliseconds())) // within the bounds
+	_ = h.RecordValue(min(max(d.Milliseconds(), lowestMS), highestMS)) // it can't fail within the bounds
 }
 
+// quantile returns a quantile of the waits, in percent, rounded to hundredths of a second.
 func quantile(h *hdrhistogram.Histogram, q float64) time.Duration {
 	return (time.Duration(h.ValueAtQuantile(q)) * time.Millisecond).Round(10 * time.Millisecond)
 }
