--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -363,7 +363,8 @@
 	stored := 0
 	plan := func(backlog time.Duration, cost float64) Policy {
 		now = now.Add(time.Second)
-		count := Count{Key: Key{"a", "c", pipeline.Normal}, Offered: 1, Admitted: 1, Cost: cost, Taken: cost * 0.3}
+		count := Count{Key: Key{"a", "c", pipeline.Normal}, Offered: 1, Admitted: 1,
+			OfferedCost: cost, AdmittedCost: cost * 0.3}
 		policy, changed := p.Plan(now, Load{Rates: Rates{CPUs: 100, Jobs: 50}, Backlog: backlog, Batches: oneSecond(count)})
 		if changed {
 			stored++
@@ -405,7 +406,7 @@
 	options := plannerOptions(time.Hour, time.Minute)
 	options.Floor = 0
 	p := NewPlanner(start, options, 1, Policy{})
-	count := Count{Key: Key{"a", "c", pipeline.Normal}, Offered: 100, Cost: 10, Taken: 1}
+	count := Count{Key: Key{"a", "c", pipeline.Normal}, Offered: 100, OfferedCost: 10, AdmittedCost: 1}
 	for i := range 20 {
 		now := at(time.Duration(i+1) * time.Second)
 		p.Plan(now, Load{Rates: Rates{CPUs: 1e6, Jobs: 10}, Batches: oneSecond(count)})
@@ -429,7 +430,8 @@
 			p = NewPlanner(at(time.Duration(second)*time.Second), options, 2, p.Policy())
 		}
 		taken := 2 * last.Fraction * (0.5 + rng.Float64())
-		count := Count{Key: Key{"a", "c", pipeline.Normal}, Offered: 20, Cost: 8 * (0.5 + rng.Float64()), Taken: taken}
+		count := Count{Key: Key{"a", "c", pipeline.Normal}, Offered: 20,
+			OfferedCost: 8 * (0.5 + rng.Float64()), AdmittedCost: taken}
 		load := Load{Rates: Rates{CPUs: 100}, Backlog: 2 * time.Minute, Batches: oneSecond(count)}
 		policy, _ := p.Plan(at(time.Duration(second+1)*time.Second), load)
 		if len(policy.Shares) != 1 {
--- a/internal/admission/counter.go
+++ b/internal/admission/counter.go
@@ -8,11 +8,12 @@
 // Count is what a controller has counted of a key since it was last asked.
 type Count struct {
 	Key
-	Offered  int     `cbor:"o"` // submissions, including those that were refused before
-	Admitted int     `cbor:"a"`
-	Refused  int     `cbor:"r"`
-	Cost     float64 `cbor:"x"` // of the offered jobs, see JobCost
-	Taken    float64 `cbor:"k"` // cost of the admitted jobs
+	Offered  int `cbor:"o"` // submissions, including those that were refused before
+	Admitted int `cbor:"a"`
+	Refused  int `cbor:"r"`
+	// OfferedCost and AdmittedCost are the costs of these jobs, see JobCost.
+	OfferedCost  float64 `cbor:"x"`
+	AdmittedCost float64 `cbor:"k"`
 }
 
 // Batch is what a controller has counted in a period.
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -89,14 +89,14 @@
 	cost := JobCost(o.Spec, o.Spec.Estimate, g.policy.Rate)
 	count := g.counter.countOf(k)
 	count.Offered++
-	count.Cost += cost
+	count.OfferedCost += cost
 	d := g.effective(now).Decide(k, o.Job)
 	if d.Admitted && !g.local.admit(now, k.Team) {
 		d = Decision{RetryAfter: minRetryAfter, Reason: Writes}
 	}
 	if d.Admitted {
 		count.Admitted++
-		count.Taken += cost
+		count.AdmittedCost += cost
 	} else {
 		count.Refused++
 	}
--- a/internal/admission/planner.go
+++ b/internal/admission/planner.go
@@ -124,8 +124,8 @@
 		seconds := max(b.Period.Seconds(), elapsed)
 		for _, c := range b.Counts {
 			rate := costs[c.Key]
-			rate.offered += c.Cost / seconds
-			rate.admitted += c.Taken / seconds
+			rate.offered += c.OfferedCost / seconds
+			rate.admitted += c.AdmittedCost / seconds
 			costs[c.Key] = rate
 			jobs += float64(c.Offered) / seconds
 		}
