--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -178,7 +178,7 @@
 	if a.State() != fleet.Sent {
 		a.CommandSequence = 0
 	}
-	if a.State() == fleet.Sent || m.Incarnation == 0 {
+	if a.State() == fleet.Sent || m.Incarnation() == 0 {
 		return // goes with the next heartbeat's response, once it is there
 	}
 	e.direct(m, fleet.Command{Kind: fleet.Stop, Ref: a.Ref, Task: a.Task, Attempt: a.Number, Grace: grace})
@@ -188,14 +188,14 @@
 // stops go this way: they name their attempt and are harmless late (docs/design.md, safety
 // argument 7).
 func (e *Engine) direct(m *fleet.Machine, c fleet.Command) {
-	m.FencingTokenSent = true
+	m.TokenSent()
 	for i := range e.out.Direct {
 		if d := &e.out.Direct[i]; d.Machine == m.Name {
 			d.Commands = append(d.Commands, c)
 			return
 		}
 	}
-	e.out.Direct = append(e.out.Direct, Direct{Machine: m.Name, Addr: m.Addr, Incarnation: m.Incarnation, FencingToken: e.term, Commands: []fleet.Command{c}})
+	e.out.Direct = append(e.out.Direct, Direct{Machine: m.Name, Addr: m.Addr(), Incarnation: m.Incarnation(), FencingToken: e.term, Commands: []fleet.Command{c}})
 }
 
 // requeue lets the task of a gone attempt be placed again.
@@ -255,7 +255,7 @@
 	case fleet.CauseError:
 		e.taskFailed(now, m, j, a.Task)
 	case fleet.CauseInsufficientResources, fleet.CauseAlreadyPresent:
-		m.StartsPausedUntil = now.Add(min(e.cfg.HeartbeatInterval, maxNoCapacityPause))
+		m.PauseStarts(now.Add(min(e.cfg.HeartbeatInterval, maxNoCapacityPause)))
 		m.RemoveImage(a.Image)
 	case fleet.CauseUnknownTask:
 		j.Tasks[a.Task].NotUntil = now.Add(unknownExitPause)
@@ -307,18 +307,18 @@
 	j.TaskFailed(now, task, e.cfg.RestartLimit)
 	e.jobWrites.jobChanged(j)
 	e.capacityChanged(m)
-	if !m.Quarantined && (len(m.FailedJobs) >= quarantineAfterJobs || m.Failures >= quarantineAfterFailures && len(j.AvoidUntil) == 0) {
-		m.Quarantined = true
+	if !m.Quarantined() && (len(m.FailedJobs()) >= quarantineAfterJobs || m.Failures() >= quarantineAfterFailures && len(j.AvoidUntil) == 0) {
+		m.Quarantine()
 		e.timers.schedule(m, now)
-		e.log(LogMachineQuarantined, logMachine(m), slog.Int("failures", m.Failures))
-		for ref := range m.FailedJobs {
+		e.log(LogMachineQuarantined, logMachine(m), slog.Int("failures", m.Failures()))
+		for _, ref := range m.FailedJobs() {
 			if o := e.jobs[ref]; o != nil {
 				delete(o.AvoidUntil, m.Name)
 			}
 		}
 		return
 	}
-	if !m.Quarantined {
+	if !m.Quarantined() {
 		j.Avoid(now, m.Name)
 	}
 }
--- a/internal/core/capacity/capacity_test.go
+++ b/internal/core/capacity/capacity_test.go
@@ -69,7 +69,8 @@
 
 // Room on a machine where the job failed is none: the plan once waited for it.
 func TestRoomOnBadMachineIsNone(t *testing.T) {
-	m := fleet.NewMachine(now, "m-1", fleet.PoolKey{Type: "cpu", Zone: "a"}, fleet.Live)
+	m := fleet.NewMachine(now, "m-1", fleet.PoolKey{Type: "cpu", Zone: "a"})
+	m.Move(now, fleet.Live)
 	freeCapacity := &placement.FreeCapacity{}
 	freeCapacity.Set(m, types["cpu"], false)
 	j := job(t, pipeline.Spec{Tasks: 1, CPUs: 8})
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -10,18 +10,18 @@
 // commands is what the worker is told in answer to the heartbeat just heard: first
 // what it may forget, then stops, then starts.
 func (e *Engine) commands(now time.Time, m *fleet.Machine) []fleet.Command {
-	m.OneWayLoss.Expecting = m.FencingToken != e.term
-	if len(m.Attempts) == 0 {
+	m.OneWayLoss.Expect(m.FencingToken() != e.term)
+	if m.Empty() {
 		return nil
 	}
 	var forgets, stops, starts []fleet.Command
-	for _, a := range sortedAttempts(m) {
+	for _, a := range m.SortedAttempts() {
 		c := fleet.Command{Ref: a.Ref, Task: a.Task, Attempt: a.Number}
 		switch state := a.State(); {
 		case state == fleet.Exited:
 			if a.ExitHandled {
 				c.Kind = fleet.Forget
-				a.CommandSequence = m.Sequence
+				a.CommandSequence = m.Sequence()
 				forgets = append(forgets, c)
 			}
 		case a.Eviction == fleet.EvictionApproved:
@@ -35,9 +35,9 @@
 				continue // it saves; a second stop could end that
 			}
 			c.Kind, c.Grace = fleet.Stop, a.Grace
-			a.CommandSequence = m.Sequence
+			a.CommandSequence = m.Sequence()
 			stops = append(stops, c)
-		case state == fleet.Recorded && !a.Inherited && e.mayStart(m) && !now.Before(a.NotBefore) && e.recovery.Pacer().Take(e.urgent(a)):
+		case state == fleet.Recorded && !a.Inherited && m.StartBlock() == fleet.NotBlocked && !now.Before(a.NotBefore) && e.recovery.Pacer().Take(e.urgent(a)):
 			c.Kind = fleet.Start
 			e.startSent(now, m, a)
 			starts = append(starts, c)
@@ -54,7 +54,7 @@
 
 // startSent notes that an attempt's start goes out with the answer to the newest heartbeat.
 func (e *Engine) startSent(now time.Time, m *fleet.Machine, a *fleet.Attempt) {
-	a.CommandSequence = m.Sequence
+	a.CommandSequence = m.Sequence()
 	if j := e.jobs[a.Ref]; j != nil && !j.Started && !j.StartSent {
 		j.StartSent = true
 		e.waits.note(j, now.Sub(j.Since))
@@ -68,12 +68,6 @@
 	e.debug(LogStartSent, logAttempt(a)...)
 }
 
-// mayStart tells whether a machine may be given starts (docs/design.md, safety arguments 5
-// and 6; TestCopyRevivesNothing).
-func (e *Engine) mayStart(m *fleet.Machine) bool {
-	return m.TermConfirmed && !m.Draining && !m.Cordoned && !m.Quarantined && !e.unreachable[m] && m.State() == fleet.Live
-}
-
 // imageGB is the size of a job's image, 0 if the job isn't known.
 func (e *Engine) imageGB(ref string) float64 {
 	if j := e.jobs[ref]; j != nil {
--- a/internal/core/connectivity.go
+++ b/internal/core/connectivity.go
@@ -14,22 +14,25 @@
 
 // detectOneWayLoss looks in a heartbeat for traces of what the machine was last told.
 func (e *Engine) detectOneWayLoss(now time.Time, m *fleet.Machine, r *fleet.Heartbeat, leaseEnded bool) {
+	wasUnreachable := m.OneWayLoss.Unreachable()
 	switch d := e.deliveryShown(now, m, r, leaseEnded); {
 	case d.delivered:
-		if m.OneWayLoss.Undelivered > 1 {
+		m.OneWayLoss.NoteDelivered()
+		if wasUnreachable {
+			e.unreachable--
 			e.capacityChanged(m)
 		}
-		m.OneWayLoss.NoteDelivered()
-		delete(e.unreachable, m)
 	case d.undelivered:
-		if e.answersLate(now) || now.Sub(m.OneWayLoss.LastUndelivered) < e.cfg.HeartbeatInterval/2 {
+		if e.answersLate(now) || now.Sub(m.OneWayLoss.LastUndelivered()) < e.cfg.HeartbeatInterval/2 {
 			return
 		}
 		m.OneWayLoss.NoteUndelivered(now)
-		m.StartsPausedUntil = now.Add(undeliveredPause)
+		m.PauseStarts(now.Add(undeliveredPause))
 		e.capacityChanged(m)
-		if m.OneWayLoss.Undelivered > 1 {
-			e.unreachable[m] = true
+		if m.OneWayLoss.Unreachable() {
+			if !wasUnreachable {
+				e.unreachable++
+			}
 			e.timers.schedule(m, now)
 		}
 	}
@@ -54,10 +57,10 @@
 // were answered.
 func (e *Engine) deliveryShown(now time.Time, m *fleet.Machine, r *fleet.Heartbeat, leaseEnded bool) delivery {
 	d := delivery{
-		delivered:   r.Incarnation == m.Incarnation && m.OneWayLoss.MustHaveDelivered(now, e.cfg.Lease),
+		delivered:   r.Incarnation == m.Incarnation() && m.OneWayLoss.MustHaveDelivered(now, e.cfg.Lease),
 		undelivered: leaseEnded,
 	}
-	if m.OneWayLoss.Expecting {
+	if m.OneWayLoss.Expecting() {
 		if r.FencingToken == e.term {
 			d.delivered = true
 		} else {
@@ -66,7 +69,7 @@
 	}
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
-		a := m.Attempts[fleet.TaskID{Ref: t.Ref, Task: t.Task}]
+		a := m.Attempt(fleet.TaskID{Ref: t.Ref, Task: t.Task})
 		if a == nil || a.Number != t.Attempt || a.CommandSequence == 0 || a.CommandSequence >= r.Sequence {
 			continue
 		}
@@ -77,7 +80,7 @@
 			d.undelivered = true // a forget, or a stop that asks for no saving
 		}
 	}
-	for _, a := range m.Attempts {
+	for a := range m.Attempts() {
 		if a.State() == fleet.Sent && a.CommandSequence < r.Sequence && !listsAttempt(r, a) {
 			d.undelivered = true
 		}
@@ -95,10 +98,10 @@
 // answers are lost, and none is released (docs/design.md, safety argument 6;
 // TestOneWayLossOfAllIsOurs).
 func (e *Engine) scaleInUnreachable(now time.Time, m *fleet.Machine) {
-	if !e.unreachable[m] || now.Sub(m.OneWayLoss.FirstUndelivered) < e.cfg.Lease/2 {
+	if !m.OneWayLoss.Unreachable() || now.Sub(m.OneWayLoss.FirstUndelivered()) < e.cfg.Lease/2 {
 		return
 	}
-	if len(e.unreachable) > max(2, len(e.machines)/4) {
+	if e.unreachable > max(2, len(e.machines)/4) {
 		return
 	}
 	e.scaleIn(now, m, ScaleInUnreachable)
--- a/internal/core/consolidate.go
+++ b/internal/core/consolidate.go
@@ -79,7 +79,7 @@
 // hasAllReplicas tells whether a machine has all the running replicas of a service of
 // several: moving them together would stop the service.
 func (e *Engine) hasAllReplicas(m *fleet.Machine) bool {
-	for _, a := range m.Attempts {
+	for a := range m.Attempts() {
 		j := e.jobs[a.Ref]
 		several := j != nil && j.Shape == pipeline.Service && len(j.Tasks) > 1
 		if several && a.State() != fleet.Exited && !e.runsElsewhere(a.Ref, m) {
@@ -141,7 +141,7 @@
 	var longest time.Duration
 	var moved []*pipeline.Job
 	cost := 0.0
-	for _, a := range s.Machine.Attempts {
+	for a := range s.Machine.Attempts() {
 		if a.State() == fleet.Exited {
 			continue
 		}
--- a/internal/core/decide.go
+++ b/internal/core/decide.go
@@ -130,11 +130,11 @@
 		delete(e.changed, m)
 		t := e.catalog[m.Type]
 		switch {
-		case t == nil || m.Draining || m.Cordoned || m.Quarantined || e.unreachable[m]:
+		case t == nil || m.StartBlock().Withdraws():
 			e.freeCapacity.Remove(m)
-		case m.State() == fleet.Booting && m.ExistenceVerified && now.Sub(m.FirstSeen) <= e.slowBoot(t):
+		case m.State() == fleet.Booting && m.ExistenceVerified() && now.Sub(m.FirstSeen()) <= e.slowBoot(t):
 			e.freeCapacity.Set(m, t, true)
-		case m.State() == fleet.Live && m.TermConfirmed && m.ExistenceVerified && !hasUnrecorded(m), m.HeartbeatExpected:
+		case m.State() == fleet.Live && m.TermConfirmed() && m.ExistenceVerified() && !m.HasUnrecorded(), m.HeartbeatExpected():
 			e.freeCapacity.Set(m, t, false)
 		default:
 			e.freeCapacity.Remove(m)
@@ -145,15 +145,6 @@
 // slowBoot is after how long a machine that boots no longer counts as coming.
 func (e *Engine) slowBoot(t *placement.Type) time.Duration { return 2*t.Boot + e.cfg.HeartbeatInterval }
 
-func hasUnrecorded(m *fleet.Machine) bool {
-	for _, a := range m.Attempts {
-		if a.Unrecorded && a.State() != fleet.Exited {
-			return true
-		}
-	}
-	return false
-}
-
 // place notes a decision: the start goes out once the store holds that the
 // attempt may be on the machine.
 func (e *Engine) place(now time.Time, d placement.Decision) {
--- a/internal/core/drain_capacity.go
+++ b/internal/core/drain_capacity.go
@@ -53,7 +53,7 @@
 	undo := map[*placement.Slot]placement.Slot{}
 	zones := b.engine.zonesWithout(g.job, g.attempts)
 	for _, a := range g.attempts {
-		if !a.Machine.Cordoned && !a.Machine.Draining {
+		if !a.Machine.Cordoned() && !a.Machine.Draining() {
 			zones[a.Machine.Zone]++
 			continue // it may go back to where it is
 		}
@@ -89,7 +89,7 @@
 		return nil
 	}
 	found := b.engine.freeCapacity.FindOpen(&j.Spec, func(s *placement.Slot) bool {
-		usable := !(ahead && s.Machine.CordonPlanned) && !j.Avoids(b.now, s.Machine.Name) && placement.ZoneCapacity(j, s.Zone, zones) > 0
+		usable := !(ahead && s.Machine.CordonPlanned()) && !j.Avoids(b.now, s.Machine.Name) && placement.ZoneCapacity(j, s.Zone, zones) > 0
 		return usable && b.copyOf(s).Free(&j.Spec) > 0
 	})
 	if found == nil {
--- a/internal/core/drain_eviction.go
+++ b/internal/core/drain_eviction.go
@@ -40,7 +40,7 @@
 func (e *Engine) workOn(now time.Time, m *fleet.Machine) *machineWork {
 	work := &machineWork{}
 	seen := map[string]bool{}
-	for _, a := range sortedAttempts(m) {
+	for _, a := range m.SortedAttempts() {
 		j := e.jobs[a.Ref]
 		if a.Leaving() || j == nil || j.Over() || a.Unrecorded {
 			continue
@@ -143,7 +143,7 @@
 	if m == nil {
 		return false
 	}
-	a := m.Attempts[fleet.TaskID{Ref: j.Ref, Task: task}]
+	a := m.Attempt(fleet.TaskID{Ref: j.Ref, Task: task})
 	return a != nil && (e.isUp(a) || slices.Contains(except, a))
 }
 
@@ -216,7 +216,7 @@
 		a.Eviction = fleet.NotEvicted
 		return false
 	}
-	a.Eviction, a.Stopping, a.StopAt, a.CommandSequence = fleet.EvictionSent, true, now, m.Sequence
+	a.Eviction, a.Stopping, a.StopAt, a.CommandSequence = fleet.EvictionSent, true, now, m.Sequence()
 	a.Grace = j.CheckpointTime + time.Second
 	e.capacityChanged(m)
 	e.log(LogTaskEvicted, logAttempt(a)...)
@@ -227,7 +227,7 @@
 // been: the answer was dropped. The eviction is then judged again, since a window may have
 // closed meanwhile; its charge stands.
 func (*Engine) evictionLost(m *fleet.Machine, a *fleet.Attempt) bool {
-	if a.State() == fleet.Checkpointing || a.CommandSequence >= m.Sequence {
+	if a.State() == fleet.Checkpointing || a.CommandSequence >= m.Sequence() {
 		return false
 	}
 	a.Eviction, a.Stopping = fleet.NotEvicted, false
@@ -240,7 +240,7 @@
 	if m == nil {
 		return
 	}
-	for _, a := range m.Attempts {
+	for a := range m.Attempts() {
 		if a.Eviction == fleet.EvictionApproved {
 			a.Eviction = fleet.NotEvicted
 		}
@@ -265,7 +265,7 @@
 		if a == nil || a.Leaving() || a.State() != fleet.Running {
 			continue
 		}
-		if m := a.Machine; m.State() == fleet.Live && m.TermConfirmed && m.FencingToken == e.term && !m.Cordoned && !m.Draining {
+		if m := a.Machine; m.State() == fleet.Live && m.TermConfirmed() && m.FencingToken() == e.term && !m.Cordoned() && !m.Draining() {
 			ledger.Void(c.TaskKey, c.Attempt)
 		}
 	}
@@ -344,7 +344,7 @@
 // moveByChoice stops what is on a machine that the scheduler has chosen to empty. What is
 // under a budget is charged first (evictOwn).
 func (e *Engine) moveByChoice(now time.Time, m *fleet.Machine) {
-	for _, a := range sortedAttempts(m) {
+	for _, a := range m.SortedAttempts() {
 		j := e.jobs[a.Ref]
 		switch {
 		case j == nil || a.State() == fleet.Exited:
@@ -365,7 +365,7 @@
 	delete(e.drains.own, m)
 	delete(e.emptying, m)
 	e.revokeEvictions(m.Name)
-	m.Draining = false
+	m.StopDraining()
 	e.capacityChanged(m)
 	e.log(LogConsolidationGivenUp, logMachine(m), logActive(m))
 }
@@ -377,7 +377,7 @@
 			delete(e.drains.own, m)
 			continue
 		}
-		if now.Sub(e.drains.own[m]) > ownPatience && m.InterruptionAt.IsZero() {
+		if now.Sub(e.drains.own[m]) > ownPatience && !m.InterruptionAnnounced() {
 			e.keepMachine(m)
 			continue
 		}
--- a/internal/core/drain_round.go
+++ b/internal/core/drain_round.go
@@ -58,7 +58,7 @@
 	if len(e.catalog) == 0 || !e.settled(now) || e.writesFail || e.answersLate(now) {
 		return false
 	}
-	lost := e.inState[fleet.Unresponsive] + e.inState[fleet.AwaitingHeartbeat] + len(e.unreachable)
+	lost := e.inState[fleet.Unresponsive] + e.inState[fleet.AwaitingHeartbeat] + e.unreachable
 	return lost <= max(1, len(e.machines)/lostPart)
 }
 
@@ -89,7 +89,7 @@
 // mayCordon tells whether cordoning a machine would come to anything soon: nothing there is
 // without hope of leaving by a plan's deadline, or waits for long.
 func (e *Engine) mayCordon(now time.Time, m *fleet.Machine, deadline time.Time) drain.Verdict {
-	if m.State() != fleet.Live || m.Draining {
+	if m.State() != fleet.Live || m.Draining() {
 		return drain.Verdict{Kind: drain.NotYet, Cause: drain.CauseAwaitingHeartbeat}
 	}
 	work := e.workOn(now, m)
@@ -136,7 +136,7 @@
 	case c.PlanPhase(dm) == drain.Paused:
 		e.revokeEvictions(m.Name)
 		return notYet(drain.CausePaused)
-	case m.ActiveAttempts() == 0 && !e.hasUnstoredResults(m):
+	case m.ActiveAttempts() == 0 && !m.HasUnstoredResults():
 		e.machineEmptied(now, dm, m)
 		return drain.Verdict{}
 	case !e.mayDisrupt(now):
--- a/internal/core/draining.go
+++ b/internal/core/draining.go
@@ -91,10 +91,9 @@
 func (e *Engine) applyCordon(m *fleet.Machine) {
 	c := e.drains.coordinator
 	cordoned, planned := c.Cordoned(m.Name), c.Planned(m.Name)
-	if m.Cordoned == cordoned && m.CordonPlanned == planned {
+	if !m.SetCordon(cordoned, planned) {
 		return
 	}
-	m.Cordoned, m.CordonPlanned = cordoned, planned
 	if !cordoned {
 		delete(e.drains.replacements, m.Name) // it stays, so nothing is kept in its place
 	}
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -94,7 +94,7 @@
 	timers      timerQueue               // when machines are to be checked
 	recovery    *recovery.Reconciler     // of what the records and the machines say
 	writesFail  bool                     // the last batch wasn't written
-	unreachable map[*fleet.Machine]bool  // machines that seem to receive no answers
+	unreachable int                      // how many machines seem to receive no answers
 	lastList    time.Time                // of the cloud
 	prunedAt    time.Time                // when gone was last pruned
 
@@ -230,7 +230,6 @@
 		cancellations: newCancellations(),
 		machines:      map[string]*fleet.Machine{},
 		removed:       map[string]time.Time{},
-		unreachable:   map[*fleet.Machine]bool{},
 		use:           map[string]*jobUse{},
 		teamUse:       map[string]fleet.Amount{},
 		changed:       map[*fleet.Machine]bool{},
@@ -290,7 +289,7 @@
 // imagesOn is which images a machine is believed to have, if it has been heard of.
 func (e *Engine) imagesOn(machine string) ([]fleet.Image, bool) {
 	if m := e.machines[machine]; m != nil {
-		return m.Images, true
+		return m.Images(), true
 	}
 	return nil, false
 }
@@ -334,7 +333,7 @@
 func (LeaseResumed) apply(e *Engine, now time.Time) {
 	for _, m := range e.machines {
 		if m.State() == fleet.Live || m.State() == fleet.Unresponsive || m.State() == fleet.AwaitingHeartbeat {
-			m.LastHeartbeat = now
+			m.ExcuseMissingHeartbeats(now)
 		}
 	}
 }
--- a/internal/core/fleet/attempt.go
+++ b/internal/core/fleet/attempt.go
@@ -1,6 +1,7 @@
 package fleet
 
 import (
+	"cmp"
 	"strconv"
 	"time"
 )
@@ -41,6 +42,11 @@
 // String names the task as users and workers do: j-000412/3.
 func (t TaskID) String() string { return t.Ref + "/" + strconv.Itoa(t.Task) }
 
+// Compare orders tasks by job, and within it by number.
+func (t TaskID) Compare(o TaskID) int {
+	return cmp.Or(cmp.Compare(t.Ref, o.Ref), cmp.Compare(t.Task, o.Task))
+}
+
 // Attempt is one attempt that is, or may be, on a machine.
 type Attempt struct {
 	TaskID
--- a/internal/core/fleet/connectivity_test.go
+++ b/internal/core/fleet/connectivity_test.go
@@ -9,7 +9,7 @@
 
 func at(seconds int) time.Time { return start.Add(time.Duration(seconds) * time.Second) }
 
-// Reports are ordered by fencing token, then session, then sequence number.
+// Heartbeats are ordered by fencing token, then incarnation, then sequence number.
 func TestEpochOrder(t *testing.T) {
 	ordered := []HeartbeatVersion{{1, 1, 1}, {1, 1, 2}, {1, 2, 1}, {2, 1, 1}, {2, 1, 9}, {3, 7, 1}}
 	for i, a := range ordered {
@@ -65,10 +65,10 @@
 
 // Answers in a row that aren't delivered are counted from the first one, until one is.
 func TestOneWayLossCounts(t *testing.T) {
-	l := OneWayLoss{Expecting: true}
+	l := OneWayLoss{expecting: true}
 	l.NoteUndelivered(at(1))
 	l.NoteUndelivered(at(4))
-	if l.Undelivered != 2 || !l.FirstUndelivered.Equal(at(1)) || !l.LastUndelivered.Equal(at(4)) || l.Expecting {
+	if l.Undelivered() != 2 || !l.FirstUndelivered().Equal(at(1)) || !l.LastUndelivered().Equal(at(4)) || l.Expecting() {
 		t.Fatalf("after two undelivered answers: %+v", l)
 	}
 	lease := 20 * time.Second
@@ -76,7 +76,7 @@
 		t.Fatal("the lease isn't counted from the last undelivered answer")
 	}
 	l.NoteDelivered()
-	if l.Undelivered != 0 || !l.FirstUndelivered.IsZero() || l.MustHaveDelivered(at(99), lease) {
+	if l.Undelivered() != 0 || !l.FirstUndelivered().IsZero() || l.MustHaveDelivered(at(99), lease) {
 		t.Fatalf("after a delivered answer: %+v", l)
 	}
 }
--- a/internal/core/fleet/images.go
+++ b/internal/core/fleet/images.go
@@ -1,6 +1,9 @@
 package fleet
 
-import "time"
+import (
+	"slices"
+	"time"
+)
 
 // Image is an image that a machine is believed to have.
 type Image struct {
@@ -9,6 +12,12 @@
 	Ready time.Time // when it is expected to be there
 }
 
+// Images lists the images that the machine is believed to have, most recently used last.
+func (m *Machine) Images() []Image { return m.images }
+
+// SetImages takes over which images the machine is believed to have.
+func (m *Machine) SetImages(images []Image) { m.images = images }
+
 // FetchLeft is how long until an image is expected to be there; one that isn't
 // being fetched yet shares the rate with those that are, until the shorter of
 // the two is there.
@@ -18,7 +27,7 @@
 	}
 	alone := time.Duration(gb / rate * float64(time.Second))
 	all := alone
-	for _, i := range m.Images {
+	for _, i := range m.images {
 		left := max(0, i.Ready.Sub(now))
 		if i.Name == name {
 			return left
@@ -33,29 +42,29 @@
 func (m *Machine) UseImage(now time.Time, name string, gb, cacheGB, rate float64) {
 	ready := now.Add(m.FetchLeft(now, name, gb, rate))
 	m.RemoveImage(name)
-	m.Images = append(m.Images, Image{name, gb, ready})
+	m.images = append(m.images, Image{name, gb, ready})
 	var total float64
-	for _, i := range m.Images {
+	for _, i := range m.images {
 		total += i.GB
 	}
-	for len(m.Images) > 1 && total > cacheGB {
-		total -= m.Images[0].GB
-		m.Images = m.Images[1:]
+	for len(m.images) > 1 && total > cacheGB {
+		total -= m.images[0].GB
+		m.images = m.images[1:]
 	}
 }
 
 // ImageThere notes that a task past its fetch was seen, perhaps one that an
 // earlier leader started. It tells whether the image is news.
 func (m *Machine) ImageThere(now time.Time, name string, gb float64) bool {
-	for i := range m.Images {
-		if m.Images[i].Name == name {
-			if m.Images[i].Ready.After(now) {
-				m.Images[i].Ready = now
+	for i := range m.images {
+		if m.images[i].Name == name {
+			if m.images[i].Ready.After(now) {
+				m.images[i].Ready = now
 			}
 			return false
 		}
 	}
-	m.Images = append(m.Images, Image{name, gb, now})
+	m.images = append(m.images, Image{name, gb, now})
 	return true
 }
 
@@ -64,12 +73,12 @@
 // fetching shows that the image wasn't there. It tells whether the image was believed
 // there.
 func (m *Machine) FetchGivenUp(now time.Time, name string, was TaskState) bool {
-	for _, a := range m.Attempts {
+	for _, a := range m.attempts {
 		if a.Image == name && (a.state == Sent || a.state == Fetching) {
 			return false
 		}
 	}
-	for _, i := range m.Images {
+	for _, i := range m.images {
 		if i.Name == name && (was == Fetching || i.Ready.After(now)) {
 			m.RemoveImage(name)
 			return true
@@ -80,11 +89,5 @@
 
 // RemoveImage notes that an image isn't there after all.
 func (m *Machine) RemoveImage(name string) {
-	kept := m.Images[:0]
-	for _, i := range m.Images {
-		if i.Name != name {
-			kept = append(kept, i)
-		}
-	}
-	m.Images = kept
+	m.images = slices.DeleteFunc(m.images, func(i Image) bool { return i.Name == name })
 }
--- a/internal/core/fleet/machine.go
+++ b/internal/core/fleet/machine.go
@@ -1,19 +1,21 @@
-// Package fleet holds what is known of the machines: their states, their leases, their
-// images, and where each attempt may still be.
 package fleet
 
-import "time"
+import (
+	"iter"
+	"slices"
+	"time"
+)
 
 // MachineState is the state of a machine.
 type MachineState uint8
 
 // States of a machine.
 const (
-	Booting           MachineState = iota // rented or listed, never heard of
+	Booting           MachineState = iota // requested or listed, never heard of
 	AwaitingHeartbeat                     // the records say that tasks may be on it; not heard under this term
-	Live                                  // reports
-	Unresponsive                          // has stopped reporting
-	ScalingIn                             // a release is under way
+	Live                                  // sends heartbeats
+	Unresponsive                          // has stopped sending heartbeats
+	ScalingIn                             // its release is under way
 	Removed                               // proven gone
 
 	MachineStates = iota // how many there are
@@ -24,114 +26,132 @@
 // String returns the state's name, as operators see it.
 func (s MachineState) String() string { return machineStateNames[s] }
 
-// Machine is one machine.
+// Machine is what a leader knows of one machine. Its methods are the only places that change
+// it; each keeps together the facts that belong together. The engine decides when a change
+// is due, the machine how the change looks.
 type Machine struct {
-	Name, Addr, Type, Zone string
-	Spot                   bool
-	state                  MachineState
-
-	// Reports and answers.
-	Incarnation, Sequence, FencingToken uint64          // of its newest heartbeat, see Epoch
-	HeartbeatExpected                   bool            // not heard of under this term, but the leader before was, shortly before its end
-	FencingTokenSent                    bool            // was sent this term's fencing token
-	TermConfirmed                       bool            // has reported with this term's fencing token, or never held anything of an earlier term
-	LastHeartbeat                       time.Time       // when its newest heartbeat arrived
-	LeaseRenewedAt                      time.Time       // no 200 was sent to it after this
-	ResponseHeld                        bool            // what is placed now goes with the answer to its last heartbeat
-	OneWayLoss                          OneWayLoss      // whether it receives answers
-	StaleHeartbeats                     StaleHeartbeats // reports that aren't newer than the newest one
-
-	// Its life.
-	FirstSeen         time.Time
-	ListedAt          time.Time // when the cloud last listed it
-	ListedRunning     bool      // the cloud's last list with it said that it is up
-	ExistenceVerified bool      // listed by the cloud, rented, or heard under this term's fencing token: not just an old copy's word
-	InterruptionAt    time.Time // when the cloud takes it, zero without a notice
-	ScaleInAttempts   int       // releases that failed
-	NextCheckAt       time.Time // when its present timer expires
-
-	// Whether it gets starts.
-	Draining          bool            // it gets no more
-	Quarantined       bool            // it gets no more: too much has failed on it
-	Cordoned          bool            // it gets no more, at the operators' request
-	CordonPlanned     bool            // it is about to be cordoned, and used only if nothing else has room
-	StartsPausedUntil time.Time       // it gets none until then
-	FailedJobs        map[string]bool // jobs that failed on it since something last succeeded
-	Failures          int             // how often any did
-
-	// What is on it.
-	Attempts       map[TaskID]*Attempt
-	Images         []Image   // most recently used last
-	IdleSince      time.Time // since when it has been idle, if it is
-	used           Amount
-	serviceUsage   Amount // the part of it that replicas of services take
-	activeAttempts int
-}
+	Name    string
+	PoolKey // what distinguishes it from machines of other pools
 
-// Amount is a sum of what tasks take of machines.
-type Amount struct{ CPUs, GPUs, MemGB float64 }
+	heartbeats // heartbeats and their answers, see machine_heartbeats.go
+	lifecycle  // its state and what the cloud says of it
+	condition  // whether it takes starts, see machine_condition.go
 
-// Add adds two amounts.
-func (a Amount) Add(o Amount) Amount {
-	return Amount{CPUs: a.CPUs + o.CPUs, GPUs: a.GPUs + o.GPUs, MemGB: a.MemGB + o.MemGB}
-}
+	// OneWayLoss follows whether the answers to its heartbeats arrive.
+	OneWayLoss OneWayLoss
+	// StaleHeartbeats follows the heartbeats that aren't newer than the newest one.
+	StaleHeartbeats StaleHeartbeats
 
-// Plus adds what an attempt takes.
-func (a Amount) Plus(t *Attempt) Amount {
-	return Amount{CPUs: a.CPUs + t.CPUs, GPUs: a.GPUs + t.GPUs, MemGB: a.MemGB + t.MemGB}
+	attempts       map[TaskID]*Attempt
+	images         []Image // most recently used last
+	used           Amount
+	serviceUsage   Amount // the part of used that replicas of services take
+	activeAttempts int
 }
 
-// Minus takes off what an attempt takes.
-func (a Amount) Minus(t *Attempt) Amount {
-	return Amount{CPUs: a.CPUs - t.CPUs, GPUs: a.GPUs - t.GPUs, MemGB: a.MemGB - t.MemGB}
+// lifecycle is a machine's state with what bears on it from outside.
+type lifecycle struct {
+	state             MachineState
+	firstSeen         time.Time
+	idleSince         time.Time // since when it has been idle, if it is
+	listedAt          time.Time // when the cloud last listed it
+	listedRunning     bool      // the cloud's last list with it said that it is up
+	existenceVerified bool      // listed by the cloud, requested from it, or heard under this term's fencing token
+	interruptionAt    time.Time // when the cloud takes it back; zero without a notice
+	failedScaleIns    int       // releases without a known outcome since the last one was asked for
 }
 
-// PoolKey is what distinguishes machines before they are rented.
-type PoolKey struct {
-	Type, Zone string
-	Spot       bool
+// NewMachine makes a machine that may still be booting. The start log doesn't name it, so it
+// never held a task of an earlier term, and this term may use it as soon as it is heard of.
+func NewMachine(now time.Time, name string, k PoolKey) *Machine {
+	m := newMachine(now, name, k, Booting)
+	m.termConfirmed = true
+	return m
 }
 
-// NewMachine makes a machine in its first state.
-func NewMachine(now time.Time, name string, k PoolKey, state MachineState) *Machine {
-	return &Machine{Name: name, Type: k.Type, Zone: k.Zone, Spot: k.Spot, state: state, FirstSeen: now, IdleSince: now,
-		Attempts: map[TaskID]*Attempt{}}
+// NewInheritedMachine makes a machine that an earlier leader's records name. Until a heartbeat
+// tells more it counts as if its worker's lease had been renewed just now.
+func NewInheritedMachine(now time.Time, name string, k PoolKey) *Machine {
+	m := newMachine(now, name, k, AwaitingHeartbeat)
+	m.lastHeartbeat, m.leaseRenewedAt = now, now
+	return m
 }
 
-// PoolKey returns the pool that the machine belongs to.
-func (m *Machine) PoolKey() PoolKey { return PoolKey{Type: m.Type, Zone: m.Zone, Spot: m.Spot} }
+func newMachine(now time.Time, name string, k PoolKey, state MachineState) *Machine {
+	return &Machine{
+		Name: name, PoolKey: k,
+		lifecycle: lifecycle{state: state, firstSeen: now, idleSince: now},
+		attempts:  map[TaskID]*Attempt{},
+	}
+}
 
 // State returns the machine's state.
 func (m *Machine) State() MachineState { return m.state }
 
-// Move is the one place where a machine changes state; Gone is final.
-func (m *Machine) Move(to MachineState) bool {
+// Move is the one place where a machine changes state; Removed is final. It returns false if
+// nothing changes. Whatever the new state is, a heartbeat is no longer expected on the word of
+// the warm state, and a machine that could not be used before is idle only from now on.
+func (m *Machine) Move(now time.Time, to MachineState) bool {
 	if m.state == to || m.state == Removed {
 		return false
 	}
+	if to == Live && (m.state == Booting || m.state == Unresponsive) {
+		m.idleSince = now
+	}
 	m.state = to
+	m.heartbeatExpected = false
 	return true
 }
 
-// NextResponseIn is after how long the machine's next heartbeat is expected, whose answer
-// can start something there.
-func (m *Machine) NextResponseIn(now time.Time, every time.Duration) time.Duration {
-	if m.ResponseHeld {
-		return 0
+// FirstSeen is since when the machine has existed, as far as is known.
+func (m *Machine) FirstSeen() time.Time { return m.firstSeen }
+
+// SetAge takes over how long the machine has existed according to the cloud.
+func (m *Machine) SetAge(now time.Time, age time.Duration) { m.firstSeen = now.Add(-age) }
+
+// IdleSince is since when the machine has been idle, if it is.
+func (m *Machine) IdleSince() time.Time { return m.idleSince }
+
+// Listed takes in that the cloud lists the machine. It tells whether its existence had not
+// been verified before.
+func (m *Machine) Listed(now time.Time, addr string, running bool) (newlyVerified bool) {
+	m.listedAt, m.listedRunning = now, running
+	if m.addr == "" {
+		m.addr = addr
+	}
+	return m.VerifyExistence()
+}
+
+// ListedAt is when the cloud last listed the machine; zero if it never has.
+func (m *Machine) ListedAt() time.Time { return m.listedAt }
+
+// ListedRunning tells whether the cloud's last list with the machine said that it is up.
+func (m *Machine) ListedRunning() bool { return m.listedRunning }
+
+// VerifyExistence notes that more than an old copy of a record speaks of the machine. It tells
+// whether that is news.
+func (m *Machine) VerifyExistence() bool {
+	if m.existenceVerified {
+		return false
 	}
-	return max(0, every-now.Sub(m.LastHeartbeat))
+	m.existenceVerified = true
+	return true
 }
 
-// Newer tells whether a heartbeat is newer than all that have been taken in.
-func (m *Machine) Newer(r *Heartbeat) bool { return r.Version().After(m.HeartbeatVersion()) }
+// ExistenceVerified tells whether the machine is known to exist, see VerifyExistence.
+func (m *Machine) ExistenceVerified() bool { return m.existenceVerified }
 
-// LeaseExpired tells whether the worker's lease has certainly ended: nobody can have
-// answered it after LeaseRenewedAt, and the drift of the two clocks is allowed for
-// (docs/design.md, safety argument 5; TestInheritedAttemptUntilLeaseOver).
-func (m *Machine) LeaseExpired(now time.Time, lease time.Duration) bool {
-	return !m.LeaseRenewedAt.IsZero() && now.Sub(m.LeaseRenewedAt) > LeaseBound(lease)
+// AnnounceInterruption takes in when the cloud will take the machine back. It tells whether
+// this is the first notice.
+func (m *Machine) AnnounceInterruption(at time.Time) (first bool) {
+	first = m.interruptionAt.IsZero()
+	m.interruptionAt = at
+	return first
 }
 
+// InterruptionAnnounced tells whether the cloud will take the machine back.
+func (m *Machine) InterruptionAnnounced() bool { return !m.interruptionAt.IsZero() }
+
 // Used returns what all that may be on the machine takes of it. Exited tasks
 // take nothing.
 func (m *Machine) Used() Amount { return m.used }
@@ -142,13 +162,62 @@
 // ActiveAttempts counts the attempts that may be on the machine.
 func (m *Machine) ActiveAttempts() int { return m.activeAttempts }
 
+// Attempt returns the attempt of a task that is on the machine, perhaps exited; nil if there
+// is none.
+func (m *Machine) Attempt(id TaskID) *Attempt { return m.attempts[id] }
+
+// Empty tells whether nothing at all is on the machine, not even an exited attempt that its
+// worker still lists.
+func (m *Machine) Empty() bool { return len(m.attempts) == 0 }
+
+// Attempts goes through all attempts on the machine, in no particular order.
+func (m *Machine) Attempts() iter.Seq[*Attempt] {
+	return func(yield func(*Attempt) bool) {
+		for _, a := range m.attempts {
+			if !yield(a) {
+				return
+			}
+		}
+	}
+}
+
+// SortedAttempts lists all attempts on the machine by job and task.
+func (m *Machine) SortedAttempts() []*Attempt {
+	out := make([]*Attempt, 0, len(m.attempts))
+	for _, a := range m.attempts {
+		out = append(out, a)
+	}
+	slices.SortFunc(out, func(a, b *Attempt) int { return a.TaskID.Compare(b.TaskID) })
+	return out
+}
+
+// HasUnrecorded tells whether something runs on the machine that no record names.
+func (m *Machine) HasUnrecorded() bool {
+	for _, a := range m.attempts {
+		if a.Unrecorded && a.state != Exited {
+			return true
+		}
+	}
+	return false
+}
+
+// HasUnstoredResults tells whether results on the machine are not yet written.
+func (m *Machine) HasUnstoredResults() bool {
+	for _, a := range m.attempts {
+		if a.state == Exited && !a.ExitHandled {
+			return true
+		}
+	}
+	return false
+}
+
 // AddAttempt notes an attempt that is, or may be, on the machine.
 func (m *Machine) AddAttempt(now time.Time, a *Attempt, st TaskState) {
 	a.Machine, a.state, a.StateSince = m, st, now
 	if st == Running {
 		a.RunStart = now
 	}
-	m.Attempts[a.TaskID] = a
+	m.attempts[a.TaskID] = a
 	if st != Exited {
 		m.activeAttempts++
 		m.used = m.used.Plus(a)
@@ -177,21 +246,9 @@
 }
 
 // RemoveAttempt removes an attempt that is proven gone, or forgotten by its worker.
-func (m *Machine) RemoveAttempt(now time.Time, k TaskID) {
-	delete(m.Attempts, k)
-	if len(m.Attempts) == 0 {
-		m.IdleSince = now
+func (m *Machine) RemoveAttempt(now time.Time, id TaskID) {
+	delete(m.attempts, id)
+	if len(m.attempts) == 0 {
+		m.idleSince = now
 	}
 }
-
-// RecordFailure counts an exit of a job with an error against the machine.
-func (m *Machine) RecordFailure(ref string) {
-	if m.FailedJobs == nil {
-		m.FailedJobs = map[string]bool{}
-	}
-	m.Failures++
-	m.FailedJobs[ref] = true
-}
-
-// ClearFailures forgets the exits with errors on the machine.
-func (m *Machine) ClearFailures() { m.Failures, m.FailedJobs = 0, nil }
--- /dev/null
+++ b/internal/core/fleet/machine_test.go
@@ -0,0 +1,88 @@
+package fleet
+
+import (
+	"testing"
+	"time"
+)
+
+// Whatever is wrong with a machine, the reason named is the strongest one, and only those that
+// don't pass by themselves take it out of placement. A place that looks at the facts one by
+// one would be the one that forgets the next fact.
+func TestStartBlock(t *testing.T) {
+	unreachable := func(m *Machine) {
+		m.OneWayLoss.NoteUndelivered(at(0))
+		m.OneWayLoss.NoteUndelivered(at(1))
+	}
+	for _, c := range []struct {
+		name      string
+		change    func(m *Machine)
+		want      StartBlock
+		withdraws bool
+	}{
+		{"live and confirmed", func(*Machine) {}, NotBlocked, false},
+		{"starts paused", func(m *Machine) { m.PauseStarts(at(9)) }, NotBlocked, false},
+		{"cordon planned", func(m *Machine) { m.SetCordon(false, true) }, NotBlocked, false},
+		{"one answer lost", func(m *Machine) { m.OneWayLoss.NoteUndelivered(at(0)) }, NotBlocked, false},
+		{"draining", (*Machine).StartDraining, BlockedDraining, true},
+		{"drain given up", func(m *Machine) { m.StartDraining(); m.StopDraining() }, NotBlocked, false},
+		{"release asked for", (*Machine).ScaleInRequested, BlockedDraining, true},
+		{"quarantined", (*Machine).Quarantine, BlockedQuarantined, true},
+		{"cordoned", func(m *Machine) { m.SetCordon(true, false) }, BlockedCordoned, true},
+		{"cordoned in quarantine", func(m *Machine) { m.SetCordon(true, false); m.Quarantine() }, BlockedQuarantined, true},
+		{"unreachable", unreachable, BlockedUnreachable, true},
+		{"unresponsive", func(m *Machine) { m.Move(at(0), Unresponsive) }, BlockedNotLive, false},
+		{"unresponsive and draining", func(m *Machine) { m.Move(at(0), Unresponsive); m.StartDraining() }, BlockedDraining, true},
+		{"not confirmed", func(m *Machine) { m.termConfirmed = false }, BlockedUnconfirmedTerm, false},
+	} {
+		m := NewMachine(at(0), "m-1", PoolKey{Type: "cpu", Zone: "a"})
+		m.Move(at(0), Live)
+		c.change(m)
+		if got := m.StartBlock(); got != c.want || got.Withdraws() != c.withdraws {
+			t.Errorf("%s: blocked by %q, withdraws %v", c.name, got, got.Withdraws())
+		}
+	}
+}
+
+// A release that failed is asked for again only after a pause; one that is under way isn't.
+func TestScaleInRetry(t *testing.T) {
+	m := NewMachine(at(0), "m-1", PoolKey{Type: "cpu", Zone: "a"})
+	if m.ScaleInPending(at(0)) {
+		t.Fatal("pending before it is asked for")
+	}
+	m.Move(at(0), ScalingIn)
+	m.ScaleInRequested()
+	if !m.ScaleInPending(at(9)) || m.ScaleInToRetry() {
+		t.Fatal("asked for a second time without an answer")
+	}
+	m.ScaleInFailed(at(10))
+	if !m.ScaleInPending(at(9)) || m.ScaleInPending(at(10)) || !m.ScaleInToRetry() {
+		t.Fatal("a failed release isn't asked for again after the pause, or is before")
+	}
+}
+
+// A machine is idle from when it can be used: counted from its request, one that boots slowly
+// would be released as idle as soon as it comes up.
+func TestIdleFromFirstUse(t *testing.T) {
+	for from, idleSince := range map[MachineState]time.Time{Booting: at(5), Unresponsive: at(5), AwaitingHeartbeat: at(0)} {
+		m := newMachine(at(0), "m-1", PoolKey{}, from)
+		if !m.Move(at(5), Live) || !m.IdleSince().Equal(idleSince) {
+			t.Errorf("from %s: idle since %s", from, m.IdleSince())
+		}
+	}
+}
+
+// What a leader hands on of a machine is what the next one starts from.
+func TestHistoryIsHandedOn(t *testing.T) {
+	m := NewMachine(at(0), "m-1", PoolKey{Type: "cpu", Zone: "a"})
+	m.RecordFailure("j-2")
+	m.RecordFailure("j-1")
+	m.RecordFailure("j-2")
+	m.Quarantine()
+	m.Listed(at(3), "addr", true)
+	next := NewInheritedMachine(at(60), "m-1", m.PoolKey)
+	next.RestoreHistory(m.History())
+	if !next.Quarantined() || next.Draining() || !next.ListedRunning() || next.Failures() != 3 ||
+		len(next.FailedJobs()) != 2 || !next.FirstSeen().Equal(at(0)) || !next.IdleSince().Equal(at(0)) {
+		t.Fatalf("handed on: %+v", next.History())
+	}
+}
--- a/internal/core/fleet/stale_heartbeats.go
+++ b/internal/core/fleet/stale_heartbeats.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// HeartbeatVersion orders the heartbeats of one machine: by fencing token, then session, then sequence number.
+// HeartbeatVersion orders the heartbeats of one machine: by fencing token, then incarnation,
+// then sequence number.
 // A worker's fencing token only rises, but a worker that restarts counts its incarnations and
 // sequence numbers from one again.
 type HeartbeatVersion struct{ FencingToken, Incarnation, Sequence uint64 }
@@ -12,12 +13,7 @@
 	return HeartbeatVersion{r.FencingToken, r.Incarnation, r.Sequence}
 }
 
-// HeartbeatVersion returns the place of the newest heartbeat known of the machine.
-func (m *Machine) HeartbeatVersion() HeartbeatVersion {
-	return HeartbeatVersion{m.FencingToken, m.Incarnation, m.Sequence}
-}
-
-// After tells whether an epoch is later than another. The fencing token comes first: it alone
+// After tells whether a version is later than another. The fencing token comes first: it alone
 // tells the heartbeats of a restarted worker from late copies of its former ones
 // (docs/design.md, safety argument 5; TestCopyFromFormerLife).
 func (p HeartbeatVersion) After(o HeartbeatVersion) bool {
@@ -27,12 +23,12 @@
 	return p.CountsPast(o)
 }
 
-// CountsPast tells whether session and sequence number alone are past another epoch's.
+// CountsPast tells whether incarnation and sequence number alone are past another version's.
 func (p HeartbeatVersion) CountsPast(o HeartbeatVersion) bool {
 	return p.Incarnation > o.Incarnation || p.Incarnation == o.Incarnation && p.Sequence > o.Sequence
 }
 
-// Restarted tells whether a heartbeat of this epoch, which is after the other, can only
+// Restarted tells whether a heartbeat of this version, which is after the other, can only
 // come from a worker that has restarted in between: its fencing token is higher, but it
 // counts from lower numbers. What was known before are late copies.
 func (p HeartbeatVersion) Restarted(o HeartbeatVersion) bool {
--- a/internal/core/fleet/start_log_test.go
+++ b/internal/core/fleet/start_log_test.go
@@ -9,7 +9,7 @@
 // What is stopped when a page is refused is stopped in a fixed order.
 func TestUnwrittenInOrder(t *testing.T) {
 	now := time.Unix(100, 0)
-	m := NewMachine(now, "m-1", PoolKey{Type: "cpu", Zone: "a"}, Live)
+	m := NewMachine(now, "m-1", PoolKey{Type: "cpu", Zone: "a"})
 	page := NewStartLogPage("p", 0)
 	for task := range 8 {
 		a := &Attempt{TaskID: TaskID{Ref: "j", Task: task}, Number: uint64(task)}
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -2,7 +2,6 @@
 
 import (
 	"log/slog"
-	"sort"
 	"time"
 
 	"gingertally/internal/core/fleet"
@@ -25,12 +24,11 @@
 	}
 	m := e.machines[rep.Machine]
 	if m == nil {
-		m = fleet.NewMachine(now, rep.Machine, fleet.PoolKey{Type: rep.Type, Zone: rep.Zone, Spot: rep.Spot}, fleet.Booting)
-		m.TermConfirmed = true // the start log doesn't name it, so it never held a task
+		m = fleet.NewMachine(now, rep.Machine, fleet.PoolKey{Type: rep.Type, Zone: rep.Zone, Spot: rep.Spot})
 		e.addMachine(now, m)
 		e.log(LogMachineDiscovered, logMachine(m), slog.String("type", m.Type), slog.String("zone", m.Zone))
 	}
-	if rep.FencingToken == e.term && !m.FencingTokenSent {
+	if rep.FencingToken == e.term && !m.FencingTokenSent() {
 		// It has this fencing token from a leader that the state service has forgotten.
 		e.out.HigherFencingToken = rep.FencingToken
 		return
@@ -44,13 +42,13 @@
 	// Room has become free, or a new leader is about to place: a start decided now
 	// would otherwise wait for the worker's next heartbeat.
 	startExpected := m.ActiveAttempts() < busy || e.emptyUnderNewLeader(now, m)
-	e.respond(now, m, startExpected && e.mayStart(m))
-	m.LeaseRenewedAt = now
+	e.respond(now, m, startExpected && m.StartBlock() == fleet.NotBlocked)
+	m.RenewLease(now)
 }
 
 // respond answers the newest heartbeat of a machine with 200, at once or after a hold.
 func (e *Engine) respond(now time.Time, m *fleet.Machine, hold bool) {
-	m.ResponseHeld, m.FencingTokenSent = hold, true
+	m.HeartbeatAnswered(hold)
 	e.out.Response = &HeartbeatResponse{OK: true, FencingToken: e.term, Held: hold}
 	if !hold {
 		e.out.Response.Commands = e.commands(now, m)
@@ -63,7 +61,7 @@
 // lost, and since nothing tells its heartbeats from copies, the machine is released.
 func (e *Engine) staleHeartbeat(now time.Time, m *fleet.Machine, r *fleet.Heartbeat) {
 	restarted := m.StaleHeartbeats.NoteStale(now, r, e.cfg.HeartbeatInterval)
-	if restarted && now.Sub(m.LastHeartbeat) > e.unresponsiveAfter() {
+	if restarted && now.Sub(m.LastHeartbeat()) > e.unresponsiveAfter() {
 		e.scaleIn(now, m, ScaleInWorkerRestarted)
 	}
 }
@@ -72,7 +70,7 @@
 // leader, which then has much to place at once, and which doesn't lag (docs/design.md,
 // "Safety arguments", last paragraph; TestNewLeaderHoldsAnswers).
 func (e *Engine) emptyUnderNewLeader(now time.Time, m *fleet.Machine) bool {
-	return len(m.Attempts) == 0 && now.Sub(e.started) < e.cfg.HeartbeatInterval && now.Sub(e.lastTick) < maxTickLag
+	return m.Empty() && now.Sub(e.started) < e.cfg.HeartbeatInterval && now.Sub(e.lastTick) < maxTickLag
 }
 
 // maxResponseHold is how long a reply may be held in all, maxTickLag how late a tick may be
@@ -85,10 +83,10 @@
 // keepHeld tells whether a reply that was held had better be held once more: the
 // machine is still empty, or what was placed there isn't written yet.
 func (e *Engine) keepHeld(now time.Time, m *fleet.Machine) bool {
-	if !e.mayStart(m) || now.Sub(m.LastHeartbeat) > maxResponseHold {
+	if m.StartBlock() != fleet.NotBlocked || now.Sub(m.LastHeartbeat()) > maxResponseHold {
 		return false
 	}
-	for _, a := range m.Attempts {
+	for a := range m.Attempts() {
 		if a.State() == fleet.Intended {
 			return true
 		}
@@ -102,7 +100,7 @@
 func (c HeldResponseDue) apply(e *Engine, now time.Time) {
 	e.out.Response = &HeartbeatResponse{}
 	m := e.machines[c.Heartbeat.Machine]
-	if m == nil || m.Incarnation != c.Heartbeat.Incarnation || m.Sequence != c.Heartbeat.Sequence {
+	if m == nil || m.Incarnation() != c.Heartbeat.Incarnation || m.Sequence() != c.Heartbeat.Sequence {
 		return // a newer heartbeat has come; only its answer may start anything
 	}
 	e.respond(now, m, e.keepHeld(now, m))
@@ -110,20 +108,15 @@
 
 // applyHeartbeat takes in a heartbeat that is newer than all before it.
 func (e *Engine) applyHeartbeat(now time.Time, m *fleet.Machine, r *fleet.Heartbeat) {
-	newSession := r.Incarnation > m.Incarnation || r.Version().Restarted(m.HeartbeatVersion())
-	was, quiet := m.State(), now.Sub(m.LastHeartbeat)
+	newSession := r.Incarnation > m.Incarnation() || r.Version().Restarted(m.HeartbeatVersion())
+	was, quiet := m.State(), now.Sub(m.LastHeartbeat())
 	leaseEnded := newSession && was == fleet.Live && quiet < e.cfg.Lease/2
-	if was == fleet.Booting || was == fleet.Unresponsive {
-		m.IdleSince = now // it couldn't be used before
-	}
 	if was != fleet.ScalingIn && e.moveMachine(now, m, fleet.Live) {
-		e.log(LogMachineLive, append(logPool(m.PoolKey()), logMachine(m), slog.String("previous_state", was.String()), logSince("since_first_seen", now, m.FirstSeen))...)
+		e.log(LogMachineLive, append(logPool(m.PoolKey), logMachine(m), slog.String("previous_state", was.String()), logSince("since_first_seen", now, m.FirstSeen()))...)
 	}
 	e.detectOneWayLoss(now, m, r, leaseEnded)
-	m.Addr, m.LastHeartbeat = r.Addr, now
-	m.Incarnation, m.Sequence, m.FencingToken = r.Incarnation, r.Sequence, r.FencingToken
-	if r.FencingToken == e.term && (!m.TermConfirmed || !m.ExistenceVerified) {
-		m.TermConfirmed, m.ExistenceVerified = true, true
+	m.HeartbeatReceived(now, r)
+	if r.FencingToken == e.term && m.ConfirmTerm() {
 		e.capacityChanged(m)
 	}
 	if newSession {
@@ -132,13 +125,13 @@
 	for i := range r.Tasks {
 		e.applyTaskStatus(now, m, r.FencingToken, r.Tasks[i])
 	}
-	if len(m.Attempts) > 0 {
+	if !m.Empty() {
 		e.applyUnlisted(now, m, r)
 	}
 	if r.FencingToken > 0 {
 		e.recovery.ConfirmPreviousTerm()
 	}
-	e.recovery.HeartbeatReceived(m.Name, r.FencingToken == e.term, hasUnrecorded(m))
+	e.recovery.HeartbeatReceived(m.Name, r.FencingToken == e.term, m.HasUnrecorded())
 	e.interruptionAnnounced(now, m, r.InterruptionIn)
 }
 
@@ -147,11 +140,11 @@
 // the heartbeat's list; of earlier terms' late starts only a confirmed heartbeat can speak
 // (docs/design.md, safety argument 5; TestInheritedAttemptNeedsConfirmedReport).
 func (e *Engine) incarnationEnded(now time.Time, m *fleet.Machine, r *fleet.Heartbeat) {
-	for _, a := range sortedAttempts(m) {
+	for _, a := range m.SortedAttempts() {
 		if a.State() <= fleet.Recorded && !a.Inherited {
 			continue // its start hasn't left, so it belongs to no incarnation yet
 		}
-		if !listsAttempt(r, a) && (!a.Inherited || m.TermConfirmed) {
+		if !listsAttempt(r, a) && (!a.Inherited || m.TermConfirmed()) {
 			e.attemptLost(now, m, a, lostIncarnationEnded)
 		}
 	}
@@ -170,7 +163,7 @@
 // applyUnlisted deals with attempts that a heartbeat doesn't list (docs/design.md, safety
 // argument 5; TestDroppedStart, TestOldReportProvesNothing).
 func (e *Engine) applyUnlisted(now time.Time, m *fleet.Machine, r *fleet.Heartbeat) {
-	for _, a := range sortedAttempts(m) {
+	for _, a := range m.SortedAttempts() {
 		if listsAttempt(r, a) {
 			continue
 		}
@@ -180,7 +173,7 @@
 			continue
 		}
 		finding := recovery.ClassifyUnreported(recovery.UnreportedAttempt{
-			Inherited: a.Inherited, Confirmed: m.TermConfirmed,
+			Inherited: a.Inherited, Confirmed: m.TermConfirmed(),
 			// The response with the start was answered or dropped before this heartbeat was
 			// sent; the worker never executes it later.
 			Answered: a.State() == fleet.Sent && r.Sequence > a.CommandSequence,
@@ -205,13 +198,13 @@
 // what is done about it, is decided by recovery.Classify.
 func (e *Engine) applyTaskStatus(now time.Time, m *fleet.Machine, token uint64, t fleet.TaskStatus) {
 	k := fleet.TaskID{Ref: t.Ref, Task: t.Task}
-	finding := recovery.Classify(e.observe(m, m.Attempts[k], token, t))
+	finding := recovery.Classify(e.observe(m, m.Attempt(k), token, t))
 	e.recovery.Found(m.Name, finding)
 	switch finding.Action {
 	case recovery.Ignore:
 		return
 	case recovery.MarkLost:
-		e.attemptLost(now, m, m.Attempts[k], lostReason(finding.Reason.String()))
+		e.attemptLost(now, m, m.Attempt(k), lostReason(finding.Reason.String()))
 		e.applyTaskStatus(now, m, token, t)
 		return
 	case recovery.WithdrawFirst:
@@ -224,11 +217,11 @@
 	case recovery.Stop:
 		e.adoptUnrecorded(now, m, t)
 	default:
-		if m.Attempts[k] == nil {
+		if m.Attempt(k) == nil {
 			e.adoptExited(now, m, t)
 		}
 	}
-	e.updateAttempt(now, m, m.Attempts[k], t)
+	e.updateAttempt(now, m, m.Attempt(k), t)
 }
 
 // updateAttempt takes over what a heartbeat says of an attempt.
@@ -253,17 +246,16 @@
 	if left < 0 {
 		return
 	}
-	if m.InterruptionAt.IsZero() {
+	if m.AnnounceInterruption(now.Add(left)) {
 		e.log(LogInterruptionNotice, logMachine(m), slog.Duration("in", left))
 	}
-	m.InterruptionAt = now.Add(left)
 	e.startDraining(now, m)
 	e.stopTasksOn(now, m, left)
 }
 
 // stopTasksOn stops what is on a machine that is to be left.
 func (e *Engine) stopTasksOn(now time.Time, m *fleet.Machine, left time.Duration) {
-	for _, a := range sortedAttempts(m) {
+	for _, a := range m.SortedAttempts() {
 		j := e.jobs[a.Ref]
 		if a.Stopping || a.State() == fleet.Exited || j == nil {
 			continue
@@ -287,18 +279,3 @@
 		e.stop(now, o.Machine, o, grace)
 	}
 }
-
-// sortedAttempts lists a machine's attempts by job and task.
-func sortedAttempts(m *fleet.Machine) []*fleet.Attempt {
-	out := make([]*fleet.Attempt, 0, len(m.Attempts))
-	for _, a := range m.Attempts {
-		out = append(out, a)
-	}
-	sort.Slice(out, func(i, k int) bool {
-		if out[i].Ref != out[k].Ref {
-			return out[i].Ref < out[k].Ref
-		}
-		return out[i].Task < out[k].Task
-	})
-	return out
-}
--- a/internal/core/instances.go
+++ b/internal/core/instances.go
@@ -38,20 +38,13 @@
 		}
 		m := e.machines[lm.Name]
 		if m == nil {
-			m = fleet.NewMachine(now, lm.Name, fleet.PoolKey{Type: lm.Type, Zone: lm.Zone, Spot: lm.Spot}, fleet.Booting)
-			m.TermConfirmed = true // the start log doesn't name it
-			m.FirstSeen = now.Add(-lm.Age)
+			m = fleet.NewMachine(now, lm.Name, fleet.PoolKey{Type: lm.Type, Zone: lm.Zone, Spot: lm.Spot})
+			m.SetAge(now, lm.Age)
 			e.addMachine(now, m)
 		}
-		m.ListedAt = now
-		m.ListedRunning = lm.Status == InstanceRunning
-		if !m.ExistenceVerified {
-			m.ExistenceVerified = true
+		if m.Listed(now, lm.Addr, lm.Status == InstanceRunning) {
 			e.capacityChanged(m)
 		}
-		if m.Addr == "" {
-			m.Addr = lm.Addr
-		}
 		if lm.Status == InstanceFailed {
 			e.scaleIn(now, m, ScaleInInstanceFailed)
 		}
@@ -74,8 +67,8 @@
 		if _, gone := e.removed[name]; gone || e.machines[name] != nil {
 			continue
 		}
-		m := fleet.NewMachine(now, name, fleet.PoolKey(o), fleet.Booting)
-		m.TermConfirmed, m.ExistenceVerified = true, true
+		m := fleet.NewMachine(now, name, fleet.PoolKey(o))
+		m.VerifyExistence()
 		e.addMachine(now, m)
 	}
 	e.drains.replacementAnswered(r)
@@ -97,8 +90,7 @@
 			continue
 		}
 		if !r.OK {
-			m.ScaleInAttempts++
-			m.StartsPausedUntil = now.Add(time.Second)
+			m.ScaleInFailed(now.Add(time.Second))
 			continue
 		}
 		e.removeMachine(now, m)
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -26,6 +26,7 @@
 		m := e.machines[logged.placed.Machine]
 		if m == nil {
 			m = e.addAwaitingHeartbeat(now, logged.placed)
+			m.VerifyExistence()
 		}
 		a := &fleet.Attempt{TaskID: task, Number: logged.number, Inherited: true,
 			CPUs: j.CPUs, GPUs: j.GPUs, MemGB: j.MemGB, Image: j.Image}
@@ -59,8 +60,7 @@
 // addAwaitingHeartbeat takes in a machine that the start log names and that has not been heard of
 // under this term.
 func (e *Engine) addAwaitingHeartbeat(now time.Time, p fleet.MachineStarts) *fleet.Machine {
-	m := fleet.NewMachine(now, p.Machine, fleet.PoolKey{Type: p.Type, Zone: p.Zone, Spot: p.Spot}, fleet.AwaitingHeartbeat)
-	m.LastHeartbeat, m.LeaseRenewedAt, m.ExistenceVerified = now, now, true
+	m := fleet.NewInheritedMachine(now, p.Machine, fleet.PoolKey{Type: p.Type, Zone: p.Zone, Spot: p.Spot})
 	e.addMachine(now, m)
 	e.recovery.Expect(m.Name)
 	return m
@@ -70,7 +70,7 @@
 func (e *Engine) addMachine(now time.Time, m *fleet.Machine) {
 	e.machines[m.Name] = m
 	e.inState[m.State()]++
-	m.Images = e.images.takeInherited(m.Name)
+	m.SetImages(e.images.takeInherited(m.Name))
 	e.recovery.Discover(m.Name)
 	e.timers.schedule(m, now)
 	e.capacityChanged(m)
@@ -81,12 +81,11 @@
 // false if nothing changes.
 func (e *Engine) moveMachine(now time.Time, m *fleet.Machine, to fleet.MachineState) bool {
 	was := m.State()
-	if !m.Move(to) {
+	if !m.Move(now, to) {
 		return false
 	}
 	e.inState[was]--
 	e.inState[to]++
-	m.HeartbeatExpected = false
 	if to == fleet.Unresponsive || to == fleet.ScalingIn {
 		e.recovery.GivenUp(m.Name)
 	}
@@ -98,7 +97,7 @@
 // removeMachine forgets a machine that is proven gone with all on it.
 func (e *Engine) removeMachine(now time.Time, m *fleet.Machine) {
 	e.moveMachine(now, m, fleet.Removed)
-	for _, a := range sortedAttempts(m) {
+	for _, a := range m.SortedAttempts() {
 		if a.State() == fleet.Exited {
 			e.removeAttempt(now, m, a)
 			e.exitNoLongerListed(a)
@@ -107,7 +106,9 @@
 		e.attemptLost(now, m, a, lostMachineRemoved)
 	}
 	delete(e.machines, m.Name)
-	delete(e.unreachable, m)
+	if m.OneWayLoss.Unreachable() {
+		e.unreachable--
+	}
 	e.recovery.MachineRemoved(m.Name)
 	e.images.machineRemoved(m.Name)
 	e.inState[fleet.Removed]--
@@ -119,13 +120,13 @@
 
 // scaleIn gives a machine back; the answer proves all on it gone.
 func (e *Engine) scaleIn(now time.Time, m *fleet.Machine, reason ScaleInReason) {
-	if m.State() == fleet.ScalingIn && (m.ScaleInAttempts == 0 || now.Before(m.StartsPausedUntil)) {
+	if m.ScaleInPending(now) {
 		return
 	}
 	if e.moveMachine(now, m, fleet.ScalingIn) {
 		e.log(LogScaleInRequested, logMachine(m), slog.String("type", m.Type), logReason(string(reason)), logActive(m))
 	}
-	m.Draining, m.ScaleInAttempts = true, 0
+	m.ScaleInRequested()
 	n := len(e.out.ScaleIn)
 	if n == 0 || len(e.out.ScaleIn[n-1]) >= maxScaleIn {
 		e.out.ScaleIn = append(e.out.ScaleIn, nil)
@@ -171,32 +172,32 @@
 	next := now.Add(recheckEvery)
 	switch m.State() {
 	case fleet.ScalingIn:
-		if m.ScaleInAttempts > 0 {
+		if m.ScaleInToRetry() {
 			e.scaleIn(now, m, ScaleInRetry)
 		}
 		next = now.Add(time.Second)
 	case fleet.Booting:
-		if now.Sub(m.FirstSeen) > e.bootLimit(e.bootTime(m)) && now.Sub(e.started) > e.firstHeartbeatTimeout(m) {
+		if now.Sub(m.FirstSeen()) > e.bootLimit(e.bootTime(m)) && now.Sub(e.started) > e.firstHeartbeatTimeout(m) {
 			e.scaleIn(now, m, ScaleInNeverLive)
 		}
 		next = now.Add(time.Second)
 	case fleet.Live, fleet.Unresponsive, fleet.AwaitingHeartbeat:
 		e.checkResponsiveness(now, m)
 		e.scaleInUnreachable(now, m)
-		if m.HeartbeatExpected && now.Sub(m.LastHeartbeat) > e.unresponsiveAfter() {
+		if m.HeartbeatExpected() && now.Sub(m.LastHeartbeat()) > e.unresponsiveAfter() {
 			e.expectNoLonger(now, m)
 		}
 		switch {
-		case m.State() == fleet.Live && !m.Quarantined && !m.Draining && !e.unreachable[m]:
-			next = m.LastHeartbeat.Add(e.unresponsiveAfter() + time.Millisecond)
-		case m.State() == fleet.Unresponsive && len(m.Attempts) == 0:
+		case m.State() == fleet.Live && !m.ToBeReleased() && !m.OneWayLoss.Unreachable():
+			next = m.LastHeartbeat().Add(e.unresponsiveAfter() + time.Millisecond)
+		case m.State() == fleet.Unresponsive && m.Empty():
 			next = now.Add(time.Second)
 		}
 	}
-	if m.Quarantined || m.Draining || e.unreachable[m] || m.State() == fleet.Unresponsive {
+	if m.ToBeReleased() || m.OneWayLoss.Unreachable() || m.State() == fleet.Unresponsive {
 		e.withdrawUnsentStarts(now, m)
 	}
-	if m.State() == fleet.Live && (m.Quarantined || m.Draining) && m.ActiveAttempts() == 0 && !e.hasUnstoredResults(m) {
+	if m.State() == fleet.Live && m.ToBeReleased() && m.ActiveAttempts() == 0 && !m.HasUnstoredResults() {
 		e.scaleIn(now, m, ScaleInDrained)
 	}
 	if !next.After(now) {
@@ -207,7 +208,7 @@
 
 // startDraining keeps a machine from getting more starts; it goes back once empty.
 func (e *Engine) startDraining(now time.Time, m *fleet.Machine) {
-	m.Draining = true
+	m.StartDraining()
 	e.timers.schedule(m, now)
 	e.capacityChanged(m)
 }
@@ -215,7 +216,7 @@
 // withdrawUnsentStarts takes back starts that haven't left from a machine that gets
 // no more of them; they would wait there for good.
 func (e *Engine) withdrawUnsentStarts(now time.Time, m *fleet.Machine) {
-	for _, a := range sortedAttempts(m) {
+	for _, a := range m.SortedAttempts() {
 		if a.State() <= fleet.Recorded && !a.Inherited {
 			e.stop(now, m, a, 0)
 			e.stopBrokenGang(now, a)
@@ -238,27 +239,17 @@
 // is still booting: it may take a lease's time to find the new leader. If the cloud lists
 // it as running, it may be in a zone that is cut off, and is kept like an unresponsive one.
 func (e *Engine) firstHeartbeatTimeout(m *fleet.Machine) time.Duration {
-	if m.ListedRunning {
+	if m.ListedRunning() {
 		return e.unresponsiveLimit(m)
 	}
 	return e.cfg.Lease
 }
 
-// hasUnstoredResults tells whether results on a machine are not yet written.
-func (*Engine) hasUnstoredResults(m *fleet.Machine) bool {
-	for _, a := range m.Attempts {
-		if a.State() == fleet.Exited && !a.ExitHandled {
-			return true
-		}
-	}
-	return false
-}
-
 // missingFromList tells whether the cloud no longer lists a machine that it did: hint
 // enough to release it before its worker's lease has ended, which proves all on
 // it gone. Machines that only hang stay listed, and are waited for.
 func (e *Engine) missingFromList(m *fleet.Machine) bool {
-	return !m.ListedAt.IsZero() && e.lastList.Sub(m.ListedAt) > 2*e.cfg.InstanceListLag+4*time.Second
+	return !m.ListedAt().IsZero() && e.lastList.Sub(m.ListedAt()) > 2*e.cfg.InstanceListLag+4*time.Second
 }
 
 // unresponsiveAfter is when a machine that doesn't report gets no more starts: two
@@ -266,7 +257,7 @@
 func (e *Engine) unresponsiveAfter() time.Duration { return 2*e.cfg.HeartbeatInterval + 5*time.Second }
 
 func (e *Engine) checkResponsiveness(now time.Time, m *fleet.Machine) {
-	quiet := now.Sub(m.LastHeartbeat)
+	quiet := now.Sub(m.LastHeartbeat())
 	if m.State() == fleet.Live && quiet > e.unresponsiveAfter() && e.moveMachine(now, m, fleet.Unresponsive) {
 		e.log(LogMachineUnresponsive, logMachine(m), logActive(m))
 	}
@@ -281,7 +272,7 @@
 	if m.ActiveAttempts() > 0 {
 		e.log(LogWorkerLeaseExpired, logMachine(m), logActive(m))
 	}
-	for _, a := range sortedAttempts(m) {
+	for _, a := range m.SortedAttempts() {
 		if a.State() != fleet.Exited {
 			e.attemptLost(now, m, a, lostLeaseExpired)
 		}
--- a/internal/core/one_way_loss_test.go
+++ b/internal/core/one_way_loss_test.go
@@ -25,7 +25,7 @@
 	for range 4 {
 		b.report("m-1", 2, task)
 	}
-	if n := b.e.machines["m-1"].OneWayLoss.Undelivered; n > 1 {
+	if n := b.e.machines["m-1"].OneWayLoss.Undelivered(); n > 1 {
 		t.Fatalf("%d answers counted as undelivered within a moment", n)
 	}
 }
@@ -39,7 +39,7 @@
 		b.e.Step(b.now, Tick{})
 		b.report("m-1", 2, task)
 	}
-	if n := b.e.machines["m-1"].OneWayLoss.Undelivered; n > 0 {
+	if n := b.e.machines["m-1"].OneWayLoss.Undelivered(); n > 0 {
 		t.Fatalf("%d answers counted as undelivered by a leader that is slow itself", n)
 	}
 }
@@ -73,8 +73,10 @@
 	names := []string{"m-1", "m-2", "m-3", "m-4"}
 	for _, m := range names {
 		b.up(m)
-		b.e.machines[m].OneWayLoss = fleet.OneWayLoss{FirstUndelivered: b.now, LastUndelivered: b.now, Undelivered: 2}
-		b.e.unreachable[b.e.machines[m]] = true // so many that none is released
+		for range 2 {
+			b.e.machines[m].OneWayLoss.NoteUndelivered(b.now)
+		}
+		b.e.unreachable++ // so many that none is released
 	}
 	b.e.Step(b.now, JobStored{job("j-2", 32)})
 	used := map[string]bool{}
--- a/internal/core/placement/array.go
+++ b/internal/core/placement/array.go
@@ -31,7 +31,7 @@
 			continue
 		}
 		for task >= 0 && placed < want && s.Free(&j.Spec) > 0 && ZoneCapacity(j, s.Zone, b.InZones(j.Ref)) > 0 &&
-			s.Machine.Attempts[fleet.TaskID{Ref: j.Ref, Task: task}] == nil {
+			s.Machine.Attempt(fleet.TaskID{Ref: j.Ref, Task: task}) == nil {
 			s.Take(&j.Spec)
 			b.Commit(Decision{Job: j, Task: task, Slot: s.Slot})
 			placed++
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -77,7 +77,8 @@
 }
 
 func machine(name, typ, zone string, tasks ...string) *fleet.Machine {
-	m := fleet.NewMachine(time.Unix(0, 0), name, fleet.PoolKey{Type: typ, Zone: zone}, fleet.Live)
+	m := fleet.NewMachine(time.Unix(0, 0), name, fleet.PoolKey{Type: typ, Zone: zone})
+	m.Move(time.Unix(0, 0), fleet.Live)
 	for i, ref := range tasks {
 		m.AddAttempt(time.Unix(0, 0), &fleet.Attempt{TaskID: fleet.TaskID{Ref: ref, Task: i}, Number: uint64(i + 1), CPUs: 4}, fleet.Running)
 	}
@@ -221,7 +222,7 @@
 	var machines []*fleet.Machine
 	for i, ago := range []time.Duration{time.Second, 7 * time.Second, 4 * time.Second} {
 		m := machine([]string{"m-1", "m-2", "m-3"}[i], "cpu", "a")
-		m.LastHeartbeat = now.Add(-ago)
+		m.HeartbeatReceived(now.Add(-ago), &fleet.Heartbeat{})
 		machines = append(machines, m)
 	}
 	for _, want := range []string{"m-2", "m-1"} {
@@ -231,7 +232,7 @@
 		if len(b.placed) != 1 || b.placed[0].Slot.Machine.Name != want {
 			t.Errorf("placed %+v, want %s", b.placed, want)
 		}
-		machines[0].ResponseHeld = true
+		machines[0].HeartbeatAnswered(true)
 	}
 }
 
@@ -244,7 +245,8 @@
 		want string
 	}{{time.Time{}, "m-1"}, {now.Add(2 * time.Second), "m-2"}, {now.Add(time.Millisecond), "m-1"}} {
 		used, idle := machine("m-1", "cpu", "a"), machine("m-2", "cpu", "a")
-		used.LastHeartbeat, idle.LastHeartbeat = now.Add(-4*time.Second), now.Add(-7*time.Second)
+		used.HeartbeatReceived(now.Add(-4*time.Second), &fleet.Heartbeat{})
+		idle.HeartbeatReceived(now.Add(-7*time.Second), &fleet.Heartbeat{})
 		used.AddAttempt(now, &fleet.Attempt{TaskID: fleet.TaskID{Ref: "j-8"}, CPUs: 6}, fleet.Running)
 		b := newBoard(t, []*pipeline.Job{job(t, pipeline.Spec{Ref: "j-1", Tasks: 1, CPUs: 1})}, used, idle)
 		b.HeartbeatInterval = 8 * time.Second
--- a/internal/core/placement/preempt.go
+++ b/internal/core/placement/preempt.go
@@ -101,8 +101,8 @@
 }
 
 func present(m *fleet.Machine) []*fleet.Attempt {
-	out := make([]*fleet.Attempt, 0, len(m.Attempts))
-	for _, a := range m.Attempts {
+	out := make([]*fleet.Attempt, 0, m.ActiveAttempts())
+	for a := range m.Attempts() {
 		if a.State() != fleet.Exited {
 			out = append(out, a)
 		}
--- a/internal/core/placement/replicas.go
+++ b/internal/core/placement/replicas.go
@@ -82,7 +82,7 @@
 // skipFull drops the first slots of a zone that can't take the replica.
 func (c *replicaChoices) skipFull(j *pipeline.Job, zone string, task int) {
 	slots := c.byZone[zone]
-	for len(slots) > 0 && (slots[0].Free(&j.Spec) < 1 || slots[0].Machine.Attempts[fleet.TaskID{Ref: j.Ref, Task: task}] != nil) {
+	for len(slots) > 0 && (slots[0].Free(&j.Spec) < 1 || slots[0].Machine.Attempt(fleet.TaskID{Ref: j.Ref, Task: task}) != nil) {
 		slots = slots[1:]
 	}
 	c.byZone[zone] = slots
--- a/internal/core/placement/score.go
+++ b/internal/core/placement/score.go
@@ -57,10 +57,10 @@
 		}
 	}
 	score += fullerSeconds * s.CPUs / s.Type.CPUs
-	if s.Machine != nil && s.Machine.Failures > 0 {
+	if s.Machine != nil && s.Machine.Failures() > 0 {
 		score += probationSeconds
 	}
-	if s.Machine != nil && s.Machine.CordonPlanned {
+	if s.Machine != nil && s.Machine.CordonPlanned() {
 		score += plannedSeconds
 	}
 	return score
--- a/internal/core/placement/slot.go
+++ b/internal/core/placement/slot.go
@@ -68,5 +68,5 @@
 
 // held tells whether a slot takes no tasks for the moment.
 func (s *Slot) held(now time.Time) bool {
-	return s.Machine != nil && s.Machine.StartsPausedUntil.After(now)
+	return s.Machine != nil && s.Machine.StartsPaused(now)
 }
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -59,7 +59,7 @@
 	if other == nil || other == m {
 		return nil
 	}
-	a := other.Attempts[k]
+	a := other.Attempt(k)
 	if a == nil || a.State() == fleet.Exited {
 		return nil
 	}
@@ -69,7 +69,7 @@
 // withdrawStart takes back the start of a task that hasn't left, on this machine or another;
 // false if there is none.
 func (e *Engine) withdrawStart(now time.Time, m *fleet.Machine, k fleet.TaskID) bool {
-	a := m.Attempts[k]
+	a := m.Attempt(k)
 	if a == nil {
 		a = e.holderElsewhere(m, k)
 	}
--- a/internal/core/reconcile_test.go
+++ b/internal/core/reconcile_test.go
@@ -39,7 +39,7 @@
 		t.Fatal("adopted on the word of what may be a late copy")
 	}
 	b.report("m-1", 9, running1)
-	a := b.e.machines["m-1"].Attempts[fleet.TaskID{Ref: "j-1", Task: 1}]
+	a := b.e.machines["m-1"].Attempt(fleet.TaskID{Ref: "j-1", Task: 1})
 	if a == nil || a.Unrecorded || a.Stopping || b.e.jobs["j-1"].Tasks[1].Machine != "m-1" {
 		t.Fatalf("not adopted: %+v", a)
 	}
--- a/internal/core/safety_test.go
+++ b/internal/core/safety_test.go
@@ -373,7 +373,7 @@
 	}
 	b = newBench(t, 3, inherited())
 	b.worker("m-1", 1, 2, 900)
-	if r := b.worker("m-1", 2, 1, 4, here); !r.OK || b.e.machines["m-1"].Sequence != 4 {
+	if r := b.worker("m-1", 2, 1, 4, here); !r.OK || b.e.machines["m-1"].Sequence() != 4 {
 		t.Fatalf("the worker is ignored for a copy's sake: %+v", r)
 	}
 }
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -80,7 +80,7 @@
 		}
 		p.States[m.State().String()]++
 		p.Attempts += m.ActiveAttempts()
-		if m.Draining {
+		if m.Draining() {
 			p.Draining++
 		}
 	}
--- a/internal/core/timer_queue.go
+++ b/internal/core/timer_queue.go
@@ -8,10 +8,13 @@
 )
 
 // timerQueue says which machine is to be checked next, and when, so that a tick costs
-// nothing for machines about which there is nothing to decide. Each machine has one
-// valid timer, the one that expires at its NextCheckAt; others are left in the queue and
-// ignored when they expire.
-type timerQueue struct{ timers timerHeap }
+// nothing for machines about which there is nothing to decide. Each machine has at most one
+// valid timer, the one that expires at the time noted in valid; others are left in the queue
+// and ignored when they expire.
+type timerQueue struct {
+	timers timerHeap
+	valid  map[*fleet.Machine]time.Time
+}
 
 type timer struct {
 	at      time.Time
@@ -21,18 +24,25 @@
 // schedule has a machine checked at the given time, or earlier if its present timer
 // expires before then.
 func (q *timerQueue) schedule(m *fleet.Machine, at time.Time) {
-	if m.NextCheckAt.IsZero() || at.Before(m.NextCheckAt) {
-		m.NextCheckAt = at
-		heap.Push(&q.timers, timer{at, m})
+	if present, scheduled := q.valid[m]; scheduled && !at.Before(present) {
+		return
+	}
+	if q.valid == nil {
+		q.valid = map[*fleet.Machine]time.Time{}
 	}
+	q.valid[m] = at
+	heap.Push(&q.timers, timer{at, m})
 }
 
 // expired takes a machine whose timer has expired off the queue, or returns nil.
 func (q *timerQueue) expired(now time.Time) *fleet.Machine {
 	for len(q.timers) > 0 && !q.timers[0].at.After(now) {
 		t := heap.Pop(&q.timers).(timer)
-		if t.machine.NextCheckAt.Equal(t.at) && t.machine.State() != fleet.Removed {
-			t.machine.NextCheckAt = time.Time{}
+		if at, scheduled := q.valid[t.machine]; !scheduled || !at.Equal(t.at) {
+			continue
+		}
+		delete(q.valid, t.machine)
+		if t.machine.State() != fleet.Removed {
 			return t.machine
 		}
 	}
--- a/internal/core/timer_queue_test.go
+++ b/internal/core/timer_queue_test.go
@@ -12,7 +12,7 @@
 	start := time.Unix(5000, 0)
 	at := func(seconds int) time.Time { return start.Add(time.Duration(seconds) * time.Second) }
 	machine := func(name string) *fleet.Machine {
-		return fleet.NewMachine(start, name, fleet.PoolKey{Type: "big", Zone: "a"}, fleet.Live)
+		return fleet.NewMachine(start, name, fleet.PoolKey{Type: "big", Zone: "a"})
 	}
 	a, b, gone := machine("m-a"), machine("m-b"), machine("m-gone")
 	var q timerQueue
@@ -21,7 +21,7 @@
 	q.schedule(a, at(5))
 	q.schedule(a, at(7)) // later than its present timer
 	q.schedule(gone, at(1))
-	gone.Move(fleet.Removed)
+	gone.Move(at(0), fleet.Removed)
 	if m := q.expired(at(4)); m != nil {
 		t.Fatalf("%s expired early", m.Name)
 	}
--- a/internal/core/warm_start.go
+++ b/internal/core/warm_start.go
@@ -77,7 +77,8 @@
 func (s *warmStart) compareAttempts() {
 	e := s.engine
 	for _, m := range e.machines {
-		for task, a := range m.Attempts {
+		for a := range m.Attempts() {
+			task := a.TaskID
 			known := s.attempts[task]
 			if known == nil || known.Number != a.Number || known.Machine != m.Name {
 				s.differing[m.Name] = true
@@ -159,18 +160,13 @@
 			return
 		}
 		m = e.addAwaitingHeartbeat(s.now, fleet.MachineStarts{Machine: w.Name, Type: w.Type, Zone: w.Zone, Spot: w.Spot})
-		m.ExistenceVerified = false // nothing but the view speaks of it so far
-	}
-	m.Quarantined, m.Draining = w.Quarantined, w.Draining
-	m.ListedRunning = w.ListedRunning
-	m.FirstSeen, m.IdleSince = s.timeOf(w.FirstSeenMS), s.timeOf(w.IdleSinceMS)
-	m.Failures = w.Failures
-	for _, ref := range w.FailedJobs {
-		if m.FailedJobs == nil {
-			m.FailedJobs = map[string]bool{}
-		}
-		m.FailedJobs[ref] = true
+		// Its existence stays unverified: nothing but the warm state speaks of it so far.
 	}
+	m.RestoreHistory(fleet.History{
+		Quarantined: w.Quarantined, Draining: w.Draining, ListedRunning: w.ListedRunning,
+		FirstSeen: s.timeOf(w.FirstSeenMS), IdleSince: s.timeOf(w.IdleSinceMS),
+		Failures: w.Failures, FailedJobs: w.FailedJobs,
+	})
 	s.takeImages(m, w.Images)
 	if expected {
 		e.expect(m)
@@ -183,10 +179,11 @@
 	if len(images) == 0 {
 		return
 	}
-	m.Images = m.Images[:0]
-	for _, image := range images {
-		m.Images = append(m.Images, fleet.Image{Name: image.Name, GB: image.GB, Ready: s.timeAhead(image.ReadyMS)})
+	known := make([]fleet.Image, len(images))
+	for i, image := range images {
+		known[i] = fleet.Image{Name: image.Name, GB: image.GB, Ready: s.timeAhead(image.ReadyMS)}
 	}
+	m.SetImages(known)
 	s.engine.imagesChanged(m)
 }
 
@@ -194,8 +191,7 @@
 // leaves only in the answer to a heartbeat that proves the machine free of anything else, as
 // for all other machines.
 func (e *Engine) expect(m *fleet.Machine) {
-	if m.State() == fleet.AwaitingHeartbeat && !m.HeartbeatExpected {
-		m.HeartbeatExpected = true
+	if m.ExpectHeartbeat() {
 		e.recovery.ExpectByWarmState(m.Name, true)
 		e.capacityChanged(m)
 	}
@@ -204,7 +200,7 @@
 // expectNoLonger gives up on a machine that was expected and hasn't reported for as long as
 // makes any machine unresponsive: what was placed there goes elsewhere.
 func (e *Engine) expectNoLonger(now time.Time, m *fleet.Machine) {
-	m.HeartbeatExpected = false
+	m.HeartbeatOverdue()
 	e.recovery.ExpectByWarmState(m.Name, false)
 	e.capacityChanged(m)
 	e.withdrawUnsentStarts(now, m)
--- a/internal/core/warm_start_test.go
+++ b/internal/core/warm_start_test.go
@@ -129,7 +129,7 @@
 	}
 	b.report("m-1", 2, running(c))
 	b.report("m-1", 3, running(c))
-	if a := b.e.machines["m-1"].Attempts[fleet.TaskID{Ref: "j-1"}]; a == nil || a.Number != c.Attempt {
+	if a := b.e.machines["m-1"].Attempt(fleet.TaskID{Ref: "j-1"}); a == nil || a.Number != c.Attempt {
 		t.Fatal("the attempt isn't taken up")
 	}
 }
@@ -144,8 +144,8 @@
 		b.pass(2*time.Second, true)
 		b.report("m-1", 3)
 	}
-	if m := b.e.machines["m-2"]; m.HeartbeatExpected || m.ActiveAttempts() != 0 {
-		t.Fatalf("still expected %v with %d attempts", m.HeartbeatExpected, m.ActiveAttempts())
+	if m := b.e.machines["m-2"]; m.HeartbeatExpected() || m.ActiveAttempts() != 0 {
+		t.Fatalf("still expected %v with %d attempts", m.HeartbeatExpected(), m.ActiveAttempts())
 	}
 	if n := b.e.jobs["j-2"].Count(pipeline.Waiting); n == 0 {
 		t.Fatal("the tasks wait for a machine that doesn't report")
@@ -176,7 +176,7 @@
 		avoid := WarmKey{Kind: WarmJobKind, Name: "j-2"}
 		state[avoid] = WarmRecord{Key: avoid, Job: &WarmJob{Ref: "j-2", Avoids: []WarmAvoid{{Machine: "m-1", UntilMS: time.Unix(5060, 0).UnixMilli()}}}}
 	})
-	if m := b.e.machines["m-2"]; m != nil && m.HeartbeatExpected {
+	if m := b.e.machines["m-2"]; m != nil && m.HeartbeatExpected() {
 		t.Error("a sick machine is expected")
 	}
 	if c := b.e.class("c"); c.ratio != 1.5 || c.runs != 12 {
@@ -189,7 +189,7 @@
 		t.Error("the job doesn't avoid the machine where it failed")
 	}
 	b.report("m-1", 2, running(c))
-	a := b.e.machines["m-1"].Attempts[fleet.TaskID{Ref: "j-1"}]
+	a := b.e.machines["m-1"].Attempt(fleet.TaskID{Ref: "j-1"})
 	if ran := b.now.Sub(a.RunStart); ran < 20*time.Second {
 		t.Errorf("the task counts as running since %s ago", ran)
 	}
--- a/internal/core/warm_state.go
+++ b/internal/core/warm_state.go
@@ -207,17 +207,15 @@
 	if m == nil {
 		return nil
 	}
+	h := m.History()
 	w := &WarmMachine{
-		Name: m.Name, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
-		Reporting: m.State() == fleet.Live && !e.unreachable[m], Booting: m.State() == fleet.Booting,
-		Quarantined: m.Quarantined, Draining: m.Draining, ListedRunning: m.ListedRunning, Failures: m.Failures,
-		FirstSeenMS: m.FirstSeen.UnixMilli(), IdleSinceMS: m.IdleSince.UnixMilli(),
+		Name: m.Name, Addr: m.Addr(), Type: m.Type, Zone: m.Zone, Spot: m.Spot,
+		Reporting: m.State() == fleet.Live && !m.OneWayLoss.Unreachable(), Booting: m.State() == fleet.Booting,
+		Quarantined: h.Quarantined, Draining: h.Draining, ListedRunning: h.ListedRunning,
+		Failures: h.Failures, FailedJobs: h.FailedJobs,
+		FirstSeenMS: h.FirstSeen.UnixMilli(), IdleSinceMS: h.IdleSince.UnixMilli(),
 	}
-	for ref := range m.FailedJobs {
-		w.FailedJobs = append(w.FailedJobs, ref)
-	}
-	slices.Sort(w.FailedJobs)
-	for _, image := range m.Images {
+	for _, image := range m.Images() {
 		w.Images = append(w.Images, WarmImage{Name: image.Name, GB: image.GB, ReadyMS: image.Ready.UnixMilli()})
 	}
 	return w
@@ -232,7 +230,7 @@
 	if m == nil {
 		return nil
 	}
-	a := m.Attempts[task]
+	a := m.Attempt(task)
 	if a == nil || a.State() == fleet.Exited || a.Unrecorded {
 		return nil
 	}
