--- a/internal/core/capacity/capacity.go
+++ b/internal/core/capacity/capacity.go
@@ -1,23 +1,18 @@
-// Package capacity plans which machines to rent.
+// Package capacity plans which machines to request from the cloud. An offer is a pool whose
+// machines the cloud may let one have; requests and refusals are remembered by offer.
 package capacity
 
 import (
 	"maps"
 	"math"
 	"slices"
-	"sort"
 	"time"
 
+	"gingertally/internal/core/fleet"
 	"gingertally/internal/core/pipeline"
 	"gingertally/internal/core/placement"
 )
 
-// Offer is a type of machine in a zone, as an ordinary or a spot one.
-type Offer struct {
-	Type, Zone string
-	Spot       bool
-}
-
 // Demand is waiting work that no machine has room for.
 type Demand struct {
 	Job   *pipeline.Job
@@ -27,14 +22,14 @@
 
 // Order asks for machines of an offer.
 type Order struct {
-	Offer Offer
+	Offer fleet.PoolKey
 	Count int
 }
 
 // Plan remembers which offers were refused of late, and which requests are under way.
 type Plan struct {
-	backoffs  map[Offer]Backoff
-	requested map[Offer]int // machines, by offer
+	backoffs  map[fleet.PoolKey]Backoff
+	requested map[fleet.PoolKey]int // machines, by offer
 }
 
 // Backoff is how long an offer is left alone after refusals.
@@ -44,15 +39,15 @@
 }
 
 // Backoff tells how long an offer is left alone; false if it isn't.
-func (p *Plan) Backoff(o Offer) (Backoff, bool) {
+func (p *Plan) Backoff(o fleet.PoolKey) (Backoff, bool) {
 	b, refused := p.backoffs[o]
 	return b, refused
 }
 
 // SetBackoff has an offer left alone, as another leader had found it refused.
-func (p *Plan) SetBackoff(o Offer, b Backoff) {
+func (p *Plan) SetBackoff(o fleet.PoolKey, b Backoff) {
 	if p.backoffs == nil {
-		p.backoffs = map[Offer]Backoff{}
+		p.backoffs = map[fleet.PoolKey]Backoff{}
 	}
 	p.backoffs[o] = b
 }
@@ -71,12 +66,12 @@
 // Answer is the outcome of a request for machines of an offer.
 type Answer struct {
 	Requested      int  // machines asked for
-	Created        int  // machines rented
+	Created        int  // machines created
 	OutcomeUnknown bool // given up without an answer
 }
 
 // Answered takes in the outcome of a request.
-func (p *Plan) Answered(now time.Time, o Offer, a Answer) {
+func (p *Plan) Answered(now time.Time, o fleet.PoolKey, a Answer) {
 	p.requested[o] -= a.Requested
 	if p.requested[o] <= 0 {
 		delete(p.requested, o)
@@ -90,9 +85,9 @@
 }
 
 // backOff leaves an offer alone for a while.
-func (p *Plan) backOff(now time.Time, o Offer) {
+func (p *Plan) backOff(now time.Time, o fleet.PoolKey) {
 	if p.backoffs == nil {
-		p.backoffs = map[Offer]Backoff{}
+		p.backoffs = map[fleet.PoolKey]Backoff{}
 	}
 	b := p.backoffs[o]
 	b.Until = now.Add(min(minBackoff<<min(b.Refusals, maxDoublings), maxBackoff))
@@ -101,31 +96,33 @@
 }
 
 // Requested notes a request that is under way.
-func (p *Plan) Requested(o Offer, count int) {
+func (p *Plan) Requested(o fleet.PoolKey, count int) {
 	if p.requested == nil {
-		p.requested = map[Offer]int{}
+		p.requested = map[fleet.PoolKey]int{}
 	}
 	p.requested[o] += count
 }
 
 // requestedOffers lists the offers that are being asked for, in a fixed order: which of the
 // coming machines a demand is booked on decides what is left for the next demand.
-func (p *Plan) requestedOffers() []Offer {
-	offers := slices.Collect(maps.Keys(p.requested))
-	sort.Slice(offers, func(i, k int) bool { return before(offers[i], offers[k]) })
-	return offers
+func (p *Plan) requestedOffers() []fleet.PoolKey {
+	return slices.SortedFunc(maps.Keys(p.requested), fleet.PoolKey.Compare)
 }
 
 // available tells whether an offer may be asked for now.
-func (p *Plan) available(now time.Time, o Offer) bool {
+func (p *Plan) available(now time.Time, o fleet.PoolKey) bool {
 	return !p.backoffs[o].Until.After(now) && p.requested[o] == 0
 }
 
-// Choose plans what to rent for work that nothing has room for, after what the
+// Choose plans what to request for work that nothing has room for, after what the
 // machines counted as capacity, live and booting, will take of it. Reservations don't
 // count: the jobs that room is kept for are among the demand.
 func (p *Plan) Choose(now time.Time, demand []Demand, freeCapacity *placement.FreeCapacity, c placement.Catalog) []Order {
-	g := &planner{plan: p, now: now, catalog: c, freeCapacity: freeCapacity, copies: map[*placement.Slot]*placement.Slot{}, orders: map[Offer]int{}}
+	g := &planner{
+		plan: p, now: now, catalog: c, freeCapacity: freeCapacity,
+		copies: map[*placement.Slot]*placement.Slot{},
+		orders: map[fleet.PoolKey]int{},
+	}
 	for _, o := range p.requestedOffers() {
 		if t := c[o.Type]; t != nil {
 			g.addMachines(t, o, p.requested[o])
@@ -135,10 +132,9 @@
 		g.serve(d)
 	}
 	out := make([]Order, 0, len(g.orders))
-	for o, n := range g.orders {
-		out = append(out, Order{o, n})
+	for _, o := range slices.SortedFunc(maps.Keys(g.orders), fleet.PoolKey.Compare) {
+		out = append(out, Order{o, g.orders[o]})
 	}
-	sort.Slice(out, func(i, k int) bool { return before(out[i].Offer, out[k].Offer) })
 	return out
 }
 
@@ -150,13 +146,16 @@
 	freeCapacity *placement.FreeCapacity
 	copies       map[*placement.Slot]*placement.Slot // of the slots with free capacity, with what is planned for them
 	extra        []*placement.Slot                   // of machines asked for, or about to be
-	orders       map[Offer]int
+	orders       map[fleet.PoolKey]int
 }
 
 // addMachines counts on machines of an offer that are asked for, or about to be.
-func (g *planner) addMachines(t *placement.Type, o Offer, n int) {
+func (g *planner) addMachines(t *placement.Type, o fleet.PoolKey, n int) {
 	for range n {
-		g.extra = append(g.extra, &placement.Slot{Type: t, Zone: o.Zone, Spot: o.Spot, CPUs: t.CPUs, GPUs: t.GPUs, MemGB: t.MemGB, Future: true})
+		g.extra = append(g.extra, &placement.Slot{
+			Type: t, Zone: o.Zone, Spot: o.Spot,
+			CPUs: t.CPUs, GPUs: t.GPUs, MemGB: t.MemGB, Future: true,
+		})
 	}
 }
 
@@ -189,9 +188,7 @@
 // serve books a demand on what is there or coming, and orders machines for the rest.
 func (g *planner) serve(d Demand) {
 	zones := map[string]int{}
-	for z, n := range d.Zones {
-		zones[z] = n
-	}
+	maps.Copy(zones, d.Zones)
 	zone := ""
 	if d.Job.OneZone {
 		zone = g.zoneFor(d, zones)
@@ -204,9 +201,9 @@
 		}
 		perMachine := offer.machine.Capacity(&d.Job.Spec)
 		tasks := min(left, placement.ZoneCapacity(d.Job, offer.Zone, zones))
-		n := min((tasks+perMachine-1)/perMachine, maxPerRequest-g.orders[offer.Offer])
-		g.orders[offer.Offer] += n
-		g.addMachines(offer.machine, offer.Offer, n)
+		n := min((tasks+perMachine-1)/perMachine, maxPerRequest-g.orders[offer.PoolKey])
+		g.orders[offer.PoolKey] += n
+		g.addMachines(offer.machine, offer.PoolKey, n)
 		left = g.book(d.Job, left, zones, zone)
 	}
 }
@@ -225,13 +222,8 @@
 			names[z] = true
 		}
 	}
-	sorted := make([]string, 0, len(names))
-	for z := range names {
-		sorted = append(sorted, z)
-	}
-	sort.Strings(sorted)
 	best, least := "", math.MaxInt
-	for _, z := range sorted {
+	for _, z := range slices.Sorted(maps.Keys(names)) {
 		left := d.Tasks
 		g.eachSlot(d.Job, z, func(s *placement.Slot) bool {
 			left = max(0, left-s.Free(&d.Job.Spec))
@@ -265,7 +257,7 @@
 
 // pricedOffer is an offer with its machine type.
 type pricedOffer struct {
-	Offer
+	fleet.PoolKey
 	machine *placement.Type
 }
 
@@ -284,7 +276,7 @@
 				continue
 			}
 			cost := t.Price(o.Spot) / float64(min(perMachine, left))
-			if cost < lowest || best != nil && cost == lowest && before(o, best.Offer) {
+			if cost < lowest || best != nil && cost == lowest && o.Compare(best.PoolKey) < 0 {
 				best, lowest = &pricedOffer{o, t}, cost
 			}
 		}
@@ -293,7 +285,7 @@
 }
 
 // mayOrder tells whether one more machine of an offer may be ordered for a job.
-func (g *planner) mayOrder(j *pipeline.Job, o Offer, zones map[string]int, zone string) bool {
+func (g *planner) mayOrder(j *pipeline.Job, o fleet.PoolKey, zones map[string]int, zone string) bool {
 	if j.Zone != "" && j.Zone != o.Zone || zone != "" && zone != o.Zone {
 		return false
 	}
@@ -303,17 +295,6 @@
 	return placement.ZoneCapacity(j, o.Zone, zones) >= 1 && g.plan.available(g.now, o)
 }
 
-// before orders offers, so that equal inputs give equal plans.
-func before(a, b Offer) bool {
-	if a.Type != b.Type {
-		return a.Type < b.Type
-	}
-	if a.Zone != b.Zone {
-		return a.Zone < b.Zone
-	}
-	return !a.Spot && b.Spot
-}
-
 // Outlook is what may be expected for a job that finds no room.
 type Outlook struct {
 	Requested  bool // machines that it may use are being asked for
@@ -340,10 +321,10 @@
 
 // offersOf lists the offers of a machine type: in each of its zones an ordinary and a spot
 // one.
-func offersOf(t *placement.Type) []Offer {
-	out := make([]Offer, 0, 2*len(t.Zones))
+func offersOf(t *placement.Type) []fleet.PoolKey {
+	out := make([]fleet.PoolKey, 0, 2*len(t.Zones))
 	for _, z := range t.Zones {
-		out = append(out, Offer{t.Name, z, false}, Offer{t.Name, z, true})
+		out = append(out, fleet.PoolKey{Type: t.Name, Zone: z}, fleet.PoolKey{Type: t.Name, Zone: z, Spot: true})
 	}
 	return out
 }
--- a/internal/core/capacity/capacity_test.go
+++ b/internal/core/capacity/capacity_test.go
@@ -30,7 +30,7 @@
 	var p Plan
 	j := job(t, pipeline.Spec{Tasks: 3, CPUs: 8, Spot: true})
 	o := p.Choose(now, []Demand{{Job: j, Tasks: 3}}, &placement.FreeCapacity{}, types)
-	if len(o) != 1 || o[0] != (Order{Offer{"cpu", "a", true}, 3}) {
+	if len(o) != 1 || o[0] != (Order{fleet.PoolKey{Type: "cpu", Zone: "a", Spot: true}, 3}) {
 		t.Fatalf("orders %v", o)
 	}
 	p.Requested(o[0].Offer, 3)
@@ -38,7 +38,7 @@
 		t.Fatalf("asked again while asking: %v", again)
 	}
 	p.Answered(now, o[0].Offer, Answer{Requested: 3})
-	if o := p.Choose(now, []Demand{{Job: j, Tasks: 3}}, &placement.FreeCapacity{}, types); len(o) != 1 || o[0].Offer != (Offer{"cpu", "b", true}) {
+	if o := p.Choose(now, []Demand{{Job: j, Tasks: 3}}, &placement.FreeCapacity{}, types); len(o) != 1 || o[0].Offer != (fleet.PoolKey{Type: "cpu", Zone: "b", Spot: true}) {
 		t.Fatalf("after a refusal: %v", o)
 	}
 	if o := p.Choose(now.Add(minBackoff+time.Second), []Demand{{Job: j, Tasks: 3}}, &placement.FreeCapacity{}, types); o[0].Offer.Zone != "a" {
@@ -90,7 +90,7 @@
 	for range 5 {
 		d = append(d, Demand{Job: job(t, pipeline.Spec{Tasks: 2, CPUs: 8, Spot: true}), Tasks: 2})
 	}
-	if o := new(Plan).Choose(now, d, &placement.FreeCapacity{}, types); len(o) != 1 || o[0] != (Order{Offer{"cpu", "a", true}, 10}) {
+	if o := new(Plan).Choose(now, d, &placement.FreeCapacity{}, types); len(o) != 1 || o[0] != (Order{fleet.PoolKey{Type: "cpu", Zone: "a", Spot: true}, 10}) {
 		t.Fatalf("orders %v", o)
 	}
 }
@@ -103,8 +103,8 @@
 	var first []Order
 	for i := range 100 {
 		var p Plan
-		p.Requested(Offer{"cpu", "b", false}, 1)
-		p.Requested(Offer{"big", "a", false}, 1)
+		p.Requested(fleet.PoolKey{Type: "cpu", Zone: "b", Spot: false}, 1)
+		p.Requested(fleet.PoolKey{Type: "big", Zone: "a", Spot: false}, 1)
 		orders := p.Choose(now, demand, &placement.FreeCapacity{}, types)
 		if i == 0 {
 			first = orders
--- a/internal/core/drain_capacity.go
+++ b/internal/core/drain_capacity.go
@@ -5,7 +5,6 @@
 	"maps"
 	"time"
 
-	"gingertally/internal/core/capacity"
 	"gingertally/internal/core/fleet"
 	"gingertally/internal/core/pipeline"
 	"gingertally/internal/core/placement"
@@ -118,7 +117,7 @@
 	}
 	delete(d.replacements, dm.Name)
 	noRoom := drain.Verdict{Kind: drain.NotYet, Cause: drain.CauseNoCapacity}
-	offer := capacity.Offer{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
+	offer := fleet.PoolKey{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
 	backoff, refused := e.plan.Backoff(offer)
 	if len(d.replacements) >= d.coordinator.Surge(dm) || refused && now.Before(backoff.Until) {
 		return noRoom
--- a/internal/core/instances.go
+++ b/internal/core/instances.go
@@ -60,20 +60,20 @@
 }
 
 func (r ScaleOutAnswered) apply(e *Engine, now time.Time) {
-	o := capacity.Offer{Type: r.Request.Type, Zone: r.Request.Zone, Spot: r.Request.Spot}
+	o := fleet.PoolKey{Type: r.Request.Type, Zone: r.Request.Zone, Spot: r.Request.Spot}
 	e.plan.Answered(now, o, capacity.Answer{Requested: r.Request.Count, Created: len(r.Machines), OutcomeUnknown: r.OutcomeUnknown})
 	e.warm.noteOffer(o)
 	for _, name := range r.Machines {
 		if _, gone := e.removed[name]; gone || e.machines[name] != nil {
 			continue
 		}
-		m := fleet.NewMachine(now, name, fleet.PoolKey(o))
+		m := fleet.NewMachine(now, name, o)
 		m.VerifyExistence()
 		e.addMachine(now, m)
 	}
 	e.drains.replacementAnswered(r)
 	e.replan = true
-	e.log(LogScaleOutAnswered, append(logPool(fleet.PoolKey(o)), slog.Int("requested", r.Request.Count), slog.Int("created", len(r.Machines)), slog.Bool("no_capacity", r.NoCapacity))...)
+	e.log(LogScaleOutAnswered, append(logPool(o), slog.Int("requested", r.Request.Count), slog.Int("created", len(r.Machines)), slog.Bool("no_capacity", r.NoCapacity))...)
 }
 
 // ScaleInAnswered says that the cloud answered a release with 200: the machines and
--- a/internal/core/placement/free_capacity.go
+++ b/internal/core/placement/free_capacity.go
@@ -1,22 +1,17 @@
 package placement
 
 import (
-	"sort"
+	"cmp"
+	"slices"
 
 	"gingertally/internal/core/fleet"
 	"gingertally/internal/core/pipeline"
 )
 
-// PoolKey names the machines that are alike: for a job, all are allowed or none.
-type PoolKey struct {
-	Type, Zone string
-	Spot       bool
-}
-
 // Pool holds the slots of machines that are alike. Its bounds spare a look at
 // them when none can have the room.
 type Pool struct {
-	Key   PoolKey
+	Key   fleet.PoolKey
 	Type  *Type
 	Slots []*Slot // by name
 	most  fleet.Amount
@@ -27,7 +22,7 @@
 // as they change.
 type FreeCapacity struct {
 	Pools  []*Pool
-	byKey  map[PoolKey]*Pool
+	byKey  map[fleet.PoolKey]*Pool
 	slots  map[*fleet.Machine]*Slot
 	marked []*Slot // that hold a round's reservation
 }
@@ -36,7 +31,7 @@
 // are booting and take no tasks yet.
 func (f *FreeCapacity) Set(m *fleet.Machine, t *Type, future bool) {
 	if f.slots == nil {
-		f.slots, f.byKey = map[*fleet.Machine]*Slot{}, map[PoolKey]*Pool{}
+		f.slots, f.byKey = map[*fleet.Machine]*Slot{}, map[fleet.PoolKey]*Pool{}
 	}
 	s := f.slots[m]
 	if s != nil && s.Type != t {
@@ -45,12 +40,9 @@
 	}
 	if s == nil {
 		s = &Slot{Machine: m, Type: t, Zone: m.Zone, Spot: m.Spot}
-		s.pool = f.pool(PoolKey{m.Type, m.Zone, m.Spot}, t)
+		s.pool = f.pool(m.PoolKey, t)
 		f.slots[m] = s
-		i := s.pool.find(m.Name)
-		s.pool.Slots = append(s.pool.Slots, nil)
-		copy(s.pool.Slots[i+1:], s.pool.Slots[i:])
-		s.pool.Slots[i] = s
+		s.pool.Slots = slices.Insert(s.pool.Slots, s.pool.find(m.Name), s)
 	}
 	u := m.Used()
 	s.CPUs, s.GPUs, s.MemGB, s.Future = t.CPUs-u.CPUs, t.GPUs-u.GPUs, t.MemGB-u.MemGB, future
@@ -58,28 +50,18 @@
 	s.pool.stale = true
 }
 
-func (f *FreeCapacity) pool(k PoolKey, t *Type) *Pool {
+func (f *FreeCapacity) pool(k fleet.PoolKey, t *Type) *Pool {
 	p := f.byKey[k]
 	if p == nil {
 		p = &Pool{Key: k}
 		f.byKey[k] = p
 		f.Pools = append(f.Pools, p)
-		sort.Slice(f.Pools, func(i, j int) bool { return f.Pools[i].Key.before(f.Pools[j].Key) })
+		slices.SortFunc(f.Pools, func(a, b *Pool) int { return a.Key.Compare(b.Key) })
 	}
 	p.Type = t
 	return p
 }
 
-func (k PoolKey) before(o PoolKey) bool {
-	if k.Type != o.Type {
-		return k.Type < o.Type
-	}
-	if k.Zone != o.Zone {
-		return k.Zone < o.Zone
-	}
-	return !k.Spot && o.Spot
-}
-
 // Size is how many machines are counted.
 func (f *FreeCapacity) Size() int { return len(f.slots) }
 
@@ -91,11 +73,13 @@
 	}
 	delete(f.slots, m)
 	i := s.pool.find(m.Name)
-	s.pool.Slots = append(s.pool.Slots[:i], s.pool.Slots[i+1:]...)
+	s.pool.Slots = slices.Delete(s.pool.Slots, i, i+1)
 }
 
+// find returns where a machine's slot is, or would have to be inserted.
 func (p *Pool) find(name string) int {
-	return sort.Search(len(p.Slots), func(i int) bool { return p.Slots[i].Machine.Name >= name })
+	i, _ := slices.BinarySearchFunc(p.Slots, name, func(s *Slot, name string) int { return cmp.Compare(s.Machine.Name, name) })
+	return i
 }
 
 // Allowed tells whether a job may use the pool's machines at all.
@@ -109,7 +93,9 @@
 	if p.stale {
 		p.stale, p.most = false, fleet.Amount{}
 		for _, s := range p.Slots {
-			p.most.CPUs, p.most.GPUs, p.most.MemGB = max(p.most.CPUs, s.CPUs), max(p.most.GPUs, s.GPUs), max(p.most.MemGB, s.MemGB)
+			p.most.CPUs = max(p.most.CPUs, s.CPUs)
+			p.most.GPUs = max(p.most.GPUs, s.GPUs)
+			p.most.MemGB = max(p.most.MemGB, s.MemGB)
 		}
 	}
 	return p.most.CPUs+slack >= sp.CPUs && p.most.GPUs+slack >= sp.GPUs && p.most.MemGB+slack >= sp.MemGB
@@ -182,8 +168,8 @@
 			pools = append(pools, p)
 		}
 	}
-	sort.SliceStable(pools, func(i, k int) bool {
-		return pools[i].Type.Price(pools[i].Key.Spot) < pools[k].Type.Price(pools[k].Key.Spot)
+	slices.SortStableFunc(pools, func(a, b *Pool) int {
+		return cmp.Compare(a.Type.Price(a.Key.Spot), b.Type.Price(b.Key.Spot))
 	})
 	return pools
 }
@@ -198,7 +184,7 @@
 			out = append(out, p.Key.Zone)
 		}
 	}
-	sort.Strings(out)
+	slices.Sort(out)
 	return out
 }
 
--- a/internal/core/placement/gang.go
+++ b/internal/core/placement/gang.go
@@ -69,7 +69,8 @@
 	for _, s := range b.open(j, zone) {
 		for range s.Free(&j.Spec) {
 			i := len(chosen)
-			if i == len(j.Tasks) || ZoneCapacity(j, s.Zone, zones) < 1 || s.Machine.Attempt(fleet.TaskID{Ref: j.Ref, Task: i}) != nil {
+			if i == len(j.Tasks) || ZoneCapacity(j, s.Zone, zones) < 1 ||
+				s.Machine.Attempt(fleet.TaskID{Ref: j.Ref, Task: i}) != nil {
 				break
 			}
 			zones[s.Zone]++
--- a/internal/core/placement/machine_type.go
+++ b/internal/core/placement/machine_type.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"slices"
 	"time"
 
 	"gingertally/internal/core/pipeline"
@@ -28,12 +29,7 @@
 
 // InZone tells whether the type is offered in a zone.
 func (t *Type) InZone(zone string) bool {
-	for _, z := range t.Zones {
-		if z == zone {
-			return true
-		}
-	}
-	return false
+	return slices.Contains(t.Zones, zone)
 }
 
 // Catalog holds the machine types by name.
--- a/internal/core/placement/preempt.go
+++ b/internal/core/placement/preempt.go
@@ -1,7 +1,8 @@
 package placement
 
 import (
-	"sort"
+	"cmp"
+	"slices"
 	"time"
 
 	"gingertally/internal/core/fleet"
@@ -92,7 +93,7 @@
 		if len(all) < n {
 			continue
 		}
-		sort.SliceStable(all, func(i, k int) bool { return all[i].at.Before(all[k].at) })
+		slices.SortStableFunc(all, func(a, b place) int { return a.at.Compare(b.at) })
 		if last := all[n-1].at; best == nil || last.Before(at) {
 			best, at = all[:n], last
 		}
@@ -100,6 +101,7 @@
 	return best, at
 }
 
+// present lists what may be on a machine, by attempt.
 func present(m *fleet.Machine) []*fleet.Attempt {
 	out := make([]*fleet.Attempt, 0, m.ActiveAttempts())
 	for a := range m.Attempts() {
@@ -107,11 +109,8 @@
 			out = append(out, a)
 		}
 	}
-	sort.Slice(out, func(i, k int) bool {
-		if out[i].Number != out[k].Number {
-			return out[i].Number < out[k].Number
-		}
-		return out[i].Task < out[k].Task
+	slices.SortFunc(out, func(a, b *fleet.Attempt) int {
+		return cmp.Or(cmp.Compare(a.Number, b.Number), cmp.Compare(a.Task, b.Task))
 	})
 	return out
 }
@@ -130,7 +129,7 @@
 	for _, a := range present(s.Machine) {
 		ends = append(ends, end{a, b.EndOf(a)})
 	}
-	sort.SliceStable(ends, func(i, k int) bool { return ends[i].at.Before(ends[k].at) })
+	slices.SortStableFunc(ends, func(a, b end) int { return a.at.Compare(b.at) })
 	for _, e := range ends {
 		if free.fits(sp) {
 			break
@@ -176,7 +175,7 @@
 			all = append(all, p)
 		}
 	})
-	sort.SliceStable(all, func(i, k int) bool { return all[i].cost < all[k].cost })
+	slices.SortStableFunc(all, func(a, b place) int { return cmp.Compare(a.cost, b.cost) })
 	return all
 }
 
@@ -207,7 +206,7 @@
 				may = append(may, candidate{a, cost})
 			}
 		}
-		sort.SliceStable(may, func(i, k int) bool { return may[i].cost < may[k].cost })
+		slices.SortStableFunc(may, func(a, b candidate) int { return cmp.Compare(a.cost, b.cost) })
 	}
 	p := place{slot: s}
 	for _, c := range may {
--- a/internal/core/placement/replicas.go
+++ b/internal/core/placement/replicas.go
@@ -1,8 +1,9 @@
 package placement
 
 import (
+	"cmp"
 	"maps"
-	"sort"
+	"slices"
 
 	"gingertally/internal/core/fleet"
 	"gingertally/internal/core/pipeline"
@@ -50,10 +51,7 @@
 	for _, s := range b.open(j, "") {
 		c.byZone[s.Zone] = append(c.byZone[s.Zone], s)
 	}
-	for zone := range c.byZone {
-		c.zones = append(c.zones, zone)
-	}
-	sort.Strings(c.zones)
+	c.zones = slices.Sorted(maps.Keys(c.byZone))
 	return c
 }
 
@@ -82,7 +80,8 @@
 // skipFull drops the first slots of a zone that can't take the replica.
 func (c *replicaChoices) skipFull(j *pipeline.Job, zone string, task int) {
 	slots := c.byZone[zone]
-	for len(slots) > 0 && (slots[0].Free(&j.Spec) < 1 || slots[0].Machine.Attempt(fleet.TaskID{Ref: j.Ref, Task: task}) != nil) {
+	id := fleet.TaskID{Ref: j.Ref, Task: task}
+	for len(slots) > 0 && (slots[0].Free(&j.Spec) < 1 || slots[0].Machine.Attempt(id) != nil) {
 		slots = slots[1:]
 	}
 	c.byZone[zone] = slots
@@ -103,7 +102,7 @@
 	maps.Copy(inZones, zones)
 	for _, pool := range b.FreeCapacity.byPrice(&j.Spec) {
 		choices := b.preemptibleIn(pool, j, inZones, placesPerReplica*n)
-		sort.SliceStable(choices, func(i, k int) bool { return choices[i].cost < choices[k].cost })
+		slices.SortStableFunc(choices, func(a, b place) int { return cmp.Compare(a.cost, b.cost) })
 		for _, p := range choices {
 			if n == 0 {
 				return
--- a/internal/core/placement/score.go
+++ b/internal/core/placement/score.go
@@ -1,15 +1,16 @@
 package placement
 
 import (
-	"sort"
+	"cmp"
+	"slices"
 	"time"
 
 	"gingertally/internal/core/pipeline"
 )
 
 // waste is the part of the slot that becomes unusable for others if the job takes it: a
-// task without GuaranteedGPUs on a machine with GuaranteedGPUs, say. Beside the replicas of services there is
-// often room for a task of the large work that needs the GuaranteedGPUs; only the replica that takes
+// task without GPUs on a machine with GPUs, say. Beside the replicas of services there is
+// often room for a task of the large work that needs the GPUs; only the replica that takes
 // the last such room wastes something, and that is the machine.
 func (b *Board) waste(s *Slot, sp *pipeline.Spec) float64 {
 	if sp.GPUs > 0 || s.Type.GPUs == 0 {
@@ -19,38 +20,42 @@
 	if sp.Shape != pipeline.Service || large == nil {
 		return Share(s.Type, sp)
 	}
-	cpus, gpus, mem := s.Type.CPUs-s.serviceUsage.CPUs, s.Type.GPUs-s.serviceUsage.GPUs, s.Type.MemGB-s.serviceUsage.MemGB
+	cpus := s.Type.CPUs - s.serviceUsage.CPUs
+	gpus := s.Type.GPUs - s.serviceUsage.GPUs
+	mem := s.Type.MemGB - s.serviceUsage.MemGB
 	lost := HowMany(cpus, gpus, mem, large) - HowMany(cpus-sp.CPUs, gpus, mem-sp.MemGB, large)
 	return float64(lost) * Share(s.Type, large)
 }
 
-// fullerSeconds weighs an untouched machine against time lost on fetching: room
-// left whole is what large tasks and gangs need, and what can be released.
-const fullerSeconds = 10.0
-
-// plannedSeconds weighs a machine that is about to be drained: it is taken only if nothing
-// else has room, so that what is placed there needn't move again.
-const plannedSeconds = 3600.0
-
-// lateSeconds weighs a start that misses its aim, startLag is what a start takes besides
-// the wait for an answer and the fetch: the write before it, and the way there.
-// probationSeconds weighs a machine on which something failed.
+// What counts against a machine when a place is chosen, in seconds of delay.
 const (
-	lateSeconds      = 15.0
-	startLag         = 100 * time.Millisecond
+	// fullerSeconds counts against an untouched machine: room left whole is what large tasks
+	// and gangs need, and what can be released.
+	fullerSeconds = 10.0
+	// plannedSeconds counts against a machine that is about to be drained: it is taken only if
+	// nothing else has room, so that what is placed there needn't move again.
+	plannedSeconds = 3600.0
+	// lateSeconds counts against a start that misses its objective.
+	lateSeconds = 15.0
+	// probationSeconds counts against a machine on which something failed.
 	probationSeconds = 60.0
 )
 
+// startLag is what a start takes besides the wait for an answer and the fetch: the write
+// before it, and the way to the machine.
+const startLag = 100 * time.Millisecond
+
 // Score ranks slots for a task of a job that is best started by a time (zero: any); the
 // lowest is best. It adds up the time until the machine can be told and the image is there,
 // what the place costs, and how much of the machine is free, so that room stays whole and
-// machines empty out. Where a task would start too late for the aim of starting by a time
-// (zero: there is none, or it has passed), that counts too.
+// machines empty out. Where a task would start too late for the objective of starting by a
+// time (zero: there is none, or it has passed), that counts too.
 func (b *Board) Score(s *Slot, j *pipeline.Job, startBy time.Time) float64 {
 	sp := &j.Spec
 	score := (Share(s.Type, sp) + b.waste(s, sp)) * s.Type.Price(s.Spot) * b.SecondsPerDollarHour
 	if s.Machine != nil {
-		starts := s.Machine.FetchLeft(b.Now, sp.Image, sp.ImageGB, s.Type.FetchGBPerS) + s.Machine.NextResponseIn(b.Now, b.HeartbeatInterval)
+		starts := s.Machine.FetchLeft(b.Now, sp.Image, sp.ImageGB, s.Type.FetchGBPerS) +
+			s.Machine.NextResponseIn(b.Now, b.HeartbeatInterval)
 		score += starts.Seconds()
 		if b.Now.Before(startBy) && b.Now.Add(starts+startLag).After(startBy) {
 			score += lateSeconds
@@ -77,10 +82,10 @@
 	var out []scored
 	startBy := b.StartBy(j)
 	b.FreeCapacity.EachOpen(&j.Spec, zone, func(s *Slot) {
-		if !s.held(b.Now) && !j.Avoids(b.Now, s.Machine.Name) {
+		if !s.paused(b.Now) && !j.Avoids(b.Now, s.Machine.Name) {
 			out = append(out, scored{s, b.Score(s, j, startBy)})
 		}
 	})
-	sort.SliceStable(out, func(i, k int) bool { return out[i].score < out[k].score })
+	slices.SortStableFunc(out, func(a, b scored) int { return cmp.Compare(a.score, b.score) })
 	return out
 }
--- a/internal/core/placement/slot.go
+++ b/internal/core/placement/slot.go
@@ -9,7 +9,7 @@
 
 // Slot is a machine as a round sees it: what is free, and what it costs.
 type Slot struct {
-	Machine           *fleet.Machine // nil: only planned to be rented
+	Machine           *fleet.Machine // nil: only planned to be requested
 	Type              *Type
 	Zone              string
 	Spot              bool
@@ -24,7 +24,7 @@
 func (s *Slot) Take(sp *pipeline.Spec) {
 	s.CPUs, s.GPUs, s.MemGB = s.CPUs-sp.CPUs, s.GPUs-sp.GPUs, s.MemGB-sp.MemGB
 	if sp.Shape == pipeline.Service {
-		s.serviceUsage.CPUs, s.serviceUsage.GPUs, s.serviceUsage.MemGB = s.serviceUsage.CPUs+sp.CPUs, s.serviceUsage.GPUs+sp.GPUs, s.serviceUsage.MemGB+sp.MemGB
+		s.serviceUsage = s.serviceUsage.Add(fleet.Amount{CPUs: sp.CPUs, GPUs: sp.GPUs, MemGB: sp.MemGB})
 	}
 	if s.pool != nil {
 		s.pool.stale = true
@@ -66,7 +66,7 @@
 	return &c
 }
 
-// held tells whether a slot takes no tasks for the moment.
-func (s *Slot) held(now time.Time) bool {
+// paused tells whether nothing is to be placed on the slot for the moment.
+func (s *Slot) paused(now time.Time) bool {
 	return s.Machine != nil && s.Machine.StartsPaused(now)
 }
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -8,7 +8,6 @@
 
 	"gingertally/internal/core/fleet"
 	"gingertally/internal/core/pipeline"
-	"gingertally/internal/core/placement"
 	"gingertally/internal/drain"
 	"gingertally/internal/recovery"
 )
@@ -70,13 +69,12 @@
 
 // poolStatus counts the machines of each pool.
 func (e *Engine) poolStatus() []PoolStatus {
-	pools := map[placement.PoolKey]*PoolStatus{}
+	pools := map[fleet.PoolKey]*PoolStatus{}
 	for _, m := range e.machines {
-		k := placement.PoolKey{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
-		p := pools[k]
+		p := pools[m.PoolKey]
 		if p == nil {
 			p = &PoolStatus{Type: m.Type, Zone: m.Zone, Spot: m.Spot, States: map[string]int{}}
-			pools[k] = p
+			pools[m.PoolKey] = p
 		}
 		p.States[m.State().String()]++
 		p.Attempts += m.ActiveAttempts()
--- a/internal/core/warm_start.go
+++ b/internal/core/warm_start.go
@@ -133,7 +133,7 @@
 }
 
 func (s *warmStart) takeOffer(w *WarmOffer) {
-	o := capacity.Offer{Type: w.Type, Zone: w.Zone, Spot: w.Spot}
+	o := fleet.PoolKey{Type: w.Type, Zone: w.Zone, Spot: w.Spot}
 	s.engine.plan.SetBackoff(o, capacity.Backoff{Until: s.timeAhead(w.UntilMS), Refusals: w.Refusals})
 	s.engine.warm.noteOffer(o)
 }
--- a/internal/core/warm_start_test.go
+++ b/internal/core/warm_start_test.go
@@ -6,7 +6,6 @@
 	"testing"
 	"time"
 
-	"gingertally/internal/core/capacity"
 	"gingertally/internal/core/fleet"
 	"gingertally/internal/core/pipeline"
 )
@@ -158,7 +157,7 @@
 // What a leader has learnt outlives it: faulty machines, run times and arrivals of classes,
 // refused offers, machines that a job avoids, and since when tasks run.
 func TestWarmStateIsTakenOver(t *testing.T) {
-	offer := capacity.Offer{Type: "big", Zone: "a"}
+	offer := fleet.PoolKey{Type: "big", Zone: "a"}
 	b, c := takenOver(t, []StoredJob{job("j-1", 1), job("j-2", 1)}, func(state warmTable) {
 		for key, r := range state {
 			if r.Machine != nil && r.Machine.Name == "m-2" {
--- a/internal/core/warm_state.go
+++ b/internal/core/warm_state.go
@@ -6,7 +6,6 @@
 	"slices"
 	"time"
 
-	"gingertally/internal/core/capacity"
 	"gingertally/internal/core/fleet"
 	"gingertally/internal/core/pipeline"
 )
@@ -149,7 +148,7 @@
 
 func (f *warmFeed) noteClass(name string) { f.note(WarmKey{Kind: WarmClassKind, Name: name}) }
 
-func (f *warmFeed) noteOffer(o capacity.Offer) {
+func (f *warmFeed) noteOffer(o fleet.PoolKey) {
 	f.note(WarmKey{Kind: WarmOfferKind, Name: o.Type, Zone: o.Zone, Spot: o.Spot})
 }
 
@@ -195,7 +194,7 @@
 	case WarmClassKind:
 		record.Class = e.warmClass(key.Name)
 	case WarmOfferKind:
-		record.Offer = e.warmOffer(now, capacity.Offer{Type: key.Name, Zone: key.Zone, Spot: key.Spot})
+		record.Offer = e.warmOffer(now, fleet.PoolKey{Type: key.Name, Zone: key.Zone, Spot: key.Spot})
 	case WarmJobKind:
 		record.Job = e.warmJob(now, key.Name)
 	}
@@ -253,7 +252,7 @@
 	return w
 }
 
-func (e *Engine) warmOffer(now time.Time, o capacity.Offer) *WarmOffer {
+func (e *Engine) warmOffer(now time.Time, o fleet.PoolKey) *WarmOffer {
 	b, refused := e.plan.Backoff(o)
 	if !refused || !b.Until.After(now) {
 		return nil
