--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -309,7 +309,7 @@
 	e.capacityChanged(m)
 	if !m.Quarantined() && (len(m.FailedJobs()) >= quarantineAfterJobs || m.Failures() >= quarantineAfterFailures && len(j.AvoidUntil) == 0) {
 		m.Quarantine()
-		e.timers.schedule(m, now)
+		e.machines.checkAt(m, now)
 		e.log(LogMachineQuarantined, logMachine(m), slog.Int("failures", m.Failures()))
 		for _, ref := range m.FailedJobs() {
 			if o := e.jobs[ref]; o != nil {
--- a/internal/core/connectivity.go
+++ b/internal/core/connectivity.go
@@ -14,26 +14,20 @@
 
 // detectOneWayLoss looks in a heartbeat for traces of what the machine was last told.
 func (e *Engine) detectOneWayLoss(now time.Time, m *fleet.Machine, r *fleet.Heartbeat, leaseEnded bool) {
-	wasUnreachable := m.OneWayLoss.Unreachable()
 	switch d := e.deliveryShown(now, m, r, leaseEnded); {
 	case d.delivered:
-		m.OneWayLoss.NoteDelivered()
-		if wasUnreachable {
-			e.unreachable--
+		if e.machines.answerDelivered(m) {
 			e.capacityChanged(m)
 		}
 	case d.undelivered:
 		if e.answersLate(now) || now.Sub(m.OneWayLoss.LastUndelivered()) < e.cfg.HeartbeatInterval/2 {
 			return
 		}
-		m.OneWayLoss.NoteUndelivered(now)
+		e.machines.answerUndelivered(now, m)
 		m.PauseStarts(now.Add(undeliveredPause))
 		e.capacityChanged(m)
 		if m.OneWayLoss.Unreachable() {
-			if !wasUnreachable {
-				e.unreachable++
-			}
-			e.timers.schedule(m, now)
+			e.machines.checkAt(m, now)
 		}
 	}
 }
@@ -101,7 +95,7 @@
 	if !m.OneWayLoss.Unreachable() || now.Sub(m.OneWayLoss.FirstUndelivered()) < e.cfg.Lease/2 {
 		return
 	}
-	if e.unreachable > max(2, len(e.machines)/4) {
+	if e.machines.unreachable > max(2, e.machines.count()/4) {
 		return
 	}
 	e.scaleIn(now, m, ScaleInUnreachable)
--- a/internal/core/decide.go
+++ b/internal/core/decide.go
@@ -23,7 +23,9 @@
 const planEach = 4 * time.Millisecond
 
 // settled tells whether a new leader knows enough to place (recovery.Reconciler.MayPlace).
-func (e *Engine) settled(now time.Time) bool { return e.recovery.MayPlace(now, !e.lastList.IsZero()) }
+func (e *Engine) settled(now time.Time) bool {
+	return e.recovery.MayPlace(now, e.machines.everListed())
+}
 
 // reservationsPerRound is for how many jobs a round keeps or makes room.
 const reservationsPerRound = 30
--- a/internal/core/drain_capacity.go
+++ b/internal/core/drain_capacity.go
@@ -111,7 +111,7 @@
 // rented, if its plan says so.
 func (e *Engine) awaitReplacement(now time.Time, dm *drain.Machine) drain.Verdict {
 	d := e.drains
-	m := e.machines[dm.Name]
+	m := e.machines.get(dm.Name)
 	if r := d.replacements[dm.Name]; r != nil && !e.replacementLost(now, r) {
 		return drain.Verdict{Kind: drain.NotYet, Cause: drain.CauseReplacement}
 	}
@@ -136,7 +136,7 @@
 	if r.machine == "" {
 		return now.Sub(r.asked) > replacementAnswer
 	}
-	m := e.machines[r.machine]
+	m := e.machines.get(r.machine)
 	return m == nil || m.State() != fleet.Booting && m.ActiveAttempts() > 0
 }
 
--- a/internal/core/drain_eviction.go
+++ b/internal/core/drain_eviction.go
@@ -139,7 +139,7 @@
 
 // taskUp tells whether a task runs and stays, or is one of some attempts.
 func (e *Engine) taskUp(j *pipeline.Job, task int, except []*fleet.Attempt) bool {
-	m := e.machines[j.Tasks[task].Machine]
+	m := e.machines.get(j.Tasks[task].Machine)
 	if m == nil {
 		return false
 	}
@@ -236,7 +236,7 @@
 
 // revokeEvictions takes back the evictions from a machine that haven't gone out.
 func (e *Engine) revokeEvictions(machine string) {
-	m := e.machines[machine]
+	m := e.machines.get(machine)
 	if m == nil {
 		return
 	}
--- a/internal/core/drain_harness_test.go
+++ b/internal/core/drain_harness_test.go
@@ -169,7 +169,7 @@
 }
 
 func (d *drainBench) tokenOf(name string) uint64 {
-	if m := d.e.machines[name]; m != nil && m.FencingTokenSent() {
+	if m := d.e.machines.get(name); m != nil && m.FencingTokenSent() {
 		return d.e.term
 	}
 	return d.e.term - 1
--- a/internal/core/drain_preview.go
+++ b/internal/core/drain_preview.go
@@ -1,7 +1,6 @@
 package core
 
 import (
-	"maps"
 	"slices"
 	"time"
 
@@ -21,8 +20,8 @@
 	preview := &drain.Preview{}
 	plan.CreatedMS = now.UnixMilli()
 	interrupted := map[drain.Scope]int{}
-	for _, name := range slices.Sorted(maps.Keys(e.machines)) {
-		m := e.machines[name]
+	for _, name := range e.machines.names() {
+		m := e.machines.get(name)
 		if !plan.Selects(drain.MachineID{Name: m.Name, Type: m.Type, Zone: m.Zone}) {
 			continue
 		}
--- a/internal/core/drain_round.go
+++ b/internal/core/drain_round.go
@@ -49,7 +49,7 @@
 // often enough under this term for even the latest to be on it.
 func (e *Engine) machinesComplete(now time.Time) bool {
 	wait := 2*e.cfg.InstanceListLag + e.cfg.HeartbeatInterval
-	return !e.lastList.IsZero() && e.lastList.Sub(e.started) > wait && e.settled(now)
+	return e.machines.everListed() && e.machines.listedAt.Sub(e.started) > wait && e.settled(now)
 }
 
 // mayDisrupt tells whether the leader knows enough, and enough of the fleet is there, to
@@ -58,8 +58,8 @@
 	if len(e.catalog) == 0 || !e.settled(now) || e.writesFail || e.answersLate(now) {
 		return false
 	}
-	lost := e.inState[fleet.Unresponsive] + e.inState[fleet.AwaitingHeartbeat] + e.unreachable
-	return lost <= max(1, len(e.machines)/lostPart)
+	lost := e.machines.inState(fleet.Unresponsive) + e.machines.inState(fleet.AwaitingHeartbeat) + e.machines.unreachable
+	return lost <= max(1, e.machines.count()/lostPart)
 }
 
 // cordonNext cordons machines as far as the plans' stages have room.
@@ -70,7 +70,7 @@
 		if name == "" {
 			return
 		}
-		m := e.machines[name]
+		m := e.machines.get(name)
 		if m == nil {
 			c.MachineRemoved(name)
 			continue
@@ -110,7 +110,7 @@
 // drainMachine looks at one machine that is being drained and does what can be done.
 func (e *Engine) drainMachine(now time.Time, dm *drain.Machine, booking *capacityBooking, complete bool) {
 	c := e.drains.coordinator
-	m := e.machines[dm.Name]
+	m := e.machines.get(dm.Name)
 	if m == nil {
 		if complete {
 			c.MachineRemoved(dm.Name) // the list and all reports have had time to speak of it
--- a/internal/core/drain_writes.go
+++ b/internal/core/drain_writes.go
@@ -157,7 +157,7 @@
 // cordonPageWritten brings the outcome of the write of a page of cordons, which hold from then on.
 func (e *Engine) cordonPageWritten(name string, outcome drain.Outcome) {
 	for _, machine := range e.drains.coordinator.Written(name, outcome) {
-		if m := e.machines[machine]; m != nil {
+		if m := e.machines.get(machine); m != nil {
 			e.applyCordon(m)
 		}
 	}
--- a/internal/core/draining.go
+++ b/internal/core/draining.go
@@ -131,11 +131,11 @@
 		e.revokeEvictions(name)
 	}
 	if fresh {
-		for _, m := range e.machines {
+		for m := range e.machines.all() {
 			d.coordinator.Add(drain.MachineID{Name: m.Name, Type: m.Type, Zone: m.Zone})
 		}
 	}
-	for _, m := range e.machines {
+	for m := range e.machines.all() {
 		e.applyCordon(m)
 		if dm := d.coordinator.Machine(m.Name); dm != nil && dm.Plan == s.Stored.Plan.ID && s.Stored.Plan.Phase != drain.Running {
 			e.revokeEvictions(m.Name)
--- a/internal/core/draining_test.go
+++ b/internal/core/draining_test.go
@@ -87,7 +87,7 @@
 	if d.evicts != 0 || d.runsOn("m-1") != 3 {
 		t.Fatalf("%d evictions, %d run on", d.evicts, d.runsOn("m-1"))
 	}
-	if m := d.e.machines["m-1"]; m.Cordoned() || !m.CordonPlanned() {
+	if m := d.e.machines.get("m-1"); m.Cordoned() || !m.CordonPlanned() {
 		t.Errorf("cordoned %v, planned %v", m.Cordoned(), m.CordonPlanned())
 	}
 	waiting := d.e.DrainStatus(d.now).Plans[0].Waiting
@@ -194,7 +194,7 @@
 		if got := starts(d.report("m-1", d.tokenOf("m-1"))); len(got) > 0 {
 			t.Fatalf("a drained machine that returned got %v", got)
 		}
-		if d.e.machines["m-1"] == nil {
+		if d.e.machines.get("m-1") == nil {
 			return // it was released again
 		}
 	}
@@ -230,7 +230,7 @@
 	p.Phase = drain.Cancelled
 	d.plan(p)
 	d.run(60 * time.Second)
-	if s := d.e.DrainStatus(d.now); d.evicts != 0 || s.Scopes[0].Voluntary != 0 || d.e.machines["m-1"].Cordoned() {
+	if s := d.e.DrainStatus(d.now); d.evicts != 0 || s.Scopes[0].Voluntary != 0 || d.e.machines.get("m-1").Cordoned() {
 		t.Errorf("%d evictions, %+v", d.evicts, s)
 	}
 }
@@ -286,7 +286,7 @@
 	d.there("m-2")
 	p := drain.Plan{ID: "p", Selector: drain.Selector{Machines: []string{"m-1"}}, MaxAtOnce: 1, CreatedMS: d.now.UnixMilli(), Through: "m-9", Phase: drain.Paused}
 	d.plan(p)
-	if m := d.e.machines["m-1"]; !m.CordonPlanned() || m.Cordoned() {
+	if m := d.e.machines.get("m-1"); !m.CordonPlanned() || m.Cordoned() {
 		t.Fatalf("planned %v, cordoned %v", m.CordonPlanned(), m.Cordoned())
 	}
 	more := longJob("j-2", "t", 8)
@@ -315,8 +315,8 @@
 	d.plan(p)
 	d.there("m-2")
 	d.run(60 * time.Second)
-	if d.evicts != 0 || !d.e.machines["m-1"].Cordoned() {
-		t.Fatalf("%d evictions, cordoned %v", d.evicts, d.e.machines["m-1"].Cordoned())
+	if d.evicts != 0 || !d.e.machines.get("m-1").Cordoned() {
+		t.Fatalf("%d evictions, cordoned %v", d.evicts, d.e.machines.get("m-1").Cordoned())
 	}
 	p.Phase = drain.Running
 	d.plan(p)
@@ -363,8 +363,8 @@
 	d.run(15 * time.Second)
 	d.drainMachine("m-1")
 	d.run(9 * time.Second)
-	if d.evicts != 0 || d.e.inState[fleet.Unresponsive] != len(lost) {
-		t.Errorf("%d evictions with %d machines silent", d.evicts, d.e.inState[fleet.Unresponsive])
+	if d.evicts != 0 || d.e.machines.inState(fleet.Unresponsive) != len(lost) {
+		t.Errorf("%d evictions with %d machines silent", d.evicts, d.e.machines.inState(fleet.Unresponsive))
 	}
 }
 
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -88,15 +88,9 @@
 	cancellations cancellations             // under way
 
 	// Machines.
-	machines    map[string]*fleet.Machine
-	inState     [fleet.MachineStates]int // how many machines are in each state
-	removed     map[string]time.Time     // names of machines proven gone, and since when
-	timers      timerQueue               // when machines are to be checked
-	recovery    *recovery.Reconciler     // of what the records and the machines say
-	writesFail  bool                     // the last batch wasn't written
-	unreachable int                      // how many machines seem to receive no answers
-	lastList    time.Time                // of the cloud
-	prunedAt    time.Time                // when gone was last pruned
+	machines   machineRegistry
+	recovery   *recovery.Reconciler // of what the records and the machines say
+	writesFail bool                 // the last batch wasn't written
 
 	// What may be on machines.
 	use     map[string]*jobUse      // by job
@@ -228,8 +222,7 @@
 		finals:        map[string]pipeline.Final{},
 		classes:       map[string]*classStats{},
 		cancellations: newCancellations(),
-		machines:      map[string]*fleet.Machine{},
-		removed:       map[string]time.Time{},
+		machines:      newMachineRegistry(),
 		use:           map[string]*jobUse{},
 		teamUse:       map[string]fleet.Amount{},
 		changed:       map[*fleet.Machine]bool{},
@@ -288,7 +281,7 @@
 
 // imagesOn is which images a machine is believed to have, if it has been heard of.
 func (e *Engine) imagesOn(machine string) ([]fleet.Image, bool) {
-	if m := e.machines[machine]; m != nil {
+	if m := e.machines.get(machine); m != nil {
 		return m.Images(), true
 	}
 	return nil, false
@@ -319,7 +312,7 @@
 	}
 	e.lastTick = now
 	e.recovery.Pacer().Pass(now, !e.answersLate(now) && !e.writesFail)
-	e.recovery.Advance(now, !e.lastList.IsZero())
+	e.recovery.Advance(now, e.machines.everListed())
 	e.checkMachines(now)
 	e.enforceCancellations(now)
 	e.decide(now, t.Spent)
@@ -331,7 +324,7 @@
 type LeaseResumed struct{}
 
 func (LeaseResumed) apply(e *Engine, now time.Time) {
-	for _, m := range e.machines {
+	for m := range e.machines.all() {
 		if m.State() == fleet.Live || m.State() == fleet.Unresponsive || m.State() == fleet.AwaitingHeartbeat {
 			m.ExcuseMissingHeartbeats(now)
 		}
@@ -346,7 +339,7 @@
 		return
 	}
 	e.catalog = c.Types
-	for _, m := range e.machines {
+	for m := range e.machines.all() {
 		e.capacityChanged(m)
 	}
 }
--- a/internal/core/fleet_size_test.go
+++ b/internal/core/fleet_size_test.go
@@ -77,8 +77,8 @@
 		next.Pages = append(next.Pages, p)
 	}
 	b.e = New(b.now, config(), 3, next, rand.New(rand.NewPCG(1, 2)))
-	if len(b.e.machines) != largeFleet || b.e.recovery.Status(b.now).Machines["expected"] != largeFleet {
-		t.Fatalf("the next leader knows %d machines", len(b.e.machines))
+	if b.e.machines.count() != largeFleet || b.e.recovery.Status(b.now).Machines["expected"] != largeFleet {
+		t.Fatalf("the next leader knows %d machines", b.e.machines.count())
 	}
 	report(2)
 	report(3)
@@ -95,7 +95,7 @@
 func checkTakenOver(t *testing.T, b *bench, names []string) {
 	t.Helper()
 	for _, name := range names {
-		if m := b.e.machines[name]; m.State() != fleet.Live || m.ActiveAttempts() != 1 {
+		if m := b.e.machines.get(name); m.State() != fleet.Live || m.ActiveAttempts() != 1 {
 			t.Fatalf("%s is %v with %d tasks under the next leader", name, m.State(), m.ActiveAttempts())
 		}
 	}
@@ -114,7 +114,7 @@
 	if effects := b.e.Step(b.now, Tick{}); !effects.AttemptNumbersExhausted {
 		t.Fatal("the term goes on without numbers")
 	}
-	if n := b.e.machines["m-1"].ActiveAttempts(); n != 0 {
+	if n := b.e.machines.get("m-1").ActiveAttempts(); n != 0 {
 		t.Fatalf("%d tasks were placed without numbers", n)
 	}
 }
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -19,10 +19,10 @@
 		e.out.HigherFencingToken = rep.FencingToken
 		return
 	}
-	if _, gone := e.removed[rep.Machine]; gone {
+	if e.machines.wasRemoved(rep.Machine) {
 		return // sent before the machine was released
 	}
-	m := e.machines[rep.Machine]
+	m := e.machines.get(rep.Machine)
 	if m == nil {
 		m = fleet.NewMachine(now, rep.Machine, fleet.PoolKey{Type: rep.Type, Zone: rep.Zone, Spot: rep.Spot})
 		e.addMachine(now, m)
@@ -99,7 +99,7 @@
 
 func (c HeldResponseDue) apply(e *Engine, now time.Time) {
 	e.out.Response = &HeartbeatResponse{}
-	m := e.machines[c.Heartbeat.Machine]
+	m := e.machines.get(c.Heartbeat.Machine)
 	if m == nil || m.Incarnation() != c.Heartbeat.Incarnation || m.Sequence() != c.Heartbeat.Sequence {
 		return // a newer heartbeat has come; only its answer may start anything
 	}
--- a/internal/core/images_test.go
+++ b/internal/core/images_test.go
@@ -83,7 +83,7 @@
 	at := fleet.TaskStatus{Ref: c.Ref, Task: c.Task, Attempt: c.Attempt, State: fleet.Fetching}
 	b.report("m-1", 2, at)
 	b.now = b.now.Add(19 * time.Second)
-	m := b.e.machines["m-1"]
+	m := b.e.machines.get("m-1")
 	if left := m.FetchLeft(b.now, "x", 20, 1); left > 2*time.Second {
 		t.Fatalf("%s left of a fetch of 20 s after 19 s", left)
 	}
@@ -123,7 +123,7 @@
 
 	next := newBench(t, 3, Snapshot{Images: logged})
 	next.up("m-1")
-	if left := next.e.machines["m-1"].FetchLeft(next.now, "x", 20, 1); left != 0 {
+	if left := next.e.machines.get("m-1").FetchLeft(next.now, "x", 20, 1); left != 0 {
 		t.Errorf("by the image log, %s left of a fetch that is over", left)
 	}
 	next.e.Step(next.now, ScaleInAnswered{Machines: []string{"m-1"}, OK: true})
@@ -135,7 +135,7 @@
 	j := imageJob(b, "j-1", "x", 1, 0).Job
 	other := newBench(t, 3, Snapshot{Jobs: []StoredJob{j}, Pages: []StoredPage{page("2-1", "m-1", c.Attempt)}})
 	other.report("m-1", 2, running(c))
-	if left := other.e.machines["m-1"].FetchLeft(other.now, "x", 20, 1); left != 0 {
+	if left := other.e.machines.get("m-1").FetchLeft(other.now, "x", 20, 1); left != 0 {
 		t.Errorf("by a task that runs, %s left of a fetch that is over", left)
 	}
 }
--- a/internal/core/instances.go
+++ b/internal/core/instances.go
@@ -31,12 +31,12 @@
 type InstancesListed struct{ Instances []Instance }
 
 func (l InstancesListed) apply(e *Engine, now time.Time) {
-	e.lastList = now
+	e.machines.listed(now)
 	for _, lm := range l.Instances {
-		if _, gone := e.removed[lm.Name]; gone {
+		if e.machines.wasRemoved(lm.Name) {
 			continue
 		}
-		m := e.machines[lm.Name]
+		m := e.machines.get(lm.Name)
 		if m == nil {
 			m = fleet.NewMachine(now, lm.Name, fleet.PoolKey{Type: lm.Type, Zone: lm.Zone, Spot: lm.Spot})
 			m.SetAge(now, lm.Age)
@@ -64,7 +64,7 @@
 	e.plan.Answered(now, o, capacity.Answer{Requested: r.Request.Count, Created: len(r.Machines), OutcomeUnknown: r.OutcomeUnknown})
 	e.warm.noteOffer(o)
 	for _, name := range r.Machines {
-		if _, gone := e.removed[name]; gone || e.machines[name] != nil {
+		if e.machines.wasRemoved(name) || e.machines.get(name) != nil {
 			continue
 		}
 		m := fleet.NewMachine(now, name, o)
@@ -85,7 +85,7 @@
 
 func (r ScaleInAnswered) apply(e *Engine, now time.Time) {
 	for _, name := range r.Machines {
-		m := e.machines[name]
+		m := e.machines.get(name)
 		if m == nil {
 			continue
 		}
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -23,7 +23,7 @@
 		if j == nil || task.Task >= len(j.Tasks) || j.Tasks[task.Task].State() == pipeline.Finished {
 			continue // should it still be there, the machine's heartbeat will say so
 		}
-		m := e.machines[logged.placed.Machine]
+		m := e.machines.get(logged.placed.Machine)
 		if m == nil {
 			m = e.addAwaitingHeartbeat(now, logged.placed)
 			m.VerifyExistence()
@@ -68,11 +68,9 @@
 
 // addMachine takes in a machine that is new here.
 func (e *Engine) addMachine(now time.Time, m *fleet.Machine) {
-	e.machines[m.Name] = m
-	e.inState[m.State()]++
+	e.machines.add(now, m)
 	m.SetImages(e.images.takeInherited(m.Name))
 	e.recovery.Discover(m.Name)
-	e.timers.schedule(m, now)
 	e.capacityChanged(m)
 	e.drainMachineKnown(now, m)
 }
@@ -80,16 +78,12 @@
 // moveMachine is the one place where a machine that is known here changes state. It returns
 // false if nothing changes.
 func (e *Engine) moveMachine(now time.Time, m *fleet.Machine, to fleet.MachineState) bool {
-	was := m.State()
-	if !m.Move(now, to) {
+	if !e.machines.move(now, m, to) {
 		return false
 	}
-	e.inState[was]--
-	e.inState[to]++
 	if to == fleet.Unresponsive || to == fleet.ScalingIn {
 		e.recovery.GivenUp(m.Name)
 	}
-	e.timers.schedule(m, now)
 	e.capacityChanged(m)
 	return true
 }
@@ -105,14 +99,9 @@
 		}
 		e.attemptLost(now, m, a, lostMachineRemoved)
 	}
-	delete(e.machines, m.Name)
-	if m.OneWayLoss.Unreachable() {
-		e.unreachable--
-	}
+	e.machines.remove(now, m)
 	e.recovery.MachineRemoved(m.Name)
 	e.images.machineRemoved(m.Name)
-	e.inState[fleet.Removed]--
-	e.removed[m.Name] = now
 	e.drainMachineRemoved(m)
 	e.warm.noteMachine(m.Name)
 	e.log(LogMachineRemoved, logMachine(m))
@@ -141,26 +130,13 @@
 // checkMachines looks at the machines for which it is time: unresponsiveness, ended
 // leases, boots that take too long.
 func (e *Engine) checkMachines(now time.Time) {
-	for m := e.timers.expired(now); m != nil; m = e.timers.expired(now) {
+	for m := e.machines.nextDue(now); m != nil; m = e.machines.nextDue(now) {
 		next := e.checkMachine(now, m)
 		if m.State() != fleet.Removed {
-			e.timers.schedule(m, next)
-		}
-	}
-	e.pruneRemoved(now)
-}
-
-// pruneRemoved forgets, once a minute, names of machines that have been gone for long.
-func (e *Engine) pruneRemoved(now time.Time) {
-	if now.Sub(e.prunedAt) < time.Minute {
-		return
-	}
-	e.prunedAt = now
-	for name, at := range e.removed {
-		if now.Sub(at) > keepRemovedNames {
-			delete(e.removed, name)
+			e.machines.checkAt(m, next)
 		}
 	}
+	e.machines.pruneRemoved(now)
 }
 
 // recheckEvery is how soon a machine is looked at again on which something is
@@ -209,7 +185,7 @@
 // startDraining keeps a machine from getting more starts; it goes back once empty.
 func (e *Engine) startDraining(now time.Time, m *fleet.Machine) {
 	m.StartDraining()
-	e.timers.schedule(m, now)
+	e.machines.checkAt(m, now)
 	e.capacityChanged(m)
 }
 
@@ -224,10 +200,6 @@
 	}
 }
 
-// keepRemovedNames is how long the names of machines that are gone are kept, for
-// messages and lists that are late.
-const keepRemovedNames = 15 * time.Minute
-
 // bootLimit is after how long a boot is given up: boots usually take up to one
 // and a half times the nominal time, some several times as long.
 func (e *Engine) bootLimit(boot time.Duration) time.Duration {
@@ -249,7 +221,7 @@
 // enough to release it before its worker's lease has ended, which proves all on
 // it gone. Machines that only hang stay listed, and are waited for.
 func (e *Engine) missingFromList(m *fleet.Machine) bool {
-	return !m.ListedAt().IsZero() && e.lastList.Sub(m.ListedAt()) > 2*e.cfg.InstanceListLag+4*time.Second
+	return !m.ListedAt().IsZero() && e.machines.listedAt.Sub(m.ListedAt()) > 2*e.cfg.InstanceListLag+4*time.Second
 }
 
 // unresponsiveAfter is when a machine that doesn't report gets no more starts: two
@@ -304,7 +276,7 @@
 
 // HasLiveMachines tells whether any machine is up as far as is known.
 func (e *Engine) HasLiveMachines() bool {
-	for _, m := range e.machines {
+	for m := range e.machines.all() {
 		if s := m.State(); s == fleet.Live || s == fleet.Unresponsive {
 			return true // mostly the first one looked at
 		}
--- a/internal/core/one_way_loss_test.go
+++ b/internal/core/one_way_loss_test.go
@@ -25,7 +25,7 @@
 	for range 4 {
 		b.report("m-1", 2, task)
 	}
-	if n := b.e.machines["m-1"].OneWayLoss.Undelivered(); n > 1 {
+	if n := b.e.machines.get("m-1").OneWayLoss.Undelivered(); n > 1 {
 		t.Fatalf("%d answers counted as undelivered within a moment", n)
 	}
 }
@@ -39,7 +39,7 @@
 		b.e.Step(b.now, Tick{})
 		b.report("m-1", 2, task)
 	}
-	if n := b.e.machines["m-1"].OneWayLoss.Undelivered(); n > 0 {
+	if n := b.e.machines.get("m-1").OneWayLoss.Undelivered(); n > 0 {
 		t.Fatalf("%d answers counted as undelivered by a leader that is slow itself", n)
 	}
 }
@@ -53,7 +53,7 @@
 	for b.now.Sub(at) < config().Lease {
 		b.pass(3*time.Second, true)
 		sent += len(starts(b.report("m-1", 2)))
-		if b.e.machines["m-1"].State() == fleet.ScalingIn {
+		if b.e.machines.get("m-1").State() == fleet.ScalingIn {
 			if sent > 2 {
 				t.Fatalf("%d starts sent to a machine that receives nothing", sent)
 			}
@@ -73,10 +73,9 @@
 	names := []string{"m-1", "m-2", "m-3", "m-4"}
 	for _, m := range names {
 		b.up(m)
-		for range 2 {
-			b.e.machines[m].OneWayLoss.NoteUndelivered(b.now)
+		for range 2 { // so many machines that none is released
+			b.e.machines.answerUndelivered(b.now, b.e.machines.get(m))
 		}
-		b.e.unreachable++ // so many that none is released
 	}
 	b.e.Step(b.now, JobStored{job("j-2", 32)})
 	used := map[string]bool{}
@@ -108,7 +107,7 @@
 		}
 	}
 	for _, m := range names {
-		if s := b.e.machines[m]; s.State() == fleet.ScalingIn {
+		if s := b.e.machines.get(m); s.State() == fleet.ScalingIn {
 			t.Fatalf("%s is released", m)
 		}
 	}
--- a/internal/core/priority_order_test.go
+++ b/internal/core/priority_order_test.go
@@ -42,7 +42,7 @@
 	b.e.Step(b.now, JobStored{gang})
 	stopped := func() (n int) {
 		for _, m := range machines {
-			for a := range b.e.machines[m].Attempts() {
+			for a := range b.e.machines.get(m).Attempts() {
 				if a.Stopping {
 					n++
 				}
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -55,7 +55,7 @@
 	if j == nil || k.Task >= len(j.Tasks) || j.Tasks[k.Task].State() != pipeline.Assigned {
 		return nil
 	}
-	other := e.machines[j.Tasks[k.Task].Machine]
+	other := e.machines.get(j.Tasks[k.Task].Machine)
 	if other == nil || other == m {
 		return nil
 	}
--- a/internal/core/reconcile_test.go
+++ b/internal/core/reconcile_test.go
@@ -39,7 +39,7 @@
 		t.Fatal("adopted on the word of what may be a late copy")
 	}
 	b.report("m-1", 9, running1)
-	a := b.e.machines["m-1"].Attempt(fleet.TaskID{Ref: "j-1", Task: 1})
+	a := b.e.machines.get("m-1").Attempt(fleet.TaskID{Ref: "j-1", Task: 1})
 	if a == nil || a.Unrecorded || a.Stopping || b.e.jobs["j-1"].Tasks[1].Machine != "m-1" {
 		t.Fatalf("not adopted: %+v", a)
 	}
@@ -78,8 +78,8 @@
 	forgotten := fleet.TaskStatus{Ref: "j-1", Attempt: 8<<attemptBits | 7, State: fleet.Running}
 	b.report("m-1", 8, forgotten)
 	b.report("m-1", 9, forgotten)
-	if j := b.e.jobs["j-1"]; j.Tasks[0].Machine != "m-1" || b.e.machines["m-2"].ActiveAttempts() != 0 {
-		t.Fatalf("the task is on %s, %d attempts on m-2", j.Tasks[0].Machine, b.e.machines["m-2"].ActiveAttempts())
+	if j := b.e.jobs["j-1"]; j.Tasks[0].Machine != "m-1" || b.e.machines.get("m-2").ActiveAttempts() != 0 {
+		t.Fatalf("the task is on %s, %d attempts on m-2", j.Tasks[0].Machine, b.e.machines.get("m-2").ActiveAttempts())
 	}
 	if s := starts(b.report("m-2", 9)); len(s) != 0 {
 		t.Fatalf("started beside the forgotten one: %v", s)
--- a/internal/core/safety_test.go
+++ b/internal/core/safety_test.go
@@ -373,7 +373,7 @@
 	}
 	b = newBench(t, 3, inherited())
 	b.worker("m-1", 1, 2, 900)
-	if r := b.worker("m-1", 2, 1, 4, here); !r.OK || b.e.machines["m-1"].Sequence() != 4 {
+	if r := b.worker("m-1", 2, 1, 4, here); !r.OK || b.e.machines.get("m-1").Sequence() != 4 {
 		t.Fatalf("the worker is ignored for a copy's sake: %+v", r)
 	}
 }
@@ -386,7 +386,7 @@
 		t.Fatal("a copy of a report of long ago has the task taken for running")
 	}
 	b.pass(6*time.Second, true)
-	if b.e.machines["m-9"].ActiveAttempts() > 0 {
+	if b.e.machines.get("m-9").ActiveAttempts() > 0 {
 		t.Fatal("placed on a machine of which only an old copy speaks")
 	}
 }
@@ -407,7 +407,7 @@
 		if b.e.jobs["j-1"].Count(pipeline.Waiting) > 0 {
 			t.Fatal("taken for gone on the word of what may be copies")
 		}
-		if b.e.machines["m-1"].State() == fleet.ScalingIn {
+		if b.e.machines.get("m-1").State() == fleet.ScalingIn {
 			return
 		}
 	}
@@ -455,7 +455,7 @@
 	}
 	for range 9 { // past the restart limit
 		b.report("m-1", 2, running(busy), fleet.TaskStatus{Ref: "j-1", Attempt: c.Attempt, State: fleet.Exited, Cause: fleet.CauseError})
-		b.e.machines["m-1"].ClearFailures() // other work goes well there
+		b.e.machines.get("m-1").ClearFailures() // other work goes well there
 		failed := b.now
 		for s := starts(b.report("m-1", 2, running(busy))); ; s = starts(b.report("m-1", 2, running(busy))) {
 			if len(s) > 0 {
--- a/internal/core/silence_test.go
+++ b/internal/core/silence_test.go
@@ -13,14 +13,14 @@
 	b, c := started(t)
 	b.report("m-1", 2, running(c))
 	silent := b.now
-	lease, kept := b.e.cfg.Lease, b.e.unresponsiveLimit(b.e.machines["m-1"])
+	lease, kept := b.e.cfg.Lease, b.e.unresponsiveLimit(b.e.machines.get("m-1"))
 	for b.now.Sub(silent) < lease+5*time.Second {
 		b.now = b.now.Add(time.Second)
 		if eff := b.e.Step(b.now, Tick{}); len(eff.ScaleIn) > 0 {
 			t.Fatalf("released after %s", b.now.Sub(silent))
 		}
 	}
-	if n := b.e.machines["m-1"].ActiveAttempts(); n != 0 {
+	if n := b.e.machines.get("m-1").ActiveAttempts(); n != 0 {
 		t.Fatalf("%d tasks counted as there after the lease", n)
 	}
 	seq := b.seq["m-1"] + 1
@@ -50,7 +50,7 @@
 	b := newBench(t, 2, Snapshot{})
 	up := Instance{Name: "m-1", Addr: "m-1", Type: "big", Zone: "a", Status: InstanceRunning, Age: 10 * time.Minute}
 	b.e.Step(b.now, InstancesListed{Instances: []Instance{up}})
-	began, kept := b.now, b.e.unresponsiveLimit(b.e.machines["m-1"])
+	began, kept := b.now, b.e.unresponsiveLimit(b.e.machines.get("m-1"))
 	for b.now.Sub(began) < kept {
 		b.now = b.now.Add(time.Second)
 		if eff := b.e.Step(b.now, Tick{}); len(eff.ScaleIn) > 0 {
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -70,7 +70,7 @@
 // poolStatus counts the machines of each pool.
 func (e *Engine) poolStatus() []PoolStatus {
 	pools := map[fleet.PoolKey]*PoolStatus{}
-	for _, m := range e.machines {
+	for m := range e.machines.all() {
 		p := pools[m.PoolKey]
 		if p == nil {
 			p = &PoolStatus{Type: m.Type, Zone: m.Zone, Spot: m.Spot, States: map[string]int{}}
@@ -160,7 +160,7 @@
 	case !team.Within(u.CPUs+n*j.CPUs, u.GPUs+n*j.GPUs):
 		return ReasonQuota
 	}
-	for _, m := range e.machines {
+	for m := range e.machines.all() {
 		t := e.catalog[m.Type]
 		if m.State() == fleet.Booting && t != nil && t.Fits(&j.Spec) && j.AllowsType(m.Type) {
 			return ReasonAsking
--- a/internal/core/warm_start.go
+++ b/internal/core/warm_start.go
@@ -76,7 +76,7 @@
 // since when each attempt has run.
 func (s *warmStart) compareAttempts() {
 	e := s.engine
-	for _, m := range e.machines {
+	for m := range e.machines.all() {
 		for a := range m.Attempts() {
 			task := a.TaskID
 			known := s.attempts[task]
@@ -153,7 +153,7 @@
 // taken in only if it is to be expected; else the cloud's list or its heartbeat will tell of it.
 func (s *warmStart) takeMachine(w *WarmMachine) {
 	e := s.engine
-	m := e.machines[w.Name]
+	m := e.machines.get(w.Name)
 	expected := s.outcome.Confirmed && w.Reporting && !w.Quarantined && !w.Draining && !s.differing[w.Name]
 	if m == nil {
 		if !expected {
--- a/internal/core/warm_start_test.go
+++ b/internal/core/warm_start_test.go
@@ -120,15 +120,15 @@
 	if n := b.e.jobs["j-1"].Count(pipeline.Waiting); n != 0 {
 		t.Fatal("the task is placed again on the word of the warm state")
 	}
-	if n := b.e.machines["m-1"].ActiveAttempts(); n != 1 {
+	if n := b.e.machines.get("m-1").ActiveAttempts(); n != 1 {
 		t.Fatalf("%d attempts on the machine of which the start log tells otherwise", n)
 	}
-	if n := b.e.machines["m-2"].ActiveAttempts(); n != 8 {
+	if n := b.e.machines.get("m-2").ActiveAttempts(); n != 8 {
 		t.Fatalf("%d attempts on the expected machine, which takes 8", n)
 	}
 	b.report("m-1", 2, running(c))
 	b.report("m-1", 3, running(c))
-	if a := b.e.machines["m-1"].Attempt(fleet.TaskID{Ref: "j-1"}); a == nil || a.Number != c.Attempt {
+	if a := b.e.machines.get("m-1").Attempt(fleet.TaskID{Ref: "j-1"}); a == nil || a.Number != c.Attempt {
 		t.Fatal("the attempt isn't taken up")
 	}
 }
@@ -143,7 +143,7 @@
 		b.pass(2*time.Second, true)
 		b.report("m-1", 3)
 	}
-	if m := b.e.machines["m-2"]; m.HeartbeatExpected() || m.ActiveAttempts() != 0 {
+	if m := b.e.machines.get("m-2"); m.HeartbeatExpected() || m.ActiveAttempts() != 0 {
 		t.Fatalf("still expected %v with %d attempts", m.HeartbeatExpected(), m.ActiveAttempts())
 	}
 	if n := b.e.jobs["j-2"].Count(pipeline.Waiting); n == 0 {
@@ -175,7 +175,7 @@
 		avoid := WarmKey{Kind: WarmJobKind, Name: "j-2"}
 		state[avoid] = WarmRecord{Key: avoid, Job: &WarmJob{Ref: "j-2", Avoids: []WarmAvoid{{Machine: "m-1", UntilMS: time.Unix(5060, 0).UnixMilli()}}}}
 	})
-	if m := b.e.machines["m-2"]; m != nil && m.HeartbeatExpected() {
+	if m := b.e.machines.get("m-2"); m != nil && m.HeartbeatExpected() {
 		t.Error("a sick machine is expected")
 	}
 	if c := b.e.class("c"); c.ratio != 1.5 || c.runs != 12 {
@@ -188,7 +188,7 @@
 		t.Error("the job doesn't avoid the machine where it failed")
 	}
 	b.report("m-1", 2, running(c))
-	a := b.e.machines["m-1"].Attempt(fleet.TaskID{Ref: "j-1"})
+	a := b.e.machines.get("m-1").Attempt(fleet.TaskID{Ref: "j-1"})
 	if ran := b.now.Sub(a.RunStart); ran < 20*time.Second {
 		t.Errorf("the task counts as running since %s ago", ran)
 	}
@@ -241,7 +241,8 @@
 func (w warmTable) compare(t *testing.T, e *Engine) {
 	t.Helper()
 	busy, attempts := 0, 0
-	for name, m := range e.machines {
+	for m := range e.machines.all() {
+		name := m.Name
 		busy += m.ActiveAttempts()
 		got := w[WarmKey{Kind: WarmMachineKind, Name: name}].Machine
 		want := e.warmMachine(name)
--- a/internal/core/warm_state.go
+++ b/internal/core/warm_state.go
@@ -202,7 +202,7 @@
 }
 
 func (e *Engine) warmMachine(name string) *WarmMachine {
-	m := e.machines[name]
+	m := e.machines.get(name)
 	if m == nil {
 		return nil
 	}
@@ -225,7 +225,7 @@
 	if j == nil || task.Task >= len(j.Tasks) {
 		return nil
 	}
-	m := e.machines[j.Tasks[task.Task].Machine]
+	m := e.machines.get(j.Tasks[task.Task].Machine)
 	if m == nil {
 		return nil
 	}
