--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -5,23 +5,12 @@
 
 import (
 	"log/slog"
-	"sort"
 	"time"
 
 	"gingertally/internal/core/fleet"
 	"gingertally/internal/core/pipeline"
 )
 
-// jobUse is what of a job may be on machines. Quotas, zones and gangs are checked against
-// it, also for jobs that are over (TestQuotaCountsJobsThatAreOver).
-type jobUse struct {
-	team     string
-	attempts map[*fleet.Attempt]bool
-	results  map[*fleet.Attempt]bool // that the store isn't known to hold
-	running  int
-	zones    map[string]int
-}
-
 // attemptBits is the room for the attempts of one term in an attempt's number.
 const attemptBits = 24
 
@@ -41,33 +30,18 @@
 	return e.term<<attemptBits | e.counter
 }
 
-// useOf returns the use of a job, empty if nothing of it may be on a machine.
-func (e *Engine) useOf(ref string) *jobUse {
-	u := e.use[ref]
-	if u == nil {
-		u = &jobUse{attempts: map[*fleet.Attempt]bool{}, results: map[*fleet.Attempt]bool{}, zones: map[string]int{}}
-		e.use[ref] = u
-	}
-	return u
-}
-
 // attach notes an attempt that is, or may be, on a machine. Together with moveAttempt and
 // detach it keeps the counts that quotas, zones and gangs are checked against.
 func (e *Engine) attach(now time.Time, m *fleet.Machine, a *fleet.Attempt, st fleet.TaskState) {
-	u := e.useOf(a.Ref)
-	if j := e.jobs[a.Ref]; j != nil {
-		u.team = j.Team
+	team := ""
+	if j := e.jobs.get(a.Ref); j != nil {
+		team = j.Team
 		a.ServiceReplica = j.Shape == pipeline.Service
 	}
 	m.AddAttempt(now, a, st)
-	u.attempts[a] = true
-	u.zones[m.Zone]++
-	e.teamUse[u.team] = e.teamUse[u.team].Plus(a)
+	e.usage.add(a, team)
 	e.capacityChanged(m)
 	e.warm.noteAttempt(a)
-	if st == fleet.Running {
-		u.running++
-	}
 }
 
 // moveAttempt is the one place where an attempt that is attached changes state.
@@ -77,12 +51,8 @@
 		return
 	}
 	e.warm.noteAttempt(a)
-	u := e.useOf(a.Ref)
-	if was == fleet.Running {
-		u.running--
-	}
+	e.usage.moved(a, was)
 	if to == fleet.Running {
-		u.running++
 		e.debug(LogAttemptRunning, logAttempt(a, logSince("since_start_sent", now, a.SentAt), slog.Duration("fetch_estimate", a.FetchEstimate))...)
 	}
 	if to == fleet.Exited {
@@ -98,20 +68,17 @@
 			e.imagesChanged(m)
 		}
 	}
-	u := e.useOf(a.Ref)
-	delete(u.attempts, a)
-	u.zones[m.Zone]--
-	e.teamUse[u.team] = e.teamUse[u.team].Minus(a)
+	e.usage.exited(a)
 	e.startLog.removeAttempt(a)
 	e.endCharge(now, a)
 	e.capacityChanged(m)
-	e.forgetUse(a.Ref)
+	e.forgetUsage(a.Ref)
 }
 
-// forgetUse forgets the use of a job that is over and nowhere any more.
-func (e *Engine) forgetUse(ref string) {
-	if u := e.use[ref]; u != nil && len(u.attempts)+len(u.results) == 0 && e.jobs[ref] == nil {
-		delete(e.use, ref)
+// forgetUsage forgets the usage of a job that is over and nowhere any more.
+func (e *Engine) forgetUsage(ref string) {
+	if e.jobs.get(ref) == nil {
+		e.usage.forgetUnused(ref)
 	}
 }
 
@@ -124,34 +91,13 @@
 // removeAttempt forgets an attempt that has exited.
 func (e *Engine) removeAttempt(now time.Time, m *fleet.Machine, a *fleet.Attempt) {
 	m.RemoveAttempt(now, a.TaskID)
-	if u := e.use[a.Ref]; u != nil {
-		delete(u.results, a)
-		e.forgetUse(a.Ref)
-	}
-}
-
-// attemptsOf lists the attempts of a job that may be on machines, by machine.
-func (e *Engine) attemptsOf(ref string) []*fleet.Attempt {
-	u := e.use[ref]
-	if u == nil || len(u.attempts) == 0 {
-		return nil
-	}
-	out := make([]*fleet.Attempt, 0, len(u.attempts))
-	for a := range u.attempts {
-		out = append(out, a)
-	}
-	sort.Slice(out, func(i, k int) bool {
-		if out[i].Machine.Name != out[k].Machine.Name {
-			return out[i].Machine.Name < out[k].Machine.Name
-		}
-		return out[i].Task < out[k].Task
-	})
-	return out
+	e.usage.removeResult(a)
+	e.forgetUsage(a.Ref)
 }
 
 // stopJob ends all attempts of a job at once: nothing they could save counts.
 func (e *Engine) stopJob(now time.Time, j *pipeline.Job, reason stopReason) {
-	for _, a := range e.attemptsOf(j.Ref) {
+	for _, a := range e.usage.attemptsOf(j.Ref) {
 		e.stop(now, a.Machine, a, 0)
 	}
 	e.debug(LogJobTasksStopped, logJob(j), logReason(string(reason)))
@@ -200,7 +146,7 @@
 
 // requeue lets the task of a gone attempt be placed again.
 func (e *Engine) requeue(a *fleet.Attempt) {
-	if j := e.jobs[a.Ref]; j != nil && a.Task < len(j.Tasks) && j.Tasks[a.Task].Attempt == a.Number {
+	if j := e.jobs.get(a.Ref); j != nil && a.Task < len(j.Tasks) && j.Tasks[a.Task].Attempt == a.Number {
 		j.Requeue(a.Task)
 	}
 }
@@ -218,11 +164,11 @@
 // gang runs whole or not at all. Another attempt of the gang, which took the place of one
 // given up, doesn't end with that (TestOldAttemptOfAGangEndsAlone).
 func (e *Engine) stopBrokenGang(now time.Time, a *fleet.Attempt) {
-	j := e.jobs[a.Ref]
+	j := e.jobs.get(a.Ref)
 	if j == nil || j.Shape != pipeline.Gang || j.Tasks[0].State() == pipeline.Finished || len(j.Tasks) == 1 {
 		return
 	}
-	for _, b := range e.attemptsOf(a.Ref) {
+	for _, b := range e.usage.attemptsOf(a.Ref) {
 		if b.Number == a.Number && !b.Stopping {
 			e.chargeInvoluntary(now, b)
 			e.stop(now, b.Machine, b, 0)
@@ -235,7 +181,7 @@
 	if a.State() == fleet.Exited {
 		return // reported again, until the worker is told to forget it
 	}
-	j := e.jobs[a.Ref]
+	j := e.jobs.get(a.Ref)
 	current := j != nil && a.Task < len(j.Tasks) && j.Tasks[a.Task].Attempt == a.Number
 	if t.Cause == fleet.CauseGangPeerLost {
 		e.chargeInvoluntary(now, a)
@@ -277,15 +223,16 @@
 func (e *Engine) taskDone(now time.Time, m *fleet.Machine, a *fleet.Attempt) {
 	e.debug(LogAttemptSucceeded, logAttempt(a)...)
 	m.ClearFailures()
-	j := e.jobs[a.Ref]
+	j := e.jobs.get(a.Ref)
 	if j == nil || j.Over() || a.Task >= len(j.Tasks) {
 		a.ExitHandled = true
 		return
 	}
 	if !a.RunStart.IsZero() && j.Estimate > 0 {
-		e.learnRunTime(j, now.Sub(a.RunStart))
+		e.classes.class(j.Class).learnRunTime(now.Sub(a.RunStart), j.Estimate)
+		e.warm.noteClass(j.Class)
 	}
-	e.useOf(a.Ref).results[a] = true
+	e.usage.addResult(a)
 	j.Finish(a.Task)
 	if j.CompleteIfDone() {
 		e.log(LogJobTasksDone, logJob(j))
@@ -312,7 +259,7 @@
 		e.machines.checkAt(m, now)
 		e.log(LogMachineQuarantined, logMachine(m), slog.Int("failures", m.Failures()))
 		for _, ref := range m.FailedJobs() {
-			if o := e.jobs[ref]; o != nil {
+			if o := e.jobs.get(ref); o != nil {
 				delete(o.AvoidUntil, m.Name)
 			}
 		}
@@ -322,21 +269,3 @@
 		j.Avoid(now, m.Name)
 	}
 }
-
-// learnRunTime smooths the ratio of run time to estimate that a class of jobs shows.
-func (e *Engine) learnRunTime(j *pipeline.Job, ran time.Duration) {
-	c := e.class(j.Class)
-	ratio := min(max(float64(ran)/float64(j.Estimate), minRunRatio), maxRunRatio)
-	c.runs++
-	weight := max(1/float64(c.runs), minRunWeight)
-	c.ratio += (ratio - c.ratio) * weight
-	e.warm.noteClass(j.Class)
-}
-
-const (
-	// minRunRatio and maxRunRatio bound what one run may show.
-	minRunRatio = 0.1
-	maxRunRatio = 10
-	// minRunWeight is the weight of a run once many have been seen.
-	minRunWeight = 0.1
-)
--- a/internal/core/cancel.go
+++ b/internal/core/cancel.go
@@ -107,7 +107,7 @@
 
 func (c CancelRequested) apply(e *Engine, now time.Time) {
 	e.cancellations.begin(c.Ref)
-	if j := e.jobs[c.Ref]; j != nil {
+	if j := e.jobs.get(c.Ref); j != nil {
 		e.stopJob(now, j, stopCancelRequested)
 	}
 }
@@ -130,7 +130,7 @@
 	if c.Deferred {
 		p.deferredUntil = now.Add(e.cfg.CancelWithin)
 	}
-	j := e.jobs[c.Ref]
+	j := e.jobs.get(c.Ref)
 	if c.Unknown {
 		p.unknownVersion = max(p.unknownVersion, c.Version)
 		if j != nil {
@@ -158,7 +158,7 @@
 		return false
 	}
 	var version uint64
-	if j := e.jobs[ref]; j != nil {
+	if j := e.jobs.get(ref); j != nil {
 		version = j.Version
 	}
 	return e.cancellations.undecided(ref, version)
@@ -174,7 +174,7 @@
 // argument 8; TestCancelIsFinalAndInTime).
 func (e *Engine) enforceCancellations(now time.Time) {
 	for _, j := range sortedJobs(e.cancellations.stopping) {
-		left := e.attemptsOf(j.Ref)
+		left := e.usage.attemptsOf(j.Ref)
 		if len(left) == 0 {
 			delete(e.cancellations.stopping, j)
 			e.jobWrites.jobChanged(j) // its final entry can be written
@@ -191,4 +191,4 @@
 }
 
 // MayBeOnMachines tells whether any task of a job may be on a machine.
-func (e *Engine) MayBeOnMachines(ref string) bool { return len(e.attemptsOf(ref)) > 0 }
+func (e *Engine) MayBeOnMachines(ref string) bool { return len(e.usage.attemptsOf(ref)) > 0 }
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -48,14 +48,14 @@
 
 // urgent tells whether an attempt's start isn't held back by the pace of a recovery.
 func (e *Engine) urgent(a *fleet.Attempt) bool {
-	j := e.jobs[a.Ref]
+	j := e.jobs.get(a.Ref)
 	return j != nil && j.Urgency <= pipeline.High
 }
 
 // startSent notes that an attempt's start goes out with the answer to the newest heartbeat.
 func (e *Engine) startSent(now time.Time, m *fleet.Machine, a *fleet.Attempt) {
 	a.CommandSequence = m.Sequence()
-	if j := e.jobs[a.Ref]; j != nil && !j.Started && !j.StartSent {
+	if j := e.jobs.get(a.Ref); j != nil && !j.Started && !j.StartSent {
 		j.StartSent = true
 		e.waits.note(j, now.Sub(j.Since))
 	}
@@ -70,7 +70,7 @@
 
 // imageGB is the size of a job's image, 0 if the job isn't known.
 func (e *Engine) imageGB(ref string) float64 {
-	if j := e.jobs[ref]; j != nil {
+	if j := e.jobs.get(ref); j != nil {
 		return j.ImageGB
 	}
 	return 0
--- a/internal/core/consolidate.go
+++ b/internal/core/consolidate.go
@@ -24,24 +24,8 @@
 	moveOverhead = 4 * time.Second
 	// emptiedPart is the part of the fleet that may be emptied at once.
 	emptiedPart = 25
-	// rateWindow smooths the observed arrivals.
-	rateWindow = time.Minute
 )
 
-// arrived notes a job's tasks for its class's rate of arrivals.
-func (c *classStats) arrived(now time.Time, tasks int) {
-	c.rate = c.rateAt(now) + float64(tasks)/rateWindow.Seconds()
-	c.lastAt = now
-}
-
-// rateAt is the class's recent rate of arrivals, in tasks a second.
-func (c *classStats) rateAt(now time.Time) float64 {
-	if c.lastAt.IsZero() {
-		return 0
-	}
-	return c.rate * math.Exp(-now.Sub(c.lastAt).Seconds()/rateWindow.Seconds())
-}
-
 // consolidate empties the machines whose emptying saves the most, a few at a
 // time, if their tasks have room elsewhere and what stays free is enough for the
 // arrivals of a boot time.
@@ -80,7 +64,7 @@
 // several: moving them together would stop the service.
 func (e *Engine) hasAllReplicas(m *fleet.Machine) bool {
 	for a := range m.Attempts() {
-		j := e.jobs[a.Ref]
+		j := e.jobs.get(a.Ref)
 		several := j != nil && j.Shape == pipeline.Service && len(j.Tasks) > 1
 		if several && a.State() != fleet.Exited && !e.runsElsewhere(a.Ref, m) {
 			return true
@@ -91,7 +75,7 @@
 
 // runsElsewhere tells whether a task of a job runs on another machine and isn't to stop.
 func (e *Engine) runsElsewhere(ref string, m *fleet.Machine) bool {
-	for _, a := range e.attemptsOf(ref) {
+	for _, a := range e.usage.attemptsOf(ref) {
 		if a.Machine != m && a.State() == fleet.Running && !a.Stopping {
 			return true
 		}
@@ -145,7 +129,7 @@
 		if a.State() == fleet.Exited {
 			continue
 		}
-		j := v.engine.jobs[a.Ref]
+		j := v.engine.jobs.get(a.Ref)
 		if j == nil || a.State() != fleet.Running || a.Stopping || j.CheckpointInterval == 0 || v.now.Sub(a.RunStart) < settledRun ||
 			isGang(j) || !v.engine.mayMoveByChoice(v.now, a, j) {
 			return candidate{}
@@ -208,7 +192,7 @@
 func (v *consolidation) bestTarget(j *pipeline.Job, from *placement.Slot) *placement.Slot {
 	var best *placement.Slot
 	low := math.Inf(1)
-	zones := maps.Clone(v.engine.useOf(j.Ref).zones)
+	zones := maps.Clone(v.engine.usage.ofJob(j.Ref).zones)
 	zones[from.Zone]--
 	v.engine.freeCapacity.EachOpen(&j.Spec, "", func(o *placement.Slot) {
 		if o == from || v.emptied[o] || placement.ZoneCapacity(j, o.Zone, zones) < 1 || j.Avoids(v.now, o.Machine.Name) ||
--- a/internal/core/decide.go
+++ b/internal/core/decide.go
@@ -50,12 +50,12 @@
 	b := &placement.Board{
 		Now: now, Queue: e.priorityOrder(now), FreeCapacity: &e.freeCapacity, SecondsPerDollarHour: e.cfg.Weights.SecondsPerDollarHour, HeartbeatInterval: e.cfg.HeartbeatInterval, GangSlack: max(0, e.cfg.GangWait-e.cfg.HeartbeatInterval*5/4),
 		Quota:   func(name string) placement.Quota { return e.cfg.Teams[name] },
-		Usage:   func(team string) fleet.Amount { return e.teamUse[team] },
-		InZones: func(ref string) map[string]int { return e.useOf(ref).zones },
-		Busy:    func(ref string) int { return len(e.useOf(ref).attempts) },
+		Usage:   func(team string) fleet.Amount { return e.usage.ofTeam(team) },
+		InZones: func(ref string) map[string]int { return e.usage.ofJob(ref).zones },
+		Busy:    func(ref string) int { return e.usage.ofJob(ref).active() },
 		Commit:  func(d placement.Decision) { looked++; e.place(now, d) },
 		Unplaced: func(j *pipeline.Job, n int) {
-			e.demand = append(e.demand, capacity.Demand{Job: j, Tasks: n, Zones: e.useOf(j.Ref).zones})
+			e.demand = append(e.demand, capacity.Demand{Job: j, Tasks: n, Zones: e.usage.ofJob(j.Ref).zones})
 		},
 		EndOf:        func(a *fleet.Attempt) time.Time { return e.endOf(now, a) },
 		Due:          func(j *pipeline.Job) time.Time { return e.needsCapacityBy(now, j) },
@@ -118,8 +118,8 @@
 // how many teams have work there.
 func (e *Engine) runningWork() (lowest pipeline.Priority, teams int) {
 	seen := map[string]bool{}
-	for _, j := range e.order {
-		if len(e.useOf(j.Ref).attempts) > 0 {
+	for _, j := range e.jobs.inOrder() {
+		if e.usage.ofJob(j.Ref).active() > 0 {
 			lowest, seen[j.Team] = max(lowest, j.Urgency), true
 		}
 	}
--- a/internal/core/dependents.go
+++ b/internal/core/dependents.go
@@ -14,9 +14,7 @@
 
 // becameReady notes that a job's tasks may be placed from now on.
 func (e *Engine) becameReady(now time.Time, j *pipeline.Job) {
-	c := e.class(j.Class)
-	c.arrived(now, j.Count(pipeline.Waiting))
-	c.spec = &j.Spec
+	e.classes.class(j.Class).arrived(now, &j.Spec, j.Count(pipeline.Waiting))
 	e.warm.noteClass(j.Class)
 	e.replan = true
 }
@@ -24,9 +22,9 @@
 // applyKnownDependencies takes in what is known here of a job's dependencies.
 func (e *Engine) applyKnownDependencies(now time.Time, j *pipeline.Job) {
 	for _, ref := range j.Dependencies() {
-		if f, over := e.finals[ref]; over {
+		if f, over := e.jobs.final(ref); over {
 			e.dependencyOver(now, ref, f)
-		} else if d := e.jobs[ref]; d != nil && d.Phase() == pipeline.Cancelled {
+		} else if d := e.jobs.get(ref); d != nil && d.Phase() == pipeline.Cancelled {
 			e.cancelDependents(now, ref)
 		}
 	}
--- a/internal/core/dependents_test.go
+++ b/internal/core/dependents_test.go
@@ -35,7 +35,7 @@
 	b.report("m-1", 2, running(s[0]))
 	b.finish("m-1", s[0])
 	b.pass(3*time.Second, false)
-	if j := b.e.jobs["j-2"]; j.Phase() != pipeline.Held {
+	if j := b.e.jobs.get("j-2"); j.Phase() != pipeline.Held {
 		t.Fatal("ready before the store held that its dependency is done")
 	}
 	b.pass(time.Second, true)
@@ -51,8 +51,8 @@
 	b := newBench(t, 2, Snapshot{Jobs: []StoredJob{held, job("j-1", 1)}})
 	b.up("m-1")
 	b.pass(10*time.Second, true)
-	if len(b.e.demand) != 0 || b.e.teamUse["t"].CPUs != 1 {
-		t.Fatalf("demand %v, in use %v", b.e.demand, b.e.teamUse["t"])
+	if len(b.e.demand) != 0 || b.e.usage.ofTeam("t").CPUs != 1 {
+		t.Fatalf("demand %v, in use %v", b.e.demand, b.e.usage.ofTeam("t"))
 	}
 	if v, ok := b.e.Lookup("j-2"); !ok || v.Phase != pipeline.Active || v.Running != 0 {
 		t.Fatalf("told as %+v, %v", v, ok)
@@ -112,14 +112,14 @@
 	}
 	end := b.now.Add(-time.Minute).Truncate(time.Millisecond)
 	b.e.Step(b.now, JobFinished{Ref: "j-1", Final: pipeline.Final{Phase: pipeline.Done, EndMS: end.UnixMilli()}})
-	if j := b.e.jobs["j-2"]; j.Phase() != pipeline.Active || !j.Since.Equal(end) {
+	if j := b.e.jobs.get("j-2"); j.Phase() != pipeline.Active || !j.Since.Equal(end) {
 		t.Fatalf("phase %d since %v", j.Phase(), j.Since)
 	}
 	b.e.Step(b.now, JobFinished{Ref: "j-4", Final: pipeline.Final{Phase: pipeline.Cancelled}})
 	if f, ok := b.ended("j-5"); !ok || f.Phase != pipeline.Cancelled {
 		t.Fatal("j-5 isn't being cancelled")
 	}
-	if v, ok := b.e.Lookup("j-3"); !ok || v.Phase != pipeline.Active || b.e.jobs["j-3"].Phase() != pipeline.Held {
+	if v, ok := b.e.Lookup("j-3"); !ok || v.Phase != pipeline.Active || b.e.jobs.get("j-3").Phase() != pipeline.Held {
 		t.Fatalf("j-3 is told of as %+v, %v", v, ok)
 	}
 }
@@ -216,8 +216,8 @@
 	for i := range 20 {
 		ref := "j-" + string(rune('a'+i))
 		e.addJob(time.Unix(0, 0), job(ref, 1))
-		e.jobs[ref].Finish(0)
-		e.jobs[ref].CompleteIfDone()
+		e.jobs.get(ref).Finish(0)
+		e.jobs.get(ref).CompleteIfDone()
 		p := fleet.NewStartLogPage(ref, 0)
 		p.Dirty = true
 		e.startLog.addPage(p)
@@ -249,7 +249,7 @@
 func TestCancelledWithOthersAreWrittenFirst(t *testing.T) {
 	b := newBench(t, 2, Snapshot{Jobs: []StoredJob{job("j-1", 1), job("j-2", 1), job("j-5", 1), after("j-9", "j-8")}})
 	for _, ref := range []string{"j-5", "j-1", "j-2"} {
-		j := b.e.jobs[ref]
+		j := b.e.jobs.get(ref)
 		delete(b.e.jobWrites.changed, j)
 		j.Finish(0)
 		j.CompleteIfDone()
@@ -276,14 +276,14 @@
 	}
 	b := newBenchWith(t, cfg, 2, Snapshot{Jobs: []StoredJob{large, job("j-2", 2)}})
 	for _, ref := range []string{"j-1", "j-2"} {
-		b.e.jobs[ref].Finish(0)
-		b.e.jobWrites.jobChanged(b.e.jobs[ref])
+		b.e.jobs.get(ref).Finish(0)
+		b.e.jobWrites.jobChanged(b.e.jobs.get(ref))
 	}
 	if batch := b.e.Batch(b.now, 10); len(batch) != 1 || batch[0].Target() != "j-2" {
 		t.Fatalf("writes %+v", batch)
 	}
-	b.e.jobs["j-1"].Finish(1)
-	b.e.jobs["j-1"].CompleteIfDone()
+	b.e.jobs.get("j-1").Finish(1)
+	b.e.jobs.get("j-1").CompleteIfDone()
 	if f, ok := b.ended("j-1"); !ok || f.Phase != pipeline.Done {
 		t.Fatalf("its end: %+v, %v", f, ok)
 	}
--- a/internal/core/drain_capacity.go
+++ b/internal/core/drain_capacity.go
@@ -38,7 +38,7 @@
 	if b.copies == nil {
 		b.copies, b.without = map[*placement.Slot]*placement.Slot{}, map[string]bool{}
 		for _, t := range b.engine.drains.sortedMoving() {
-			s := b.find(t.job, b.engine.useOf(t.job.Ref).zones, ahead)
+			s := b.find(t.job, b.engine.usage.ofJob(t.job.Ref).zones, ahead)
 			if s == nil {
 				b.short = true
 				break
@@ -74,7 +74,7 @@
 
 // zonesWithout counts the tasks of a job that may be on machines by zone, but for some.
 func (e *Engine) zonesWithout(j *pipeline.Job, leaving []*fleet.Attempt) map[string]int {
-	zones := maps.Clone(e.useOf(j.Ref).zones)
+	zones := maps.Clone(e.usage.ofJob(j.Ref).zones)
 	for _, a := range leaving {
 		zones[a.Machine.Zone]--
 	}
--- a/internal/core/drain_eviction.go
+++ b/internal/core/drain_eviction.go
@@ -41,7 +41,7 @@
 	work := &machineWork{}
 	seen := map[string]bool{}
 	for _, a := range m.SortedAttempts() {
-		j := e.jobs[a.Ref]
+		j := e.jobs.get(a.Ref)
 		if a.Leaving() || j == nil || j.Over() || a.Unrecorded {
 			continue
 		}
@@ -129,7 +129,7 @@
 // replicasDown counts the replicas of a service that don't run or are leaving, but for some.
 func (e *Engine) replicasDown(j *pipeline.Job, except []*fleet.Attempt) int {
 	up := map[int]bool{}
-	for a := range e.useOf(j.Ref).attempts {
+	for a := range e.usage.ofJob(j.Ref).attempts {
 		if e.isUp(a) || slices.Contains(except, a) {
 			up[a.Task] = true
 		}
@@ -211,7 +211,7 @@
 // sendEviction has an approved eviction go with an answer, if it is still in time; else it is
 // judged again.
 func (e *Engine) sendEviction(now time.Time, m *fleet.Machine, a *fleet.Attempt) bool {
-	j := e.jobs[a.Ref]
+	j := e.jobs.get(a.Ref)
 	if j == nil || !e.cfg.Drain.MayMoveNow(now, j.Team, j.Class, evictionTime(j)) {
 		a.Eviction = fleet.NotEvicted
 		return false
@@ -261,7 +261,7 @@
 	d.voidedAt = now
 	ledger := d.coordinator.Ledger
 	for _, c := range ledger.OpenCharges() {
-		a := e.attemptOf(fleet.TaskID{Ref: c.Job, Task: c.Task}, c.Attempt)
+		a := e.usage.find(fleet.TaskID{Ref: c.Job, Task: c.Task}, c.Attempt)
 		if a == nil || a.Leaving() || a.State() != fleet.Running {
 			continue
 		}
@@ -280,7 +280,7 @@
 
 // chargeInvoluntary counts an interruption that budgets can't forbid against what they leave.
 func (e *Engine) chargeInvoluntary(now time.Time, a *fleet.Attempt) {
-	j := e.jobs[a.Ref]
+	j := e.jobs.get(a.Ref)
 	if e.drains == nil || j == nil || j.Over() || a.Unrecorded || a.Stopping || a.State() < fleet.Fetching || a.State() == fleet.Exited || !e.cfg.Drain.Limits(j.Team, j.Class) {
 		return
 	}
@@ -293,7 +293,7 @@
 // interruptedWith is what is interrupted together with an attempt: all of a gang.
 func (e *Engine) interruptedWith(j *pipeline.Job, a *fleet.Attempt) []*fleet.Attempt {
 	if isGang(j) {
-		return e.attemptsOf(j.Ref)
+		return e.usage.attemptsOf(j.Ref)
 	}
 	return []*fleet.Attempt{a}
 }
@@ -345,7 +345,7 @@
 // under a budget is charged first (evictOwn).
 func (e *Engine) moveByChoice(now time.Time, m *fleet.Machine) {
 	for _, a := range m.SortedAttempts() {
-		j := e.jobs[a.Ref]
+		j := e.jobs.get(a.Ref)
 		switch {
 		case j == nil || a.State() == fleet.Exited:
 		case e.drains != nil && e.cfg.Drain.Limits(j.Team, j.Class):
--- a/internal/core/draining.go
+++ b/internal/core/draining.go
@@ -48,31 +48,17 @@
 	}
 	ledger := e.drains.coordinator.Ledger
 	for _, c := range ledger.OpenCharges() {
-		if e.attemptOf(fleet.TaskID{Ref: c.Job, Task: c.Task}, c.Attempt) == nil {
+		if e.usage.find(fleet.TaskID{Ref: c.Job, Task: c.Task}, c.Attempt) == nil {
 			ledger.End(now, c.TaskKey, c.Attempt)
 		}
 	}
 	for _, job := range ledger.ChargedJobs() {
-		if e.jobs[job] == nil {
+		if e.jobs.get(job) == nil {
 			ledger.JobOver(job)
 		}
 	}
 }
 
-// attemptOf is an attempt of a task that may be on a machine; nil if it is proven gone.
-func (e *Engine) attemptOf(k fleet.TaskID, number uint64) *fleet.Attempt {
-	u := e.use[k.Ref]
-	if u == nil {
-		return nil
-	}
-	for a := range u.attempts {
-		if a.TaskID == k && a.Number == number {
-			return a
-		}
-	}
-	return nil
-}
-
 // drainMachineKnown takes in a machine that is new here: it may be cordoned, or part of a plan.
 func (e *Engine) drainMachineKnown(now time.Time, m *fleet.Machine) {
 	d := e.drains
--- a/internal/core/draining_test.go
+++ b/internal/core/draining_test.go
@@ -379,7 +379,7 @@
 		}
 	}
 	b.pass(6*time.Second, true)
-	if u := b.e.useOf("j-1"); u.zones["a"] != 1 || u.zones["b"] != 1 {
+	if u := b.e.usage.ofJob("j-1"); u.zones["a"] != 1 || u.zones["b"] != 1 {
 		t.Fatalf("not placed as meant: %v", u.zones)
 	}
 	b.e.updateFreeCapacity(b.now)
@@ -387,7 +387,7 @@
 		copies: map[*placement.Slot]*placement.Slot{}, emptied: map[*placement.Slot]bool{}, targets: map[*fleet.Machine]bool{}}
 	for _, p := range b.e.freeCapacity.Pools {
 		for _, from := range p.Slots {
-			if to := plan.bestTarget(b.e.jobs["j-1"], from); to != nil {
+			if to := plan.bestTarget(b.e.jobs.get("j-1"), from); to != nil {
 				t.Errorf("from %s in zone %s to %s in zone %s", from.Machine.Name, from.Zone, to.Machine.Name, to.Zone)
 			}
 		}
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -80,12 +80,10 @@
 	out     Effects   // of the present step
 
 	// Jobs.
-	jobs          map[string]*pipeline.Job  // that aren't over
-	order         []*pipeline.Job           // the same in ready order
-	finals        map[string]pipeline.Final // of jobs that are over, some of them
-	graph         *pipeline.Graph           // of their dependencies
-	classes       map[string]*classStats    // what is known of classes of jobs
-	cancellations cancellations             // under way
+	jobs          jobRegistry
+	graph         *pipeline.Graph // of their dependencies
+	classes       jobClasses
+	cancellations cancellations // under way
 
 	// Machines.
 	machines   machineRegistry
@@ -93,8 +91,7 @@
 	writesFail bool                 // the last batch wasn't written
 
 	// What may be on machines.
-	use     map[string]*jobUse      // by job
-	teamUse map[string]fleet.Amount // by team
+	usage usage
 
 	// Rounds of decisions.
 	catalog      placement.Catalog
@@ -218,13 +215,11 @@
 		term:          term,
 		rng:           rng,
 		started:       now,
-		jobs:          map[string]*pipeline.Job{},
-		finals:        map[string]pipeline.Final{},
-		classes:       map[string]*classStats{},
+		jobs:          newJobRegistry(),
+		classes:       jobClasses{},
 		cancellations: newCancellations(),
 		machines:      newMachineRegistry(),
-		use:           map[string]*jobUse{},
-		teamUse:       map[string]fleet.Amount{},
+		usage:         newUsage(),
 		changed:       map[*fleet.Machine]bool{},
 		emptying:      map[*fleet.Machine]bool{},
 		waits:         startWaits{},
--- a/internal/core/estimates.go
+++ b/internal/core/estimates.go
@@ -82,7 +82,7 @@
 // expectedRun is how long a task of the job is expected to run: its owner's
 // estimate, corrected by what its class taught.
 func (e *Engine) expectedRun(j *pipeline.Job) time.Duration {
-	return time.Duration(float64(j.Estimate) * e.class(j.Class).ratio)
+	return time.Duration(float64(j.Estimate) * e.classes.class(j.Class).ratio)
 }
 
 // expectedFetch is how long the job's image takes to fetch, on the mean of the
@@ -108,7 +108,7 @@
 
 // endOf is when an attempt is expected to leave its machine.
 func (e *Engine) endOf(now time.Time, a *fleet.Attempt) time.Time {
-	j := e.jobs[a.Ref]
+	j := e.jobs.get(a.Ref)
 	if a.Stopping {
 		return a.StopAt.Add(a.Grace + e.cfg.HeartbeatInterval)
 	}
--- a/internal/core/fair_order.go
+++ b/internal/core/fair_order.go
@@ -61,7 +61,7 @@
 	for _, entry := range stretch {
 		team := entry.Job.Team
 		if lines[team] == nil {
-			use := e.teamUse[team]
+			use := e.usage.ofTeam(team)
 			lines[team] = &teamLine{used: dominantShare(use, total) / e.fairWeight(team)}
 			teams = append(teams, team)
 		}
--- a/internal/core/fair_order_test.go
+++ b/internal/core/fair_order_test.go
@@ -35,7 +35,7 @@
 func TestFairOrder(t *testing.T) {
 	for _, on := range []bool{false, true} {
 		b := twoTeams(t, FairOrderChanged{On: on})
-		placed := b.e.jobs["j-900000"].Count(pipeline.Assigned) > 0
+		placed := b.e.jobs.get("j-900000").Count(pipeline.Assigned) > 0
 		if placed != on {
 			t.Errorf("fair order %v: the small team's job placed: %v", on, placed)
 		}
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -235,7 +235,7 @@
 	if t.State != fleet.Fetching && a.Image != "" && m.ImageThere(now, a.Image, e.imageGB(a.Ref)) {
 		e.imagesChanged(m)
 	}
-	if j := e.jobs[t.Ref]; j != nil && t.State == fleet.Running {
+	if j := e.jobs.get(t.Ref); j != nil && t.State == fleet.Running {
 		j.Started = true
 	}
 }
@@ -256,7 +256,7 @@
 // stopTasksOn stops what is on a machine that is to be left.
 func (e *Engine) stopTasksOn(now time.Time, m *fleet.Machine, left time.Duration) {
 	for _, a := range m.SortedAttempts() {
-		j := e.jobs[a.Ref]
+		j := e.jobs.get(a.Ref)
 		if a.Stopping || a.State() == fleet.Exited || j == nil {
 			continue
 		}
@@ -275,7 +275,7 @@
 		e.stop(now, m, a, grace)
 		return
 	}
-	for _, o := range e.attemptsOf(a.Ref) {
+	for _, o := range e.usage.attemptsOf(a.Ref) {
 		e.stop(now, o.Machine, o, grace)
 	}
 }
--- a/internal/core/job_write_types.go
+++ b/internal/core/job_write_types.go
@@ -29,14 +29,14 @@
 func (PutJob) ops() int { return 1 }
 
 func (w PutJob) started(e *Engine, now time.Time) {
-	if j := e.jobs[w.Ref]; j != nil {
+	if j := e.jobs.get(w.Ref); j != nil {
 		j.MarkWriting(0, w.Record.Done)
 		e.jobWrites.lastWrite[j.Ref] = now
 	}
 }
 
 func (w PutJob) succeeded(e *Engine, _ time.Time, revision uint64) {
-	if j := e.jobs[w.Ref]; j != nil {
+	if j := e.jobs.get(w.Ref); j != nil {
 		j.Version = revision
 		e.forgetStoredResults(j)
 	}
@@ -68,13 +68,13 @@
 func (PutDoneRanges) ops() int { return 1 }
 
 func (w PutDoneRanges) started(e *Engine, _ time.Time) {
-	if j := e.jobs[w.Ref]; j != nil {
+	if j := e.jobs.get(w.Ref); j != nil {
 		j.MarkWriting(w.Chunk, w.Runs)
 	}
 }
 
 func (w PutDoneRanges) succeeded(e *Engine, _ time.Time, _ uint64) {
-	if j := e.jobs[w.Ref]; j != nil {
+	if j := e.jobs.get(w.Ref); j != nil {
 		e.forgetStoredResults(j)
 	}
 }
@@ -177,7 +177,7 @@
 // rewriteChunk has a chunk of a job's done ranges written again; chunk 0 is part of the
 // job's record.
 func (e *Engine) rewriteChunk(ref string, chunk int) {
-	if j := e.jobs[ref]; j != nil {
+	if j := e.jobs.get(ref); j != nil {
 		j.MarkDirty(chunk)
 		e.jobWrites.jobChanged(j)
 	}
--- a/internal/core/job_writes.go
+++ b/internal/core/job_writes.go
@@ -132,8 +132,7 @@
 	case pipeline.Done:
 		return true
 	case pipeline.Cancelled:
-		u := e.use[j.Ref]
-		return u == nil || len(u.attempts) == 0
+		return e.usage.ofJob(j.Ref).active() == 0
 	}
 	return false
 }
@@ -174,15 +173,11 @@
 // forgetStoredResults lets workers forget results that the store now holds (docs/design.md,
 // safety argument 7; TestForgetOnlyAfterWritten).
 func (e *Engine) forgetStoredResults(j *pipeline.Job) {
-	u := e.use[j.Ref]
-	if u == nil {
-		return
-	}
-	for a := range u.results {
+	for a := range e.usage.ofJob(j.Ref).results {
 		if j.StoredPhase() == pipeline.Done || j.StoredPhase() == pipeline.Cancelled || j.ResultStored(a.Task) {
 			a.ExitHandled = true
-			delete(u.results, a)
+			e.usage.removeResult(a)
 		}
 	}
-	e.forgetUse(j.Ref)
+	e.forgetUsage(j.Ref)
 }
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -1,32 +1,23 @@
 package core
 
 import (
+	"cmp"
 	"log/slog"
 	"slices"
-	"sort"
 	"time"
 
 	"gingertally/internal/core/pipeline"
 )
 
-// classStats is what finished tasks taught about a class of jobs.
-type classStats struct {
-	runs   int
-	ratio  float64 // run time over estimate, smoothed
-	lastAt time.Time
-	rate   float64        // tasks a second as of lastAt
-	spec   *pipeline.Spec // its latest job's
-}
-
 // JobStored brings a job's record as the store holds it: a newly accepted job,
 // or one that another node has cancelled.
 type JobStored struct{ Job StoredJob }
 
 func (s JobStored) apply(e *Engine, now time.Time) {
 	ref := s.Job.Record.Spec.Ref
-	j := e.jobs[ref]
+	j := e.jobs.get(ref)
 	if j == nil {
-		if _, over := e.finals[ref]; !over {
+		if _, over := e.jobs.final(ref); !over {
 			e.addJob(now, s.Job)
 			e.debug(LogJobDiscovered, slog.String(logKeyJob, ref))
 		}
@@ -66,13 +57,10 @@
 
 // finished takes in that the store holds a job's final entry.
 func (e *Engine) finished(now time.Time, ref string, f pipeline.Final) {
-	if len(e.finals) >= maxFinals {
-		clear(e.finals) // the store still knows them
-	}
-	e.finals[ref] = f
+	e.jobs.setFinal(ref, f)
 	e.cancellations.resolve(ref)
 	e.dependencyOver(now, ref, f)
-	j := e.jobs[ref]
+	j := e.jobs.get(ref)
 	if j == nil {
 		return
 	}
@@ -85,9 +73,6 @@
 	e.log(LogJobFinished, slog.String(logKeyJob, ref), slog.String("phase", f.Phase.String()))
 }
 
-// maxFinals bounds the final entries kept at hand.
-const maxFinals = 20_000
-
 // addJob takes in a job that isn't over as far as the store is known.
 func (e *Engine) addJob(now time.Time, s StoredJob) {
 	j, err := pipeline.NewJob(s.Record, s.Version, s.Chunks)
@@ -95,9 +80,8 @@
 		e.log(LogJobRecordInvalid, slog.String(logKeyJob, s.Record.Spec.Ref), slog.Any("error", err))
 		return
 	}
-	e.jobs[j.Ref] = j
-	e.useOf(j.Ref)
-	e.insertInOrder(j)
+	e.jobs.add(j)
+	e.usage.track(j.Ref)
 	j.CompleteIfDone()
 	e.graph.Add(j)
 	switch j.Phase() {
@@ -123,46 +107,16 @@
 	for j := range set {
 		out = append(out, j)
 	}
-	sort.Slice(out, func(i, k int) bool { return out[i].Ref < out[k].Ref })
+	slices.SortFunc(out, func(a, b *pipeline.Job) int { return cmp.Compare(a.Ref, b.Ref) })
 	return out
 }
 
-// insertInOrder puts a job in its place among the unfinished jobs.
-func (e *Engine) insertInOrder(j *pipeline.Job) {
-	at := sort.Search(len(e.order), func(i int) bool { return before(j, e.order[i]) })
-	e.order = slices.Insert(e.order, at, j)
-}
-
-// before orders jobs by urgency, and within it by when they became ready.
-func before(a, b *pipeline.Job) bool {
-	if a.Priority != b.Priority {
-		return a.Priority < b.Priority
-	}
-	if !a.Submitted.Equal(b.Submitted) {
-		return a.Submitted.Before(b.Submitted)
-	}
-	return a.Ref < b.Ref
-}
-
-// class returns what is known of a class of jobs.
-func (e *Engine) class(name string) *classStats {
-	c := e.classes[name]
-	if c == nil {
-		c = &classStats{ratio: 1}
-		e.classes[name] = c
-	}
-	return c
-}
-
 // removeJob forgets a job that is over.
 func (e *Engine) removeJob(j *pipeline.Job) {
-	delete(e.jobs, j.Ref)
+	e.jobs.remove(j)
 	e.warm.noteJob(j.Ref)
 	e.graph.Remove(j)
-	e.forgetUse(j.Ref)
-	if i := slices.Index(e.order, j); i >= 0 {
-		e.order = slices.Delete(e.order, i, i+1)
-	}
+	e.usage.forgetUnused(j.Ref)
 }
 
 // JobView is what may be told about a job.
@@ -174,10 +128,10 @@
 // Lookup tells of a job what the store is known to hold; false if it isn't known here
 // (docs/design.md, safety argument 9; TestNoAnswerWhileOutcomeUnknown).
 func (e *Engine) Lookup(ref string) (JobView, bool) {
-	if f, ok := e.finals[ref]; ok {
+	if f, ok := e.jobs.final(ref); ok {
 		return finalView(f), true
 	}
-	j := e.jobs[ref]
+	j := e.jobs.get(ref)
 	if j == nil {
 		return JobView{}, false
 	}
@@ -189,7 +143,7 @@
 	v := JobView{Phase: j.StoredPhase(), Done: j.Count(pipeline.Finished)}
 	switch v.Phase {
 	case pipeline.Active:
-		v.Running = e.useOf(ref).running
+		v.Running = e.usage.ofJob(ref).running
 	case pipeline.Held:
 		v.Phase = pipeline.Active // none of it runs, and that is what users are told
 	}
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -19,7 +19,7 @@
 // safety argument 4).
 func (e *Engine) recoverStartLog(now time.Time, stored []StoredPage) {
 	for task, logged := range e.newestLogged(stored) {
-		j := e.jobs[task.Ref]
+		j := e.jobs.get(task.Ref)
 		if j == nil || task.Task >= len(j.Tasks) || j.Tasks[task.Task].State() == pipeline.Finished {
 			continue // should it still be there, the machine's heartbeat will say so
 		}
--- a/internal/core/one_way_loss_test.go
+++ b/internal/core/one_way_loss_test.go
@@ -57,7 +57,7 @@
 			if sent > 2 {
 				t.Fatalf("%d starts sent to a machine that receives nothing", sent)
 			}
-			if b.e.jobs["j-1"].Count(pipeline.Waiting) != 1 {
+			if b.e.jobs.get("j-1").Count(pipeline.Waiting) != 1 {
 				t.Fatal("its task isn't free to go elsewhere")
 			}
 			return
--- a/internal/core/preemption.go
+++ b/internal/core/preemption.go
@@ -15,7 +15,7 @@
 // its own. The cost is the delay of saving and the work that is lost, in seconds of a
 // whole machine: many small tasks of an array are less than one gang.
 func (e *Engine) preemptionCost(now time.Time, by *pipeline.Job, a *fleet.Attempt) (float64, bool) {
-	j := e.jobs[a.Ref]
+	j := e.jobs.get(a.Ref)
 	if j == nil || a.Unrecorded || a.Stopping || a.State() == fleet.Checkpointing {
 		return 0, false
 	}
@@ -56,7 +56,7 @@
 		return false
 	}
 	t, o := e.cfg.Teams[by.Team], e.cfg.Teams[j.Team]
-	u, ou := e.teamUse[by.Team], e.teamUse[j.Team]
+	u, ou := e.usage.ofTeam(by.Team), e.usage.ofTeam(j.Team)
 	n := 1.0
 	if by.Shape == pipeline.Gang {
 		n = float64(len(by.Tasks))
@@ -75,5 +75,5 @@
 	e.log(LogTaskPreempted, logAttempt(a)...)
 	e.out.Preempted = append(e.out.Preempted, a)
 	e.chargeInvoluntary(now, a)
-	e.stopWithCheckpoint(now, a.Machine, a, e.jobs[a.Ref])
+	e.stopWithCheckpoint(now, a.Machine, a, e.jobs.get(a.Ref))
 }
--- a/internal/core/priority_order.go
+++ b/internal/core/priority_order.go
@@ -19,7 +19,7 @@
 	machines := float64(max(e.freeCapacity.Size(), fewMachines))
 	var out []prioritized
 	e.backlog = fleet.Amount{}
-	for _, j := range e.order {
+	for _, j := range e.jobs.inOrder() {
 		if j.Phase() == pipeline.Active && j.Count(pipeline.Waiting) > 0 && !e.cancelHolds(now, j.Ref) {
 			out = e.appendEntries(out, now, j, machines)
 			if e.cfg.Admission {
@@ -78,7 +78,7 @@
 	if j.Shape == pipeline.Array && e.expectedFetch(j) > longFetch {
 		cached, first := r, r
 		cached.ImageCachedOnly, r.cacheMiss, first.cacheMiss = true, 2, 1
-		first.Most = e.firstWave(j, due.Sub(now)-spareTime) - len(e.useOf(j.Ref).attempts)
+		first.Most = e.firstWave(j, due.Sub(now)-spareTime) - e.usage.ofJob(j.Ref).active()
 		out = append(out, cached)
 		if first.Most > 0 {
 			out = append(out, first)
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -15,7 +15,7 @@
 // is known on this machine, if any.
 func (e *Engine) observe(m *fleet.Machine, a *fleet.Attempt, token uint64, t fleet.TaskStatus) recovery.ObservedTask {
 	o := recovery.ObservedTask{Exited: t.State == fleet.Exited, Done: t.State == fleet.Exited && t.Cause == fleet.CauseDone, Confirmed: token == e.term}
-	if j := e.jobs[t.Ref]; j != nil && t.Task < len(j.Tasks) {
+	if j := e.jobs.get(t.Ref); j != nil && t.Task < len(j.Tasks) {
 		o.JobOpen, o.Wanted = !j.Over(), j.Tasks[t.Task].State() != pipeline.Finished
 		o.Whole = j.Shape == pipeline.Gang && len(j.Tasks) > 1
 	}
@@ -51,7 +51,7 @@
 
 // holderElsewhere is the attempt of a task that another machine holds, or may; nil if none.
 func (e *Engine) holderElsewhere(m *fleet.Machine, k fleet.TaskID) *fleet.Attempt {
-	j := e.jobs[k.Ref]
+	j := e.jobs.get(k.Ref)
 	if j == nil || k.Task >= len(j.Tasks) || j.Tasks[k.Task].State() != pipeline.Assigned {
 		return nil
 	}
@@ -83,7 +83,7 @@
 // newAttempt is a reported attempt of which nothing here speaks.
 func (e *Engine) newAttempt(t fleet.TaskStatus) *fleet.Attempt {
 	a := &fleet.Attempt{TaskID: fleet.TaskID{Ref: t.Ref, Task: t.Task}, Number: t.Attempt}
-	if j := e.jobs[t.Ref]; j != nil && t.Task < len(j.Tasks) {
+	if j := e.jobs.get(t.Ref); j != nil && t.Task < len(j.Tasks) {
 		a.CPUs, a.GPUs, a.MemGB, a.Image = j.CPUs, j.GPUs, j.MemGB, j.Image
 	}
 	return a
@@ -95,7 +95,7 @@
 	a := e.newAttempt(t)
 	e.attach(now, m, a, t.State)
 	e.startLog.addAttempt(a)
-	e.jobs[t.Ref].Assign(t.Task, m.Name, t.Attempt)
+	e.jobs.get(t.Ref).Assign(t.Task, m.Name, t.Attempt)
 	e.log(LogAttemptAdopted, logAttempt(a)...)
 }
 
--- a/internal/core/reconcile_test.go
+++ b/internal/core/reconcile_test.go
@@ -30,17 +30,17 @@
 	b.report("m-2", 0)
 	b.report("m-2", 9)
 	b.pass(8*time.Second, true)
-	if n := b.e.jobs["j-1"].Count(pipeline.Waiting); n != 2 {
+	if n := b.e.jobs.get("j-1").Count(pipeline.Waiting); n != 2 {
 		t.Fatal("placed while a machine that may hold it hasn't reported")
 	}
 	running1 := fleet.TaskStatus{Ref: "j-1", Task: 1, Attempt: 8<<attemptBits | 7, State: fleet.Running}
 	b.report("m-1", 8, running1)
-	if n := b.e.jobs["j-1"].Count(pipeline.Waiting); n != 2 {
+	if n := b.e.jobs.get("j-1").Count(pipeline.Waiting); n != 2 {
 		t.Fatal("adopted on the word of what may be a late copy")
 	}
 	b.report("m-1", 9, running1)
 	a := b.e.machines.get("m-1").Attempt(fleet.TaskID{Ref: "j-1", Task: 1})
-	if a == nil || a.Unrecorded || a.Stopping || b.e.jobs["j-1"].Tasks[1].Machine != "m-1" {
+	if a == nil || a.Unrecorded || a.Stopping || b.e.jobs.get("j-1").Tasks[1].Machine != "m-1" {
 		t.Fatalf("not adopted: %+v", a)
 	}
 	batch := b.e.Batch(b.now, 10)
@@ -52,7 +52,7 @@
 		t.Fatalf("not recorded: %+v", batch)
 	}
 	for b.now.Sub(b.e.started) < 28*time.Second { // until the leases of all that may not have been heard of are over
-		if n := b.e.jobs["j-1"].Count(pipeline.Assigned); n != 1 {
+		if n := b.e.jobs.get("j-1").Count(pipeline.Assigned); n != 1 {
 			t.Fatalf("%d tasks assigned before all leases are over", n)
 		}
 		b.report("m-1", 9, running1)
@@ -78,7 +78,7 @@
 	forgotten := fleet.TaskStatus{Ref: "j-1", Attempt: 8<<attemptBits | 7, State: fleet.Running}
 	b.report("m-1", 8, forgotten)
 	b.report("m-1", 9, forgotten)
-	if j := b.e.jobs["j-1"]; j.Tasks[0].Machine != "m-1" || b.e.machines.get("m-2").ActiveAttempts() != 0 {
+	if j := b.e.jobs.get("j-1"); j.Tasks[0].Machine != "m-1" || b.e.machines.get("m-2").ActiveAttempts() != 0 {
 		t.Fatalf("the task is on %s, %d attempts on m-2", j.Tasks[0].Machine, b.e.machines.get("m-2").ActiveAttempts())
 	}
 	if s := starts(b.report("m-2", 9)); len(s) != 0 {
@@ -108,7 +108,7 @@
 	s := starts(b.report("m-2", 9))
 	b.report("m-2", 9, running(s[0]))
 	b.report("m-1", 8, fleet.TaskStatus{Ref: "j-1", Attempt: 8<<attemptBits | 7, State: fleet.Exited, Cause: fleet.CauseDone})
-	if n := b.e.jobs["j-1"].Count(pipeline.Finished); n != 1 {
+	if n := b.e.jobs.get("j-1").Count(pipeline.Finished); n != 1 {
 		t.Fatal("the late result is lost")
 	}
 }
--- a/internal/core/safety_test.go
+++ b/internal/core/safety_test.go
@@ -188,7 +188,7 @@
 			t.Fatalf("report %d after %d is answered with 200, and renews the lease", old, seq)
 		}
 	}
-	if b.e.jobs["j-1"].Tasks[0].Attempt != c.Attempt {
+	if b.e.jobs.get("j-1").Tasks[0].Attempt != c.Attempt {
 		t.Fatal("an old report made the task free to be placed again")
 	}
 }
@@ -328,7 +328,7 @@
 	if v, ok := b.e.Lookup("j-1"); !ok || v.Phase != pipeline.Done {
 		t.Fatalf("view %v, %v", v, ok)
 	}
-	if u := b.e.teamUse["t"]; u.CPUs != 8 {
+	if u := b.e.usage.ofTeam("t"); u.CPUs != 8 {
 		t.Fatalf("%g CPUs counted while one task is still there", u.CPUs)
 	}
 }
@@ -368,7 +368,7 @@
 	here := running(fleet.Command{Ref: "j-1", Attempt: 1 << attemptBits})
 	b.worker("m-1", 2, 1, 4, here)
 	b.worker("m-1", 3, 1, 5, here)
-	if r := b.worker("m-1", 1, 1, 900); r.OK || b.e.jobs["j-1"].Tasks[0].Attempt != 1<<attemptBits {
+	if r := b.worker("m-1", 1, 1, 900); r.OK || b.e.jobs.get("j-1").Tasks[0].Attempt != 1<<attemptBits {
 		t.Fatalf("a copy with an older token is believed: %+v", r)
 	}
 	b = newBench(t, 3, inherited())
@@ -382,7 +382,7 @@
 func TestCopyRevivesNothing(t *testing.T) {
 	b := newBench(t, 3, Snapshot{Jobs: []StoredJob{job("j-1", 1)}})
 	b.worker("m-9", 2, 1, 7, running(fleet.Command{Ref: "j-1", Attempt: 5}))
-	if n := b.e.jobs["j-1"].Count(pipeline.Waiting); n != 1 {
+	if n := b.e.jobs.get("j-1").Count(pipeline.Waiting); n != 1 {
 		t.Fatal("a copy of a report of long ago has the task taken for running")
 	}
 	b.pass(6*time.Second, true)
@@ -404,7 +404,7 @@
 				return
 			}
 		}
-		if b.e.jobs["j-1"].Count(pipeline.Waiting) > 0 {
+		if b.e.jobs.get("j-1").Count(pipeline.Waiting) > 0 {
 			t.Fatal("taken for gone on the word of what may be copies")
 		}
 		if b.e.machines.get("m-1").State() == fleet.ScalingIn {
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -60,7 +60,7 @@
 
 // Status tells of machines and of jobs that wait.
 func (e *Engine) Status(now time.Time) Status {
-	s := Status{Term: e.term, Settled: e.settled(now), Pools: e.poolStatus(), Active: len(e.order), Unstored: len(e.startLog.unpaged), Starts: e.waits.list(), Recovery: e.recovery.Status(now)}
+	s := Status{Term: e.term, Settled: e.settled(now), Pools: e.poolStatus(), Active: e.jobs.count(), Unstored: len(e.startLog.unpaged), Starts: e.waits.list(), Recovery: e.recovery.Status(now)}
 	s.Drains = e.DrainStatus(now)
 	e.addWaiting(now, &s)
 	e.addHeld(now, &s)
@@ -109,7 +109,7 @@
 
 // addHeld adds the jobs that wait for their dependencies.
 func (e *Engine) addHeld(now time.Time, s *Status) {
-	for _, j := range e.order {
+	for _, j := range e.jobs.inOrder() {
 		if j.Phase() != pipeline.Held {
 			continue
 		}
@@ -143,7 +143,7 @@
 
 // reason is why a job's waiting tasks wait.
 func (e *Engine) reason(now time.Time, j *pipeline.Job, settled bool) string {
-	u, team := e.teamUse[j.Team], e.cfg.Teams[j.Team]
+	u, team := e.usage.ofTeam(j.Team), e.cfg.Teams[j.Team]
 	n := 1.0
 	if j.Shape == pipeline.Gang {
 		n = float64(len(j.Tasks))
@@ -155,7 +155,7 @@
 		return ReasonFails
 	case j.NextWaiting(now, 0) < 0:
 		return ReasonPause
-	case j.Shape == pipeline.Gang && len(e.useOf(j.Ref).attempts) > 0:
+	case j.Shape == pipeline.Gang && e.usage.ofJob(j.Ref).active() > 0:
 		return ReasonOldGang
 	case !team.Within(u.CPUs+n*j.CPUs, u.GPUs+n*j.GPUs):
 		return ReasonQuota
--- a/internal/core/status_test.go
+++ b/internal/core/status_test.go
@@ -54,7 +54,7 @@
 	if s.Term != 2 || !s.Settled || s.Active != 4 || len(s.Pools) != 1 || s.Pools[0].States["live"] != 1 {
 		t.Errorf("status %+v", s)
 	}
-	if b.e.jobs["j-2"].Phase() != pipeline.Active {
+	if b.e.jobs.get("j-2").Phase() != pipeline.Active {
 		t.Error("a job that failed once is over")
 	}
 }
--- a/internal/core/warm_start.go
+++ b/internal/core/warm_start.go
@@ -90,7 +90,7 @@
 				continue
 			}
 			a.RunStart = s.timeOf(known.RunStartMS)
-			e.jobs[task.Ref].Started = true
+			e.jobs.get(task.Ref).Started = true
 		}
 	}
 	s.outcome.Unstored = len(s.attempts)
@@ -120,15 +120,11 @@
 }
 
 func (s *warmStart) takeClass(w *WarmClass) {
-	c := s.engine.class(w.Name)
-	c.runs, c.ratio = w.Runs, min(max(w.Ratio, minRunRatio), maxRunRatio)
-	c.rate, c.lastAt = max(w.Rate, 0), time.Time{}
+	var lastAt time.Time
 	if w.LastArriveMS != 0 {
-		c.lastAt = s.timeOf(w.LastArriveMS)
-	}
-	if c.spec == nil {
-		c.spec = w.Spec
+		lastAt = s.timeOf(w.LastArriveMS)
 	}
+	s.engine.classes.class(w.Name).restore(w, lastAt)
 	s.engine.warm.noteClass(w.Name)
 }
 
@@ -139,7 +135,7 @@
 }
 
 func (s *warmStart) takeJob(w *WarmJob) {
-	j := s.engine.jobs[w.Ref]
+	j := s.engine.jobs.get(w.Ref)
 	if j == nil {
 		return
 	}
--- a/internal/core/warm_start_test.go
+++ b/internal/core/warm_start_test.go
@@ -84,7 +84,7 @@
 		t.Fatalf("%+v", o)
 	}
 	b.pass(400*time.Millisecond, true)
-	if n := b.e.jobs["j-2"].Count(pipeline.Assigned); n != 2 {
+	if n := b.e.jobs.get("j-2").Count(pipeline.Assigned); n != 2 {
 		t.Fatalf("%d tasks placed before a report", n)
 	}
 	began := b.now
@@ -117,7 +117,7 @@
 		t.Fatalf("%+v", o)
 	}
 	b.pass(2*time.Second, true)
-	if n := b.e.jobs["j-1"].Count(pipeline.Waiting); n != 0 {
+	if n := b.e.jobs.get("j-1").Count(pipeline.Waiting); n != 0 {
 		t.Fatal("the task is placed again on the word of the warm state")
 	}
 	if n := b.e.machines.get("m-1").ActiveAttempts(); n != 1 {
@@ -146,7 +146,7 @@
 	if m := b.e.machines.get("m-2"); m.HeartbeatExpected() || m.ActiveAttempts() != 0 {
 		t.Fatalf("still expected %v with %d attempts", m.HeartbeatExpected(), m.ActiveAttempts())
 	}
-	if n := b.e.jobs["j-2"].Count(pipeline.Waiting); n == 0 {
+	if n := b.e.jobs.get("j-2").Count(pipeline.Waiting); n == 0 {
 		t.Fatal("the tasks wait for a machine that doesn't report")
 	}
 	if b.e.recovery.Status(b.now).Machines["expected"] != 1 {
@@ -178,13 +178,13 @@
 	if m := b.e.machines.get("m-2"); m != nil && m.HeartbeatExpected() {
 		t.Error("a sick machine is expected")
 	}
-	if c := b.e.class("c"); c.ratio != 1.5 || c.runs != 12 {
+	if c := b.e.classes.class("c"); c.ratio != 1.5 || c.runs != 12 {
 		t.Errorf("class: %+v", c)
 	}
 	if back, refused := b.e.plan.Backoff(offer); !refused || back.Refusals != 3 {
 		t.Errorf("offer: %+v", back)
 	}
-	if !b.e.jobs["j-2"].Avoids(b.now, "m-1") {
+	if !b.e.jobs.get("j-2").Avoids(b.now, "m-1") {
 		t.Error("the job doesn't avoid the machine where it failed")
 	}
 	b.report("m-1", 2, running(c))
--- a/internal/core/warm_state.go
+++ b/internal/core/warm_state.go
@@ -221,7 +221,7 @@
 }
 
 func (e *Engine) warmAttempt(task fleet.TaskID) *WarmAttempt {
-	j := e.jobs[task.Ref]
+	j := e.jobs.get(task.Ref)
 	if j == nil || task.Task >= len(j.Tasks) {
 		return nil
 	}
@@ -261,7 +261,7 @@
 }
 
 func (e *Engine) warmJob(now time.Time, ref string) *WarmJob {
-	j := e.jobs[ref]
+	j := e.jobs.get(ref)
 	if j == nil || len(j.AvoidUntil) == 0 {
 		return nil
 	}
