--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -11,25 +11,6 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// attemptBits is the room for the attempts of one term in an attempt's number.
-const attemptBits = 24
-
-// attemptReserve is how many numbers are left when a term counts as used up: more than one
-// round of decisions and its rentals take.
-const attemptReserve = 1 << 16
-
-// attemptsUsedUp tells whether this term has no attempt numbers left. A fleet of thousands of
-// machines uses them up within hours; the next number would be one of the next term
-// (TestTermEndsBeforeItsNumbers).
-func (e *Engine) attemptsUsedUp() bool { return e.counter >= 1<<attemptBits-attemptReserve }
-
-// nextAttempt makes a number that no other term can have made (docs/design.md, safety
-// argument 3).
-func (e *Engine) nextAttempt() uint64 {
-	e.counter++
-	return e.term<<attemptBits | e.counter
-}
-
 // attach notes an attempt that is, or may be, on a machine. Together with moveAttempt and
 // detach it keeps the counts that quotas, zones and gangs are checked against.
 func (e *Engine) attach(now time.Time, m *fleet.Machine, a *fleet.Attempt, st fleet.TaskState) {
@@ -141,7 +122,7 @@
 			return
 		}
 	}
-	e.out.Direct = append(e.out.Direct, Direct{Machine: m.Name, Addr: m.Addr(), Incarnation: m.Incarnation(), FencingToken: e.term, Commands: []fleet.Command{c}})
+	e.out.Direct = append(e.out.Direct, Direct{Machine: m.Name, Addr: m.Addr(), Incarnation: m.Incarnation(), FencingToken: e.numbers.term, Commands: []fleet.Command{c}})
 }
 
 // requeue lets the task of a gone attempt be placed again.
@@ -208,7 +189,7 @@
 	}
 	j.Requeue(a.Task)
 	e.stopBrokenGang(now, a)
-	e.replan = true
+	e.rounds.request()
 }
 
 const (
--- a/internal/core/batch.go
+++ b/internal/core/batch.go
@@ -15,6 +15,22 @@
 
 func (b *batch) empty() bool { return len(b.writes) == 0 }
 
+// batchTurns is whose turn it is in the next batch, and how the last one ended.
+type batchTurns struct {
+	jobEndsFirst bool
+	failing      bool // the last batch wasn't written
+}
+
+// endsFirst tells whether the ends of jobs go before starts in the batch that is being made;
+// they take turns.
+func (t *batchTurns) endsFirst() bool {
+	t.jobEndsFirst = !t.jobEndsFirst
+	return t.jobEndsFirst
+}
+
+// finished notes how a batch has ended.
+func (t *batchTurns) finished(ok bool) { t.failing = !ok }
+
 // WritesPending tells whether a start or a job's end waits for a write.
 func (e *Engine) WritesPending() bool {
 	return e.startLog.pending() || e.jobWrites.pending() || e.drains.pending()
@@ -27,8 +43,7 @@
 	b := &batch{remaining: limit}
 	e.drains.addWrites(now, b)
 	due := e.dueJobWrites(now)
-	e.jobEndsFirst = !e.jobEndsFirst
-	if e.jobEndsFirst {
+	if e.batches.endsFirst() {
 		e.addJobEnds(now, b, due.ends)
 		e.startLog.addWrites(b)
 	} else {
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -86,7 +86,7 @@
 				for b.Loop() {
 					if news {
 						now = now.Add(10 * time.Millisecond)
-						e.replan = true
+						e.rounds.request()
 					}
 					e.Step(now, Tick{})
 				}
--- a/internal/core/cancel.go
+++ b/internal/core/cancel.go
@@ -138,7 +138,7 @@
 		}
 	}
 	e.cancelUndecided(c.Ref) // forgets what is decided
-	e.replan = true
+	e.rounds.request()
 }
 
 // resolveUnknownOutcome has the record of a job written again whose cancellation may yet
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -10,7 +10,7 @@
 // commands is what the worker is told in answer to the heartbeat just heard: first
 // what it may forget, then stops, then starts.
 func (e *Engine) commands(now time.Time, m *fleet.Machine) []fleet.Command {
-	m.OneWayLoss.Expect(m.FencingToken() != e.term)
+	m.OneWayLoss.Expect(m.FencingToken() != e.numbers.term)
 	if m.Empty() {
 		return nil
 	}
--- a/internal/core/connectivity.go
+++ b/internal/core/connectivity.go
@@ -20,7 +20,8 @@
 			e.capacityChanged(m)
 		}
 	case d.undelivered:
-		if e.answersLate(now) || now.Sub(m.OneWayLoss.LastUndelivered()) < e.cfg.HeartbeatInterval/2 {
+		sameLoss := now.Sub(m.OneWayLoss.LastUndelivered()) < e.cfg.HeartbeatInterval/2
+		if sameLoss || e.ticks.answersLate(now, e.cfg.HeartbeatInterval) {
 			return
 		}
 		e.machines.answerUndelivered(now, m)
@@ -32,20 +33,6 @@
 	}
 }
 
-// answerTimeout is after how long a worker drops an answer (PROTOCOL). A node whose ticks
-// come lateTick late may be answering so late.
-const (
-	answerTimeout = 4 * time.Second
-	lateTick      = 500 * time.Millisecond
-)
-
-// answersLate tells whether this node has been slow of late: answers that workers drop for
-// being late, or that meet reports held back and delivered together, are no sign that a
-// machine hears nothing (TestSlowLeaderReleasesNone, TestReportsDeliveredTogether).
-func (e *Engine) answersLate(now time.Time) bool {
-	return now.Sub(e.lastTick) > lateTick || now.Sub(e.laggedAt) < answerTimeout+e.cfg.HeartbeatInterval
-}
-
 // deliveryShown compares a heartbeat with the commands and the fencing token that the machine was
 // last told. LeaseEnded says that the worker's lease has ended although its heartbeats
 // were answered.
@@ -55,7 +42,7 @@
 		undelivered: leaseEnded,
 	}
 	if m.OneWayLoss.Expecting() {
-		if r.FencingToken == e.term {
+		if r.FencingToken == e.numbers.term {
 			d.delivered = true
 		} else {
 			d.undelivered = true
@@ -95,7 +82,7 @@
 	if !m.OneWayLoss.Unreachable() || now.Sub(m.OneWayLoss.FirstUndelivered()) < e.cfg.Lease/2 {
 		return
 	}
-	if e.machines.unreachable > max(2, e.machines.count()/4) {
+	if e.machines.unreachableCount() > max(2, e.machines.count()/4) {
 		return
 	}
 	e.scaleIn(now, m, ScaleInUnreachable)
--- a/internal/core/consolidate.go
+++ b/internal/core/consolidate.go
@@ -26,22 +26,47 @@
 	emptiedPart = 25
 )
 
+// emptying is which machines are being emptied to be released.
+type emptying struct {
+	machines map[*fleet.Machine]bool
+	lookedAt time.Time // when machines to be emptied were last looked for
+}
+
+func newEmptying() emptying { return emptying{machines: map[*fleet.Machine]bool{}} }
+
+// lookDue tells whether it is time to look for machines to be emptied, and notes the look.
+func (s *emptying) lookDue(now time.Time) bool {
+	if now.Sub(s.lookedAt) < consolidateEvery {
+		return false
+	}
+	s.lookedAt = now
+	return true
+}
+
+// add notes that a machine is being emptied.
+func (s *emptying) add(m *fleet.Machine) { s.machines[m] = true }
+
+// remove notes that a machine is kept after all.
+func (s *emptying) remove(m *fleet.Machine) { delete(s.machines, m) }
+
+// stillRunning counts the machines on which something is left, and forgets the others.
+func (s *emptying) stillRunning() int {
+	maps.DeleteFunc(s.machines, func(m *fleet.Machine, _ bool) bool {
+		return m.State() != fleet.Live || m.ActiveAttempts() == 0
+	})
+	return len(s.machines)
+}
+
 // consolidate empties the machines whose emptying saves the most, a few at a
 // time, if their tasks have room elsewhere and what stays free is enough for the
 // arrivals of a boot time.
 func (e *Engine) consolidate(now time.Time) {
-	if now.Sub(e.movedAt) < consolidateEvery {
+	if !e.emptying.lookDue(now) {
 		return
 	}
-	e.movedAt = now
-	for m := range e.emptying {
-		if m.State() != fleet.Live || m.ActiveAttempts() == 0 {
-			delete(e.emptying, m)
-		}
-	}
-	atOnce := max(1, e.freeCapacity.Size()/emptiedPart) - len(e.emptying)
-	board := &placement.Board{Now: now, SecondsPerDollarHour: e.cfg.Weights.SecondsPerDollarHour, LargeGPUWork: e.largeGPUWork(now)}
-	plan := &consolidation{engine: e, board: board, now: now, copies: map[*placement.Slot]*placement.Slot{},
+	atOnce := max(1, e.capacity.free.Size()/emptiedPart) - e.emptying.stillRunning()
+	scorer := &placement.Scorer{Now: now, SecondsPerDollarHour: e.cfg.Weights.SecondsPerDollarHour, LargeGPUWork: e.largeGPUWork(now)}
+	plan := &consolidation{engine: e, scorer: scorer, now: now, copies: map[*placement.Slot]*placement.Slot{},
 		emptied: map[*placement.Slot]bool{}, targets: map[*fleet.Machine]bool{}}
 	candidates := plan.candidates()
 	for _, c := range candidates[:min(len(candidates), 3*max(atOnce, 0))] {
@@ -53,7 +78,7 @@
 		}
 		atOnce--
 		m := c.slot.Machine
-		e.emptying[m] = true
+		e.emptying.add(m)
 		e.log(LogConsolidationStarted, logMachine(m), slog.String("type", m.Type), logActive(m), slog.Float64("saves_dollars", math.Round(c.gain*100)/100))
 		e.moveByChoice(now, m)
 		e.startDraining(now, m)
@@ -86,7 +111,7 @@
 // consolidation is one plan of which machines to empty, and where their tasks go.
 type consolidation struct {
 	engine  *Engine
-	board   *placement.Board // to score places
+	scorer  *placement.Scorer
 	now     time.Time
 	copies  map[*placement.Slot]*placement.Slot // with what is to move there
 	emptied map[*placement.Slot]bool            // slots that are being emptied
@@ -104,7 +129,7 @@
 // candidates are the machines whose emptying saves something, the most first.
 func (v *consolidation) candidates() []candidate {
 	var out []candidate
-	for _, p := range v.engine.freeCapacity.Pools {
+	for _, p := range v.engine.capacity.free.Pools {
 		for _, s := range p.Slots {
 			if s.Future || s.Machine.ActiveAttempts() == 0 {
 				continue
@@ -194,14 +219,14 @@
 	low := math.Inf(1)
 	zones := maps.Clone(v.engine.usage.ofJob(j.Ref).zones)
 	zones[from.Zone]--
-	v.engine.freeCapacity.EachOpen(&j.Spec, "", func(o *placement.Slot) {
+	v.engine.capacity.free.EachOpen(&j.Spec, "", func(o *placement.Slot) {
 		if o == from || v.emptied[o] || placement.ZoneCapacity(j, o.Zone, zones) < 1 || j.Avoids(v.now, o.Machine.Name) ||
 			(o.Machine.ActiveAttempts() == 0 && o.Type.Price(o.Spot) > from.Type.Price(from.Spot)/2) ||
 			o.Machine.FetchLeft(v.now, j.Image, j.ImageGB, o.Type.FetchGBPerS) > moveOverhead {
 			return
 		}
 		if c := v.copyOf(o); c.Free(&j.Spec) > 0 {
-			if sc := v.board.Score(c, j, time.Time{}); sc < low {
+			if sc := v.scorer.Score(c, j, time.Time{}); sc < low {
 				best, low = c, sc
 			}
 		}
@@ -217,7 +242,7 @@
 		if c.spec == nil || need < 0.1 {
 			continue
 		}
-		v.engine.freeCapacity.EachOpen(c.spec, "", func(s *placement.Slot) {
+		v.engine.capacity.free.EachOpen(c.spec, "", func(s *placement.Slot) {
 			if !v.emptied[s] {
 				if o := v.copies[s]; o != nil {
 					s = o
--- a/internal/core/dependents.go
+++ b/internal/core/dependents.go
@@ -16,7 +16,7 @@
 func (e *Engine) becameReady(now time.Time, j *pipeline.Job) {
 	e.classes.class(j.Class).arrived(now, &j.Spec, j.Count(pipeline.Waiting))
 	e.warm.noteClass(j.Class)
-	e.replan = true
+	e.rounds.request()
 }
 
 // applyKnownDependencies takes in what is known here of a job's dependencies.
--- a/internal/core/dependents_test.go
+++ b/internal/core/dependents_test.go
@@ -19,7 +19,7 @@
 
 // finish has a machine report the end of what it was told to start.
 func (b *bench) finish(machine string, c fleet.Command) HeartbeatResponse {
-	return b.report(machine, b.e.term, fleet.TaskStatus{Ref: c.Ref, Task: c.Task, Attempt: c.Attempt, State: fleet.Exited, Cause: fleet.CauseDone})
+	return b.report(machine, b.e.numbers.term, fleet.TaskStatus{Ref: c.Ref, Task: c.Task, Attempt: c.Attempt, State: fleet.Exited, Cause: fleet.CauseDone})
 }
 
 // A job starts only once the store holds that the job before it is done: until
@@ -51,8 +51,8 @@
 	b := newBench(t, 2, Snapshot{Jobs: []StoredJob{held, job("j-1", 1)}})
 	b.up("m-1")
 	b.pass(10*time.Second, true)
-	if len(b.e.demand) != 0 || b.e.usage.ofTeam("t").CPUs != 1 {
-		t.Fatalf("demand %v, in use %v", b.e.demand, b.e.usage.ofTeam("t"))
+	if len(b.e.rounds.demand) != 0 || b.e.usage.ofTeam("t").CPUs != 1 {
+		t.Fatalf("demand %v, in use %v", b.e.rounds.demand, b.e.usage.ofTeam("t"))
 	}
 	if v, ok := b.e.Lookup("j-2"); !ok || v.Phase != pipeline.Active || v.Running != 0 {
 		t.Fatalf("told as %+v, %v", v, ok)
--- a/internal/core/drain_capacity.go
+++ b/internal/core/drain_capacity.go
@@ -1,7 +1,6 @@
 package core
 
 import (
-	"fmt"
 	"maps"
 	"time"
 
@@ -87,7 +86,7 @@
 	if b.without[j.Ref] {
 		return nil
 	}
-	found := b.engine.freeCapacity.FindOpen(&j.Spec, func(s *placement.Slot) bool {
+	found := b.engine.capacity.free.FindOpen(&j.Spec, func(s *placement.Slot) bool {
 		usable := !(ahead && s.Machine.CordonPlanned()) && !j.Avoids(b.now, s.Machine.Name) && placement.ZoneCapacity(j, s.Zone, zones) > 0
 		return usable && b.copyOf(s).Free(&j.Spec) > 0
 	})
@@ -122,8 +121,7 @@
 	if len(d.replacements) >= d.coordinator.Surge(dm) || refused && now.Before(backoff.Until) {
 		return noRoom
 	}
-	e.counter++
-	r := &replacement{request: fmt.Sprintf("r-%d-%d", e.term, e.counter), asked: now}
+	r := &replacement{request: e.numbers.nextRequestName(), asked: now}
 	d.replacements[dm.Name] = r
 	d.coordinator.Move(dm, drain.Replacing)
 	e.plan.Requested(offer, 1)
--- a/internal/core/drain_eviction.go
+++ b/internal/core/drain_eviction.go
@@ -265,7 +265,7 @@
 		if a == nil || a.Leaving() || a.State() != fleet.Running {
 			continue
 		}
-		if m := a.Machine; m.State() == fleet.Live && m.TermConfirmed() && m.FencingToken() == e.term && !m.Cordoned() && !m.Draining() {
+		if m := a.Machine; m.State() == fleet.Live && m.TermConfirmed() && m.FencingToken() == e.numbers.term && !m.Cordoned() && !m.Draining() {
 			ledger.Void(c.TaskKey, c.Attempt)
 		}
 	}
@@ -363,7 +363,7 @@
 // is left on it go, and its room is needed.
 func (e *Engine) keepMachine(m *fleet.Machine) {
 	delete(e.drains.own, m)
-	delete(e.emptying, m)
+	e.emptying.remove(m)
 	e.revokeEvictions(m.Name)
 	m.StopDraining()
 	e.capacityChanged(m)
--- a/internal/core/drain_harness_test.go
+++ b/internal/core/drain_harness_test.go
@@ -38,7 +38,7 @@
 
 // takeOver has the next leader begin, with what is stored.
 func (d *drainBench) takeOver() {
-	now, term := d.now, d.e.term+1
+	now, term := d.now, d.e.numbers.term+1
 	seq := d.seq
 	d.bench = newBenchWith(d.t, d.cfg, term, Snapshot{Jobs: d.jobs, Pages: d.pages, Drains: d.stored})
 	d.now, d.seq = now, seq
@@ -170,9 +170,9 @@
 
 func (d *drainBench) tokenOf(name string) uint64 {
 	if m := d.e.machines.get(name); m != nil && m.FencingTokenSent() {
-		return d.e.term
+		return d.e.numbers.term
 	}
-	return d.e.term - 1
+	return d.e.numbers.term - 1
 }
 
 // obey carries commands out at a machine: what is stopped has exited, with its progress saved.
--- a/internal/core/drain_round.go
+++ b/internal/core/drain_round.go
@@ -49,16 +49,16 @@
 // often enough under this term for even the latest to be on it.
 func (e *Engine) machinesComplete(now time.Time) bool {
 	wait := 2*e.cfg.InstanceListLag + e.cfg.HeartbeatInterval
-	return e.machines.everListed() && e.machines.listedAt.Sub(e.started) > wait && e.settled(now)
+	return e.machines.everListed() && e.machines.lastListed().Sub(e.started) > wait && e.settled(now)
 }
 
 // mayDisrupt tells whether the leader knows enough, and enough of the fleet is there, to
 // interrupt anything by choice. While the store takes no writes, no charge can be made.
 func (e *Engine) mayDisrupt(now time.Time) bool {
-	if len(e.catalog) == 0 || !e.settled(now) || e.writesFail || e.answersLate(now) {
+	if len(e.catalog) == 0 || !e.settled(now) || e.batches.failing || e.ticks.answersLate(now, e.cfg.HeartbeatInterval) {
 		return false
 	}
-	lost := e.machines.inState(fleet.Unresponsive) + e.machines.inState(fleet.AwaitingHeartbeat) + e.machines.unreachable
+	lost := e.machines.inState(fleet.Unresponsive) + e.machines.inState(fleet.AwaitingHeartbeat) + e.machines.unreachableCount()
 	return lost <= max(1, e.machines.count()/lostPart)
 }
 
--- a/internal/core/draining.go
+++ b/internal/core/draining.go
@@ -33,7 +33,7 @@
 func newDraining(now time.Time, e *Engine, stored drain.Stored) *draining {
 	pageLimit := func() int { return e.cfg.MaxValueBytes }
 	return &draining{
-		coordinator:  drain.NewCoordinator(now, e.cfg.Drain, stored, e.newPageName, pageLimit),
+		coordinator:  drain.NewCoordinator(now, e.cfg.Drain, stored, e.numbers.nextPageName, pageLimit),
 		replacements: map[string]*replacement{},
 		moving:       map[fleet.TaskID]*movingTask{},
 		own:          map[*fleet.Machine]time.Time{},
--- a/internal/core/draining_test.go
+++ b/internal/core/draining_test.go
@@ -207,7 +207,7 @@
 	told := 0
 	for range 20 {
 		d.tick(3 * time.Second)
-		for _, c := range d.report("m-1", d.e.term, d.on["m-1"]...).Commands {
+		for _, c := range d.report("m-1", d.e.numbers.term, d.on["m-1"]...).Commands {
 			if c.Kind == fleet.Stop {
 				told++ // and the answer is lost
 			}
@@ -383,9 +383,9 @@
 		t.Fatalf("not placed as meant: %v", u.zones)
 	}
 	b.e.updateFreeCapacity(b.now)
-	plan := &consolidation{engine: b.e, board: &placement.Board{Now: b.now, LargeGPUWork: func(*placement.Type) *pipeline.Spec { return nil }}, now: b.now,
+	plan := &consolidation{engine: b.e, scorer: &placement.Scorer{Now: b.now}, now: b.now,
 		copies: map[*placement.Slot]*placement.Slot{}, emptied: map[*placement.Slot]bool{}, targets: map[*fleet.Machine]bool{}}
-	for _, p := range b.e.freeCapacity.Pools {
+	for _, p := range b.e.capacity.free.Pools {
 		for _, from := range p.Slots {
 			if to := plan.bestTarget(b.e.jobs.get("j-1"), from); to != nil {
 				t.Errorf("from %s in zone %s to %s in zone %s", from.Machine.Name, from.Zone, to.Machine.Name, to.Zone)
--- a/internal/core/fair_order.go
+++ b/internal/core/fair_order.go
@@ -19,7 +19,7 @@
 
 func (f FairOrderChanged) apply(e *Engine, _ time.Time) {
 	if f.On != e.fairOrder.On {
-		e.replan = true
+		e.rounds.request()
 		e.log(LogFairOrderSwitched, slog.Bool("enabled", f.On))
 	}
 	e.fairOrder = f
@@ -112,7 +112,7 @@
 // capacityTotal is what all machines have that take tasks.
 func (e *Engine) capacityTotal() fleet.Amount {
 	var total fleet.Amount
-	for _, p := range e.freeCapacity.Pools {
+	for _, p := range e.capacity.free.Pools {
 		n := float64(len(p.Slots))
 		total.CPUs += n * p.Type.CPUs
 		total.GPUs += n * p.Type.GPUs
@@ -131,7 +131,7 @@
 // Load tells of capacity and backlog, the latter as of the last round of decisions.
 func (e *Engine) Load(now time.Time) ClusterLoad {
 	load := ClusterLoad{Capacity: e.capacityTotal(), Settled: e.settled(now) && len(e.catalog) > 0}
-	load.Backlog = time.Duration(dominantShare(e.backlog, load.Capacity) * float64(time.Second))
+	load.Backlog = time.Duration(dominantShare(e.rounds.backlog, load.Capacity) * float64(time.Second))
 	return load
 }
 
--- a/internal/core/fleet_size_test.go
+++ b/internal/core/fleet_size_test.go
@@ -109,7 +109,7 @@
 func TestTermEndsBeforeItsNumbers(t *testing.T) {
 	b := newBench(t, 2, Snapshot{Jobs: []StoredJob{job("j-1", 1)}})
 	b.up("m-1")
-	b.e.counter = 1<<attemptBits - attemptReserve
+	b.e.numbers.counter = 1<<attemptBits - attemptReserve
 	b.now = b.now.Add(6 * time.Second)
 	if effects := b.e.Step(b.now, Tick{}); !effects.AttemptNumbersExhausted {
 		t.Fatal("the term goes on without numbers")
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -15,7 +15,7 @@
 func (r HeartbeatReceived) apply(e *Engine, now time.Time) {
 	rep := r.Heartbeat
 	e.out.Response = &HeartbeatResponse{}
-	if rep.FencingToken > e.term {
+	if rep.FencingToken > e.numbers.term {
 		e.out.HigherFencingToken = rep.FencingToken
 		return
 	}
@@ -28,7 +28,7 @@
 		e.addMachine(now, m)
 		e.log(LogMachineDiscovered, logMachine(m), slog.String("type", m.Type), slog.String("zone", m.Zone))
 	}
-	if rep.FencingToken == e.term && !m.FencingTokenSent() {
+	if rep.FencingToken == e.numbers.term && !m.FencingTokenSent() {
 		// It has this fencing token from a leader that the state service has forgotten.
 		e.out.HigherFencingToken = rep.FencingToken
 		return
@@ -49,7 +49,7 @@
 // respond answers the newest heartbeat of a machine with 200, at once or after a hold.
 func (e *Engine) respond(now time.Time, m *fleet.Machine, hold bool) {
 	m.HeartbeatAnswered(hold)
-	e.out.Response = &HeartbeatResponse{OK: true, FencingToken: e.term, Held: hold}
+	e.out.Response = &HeartbeatResponse{OK: true, FencingToken: e.numbers.term, Held: hold}
 	if !hold {
 		e.out.Response.Commands = e.commands(now, m)
 	}
@@ -70,7 +70,7 @@
 // leader, which then has much to place at once, and which doesn't lag (docs/design.md,
 // "Safety arguments", last paragraph; TestNewLeaderHoldsAnswers).
 func (e *Engine) emptyUnderNewLeader(now time.Time, m *fleet.Machine) bool {
-	return m.Empty() && now.Sub(e.started) < e.cfg.HeartbeatInterval && now.Sub(e.lastTick) < maxTickLag
+	return m.Empty() && now.Sub(e.started) < e.cfg.HeartbeatInterval && e.ticks.sinceLast(now) < maxTickLag
 }
 
 // maxResponseHold is how long a reply may be held in all, maxTickLag how late a tick may be
@@ -116,7 +116,7 @@
 	}
 	e.detectOneWayLoss(now, m, r, leaseEnded)
 	m.HeartbeatReceived(now, r)
-	if r.FencingToken == e.term && m.ConfirmTerm() {
+	if r.FencingToken == e.numbers.term && m.ConfirmTerm() {
 		e.capacityChanged(m)
 	}
 	if newSession {
@@ -131,7 +131,7 @@
 	if r.FencingToken > 0 {
 		e.recovery.ConfirmPreviousTerm()
 	}
-	e.recovery.HeartbeatReceived(m.Name, r.FencingToken == e.term, m.HasUnrecorded())
+	e.recovery.HeartbeatReceived(m.Name, r.FencingToken == e.numbers.term, m.HasUnrecorded())
 	e.interruptionAnnounced(now, m, r.InterruptionIn)
 }
 
--- a/internal/core/instances.go
+++ b/internal/core/instances.go
@@ -72,7 +72,7 @@
 		e.addMachine(now, m)
 	}
 	e.drains.replacementAnswered(r)
-	e.replan = true
+	e.rounds.request()
 	e.log(LogScaleOutAnswered, append(logPool(o), slog.Int("requested", r.Request.Count), slog.Int("created", len(r.Machines)), slog.Bool("no_capacity", r.NoCapacity))...)
 }
 
--- a/internal/core/machine_registry.go
+++ b/internal/core/machine_registry.go
@@ -114,6 +114,9 @@
 	}
 }
 
+// unreachableCount is how many machines seem to receive no answers.
+func (r *machineRegistry) unreachableCount() int { return r.unreachable }
+
 // checkAt has a machine checked at the given time, or earlier if that is due anyway.
 func (r *machineRegistry) checkAt(m *fleet.Machine, at time.Time) { r.timers.schedule(m, at) }
 
@@ -123,5 +126,8 @@
 // listed notes that the cloud has listed its machines.
 func (r *machineRegistry) listed(now time.Time) { r.listedAt = now }
 
+// lastListed is when the cloud last listed its machines; zero if it hasn't in this term.
+func (r *machineRegistry) lastListed() time.Time { return r.listedAt }
+
 // everListed tells whether the cloud has listed its machines in this term.
 func (r *machineRegistry) everListed() bool { return !r.listedAt.IsZero() }
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -221,7 +221,7 @@
 // enough to release it before its worker's lease has ended, which proves all on
 // it gone. Machines that only hang stay listed, and are waited for.
 func (e *Engine) missingFromList(m *fleet.Machine) bool {
-	return !m.ListedAt().IsZero() && e.machines.listedAt.Sub(m.ListedAt()) > 2*e.cfg.InstanceListLag+4*time.Second
+	return !m.ListedAt().IsZero() && e.machines.lastListed().Sub(m.ListedAt()) > 2*e.cfg.InstanceListLag+4*time.Second
 }
 
 // unresponsiveAfter is when a machine that doesn't report gets no more starts: two
--- a/internal/core/placement/array.go
+++ b/internal/core/placement/array.go
@@ -30,16 +30,16 @@
 		if entry.ImageCachedOnly && s.Machine.FetchLeft(b.Now, j.Image, j.ImageGB, s.Type.FetchGBPerS) > cachedWithin {
 			continue
 		}
-		for task >= 0 && placed < want && s.Free(&j.Spec) > 0 && ZoneCapacity(j, s.Zone, b.InZones(j.Ref)) > 0 &&
+		for task >= 0 && placed < want && s.Free(&j.Spec) > 0 && ZoneCapacity(j, s.Zone, b.Cluster.Zones(j.Ref)) > 0 &&
 			s.Machine.Attempt(fleet.TaskID{Ref: j.Ref, Task: task}) == nil {
 			s.Take(&j.Spec)
-			b.Commit(Decision{Job: j, Task: task, Slot: s.Slot})
+			b.Executor.Commit(Decision{Job: j, Task: task, Slot: s.Slot})
 			placed++
 			task = j.NextWaiting(b.Now, task+1)
 		}
 	}
 	if unmet := want - placed; unmet > 0 && task >= 0 && !entry.ImageCachedOnly {
-		b.wait(j, 1, b.InZones(j.Ref))
-		b.Unplaced(j, unmet)
+		b.wait(j, 1, b.Cluster.Zones(j.Ref))
+		b.Executor.Unplaced(j, unmet)
 	}
 }
--- a/internal/core/placement/gang.go
+++ b/internal/core/placement/gang.go
@@ -13,7 +13,7 @@
 // may be left anywhere.
 func (b *Board) placeGang(j *pipeline.Job) {
 	n := len(j.Tasks)
-	if b.Busy(j.Ref) > 0 || j.Count(pipeline.Waiting) < n || b.quotaHeadroom(j) < n {
+	if b.Cluster.ActiveAttempts(j.Ref) > 0 || j.Count(pipeline.Waiting) < n || b.quotaHeadroom(j) < n {
 		return
 	}
 	for i := range j.Tasks {
@@ -33,7 +33,7 @@
 		return
 	}
 	b.wait(j, n, map[string]int{})
-	b.Unplaced(j, n)
+	b.Executor.Unplaced(j, n)
 }
 
 // startGang places a gang. A task that has its image waits only so long for the
@@ -48,7 +48,7 @@
 	last := slices.Max(fetch)
 	for i, s := range slots {
 		s.Take(&j.Spec)
-		b.Commit(Decision{Job: j, Task: i, Slot: s, Delay: max(0, last*4/5-fetch[i]-b.GangSlack)})
+		b.Executor.Commit(Decision{Job: j, Task: i, Slot: s, Delay: max(0, last*4/5-fetch[i]-b.GangSlack)})
 	}
 }
 
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -36,36 +36,25 @@
 	}
 }
 
-// board is a round over some machines; it records what is placed and stopped.
+// board is a round over some machines; it records what is placed and stopped. Attempts of j-9
+// may be stopped for others, all end in a minute, and the only team may use 40 CPUs.
 type board struct {
 	Board
 	placed  []Decision
 	stopped []*fleet.Attempt
 	unmet   int
+	zones   map[string]int // nil: what is placed isn't counted by zone
+	startBy time.Time
+	spent   func() bool
 }
 
 func newBoard(t *testing.T, jobs []*pipeline.Job, machines ...*fleet.Machine) *board {
 	t.Helper()
 	b := &board{}
-	now := time.Unix(100, 0)
-	b.Board = Board{Now: now, FreeCapacity: &FreeCapacity{}, MaxReservations: 5, SecondsPerDollarHour: 1,
-		Quota:   func(string) Quota { return Quota{CPULimit: 40} },
-		Usage:   func(string) fleet.Amount { return fleet.Amount{CPUs: float64(8 * len(b.placed))} },
-		InZones: func(string) map[string]int { return map[string]int{} },
-		Busy:    func(string) int { return 0 },
-		Commit: func(d Decision) {
-			b.placed = append(b.placed, d)
-			d.Job.Assign(d.Task, d.Slot.Machine.Name, 1)
-		},
-		Unplaced: func(_ *pipeline.Job, n int) { b.unmet += n },
-		EndOf:    func(*fleet.Attempt) time.Time { return now.Add(time.Minute) },
-		Due:      func(*pipeline.Job) time.Time { return now.Add(time.Second) },
-		StartBy:  func(*pipeline.Job) time.Time { return time.Time{} },
-		MayStop:  func(_ *pipeline.Job, a *fleet.Attempt) (float64, bool) { return 1, a.Ref == "j-9" },
-		Stop:     func(a *fleet.Attempt) { b.stopped = append(b.stopped, a) },
-		Preempts: func(*pipeline.Job) bool { return true },
-
-		LargeGPUWork: func(*Type) *pipeline.Spec { return nil },
+	b.Board = Board{
+		Scorer:       Scorer{Now: time.Unix(100, 0), SecondsPerDollarHour: 1},
+		FreeCapacity: &FreeCapacity{}, MaxReservations: 5,
+		Cluster: b, Executor: b,
 	}
 	for _, j := range jobs {
 		b.Queue = append(b.Queue, QueueEntry{Job: j, Most: len(j.Tasks)})
@@ -76,6 +65,40 @@
 	return b
 }
 
+func (*board) Quota(string) Quota { return Quota{CPULimit: 40} }
+
+func (b *board) Usage(string) fleet.Amount { return fleet.Amount{CPUs: float64(8 * len(b.placed))} }
+
+func (b *board) Zones(string) map[string]int { return b.zones }
+
+func (*board) ActiveAttempts(string) int { return 0 }
+
+func (b *board) EndOf(*fleet.Attempt) time.Time { return b.Now.Add(time.Minute) }
+
+func (b *board) NeedsCapacityBy(*pipeline.Job) time.Time { return b.Now.Add(time.Second) }
+
+func (b *board) StartBy(*pipeline.Job) time.Time { return b.startBy }
+
+func (*board) MayPreempt(*pipeline.Job) bool { return true }
+
+func (*board) PreemptionCost(_ *pipeline.Job, a *fleet.Attempt) (float64, bool) {
+	return 1, a.Ref == "j-9"
+}
+
+func (b *board) Commit(d Decision) {
+	if b.zones != nil {
+		b.zones[d.Slot.Zone]++
+	}
+	b.placed = append(b.placed, d)
+	d.Job.Assign(d.Task, d.Slot.Machine.Name, 1)
+}
+
+func (b *board) Unplaced(_ *pipeline.Job, n int) { b.unmet += n }
+
+func (b *board) Preempt(a *fleet.Attempt) { b.stopped = append(b.stopped, a) }
+
+func (b *board) Spent() bool { return b.spent != nil && b.spent() }
+
 func machine(name, typ, zone string, tasks ...string) *fleet.Machine {
 	m := fleet.NewMachine(time.Unix(0, 0), name, fleet.PoolKey{Type: typ, Zone: zone})
 	m.Move(time.Unix(0, 0), fleet.Live)
@@ -144,7 +167,7 @@
 	}
 }
 
-// Work without GuaranteedGPUs goes where it wastes none.
+// Work without GPUs goes where it wastes none.
 func TestCheaperPlace(t *testing.T) {
 	j := job(t, pipeline.Spec{Ref: "j-1", Tasks: 1, CPUs: 4})
 	b := newBoard(t, []*pipeline.Job{j}, machine("m-1", "gpu", "a"), machine("m-2", "cpu", "a"))
@@ -201,7 +224,7 @@
 	}
 	b := newBoard(t, jobs, machine("m-1", "cpu", "a"))
 	asked := 0
-	b.Spent = func() bool { asked++; return asked%2 == 0 }
+	b.spent = func() bool { asked++; return asked%2 == 0 }
 	var r Round
 	rounds := 1
 	for !r.Run(&b.Board) {
@@ -238,7 +261,7 @@
 
 // Where it must start by a time that it can still keep, a task goes to the machine that
 // answers in time, though another one is used more.
-func TestStartsInTimeForItsAim(t *testing.T) {
+func TestStartsInTimeForItsObjective(t *testing.T) {
 	now := time.Unix(100, 0)
 	for _, c := range []struct {
 		by   time.Time
@@ -250,7 +273,7 @@
 		used.AddAttempt(now, &fleet.Attempt{TaskID: fleet.TaskID{Ref: "j-8"}, CPUs: 6}, fleet.Running)
 		b := newBoard(t, []*pipeline.Job{job(t, pipeline.Spec{Ref: "j-1", Tasks: 1, CPUs: 1})}, used, idle)
 		b.HeartbeatInterval = 8 * time.Second
-		b.StartBy = func(*pipeline.Job) time.Time { return c.by }
+		b.startBy = c.by
 		new(Round).Run(&b.Board)
 		if len(b.placed) != 1 || b.placed[0].Slot.Machine.Name != c.want {
 			t.Errorf("by %s: placed %+v, want %s", c.by.Sub(now), b.placed, c.want)
--- a/internal/core/placement/preempt.go
+++ b/internal/core/placement/preempt.go
@@ -38,13 +38,13 @@
 // is coming is kept for it, and if that comes too late, room is made by stopping
 // what may be stopped. Each round does so for a few jobs, the first in the order.
 func (b *Board) wait(j *pipeline.Job, n int, zones map[string]int) {
-	preempts := b.Preempts(j)
+	preempts := b.Cluster.MayPreempt(j)
 	if b.MaxReservations == 0 || !(preempts || n > 1 || b.large(j)) {
 		return
 	}
 	b.MaxReservations--
 	places, at := b.soonest(j, n, zones)
-	if len(places) < n || at.After(b.Due(j).Add(-endsLate)) {
+	if len(places) < n || at.After(b.Cluster.NeedsCapacityBy(j).Add(-endsLate)) {
 		if preempts && b.makeCapacity(j, n, zones) {
 			return
 		}
@@ -127,7 +127,7 @@
 	}
 	var ends []end
 	for _, a := range present(s.Machine) {
-		ends = append(ends, end{a, b.EndOf(a)})
+		ends = append(ends, end{a, b.Cluster.EndOf(a)})
 	}
 	slices.SortStableFunc(ends, func(a, b end) int { return a.at.Compare(b.at) })
 	for _, e := range ends {
@@ -183,7 +183,7 @@
 func (b *Board) clear(p place) {
 	b.FreeCapacity.reserve(p.slot, p.left)
 	for _, a := range p.victims {
-		b.Stop(a)
+		b.Executor.Preempt(a)
 	}
 }
 
@@ -202,7 +202,7 @@
 				free = free.plus(a) // on its way out already
 				continue
 			}
-			if cost, ok := b.MayStop(j, a); ok {
+			if cost, ok := b.Cluster.PreemptionCost(j, a); ok {
 				may = append(may, candidate{a, cost})
 			}
 		}
--- a/internal/core/placement/quota.go
+++ b/internal/core/placement/quota.go
@@ -12,7 +12,7 @@
 
 // quotaHeadroom is how many more tasks of the job its team's limit allows.
 func (b *Board) quotaHeadroom(j *pipeline.Job) int {
-	t, u := b.Quota(j.Team), b.Usage(j.Team)
+	t, u := b.Cluster.Quota(j.Team), b.Cluster.Usage(j.Team)
 	n := maxPerMachine * 1000
 	if t.CPULimit > 0 && j.CPUs > 0 {
 		n = min(n, int((t.CPULimit-u.CPUs+slack)/j.CPUs))
--- a/internal/core/placement/replicas.go
+++ b/internal/core/placement/replicas.go
@@ -21,18 +21,18 @@
 	}
 	choices := b.replicaChoices(j)
 	for task >= 0 && want > 0 {
-		s := choices.next(j, b.InZones(j.Ref), task)
+		s := choices.next(j, b.Cluster.Zones(j.Ref), task)
 		if s == nil {
 			break
 		}
 		s.Take(&j.Spec)
-		b.Commit(Decision{Job: j, Task: task, Slot: s})
+		b.Executor.Commit(Decision{Job: j, Task: task, Slot: s})
 		want--
 		task = j.NextWaiting(b.Now, task+1)
 	}
 	if task >= 0 && want > 0 {
-		b.makeCapacityForReplicas(j, want, b.InZones(j.Ref))
-		b.Unplaced(j, want)
+		b.makeCapacityForReplicas(j, want, b.Cluster.Zones(j.Ref))
+		b.Executor.Unplaced(j, want)
 	}
 }
 
@@ -95,7 +95,7 @@
 // one on each machine and no more in a zone than may be there, on the cheapest machines:
 // unlike a gang's tasks, each is of use without the others.
 func (b *Board) makeCapacityForReplicas(j *pipeline.Job, n int, zones map[string]int) {
-	if b.MaxReservations == 0 || !b.Preempts(j) {
+	if b.MaxReservations == 0 || !b.Cluster.MayPreempt(j) {
 		return
 	}
 	inZones := map[string]int{}
--- a/internal/core/placement/replicas_test.go
+++ b/internal/core/placement/replicas_test.go
@@ -9,15 +9,7 @@
 )
 
 // countingZones has a board count what it places by zone, as the engine does.
-func countingZones(b *board) {
-	zones := map[string]int{}
-	b.InZones = func(string) map[string]int { return zones }
-	commit := b.Commit
-	b.Commit = func(d Decision) {
-		zones[d.Slot.Zone]++
-		commit(d)
-	}
-}
+func countingZones(b *board) { b.zones = map[string]int{} }
 
 func service(t *testing.T, replicas int) *pipeline.Job {
 	t.Helper()
@@ -59,8 +51,8 @@
 	}
 }
 
-// Replicas were once strewn over machines with GuaranteedGPUs, on each a few more than fit beside the
-// tasks that need its GuaranteedGPUs: gangs waited for minutes while those machines stood idle. They
+// Replicas were once strewn over machines with GPUs, on each a few more than fit beside the
+// tasks that need its GPUs: gangs waited for minutes while those machines stood idle. They
 // first take what is left beside such tasks, then fill machines that are lost to those already.
 func TestReplicasLeaveRoomForGPUWork(t *testing.T) {
 	large := &pipeline.Spec{Ref: "j-9", CPUs: 4, GPUs: 2}
@@ -74,7 +66,7 @@
 		}
 		replica := job(t, pipeline.Spec{Ref: "j-1", Tasks: 1, CPUs: 2, Shape: pipeline.Service})
 		b := newBoard(t, []*pipeline.Job{replica}, machines...)
-		b.LargeGPUWork = func(*Type) *pipeline.Spec { return large }
+		b.LargeGPUWork = map[*Type]*pipeline.Spec{types["gpu"]: large}
 		countingZones(b)
 		new(Round).Run(&b.Board)
 		if len(b.placed) != 1 {
--- a/internal/core/placement/rounds.go
+++ b/internal/core/placement/rounds.go
@@ -1,9 +1,9 @@
 package placement
 
 import (
+	"slices"
 	"time"
 
-	"gingertally/internal/core/fleet"
 	"gingertally/internal/core/pipeline"
 )
 
@@ -23,39 +23,6 @@
 	ImageCachedOnly bool
 }
 
-// Board is what a round decides on.
-type Board struct {
-	Now          time.Time
-	Queue        []QueueEntry // in ready order
-	FreeCapacity *FreeCapacity
-	Quota        func(name string) Quota
-	Usage        func(team string) fleet.Amount
-	InZones      func(ref string) map[string]int // what of a job may be on machines
-	Busy         func(ref string) int
-	Commit       func(Decision)
-	Unplaced     func(j *pipeline.Job, tasks int)
-	EndOf        func(a *fleet.Attempt) time.Time // when an attempt is expected to leave
-	Due          func(j *pipeline.Job) time.Time  // when a job must start to keep its next aim
-	StartBy      func(j *pipeline.Job) time.Time  // when its tasks must have started for its next aim on starting
-	// MayStop tells whether an attempt may be stopped for a job, and what that
-	// would cost in seconds; Stop stops it. Preempts tells whether it is worth
-	// asking.
-	MayStop  func(by *pipeline.Job, a *fleet.Attempt) (cost float64, ok bool)
-	Stop     func(a *fleet.Attempt)
-	Preempts func(by *pipeline.Job) bool
-	// LargeGPUWork is the largest task of recent work that needs GuaranteedGPUs of a type; nil: none.
-	LargeGPUWork func(t *Type) *pipeline.Spec
-	// SecondsPerDollarHour weighs a dearer place against time lost on fetching.
-	SecondsPerDollarHour float64
-	HeartbeatInterval    time.Duration
-	// GangSlack is by how much the fetches of a gang's tasks may differ.
-	GangSlack time.Duration
-	// MaxReservations is for how many jobs that have no room this round keeps or makes some;
-	// without any, what the last such round kept stays so.
-	MaxReservations int
-	Spent           func() bool
-}
-
 // Round is a round of decisions that may take several goes.
 type Round struct {
 	resume string // the job it stopped before
@@ -69,20 +36,15 @@
 func (r *Round) Run(b *Board) bool {
 	from := 0
 	if r.resume != "" {
-		for i, t := range b.Queue {
-			if t.Job.Ref == r.resume {
-				from = i
-				break
-			}
-		}
+		from = max(0, slices.IndexFunc(b.Queue, func(entry QueueEntry) bool { return entry.Job.Ref == r.resume }))
 	}
 	r.resume = ""
 	if b.MaxReservations > 0 && from == 0 {
 		b.FreeCapacity.Clear()
 	}
-	for _, t := range b.Queue[from:] {
-		j := t.Job
-		if b.Spent != nil && b.Spent() {
+	for _, entry := range b.Queue[from:] {
+		j := entry.Job
+		if b.Executor.Spent() {
 			r.resume = j.Ref
 			return false
 		}
@@ -93,9 +55,9 @@
 		case pipeline.Gang:
 			b.placeGang(j)
 		case pipeline.Service:
-			b.placeReplicas(t)
+			b.placeReplicas(entry)
 		default:
-			b.placeTasks(t)
+			b.placeTasks(entry)
 		}
 	}
 	return true
--- a/internal/core/placement/score.go
+++ b/internal/core/placement/score.go
@@ -8,15 +8,27 @@
 	"gingertally/internal/core/pipeline"
 )
 
+// Scorer compares places for tasks.
+type Scorer struct {
+	Now time.Time
+	// SecondsPerDollarHour weighs a dearer place against time lost on fetching.
+	SecondsPerDollarHour float64
+	// HeartbeatInterval is how often a machine can be told to start something.
+	HeartbeatInterval time.Duration
+	// LargeGPUWork is the largest task of recent work that needs GPUs, by the type of machine that
+	// it would run on.
+	LargeGPUWork map[*Type]*pipeline.Spec
+}
+
 // waste is the part of the slot that becomes unusable for others if the job takes it: a
 // task without GPUs on a machine with GPUs, say. Beside the replicas of services there is
 // often room for a task of the large work that needs the GPUs; only the replica that takes
 // the last such room wastes something, and that is the machine.
-func (b *Board) waste(s *Slot, sp *pipeline.Spec) float64 {
+func (w *Scorer) waste(s *Slot, sp *pipeline.Spec) float64 {
 	if sp.GPUs > 0 || s.Type.GPUs == 0 {
 		return 0
 	}
-	large := b.LargeGPUWork(s.Type)
+	large := w.LargeGPUWork[s.Type]
 	if sp.Shape != pipeline.Service || large == nil {
 		return Share(s.Type, sp)
 	}
@@ -50,14 +62,14 @@
 // what the place costs, and how much of the machine is free, so that room stays whole and
 // machines empty out. Where a task would start too late for the objective of starting by a
 // time (zero: there is none, or it has passed), that counts too.
-func (b *Board) Score(s *Slot, j *pipeline.Job, startBy time.Time) float64 {
+func (w *Scorer) Score(s *Slot, j *pipeline.Job, startBy time.Time) float64 {
 	sp := &j.Spec
-	score := (Share(s.Type, sp) + b.waste(s, sp)) * s.Type.Price(s.Spot) * b.SecondsPerDollarHour
+	score := (Share(s.Type, sp) + w.waste(s, sp)) * s.Type.Price(s.Spot) * w.SecondsPerDollarHour
 	if s.Machine != nil {
-		starts := s.Machine.FetchLeft(b.Now, sp.Image, sp.ImageGB, s.Type.FetchGBPerS) +
-			s.Machine.NextResponseIn(b.Now, b.HeartbeatInterval)
+		starts := s.Machine.FetchLeft(w.Now, sp.Image, sp.ImageGB, s.Type.FetchGBPerS) +
+			s.Machine.NextResponseIn(w.Now, w.HeartbeatInterval)
 		score += starts.Seconds()
-		if b.Now.Before(startBy) && b.Now.Add(starts+startLag).After(startBy) {
+		if w.Now.Before(startBy) && w.Now.Add(starts+startLag).After(startBy) {
 			score += lateSeconds
 		}
 	}
@@ -80,7 +92,7 @@
 // open lists the slots with room for the job, the best first.
 func (b *Board) open(j *pipeline.Job, zone string) []scored {
 	var out []scored
-	startBy := b.StartBy(j)
+	startBy := b.Cluster.StartBy(j)
 	b.FreeCapacity.EachOpen(&j.Spec, zone, func(s *Slot) {
 		if !s.paused(b.Now) && !j.Avoids(b.Now, s.Machine.Name) {
 			out = append(out, scored{s, b.Score(s, j, startBy)})
--- a/internal/core/priority_order.go
+++ b/internal/core/priority_order.go
@@ -16,17 +16,18 @@
 // nothing has begun for long comes before all others, if only with a few of its
 // tasks: neither urgent nor small work may starve it.
 func (e *Engine) priorityOrder(now time.Time) []placement.QueueEntry {
-	machines := float64(max(e.freeCapacity.Size(), fewMachines))
+	machines := float64(max(e.capacity.free.Size(), fewMachines))
 	var out []prioritized
-	e.backlog = fleet.Amount{}
+	var backlog fleet.Amount
 	for _, j := range e.jobs.inOrder() {
 		if j.Phase() == pipeline.Active && j.Count(pipeline.Waiting) > 0 && !e.cancelHolds(now, j.Ref) {
 			out = e.appendEntries(out, now, j, machines)
 			if e.cfg.Admission {
-				e.backlog = e.backlog.Add(e.waitingWork(j))
+				backlog = backlog.Add(e.waitingWork(j))
 			}
 		}
 	}
+	e.rounds.waiting(backlog)
 	sort.SliceStable(out, func(i, k int) bool { return out[i].before(&out[k]) })
 	e.orderFairly(out)
 	entries := make([]placement.QueueEntry, len(out))
@@ -142,7 +143,7 @@
 	if j.Shape != pipeline.Gang {
 		return 0
 	}
-	each := gatherEach * gatherFleet / time.Duration(max(gatherFleet, e.freeCapacity.Size()))
+	each := gatherEach * gatherFleet / time.Duration(max(gatherFleet, e.capacity.free.Size()))
 	return time.Duration(len(j.Tasks)-1) * each
 }
 
--- a/internal/core/safety_test.go
+++ b/internal/core/safety_test.go
@@ -49,13 +49,13 @@
 // under this term's fencing token, is certainly no late copy.
 func (b *bench) up(machine string) {
 	b.report(machine, 0)
-	b.report(machine, b.e.term)
+	b.report(machine, b.e.numbers.term)
 }
 
 func (b *bench) reportAs(machine string, token, seq uint64, tasks ...fleet.TaskStatus) HeartbeatResponse {
 	r := fleet.Heartbeat{Machine: machine, Addr: machine, Type: "big", Zone: "a", Incarnation: 1, Sequence: seq, FencingToken: token, InterruptionIn: -1, Tasks: tasks}
 	eff := b.e.Step(b.now, HeartbeatReceived{r})
-	if eff.Deposed() && token == b.e.term {
+	if eff.Deposed() && token == b.e.numbers.term {
 		b.t.Fatalf("%s reports a token that it wasn't given: the test shows nothing", machine)
 	}
 	for eff.Response.Held {
--- a/internal/core/scale_in.go
+++ b/internal/core/scale_in.go
@@ -26,7 +26,7 @@
 	if len(e.classes) == 0 || now.Sub(e.started) < 3*e.cfg.HeartbeatInterval || !e.recovery.Pacer().AtHighest() {
 		return
 	}
-	for _, p := range e.freeCapacity.Pools {
+	for _, p := range e.capacity.free.Pools {
 		if len(p.Slots) == 0 {
 			continue
 		}
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -60,7 +60,7 @@
 
 // Status tells of machines and of jobs that wait.
 func (e *Engine) Status(now time.Time) Status {
-	s := Status{Term: e.term, Settled: e.settled(now), Pools: e.poolStatus(), Active: e.jobs.count(), Unstored: len(e.startLog.unpaged), Starts: e.waits.list(), Recovery: e.recovery.Status(now)}
+	s := Status{Term: e.numbers.term, Settled: e.settled(now), Pools: e.poolStatus(), Active: e.jobs.count(), Unstored: len(e.startLog.unpaged), Starts: e.waits.list(), Recovery: e.recovery.Status(now)}
 	s.Drains = e.DrainStatus(now)
 	e.addWaiting(now, &s)
 	e.addHeld(now, &s)
--- a/internal/core/warm_start.go
+++ b/internal/core/warm_start.go
@@ -55,7 +55,7 @@
 	}
 	s.outcome.Differing = len(s.differing)
 	e.warmOutcome = s.outcome
-	e.replan = true
+	e.rounds.request()
 	e.log(LogWarmStateApplied, slog.Bool("confirmed", w.Confirmed), slog.Int("machines_expected", s.outcome.Expected), slog.Int("machines_differing", s.outcome.Differing),
 		slog.Int("attempts_unstored", s.outcome.Unstored), slog.Int("attempts_unknown", s.outcome.Unknown))
 }
--- a/internal/core/writes.go
+++ b/internal/core/writes.go
@@ -70,7 +70,7 @@
 }
 
 func (o WritesFinished) apply(e *Engine, now time.Time) {
-	e.writesFail = !o.OK
+	e.batches.finished(o.OK)
 	for _, w := range o.Batch {
 		if o.OK {
 			w.succeeded(e, now, o.Revision)
