--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -34,7 +34,8 @@
 	e.warm.noteAttempt(a)
 	e.usage.moved(a, was)
 	if to == fleet.Running {
-		e.debug(LogAttemptRunning, logAttempt(a, logSince("since_start_sent", now, a.SentAt), slog.Duration("fetch_estimate", a.FetchEstimate))...)
+		e.debug(LogAttemptRunning, logAttempt(a, logSince("since_start_sent", now, a.SentAt),
+			slog.Duration("fetch_estimate", a.FetchEstimate))...)
 	}
 	if to == fleet.Exited {
 		e.settleExit(now, m, a, was)
@@ -122,10 +123,13 @@
 			return
 		}
 	}
-	e.out.Direct = append(e.out.Direct, Direct{Machine: m.Name, Addr: m.Addr(), Incarnation: m.Incarnation(), FencingToken: e.numbers.term, Commands: []fleet.Command{c}})
+	e.out.Direct = append(e.out.Direct, Direct{
+		Machine: m.Name, Addr: m.Addr(), Incarnation: m.Incarnation(), FencingToken: e.numbers.term,
+		Commands: []fleet.Command{c},
+	})
 }
 
-// requeue lets the task of a gone attempt be placed again.
+// requeue lets the task of an attempt that is proven gone be placed again.
 func (e *Engine) requeue(a *fleet.Attempt) {
 	if j := e.jobs.get(a.Ref); j != nil && a.Task < len(j.Tasks) && j.Tasks[a.Task].Attempt == a.Number {
 		j.Requeue(a.Task)
@@ -174,7 +178,8 @@
 		return
 	}
 	a.ExitHandled = true
-	e.debug(LogAttemptExited, logAttempt(a, slog.String("cause", t.Cause.String()), slog.Bool("checkpointed", t.Checkpointed))...)
+	e.debug(LogAttemptExited, logAttempt(a, slog.String("cause", t.Cause.String()),
+		slog.Bool("checkpointed", t.Checkpointed))...)
 	if !current {
 		return
 	}
@@ -235,7 +240,11 @@
 	j.TaskFailed(now, task, e.cfg.RestartLimit)
 	e.jobWrites.jobChanged(j)
 	e.capacityChanged(m)
-	if !m.Quarantined() && (len(m.FailedJobs()) >= quarantineAfterJobs || m.Failures() >= quarantineAfterFailures && len(j.AvoidUntil) == 0) {
+	if m.Quarantined() {
+		return
+	}
+	failedAgain := m.Failures() >= quarantineAfterFailures && len(j.AvoidUntil) == 0
+	if len(m.FailedJobs()) >= quarantineAfterJobs || failedAgain {
 		m.Quarantine()
 		e.machines.checkAt(m, now)
 		e.log(LogMachineQuarantined, logMachine(m), slog.Int("failures", m.Failures()))
@@ -246,7 +255,5 @@
 		}
 		return
 	}
-	if !m.Quarantined() {
-		j.Avoid(now, m.Name)
-	}
+	j.Avoid(now, m.Name)
 }
--- a/internal/core/capacity/capacity.go
+++ b/internal/core/capacity/capacity.go
@@ -117,7 +117,9 @@
 // Choose plans what to request for work that nothing has room for, after what the
 // machines counted as capacity, live and booting, will take of it. Reservations don't
 // count: the jobs that room is kept for are among the demand.
-func (p *Plan) Choose(now time.Time, demand []Demand, freeCapacity *placement.FreeCapacity, c placement.Catalog) []Order {
+func (p *Plan) Choose(
+	now time.Time, demand []Demand, freeCapacity *placement.FreeCapacity, c placement.Catalog,
+) []Order {
 	g := &planner{
 		plan: p, now: now, catalog: c, freeCapacity: freeCapacity,
 		copies: map[*placement.Slot]*placement.Slot{},
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -37,7 +37,7 @@
 			c.Kind, c.Grace = fleet.Stop, a.Grace
 			a.CommandSequence = m.Sequence()
 			stops = append(stops, c)
-		case state == fleet.Recorded && !a.Inherited && m.StartBlock() == fleet.NotBlocked && !now.Before(a.NotBefore) && e.recovery.Pacer().Take(e.urgent(a)):
+		case state == fleet.Recorded && e.startDue(now, m, a) && e.recovery.Pacer().Take(e.urgent(a)):
 			c.Kind = fleet.Start
 			e.startSent(now, m, a)
 			starts = append(starts, c)
@@ -46,6 +46,11 @@
 	return append(append(forgets, stops...), starts...)
 }
 
+// startDue tells whether the start of an attempt that the store holds may leave now.
+func (*Engine) startDue(now time.Time, m *fleet.Machine, a *fleet.Attempt) bool {
+	return !a.Inherited && m.StartBlock() == fleet.NotBlocked && !now.Before(a.NotBefore)
+}
+
 // urgent tells whether an attempt's start isn't held back by the pace of a recovery.
 func (e *Engine) urgent(a *fleet.Attempt) bool {
 	j := e.jobs.get(a.Ref)
--- a/internal/core/connectivity.go
+++ b/internal/core/connectivity.go
@@ -57,7 +57,8 @@
 		switch {
 		case a.State() == fleet.Sent:
 			d.delivered = true
-		case t.State == fleet.Exited && a.State() == fleet.Exited, a.Stopping && a.Grace == 0 && t.State < fleet.Checkpointing:
+		case t.State == fleet.Exited && a.State() == fleet.Exited,
+			a.Stopping && a.Grace == 0 && t.State < fleet.Checkpointing:
 			d.undelivered = true // a forget, or a stop that asks for no saving
 		}
 	}
--- a/internal/core/consolidate.go
+++ b/internal/core/consolidate.go
@@ -1,10 +1,11 @@
 package core
 
 import (
+	"cmp"
 	"log/slog"
 	"maps"
 	"math"
-	"sort"
+	"slices"
 	"time"
 
 	"gingertally/internal/core/fleet"
@@ -65,9 +66,11 @@
 		return
 	}
 	atOnce := max(1, e.capacity.free.Size()/emptiedPart) - e.emptying.stillRunning()
-	scorer := &placement.Scorer{Now: now, SecondsPerDollarHour: e.cfg.Weights.SecondsPerDollarHour, LargeGPUWork: e.largeGPUWork(now)}
-	plan := &consolidation{engine: e, scorer: scorer, now: now, copies: map[*placement.Slot]*placement.Slot{},
-		emptied: map[*placement.Slot]bool{}, targets: map[*fleet.Machine]bool{}}
+	plan := newConsolidation(now, e, &placement.Scorer{
+		Now:                  now,
+		SecondsPerDollarHour: e.cfg.Weights.SecondsPerDollarHour,
+		LargeGPUWork:         e.largeGPUWork(now),
+	})
 	candidates := plan.candidates()
 	for _, c := range candidates[:min(len(candidates), 3*max(atOnce, 0))] {
 		if atOnce <= 0 {
@@ -79,7 +82,8 @@
 		atOnce--
 		m := c.slot.Machine
 		e.emptying.add(m)
-		e.log(LogConsolidationStarted, logMachine(m), slog.String("type", m.Type), logActive(m), slog.Float64("saves_dollars", math.Round(c.gain*100)/100))
+		e.log(LogConsolidationStarted, logMachine(m), slog.String("type", m.Type), logActive(m),
+			slog.Float64("saves_dollars", math.Round(c.gain*100)/100))
 		e.moveByChoice(now, m)
 		e.startDraining(now, m)
 	}
@@ -118,6 +122,15 @@
 	targets map[*fleet.Machine]bool             // machines that something is to move to
 }
 
+func newConsolidation(now time.Time, e *Engine, scorer *placement.Scorer) *consolidation {
+	return &consolidation{
+		engine: e, scorer: scorer, now: now,
+		copies:  map[*placement.Slot]*placement.Slot{},
+		emptied: map[*placement.Slot]bool{},
+		targets: map[*fleet.Machine]bool{},
+	}
+}
+
 // candidate is a machine that might be emptied, with the jobs of its tasks and
 // what that would save in money.
 type candidate struct {
@@ -139,7 +152,7 @@
 			}
 		}
 	}
-	sort.SliceStable(out, func(i, k int) bool { return out[i].gain > out[k].gain })
+	slices.SortStableFunc(out, func(a, b candidate) int { return cmp.Compare(b.gain, a.gain) })
 	return out
 }
 
@@ -150,23 +163,31 @@
 	var longest time.Duration
 	var moved []*pipeline.Job
 	cost := 0.0
-	for a := range s.Machine.Attempts() {
+	for _, a := range s.Machine.SortedAttempts() {
 		if a.State() == fleet.Exited {
 			continue
 		}
 		j := v.engine.jobs.get(a.Ref)
-		if j == nil || a.State() != fleet.Running || a.Stopping || j.CheckpointInterval == 0 || v.now.Sub(a.RunStart) < settledRun ||
-			isGang(j) || !v.engine.mayMoveByChoice(v.now, a, j) {
+		if j == nil || !v.movable(a, j) {
 			return candidate{}
 		}
 		longest = max(longest, v.engine.expectedRun(j)-v.now.Sub(a.RunStart))
 		cost += placement.Share(s.Type, &j.Spec) * price * (j.CheckpointTime + moveOverhead).Seconds()
 		moved = append(moved, j)
 	}
-	sort.Slice(moved, func(i, k int) bool { return moved[i].Ref < moved[k].Ref })
 	return candidate{s, moved, price*longest.Seconds() - v.engine.cfg.Weights.MoveGain*cost}
 }
 
+// movable tells whether an attempt may be moved: it saves, has run long enough for its start to
+// count, and no budget is in the way.
+func (v *consolidation) movable(a *fleet.Attempt, j *pipeline.Job) bool {
+	if a.State() != fleet.Running || a.Stopping || v.now.Sub(a.RunStart) < settledRun {
+		return false
+	}
+	return j.CheckpointInterval > 0 && !isGang(j) && v.engine.mayMoveByChoice(v.now, a, j)
+}
+
+// copyOf is the plan's own copy of a slot, with what is to move there.
 func (v *consolidation) copyOf(s *placement.Slot) *placement.Slot {
 	c := v.copies[s]
 	if c == nil {
--- a/internal/core/drain_capacity.go
+++ b/internal/core/drain_capacity.go
@@ -10,9 +10,9 @@
 	"gingertally/internal/drain"
 )
 
-// replacement is a machine that is rented ahead of one that is being drained.
+// replacement is a machine that is requested ahead of one that is being drained.
 type replacement struct {
-	request string // name of the rental
+	request string // name of the request
 	machine string // empty until the cloud has answered
 	asked   time.Time
 }
@@ -87,8 +87,10 @@
 		return nil
 	}
 	found := b.engine.capacity.free.FindOpen(&j.Spec, func(s *placement.Slot) bool {
-		usable := !(ahead && s.Machine.CordonPlanned()) && !j.Avoids(b.now, s.Machine.Name) && placement.ZoneCapacity(j, s.Zone, zones) > 0
-		return usable && b.copyOf(s).Free(&j.Spec) > 0
+		if ahead && s.Machine.CordonPlanned() || j.Avoids(b.now, s.Machine.Name) {
+			return false
+		}
+		return placement.ZoneCapacity(j, s.Zone, zones) > 0 && b.copyOf(s).Free(&j.Spec) > 0
 	})
 	if found == nil {
 		b.without[j.Ref] = true
@@ -107,7 +109,7 @@
 }
 
 // awaitReplacement deals with a machine whose work has no room elsewhere: a machine like it is
-// rented, if its plan says so.
+// requested, if its plan says so.
 func (e *Engine) awaitReplacement(now time.Time, dm *drain.Machine) drain.Verdict {
 	d := e.drains
 	m := e.machines.get(dm.Name)
@@ -116,16 +118,17 @@
 	}
 	delete(d.replacements, dm.Name)
 	noRoom := drain.Verdict{Kind: drain.NotYet, Cause: drain.CauseNoCapacity}
-	offer := fleet.PoolKey{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
-	backoff, refused := e.plan.Backoff(offer)
+	backoff, refused := e.plan.Backoff(m.PoolKey)
 	if len(d.replacements) >= d.coordinator.Surge(dm) || refused && now.Before(backoff.Until) {
 		return noRoom
 	}
 	r := &replacement{request: e.numbers.nextRequestName(), asked: now}
 	d.replacements[dm.Name] = r
 	d.coordinator.Move(dm, drain.Replacing)
-	e.plan.Requested(offer, 1)
-	e.out.ScaleOut = append(e.out.ScaleOut, ScaleOut{Name: r.request, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Count: 1})
+	e.plan.Requested(m.PoolKey, 1)
+	e.out.ScaleOut = append(e.out.ScaleOut, ScaleOut{
+		Name: r.request, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Count: 1,
+	})
 	return drain.Verdict{Kind: drain.NotYet, Cause: drain.CauseReplacement}
 }
 
@@ -158,7 +161,7 @@
 	}
 }
 
-// isReplacement tells whether a machine was rented in place of one that is still there.
+// isReplacement tells whether a machine was requested in place of one that is still there.
 func (d *draining) isReplacement(name string) bool {
 	if d == nil {
 		return false
--- a/internal/core/drain_eviction.go
+++ b/internal/core/drain_eviction.go
@@ -1,9 +1,9 @@
 package core
 
 import (
+	"cmp"
 	"maps"
 	"slices"
-	"sort"
 	"strings"
 	"time"
 
@@ -13,7 +13,7 @@
 )
 
 const (
-	// answerDropped is how long after it sent a report a worker takes its answer (PROTOCOL).
+	// answerDropped is how long after it sent a heartbeat a worker takes its answer (PROTOCOL).
 	answerDropped = 4 * time.Second
 	// evictionSlack is what a stop takes beside the way to the worker and saving.
 	evictionSlack = 2 * time.Second
@@ -61,6 +61,9 @@
 	return work
 }
 
+// taskKey names an attempt's task in the ledger of charges.
+func taskKey(a *fleet.Attempt) drain.TaskKey { return drain.TaskKey{Job: a.Ref, Task: a.Task} }
+
 // isGang tells whether a job's tasks are stopped together.
 func isGang(j *pipeline.Job) bool { return j.Shape == pipeline.Gang && len(j.Tasks) > 1 }
 
@@ -85,12 +88,15 @@
 // newEvictionGroup describes what would be interrupted.
 func newEvictionGroup(now time.Time, j *pipeline.Job, attempts []*fleet.Attempt) *evictionGroup {
 	g := &evictionGroup{job: j, attempts: attempts}
-	g.candidate = drain.Candidate{Team: j.Team, Class: j.Class, Job: j.Ref, Checkpoints: j.CheckpointInterval > 0, Takes: evictionTime(j), Since: now}
+	g.candidate = drain.Candidate{
+		Team: j.Team, Class: j.Class, Job: j.Ref,
+		Checkpoints: j.CheckpointInterval > 0, Takes: evictionTime(j), Since: now,
+	}
 	if j.Shape == pipeline.Service {
 		g.candidate.Replicas = len(j.Tasks)
 	}
 	for _, a := range attempts {
-		g.candidate.Tasks = append(g.candidate.Tasks, drain.TaskAttempt{TaskKey: drain.TaskKey{Job: a.Ref, Task: a.Task}, Attempt: a.Number})
+		g.candidate.Tasks = append(g.candidate.Tasks, drain.TaskAttempt{TaskKey: taskKey(a), Attempt: a.Number})
 	}
 	return g
 }
@@ -154,7 +160,7 @@
 
 // charged tells whether an interruption of an attempt is charged and may be under way.
 func (e *Engine) charged(a *fleet.Attempt) bool {
-	c := e.drains.coordinator.Ledger.Find(drain.TaskKey{Job: a.Ref, Task: a.Task}, a.Number)
+	c := e.drains.coordinator.Ledger.Find(taskKey(a), a.Number)
 	return c != nil && c.Open()
 }
 
@@ -165,7 +171,9 @@
 }
 
 // evictAllowed evicts what may leave a machine. It tells what stands in the way beside budgets.
-func (e *Engine) evictAllowed(now time.Time, dm *drain.Machine, work *machineWork, booking *capacityBooking) drain.Verdict {
+func (e *Engine) evictAllowed(
+	now time.Time, dm *drain.Machine, work *machineWork, booking *capacityBooking,
+) drain.Verdict {
 	blocked := drain.Verdict{}
 	for _, group := range work.groups {
 		if group.verdict.Kind != drain.Allowed {
@@ -251,7 +259,7 @@
 const voidEvery = 10 * time.Second
 
 // voidCharges takes back the charges of attempts that run on and whose machines aren't drained
-// any more. Their machines have reported under this term, so that no stop by an earlier leader
+// any more. Their machines have been heard under this term, so that no stop by an earlier leader
 // is obeyed there, and this one hasn't told them to stop (TestUnspentChargeIsVoid).
 func (e *Engine) voidCharges(now time.Time) {
 	d := e.drains
@@ -265,7 +273,9 @@
 		if a == nil || a.Leaving() || a.State() != fleet.Running {
 			continue
 		}
-		if m := a.Machine; m.State() == fleet.Live && m.TermConfirmed() && m.FencingToken() == e.numbers.term && !m.Cordoned() && !m.Draining() {
+		m := a.Machine
+		confirmed := m.State() == fleet.Live && m.TermConfirmed() && m.FencingToken() == e.numbers.term
+		if confirmed && !m.Cordoned() && !m.Draining() {
 			ledger.Void(c.TaskKey, c.Attempt)
 		}
 	}
@@ -274,19 +284,23 @@
 // endCharge notes that an attempt is gone, if anything was charged for it.
 func (e *Engine) endCharge(now time.Time, a *fleet.Attempt) {
 	if e.drains != nil {
-		e.drains.coordinator.Ledger.End(now, drain.TaskKey{Job: a.Ref, Task: a.Task}, a.Number)
+		e.drains.coordinator.Ledger.End(now, taskKey(a), a.Number)
 	}
 }
 
 // chargeInvoluntary counts an interruption that budgets can't forbid against what they leave.
 func (e *Engine) chargeInvoluntary(now time.Time, a *fleet.Attempt) {
 	j := e.jobs.get(a.Ref)
-	if e.drains == nil || j == nil || j.Over() || a.Unrecorded || a.Stopping || a.State() < fleet.Fetching || a.State() == fleet.Exited || !e.cfg.Drain.Limits(j.Team, j.Class) {
+	if e.drains == nil || j == nil || j.Over() || !e.cfg.Drain.Limits(j.Team, j.Class) {
+		return
+	}
+	onMachine := a.State() >= fleet.Fetching && a.State() != fleet.Exited
+	if a.Unrecorded || a.Stopping || !onMachine {
 		return
 	}
 	ledger := e.drains.coordinator.Ledger
 	for _, o := range e.interruptedWith(j, a) {
-		ledger.Charge(now, j.Team, j.Class, drain.TaskKey{Job: o.Ref, Task: o.Task}, o.Number, drain.Involuntary)
+		ledger.Charge(now, j.Team, j.Class, taskKey(o), o.Number, drain.Involuntary)
 	}
 }
 
@@ -300,19 +314,9 @@
 
 // sortedMoving lists the tasks that are moving, by job and task.
 func (d *draining) sortedMoving() []*movingTask {
-	out := make([]*movingTask, 0, len(d.moving))
-	for _, t := range d.moving {
-		out = append(out, t)
-	}
-	sort.Slice(out, func(i, k int) bool { return out[i].less(out[k]) })
-	return out
-}
-
-func (t *movingTask) less(o *movingTask) bool {
-	if t.job.Ref != o.job.Ref {
-		return t.job.Ref < o.job.Ref
-	}
-	return t.task < o.task
+	return slices.SortedFunc(maps.Values(d.moving), func(a, b *movingTask) int {
+		return cmp.Or(cmp.Compare(a.job.Ref, b.job.Ref), cmp.Compare(a.task, b.task))
+	})
 }
 
 // sortedOwn lists the machines that the scheduler empties by its own choice, by name.
--- a/internal/core/drain_preview.go
+++ b/internal/core/drain_preview.go
@@ -32,7 +32,10 @@
 		for _, group := range e.workOn(now, m).groups {
 			scope := drain.Scope{Team: group.job.Team, Class: group.job.Class}
 			interrupted[scope] += len(group.attempts)
-			listed.Work = append(listed.Work, drain.PreviewWork{Scope: scope, Job: group.job.Ref, Tasks: len(group.attempts), Verdict: e.judge(now, group).String()})
+			listed.Work = append(listed.Work, drain.PreviewWork{
+				Scope: scope, Job: group.job.Ref, Tasks: len(group.attempts),
+				Verdict: e.judge(now, group).String(),
+			})
 		}
 		if len(preview.Listed) < previewedMachines {
 			preview.Listed = append(preview.Listed, listed)
--- a/internal/core/drain_round.go
+++ b/internal/core/drain_round.go
@@ -16,7 +16,7 @@
 	proposalsPerRound = 16
 	// drainLookEvery is the least time between two looks at one machine.
 	drainLookEvery = 400 * time.Millisecond
-	// lostPart: while more than so much of the fleet doesn't report, nothing is disrupted.
+	// lostPart: while more than so much of the fleet sends no heartbeats, nothing is disrupted.
 	lostPart = 10
 	// cordonAhead is how long before its first task may leave a machine is cordoned at most.
 	cordonAhead = 5 * time.Minute
@@ -58,7 +58,8 @@
 	if len(e.catalog) == 0 || !e.settled(now) || e.batches.failing || e.ticks.answersLate(now, e.cfg.HeartbeatInterval) {
 		return false
 	}
-	lost := e.machines.inState(fleet.Unresponsive) + e.machines.inState(fleet.AwaitingHeartbeat) + e.machines.unreachableCount()
+	lost := e.machines.inState(fleet.Unresponsive) + e.machines.inState(fleet.AwaitingHeartbeat) +
+		e.machines.unreachableCount()
 	return lost <= max(1, e.machines.count()/lostPart)
 }
 
@@ -113,7 +114,7 @@
 	m := e.machines.get(dm.Name)
 	if m == nil {
 		if complete {
-			c.MachineRemoved(dm.Name) // the list and all reports have had time to speak of it
+			c.MachineRemoved(dm.Name) // the list and all heartbeats have had time to speak of it
 		}
 		return
 	}
@@ -125,7 +126,9 @@
 }
 
 // emptyMachine brings a machine closer to being empty, and tells why it isn't yet.
-func (e *Engine) emptyMachine(now time.Time, dm *drain.Machine, m *fleet.Machine, booking *capacityBooking) drain.Verdict {
+func (e *Engine) emptyMachine(
+	now time.Time, dm *drain.Machine, m *fleet.Machine, booking *capacityBooking,
+) drain.Verdict {
 	c := e.drains.coordinator
 	notYet := func(cause drain.Cause) drain.Verdict { return drain.Verdict{Kind: drain.NotYet, Cause: cause} }
 	switch {
--- a/internal/core/draining.go
+++ b/internal/core/draining.go
@@ -18,9 +18,11 @@
 	coordinator  *drain.Coordinator
 	replacements map[string]*replacement // by the machine that is replaced
 	moving       map[fleet.TaskID]*movingTask
-	own          map[*fleet.Machine]time.Time // that the scheduler empties by its own choice, under budgets, and since when
-	voidedAt     time.Time                    // when charges were last looked for that won't be spent
-	newest       string                       // last name of a machine that is known
+	// own are the machines that the scheduler empties by its own choice, under budgets, and since
+	// when.
+	own      map[*fleet.Machine]time.Time
+	voidedAt time.Time // when charges were last looked for that won't be spent
+	newest   string    // last name of a machine that is known
 }
 
 // movingTask is a task that is being evicted and isn't placed elsewhere yet.
@@ -123,11 +125,13 @@
 	}
 	for m := range e.machines.all() {
 		e.applyCordon(m)
-		if dm := d.coordinator.Machine(m.Name); dm != nil && dm.Plan == s.Stored.Plan.ID && s.Stored.Plan.Phase != drain.Running {
+		dm := d.coordinator.Machine(m.Name)
+		if s.Stored.Plan.Phase != drain.Running && dm != nil && dm.Plan == s.Stored.Plan.ID {
 			e.revokeEvictions(m.Name)
 		}
 	}
-	e.log(LogDrainPlanChanged, slog.String(logKeyPlan, s.Stored.Plan.ID), slog.String("phase", s.Stored.Plan.Phase.String()))
+	e.log(LogDrainPlanChanged, slog.String(logKeyPlan, s.Stored.Plan.ID),
+		slog.String("phase", s.Stored.Plan.Phase.String()))
 }
 
 // DrainPlanWritten says that the write of a plan's record has ended.
--- a/internal/core/draining_test.go
+++ b/internal/core/draining_test.go
@@ -383,8 +383,7 @@
 		t.Fatalf("not placed as meant: %v", u.zones)
 	}
 	b.e.updateFreeCapacity(b.now)
-	plan := &consolidation{engine: b.e, scorer: &placement.Scorer{Now: b.now}, now: b.now,
-		copies: map[*placement.Slot]*placement.Slot{}, emptied: map[*placement.Slot]bool{}, targets: map[*fleet.Machine]bool{}}
+	plan := newConsolidation(b.now, b.e, &placement.Scorer{Now: b.now})
 	for _, p := range b.e.capacity.free.Pools {
 		for _, from := range p.Slots {
 			if to := plan.bestTarget(b.e.jobs.get("j-1"), from); to != nil {
--- a/internal/core/estimates.go
+++ b/internal/core/estimates.go
@@ -9,15 +9,15 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// noAim is the time to start that a job without aims is given; lateFactor is
-// how much later than its last aim a job counts that can keep none any more:
-// it lets those go first that can, but isn't put off for good.
 const (
-	noAim      = 5 * time.Minute
+	// defaultStart is the time to start that a job without objectives is given.
+	defaultStart = 5 * time.Minute
+	// lateFactor is how much later than its last objective a job counts that can keep none any
+	// more: it lets those go first that can, but isn't put off for good.
 	lateFactor = 2
 )
 
-// startBy is when a job's tasks must have started for the next of its aims on starting;
+// startBy is when a job's tasks must have started for the next of its objectives on starting;
 // zero if it has none that it can still keep.
 func (e *Engine) startBy(now time.Time, j *pipeline.Job) (by time.Time) {
 	for _, a := range e.cfg.Objectives[j.Class] {
@@ -28,7 +28,7 @@
 	return by
 }
 
-// dueStart is when a job must have started to keep the next of its aims, or of
+// dueStart is when a job must have started to keep the next of its objectives, or of
 // those of the last job of its line.
 func (e *Engine) dueStart(now time.Time, j *pipeline.Job) time.Time {
 	run, fetch := e.expectedRun(j), e.expectedFetch(j)
@@ -71,7 +71,7 @@
 	case last > 0:
 		return j.Since.Add(lateFactor * last)
 	}
-	return j.Since.Add(noAim)
+	return j.Since.Add(defaultStart)
 }
 
 // remainingWork is the run time of all tasks of a job that aren't done.
--- a/internal/core/fleet/image_log.go
+++ b/internal/core/fleet/image_log.go
@@ -1,6 +1,9 @@
 package fleet
 
-import "sort"
+import (
+	"maps"
+	"slices"
+)
 
 // ImageRecord is one value of the image log: which images machines are believed
 // to have. It is a hint that saves fetches after a change of leader, and proves
@@ -85,14 +88,7 @@
 	b.record.Machines = append(b.record.Machines, here)
 }
 
-func sortedNames(has map[string][]Image) []string {
-	out := make([]string, 0, len(has))
-	for name := range has {
-		out = append(out, name)
-	}
-	sort.Strings(out)
-	return out
-}
+func sortedNames(has map[string][]Image) []string { return slices.Sorted(maps.Keys(has)) }
 
 // Each calls fn with what the record says of each machine.
 func (r *ImageRecord) Each(fn func(machine string, images []Image)) {
--- a/internal/core/fleet/machine_condition.go
+++ b/internal/core/fleet/machine_condition.go
@@ -21,7 +21,8 @@
 	BlockedUnconfirmedTerm            // a start of an earlier term may still reach it
 )
 
-var startBlockNames = [...]string{"none", "draining", "quarantined", "cordoned", "unreachable", "not live", "term not confirmed"}
+var startBlockNames = [...]string{"none", "draining", "quarantined", "cordoned", "unreachable", "not live",
+	"term not confirmed"}
 
 // String returns the reason's name.
 func (b StartBlock) String() string { return startBlockNames[b] }
--- a/internal/core/fleet/machine_heartbeats.go
+++ b/internal/core/fleet/machine_heartbeats.go
@@ -10,7 +10,7 @@
 	leaseRenewedAt    time.Time        // no 200 was sent to it after this
 	responseHeld      bool             // what is placed now goes with the answer to its newest heartbeat
 	fencingTokenSent  bool             // was sent this term's fencing token
-	termConfirmed     bool             // has reported with this term's fencing token, or never held anything of an earlier term
+	termConfirmed     bool             // see TermConfirmed
 	heartbeatExpected bool             // not heard of under this term, but by the leader before shortly before its end
 }
 
--- a/internal/core/fleet/start_log.go
+++ b/internal/core/fleet/start_log.go
@@ -1,7 +1,8 @@
 package fleet
 
 import (
-	"sort"
+	"cmp"
+	"slices"
 	"time"
 )
 
@@ -127,12 +128,9 @@
 
 // sortByMachine sorts attempts by machine, number and task.
 func sortByMachine(attempts []*Attempt) {
-	sort.Slice(attempts, func(i, k int) bool {
-		a, b := attempts[i], attempts[k]
-		if a.Machine.Name != b.Machine.Name {
-			return a.Machine.Name < b.Machine.Name
-		}
-		return a.Number < b.Number || a.Number == b.Number && a.Task < b.Task
+	slices.SortFunc(attempts, func(a, b *Attempt) int {
+		return cmp.Or(cmp.Compare(a.Machine.Name, b.Machine.Name), cmp.Compare(a.Number, b.Number),
+			cmp.Compare(a.Task, b.Task))
 	})
 }
 
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -9,39 +9,40 @@
 	"gingertally/internal/recovery"
 )
 
-// HeartbeatReceived brings a worker's heartbeat; its Reply is in the effects.
+// HeartbeatReceived brings a worker's heartbeat; its Response is in the effects.
 type HeartbeatReceived struct{ Heartbeat fleet.Heartbeat }
 
 func (r HeartbeatReceived) apply(e *Engine, now time.Time) {
-	rep := r.Heartbeat
+	heartbeat := r.Heartbeat
 	e.out.Response = &HeartbeatResponse{}
-	if rep.FencingToken > e.numbers.term {
-		e.out.HigherFencingToken = rep.FencingToken
+	if heartbeat.FencingToken > e.numbers.term {
+		e.out.HigherFencingToken = heartbeat.FencingToken
 		return
 	}
-	if e.machines.wasRemoved(rep.Machine) {
+	if e.machines.wasRemoved(heartbeat.Machine) {
 		return // sent before the machine was released
 	}
-	m := e.machines.get(rep.Machine)
+	m := e.machines.get(heartbeat.Machine)
 	if m == nil {
-		m = fleet.NewMachine(now, rep.Machine, fleet.PoolKey{Type: rep.Type, Zone: rep.Zone, Spot: rep.Spot})
+		pool := fleet.PoolKey{Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot}
+		m = fleet.NewMachine(now, heartbeat.Machine, pool)
 		e.addMachine(now, m)
 		e.log(LogMachineDiscovered, logMachine(m), slog.String("type", m.Type), slog.String("zone", m.Zone))
 	}
-	if rep.FencingToken == e.numbers.term && !m.FencingTokenSent() {
+	if heartbeat.FencingToken == e.numbers.term && !m.FencingTokenSent() {
 		// It has this fencing token from a leader that the state service has forgotten.
-		e.out.HigherFencingToken = rep.FencingToken
+		e.out.HigherFencingToken = heartbeat.FencingToken
 		return
 	}
-	if !m.Newer(&rep) {
-		e.staleHeartbeat(now, m, &rep)
+	if !m.Newer(&heartbeat) {
+		e.staleHeartbeat(now, m, &heartbeat)
 		return // a stale copy proves nothing and must not renew the lease
 	}
-	busy := m.ActiveAttempts()
-	e.applyHeartbeat(now, m, &rep)
+	active := m.ActiveAttempts()
+	e.applyHeartbeat(now, m, &heartbeat)
 	// Room has become free, or a new leader is about to place: a start decided now
 	// would otherwise wait for the worker's next heartbeat.
-	startExpected := m.ActiveAttempts() < busy || e.emptyUnderNewLeader(now, m)
+	startExpected := m.ActiveAttempts() < active || e.emptyUnderNewLeader(now, m)
 	e.respond(now, m, startExpected && m.StartBlock() == fleet.NotBlocked)
 	m.RenewLease(now)
 }
@@ -108,18 +109,20 @@
 
 // applyHeartbeat takes in a heartbeat that is newer than all before it.
 func (e *Engine) applyHeartbeat(now time.Time, m *fleet.Machine, r *fleet.Heartbeat) {
-	newSession := r.Incarnation > m.Incarnation() || r.Version().Restarted(m.HeartbeatVersion())
+	newIncarnation := r.Incarnation > m.Incarnation() || r.Version().Restarted(m.HeartbeatVersion())
 	was, quiet := m.State(), now.Sub(m.LastHeartbeat())
-	leaseEnded := newSession && was == fleet.Live && quiet < e.cfg.Lease/2
+	leaseEnded := newIncarnation && was == fleet.Live && quiet < e.cfg.Lease/2
 	if was != fleet.ScalingIn && e.moveMachine(now, m, fleet.Live) {
-		e.log(LogMachineLive, append(logPool(m.PoolKey), logMachine(m), slog.String("previous_state", was.String()), logSince("since_first_seen", now, m.FirstSeen()))...)
+		e.log(LogMachineLive, append(logPool(m.PoolKey), logMachine(m),
+			slog.String("previous_state", was.String()),
+			logSince("since_first_seen", now, m.FirstSeen()))...)
 	}
 	e.detectOneWayLoss(now, m, r, leaseEnded)
 	m.HeartbeatReceived(now, r)
 	if r.FencingToken == e.numbers.term && m.ConfirmTerm() {
 		e.capacityChanged(m)
 	}
-	if newSession {
+	if newIncarnation {
 		e.incarnationEnded(now, m, r)
 	}
 	for i := range r.Tasks {
--- a/internal/core/image_log.go
+++ b/internal/core/image_log.go
@@ -33,7 +33,9 @@
 	lastWrite time.Time
 }
 
-func newImageLog(cfg *Config, started time.Time, newName func() string, imagesOf func(string) ([]fleet.Image, bool)) imageLog {
+func newImageLog(
+	cfg *Config, started time.Time, newName func() string, imagesOf func(machine string) ([]fleet.Image, bool),
+) imageLog {
 	return imageLog{cfg: cfg, started: started, newName: newName, imagesOf: imagesOf, pages: map[string]*imagePage{},
 		byMachine: map[string]*imagePage{}, inherited: map[string][]fleet.Image{}}
 }
--- a/internal/core/instances.go
+++ b/internal/core/instances.go
@@ -54,14 +54,16 @@
 // ScaleOutAnswered brings the answer to a request for machines.
 type ScaleOutAnswered struct {
 	Request        ScaleOut
-	Machines       []string // those rented
+	Machines       []string // those created
 	NoCapacity     bool     // no capacity
 	OutcomeUnknown bool     // given up without an answer; the list will tell
 }
 
 func (r ScaleOutAnswered) apply(e *Engine, now time.Time) {
 	o := fleet.PoolKey{Type: r.Request.Type, Zone: r.Request.Zone, Spot: r.Request.Spot}
-	e.plan.Answered(now, o, capacity.Answer{Requested: r.Request.Count, Created: len(r.Machines), OutcomeUnknown: r.OutcomeUnknown})
+	e.plan.Answered(now, o, capacity.Answer{
+		Requested: r.Request.Count, Created: len(r.Machines), OutcomeUnknown: r.OutcomeUnknown,
+	})
 	e.warm.noteOffer(o)
 	for _, name := range r.Machines {
 		if e.machines.wasRemoved(name) || e.machines.get(name) != nil {
@@ -73,7 +75,8 @@
 	}
 	e.drains.replacementAnswered(r)
 	e.rounds.request()
-	e.log(LogScaleOutAnswered, append(logPool(o), slog.Int("requested", r.Request.Count), slog.Int("created", len(r.Machines)), slog.Bool("no_capacity", r.NoCapacity))...)
+	e.log(LogScaleOutAnswered, append(logPool(o), slog.Int("requested", r.Request.Count),
+		slog.Int("created", len(r.Machines)), slog.Bool("no_capacity", r.NoCapacity))...)
 }
 
 // ScaleInAnswered says that the cloud answered a release with 200: the machines and
--- a/internal/core/job_writes.go
+++ b/internal/core/job_writes.go
@@ -1,8 +1,8 @@
 package core
 
 import (
+	"cmp"
 	"slices"
-	"sort"
 	"time"
 
 	"gingertally/internal/core/pipeline"
@@ -99,23 +99,18 @@
 // safety argument 15; TestCancelledWithOthersAreWrittenFirst). Of the others, what has
 // waited longest comes first.
 func (w *jobWrites) sortEnds(ends []*pipeline.Job) {
-	sort.Slice(ends, func(i, k int) bool {
-		a, b := ends[i], ends[k]
+	slices.SortFunc(ends, func(a, b *pipeline.Job) int {
 		if cancelledWithOthers(a) != cancelledWithOthers(b) {
-			return cancelledWithOthers(a)
+			return -falseFirst(cancelledWithOthers(a))
 		}
-		return w.changed[a] < w.changed[b]
+		return cmp.Compare(w.changed[a], w.changed[b])
 	})
 }
 
 // sortProgress puts the job first whose record was written longest ago.
 func (w *jobWrites) sortProgress(progress []*pipeline.Job) {
-	sort.Slice(progress, func(i, k int) bool {
-		a, b := progress[i], progress[k]
-		if at, bt := w.lastWrite[a.Ref], w.lastWrite[b.Ref]; !at.Equal(bt) {
-			return at.Before(bt)
-		}
-		return w.changed[a] < w.changed[b]
+	slices.SortFunc(progress, func(a, b *pipeline.Job) int {
+		return cmp.Or(w.lastWrite[a.Ref].Compare(w.lastWrite[b.Ref]), cmp.Compare(w.changed[a], w.changed[b]))
 	})
 }
 
@@ -161,7 +156,7 @@
 		}
 		b.add(PutJob{Ref: j.Ref, Version: j.Version, Record: j.Record(limit)})
 		chunks := j.DirtyChunks()
-		sort.Ints(chunks)
+		slices.Sort(chunks)
 		for _, c := range chunks {
 			if c > 0 && b.remaining > 0 {
 				b.add(PutDoneRanges{Ref: j.Ref, Chunk: c, Runs: pipeline.FitRuns(j.Chunk(c), limit)})
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"log/slog"
+	"maps"
 	"slices"
 	"time"
 
@@ -100,15 +101,7 @@
 
 // sortedJobs lists a set of jobs by name.
 func sortedJobs(set map[*pipeline.Job]bool) []*pipeline.Job {
-	if len(set) == 0 {
-		return nil
-	}
-	out := make([]*pipeline.Job, 0, len(set))
-	for j := range set {
-		out = append(out, j)
-	}
-	slices.SortFunc(out, func(a, b *pipeline.Job) int { return cmp.Compare(a.Ref, b.Ref) })
-	return out
+	return slices.SortedFunc(maps.Keys(set), func(a, b *pipeline.Job) int { return cmp.Compare(a.Ref, b.Ref) })
 }
 
 // removeJob forgets a job that is over.
--- a/internal/core/log.go
+++ b/internal/core/log.go
@@ -108,7 +108,10 @@
 
 // logAttempt names an attempt and where it is.
 func logAttempt(a *fleet.Attempt, more ...slog.Attr) []slog.Attr {
-	attrs := []slog.Attr{slog.String(logKeyJob, a.Ref), slog.Int(logKeyTask, a.Task), slog.Uint64(logKeyAttempt, a.Number), logMachine(a.Machine)}
+	attrs := []slog.Attr{
+		slog.String(logKeyJob, a.Ref), slog.Int(logKeyTask, a.Task), slog.Uint64(logKeyAttempt, a.Number),
+		logMachine(a.Machine),
+	}
 	return append(attrs, more...)
 }
 
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -224,8 +224,8 @@
 	return !m.ListedAt().IsZero() && e.machines.lastListed().Sub(m.ListedAt()) > 2*e.cfg.InstanceListLag+4*time.Second
 }
 
-// unresponsiveAfter is when a machine that doesn't report gets no more starts: two
-// reports have then failed to arrive, with a change of node between them.
+// unresponsiveAfter is when a machine that sends no heartbeats gets no more starts: two
+// heartbeats have then failed to arrive, with a change of node between them.
 func (e *Engine) unresponsiveAfter() time.Duration { return 2*e.cfg.HeartbeatInterval + 5*time.Second }
 
 func (e *Engine) checkResponsiveness(now time.Time, m *fleet.Machine) {
@@ -254,11 +254,11 @@
 	}
 }
 
-// unresponsiveLimit is how long a machine is kept that doesn't report but stays listed:
+// unresponsiveLimit is how long a machine is kept that sends no heartbeats but stays listed:
 // beyond its worker's lease, which ends all on it, for about as long as another
 // would take to be of use. A zone that is cut off, or many machines that hang,
 // mostly come back sooner, with their images; and while they are away, what waits
-// is placed and rented for elsewhere.
+// is placed and requested elsewhere.
 func (e *Engine) unresponsiveLimit(m *fleet.Machine) time.Duration {
 	return e.cfg.Lease + 2*e.bootTime(m)
 }
--- a/internal/core/placement/free_capacity.go
+++ b/internal/core/placement/free_capacity.go
@@ -78,7 +78,8 @@
 
 // find returns where a machine's slot is, or would have to be inserted.
 func (p *Pool) find(name string) int {
-	i, _ := slices.BinarySearchFunc(p.Slots, name, func(s *Slot, name string) int { return cmp.Compare(s.Machine.Name, name) })
+	byName := func(s *Slot, name string) int { return cmp.Compare(s.Machine.Name, name) }
+	i, _ := slices.BinarySearchFunc(p.Slots, name, byName)
 	return i
 }
 
--- a/internal/core/preemption.go
+++ b/internal/core/preemption.go
@@ -45,11 +45,14 @@
 // what it has just been given mustn't be taken from it again, round after round, so that
 // neither ever starts.
 func (e *Engine) starvesBefore(now time.Time, j, by *pipeline.Job) bool {
-	return e.pastStarvationBound(now, j) && !(e.pastStarvationBound(now, by) && e.starvingSince(by).Before(e.starvingSince(j)))
+	if !e.pastStarvationBound(now, j) {
+		return false
+	}
+	return !e.pastStarvationBound(now, by) || !e.starvingSince(by).Before(e.starvingSince(j))
 }
 
 // mayReclaimGuarantee tells whether a job's team is within its guarantee with what the job needs at
-// once, and the other job's team beyond its own. Where both GuaranteedCPUs and GuaranteedGPUs are guaranteed,
+// once, and the other job's team beyond its own. Where both CPUs and GPUs are guaranteed,
 // both have to fit; a guarantee of none holds nothing back but gives nothing either.
 func (e *Engine) mayReclaimGuarantee(by, j *pipeline.Job) bool {
 	if by.Team == j.Team {
--- a/internal/core/priority_order.go
+++ b/internal/core/priority_order.go
@@ -1,8 +1,9 @@
 package core
 
 import (
+	"cmp"
 	"math"
-	"sort"
+	"slices"
 	"time"
 
 	"gingertally/internal/core/fleet"
@@ -11,7 +12,7 @@
 )
 
 // priorityOrder is the jobs with waiting tasks in the order in which they may choose:
-// by urgency, then by how soon they must start to keep an aim that can still be
+// by urgency, then by how soon they must start to keep an objective that can still be
 // kept, the small ones sooner. Jobs that keep failing come last. A job of which
 // nothing has begun for long comes before all others, if only with a few of its
 // tasks: neither urgent nor small work may starve it.
@@ -28,7 +29,7 @@
 		}
 	}
 	e.rounds.waiting(backlog)
-	sort.SliceStable(out, func(i, k int) bool { return out[i].before(&out[k]) })
+	slices.SortStableFunc(out, comparePrioritized)
 	e.orderFairly(out)
 	entries := make([]placement.QueueEntry, len(out))
 	for i := range out {
@@ -45,18 +46,27 @@
 	due               time.Time
 }
 
-func (a *prioritized) before(b *prioritized) bool {
+// comparePrioritized orders queue entries.
+func comparePrioritized(a, b prioritized) int {
 	switch {
 	case a.failing != b.failing:
-		return b.failing
+		return falseFirst(a.failing)
 	case a.starving != b.starving:
-		return a.starving
+		return -falseFirst(a.starving)
 	case !a.starving && a.Job.Urgency != b.Job.Urgency:
-		return a.Job.Urgency < b.Job.Urgency
+		return cmp.Compare(a.Job.Urgency, b.Job.Urgency)
 	case a.cacheMiss != b.cacheMiss:
-		return a.cacheMiss < b.cacheMiss
+		return cmp.Compare(a.cacheMiss, b.cacheMiss)
 	}
-	return a.due.Before(b.due)
+	return a.due.Compare(b.due)
+}
+
+// falseFirst compares a fact with its opposite, so that what it isn't true of comes first.
+func falseFirst(fact bool) int {
+	if fact {
+		return 1
+	}
+	return -1
 }
 
 // appendEntries adds a job's queue entries. Arrays whose image is slow to fetch have three: for
@@ -70,7 +80,10 @@
 		if j.Shape == pipeline.Array {
 			most = 1 + most/starvingPart
 		}
-		out = append(out, prioritized{QueueEntry: placement.QueueEntry{Job: j, Most: most}, starving: true, due: e.starvingSince(j)})
+		out = append(out, prioritized{
+			QueueEntry: placement.QueueEntry{Job: j, Most: most},
+			starving:   true, due: e.starvingSince(j),
+		})
 	}
 	size := time.Duration(float64(e.remainingWork(j)) * e.cfg.Weights.SmallFirst / machines)
 	size = time.Duration(float64(size) * min(1, max(0, 2-float64(wait)/float64(sizeFades))))
@@ -110,7 +123,7 @@
 func (e *Engine) starvingSince(j *pipeline.Job) time.Time { return j.Since.Add(-e.gatherTime(j)) }
 
 // needsCapacityBy is when a job must have room if it isn't to be late; one that has
-// waited for long is late already, whatever aim it can still keep.
+// waited for long is late already, whatever objective it can still keep.
 // A service is late with each replica that isn't running, since every second of it counts.
 func (e *Engine) needsCapacityBy(now time.Time, j *pipeline.Job) time.Time {
 	if e.pastStarvationBound(now, j) || j.Shape == pipeline.Service {
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -14,7 +14,11 @@
 // observe compares a reported task with what is known of it; a is the attempt of the task that
 // is known on this machine, if any.
 func (e *Engine) observe(m *fleet.Machine, a *fleet.Attempt, token uint64, t fleet.TaskStatus) recovery.ObservedTask {
-	o := recovery.ObservedTask{Exited: t.State == fleet.Exited, Done: t.State == fleet.Exited && t.Cause == fleet.CauseDone, Confirmed: token == e.numbers.term}
+	exited := t.State == fleet.Exited
+	o := recovery.ObservedTask{
+		Exited: exited, Done: exited && t.Cause == fleet.CauseDone,
+		Confirmed: token == e.numbers.term,
+	}
 	if j := e.jobs.get(t.Ref); j != nil && t.Task < len(j.Tasks) {
 		o.JobOpen, o.Wanted = !j.Over(), j.Tasks[t.Task].State() != pipeline.Finished
 		o.Whole = j.Shape == pipeline.Gang && len(j.Tasks) > 1
--- a/internal/core/scale_in.go
+++ b/internal/core/scale_in.go
@@ -34,7 +34,10 @@
 		for i := len(p.Slots) - 1; i >= 0; i-- {
 			s := p.Slots[i]
 			m := s.Machine
-			if s.Future || m.HeartbeatExpected() || !m.Empty() || e.drains.isReplacement(m.Name) || now.Sub(m.IdleSince()) <= keep || neededByDemand(now, p, m, demand) {
+			if s.Future || m.HeartbeatExpected() || !m.Empty() || now.Sub(m.IdleSince()) <= keep {
+				continue
+			}
+			if e.drains.isReplacement(m.Name) || neededByDemand(now, p, m, demand) {
 				continue
 			}
 			e.scaleIn(now, m, ScaleInIdle)
--- a/internal/core/start_log.go
+++ b/internal/core/start_log.go
@@ -1,7 +1,9 @@
 package core
 
 import (
-	"sort"
+	"cmp"
+	"maps"
+	"slices"
 	"time"
 
 	"gingertally/internal/core/fleet"
@@ -22,7 +24,11 @@
 }
 
 func newStartLog(cfg *Config, newName func() string) startLog {
-	return startLog{cfg: cfg, newName: newName, pages: map[string]*fleet.StartLogPage{}, dirty: map[*fleet.StartLogPage]bool{}}
+	return startLog{
+		cfg: cfg, newName: newName,
+		pages: map[string]*fleet.StartLogPage{},
+		dirty: map[*fleet.StartLogPage]bool{},
+	}
 }
 
 // trimEvery is how often a page is trimmed of attempts that are gone, trimPause how much
@@ -57,6 +63,9 @@
 	}
 }
 
+// unstored is how many starts aren't on a page yet.
+func (l *startLog) unstored() int { return len(l.unpaged) }
+
 // pending tells whether a start waits for a write.
 func (l *startLog) pending() bool { return len(l.unpaged) > 0 || len(l.dirty) > 0 }
 
@@ -133,7 +142,8 @@
 func (l *startLog) stalestPage(now time.Time) *fleet.StartLogPage {
 	var worst *fleet.StartLogPage
 	for _, p := range l.pages {
-		if p.Sending || p == l.open || p.Stale() == 0 || now.Sub(p.Trimmed) < trimEvery || !p.Fits(nil, l.cfg.MaxValueBytes) {
+		if p.Sending || p == l.open || p.Stale() == 0 || now.Sub(p.Trimmed) < trimEvery ||
+			!p.Fits(nil, l.cfg.MaxValueBytes) {
 			continue
 		}
 		if worst == nil || p.Stale() > worst.Stale() || p.Stale() == worst.Stale() && p.Name < worst.Name {
@@ -195,14 +205,7 @@
 	return PutStartLogPage{Name: p.Name, Version: p.Version, Record: p.Record()}
 }
 
+// sortedPages lists a set of pages by name.
 func sortedPages(set map[*fleet.StartLogPage]bool) []*fleet.StartLogPage {
-	if len(set) == 0 {
-		return nil
-	}
-	out := make([]*fleet.StartLogPage, 0, len(set))
-	for p := range set {
-		out = append(out, p)
-	}
-	sort.Slice(out, func(i, k int) bool { return out[i].Name < out[k].Name })
-	return out
+	return slices.SortedFunc(maps.Keys(set), func(a, b *fleet.StartLogPage) int { return cmp.Compare(a.Name, b.Name) })
 }
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -2,7 +2,8 @@
 
 import (
 	"fmt"
-	"sort"
+	"maps"
+	"slices"
 	"strings"
 	"time"
 
@@ -60,8 +61,11 @@
 
 // Status tells of machines and of jobs that wait.
 func (e *Engine) Status(now time.Time) Status {
-	s := Status{Term: e.numbers.term, Settled: e.settled(now), Pools: e.poolStatus(), Active: e.jobs.count(), Unstored: len(e.startLog.unpaged), Starts: e.waits.list(), Recovery: e.recovery.Status(now)}
-	s.Drains = e.DrainStatus(now)
+	s := Status{
+		Term: e.numbers.term, Settled: e.settled(now),
+		Pools: e.poolStatus(), Active: e.jobs.count(), Unstored: e.startLog.unstored(),
+		Starts: e.waits.list(), Recovery: e.recovery.Status(now), Drains: e.DrainStatus(now),
+	}
 	e.addWaiting(now, &s)
 	e.addHeld(now, &s)
 	return s
@@ -83,10 +87,9 @@
 		}
 	}
 	var out []PoolStatus
-	for _, p := range pools {
-		out = append(out, *p)
+	for _, k := range slices.SortedFunc(maps.Keys(pools), fleet.PoolKey.Compare) {
+		out = append(out, *pools[k])
 	}
-	sort.Slice(out, func(i, k int) bool { return poolLess(&out[i], &out[k]) })
 	return out
 }
 
@@ -131,16 +134,6 @@
 // maxNamedDependencies is how many jobs are named that one waits for.
 const maxNamedDependencies = 5
 
-func poolLess(a, b *PoolStatus) bool {
-	if a.Type != b.Type {
-		return a.Type < b.Type
-	}
-	if a.Zone != b.Zone {
-		return a.Zone < b.Zone
-	}
-	return !a.Spot && b.Spot
-}
-
 // reason is why a job's waiting tasks wait.
 func (e *Engine) reason(now time.Time, j *pipeline.Job, settled bool) string {
 	u, team := e.usage.ofTeam(j.Team), e.cfg.Teams[j.Team]
--- a/internal/core/warm_start.go
+++ b/internal/core/warm_start.go
@@ -10,7 +10,7 @@
 
 // WarmStart brings a new leader the warm state of the leader before it, right after New and
 // before anything else. Confirmed says that the state is that leader's last one as far as
-// can be told, and recent: machines that reported to it are then expected to report here,
+// can be told, and recent: machines that sent it heartbeats are then expected to do so here,
 // and work is placed on those at once.
 //
 // Where the start log, which New has read, and the warm state differ, the start log holds:
@@ -25,7 +25,7 @@
 // WarmOutcome counts what came of a warm start.
 type WarmOutcome struct {
 	Confirmed bool
-	Expected  int // machines on which work is placed before they report
+	Expected  int // machines on which work is placed before they are heard of
 	Differing int // machines of which the start log and the warm state tell different things
 	Unstored  int // attempts that only the warm state knows
 	Unknown   int // attempts that only the start log knows
@@ -56,7 +56,8 @@
 	s.outcome.Differing = len(s.differing)
 	e.warmOutcome = s.outcome
 	e.rounds.request()
-	e.log(LogWarmStateApplied, slog.Bool("confirmed", w.Confirmed), slog.Int("machines_expected", s.outcome.Expected), slog.Int("machines_differing", s.outcome.Differing),
+	e.log(LogWarmStateApplied, slog.Bool("confirmed", w.Confirmed),
+		slog.Int("machines_expected", s.outcome.Expected), slog.Int("machines_differing", s.outcome.Differing),
 		slog.Int("attempts_unstored", s.outcome.Unstored), slog.Int("attempts_unknown", s.outcome.Unknown))
 }
 
@@ -183,7 +184,7 @@
 	s.engine.imagesChanged(m)
 }
 
-// expect has work placed on a machine that hasn't reported under this term. The start still
+// expect has work placed on a machine that hasn't been heard of under this term. The start still
 // leaves only in the answer to a heartbeat that proves the machine free of anything else, as
 // for all other machines.
 func (e *Engine) expect(m *fleet.Machine) {
@@ -193,8 +194,8 @@
 	}
 }
 
-// expectNoLonger gives up on a machine that was expected and hasn't reported for as long as
-// makes any machine unresponsive: what was placed there goes elsewhere.
+// expectNoLonger gives up on a machine that was expected and hasn't been heard of for as long
+// as makes any machine unresponsive: what was placed there goes elsewhere.
 func (e *Engine) expectNoLonger(now time.Time, m *fleet.Machine) {
 	m.HeartbeatOverdue()
 	e.recovery.ExpectByWarmState(m.Name, false)
--- a/internal/core/writes.go
+++ b/internal/core/writes.go
@@ -95,7 +95,8 @@
 
 func (r WriteRejected) apply(e *Engine, now time.Time) {
 	w := r.Write
-	e.log(LogWriteRejected, slog.String("kind", w.Kind()), slog.String("target", w.Target()), slog.Int("value_bytes", e.cfg.MaxValueBytes))
+	e.log(LogWriteRejected, slog.String("kind", w.Kind()), slog.String("target", w.Target()),
+		slog.Int("value_bytes", e.cfg.MaxValueBytes))
 	e.cfg.MaxValueBytes = max(minValueBytes, int(float64(e.cfg.MaxValueBytes)*rejectedPart))
 	w.rejected(e, now)
 }
