--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -13,7 +13,7 @@
 
 // busyFleet is a leader with so many machines, all of them full, and a backlog.
 func busyFleet(machines int) (*Engine, time.Time, []fleet.Heartbeat) {
-	return busyFleetWith(config(), machines)
+	return busyFleetWith(testConfig(), machines)
 }
 
 func busyFleetWith(cfg Config, machines int) (*Engine, time.Time, []fleet.Heartbeat) {
--- a/internal/core/cancel_test.go
+++ b/internal/core/cancel_test.go
@@ -8,37 +8,28 @@
 	"gingertally/internal/core/pipeline"
 )
 
-func stops(r HeartbeatResponse) (n int) {
-	for _, c := range r.Commands {
-		if c.Kind == fleet.Stop && c.Grace == 0 {
-			n++
-		}
-	}
-	return n
-}
-
 // From before a cancellation's transaction is sent, each answer stops the job's tasks and
 // none starts any: another node may read it in the store, and tell its user, before this
 // one hears of it. Once it certainly wasn't carried out, the job goes on.
 func TestCancelAskedStopsFirst(t *testing.T) {
 	b, c := started(t)
-	b.report("m-1", 2, running(c))
+	b.heartbeat("m-1", 2, running(c))
 	eff := b.e.Step(b.now, CancelRequested{"j-1"})
 	if len(eff.Direct) != 1 || eff.Direct[0].Commands[0].Kind != fleet.Stop {
 		t.Fatalf("effects before the transaction: %+v", eff)
 	}
-	if r := b.report("m-1", 2, running(c)); stops(r) != 1 {
+	if r := b.heartbeat("m-1", 2, running(c)); stops(r) != 1 {
 		t.Fatalf("a 200 without the stop: %+v", r)
 	}
 	stopped := fleet.TaskStatus{Ref: c.Ref, Task: c.Task, Attempt: c.Attempt, State: fleet.Exited, Cause: fleet.CauseStopped}
-	b.report("m-1", 2, stopped)
+	b.heartbeat("m-1", 2, stopped)
 	b.pass(5*time.Second, true)
-	if r := b.report("m-1", 2); len(starts(r)) != 0 {
+	if r := b.heartbeat("m-1", 2); len(starts(r)) != 0 {
 		t.Fatalf("started while the cancellation is under way: %+v", r)
 	}
 	b.e.Step(b.now, CancelUndecided{Ref: "j-1"})
 	b.pass(3*time.Second, true)
-	if r := b.report("m-1", 2); len(starts(r)) != 1 {
+	if r := b.heartbeat("m-1", 2); len(starts(r)) != 1 {
 		t.Fatalf("a job that wasn't cancelled doesn't go on: %+v", r)
 	}
 }
@@ -47,7 +38,7 @@
 // read: until the record is past that, nothing of the job starts, whatever this node
 // took its version for, and also if it hadn't heard of the job.
 func TestCancelWithoutAnswer(t *testing.T) {
-	b := newBench(t, 2, Snapshot{})
+	b := newHarness(t, 2, Snapshot{})
 	b.up("m-1")
 	b.e.Step(b.now, CancelRequested{"j-1"})
 	b.e.Step(b.now, CancelUndecided{Ref: "j-1", Unknown: true, Version: 7})
@@ -56,11 +47,11 @@
 		t.Fatal("told from memory")
 	}
 	b.pass(6*time.Second, false)
-	if r := b.report("m-1", 2); len(starts(r)) != 0 {
+	if r := b.heartbeat("m-1", 2); len(starts(r)) != 0 {
 		t.Fatalf("started while the outcome is unknown: %+v", r)
 	}
 	b.pass(3*time.Second, true) // the record is written anew
-	if r := b.report("m-1", 2); len(starts(r)) != 1 {
+	if r := b.heartbeat("m-1", 2); len(starts(r)) != 1 {
 		t.Fatalf("not started once the outcome is known: %+v", r)
 	}
 }
@@ -70,9 +61,9 @@
 func TestFirstAnswerStopsCancelled(t *testing.T) {
 	snap := inherited()
 	snap.Jobs[0].Record.Phase, snap.Jobs[0].Record.CancelledMS = pipeline.Cancelled, 4_990_000
-	b := newBench(t, 2, snap)
+	b := newHarness(t, 2, snap)
 	c := fleet.Command{Ref: "j-1", Attempt: 1 << attemptBits}
-	if r := b.report("m-1", 1, running(c)); !r.OK || stops(r) != 1 {
+	if r := b.heartbeat("m-1", 1, running(c)); !r.OK || stops(r) != 1 {
 		t.Fatalf("first answer: %+v", r)
 	}
 }
@@ -100,24 +91,24 @@
 // cancellation is confirmed once none may be on a machine.
 func TestCancelPutOff(t *testing.T) {
 	b, c := started(t)
-	b.report("m-1", 2, running(c))
+	b.heartbeat("m-1", 2, running(c))
 	b.e.Step(b.now, CancelRequested{"j-1"})
 	if !b.e.MayBeOnMachines("j-1") {
 		t.Fatal("a running task counts as gone")
 	}
 	b.e.Step(b.now, CancelUndecided{Ref: "j-1", Deferred: true})
-	b.report("m-1", 2, fleet.TaskStatus{Ref: c.Ref, Task: c.Task, Attempt: c.Attempt, State: fleet.Exited, Cause: fleet.CauseStopped})
+	b.heartbeat("m-1", 2, fleet.TaskStatus{Ref: c.Ref, Task: c.Task, Attempt: c.Attempt, State: fleet.Exited, Cause: fleet.CauseStopped})
 	b.pass(10*time.Second, true)
-	if r := b.report("m-1", 2); len(starts(r)) != 0 || b.e.MayBeOnMachines("j-1") {
+	if r := b.heartbeat("m-1", 2); len(starts(r)) != 0 || b.e.MayBeOnMachines("j-1") {
 		t.Fatalf("started again before its user has asked again: %+v", r)
 	}
 	if _, ok := b.e.Lookup("j-1"); !ok {
 		t.Fatal("its user isn't told that it waits")
 	}
-	b.pass(config().CancelWithin, true) // its user has given up
+	b.pass(testConfig().CancelWithin, true) // its user has given up
 	b.up("m-1")
 	b.pass(3*time.Second, true)
-	if r := b.report("m-1", 2); len(starts(r)) != 1 {
+	if r := b.heartbeat("m-1", 2); len(starts(r)) != 1 {
 		t.Fatalf("a job that wasn't cancelled doesn't go on: %+v", r)
 	}
 }
--- a/internal/core/capacity/capacity_test.go
+++ b/internal/core/capacity/capacity_test.go
@@ -47,7 +47,7 @@
 }
 
 // A gang that must spread over zones isn't helped by more machines in one: the
-// plan once rented and returned there without end.
+// plan once requested and released there without end.
 func TestGangZones(t *testing.T) {
 	var p Plan
 	j := job(t, pipeline.Spec{Tasks: 4, CPUs: 8, Shape: pipeline.Gang, Spread: true})
@@ -75,7 +75,7 @@
 	freeCapacity.Set(m, types["cpu"], false)
 	j := job(t, pipeline.Spec{Tasks: 1, CPUs: 8})
 	if o := new(Plan).Choose(now, []Demand{{Job: j, Tasks: 1}}, freeCapacity, types); len(o) != 0 {
-		t.Fatalf("rents although there is room: %v", o)
+		t.Fatalf("requests machines although there is room: %v", o)
 	}
 	j.AvoidUntil["m-1"] = now.Add(time.Minute)
 	if o := new(Plan).Choose(now, []Demand{{Job: j, Tasks: 1}}, freeCapacity, types); len(o) != 1 {
--- a/internal/core/consolidate_test.go
+++ b/internal/core/consolidate_test.go
@@ -25,15 +25,15 @@
 	long.Record.Spec.Shape, long.Record.Spec.CheckpointInterval, long.Record.Spec.Estimate = shape, time.Second, time.Hour
 	filler.Record.Spec.CPUs, filler.Record.Spec.Estimate = 6, 10*time.Second
 	other.Record.Spec.CPUs, other.Record.Spec.Estimate = 4, time.Hour
-	b := newBench(t, 2, Snapshot{Jobs: []StoredJob{long, filler}})
+	b := newHarness(t, 2, Snapshot{Jobs: []StoredJob{long, filler}})
 	b.up("m-1")
 	b.pass(6*time.Second, true)
-	onFirst := runAll(b.report("m-1", 2))
-	b.report("m-1", 2, onFirst...)
+	onFirst := runAll(b.heartbeat("m-1", 2))
+	b.heartbeat("m-1", 2, onFirst...)
 	b.up("m-2")
 	b.e.Step(b.now, JobStored{Job: other})
 	b.pass(6*time.Second, true)
-	onSecond := runAll(b.report("m-2", 2))
+	onSecond := runAll(b.heartbeat("m-2", 2))
 	if len(onFirst) != 3 || len(onSecond) != 1 {
 		t.Fatalf("not placed as meant: %v and %v", onFirst, onSecond)
 	}
@@ -44,8 +44,8 @@
 	}
 	emptied := false
 	for range 200 {
-		b.report("m-1", 2, onFirst...)
-		b.report("m-2", 2, onSecond...)
+		b.heartbeat("m-1", 2, onFirst...)
+		b.heartbeat("m-2", 2, onSecond...)
 		for range 15 {
 			b.now = b.now.Add(200 * time.Millisecond)
 			for _, line := range b.e.Step(b.now, Tick{}).Log {
@@ -55,11 +55,3 @@
 	}
 	return emptied
 }
-
-// runAll are the heartbeats of the tasks that a reply starts, as running.
-func runAll(r HeartbeatResponse) (out []fleet.TaskStatus) {
-	for _, c := range starts(r) {
-		out = append(out, running(c))
-	}
-	return out
-}
--- a/internal/core/dependents_test.go
+++ b/internal/core/dependents_test.go
@@ -10,36 +10,24 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// after is a job that waits for others.
-func after(ref string, dependencies ...string) StoredJob {
-	j := job(ref, 1)
-	j.Record.Dependencies = dependencies
-	return j
-}
-
-// finish has a machine report the end of what it was told to start.
-func (b *bench) finish(machine string, c fleet.Command) HeartbeatResponse {
-	return b.report(machine, b.e.numbers.term, fleet.TaskStatus{Ref: c.Ref, Task: c.Task, Attempt: c.Attempt, State: fleet.Exited, Cause: fleet.CauseDone})
-}
-
 // A job starts only once the store holds that the job before it is done: until
 // then a user may still be told that that one is cancelled.
 func TestStartsOnceTheParentIsStored(t *testing.T) {
-	b := newBench(t, 2, Snapshot{Jobs: []StoredJob{after("j-2", "j-1"), job("j-1", 1)}})
+	b := newHarness(t, 2, Snapshot{Jobs: []StoredJob{after("j-2", "j-1"), job("j-1", 1)}})
 	b.up("m-1")
 	b.pass(6*time.Second, true)
-	s := starts(b.report("m-1", 2))
+	s := starts(b.heartbeat("m-1", 2))
 	if len(s) != 1 || s[0].Ref != "j-1" {
 		t.Fatalf("started %v", s)
 	}
-	b.report("m-1", 2, running(s[0]))
+	b.heartbeat("m-1", 2, running(s[0]))
 	b.finish("m-1", s[0])
 	b.pass(3*time.Second, false)
 	if j := b.e.jobs.get("j-2"); j.Phase() != pipeline.Held {
 		t.Fatal("ready before the store held that its dependency is done")
 	}
 	b.pass(time.Second, true)
-	if s := starts(b.report("m-1", 2)); len(s) != 1 || s[0].Ref != "j-2" {
+	if s := starts(b.heartbeat("m-1", 2)); len(s) != 1 || s[0].Ref != "j-2" {
 		t.Fatalf("not started afterwards: %v", s)
 	}
 }
@@ -48,7 +36,7 @@
 func TestHeldJobTakesNothing(t *testing.T) {
 	held := after("j-2", "j-1")
 	held.Record.Spec.Tasks, held.Record.Spec.Priority = 50, pipeline.Production
-	b := newBench(t, 2, Snapshot{Jobs: []StoredJob{held, job("j-1", 1)}})
+	b := newHarness(t, 2, Snapshot{Jobs: []StoredJob{held, job("j-1", 1)}})
 	b.up("m-1")
 	b.pass(10*time.Second, true)
 	if len(b.e.rounds.demand) != 0 || b.e.usage.ofTeam("t").CPUs != 1 {
@@ -59,24 +47,15 @@
 	}
 }
 
-func (b *bench) ended(ref string) (f pipeline.Final, ok bool) {
-	for _, w := range b.e.Batch(b.now, 50) {
-		if final, ok := w.(PutFinal); ok && final.Ref == ref {
-			return final.Final, true
-		}
-	}
-	return f, false
-}
-
 // A cancellation reaches all that need the job at once, though its own tasks are
 // still on a machine that is unresponsive, and though some come only afterwards: waiting
 // for the tasks' end would leave them queued for longer than their users accept.
 func TestCancelReachesAllAtOnce(t *testing.T) {
-	b := newBench(t, 2, Snapshot{Jobs: []StoredJob{job("j-1", 1), after("j-2", "j-1"), after("j-3", "j-2"), after("j-4", "j-1", "j-3")}})
+	b := newHarness(t, 2, Snapshot{Jobs: []StoredJob{job("j-1", 1), after("j-2", "j-1"), after("j-3", "j-2"), after("j-4", "j-1", "j-3")}})
 	b.up("m-1")
 	b.pass(6*time.Second, true)
-	s := starts(b.report("m-1", 2))
-	b.report("m-1", 2, running(s[0]))
+	s := starts(b.heartbeat("m-1", 2))
+	b.heartbeat("m-1", 2, running(s[0]))
 	c := job("j-1", 1)
 	c.Version, c.Record.Phase, c.Record.CancelledMS = 900, pipeline.Cancelled, b.now.UnixMilli()
 	b.e.Step(b.now, JobStored{c})
@@ -97,7 +76,7 @@
 // A new leader asks what became of jobs that are over, and comes to the same as the
 // last one, wherever that stopped.
 func TestNewLeaderAsks(t *testing.T) {
-	b := newBench(t, 3, Snapshot{Jobs: []StoredJob{after("j-2", "j-1"), after("j-3", "j-2"), after("j-5", "j-4")}})
+	b := newHarness(t, 3, Snapshot{Jobs: []StoredJob{after("j-2", "j-1"), after("j-3", "j-2"), after("j-5", "j-4")}})
 	if a := b.e.DependenciesToLookUp(9); len(a) != 2 || a[0] != "j-1" || a[1] != "j-4" {
 		t.Fatalf("asks for %v", a)
 	}
@@ -127,8 +106,8 @@
 // The results of a job that had been started before the leader changed count, though
 // the new leader hasn't yet learnt that it was.
 func TestResultsOfAJobStartedBefore(t *testing.T) {
-	b := newBench(t, 2, Snapshot{Jobs: []StoredJob{after("j-1", "j-0")}, Pages: []StoredPage{page("1-1", "m-1", 1<<attemptBits)}})
-	b.report("m-1", 0, fleet.TaskStatus{Ref: "j-1", Attempt: 1 << attemptBits, State: fleet.Running})
+	b := newHarness(t, 2, Snapshot{Jobs: []StoredJob{after("j-1", "j-0")}, Pages: []StoredPage{page("1-1", "m-1", 1<<attemptBits)}})
+	b.heartbeat("m-1", 0, fleet.TaskStatus{Ref: "j-1", Attempt: 1 << attemptBits, State: fleet.Running})
 	b.finish("m-1", fleet.Command{Ref: "j-1", Attempt: 1 << attemptBits})
 	if f, ok := b.ended("j-1"); !ok || f.Phase != pipeline.Done {
 		t.Fatalf("%+v, %v", f, ok)
@@ -138,7 +117,7 @@
 // Work goes first whose line ends in urgent work, and of equally urgent work that
 // whose line is due first.
 func TestJobsGoByTheirCriticalPath(t *testing.T) {
-	cfg := config()
+	cfg := testConfig()
 	cfg.Objectives = map[string][]Objective{"last": {{Kind: DeadlineObjective, Times: 1}}}
 	jobs := []StoredJob{job("j-1", 1), job("j-2", 1), job("j-3", 1), after("j-8", "j-2"), after("j-9", "j-3")}
 	for i := range jobs {
@@ -149,7 +128,7 @@
 			s.Class, s.Priority, s.Deadline = "last", pipeline.High, time.Duration(300-50*i)*time.Second
 		}
 	}
-	b := newBenchWith(t, cfg, 2, Snapshot{Jobs: jobs})
+	b := newHarnessWith(t, cfg, 2, Snapshot{Jobs: jobs})
 	b.e.updateFreeCapacity(b.now)
 	var order []string
 	for _, entry := range b.e.priorityOrder(b.now) {
@@ -163,7 +142,7 @@
 // A write that the store refuses for its size doesn't stop the others, and isn't
 // sent again as it was: what was on the page goes to smaller ones.
 func TestRefusedWriteIsMadeSmaller(t *testing.T) {
-	b := newBench(t, 2, Snapshot{Jobs: []StoredJob{job("j-1", 60)}})
+	b := newHarness(t, 2, Snapshot{Jobs: []StoredJob{job("j-1", 60)}})
 	for i := range 8 {
 		b.up("m-" + string(rune('1'+i)))
 	}
@@ -172,7 +151,7 @@
 	for i := range 60 {
 		for k := range 8 {
 			if i%10 == 0 {
-				for _, c := range starts(b.report("m-"+string(rune('1'+k)), 2)) {
+				for _, c := range starts(b.heartbeat("m-"+string(rune('1'+k)), 2)) {
 					started[c.Task] = true
 				}
 			}
@@ -212,7 +191,7 @@
 // Starts and jobs' ends take turns at the store: neither waits for the other for
 // long when it takes few changes at a time.
 func TestStartsAndEndsTakeTurns(t *testing.T) {
-	e := New(time.Unix(0, 0), config(), 1, Snapshot{}, rand.New(rand.NewPCG(1, 1)))
+	e := New(time.Unix(0, 0), testConfig(), 1, Snapshot{}, rand.New(rand.NewPCG(1, 1)))
 	for i := range 20 {
 		ref := "j-" + string(rune('a'+i))
 		e.addJob(time.Unix(0, 0), job(ref, 1))
@@ -247,7 +226,7 @@
 // those that have waited longest. By name, those with high numbers once stayed queued
 // for over a minute at a low rate of writes, among others that kept ending.
 func TestCancelledWithOthersAreWrittenFirst(t *testing.T) {
-	b := newBench(t, 2, Snapshot{Jobs: []StoredJob{job("j-1", 1), job("j-2", 1), job("j-5", 1), after("j-9", "j-8")}})
+	b := newHarness(t, 2, Snapshot{Jobs: []StoredJob{job("j-1", 1), job("j-2", 1), job("j-5", 1), after("j-9", "j-8")}})
 	for _, ref := range []string{"j-5", "j-1", "j-2"} {
 		j := b.e.jobs.get(ref)
 		delete(b.e.jobWrites.changed, j)
@@ -268,13 +247,13 @@
 // Of a job whose description is larger than values may now be, only the end is
 // written: its progress would be refused, and all other values be made smaller for it.
 func TestLargeDescriptionIsLeftAsItIs(t *testing.T) {
-	cfg := config()
+	cfg := testConfig()
 	cfg.MaxValueBytes = 1000
 	large := job("j-1", 2)
 	for range 40 {
 		large.Record.Spec.Types = append(large.Record.Spec.Types, "a-type-with-a-long-name")
 	}
-	b := newBenchWith(t, cfg, 2, Snapshot{Jobs: []StoredJob{large, job("j-2", 2)}})
+	b := newHarnessWith(t, cfg, 2, Snapshot{Jobs: []StoredJob{large, job("j-2", 2)}})
 	for _, ref := range []string{"j-1", "j-2"} {
 		b.e.jobs.get(ref).Finish(0)
 		b.e.jobWrites.jobChanged(b.e.jobs.get(ref))
--- a/internal/core/drain_bench_test.go
+++ b/internal/core/drain_bench_test.go
@@ -36,14 +36,14 @@
 
 // drainedFleet is a full fleet in one of the modes of BenchmarkDrain.
 func drainedFleet(machines int, mode string) (*Engine, time.Time, []fleet.Heartbeat) {
-	cfg := config()
+	cfg := testConfig()
 	switch mode {
 	case "off":
 	case "plan of all, no budgets":
-		cfg = drainConfig(nil)
+		cfg = drainTestConfig(nil)
 		cfg.Drain.FinishWait = 0
 	default:
-		cfg = drainConfig(map[drain.Scope]drain.Budget{{Team: "t"}: limit(func(b *drain.Budget) { b.WindowInterruptions, b.Window = 1, time.Hour })})
+		cfg = drainTestConfig(map[drain.Scope]drain.Budget{{Team: "t"}: limit(func(b *drain.Budget) { b.WindowInterruptions, b.Window = 1, time.Hour })})
 	}
 	e, now, reports := busyFleetWith(cfg, machines)
 	if strings.HasPrefix(mode, "plan of all") {
--- a/internal/core/draining_test.go
+++ b/internal/core/draining_test.go
@@ -12,11 +12,11 @@
 
 // A drained machine is emptied and given back, and its work goes on elsewhere.
 func TestMachineIsDrained(t *testing.T) {
-	d := busyAndFree(t, drainConfig(nil), longJob("j-1", "t", 3))
+	d := busyAndFree(t, drainTestConfig(nil), longJob("j-1", "t", 3))
 	d.drainMachine("m-1")
 	d.run(60 * time.Second)
-	if _, there := d.on["m-1"]; there || d.runsOn("m-2") != 3 || d.evicts != 3 {
-		t.Fatalf("%v, %d evictions, %+v", d.on, d.evicts, d.e.DrainStatus(d.now))
+	if _, there := d.on["m-1"]; there || d.runsOn("m-2") != 3 || d.evictions != 3 {
+		t.Fatalf("%v, %d evictions, %+v", d.on, d.evictions, d.e.DrainStatus(d.now))
 	}
 	if s := d.e.DrainStatus(d.now); s.Plans[0].Phase != drain.Completed || s.Scopes[0].Voluntary != 3 {
 		t.Errorf("%+v", s)
@@ -25,7 +25,7 @@
 
 // Without a stored charge nothing is stopped; once the store takes it, it is.
 func TestNoEvictionWithoutStoredCharge(t *testing.T) {
-	d := busyAndFree(t, drainConfig(nil), longJob("j-1", "t", 2))
+	d := busyAndFree(t, drainTestConfig(nil), longJob("j-1", "t", 2))
 	d.drainMachine("m-1")
 	for i := 0; len(d.stored.Machines) == 0 && i < 100; i++ {
 		d.tick(200 * time.Millisecond)
@@ -33,13 +33,13 @@
 	if len(d.stored.Machines) != 1 || len(d.stored.Charges) != 0 {
 		t.Fatalf("%d pages of machines, %d of charges", len(d.stored.Machines), len(d.stored.Charges))
 	}
-	d.down = true
+	d.storeDown = true
 	d.run(60 * time.Second)
-	if d.evicts != 0 {
-		t.Fatalf("%d evictions while the store takes no charge", d.evicts)
+	if d.evictions != 0 {
+		t.Fatalf("%d evictions while the store takes no charge", d.evictions)
 	}
-	d.down = false
-	d.there("m-3") // the other has gone back for idleness
+	d.storeDown = false
+	d.bringUp("m-3") // the other has gone back for idleness
 	d.run(60 * time.Second)
 	if _, there := d.on["m-1"]; there {
 		t.Errorf("not emptied once the store is back: %+v", d.e.DrainStatus(d.now))
@@ -50,27 +50,27 @@
 // nothing again.
 func TestNextLeaderSpendsTheCharge(t *testing.T) {
 	budgets := map[drain.Scope]drain.Budget{{Team: "t"}: limit(func(b *drain.Budget) { b.TaskInterruptions = 1 })}
-	d := busyAndFree(t, drainConfig(budgets), longJob("j-1", "t", 1))
+	d := busyAndFree(t, drainTestConfig(budgets), longJob("j-1", "t", 1))
 	d.drainMachine("m-1")
 	for i := 0; len(d.stored.Charges) == 0 && i < 100; i++ {
-		d.tick(200 * time.Millisecond) // nothing reports meanwhile, so nothing is told to stop
+		d.tick(200 * time.Millisecond) // no heartbeat comes meanwhile, so nothing is told to stop
 	}
-	if len(d.stored.Charges) != 1 || d.evicts != 0 {
-		t.Fatalf("%d pages of charges, %d evictions", len(d.stored.Charges), d.evicts)
+	if len(d.stored.Charges) != 1 || d.evictions != 0 {
+		t.Fatalf("%d pages of charges, %d evictions", len(d.stored.Charges), d.evictions)
 	}
 	d.takeOver()
 	d.run(60 * time.Second)
-	if _, there := d.on["m-1"]; there || d.evicts != 1 || d.runsOn("m-2") != 1 {
-		t.Fatalf("%v, %d evictions, %+v", d.on, d.evicts, d.e.DrainStatus(d.now))
+	if _, there := d.on["m-1"]; there || d.evictions != 1 || d.runsOn("m-2") != 1 {
+		t.Fatalf("%v, %d evictions, %+v", d.on, d.evictions, d.e.DrainStatus(d.now))
 	}
 	if s := d.e.DrainStatus(d.now); s.Scopes[0].Voluntary != 1 {
 		t.Errorf("charged %d times", s.Scopes[0].Voluntary)
 	}
 	d.drainMachine("m-2") // the only interruption is used up
-	d.there("m-3")
+	d.bringUp("m-3")
 	d.run(120 * time.Second)
-	if d.evicts != 1 {
-		t.Errorf("%d evictions, one allowed", d.evicts)
+	if d.evictions != 1 {
+		t.Errorf("%d evictions, one allowed", d.evictions)
 	}
 }
 
@@ -81,11 +81,11 @@
 	budgets := map[drain.Scope]drain.Budget{{Team: "u"}: limit(func(b *drain.Budget) { b.TaskInterruptions = 0 })}
 	stuck := longJob("j-2", "u", 1)
 	stuck.Record.Spec.Shape = pipeline.Service
-	d := busyAndFree(t, drainConfig(budgets), longJob("j-1", "t", 2), stuck)
+	d := busyAndFree(t, drainTestConfig(budgets), longJob("j-1", "t", 2), stuck)
 	d.drainMachine("m-1")
 	d.run(60 * time.Second)
-	if d.evicts != 0 || d.runsOn("m-1") != 3 {
-		t.Fatalf("%d evictions, %d run on", d.evicts, d.runsOn("m-1"))
+	if d.evictions != 0 || d.runsOn("m-1") != 3 {
+		t.Fatalf("%d evictions, %d run on", d.evictions, d.runsOn("m-1"))
 	}
 	if m := d.e.machines.get("m-1"); m.Cordoned() || !m.CordonPlanned() {
 		t.Errorf("cordoned %v, planned %v", m.Cordoned(), m.CordonPlanned())
@@ -101,15 +101,15 @@
 func TestDeadlineProtectsWork(t *testing.T) {
 	budgets := map[drain.Scope]drain.Budget{{Team: "u"}: limit(func(b *drain.Budget) { b.TaskInterruptions = 0 })}
 	for _, deadline := range []time.Duration{time.Minute, 0} {
-		d := busyAndFree(t, drainConfig(budgets), longJob("j-1", "t", 2), longJob("j-2", "u", 1))
+		d := busyAndFree(t, drainTestConfig(budgets), longJob("j-1", "t", 2), longJob("j-2", "u", 1))
 		d.plan(drain.Plan{ID: "p", Selector: drain.Selector{Machines: []string{"m-1"}}, MaxAtOnce: 1, Deadline: deadline, CreatedMS: d.now.UnixMilli()})
 		d.run(30 * time.Second)
 		want := 2
 		if deadline > 0 {
 			want = 0
 		}
-		if d.evicts != want {
-			t.Errorf("deadline %s: %d evictions, %d expected; %+v", deadline, d.evicts, want, d.e.DrainStatus(d.now).Plans)
+		if d.evictions != want {
+			t.Errorf("deadline %s: %d evictions, %d expected; %+v", deadline, d.evictions, want, d.e.DrainStatus(d.now).Plans)
 		}
 	}
 }
@@ -126,17 +126,17 @@
 		{Team: "t"}: limit(func(b *drain.Budget) { b.Closed = []drain.ClosedWindow{early} }),
 		{Team: "u"}: limit(func(b *drain.Budget) { b.Closed = []drain.ClosedWindow{late} }),
 	}
-	d := busyAndFree(t, drainConfig(budgets), longJob("j-1", "t", 1), longJob("j-2", "u", 1))
+	d := busyAndFree(t, drainTestConfig(budgets), longJob("j-1", "t", 1), longJob("j-2", "u", 1))
 	d.drainMachine("m-1")
 	for d.now.Before(begin.Add(55 * time.Second)) {
 		d.run(3 * time.Second)
 	}
-	if d.evicts != 1 || d.runsOn("m-1") != 1 || d.on["m-1"][0].Ref != "j-1" {
-		t.Fatalf("before the change: %d evictions, %v, %+v", d.evicts, d.on, d.e.DrainStatus(d.now))
+	if d.evictions != 1 || d.runsOn("m-1") != 1 || d.on["m-1"][0].Ref != "j-1" {
+		t.Fatalf("before the change: %d evictions, %v, %+v", d.evictions, d.on, d.e.DrainStatus(d.now))
 	}
 	d.run(60 * time.Second)
-	if _, there := d.on["m-1"]; there || d.evicts != 2 {
-		t.Errorf("after it: %d evictions, %v", d.evicts, d.on)
+	if _, there := d.on["m-1"]; there || d.evictions != 2 {
+		t.Errorf("after it: %d evictions, %v", d.evictions, d.on)
 	}
 }
 
@@ -144,29 +144,29 @@
 func TestGangIsChargedWhole(t *testing.T) {
 	gang := longJob("j-1", "t", 2)
 	gang.Record.Spec.Shape, gang.Record.Spec.CPUs = pipeline.Gang, 5
-	d := newDrainBench(t, drainConfig(nil), gang)
-	d.there("m-1", "m-2")
+	d := newWorld(t, drainTestConfig(nil), gang)
+	d.bringUp("m-1", "m-2")
 	d.run(15 * time.Second)
 	if d.runsOn("m-1") != 1 || d.runsOn("m-2") != 1 {
 		t.Fatalf("not placed as meant: %v", d.on)
 	}
 	d.plan(drain.Plan{ID: "p", Selector: drain.Selector{All: true}, MaxAtOnce: 2, CreatedMS: d.now.UnixMilli()})
 	d.run(15 * time.Second)
-	if d.evicts != 0 {
-		t.Fatalf("%d evictions without room elsewhere", d.evicts)
+	if d.evictions != 0 {
+		t.Fatalf("%d evictions without room elsewhere", d.evictions)
 	}
-	d.there("m-3", "m-4")
+	d.bringUp("m-3", "m-4")
 	d.run(6 * time.Second)
-	if s := d.e.DrainStatus(d.now); d.evicts != 2 || s.Scopes[0].Voluntary != 2 {
-		t.Errorf("%d tasks evicted, %d charged", d.evicts, s.Scopes[0].Voluntary)
+	if s := d.e.DrainStatus(d.now); d.evictions != 2 || s.Scopes[0].Voluntary != 2 {
+		t.Errorf("%d tasks evicted, %d charged", d.evictions, s.Scopes[0].Voluntary)
 	}
 }
 
 // A cordoned machine gets no start, under this leader and under the next; a drained one that
 // turns up again, as listed late or by a late heartbeat, gets none either.
 func TestNoStartOnDrainedMachine(t *testing.T) {
-	d := newDrainBench(t, drainConfig(nil), longJob("j-1", "t", 1))
-	d.there("m-1")
+	d := newWorld(t, drainTestConfig(nil), longJob("j-1", "t", 1))
+	d.bringUp("m-1")
 	d.run(12 * time.Second)
 	d.drainMachine("m-1")
 	d.run(6 * time.Second) // it has no room elsewhere, and stays
@@ -178,20 +178,20 @@
 	if len(d.on["m-1"]) != 1 {
 		t.Fatalf("started on a cordoned machine: %v", d.on)
 	}
-	d.there("m-2")
+	d.bringUp("m-2")
 	d.run(60 * time.Second)
 	if _, there := d.on["m-1"]; there || d.runsOn("m-2") != 3 {
 		t.Fatalf("not emptied: %v", d.on)
 	}
 	d.takeOver()
-	d.on["m-1"] = nil // it is listed and reports as if nothing had been
-	d.there("m-1")
+	d.on["m-1"] = nil // it is listed and sends heartbeats as if nothing had been
+	d.bringUp("m-1")
 	d.jobs = append(d.jobs, longJob("j-3", "t", 8))
 	d.step(JobStored{Job: d.jobs[2]})
 	for range 10 {
 		d.tick(time.Second)
-		d.report("m-1", d.tokenOf("m-1"))
-		if got := starts(d.report("m-1", d.tokenOf("m-1"))); len(got) > 0 {
+		d.heartbeat("m-1", d.tokenOf("m-1"))
+		if got := starts(d.heartbeat("m-1", d.tokenOf("m-1"))); len(got) > 0 {
 			t.Fatalf("a drained machine that returned got %v", got)
 		}
 		if d.e.machines.get("m-1") == nil {
@@ -202,17 +202,17 @@
 
 // An eviction whose answer is lost is judged again, with the charge that it has.
 func TestLostEvictionIsJudgedAgain(t *testing.T) {
-	d := busyAndFree(t, drainConfig(nil), longJob("j-1", "t", 1))
+	d := busyAndFree(t, drainTestConfig(nil), longJob("j-1", "t", 1))
 	d.drainMachine("m-1")
 	told := 0
 	for range 20 {
 		d.tick(3 * time.Second)
-		for _, c := range d.report("m-1", d.e.numbers.term, d.on["m-1"]...).Commands {
+		for _, c := range d.heartbeat("m-1", d.e.numbers.term, d.on["m-1"]...).Commands {
 			if c.Kind == fleet.Stop {
 				told++ // and the answer is lost
 			}
 		}
-		d.reports("m-2")
+		d.exchange("m-2")
 	}
 	if s := d.e.DrainStatus(d.now); told < 3 || s.Scopes[0].Voluntary != 1 {
 		t.Errorf("told %d times, charged %d times", told, s.Scopes[0].Voluntary)
@@ -221,7 +221,7 @@
 
 // A plan that ends between charge and stop: the charge won't be spent, and is taken back.
 func TestUnspentChargeIsVoid(t *testing.T) {
-	d := busyAndFree(t, drainConfig(nil), longJob("j-1", "t", 1))
+	d := busyAndFree(t, drainTestConfig(nil), longJob("j-1", "t", 1))
 	d.drainMachine("m-1")
 	for i := 0; len(d.stored.Charges) == 0 && i < 100; i++ {
 		d.tick(200 * time.Millisecond)
@@ -230,26 +230,26 @@
 	p.Phase = drain.Cancelled
 	d.plan(p)
 	d.run(60 * time.Second)
-	if s := d.e.DrainStatus(d.now); d.evicts != 0 || s.Scopes[0].Voluntary != 0 || d.e.machines.get("m-1").Cordoned() {
-		t.Errorf("%d evictions, %+v", d.evicts, s)
+	if s := d.e.DrainStatus(d.now); d.evictions != 0 || s.Scopes[0].Voluntary != 0 || d.e.machines.get("m-1").Cordoned() {
+		t.Errorf("%d evictions, %+v", d.evictions, s)
 	}
 }
 
 // Preemption and lost machines aren't forbidden by a budget, and take from what it leaves.
 func TestInvoluntaryTakesFromTheBudget(t *testing.T) {
 	budgets := map[drain.Scope]drain.Budget{{Team: "t"}: limit(func(b *drain.Budget) { b.TaskInterruptions = 1 })}
-	d := busyAndFree(t, drainConfig(budgets), longJob("j-1", "t", 1))
+	d := busyAndFree(t, drainTestConfig(budgets), longJob("j-1", "t", 1))
 	delete(d.on, "m-1") // it dies
 	d.run(60 * time.Second)
 	if d.runsOn("m-2") != 1 {
 		t.Fatalf("not placed again: %v", d.on)
 	}
-	d.there("m-3")
+	d.bringUp("m-3")
 	d.drainMachine("m-2")
 	d.run(60 * time.Second)
 	s := d.e.DrainStatus(d.now)
-	if d.evicts != 0 || s.Scopes[0].Involuntary != 1 || s.Scopes[0].Voluntary != 0 {
-		t.Errorf("%d evictions, %+v", d.evicts, s.Scopes)
+	if d.evictions != 0 || s.Scopes[0].Involuntary != 1 || s.Scopes[0].Voluntary != 0 {
+		t.Errorf("%d evictions, %+v", d.evictions, s.Scopes)
 	}
 }
 
@@ -258,19 +258,19 @@
 func TestOldAttemptOfAGangEndsAlone(t *testing.T) {
 	gang := longJob("j-1", "t", 2)
 	gang.Record.Spec.Shape = pipeline.Gang
-	b := newBench(t, 2, Snapshot{Jobs: []StoredJob{gang}})
+	b := newHarness(t, 2, Snapshot{Jobs: []StoredJob{gang}})
 	b.up("m-1")
 	b.pass(6*time.Second, true)
-	on := runAll(b.report("m-1", 2))
+	on := runAll(b.heartbeat("m-1", 2))
 	if len(on) != 2 {
 		t.Fatalf("not placed as meant: %v", on)
 	}
-	b.report("m-1", 2, on...)
+	b.heartbeat("m-1", 2, on...)
 	b.up("m-2")
 	old := fleet.TaskStatus{Ref: "j-1", Task: 0, Attempt: 1 << attemptBits, State: fleet.Running}
-	b.report("m-2", 2, old)
-	b.report("m-2", 2) // it is gone
-	for _, c := range b.report("m-1", 2, on...).Commands {
+	b.heartbeat("m-2", 2, old)
+	b.heartbeat("m-2", 2) // it is gone
+	for _, c := range b.heartbeat("m-1", 2, on...).Commands {
 		if c.Kind == fleet.Stop {
 			t.Errorf("the present attempt is stopped: %+v", c)
 		}
@@ -280,10 +280,10 @@
 // A machine that is about to be drained is used only if nothing else has room: what is placed
 // there would have to move again.
 func TestPlannedMachineIsUsedLast(t *testing.T) {
-	d := newDrainBench(t, drainConfig(nil), longJob("j-1", "t", 1))
-	d.there("m-1")
+	d := newWorld(t, drainTestConfig(nil), longJob("j-1", "t", 1))
+	d.bringUp("m-1")
 	d.run(12 * time.Second)
-	d.there("m-2")
+	d.bringUp("m-2")
 	p := drain.Plan{ID: "p", Selector: drain.Selector{Machines: []string{"m-1"}}, MaxAtOnce: 1, CreatedMS: d.now.UnixMilli(), Through: "m-9", Phase: drain.Paused}
 	d.plan(p)
 	if m := d.e.machines.get("m-1"); !m.CordonPlanned() || m.Cordoned() {
@@ -305,56 +305,56 @@
 
 // While a plan is paused nothing more is disrupted, and what is cordoned stays so.
 func TestPausedPlan(t *testing.T) {
-	d := newDrainBench(t, drainConfig(nil), longJob("j-1", "t", 2))
-	d.there("m-1")
+	d := newWorld(t, drainTestConfig(nil), longJob("j-1", "t", 2))
+	d.bringUp("m-1")
 	d.run(12 * time.Second)
 	d.drainMachine("m-1")
 	d.run(6 * time.Second)
 	p := d.stored.Plans[0].Plan
 	p.Phase = drain.Paused
 	d.plan(p)
-	d.there("m-2")
+	d.bringUp("m-2")
 	d.run(60 * time.Second)
-	if d.evicts != 0 || !d.e.machines.get("m-1").Cordoned() {
-		t.Fatalf("%d evictions, cordoned %v", d.evicts, d.e.machines.get("m-1").Cordoned())
+	if d.evictions != 0 || !d.e.machines.get("m-1").Cordoned() {
+		t.Fatalf("%d evictions, cordoned %v", d.evictions, d.e.machines.get("m-1").Cordoned())
 	}
 	p.Phase = drain.Running
 	d.plan(p)
-	d.there("m-3")
+	d.bringUp("m-3")
 	d.run(60 * time.Second)
 	if _, there := d.on["m-1"]; there {
 		t.Errorf("not emptied after it was resumed: %+v", d.e.DrainStatus(d.now))
 	}
 }
 
-// Where nothing else has room, a machine like the drained one is rented first; it isn't given
+// Where nothing else has room, a machine like the drained one is requested first; it isn't given
 // back for idleness while the other is still there.
-func TestReplacementIsRented(t *testing.T) {
-	d := newDrainBench(t, drainConfig(nil), longJob("j-1", "t", 2))
-	d.there("m-1")
+func TestReplacementIsRequested(t *testing.T) {
+	d := newWorld(t, drainTestConfig(nil), longJob("j-1", "t", 2))
+	d.bringUp("m-1")
 	d.run(12 * time.Second)
 	d.plan(drain.Plan{ID: "p", Selector: drain.Selector{All: true}, MaxAtOnce: 1, Surge: 1, CreatedMS: d.now.UnixMilli()})
-	for i := 0; len(d.rents) == 0 && i < 20; i++ {
+	for i := 0; len(d.requests) == 0 && i < 20; i++ {
 		d.run(3 * time.Second)
 	}
-	asked := d.rents
-	if len(asked) != 1 || asked[0].Type != "big" || asked[0].Zone != "a" || asked[0].Count != 1 || d.evicts != 0 {
-		t.Fatalf("asked for %+v, %d evictions", asked, d.evicts)
+	asked := d.requests
+	if len(asked) != 1 || asked[0].Type != "big" || asked[0].Zone != "a" || asked[0].Count != 1 || d.evictions != 0 {
+		t.Fatalf("asked for %+v, %d evictions", asked, d.evictions)
 	}
 	d.step(ScaleOutAnswered{Request: asked[0], Machines: []string{"m-2"}})
-	d.there("m-2")
+	d.bringUp("m-2")
 	d.run(60 * time.Second)
 	if _, there := d.on["m-1"]; there || d.runsOn("m-2") != 2 {
 		t.Errorf("not replaced: %v, %+v", d.on, d.e.DrainStatus(d.now))
 	}
 }
 
-// While a large part of the fleet doesn't report, nothing is disrupted by choice.
+// While a large part of the fleet sends no heartbeats, nothing is disrupted by choice.
 func TestLostMachinesPauseDrains(t *testing.T) {
-	d := newDrainBench(t, drainConfig(nil), longJob("j-1", "t", 2))
-	d.there("m-1")
+	d := newWorld(t, drainTestConfig(nil), longJob("j-1", "t", 2))
+	d.bringUp("m-1")
 	d.run(12 * time.Second)
-	d.there("m-2", "m-3")
+	d.bringUp("m-2", "m-3")
 	d.run(3 * time.Second)
 	lost := []string{"m-4", "m-5"}
 	for _, name := range lost {
@@ -363,8 +363,8 @@
 	d.run(15 * time.Second)
 	d.drainMachine("m-1")
 	d.run(9 * time.Second)
-	if d.evicts != 0 || d.e.machines.inState(fleet.Unresponsive) != len(lost) {
-		t.Errorf("%d evictions with %d machines silent", d.evicts, d.e.machines.inState(fleet.Unresponsive))
+	if d.evictions != 0 || d.e.machines.inState(fleet.Unresponsive) != len(lost) {
+		t.Errorf("%d evictions with %d machines unresponsive", d.evictions, d.e.machines.inState(fleet.Unresponsive))
 	}
 }
 
@@ -372,7 +372,7 @@
 func TestNoMoveToAFullZone(t *testing.T) {
 	service := longJob("j-1", "t", 2)
 	service.Record.Spec.Shape, service.Record.Spec.Spread = pipeline.Service, true
-	b := newBench(t, 2, Snapshot{Jobs: []StoredJob{service}})
+	b := newHarness(t, 2, Snapshot{Jobs: []StoredJob{service}})
 	for name, zone := range map[string]string{"m-1": "a", "m-2": "b"} {
 		for seq := uint64(1); seq <= 2; seq++ {
 			b.e.Step(b.now, HeartbeatReceived{fleet.Heartbeat{Machine: name, Addr: name, Type: "big", Zone: zone, Incarnation: 1, Sequence: seq, FencingToken: 2 * (seq - 1), InterruptionIn: -1}})
--- a/internal/core/fair_order_test.go
+++ b/internal/core/fair_order_test.go
@@ -12,8 +12,8 @@
 
 // twoTeams is a leader with one machine of eight GuaranteedCPUs, a backlog of one team, and a single job
 // of another that came after all of it.
-func twoTeams(t *testing.T, order FairOrderChanged) *bench {
-	cfg := config()
+func twoTeams(t *testing.T, order FairOrderChanged) *harness {
+	cfg := testConfig()
 	cfg.Teams = map[string]placement.Quota{"large": {}, "small": {}}
 	var jobs []StoredJob
 	for i := range 30 {
@@ -23,7 +23,7 @@
 	}
 	late := job("j-900000", 4)
 	late.Record.Spec.Team, late.Record.SubmittedMS = "small", 5000
-	b := newBenchWith(t, cfg, 2, Snapshot{Jobs: append(jobs, late)})
+	b := newHarnessWith(t, cfg, 2, Snapshot{Jobs: append(jobs, late)})
 	b.e.Step(b.now, order)
 	b.up("m-1")
 	b.pass(6*time.Second, true)
--- a/internal/core/fleet/connectivity_test.go
+++ b/internal/core/fleet/connectivity_test.go
@@ -10,7 +10,7 @@
 func at(seconds int) time.Time { return start.Add(time.Duration(seconds) * time.Second) }
 
 // Heartbeats are ordered by fencing token, then incarnation, then sequence number.
-func TestEpochOrder(t *testing.T) {
+func TestHeartbeatVersionOrder(t *testing.T) {
 	ordered := []HeartbeatVersion{{1, 1, 1}, {1, 1, 2}, {1, 2, 1}, {2, 1, 1}, {2, 1, 9}, {3, 7, 1}}
 	for i, a := range ordered {
 		for k, b := range ordered {
@@ -22,7 +22,7 @@
 }
 
 // Only a higher fencing token under counts that haven't risen shows a restart.
-func TestEpochRestarted(t *testing.T) {
+func TestHeartbeatVersionRestarted(t *testing.T) {
 	known := HeartbeatVersion{FencingToken: 4, Incarnation: 3, Sequence: 10}
 	for _, c := range []struct {
 		report    HeartbeatVersion
@@ -42,15 +42,15 @@
 	}
 }
 
-// Stale reports show a restart only if they rise steadily, three at the least, for long
+// Stale heartbeats show a restart only if they rise steadily, three at the least, for long
 // enough; a copy in between restarts the count.
-func TestStaleReportsShowRestart(t *testing.T) {
+func TestStaleHeartbeatsShowRestart(t *testing.T) {
 	var s StaleHeartbeats
 	note := func(second int, seq uint64) bool {
 		return s.NoteStale(at(second), &Heartbeat{Incarnation: 1, Sequence: seq}, 3*time.Second)
 	}
 	if note(0, 1) || note(3, 2) {
-		t.Fatal("restarted after two reports")
+		t.Fatal("restarted after two heartbeats")
 	}
 	if note(4, 2) {
 		t.Fatal("restarted by a duplicate")
--- a/internal/core/fleet_size_test.go
+++ b/internal/core/fleet_size_test.go
@@ -38,7 +38,7 @@
 		j.Record.SubmittedMS = now.UnixMilli()
 		jobs = append(jobs, j)
 	}
-	b := newBench(t, 2, Snapshot{Jobs: jobs})
+	b := newHarness(t, 2, Snapshot{Jobs: jobs})
 	pages := storedPages{}
 	tasks := map[string][]fleet.TaskStatus{}
 	names := make([]string, largeFleet)
@@ -47,8 +47,8 @@
 	}
 	report := func(term uint64) {
 		for _, name := range names {
-			b.seq[name]++
-			r := fleet.Heartbeat{Machine: name, Addr: name, Type: "big", Zone: "a", Incarnation: 1, Sequence: b.seq[name], FencingToken: term, InterruptionIn: -1, Tasks: tasks[name]}
+			b.sequences[name]++
+			r := fleet.Heartbeat{Machine: name, Addr: name, Type: "big", Zone: "a", Incarnation: 1, Sequence: b.sequences[name], FencingToken: term, InterruptionIn: -1, Tasks: tasks[name]}
 			reply := b.e.Step(b.now, HeartbeatReceived{r}).Response
 			if reply.Held {
 				reply = b.e.Step(b.now.Add(maxResponseHold+time.Second), HeldResponseDue{r}).Response
@@ -76,7 +76,7 @@
 	for _, p := range pages {
 		next.Pages = append(next.Pages, p)
 	}
-	b.e = New(b.now, config(), 3, next, rand.New(rand.NewPCG(1, 2)))
+	b.e = New(b.now, testConfig(), 3, next, rand.New(rand.NewPCG(1, 2)))
 	if b.e.machines.count() != largeFleet || b.e.recovery.Status(b.now).Machines["expected"] != largeFleet {
 		t.Fatalf("the next leader knows %d machines", b.e.machines.count())
 	}
@@ -92,7 +92,7 @@
 }
 
 // checkTakenOver demands that a leader knows each machine with its one task.
-func checkTakenOver(t *testing.T, b *bench, names []string) {
+func checkTakenOver(t *testing.T, b *harness, names []string) {
 	t.Helper()
 	for _, name := range names {
 		if m := b.e.machines.get(name); m.State() != fleet.Live || m.ActiveAttempts() != 1 {
@@ -107,7 +107,7 @@
 // An attempt's number has room for so many in a term. The next ones would be those of the
 // next term, so the term has to end before.
 func TestTermEndsBeforeItsNumbers(t *testing.T) {
-	b := newBench(t, 2, Snapshot{Jobs: []StoredJob{job("j-1", 1)}})
+	b := newHarness(t, 2, Snapshot{Jobs: []StoredJob{job("j-1", 1)}})
 	b.up("m-1")
 	b.e.numbers.counter = 1<<attemptBits - attemptReserve
 	b.now = b.now.Add(6 * time.Second)
--- a/internal/core/images_test.go
+++ b/internal/core/images_test.go
@@ -10,7 +10,7 @@
 )
 
 // imageJob is an array with an image that takes 20 s to fetch.
-func imageJob(b *bench, ref, image string, tasks int, age time.Duration) JobStored {
+func imageJob(b *harness, ref, image string, tasks int, age time.Duration) JobStored {
 	j := job(ref, tasks)
 	j.Record.Spec.Image, j.Record.Spec.ImageGB, j.Record.Spec.Estimate = image, 20, 20*time.Second
 	j.Record.SubmittedMS = b.now.Add(-age).UnixMilli()
@@ -21,13 +21,13 @@
 // on the fleet's rough days more than half of the places were fetching, and
 // nearly all jobs were late. Work whose image is there goes first.
 func TestPlacesGoToWorkWithItsImageThere(t *testing.T) {
-	cfg := config()
+	cfg := testConfig()
 	cfg.Objectives = map[string][]Objective{"c": {{Kind: FinishObjective, Within: time.Minute}}}
-	b := newBenchWith(t, cfg, 2, Snapshot{})
+	b := newHarnessWith(t, cfg, 2, Snapshot{})
 	b.e.Step(b.now, imageJob(b, "j-1", "x", 8, 0))
 	b.up("m-1")
 	b.pass(6*time.Second, true)
-	first := starts(b.report("m-1", 2))
+	first := starts(b.heartbeat("m-1", 2))
 	if len(first) != 8 {
 		t.Fatalf("%d starts", len(first))
 	}
@@ -36,13 +36,13 @@
 		tasks = append(tasks, running(c))
 		done = append(done, fleet.TaskStatus{Ref: c.Ref, Task: c.Task, Attempt: c.Attempt, State: fleet.Exited, Cause: fleet.CauseDone})
 	}
-	b.report("m-1", 2, tasks...)
+	b.heartbeat("m-1", 2, tasks...)
 	b.e.Step(b.now, imageJob(b, "j-2", "y", 8, 25*time.Second)) // nearly late
 	b.e.Step(b.now, imageJob(b, "j-3", "x", 8, 0))
 	b.pass(time.Second, true)
-	b.report("m-1", 2, done...)
+	b.heartbeat("m-1", 2, done...)
 	b.pass(2*time.Second, true)
-	s := starts(b.report("m-1", 2, done...))
+	s := starts(b.heartbeat("m-1", 2, done...))
 	for _, c := range s {
 		if c.Ref != "j-3" {
 			t.Fatalf("%s starts on a machine that has the image of j-3", c.Ref)
@@ -56,15 +56,15 @@
 // Of arrays without their image anywhere, each first gets so many places as it
 // needs to be in time: the first in the order once took all, each with a fetch.
 func TestFirstWavesBeforeTheRest(t *testing.T) {
-	cfg := config()
+	cfg := testConfig()
 	cfg.Objectives = map[string][]Objective{"c": {{Kind: FinishObjective, Within: 140 * time.Second}}}
-	b := newBenchWith(t, cfg, 2, Snapshot{})
+	b := newHarnessWith(t, cfg, 2, Snapshot{})
 	b.e.Step(b.now, imageJob(b, "j-1", "x", 16, time.Second))
 	b.e.Step(b.now, imageJob(b, "j-2", "y", 16, 0))
 	b.up("m-1")
 	b.pass(6*time.Second, true)
 	began := map[string]int{}
-	for _, c := range starts(b.report("m-1", 2)) {
+	for _, c := range starts(b.heartbeat("m-1", 2)) {
 		began[c.Ref]++
 	}
 	if began["j-1"] == 0 || began["j-2"] == 0 || began["j-1"]+began["j-2"] != 8 {
@@ -75,20 +75,20 @@
 // A machine gives a fetch up when no task waits for it. The image was once
 // believed there, and the next task placed for it waited for a whole fetch.
 func TestFetchGivenUpIsForgotten(t *testing.T) {
-	b := newBench(t, 2, Snapshot{})
+	b := newHarness(t, 2, Snapshot{})
 	b.e.Step(b.now, imageJob(b, "j-1", "x", 1, 0))
 	b.up("m-1")
 	b.pass(6*time.Second, true)
-	c := starts(b.report("m-1", 2))[0]
+	c := starts(b.heartbeat("m-1", 2))[0]
 	at := fleet.TaskStatus{Ref: c.Ref, Task: c.Task, Attempt: c.Attempt, State: fleet.Fetching}
-	b.report("m-1", 2, at)
+	b.heartbeat("m-1", 2, at)
 	b.now = b.now.Add(19 * time.Second)
 	m := b.e.machines.get("m-1")
 	if left := m.FetchLeft(b.now, "x", 20, 1); left > 2*time.Second {
 		t.Fatalf("%s left of a fetch of 20 s after 19 s", left)
 	}
 	at.State, at.Cause = fleet.Exited, fleet.CauseStopped
-	b.report("m-1", 2, at)
+	b.heartbeat("m-1", 2, at)
 	if left := m.FetchLeft(b.now.Add(time.Minute), "x", 20, 1); left < 20*time.Second {
 		t.Fatalf("%s left of a fetch that was given up", left)
 	}
@@ -98,16 +98,16 @@
 // 40 s had them fetched all over. It learns them from what machines run, and from
 // the image log, in which those that are gone are forgotten.
 func TestImagesOutliveTheLeader(t *testing.T) {
-	b := newBench(t, 2, Snapshot{})
+	b := newHarness(t, 2, Snapshot{})
 	b.e.Step(b.now, imageJob(b, "j-1", "x", 1, 0))
 	b.up("m-1")
 	b.pass(6*time.Second, true)
-	c := starts(b.report("m-1", 2))[0]
-	b.report("m-1", 2, running(c))
+	c := starts(b.heartbeat("m-1", 2))[0]
+	b.heartbeat("m-1", 2, running(c))
 	var logged []StoredImages
 	for end := b.now.Add(time.Minute); b.now.Before(end); {
 		b.now = b.now.Add(time.Second)
-		b.report("m-1", 2, running(c))
+		b.heartbeat("m-1", 2, running(c))
 		batch := b.e.Batch(b.now, 10)
 		b.e.Step(b.now, WritesStarted{batch})
 		for _, w := range batch {
@@ -121,7 +121,7 @@
 		t.Fatal("the image log isn't written")
 	}
 
-	next := newBench(t, 3, Snapshot{Images: logged})
+	next := newHarness(t, 3, Snapshot{Images: logged})
 	next.up("m-1")
 	if left := next.e.machines.get("m-1").FetchLeft(next.now, "x", 20, 1); left != 0 {
 		t.Errorf("by the image log, %s left of a fetch that is over", left)
@@ -133,8 +133,8 @@
 	}
 
 	j := imageJob(b, "j-1", "x", 1, 0).Job
-	other := newBench(t, 3, Snapshot{Jobs: []StoredJob{j}, Pages: []StoredPage{page("2-1", "m-1", c.Attempt)}})
-	other.report("m-1", 2, running(c))
+	other := newHarness(t, 3, Snapshot{Jobs: []StoredJob{j}, Pages: []StoredPage{page("2-1", "m-1", c.Attempt)}})
+	other.heartbeat("m-1", 2, running(c))
 	if left := other.e.machines.get("m-1").FetchLeft(other.now, "x", 20, 1); left != 0 {
 		t.Errorf("by a task that runs, %s left of a fetch that is over", left)
 	}
@@ -176,7 +176,7 @@
 // next ones, a whole heartbeat interval. While a leader is new its answers to empty
 // machines wait for a moment, but not for long, and not when it falls behind.
 func TestNewLeaderHoldsAnswers(t *testing.T) {
-	b := newBench(t, 2, Snapshot{})
+	b := newHarness(t, 2, Snapshot{})
 	// The worker has served the leader before. The test once gave it this term's fencing token,
 	// which no worker can have before its first answer.
 	b.list("m-1")
@@ -199,7 +199,7 @@
 	}
 
 	idle := fleet.Heartbeat{Machine: "m-2", Addr: "m-2", Type: "big", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: 1, InterruptionIn: -1}
-	b = newBench(t, 2, Snapshot{})
+	b = newHarness(t, 2, Snapshot{})
 	b.e.Step(b.now, Tick{})
 	if eff := b.e.Step(b.now, HeartbeatReceived{idle}); !eff.Response.Held {
 		t.Fatal("an idle machine's answer isn't held")
@@ -210,7 +210,7 @@
 			t.Fatalf("held for %s; workers wait 4 s", b.now.Sub(reported))
 		}
 	}
-	b = newBench(t, 2, Snapshot{})
+	b = newHarness(t, 2, Snapshot{})
 	b.e.Step(b.now, Tick{})
 	b.now = b.now.Add(2 * maxTickLag)
 	if eff := b.e.Step(b.now, HeartbeatReceived{idle}); eff.Response.Held || !eff.Response.OK {
@@ -221,7 +221,7 @@
 // A page of the image log from before values became smaller is split: none of its
 // machines is lost to the next leader, nor is one with more images than a page takes.
 func TestOverfullImagePageIsSplit(t *testing.T) {
-	cfg := config()
+	cfg := testConfig()
 	cfg.MaxValueBytes = 600
 	has := map[string][]fleet.Image{}
 	for i := range 60 {
@@ -233,7 +233,7 @@
 	for k := range 40 {
 		has["m-00"] = append(has["m-00"], fleet.Image{Name: fmt.Sprintf("many-%d", k), GB: 0.1})
 	}
-	b := newBenchWith(t, cfg, 3, Snapshot{Images: []StoredImages{{"1-1", fleet.RecordImages(has, 16_000)}}})
+	b := newHarnessWith(t, cfg, 3, Snapshot{Images: []StoredImages{{"1-1", fleet.RecordImages(has, 16_000)}}})
 	logged := map[string]fleet.ImageRecord{}
 	for name := range has {
 		b.up(name)
--- a/internal/core/one_way_loss_test.go
+++ b/internal/core/one_way_loss_test.go
@@ -8,22 +8,22 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// hearNothing has a machine with a task that was told to stop report as if it hadn't been.
-func hearNothing(t *testing.T) (*bench, fleet.TaskStatus) {
+// hearNothing has a machine with a task that was told to stop send heartbeats as if it hadn't been.
+func hearNothing(t *testing.T) (*harness, fleet.TaskStatus) {
 	t.Helper()
 	b, c := started(t)
-	b.report("m-1", 2, running(c))
+	b.heartbeat("m-1", 2, running(c))
 	b.e.Step(b.now, CancelRequested{Ref: c.Ref})
-	b.report("m-1", 2, running(c)) // answered with the stop
+	b.heartbeat("m-1", 2, running(c)) // answered with the stop
 	return b, running(c)
 }
 
-// Reports that a cut has held back come together, and none of them can show what the first
+// Heartbeats that a cut has held back come together, and none of them can show what the first
 // was answered with. 27 machines of a zone were once released for that.
 func TestReportsDeliveredTogether(t *testing.T) {
 	b, task := hearNothing(t)
 	for range 4 {
-		b.report("m-1", 2, task)
+		b.heartbeat("m-1", 2, task)
 	}
 	if n := b.e.machines.get("m-1").OneWayLoss.Undelivered(); n > 1 {
 		t.Fatalf("%d answers counted as undelivered within a moment", n)
@@ -37,7 +37,7 @@
 	for range 10 {
 		b.now = b.now.Add(2 * time.Second) // the next tick is as late
 		b.e.Step(b.now, Tick{})
-		b.report("m-1", 2, task)
+		b.heartbeat("m-1", 2, task)
 	}
 	if n := b.e.machines.get("m-1").OneWayLoss.Undelivered(); n > 0 {
 		t.Fatalf("%d answers counted as undelivered by a leader that is slow itself", n)
@@ -50,9 +50,9 @@
 	b, _ := started(t)
 	at := b.now
 	sent := 0
-	for b.now.Sub(at) < config().Lease {
+	for b.now.Sub(at) < testConfig().Lease {
 		b.pass(3*time.Second, true)
-		sent += len(starts(b.report("m-1", 2)))
+		sent += len(starts(b.heartbeat("m-1", 2)))
 		if b.e.machines.get("m-1").State() == fleet.ScalingIn {
 			if sent > 2 {
 				t.Fatalf("%d starts sent to a machine that receives nothing", sent)
@@ -69,7 +69,7 @@
 // A machine that seemed unreachable and keeps its incarnation for longer than a lease must
 // have had answers: six such machines, idle, were once kept and never used again.
 func TestOneWayLossEnds(t *testing.T) {
-	b := newBench(t, 2, Snapshot{})
+	b := newHarness(t, 2, Snapshot{})
 	names := []string{"m-1", "m-2", "m-3", "m-4"}
 	for _, m := range names {
 		b.up(m)
@@ -82,7 +82,7 @@
 	for range 25 {
 		b.pass(3*time.Second, true)
 		for _, m := range names {
-			used[m] = used[m] || len(starts(b.report(m, 2))) > 0
+			used[m] = used[m] || len(starts(b.heartbeat(m, 2))) > 0
 		}
 	}
 	for _, m := range names {
@@ -95,7 +95,7 @@
 // When all machines seem to hear nothing, it is this node that isn't heard, and
 // giving the machines back would end all work.
 func TestOneWayLossOfAllIsOurs(t *testing.T) {
-	b := newBench(t, 2, Snapshot{Jobs: []StoredJob{job("j-1", 40)}})
+	b := newHarness(t, 2, Snapshot{Jobs: []StoredJob{job("j-1", 40)}})
 	names := []string{"m-1", "m-2", "m-3", "m-4", "m-5"}
 	for _, m := range names {
 		b.up(m)
@@ -103,7 +103,7 @@
 	for range 12 {
 		b.pass(3*time.Second, true)
 		for _, m := range names {
-			b.report(m, 2)
+			b.heartbeat(m, 2)
 		}
 	}
 	for _, m := range names {
--- a/internal/core/placement/replicas_test.go
+++ b/internal/core/placement/replicas_test.go
@@ -17,7 +17,7 @@
 }
 
 // Replicas missing after a zone was lost once waited for arrays' tasks to end, for 7 s on
-// the mean, since a service that had begun had no aim left to be late for.
+// the mean, since a service that had begun had no objective left to be late for.
 func TestMissingReplicasMakeRoom(t *testing.T) {
 	b := newBoard(t, []*pipeline.Job{service(t, 4)}, machine("m-1", "cpu", "a", "j-9", "j-8"),
 		machine("m-2", "cpu", "a", "j-9", "j-8"), machine("m-3", "cpu", "a", "j-9", "j-8"), machine("m-4", "cpu", "b", "j-9", "j-8"))
--- a/internal/core/priority_order_test.go
+++ b/internal/core/priority_order_test.go
@@ -8,13 +8,13 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// A gang that had missed its aim to start has a later one that it can still keep,
-// and so once waited for room to come by itself, for as long as that aim allowed.
+// A gang that had missed its objective to start has a later one that it can still keep,
+// and so once waited for room to come by itself, for as long as that objective allowed.
 // By its age it comes before all others, and room is made for it at once.
 func TestStarvingGangMakesRoom(t *testing.T) {
-	cfg := config()
+	cfg := testConfig()
 	cfg.Objectives = map[string][]Objective{"g": {{Kind: FinishObjective, Within: 400 * time.Second}}}
-	b := newBenchWith(t, cfg, 2, Snapshot{})
+	b := newHarnessWith(t, cfg, 2, Snapshot{})
 	low := job("j-1", 16)
 	low.Record.Spec.Estimate, low.Record.Spec.Priority = 200*time.Second, pipeline.Normal
 	low.Record.Spec.CheckpointInterval, low.Record.Spec.CheckpointTime = 5*time.Second, time.Second
@@ -27,7 +27,7 @@
 	}
 	b.pass(6*time.Second, true)
 	for _, m := range machines {
-		for _, c := range starts(b.report(m, 2)) {
+		for _, c := range starts(b.heartbeat(m, 2)) {
 			tasks[m] = append(tasks[m], running(c))
 		}
 		if len(tasks[m]) != 8 {
@@ -53,7 +53,7 @@
 	wait := func(d time.Duration) {
 		for end := b.now.Add(d); b.now.Before(end); b.pass(2*time.Second, true) {
 			for _, m := range machines {
-				b.report(m, 2, tasks[m]...)
+				b.heartbeat(m, 2, tasks[m]...)
 			}
 		}
 	}
--- a/internal/core/reconcile_test.go
+++ b/internal/core/reconcile_test.go
@@ -10,35 +10,27 @@
 )
 
 // restored is a leader after a restore of the state service that has lost its start log.
-func restored(t *testing.T, tasks int) *bench {
-	return newBench(t, 9, Snapshot{Jobs: []StoredJob{job("j-1", tasks)}, Restored: true})
-}
-
-func (b *bench) list(machines ...string) {
-	var listed []Instance
-	for _, name := range machines {
-		listed = append(listed, Instance{Name: name, Addr: name, Type: "big", Zone: "a", Status: InstanceRunning})
-	}
-	b.e.Step(b.now, InstancesListed{Instances: listed})
+func restored(t *testing.T, tasks int) *harness {
+	return newHarness(t, 9, Snapshot{Jobs: []StoredJob{job("j-1", tasks)}, Restored: true})
 }
 
 // Work that the state service has forgotten is adopted where it runs, and recorded before
-// anything else: nothing of it is placed anywhere before all machines have reported.
+// anything else: nothing of it is placed anywhere before all machines are heard of.
 func TestForgottenWorkIsAdopted(t *testing.T) {
 	b := restored(t, 2)
 	b.list("m-1", "m-2")
-	b.report("m-2", 0)
-	b.report("m-2", 9)
+	b.heartbeat("m-2", 0)
+	b.heartbeat("m-2", 9)
 	b.pass(8*time.Second, true)
 	if n := b.e.jobs.get("j-1").Count(pipeline.Waiting); n != 2 {
-		t.Fatal("placed while a machine that may hold it hasn't reported")
+		t.Fatal("placed while a machine that may hold it hasn't been heard of")
 	}
 	running1 := fleet.TaskStatus{Ref: "j-1", Task: 1, Attempt: 8<<attemptBits | 7, State: fleet.Running}
-	b.report("m-1", 8, running1)
+	b.heartbeat("m-1", 8, running1)
 	if n := b.e.jobs.get("j-1").Count(pipeline.Waiting); n != 2 {
 		t.Fatal("adopted on the word of what may be a late copy")
 	}
-	b.report("m-1", 9, running1)
+	b.heartbeat("m-1", 9, running1)
 	a := b.e.machines.get("m-1").Attempt(fleet.TaskID{Ref: "j-1", Task: 1})
 	if a == nil || a.Unrecorded || a.Stopping || b.e.jobs.get("j-1").Tasks[1].Machine != "m-1" {
 		t.Fatalf("not adopted: %+v", a)
@@ -55,14 +47,14 @@
 		if n := b.e.jobs.get("j-1").Count(pipeline.Assigned); n != 1 {
 			t.Fatalf("%d tasks assigned before all leases are over", n)
 		}
-		b.report("m-1", 9, running1)
-		b.report("m-2", 9)
+		b.heartbeat("m-1", 9, running1)
+		b.heartbeat("m-2", 9)
 		b.pass(2*time.Second, true)
 	}
 	b.pass(4*time.Second, true)
-	s := append(starts(b.report("m-1", 9, running1)), starts(b.report("m-2", 9))...)
+	s := append(starts(b.heartbeat("m-1", 9, running1)), starts(b.heartbeat("m-2", 9))...)
 	if len(s) != 1 || s[0].Task != 0 {
-		t.Fatalf("the other task isn't started once all have reported: %v", s)
+		t.Fatalf("the other task isn't started once all are heard of: %v", s)
 	}
 	if told := b.e.Status(b.now).Recovery; !told.Restored || told.Findings[recovery.RunningUnrecorded.String()] != 1 {
 		t.Fatalf("%+v", told)
@@ -72,29 +64,29 @@
 // A forgotten attempt whose task is just to be started elsewhere takes that start's place; one
 // that runs elsewhere already is stopped, and counts until it is gone.
 func TestForgottenWorkAgainstNew(t *testing.T) {
-	b := newBench(t, 9, Snapshot{Jobs: []StoredJob{job("j-1", 1)}})
+	b := newHarness(t, 9, Snapshot{Jobs: []StoredJob{job("j-1", 1)}})
 	b.up("m-2")
 	b.pass(6*time.Second, true) // its start waits for m-2's next heartbeat
 	forgotten := fleet.TaskStatus{Ref: "j-1", Attempt: 8<<attemptBits | 7, State: fleet.Running}
-	b.report("m-1", 8, forgotten)
-	b.report("m-1", 9, forgotten)
+	b.heartbeat("m-1", 8, forgotten)
+	b.heartbeat("m-1", 9, forgotten)
 	if j := b.e.jobs.get("j-1"); j.Tasks[0].Machine != "m-1" || b.e.machines.get("m-2").ActiveAttempts() != 0 {
 		t.Fatalf("the task is on %s, %d attempts on m-2", j.Tasks[0].Machine, b.e.machines.get("m-2").ActiveAttempts())
 	}
-	if s := starts(b.report("m-2", 9)); len(s) != 0 {
+	if s := starts(b.heartbeat("m-2", 9)); len(s) != 0 {
 		t.Fatalf("started beside the forgotten one: %v", s)
 	}
 
-	b = newBench(t, 9, Snapshot{Jobs: []StoredJob{job("j-1", 1)}})
+	b = newHarness(t, 9, Snapshot{Jobs: []StoredJob{job("j-1", 1)}})
 	b.up("m-2")
 	b.pass(6*time.Second, true)
-	s := starts(b.report("m-2", 9))
+	s := starts(b.heartbeat("m-2", 9))
 	if len(s) != 1 {
 		t.Fatalf("%d starts", len(s))
 	}
-	b.report("m-2", 9, running(s[0]))
-	b.report("m-1", 8, forgotten)
-	reply := b.report("m-1", 9, forgotten)
+	b.heartbeat("m-2", 9, running(s[0]))
+	b.heartbeat("m-1", 8, forgotten)
+	reply := b.heartbeat("m-1", 9, forgotten)
 	if len(reply.Commands) != 1 || reply.Commands[0].Kind != fleet.Stop {
 		t.Fatalf("the second holder is told %v", reply.Commands)
 	}
@@ -102,12 +94,12 @@
 
 // A result that comes minutes late, after its task was placed again, is kept.
 func TestLateResultIsKept(t *testing.T) {
-	b := newBench(t, 9, Snapshot{Jobs: []StoredJob{job("j-1", 1)}})
+	b := newHarness(t, 9, Snapshot{Jobs: []StoredJob{job("j-1", 1)}})
 	b.up("m-2")
 	b.pass(6*time.Second, true)
-	s := starts(b.report("m-2", 9))
-	b.report("m-2", 9, running(s[0]))
-	b.report("m-1", 8, fleet.TaskStatus{Ref: "j-1", Attempt: 8<<attemptBits | 7, State: fleet.Exited, Cause: fleet.CauseDone})
+	s := starts(b.heartbeat("m-2", 9))
+	b.heartbeat("m-2", 9, running(s[0]))
+	b.heartbeat("m-1", 8, fleet.TaskStatus{Ref: "j-1", Attempt: 8<<attemptBits | 7, State: fleet.Exited, Cause: fleet.CauseDone})
 	if n := b.e.jobs.get("j-1").Count(pipeline.Finished); n != 1 {
 		t.Fatal("the late result is lost")
 	}
@@ -116,11 +108,11 @@
 // The pace holds bulk starts back at the beginning of a term, but neither stops nor urgent
 // starts, and all go out in the end.
 func TestPaceOfStarts(t *testing.T) {
-	cfg := config()
+	cfg := testConfig()
 	cfg.Pace = recovery.PaceOptions{Enabled: true, Initial: 2, Highest: 50}
 	bulk, urgent := job("j-1", 60), job("j-2", 4)
 	bulk.Record.Spec.Priority, urgent.Record.Spec.Priority = pipeline.Low, pipeline.High
-	b := newBenchWith(t, cfg, 2, Snapshot{Jobs: []StoredJob{bulk, urgent}})
+	b := newHarnessWith(t, cfg, 2, Snapshot{Jobs: []StoredJob{bulk, urgent}})
 	var machines []string
 	for _, name := range []string{"m-1", "m-2", "m-3", "m-4", "m-5", "m-6", "m-7", "m-8"} {
 		machines = append(machines, name)
@@ -132,7 +124,7 @@
 	urgentAt := time.Duration(0)
 	for range 150 {
 		for _, m := range machines {
-			for _, c := range starts(b.report(m, 2, tasks[m]...)) {
+			for _, c := range starts(b.heartbeat(m, 2, tasks[m]...)) {
 				tasks[m] = append(tasks[m], running(c))
 				if c.Ref == "j-2" {
 					urgentAt = b.now.Sub(begin)
@@ -162,16 +154,16 @@
 
 // A worker that has this term's fencing token although this leader has never answered it has it from a
 // leader that the state service has forgotten: the term ends before anything is done with the
-// report.
+// heartbeat.
 func TestTokenOfAForgottenLeader(t *testing.T) {
-	b := newBench(t, 9, Snapshot{Jobs: []StoredJob{job("j-1", 1)}})
+	b := newHarness(t, 9, Snapshot{Jobs: []StoredJob{job("j-1", 1)}})
 	r := fleet.Heartbeat{Machine: "m-1", Addr: "m-1", Type: "big", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: 9, InterruptionIn: -1}
 	eff := b.e.Step(b.now, HeartbeatReceived{r})
 	if !eff.Deposed() || eff.HigherFencingToken != 9 || eff.Response.OK {
 		t.Fatalf("%+v", eff)
 	}
-	b.report("m-2", 0)
-	r.Machine, r.Addr, r.Sequence = "m-2", "m-2", b.seq["m-2"]+1
+	b.heartbeat("m-2", 0)
+	r.Machine, r.Addr, r.Sequence = "m-2", "m-2", b.sequences["m-2"]+1
 	if eff := b.e.Step(b.now, HeartbeatReceived{r}); eff.Deposed() {
 		t.Fatal("a worker that was given the token deposes its leader")
 	}
--- a/internal/core/safety_test.go
+++ b/internal/core/safety_test.go
@@ -1,134 +1,41 @@
 package core
 
 import (
-	"math/rand/v2"
 	"testing"
 	"time"
 
 	"gingertally/internal/core/fleet"
 	"gingertally/internal/core/pipeline"
-	"gingertally/internal/core/placement"
 )
 
-// bench drives one engine by hand.
-type bench struct {
-	t   *testing.T
-	e   *Engine
-	now time.Time
-	seq map[string]uint64
-}
-
-func config() Config {
-	return Config{Teams: map[string]placement.Quota{"t": {}}, HeartbeatInterval: 3 * time.Second, Lease: 30 * time.Second,
-		CancelWithin: 60 * time.Second, InstanceListLag: 4 * time.Second, RestartLimit: 3,
-		BatchInterval: 2 * time.Second, MaxValueBytes: 4000, RoundBudget: 100, Weights: DefaultWeights()}
-}
-
-func job(ref string, tasks int) StoredJob {
-	return StoredJob{Version: 5, Record: pipeline.Record{Spec: pipeline.Spec{Ref: ref, Class: "c", Team: "t", Tasks: tasks, CPUs: 1, Image: "i"}}}
-}
-
-func newBench(t *testing.T, term uint64, snap Snapshot) *bench {
-	return newBenchWith(t, config(), term, snap)
-}
-
-func newBenchWith(t *testing.T, cfg Config, term uint64, snap Snapshot) *bench {
-	b := &bench{t: t, now: time.Unix(5000, 0), seq: map[string]uint64{}}
-	b.e = New(b.now, cfg, term, snap, rand.New(rand.NewPCG(1, 1)))
-	b.e.Step(b.now, CatalogUpdated{placement.Catalog{"big": {Name: "big", CPUs: 8, MemGB: 32, CacheGB: 10, FetchGBPerS: 1, Hourly: 1, Boot: 20 * time.Second, Zones: []string{"a"}}}})
-	return b
-}
-
-// report sends a heartbeat and returns the commands it is answered with.
-func (b *bench) report(machine string, token uint64, tasks ...fleet.TaskStatus) HeartbeatResponse {
-	b.seq[machine]++
-	return b.reportAs(machine, token, b.seq[machine], tasks...)
-}
-
-// up brings a machine up that has not been heard of: only its second report,
-// under this term's fencing token, is certainly no late copy.
-func (b *bench) up(machine string) {
-	b.report(machine, 0)
-	b.report(machine, b.e.numbers.term)
-}
-
-func (b *bench) reportAs(machine string, token, seq uint64, tasks ...fleet.TaskStatus) HeartbeatResponse {
-	r := fleet.Heartbeat{Machine: machine, Addr: machine, Type: "big", Zone: "a", Incarnation: 1, Sequence: seq, FencingToken: token, InterruptionIn: -1, Tasks: tasks}
-	eff := b.e.Step(b.now, HeartbeatReceived{r})
-	if eff.Deposed() && token == b.e.numbers.term {
-		b.t.Fatalf("%s reports a token that it wasn't given: the test shows nothing", machine)
-	}
-	for eff.Response.Held {
-		b.now = b.now.Add(250 * time.Millisecond)
-		eff = b.e.Step(b.now, HeldResponseDue{r})
-	}
-	return *eff.Response
-}
-
-// pass lets time pass, with rounds of decisions; written says whether the
-// store takes what the engine wants written.
-func (b *bench) pass(d time.Duration, written bool) {
-	for end := b.now.Add(d); b.now.Before(end); {
-		b.now = b.now.Add(200 * time.Millisecond)
-		b.e.Step(b.now, Tick{})
-		if batch := b.e.Batch(b.now, 10); written && len(batch) > 0 {
-			b.e.Step(b.now, WritesStarted{batch})
-			b.e.Step(b.now, WritesFinished{Batch: batch, OK: true, Revision: 100})
-		}
-	}
-}
-
-func starts(r HeartbeatResponse) (out []fleet.Command) {
-	for _, c := range r.Commands {
-		if c.Kind == fleet.Start {
-			out = append(out, c)
-		}
-	}
-	return out
-}
-
-func running(c fleet.Command) fleet.TaskStatus {
-	return fleet.TaskStatus{Ref: c.Ref, Task: c.Task, Attempt: c.Attempt, State: fleet.Running}
-}
-
 // A start leaves only once the store holds that the attempt may be there:
 // otherwise a later leader wouldn't know of it.
 func TestStartOnlyAfterRecord(t *testing.T) {
-	b := newBench(t, 2, Snapshot{Jobs: []StoredJob{job("j-1", 1)}})
+	b := newHarness(t, 2, Snapshot{Jobs: []StoredJob{job("j-1", 1)}})
 	b.up("m-1")
 	b.pass(6*time.Second, false)
-	if s := starts(b.report("m-1", 2)); len(s) != 0 {
+	if s := starts(b.heartbeat("m-1", 2)); len(s) != 0 {
 		t.Fatalf("started before the record was written: %v", s)
 	}
 	b.pass(time.Second, true)
-	if s := starts(b.report("m-1", 2)); len(s) != 1 {
+	if s := starts(b.heartbeat("m-1", 2)); len(s) != 1 {
 		t.Fatalf("not started once the record was written: %v", s)
 	}
 }
 
-// page is a page of the start log with one attempt of j-1/0.
-func page(name, machine string, attempt uint64) StoredPage {
-	return StoredPage{Name: name, Version: 3, Record: fleet.StartLogRecord{Placed: []fleet.MachineStarts{
-		{Machine: machine, Type: "big", Zone: "a", Entries: []fleet.StartLogEntry{{Ref: "j-1", Task: 0, Attempt: attempt}}}}}}
-}
-
-func inherited() Snapshot {
-	return Snapshot{Jobs: []StoredJob{job("j-1", 1)}, Pages: []StoredPage{page("1-1", "m-1", 1<<attemptBits)}}
-}
-
 // A heartbeat without this term's fencing token may have been sent before an earlier
 // leader's last start arrived, so it can't prove an inherited attempt absent.
 func TestInheritedAttemptNeedsConfirmedReport(t *testing.T) {
-	b := newBench(t, 2, inherited())
+	b := newHarness(t, 2, inherited())
 	b.up("m-2")
-	b.report("m-1", 1) // lists nothing, but was sent under term 1
+	b.heartbeat("m-1", 1) // lists nothing, but was sent under term 1
 	b.pass(6*time.Second, true)
-	if s := starts(b.report("m-2", 2)); len(s) != 0 {
-		t.Fatalf("placed again on the word of an unconfirmed report: %v", s)
+	if s := starts(b.heartbeat("m-2", 2)); len(s) != 0 {
+		t.Fatalf("placed again on the word of an unconfirmed heartbeat: %v", s)
 	}
-	b.report("m-1", 2)
+	b.heartbeat("m-1", 2)
 	b.pass(time.Second, true)
-	if s := append(starts(b.report("m-2", 2)), starts(b.report("m-1", 2))...); len(s) != 1 {
+	if s := append(starts(b.heartbeat("m-2", 2)), starts(b.heartbeat("m-1", 2))...); len(s) != 1 {
 		t.Fatalf("not placed once proven gone: %v", s)
 	}
 }
@@ -136,19 +43,19 @@
 // An unheard machine holds its tasks until its worker's lease has ended, counted
 // from the takeover: an earlier leader may have answered it until then.
 func TestInheritedAttemptUntilLeaseOver(t *testing.T) {
-	b := newBench(t, 2, inherited())
+	b := newHarness(t, 2, inherited())
 	start := b.now
 	b.up("m-2")
 	for {
 		b.pass(3*time.Second, true)
-		if len(starts(b.report("m-2", 2))) > 0 {
+		if len(starts(b.heartbeat("m-2", 2))) > 0 {
 			break
 		}
 		if b.now.Sub(start) > time.Minute {
 			t.Fatal("never placed again")
 		}
 	}
-	if held := b.now.Sub(start); held <= config().Lease {
+	if held := b.now.Sub(start); held <= testConfig().Lease {
 		t.Fatalf("placed again after %s, within the lease", held)
 	}
 }
@@ -157,39 +64,27 @@
 func TestHighestAttemptCounts(t *testing.T) {
 	snap := inherited()
 	snap.Pages = append(snap.Pages, page("1-0", "m-0", 1<<attemptBits-5))
-	b := newBench(t, 2, snap)
-	b.report("m-1", 1)
-	b.report("m-1", 2) // proves the attempt there gone; m-0 is never heard
+	b := newHarness(t, 2, snap)
+	b.heartbeat("m-1", 1)
+	b.heartbeat("m-1", 2) // proves the attempt there gone; m-0 is never heard
 	b.pass(6*time.Second, true)
-	if s := starts(b.report("m-1", 2)); len(s) != 1 {
+	if s := starts(b.heartbeat("m-1", 2)); len(s) != 1 {
 		t.Fatalf("an outdated record keeps the task from being placed: %v", s)
 	}
 }
 
-// started brings a bench to where a task has been started on m-1.
-func started(t *testing.T) (*bench, fleet.Command) {
-	b := newBench(t, 2, Snapshot{Jobs: []StoredJob{job("j-1", 1)}})
-	b.up("m-1")
-	b.pass(6*time.Second, true)
-	s := starts(b.report("m-1", 2))
-	if len(s) != 1 {
-		t.Fatalf("starts: %v", s)
-	}
-	return b, s[0]
-}
-
 // A start still in flight isn't absent: an older heartbeat that arrives late, or a
 // copy of the one that was answered with the start, proves nothing.
 func TestOldReportProvesNothing(t *testing.T) {
 	b, c := started(t)
-	seq := b.seq["m-1"]
+	seq := b.sequences["m-1"]
 	for _, old := range []uint64{seq - 1, seq} {
-		if r := b.reportAs("m-1", 2, old); r.OK {
-			t.Fatalf("report %d after %d is answered with 200, and renews the lease", old, seq)
+		if r := b.heartbeatNumbered("m-1", 2, old); r.OK {
+			t.Fatalf("heartbeat %d after %d is answered with 200, and renews the lease", old, seq)
 		}
 	}
 	if b.e.jobs.get("j-1").Tasks[0].Attempt != c.Attempt {
-		t.Fatal("an old report made the task free to be placed again")
+		t.Fatal("an old heartbeat made the task free to be placed again")
 	}
 }
 
@@ -197,9 +92,9 @@
 // task starts anew under a new number.
 func TestDroppedStart(t *testing.T) {
 	b, c := started(t)
-	b.report("m-1", 2)
+	b.heartbeat("m-1", 2)
 	b.pass(undeliveredPause+time.Second, true)
-	s := starts(b.report("m-1", 2))
+	s := starts(b.heartbeat("m-1", 2))
 	if len(s) != 1 || s[0].Attempt <= c.Attempt {
 		t.Fatalf("after a dropped start: %v, before %v", s, c)
 	}
@@ -208,10 +103,10 @@
 // A result is forgotten by the worker only once the store holds it.
 func TestForgetOnlyAfterWritten(t *testing.T) {
 	b, c := started(t)
-	b.report("m-1", 2, running(c))
+	b.heartbeat("m-1", 2, running(c))
 	done := fleet.TaskStatus{Ref: c.Ref, Task: c.Task, Attempt: c.Attempt, State: fleet.Exited, Cause: fleet.CauseDone}
 	for range 3 {
-		if r := b.report("m-1", 2, done); len(r.Commands) != 0 {
+		if r := b.heartbeat("m-1", 2, done); len(r.Commands) != 0 {
 			t.Fatalf("commands before the result is written: %v", r.Commands)
 		}
 		if v, ok := b.e.Lookup("j-1"); ok && v.Phase == pipeline.Done {
@@ -220,7 +115,7 @@
 		b.pass(time.Second, false)
 	}
 	b.pass(time.Second, true)
-	if r := b.report("m-1", 2, done); len(r.Commands) != 1 || r.Commands[0].Kind != fleet.Forget {
+	if r := b.heartbeat("m-1", 2, done); len(r.Commands) != 1 || r.Commands[0].Kind != fleet.Forget {
 		t.Fatalf("commands after the result is written: %v", r.Commands)
 	}
 	if v, ok := b.e.Lookup("j-1"); !ok || v.Phase != pipeline.Done {
@@ -231,7 +126,7 @@
 // While a final entry is on its way, or a cancellation's fate is unknown, this
 // node must not call the job active: another may have read better in the store.
 func TestNoAnswerWhileOutcomeUnknown(t *testing.T) {
-	b := newBench(t, 2, Snapshot{Jobs: []StoredJob{job("j-1", 1)}})
+	b := newHarness(t, 2, Snapshot{Jobs: []StoredJob{job("j-1", 1)}})
 	if _, ok := b.e.Lookup("j-1"); !ok {
 		t.Fatal("an active job isn't known")
 	}
@@ -254,7 +149,7 @@
 func TestCancelIsFinalAndInTime(t *testing.T) {
 	b, c := started(t)
 	b.e.cfg.Lease = 2 * b.e.cfg.CancelWithin // the lease proves the task gone too late
-	b.report("m-1", 2, running(c))
+	b.heartbeat("m-1", 2, running(c))
 	at := b.now
 	cancelled := job("j-1", 1)
 	cancelled.Version, cancelled.Record.Phase, cancelled.Record.CancelledMS = 200, pipeline.Cancelled, at.UnixMilli()
@@ -262,18 +157,18 @@
 	if len(eff.Direct) != 1 || eff.Direct[0].Commands[0].Kind != fleet.Stop || eff.Direct[0].Commands[0].Grace != 0 {
 		t.Fatalf("effects of a cancellation: %+v", eff)
 	}
-	for b.now.Sub(at) < config().CancelWithin {
+	for b.now.Sub(at) < testConfig().CancelWithin {
 		b.now = b.now.Add(time.Second)
 		if eff := b.e.Step(b.now, Tick{}); len(eff.ScaleIn) > 0 {
 			return
 		}
 	}
-	t.Fatal("the silent machine wasn't released in time")
+	t.Fatal("the unresponsive machine wasn't released in time")
 }
 
 // A heartbeat with a higher fencing token means that somebody else has taken over.
 func TestHigherTokenDeposes(t *testing.T) {
-	b := newBench(t, 2, Snapshot{})
+	b := newHarness(t, 2, Snapshot{})
 	eff := b.e.Step(b.now, HeartbeatReceived{fleet.Heartbeat{Machine: "m-1", Type: "big", Zone: "a", Incarnation: 1, Sequence: 1, FencingToken: 3, InterruptionIn: -1}})
 	if !eff.Deposed() || eff.Response.OK {
 		t.Fatalf("effects: %+v", eff)
@@ -283,25 +178,25 @@
 // A machine on which several jobs fail is blamed, not the jobs; what waits there
 // unsent goes elsewhere.
 func TestSickMachine(t *testing.T) {
-	b := newBench(t, 2, Snapshot{Jobs: []StoredJob{job("j-1", 1), job("j-2", 1)}})
+	b := newHarness(t, 2, Snapshot{Jobs: []StoredJob{job("j-1", 1), job("j-2", 1)}})
 	b.up("m-1")
 	b.pass(6*time.Second, true)
 	var failed []fleet.TaskStatus
-	for _, c := range starts(b.report("m-1", 2)) {
+	for _, c := range starts(b.heartbeat("m-1", 2)) {
 		failed = append(failed, fleet.TaskStatus{Ref: c.Ref, Task: c.Task, Attempt: c.Attempt, State: fleet.Exited, Cause: fleet.CauseError})
 	}
 	if len(failed) != 2 {
 		t.Fatalf("%d starts", len(failed))
 	}
-	b.report("m-1", 2, failed...)
+	b.heartbeat("m-1", 2, failed...)
 	b.e.Step(b.now, JobStored{job("j-3", 1)})
 	b.pass(5*time.Second, true)
-	if s := starts(b.report("m-1", 2)); len(s) != 0 {
-		t.Fatalf("a sick machine got starts: %v", s)
+	if s := starts(b.heartbeat("m-1", 2)); len(s) != 0 {
+		t.Fatalf("a quarantined machine got starts: %v", s)
 	}
 	b.up("m-2")
 	b.pass(5*time.Second, true)
-	if s := starts(b.report("m-2", 2)); len(s) != 3 {
+	if s := starts(b.heartbeat("m-2", 2)); len(s) != 3 {
 		t.Fatalf("the jobs don't go on elsewhere: %v", s)
 	}
 }
@@ -311,19 +206,19 @@
 func TestQuotaCountsJobsThatAreOver(t *testing.T) {
 	gang := job("j-1", 2)
 	gang.Record.Spec.Shape, gang.Record.Spec.CPUs = pipeline.Gang, 8
-	b := newBench(t, 2, Snapshot{Jobs: []StoredJob{gang}})
+	b := newHarness(t, 2, Snapshot{Jobs: []StoredJob{gang}})
 	if b.e.HasLiveMachines() {
 		t.Fatal("machines are believed up that nobody has heard of")
 	}
 	b.up("m-1")
 	b.up("m-2")
 	b.pass(6*time.Second, true)
-	one, two := starts(b.report("m-1", 2)), starts(b.report("m-2", 2))
+	one, two := starts(b.heartbeat("m-1", 2)), starts(b.heartbeat("m-2", 2))
 	if len(one) != 1 || len(two) != 1 || one[0].Attempt != two[0].Attempt {
 		t.Fatalf("starts %v and %v", one, two)
 	}
-	b.report("m-2", 2, running(two[0]))
-	b.report("m-1", 2, fleet.TaskStatus{Ref: "j-1", Task: one[0].Task, Attempt: one[0].Attempt, State: fleet.Exited, Cause: fleet.CauseDone})
+	b.heartbeat("m-2", 2, running(two[0]))
+	b.heartbeat("m-1", 2, fleet.TaskStatus{Ref: "j-1", Task: one[0].Task, Attempt: one[0].Attempt, State: fleet.Exited, Cause: fleet.CauseDone})
 	b.pass(time.Second, true)
 	if v, ok := b.e.Lookup("j-1"); !ok || v.Phase != pipeline.Done {
 		t.Fatalf("view %v, %v", v, ok)
@@ -337,16 +232,16 @@
 // is: a longer wait once failed the users' check of that.
 func TestIdleMachineIsGivenBack(t *testing.T) {
 	b, c := started(t)
-	b.report("m-1", 2, running(c))
+	b.heartbeat("m-1", 2, running(c))
 	done := fleet.TaskStatus{Ref: c.Ref, Task: c.Task, Attempt: c.Attempt, State: fleet.Exited, Cause: fleet.CauseDone}
-	b.report("m-1", 2, done)
+	b.heartbeat("m-1", 2, done)
 	b.pass(time.Second, true)
-	b.report("m-1", 2, done)
-	b.report("m-1", 2)
+	b.heartbeat("m-1", 2, done)
+	b.heartbeat("m-1", 2)
 	idle := b.now
 	for b.now.Sub(idle) < time.Minute {
 		b.now = b.now.Add(time.Second)
-		b.report("m-1", 2)
+		b.heartbeat("m-1", 2)
 		if eff := b.e.Step(b.now, Tick{}); len(eff.ScaleIn) > 0 {
 			return
 		}
@@ -354,36 +249,30 @@
 	t.Fatal("kept for a minute with nothing to do")
 }
 
-// worker sends reports with counts of its own choice.
-func (b *bench) worker(machine string, token, session, seq uint64, tasks ...fleet.TaskStatus) HeartbeatResponse {
-	r := fleet.Heartbeat{Machine: machine, Addr: machine, Type: "big", Zone: "a", Incarnation: session, Sequence: seq, FencingToken: token, InterruptionIn: -1, Tasks: tasks}
-	return *b.e.Step(b.now, HeartbeatReceived{r}).Response
-}
-
 // A new leader may hear a late copy from before a machine's worker restarted,
 // with a higher count than the worker has now. It once believed the copy that an
 // attempt was gone, and the task ran twice; nor may the worker be ignored.
 func TestCopyFromFormerLife(t *testing.T) {
-	b := newBench(t, 3, inherited())
+	b := newHarness(t, 3, inherited())
 	here := running(fleet.Command{Ref: "j-1", Attempt: 1 << attemptBits})
-	b.worker("m-1", 2, 1, 4, here)
-	b.worker("m-1", 3, 1, 5, here)
-	if r := b.worker("m-1", 1, 1, 900); r.OK || b.e.jobs.get("j-1").Tasks[0].Attempt != 1<<attemptBits {
+	b.heartbeatOf("m-1", 2, 1, 4, here)
+	b.heartbeatOf("m-1", 3, 1, 5, here)
+	if r := b.heartbeatOf("m-1", 1, 1, 900); r.OK || b.e.jobs.get("j-1").Tasks[0].Attempt != 1<<attemptBits {
 		t.Fatalf("a copy with an older token is believed: %+v", r)
 	}
-	b = newBench(t, 3, inherited())
-	b.worker("m-1", 1, 2, 900)
-	if r := b.worker("m-1", 2, 1, 4, here); !r.OK || b.e.machines.get("m-1").Sequence() != 4 {
+	b = newHarness(t, 3, inherited())
+	b.heartbeatOf("m-1", 1, 2, 900)
+	if r := b.heartbeatOf("m-1", 2, 1, 4, here); !r.OK || b.e.machines.get("m-1").Sequence() != 4 {
 		t.Fatalf("the worker is ignored for a copy's sake: %+v", r)
 	}
 }
 
 // What a late copy lists that the start log doesn't name is nowhere any more.
 func TestCopyRevivesNothing(t *testing.T) {
-	b := newBench(t, 3, Snapshot{Jobs: []StoredJob{job("j-1", 1)}})
-	b.worker("m-9", 2, 1, 7, running(fleet.Command{Ref: "j-1", Attempt: 5}))
+	b := newHarness(t, 3, Snapshot{Jobs: []StoredJob{job("j-1", 1)}})
+	b.heartbeatOf("m-9", 2, 1, 7, running(fleet.Command{Ref: "j-1", Attempt: 5}))
 	if n := b.e.jobs.get("j-1").Count(pipeline.Waiting); n != 1 {
-		t.Fatal("a copy of a report of long ago has the task taken for running")
+		t.Fatal("a copy of a heartbeat of long ago has the task taken for running")
 	}
 	b.pass(6*time.Second, true)
 	if b.e.machines.get("m-9").ActiveAttempts() > 0 {
@@ -392,12 +281,12 @@
 }
 
 // A worker that restarts within a term can't be told from copies of its old
-// reports; it isn't ignored for good but released.
+// heartbeats; it isn't ignored for good but released.
 func TestWorkerRestarts(t *testing.T) {
 	b, c := started(t)
-	b.report("m-1", 2, running(c))
-	for seq := uint64(1); seq < uint64(config().Lease/(2*time.Second)); seq++ {
-		b.worker("m-1", 0, 1, seq)
+	b.heartbeat("m-1", 2, running(c))
+	for seq := uint64(1); seq < uint64(testConfig().Lease/(2*time.Second)); seq++ {
+		b.heartbeatOf("m-1", 0, 1, seq)
 		for range 10 {
 			b.now = b.now.Add(200 * time.Millisecond)
 			if eff := b.e.Step(b.now, Tick{}); len(eff.ScaleIn) > 0 {
@@ -419,7 +308,7 @@
 func TestPlacesBeforeAllAreHeard(t *testing.T) {
 	snap := Snapshot{Jobs: []StoredJob{job("j-1", 1), job("j-2", 1)}}
 	snap.Pages = append(snap.Pages, page("1-1", "m-dead", 1<<attemptBits))
-	b := newBench(t, 2, snap)
+	b := newHarness(t, 2, snap)
 	for _, m := range []string{"m-1", "m-2", "m-3", "m-4", "m-5"} {
 		b.up(m)
 	}
@@ -427,7 +316,7 @@
 	b.pass(time.Second, true)
 	n := 0
 	for _, m := range []string{"m-1", "m-2", "m-3", "m-4", "m-5"} {
-		for _, c := range starts(b.report(m, 2)) {
+		for _, c := range starts(b.heartbeat(m, 2)) {
 			n++
 			if c.Ref != "j-2" {
 				t.Errorf("%s is started although it may be on the machine that isn't heard", c.Ref)
@@ -442,11 +331,11 @@
 // A job that failed on the only machine that fits it is started there again within 90 s of
 // the end of what made it fail, as the users' check of a day's end demands.
 func TestFailedMachineIsTriedAgain(t *testing.T) {
-	b := newBench(t, 2, Snapshot{Jobs: []StoredJob{job("j-1", 1), job("j-2", 1)}})
+	b := newHarness(t, 2, Snapshot{Jobs: []StoredJob{job("j-1", 1), job("j-2", 1)}})
 	b.up("m-1")
 	b.pass(6*time.Second, true)
 	var c, busy fleet.Command
-	for _, s := range starts(b.report("m-1", 2)) {
+	for _, s := range starts(b.heartbeat("m-1", 2)) {
 		if s.Ref == "j-1" {
 			c = s
 		} else {
@@ -454,10 +343,10 @@
 		}
 	}
 	for range 9 { // past the restart limit
-		b.report("m-1", 2, running(busy), fleet.TaskStatus{Ref: "j-1", Attempt: c.Attempt, State: fleet.Exited, Cause: fleet.CauseError})
+		b.heartbeat("m-1", 2, running(busy), fleet.TaskStatus{Ref: "j-1", Attempt: c.Attempt, State: fleet.Exited, Cause: fleet.CauseError})
 		b.e.machines.get("m-1").ClearFailures() // other work goes well there
 		failed := b.now
-		for s := starts(b.report("m-1", 2, running(busy))); ; s = starts(b.report("m-1", 2, running(busy))) {
+		for s := starts(b.heartbeat("m-1", 2, running(busy))); ; s = starts(b.heartbeat("m-1", 2, running(busy))) {
 			if len(s) > 0 {
 				c = s[0]
 				break
--- a/internal/core/silence_test.go
+++ b/internal/core/silence_test.go
@@ -11,20 +11,20 @@
 // take, and when they are back they count as idle from then.
 func TestSilentMachinesAreKept(t *testing.T) {
 	b, c := started(t)
-	b.report("m-1", 2, running(c))
-	silent := b.now
+	b.heartbeat("m-1", 2, running(c))
+	unresponsiveSince := b.now
 	lease, kept := b.e.cfg.Lease, b.e.unresponsiveLimit(b.e.machines.get("m-1"))
-	for b.now.Sub(silent) < lease+5*time.Second {
+	for b.now.Sub(unresponsiveSince) < lease+5*time.Second {
 		b.now = b.now.Add(time.Second)
 		if eff := b.e.Step(b.now, Tick{}); len(eff.ScaleIn) > 0 {
-			t.Fatalf("released after %s", b.now.Sub(silent))
+			t.Fatalf("released after %s", b.now.Sub(unresponsiveSince))
 		}
 	}
 	if n := b.e.machines.get("m-1").ActiveAttempts(); n != 0 {
 		t.Fatalf("%d tasks counted as there after the lease", n)
 	}
-	seq := b.seq["m-1"] + 1
-	if r := b.worker("m-1", 2, 2, seq); !r.OK {
+	seq := b.sequences["m-1"] + 1
+	if r := b.heartbeatOf("m-1", 2, 2, seq); !r.OK {
 		t.Fatal("a machine that is back isn't answered")
 	}
 	for range 3 {
@@ -40,14 +40,14 @@
 			return
 		}
 	}
-	t.Fatal("a machine that stays silent is kept for good")
+	t.Fatal("a machine that stays unresponsive is kept for good")
 }
 
 // A machine that was up and idle under the last leader stands in no record, and the list
 // may come before its first heartbeat to the new one. It was then released as one whose boot
 // had failed: six machines at one takeover of an incident.
 func TestIdleMachineOutlivesItsLeader(t *testing.T) {
-	b := newBench(t, 2, Snapshot{})
+	b := newHarness(t, 2, Snapshot{})
 	up := Instance{Name: "m-1", Addr: "m-1", Type: "big", Zone: "a", Status: InstanceRunning, Age: 10 * time.Minute}
 	b.e.Step(b.now, InstancesListed{Instances: []Instance{up}})
 	began, kept := b.now, b.e.unresponsiveLimit(b.e.machines.get("m-1"))
@@ -63,5 +63,5 @@
 			return
 		}
 	}
-	t.Fatal("a machine that never reports is kept for good")
+	t.Fatal("a machine that never sends a heartbeat is kept for good")
 }
--- a/internal/core/starvation_bound_test.go
+++ b/internal/core/starvation_bound_test.go
@@ -15,9 +15,9 @@
 	old.Record.Spec.CPUs, old.Record.Spec.Priority, old.Record.SubmittedMS = 4, pipeline.Normal, 4_700_000
 	urgent.Record.Spec.CPUs, urgent.Record.Spec.Priority, urgent.Record.SubmittedMS = 6, pipeline.High, 4_998_000
 	old.Record.Spec.Estimate, urgent.Record.Spec.Class = time.Minute, "u"
-	cfg := config()
+	cfg := testConfig()
 	cfg.Objectives = map[string][]Objective{"u": {{Kind: StartObjective, Within: 30 * time.Second}}}
-	b := newBenchWith(t, cfg, 2, Snapshot{Jobs: []StoredJob{old, urgent}})
+	b := newHarnessWith(t, cfg, 2, Snapshot{Jobs: []StoredJob{old, urgent}})
 	b.up("m-1")
 	for range 50 { // the store is slow: nothing can leave yet
 		b.now = b.now.Add(200 * time.Millisecond)
@@ -26,7 +26,7 @@
 		}
 	}
 	b.pass(time.Second, true)
-	s := starts(b.report("m-1", 2))
+	s := starts(b.heartbeat("m-1", 2))
 	if len(s) != 1 || s[0].Ref != "j-1" {
 		t.Fatalf("starts %v, want that of the job that has waited for long", s)
 	}
--- a/internal/core/status_test.go
+++ b/internal/core/status_test.go
@@ -9,7 +9,7 @@
 	"gingertally/internal/core/placement"
 )
 
-func waiting(t *testing.T, b *bench, ref string) string {
+func waiting(t *testing.T, b *harness, ref string) string {
 	t.Helper()
 	for _, w := range b.e.Status(b.now).Waiting {
 		if w.Ref == ref {
@@ -24,15 +24,15 @@
 	limited, failing, large := job("j-1", 9), job("j-2", 1), job("j-3", 1)
 	limited.Record.Spec.Team = "small"
 	large.Record.Spec.CPUs = 8
-	cfg := config()
+	cfg := testConfig()
 	cfg.Teams["small"] = placement.Quota{CPULimit: 4}
-	b := newBenchWith(t, cfg, 2, Snapshot{Jobs: []StoredJob{limited, failing, large, after("j-4", "j-1", "j-9")}})
+	b := newHarnessWith(t, cfg, 2, Snapshot{Jobs: []StoredJob{limited, failing, large, after("j-4", "j-1", "j-9")}})
 	if r := waiting(t, b, "j-1"); r != ReasonTakeover {
 		t.Errorf("at the takeover: %s", r)
 	}
 	b.up("m-1")
 	b.pass(6*time.Second, true)
-	started := starts(b.report("m-1", 2))
+	started := starts(b.heartbeat("m-1", 2))
 	if r := waiting(t, b, "j-1"); r != ReasonQuota {
 		t.Errorf("at its team's limit: %s", r)
 	}
@@ -41,7 +41,7 @@
 	}
 	for _, c := range started {
 		if c.Ref == "j-2" {
-			b.report("m-1", 2, fleet.TaskStatus{Ref: c.Ref, Attempt: c.Attempt, State: fleet.Exited, Cause: fleet.CauseError})
+			b.heartbeat("m-1", 2, fleet.TaskStatus{Ref: c.Ref, Attempt: c.Attempt, State: fleet.Exited, Cause: fleet.CauseError})
 		}
 	}
 	if r := waiting(t, b, "j-2"); r != ReasonPause {
--- a/internal/core/warm_start_test.go
+++ b/internal/core/warm_start_test.go
@@ -11,10 +11,10 @@
 )
 
 // warmBench is a leader whose changes of the warm state are noted.
-func warmBench(t *testing.T, term uint64, snap Snapshot) *bench {
-	cfg := config()
+func warmBench(t *testing.T, term uint64, snap Snapshot) *harness {
+	cfg := testConfig()
 	cfg.WarmState = true
-	return newBenchWith(t, cfg, term, snap)
+	return newHarnessWith(t, cfg, term, snap)
 }
 
 // warmTable is the warm state as a follower has it.
@@ -42,21 +42,21 @@
 
 // takenOver is a leader of term 2 that has started j-1/0 on m-1, and has m-2 idle, and the
 // leader after it, which starts from the records and the warm state.
-func takenOver(t *testing.T, jobs []StoredJob, alter func(warmTable)) (next *bench, started fleet.Command) {
+func takenOver(t *testing.T, jobs []StoredJob, alter func(warmTable)) (next *harness, started fleet.Command) {
 	t.Helper()
 	b := warmBench(t, 2, Snapshot{Jobs: jobs[:1]})
 	b.up("m-1")
 	b.pass(6*time.Second, true)
-	s := starts(b.report("m-1", 2))
+	s := starts(b.heartbeat("m-1", 2))
 	if len(s) != 1 {
 		t.Fatalf("%d starts", len(s))
 	}
-	b.report("m-1", 2, running(s[0]))
+	b.heartbeat("m-1", 2, running(s[0]))
 	b.up("m-2")
 	for range 10 {
 		b.pass(2*time.Second, true)
-		b.report("m-1", 2, running(s[0]))
-		b.report("m-2", 2)
+		b.heartbeat("m-1", 2, running(s[0]))
+		b.heartbeat("m-2", 2)
 	}
 	state := warmTable{}
 	state.take(b.e, b.now)
@@ -67,16 +67,16 @@
 	for _, p := range b.e.startLog.pages {
 		snap.Pages = append(snap.Pages, StoredPage{Name: p.Name, Version: p.Version, Record: p.Record()})
 	}
-	cfg := config()
+	cfg := testConfig()
 	cfg.WarmState = true
-	next = &bench{t: t, now: b.now.Add(4 * time.Second), seq: b.seq}
+	next = &harness{t: t, cfg: cfg, now: b.now.Add(4 * time.Second), sequences: b.sequences}
 	next.e = New(next.now, cfg, 3, snap, rand.New(rand.NewPCG(1, 1)))
 	next.e.Step(next.now, WarmStart{Records: state.records(), Confirmed: true})
 	next.e.Step(next.now, CatalogUpdated{b.e.catalog})
 	return next, s[0]
 }
 
-// With a confirmed view, work is placed before anything has reported, and its start goes with
+// With a confirmed view, work is placed before anything is heard of, and its start goes with
 // the first answer after the one that gives the machine the new fencing token.
 func TestWarmStartPlacesAtOnce(t *testing.T) {
 	b, _ := takenOver(t, []StoredJob{job("j-1", 1), job("j-2", 2)}, nil)
@@ -85,15 +85,15 @@
 	}
 	b.pass(400*time.Millisecond, true)
 	if n := b.e.jobs.get("j-2").Count(pipeline.Assigned); n != 2 {
-		t.Fatalf("%d tasks placed before a report", n)
+		t.Fatalf("%d tasks placed before a heartbeat", n)
 	}
 	began := b.now
 	got := 0
 	for _, m := range []string{"m-1", "m-2"} {
-		if s := starts(b.report(m, 2)); len(s) != 0 {
-			t.Fatalf("%s gets %v with an answer to a report that may be a late copy", m, s)
+		if s := starts(b.heartbeat(m, 2)); len(s) != 0 {
+			t.Fatalf("%s gets %v with an answer to a heartbeat that may be a late copy", m, s)
 		}
-		got += len(starts(b.report(m, 3)))
+		got += len(starts(b.heartbeat(m, 3)))
 	}
 	if got != 2 || b.now.Sub(began) > time.Second {
 		t.Fatalf("%d starts after %s", got, b.now.Sub(began))
@@ -126,28 +126,28 @@
 	if n := b.e.machines.get("m-2").ActiveAttempts(); n != 8 {
 		t.Fatalf("%d attempts on the expected machine, which takes 8", n)
 	}
-	b.report("m-1", 2, running(c))
-	b.report("m-1", 3, running(c))
+	b.heartbeat("m-1", 2, running(c))
+	b.heartbeat("m-1", 3, running(c))
 	if a := b.e.machines.get("m-1").Attempt(fleet.TaskID{Ref: "j-1"}); a == nil || a.Number != c.Attempt {
 		t.Fatal("the attempt isn't taken up")
 	}
 }
 
-// What was placed on an expected machine that never reports goes elsewhere, and nothing has
+// What was placed on an expected machine that is never heard of goes elsewhere, and nothing has
 // been started twice: the start hasn't left.
 func TestExpectedMachineNeverReports(t *testing.T) {
 	b, _ := takenOver(t, []StoredJob{job("j-1", 1), job("j-2", 14)}, nil)
 	b.pass(time.Second, true)
-	b.report("m-1", 2)
+	b.heartbeat("m-1", 2)
 	for range 8 {
 		b.pass(2*time.Second, true)
-		b.report("m-1", 3)
+		b.heartbeat("m-1", 3)
 	}
 	if m := b.e.machines.get("m-2"); m.HeartbeatExpected() || m.ActiveAttempts() != 0 {
 		t.Fatalf("still expected %v with %d attempts", m.HeartbeatExpected(), m.ActiveAttempts())
 	}
 	if n := b.e.jobs.get("j-2").Count(pipeline.Waiting); n == 0 {
-		t.Fatal("the tasks wait for a machine that doesn't report")
+		t.Fatal("the tasks wait for a machine that isn't heard of")
 	}
 	if b.e.recovery.Status(b.now).Machines["expected"] != 1 {
 		t.Fatalf("machines: %v", b.e.recovery.Status(b.now).Machines)
@@ -176,7 +176,7 @@
 		state[avoid] = WarmRecord{Key: avoid, Job: &WarmJob{Ref: "j-2", Avoids: []WarmAvoid{{Machine: "m-1", UntilMS: time.Unix(5060, 0).UnixMilli()}}}}
 	})
 	if m := b.e.machines.get("m-2"); m != nil && m.HeartbeatExpected() {
-		t.Error("a sick machine is expected")
+		t.Error("a quarantined machine is expected")
 	}
 	if c := b.e.classes.class("c"); c.ratio != 1.5 || c.runs != 12 {
 		t.Errorf("class: %+v", c)
@@ -187,7 +187,7 @@
 	if !b.e.jobs.get("j-2").Avoids(b.now, "m-1") {
 		t.Error("the job doesn't avoid the machine where it failed")
 	}
-	b.report("m-1", 2, running(c))
+	b.heartbeat("m-1", 2, running(c))
 	a := b.e.machines.get("m-1").Attempt(fleet.TaskID{Ref: "j-1"})
 	if ran := b.now.Sub(a.RunStart); ran < 20*time.Second {
 		t.Errorf("the task counts as running since %s ago", ran)
@@ -208,7 +208,7 @@
 	for range 200 {
 		m := machines[rng.IntN(len(machines))]
 		someFail(rng, tasks[m])
-		for _, c := range b.report(m, 2, tasks[m]...).Commands {
+		for _, c := range b.heartbeat(m, 2, tasks[m]...).Commands {
 			tasks[m] = obeyed(tasks[m], c)
 		}
 		b.pass(400*time.Millisecond, true)
