--- a/internal/core/batch.go
+++ b/internal/core/batch.go
@@ -42,7 +42,7 @@
 func (e *Engine) Batch(now time.Time, limit int) []Write {
 	b := &batch{remaining: limit}
 	e.drains.addWrites(now, b)
-	due := e.dueJobWrites(now)
+	due := e.jobWrites.due(now, e.cfg.BatchInterval, e.writeNeed)
 	if e.batches.endsFirst() {
 		e.addJobEnds(now, b, due.ends)
 		e.startLog.addWrites(b)
--- a/internal/core/cancel.go
+++ b/internal/core/cancel.go
@@ -1,6 +1,9 @@
 package core
 
 import (
+	"cmp"
+	"maps"
+	"slices"
 	"time"
 
 	"gingertally/internal/core/fleet"
@@ -65,6 +68,43 @@
 // end of the job.
 func (c *cancellations) resolve(ref string) { delete(c.pending, ref) }
 
+// transactionEnded takes in how a transaction ended that didn't certainly cancel the job; one
+// that was put off is expected again by deferredUntil. It returns false if nothing is pending.
+func (c *cancellations) transactionEnded(end CancelUndecided, deferredUntil time.Time) bool {
+	p := c.pending[end.Ref]
+	if p == nil {
+		return false
+	}
+	p.transactions = max(0, p.transactions-1)
+	if end.Deferred {
+		p.deferredUntil = deferredUntil
+	}
+	if end.Unknown {
+		p.unknownVersion = max(p.unknownVersion, end.Version)
+	}
+	return true
+}
+
+// outcomeUnknown tells whether a transaction without an answer may yet change the job's record.
+func (c *cancellations) outcomeUnknown(ref string, recordVersion uint64) bool {
+	p := c.pending[ref]
+	return p != nil && p.unknownVersion >= recordVersion
+}
+
+// stop notes a job that is cancelled and of which tasks may still be on machines.
+func (c *cancellations) stop(j *pipeline.Job) { c.stopping[j] = true }
+
+// stopped notes that nothing of a cancelled job is on machines any more.
+func (c *cancellations) stopped(j *pipeline.Job) { delete(c.stopping, j) }
+
+// beingStopped lists the jobs between stop and stopped, by name.
+func (c *cancellations) beingStopped() []*pipeline.Job {
+	return slices.SortedFunc(maps.Keys(c.stopping), func(a, b *pipeline.Job) int { return cmp.Compare(a.Ref, b.Ref) })
+}
+
+// isPending tells whether something isn't known yet about a cancellation of the job.
+func (c *cancellations) isPending(ref string) bool { return c.pending[ref] != nil }
+
 // inTransaction tells whether a transaction is under way that cancels the job.
 func (c *cancellations) inTransaction(ref string) bool {
 	p := c.pending[ref]
@@ -122,20 +162,11 @@
 }
 
 func (c CancelUndecided) apply(e *Engine, now time.Time) {
-	p := e.cancellations.pending[c.Ref]
-	if p == nil {
+	if !e.cancellations.transactionEnded(c, now.Add(e.cfg.CancelWithin)) {
 		return // resolved meanwhile
 	}
-	p.transactions = max(0, p.transactions-1)
-	if c.Deferred {
-		p.deferredUntil = now.Add(e.cfg.CancelWithin)
-	}
-	j := e.jobs.get(c.Ref)
-	if c.Unknown {
-		p.unknownVersion = max(p.unknownVersion, c.Version)
-		if j != nil {
-			e.resolveUnknownOutcome(j)
-		}
+	if j := e.jobs.get(c.Ref); c.Unknown && j != nil {
+		e.resolveUnknownOutcome(j)
 	}
 	e.cancelUndecided(c.Ref) // forgets what is decided
 	e.rounds.request()
@@ -146,7 +177,7 @@
 // from then on (docs/design.md, "The bound of a cancellation", 1; TestCancelWithoutAnswer,
 // TestCancelInDoubt).
 func (e *Engine) resolveUnknownOutcome(j *pipeline.Job) {
-	if p := e.cancellations.pending[j.Ref]; p != nil && p.unknownVersion >= j.Version {
+	if e.cancellations.outcomeUnknown(j.Ref, j.Version) {
 		j.MarkDirty(0)
 		e.jobWrites.jobChanged(j)
 	}
@@ -154,7 +185,7 @@
 
 // cancelUndecided tells whether the store may hold a cancellation that isn't known here.
 func (e *Engine) cancelUndecided(ref string) bool {
-	if e.cancellations.pending[ref] == nil {
+	if !e.cancellations.isPending(ref) {
 		return false
 	}
 	var version uint64
@@ -173,10 +204,10 @@
 // also on machines that don't answer: those are released (docs/design.md, safety
 // argument 8; TestCancelIsFinalAndInTime).
 func (e *Engine) enforceCancellations(now time.Time) {
-	for _, j := range sortedJobs(e.cancellations.stopping) {
+	for _, j := range e.cancellations.beingStopped() {
 		left := e.usage.attemptsOf(j.Ref)
 		if len(left) == 0 {
-			delete(e.cancellations.stopping, j)
+			e.cancellations.stopped(j)
 			e.jobWrites.jobChanged(j) // its final entry can be written
 			continue
 		}
--- a/internal/core/drain_capacity.go
+++ b/internal/core/drain_capacity.go
@@ -10,13 +10,6 @@
 	"gingertally/internal/drain"
 )
 
-// replacement is a machine that is requested ahead of one that is being drained.
-type replacement struct {
-	request string // name of the request
-	machine string // empty until the cloud has answered
-	asked   time.Time
-}
-
 // capacityBooking finds out whether what is to be evicted has room elsewhere, beside all that is
 // moving already. It looks at the machines only once something asks.
 type capacityBooking struct {
@@ -36,7 +29,7 @@
 func (b *capacityBooking) book(g *evictionGroup, ahead bool) bool {
 	if b.copies == nil {
 		b.copies, b.without = map[*placement.Slot]*placement.Slot{}, map[string]bool{}
-		for _, t := range b.engine.drains.sortedMoving() {
+		for _, t := range b.engine.drains.moving.sorted() {
 			s := b.find(t.job, b.engine.usage.ofJob(t.job.Ref).zones, ahead)
 			if s == nil {
 				b.short = true
@@ -113,21 +106,21 @@
 func (e *Engine) awaitReplacement(now time.Time, dm *drain.Machine) drain.Verdict {
 	d := e.drains
 	m := e.machines.get(dm.Name)
-	if r := d.replacements[dm.Name]; r != nil && !e.replacementLost(now, r) {
+	if r := d.replacements.of(dm.Name); r != nil && !e.replacementLost(now, r) {
 		return drain.Verdict{Kind: drain.NotYet, Cause: drain.CauseReplacement}
 	}
-	delete(d.replacements, dm.Name)
+	d.replacements.forget(dm.Name)
 	noRoom := drain.Verdict{Kind: drain.NotYet, Cause: drain.CauseNoCapacity}
 	backoff, refused := e.plan.Backoff(m.PoolKey)
 	if len(d.replacements) >= d.coordinator.Surge(dm) || refused && now.Before(backoff.Until) {
 		return noRoom
 	}
-	r := &replacement{request: e.numbers.nextRequestName(), asked: now}
-	d.replacements[dm.Name] = r
+	request := e.numbers.nextRequestName()
+	d.replacements.request(now, dm.Name, request)
 	d.coordinator.Move(dm, drain.Replacing)
 	e.plan.Requested(m.PoolKey, 1)
 	e.out.ScaleOut = append(e.out.ScaleOut, ScaleOut{
-		Name: r.request, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Count: 1,
+		Name: request, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Count: 1,
 	})
 	return drain.Verdict{Kind: drain.NotYet, Cause: drain.CauseReplacement}
 }
@@ -135,7 +128,7 @@
 // replacementLost tells whether a replacement won't come up any more, or has and isn't enough.
 func (e *Engine) replacementLost(now time.Time, r *replacement) bool {
 	if r.machine == "" {
-		return now.Sub(r.asked) > replacementAnswer
+		return now.Sub(r.requested) > replacementAnswer
 	}
 	m := e.machines.get(r.machine)
 	return m == nil || m.State() != fleet.Booting && m.ActiveAttempts() > 0
@@ -144,32 +137,7 @@
 // replacementAnswer is how long the cloud's answer about a replacement is waited for.
 const replacementAnswer = 30 * time.Second
 
-// replacementAnswered takes in the cloud's answer about a machine that may be a replacement.
-func (d *draining) replacementAnswered(r ScaleOutAnswered) {
-	if d == nil {
-		return
-	}
-	for old, replaced := range d.replacements {
-		if replaced.request != r.Request.Name {
-			continue
-		}
-		if len(r.Machines) == 0 {
-			delete(d.replacements, old)
-			return
-		}
-		replaced.machine = r.Machines[0]
-	}
-}
-
 // isReplacement tells whether a machine was requested in place of one that is still there.
-func (d *draining) isReplacement(name string) bool {
-	if d == nil {
-		return false
-	}
-	for _, r := range d.replacements {
-		if r.machine == name {
-			return true
-		}
-	}
-	return false
+func (e *Engine) isReplacement(m *fleet.Machine) bool {
+	return e.drains != nil && e.drains.replacements.include(m.Name)
 }
--- a/internal/core/drain_eviction.go
+++ b/internal/core/drain_eviction.go
@@ -1,10 +1,7 @@
 package core
 
 import (
-	"cmp"
-	"maps"
 	"slices"
-	"strings"
 	"time"
 
 	"gingertally/internal/core/fleet"
@@ -205,7 +202,7 @@
 		return false
 	}
 	for _, a := range g.attempts {
-		e.drains.moving[a.TaskID] = &movingTask{job: g.job, task: a.Task, attempt: a.Number}
+		e.drains.moving.add(g.job, a)
 	}
 	if isGang(g.job) {
 		a := g.attempts[0]
@@ -312,29 +309,6 @@
 	return []*fleet.Attempt{a}
 }
 
-// sortedMoving lists the tasks that are moving, by job and task.
-func (d *draining) sortedMoving() []*movingTask {
-	return slices.SortedFunc(maps.Values(d.moving), func(a, b *movingTask) int {
-		return cmp.Or(cmp.Compare(a.job.Ref, b.job.Ref), cmp.Compare(a.task, b.task))
-	})
-}
-
-// sortedOwn lists the machines that the scheduler empties by its own choice, by name.
-func (d *draining) sortedOwn() []*fleet.Machine {
-	return slices.SortedFunc(maps.Keys(d.own), func(a, b *fleet.Machine) int { return strings.Compare(a.Name, b.Name) })
-}
-
-// forgetMoved forgets tasks that have been placed elsewhere, or are over.
-func (d *draining) forgetMoved() {
-	for k, t := range d.moving {
-		task := &t.job.Tasks[k.Task]
-		elsewhere := task.State() == pipeline.Assigned && task.Attempt != t.attempt
-		if elsewhere || task.State() == pipeline.Finished || t.job.Over() {
-			delete(d.moving, k)
-		}
-	}
-}
-
 // mayMoveByChoice tells whether the scheduler may move a task by its own choice, as far as
 // disruption budgets go.
 func (e *Engine) mayMoveByChoice(now time.Time, a *fleet.Attempt, j *pipeline.Job) bool {
@@ -353,7 +327,7 @@
 		switch {
 		case j == nil || a.State() == fleet.Exited:
 		case e.drains != nil && e.cfg.Drain.Limits(j.Team, j.Class):
-			e.drains.own[m] = now
+			e.drains.own.begin(now, m)
 		default:
 			e.stopWithCheckpoint(now, m, a, j)
 		}
@@ -366,7 +340,7 @@
 // keepMachine gives up emptying a machine by the scheduler's own choice: budgets don't let what
 // is left on it go, and its room is needed.
 func (e *Engine) keepMachine(m *fleet.Machine) {
-	delete(e.drains.own, m)
+	e.drains.own.end(m)
 	e.emptying.remove(m)
 	e.revokeEvictions(m.Name)
 	m.StopDraining()
@@ -376,12 +350,12 @@
 
 // evictOwn evicts what is under a budget on machines that the scheduler empties by choice.
 func (e *Engine) evictOwn(now time.Time, booking *capacityBooking) {
-	for _, m := range e.drains.sortedOwn() {
+	for _, m := range e.drains.own.sorted() {
 		if m.State() != fleet.Live || m.ActiveAttempts() == 0 {
-			delete(e.drains.own, m)
+			e.drains.own.end(m)
 			continue
 		}
-		if now.Sub(e.drains.own[m]) > ownPatience && !m.InterruptionAnnounced() {
+		if e.drains.own.since(now, m) > ownPatience && !m.InterruptionAnnounced() {
 			e.keepMachine(m)
 			continue
 		}
--- a/internal/core/drain_round.go
+++ b/internal/core/drain_round.go
@@ -30,7 +30,7 @@
 	}
 	complete := e.machinesComplete(now)
 	e.out.Drains = append(e.out.Drains, d.coordinator.PlanWrites(now, d.newest, complete)...)
-	d.forgetMoved()
+	d.moving.forgetPlaced()
 	e.voidCharges(now)
 	booking := e.newCapacityBooking(now)
 	e.evictOwn(now, booking)
--- a/internal/core/draining.go
+++ b/internal/core/draining.go
@@ -9,36 +9,26 @@
 	"time"
 
 	"gingertally/internal/core/fleet"
-	"gingertally/internal/core/pipeline"
 	"gingertally/internal/drain"
 )
 
 // draining is a leader's part in drains. A nil one stands for none.
 type draining struct {
 	coordinator  *drain.Coordinator
-	replacements map[string]*replacement // by the machine that is replaced
-	moving       map[fleet.TaskID]*movingTask
-	// own are the machines that the scheduler empties by its own choice, under budgets, and since
-	// when.
-	own      map[*fleet.Machine]time.Time
-	voidedAt time.Time // when charges were last looked for that won't be spent
-	newest   string    // last name of a machine that is known
-}
-
-// movingTask is a task that is being evicted and isn't placed elsewhere yet.
-type movingTask struct {
-	job     *pipeline.Job
-	task    int
-	attempt uint64
+	replacements replacements
+	moving       movingTasks
+	own          ownChoices
+	voidedAt     time.Time // when charges were last looked for that won't be spent
+	newest       string    // last name of a machine that is known
 }
 
 func newDraining(now time.Time, e *Engine, stored drain.Stored) *draining {
 	pageLimit := func() int { return e.cfg.MaxValueBytes }
 	return &draining{
 		coordinator:  drain.NewCoordinator(now, e.cfg.Drain, stored, e.numbers.nextPageName, pageLimit),
-		replacements: map[string]*replacement{},
-		moving:       map[fleet.TaskID]*movingTask{},
-		own:          map[*fleet.Machine]time.Time{},
+		replacements: replacements{},
+		moving:       movingTasks{},
+		own:          ownChoices{},
 	}
 }
 
@@ -83,7 +73,7 @@
 		return
 	}
 	if !cordoned {
-		delete(e.drains.replacements, m.Name) // it stays, so nothing is kept in its place
+		e.drains.replacements.forget(m.Name) // it stays, so nothing is kept in its place
 	}
 	e.capacityChanged(m)
 }
@@ -95,8 +85,8 @@
 		return
 	}
 	d.coordinator.MachineRemoved(m.Name)
-	delete(d.replacements, m.Name)
-	delete(d.own, m)
+	d.replacements.forget(m.Name)
+	d.own.end(m)
 }
 
 // drainJobOver takes in that a job is over.
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -110,7 +110,7 @@
 	}
 	e.recoverStartLog(now, snap.Pages)
 	e.recoverCharges(now)
-	for _, j := range sortedJobs(e.cancellations.stopping) {
+	for _, j := range e.cancellations.beingStopped() {
 		// The first answer already says so (TestFirstAnswerStopsCancelled).
 		e.stopJob(now, j, stopCancelledInFormerTerm)
 	}
--- a/internal/core/instances.go
+++ b/internal/core/instances.go
@@ -73,7 +73,9 @@
 		m.VerifyExistence()
 		e.addMachine(now, m)
 	}
-	e.drains.replacementAnswered(r)
+	if e.drains != nil {
+		e.drains.replacements.answered(r)
+	}
 	e.rounds.request()
 	e.log(LogScaleOutAnswered, append(logPool(o), slog.Int("requested", r.Request.Count),
 		slog.Int("created", len(r.Machines)), slog.Bool("no_capacity", r.NoCapacity))...)
--- a/internal/core/job_write_types.go
+++ b/internal/core/job_write_types.go
@@ -31,7 +31,7 @@
 func (w PutJob) started(e *Engine, now time.Time) {
 	if j := e.jobs.get(w.Ref); j != nil {
 		j.MarkWriting(0, w.Record.Done)
-		e.jobWrites.lastWrite[j.Ref] = now
+		e.jobWrites.recordWritten(j.Ref, now)
 	}
 }
 
@@ -186,5 +186,5 @@
 // jobWriteRejected has a write of a job tried again after a pause, with values made smaller.
 func (e *Engine) jobWriteRejected(now time.Time, w Write, ref string) {
 	w.failed(e, nil)
-	e.jobWrites.lastWrite[ref] = now.Add(rejectedPause)
+	e.jobWrites.pause(ref, now.Add(rejectedPause))
 }
--- a/internal/core/job_writes.go
+++ b/internal/core/job_writes.go
@@ -62,31 +62,39 @@
 	}
 }
 
+// jobWriteNeed is what is to be written of a job that has changed.
+type jobWriteNeed uint8
+
+const (
+	needsNothing  jobWriteNeed = iota
+	needsLater                 // something, but not now
+	needsProgress              // its record, with partial progress
+	needsEnd                   // its final entry, in place of the record
+)
+
 // dueJobs are the jobs of which something is to be written now.
 type dueJobs struct {
 	ends     []*pipeline.Job // final entries, in place of records
 	progress []*pipeline.Job // records with partial progress
 }
 
-// dueJobWrites are the jobs that are over, and those of which progress is due to be
-// written, in the order in which they are to be written.
-func (e *Engine) dueJobWrites(now time.Time) dueJobs {
-	w := &e.jobWrites
+// due are the jobs that are over, and those of which progress is due to be written, in the order
+// in which they are to be written. Needs tells what is to be written of a job.
+func (w *jobWrites) due(now time.Time, interval time.Duration, needs func(*pipeline.Job) jobWriteNeed) dueJobs {
 	var due dueJobs
 	for j := range w.changed {
-		switch {
-		case e.over(j):
+		switch needs(j) {
+		case needsNothing:
+			delete(w.changed, j)
+		case needsEnd:
 			if !w.lastWrite[j.Ref].After(now) { // else it was refused
 				due.ends = append(due.ends, j)
 			}
-		case j.Over() || !j.Dirty():
-			delete(w.changed, j)
-		case e.cancellations.inTransaction(j.Ref):
-			// A new version of the record would only be in the cancellation's way.
-		case !j.Fits(e.cfg.MaxValueBytes):
-			// Only its end is written; until then its workers keep its results.
-		case now.Sub(w.lastWrite[j.Ref]) >= e.cfg.BatchInterval:
-			due.progress = append(due.progress, j)
+		case needsProgress:
+			if now.Sub(w.lastWrite[j.Ref]) >= interval {
+				due.progress = append(due.progress, j)
+			}
+		case needsLater:
 		}
 	}
 	w.sortEnds(due.ends)
@@ -94,6 +102,12 @@
 	return due
 }
 
+// recordWritten notes that a job's record is on its way.
+func (w *jobWrites) recordWritten(ref string, now time.Time) { w.lastWrite[ref] = now }
+
+// pause has nothing of a job written for a while.
+func (w *jobWrites) pause(ref string, until time.Time) { w.lastWrite[ref] = until }
+
 // sortEnds puts those jobs first that are cancelled with others: their users are told
 // nothing until that is written, and can't be told for long that they wait (docs/design.md,
 // safety argument 15; TestCancelledWithOthersAreWrittenFirst). Of the others, what has
@@ -120,6 +134,21 @@
 	return j.Phase() == pipeline.Cancelled && j.StoredPhase() != pipeline.Cancelled
 }
 
+// writeNeed is what is to be written of a job.
+func (e *Engine) writeNeed(j *pipeline.Job) jobWriteNeed {
+	switch {
+	case e.over(j):
+		return needsEnd
+	case j.Over() || !j.Dirty():
+		return needsNothing
+	case e.cancellations.inTransaction(j.Ref):
+		return needsLater // a new version of the record would only be in the cancellation's way
+	case !j.Fits(e.cfg.MaxValueBytes):
+		return needsLater // only its end is written; until then its workers keep its results
+	}
+	return needsProgress
+}
+
 // over tells whether a job's final entry can take the place of its record: all
 // done, or cancelled with nothing left on any machine.
 func (e *Engine) over(j *pipeline.Job) bool {
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -1,10 +1,7 @@
 package core
 
 import (
-	"cmp"
 	"log/slog"
-	"maps"
-	"slices"
 	"time"
 
 	"gingertally/internal/core/pipeline"
@@ -43,7 +40,7 @@
 	}
 	e.graph.RemoveDependencies(j, dependencies)
 	e.log(LogJobCancelled, logJob(j))
-	e.cancellations.stopping[j] = true
+	e.cancellations.stop(j)
 	e.stopJob(now, j, stopCancelled)
 	e.cancelDependents(now, j.Ref)
 }
@@ -67,7 +64,7 @@
 	}
 	j.SetStoredPhase(f.Phase)
 	e.forgetStoredResults(j)
-	delete(e.cancellations.stopping, j)
+	e.cancellations.stopped(j)
 	e.removeJob(j)
 	e.jobWrites.jobOver(j)
 	e.drainJobOver(ref)
@@ -90,7 +87,7 @@
 		e.applyKnownDependencies(now, j)
 	case pipeline.Cancelled:
 		e.cancellations.resolve(j.Ref)
-		e.cancellations.stopping[j] = true
+		e.cancellations.stop(j)
 		e.cancelDependents(now, j.Ref)
 	default:
 		e.becameReady(now, j)
@@ -99,11 +96,6 @@
 	e.jobWrites.jobChanged(j)
 }
 
-// sortedJobs lists a set of jobs by name.
-func sortedJobs(set map[*pipeline.Job]bool) []*pipeline.Job {
-	return slices.SortedFunc(maps.Keys(set), func(a, b *pipeline.Job) int { return cmp.Compare(a.Ref, b.Ref) })
-}
-
 // removeJob forgets a job that is over.
 func (e *Engine) removeJob(j *pipeline.Job) {
 	e.jobs.remove(j)
--- a/internal/core/scale_in.go
+++ b/internal/core/scale_in.go
@@ -37,7 +37,7 @@
 			if s.Future || m.HeartbeatExpected() || !m.Empty() || now.Sub(m.IdleSince()) <= keep {
 				continue
 			}
-			if e.drains.isReplacement(m.Name) || neededByDemand(now, p, m, demand) {
+			if e.isReplacement(m) || neededByDemand(now, p, m, demand) {
 				continue
 			}
 			e.scaleIn(now, m, ScaleInIdle)
--- a/internal/core/start_log.go
+++ b/internal/core/start_log.go
@@ -42,6 +42,9 @@
 // addPage takes in a page.
 func (l *startLog) addPage(p *fleet.StartLogPage) { l.pages[p.Name] = p }
 
+// page returns a page; nil if there is none of that name.
+func (l *startLog) page(name string) *fleet.StartLogPage { return l.pages[name] }
+
 // addAttempt takes in an attempt that has been decided. It goes on a page with the next
 // batch.
 func (l *startLog) addAttempt(a *fleet.Attempt) { l.unpaged = append(l.unpaged, a) }
--- a/internal/core/start_log_writes.go
+++ b/internal/core/start_log_writes.go
@@ -74,7 +74,7 @@
 // startLogPageRejected withdraws the starts that wait for a page of the start log which the store
 // won't take. They are placed again, on a page with less on it.
 func (e *Engine) startLogPageRejected(now time.Time, name string) {
-	p := e.startLog.pages[name]
+	p := e.startLog.page(name)
 	if p == nil {
 		return
 	}
--- a/internal/core/warm_state.go
+++ b/internal/core/warm_state.go
@@ -157,11 +157,10 @@
 // take returns the keys of what has changed, in a fixed order, at most so many; the rest is
 // left for the next time.
 func (f *warmFeed) take(limit int) []WarmKey {
-	keys := make([]WarmKey, 0, len(f.changed))
-	for key := range f.changed {
-		keys = append(keys, key)
+	if f == nil {
+		return nil
 	}
-	slices.SortFunc(keys, compareWarmKeys)
+	keys := slices.SortedFunc(maps.Keys(f.changed), compareWarmKeys)
 	keys = keys[:min(limit, len(keys))]
 	for _, key := range keys {
 		delete(f.changed, key)
@@ -172,12 +171,8 @@
 // WarmChanges returns the records of the warm state that have changed since the last call,
 // at most so many at a time. It returns none unless Config.WarmState is set.
 func (e *Engine) WarmChanges(now time.Time, limit int) []WarmRecord {
-	if e.warm == nil || len(e.warm.changed) == 0 {
-		return nil
-	}
-	keys := e.warm.take(limit)
-	records := make([]WarmRecord, 0, len(keys))
-	for _, key := range keys {
+	var records []WarmRecord
+	for _, key := range e.warm.take(limit) {
 		records = append(records, e.warmRecord(now, key))
 	}
 	return records
