--- a/internal/core/decide.go
+++ b/internal/core/decide.go
@@ -4,7 +4,6 @@
 	"log/slog"
 	"time"
 
-	"gingertally/internal/core/capacity"
 	"gingertally/internal/core/fleet"
 	"gingertally/internal/core/pipeline"
 	"gingertally/internal/core/placement"
@@ -138,18 +137,3 @@
 	e.debug(LogTaskPlaced, logJob(j), slog.Int(logKeyTask, d.Task), logMachine(d.Slot.Machine),
 		slog.String("type", d.Slot.Machine.Type))
 }
-
-// scaleOut asks for machines for work that nothing has room for.
-func (e *Engine) scaleOut(now time.Time, demand []capacity.Demand) {
-	if now.Sub(e.started) < e.cfg.HeartbeatInterval*5/4 {
-		return // machines may be there that haven't been heard of yet
-	}
-	e.recovery.Pacer().Take(true) // bulk starts wait for it, not the other way round
-	for _, o := range e.plan.Choose(now, demand, &e.capacity.free, e.catalog) {
-		e.plan.Requested(o.Offer, o.Count)
-		e.out.ScaleOut = append(e.out.ScaleOut, ScaleOut{
-			Name: e.numbers.nextRequestName(),
-			Type: o.Offer.Type, Zone: o.Offer.Zone, Spot: o.Offer.Spot, Count: o.Count,
-		})
-	}
-}
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -1,7 +1,3 @@
-// Package core is the deterministic part of a leader: its view of jobs and machines, and
-// the decisions that follow from it. Step applies an event and returns the effects to be
-// carried out. The package does no input or output, starts no goroutines, reads no clock,
-// and gets its randomness from outside.
 package core
 
 import (
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -1,71 +1,11 @@
 package core
 
 import (
-	"log/slog"
 	"time"
 
 	"gingertally/internal/core/fleet"
-	"gingertally/internal/core/pipeline"
 )
 
-// loggedAttempt is what the start log says of one task: where its attempt may be.
-type loggedAttempt struct {
-	placed fleet.MachineStarts
-	page   *fleet.StartLogPage
-	number uint64
-}
-
-// recoverStartLog takes over what the start log says may be on machines (docs/design.md,
-// safety argument 4).
-func (e *Engine) recoverStartLog(now time.Time, stored []StoredPage) {
-	for task, logged := range e.newestLogged(stored) {
-		j := e.jobs.get(task.Ref)
-		if j == nil || task.Task >= len(j.Tasks) || j.Tasks[task.Task].State() == pipeline.Finished {
-			continue // should it still be there, the machine's heartbeat will say so
-		}
-		m := e.machines.get(logged.placed.Machine)
-		if m == nil {
-			m = e.addAwaitingHeartbeat(now, logged.placed)
-			m.VerifyExistence()
-		}
-		a := &fleet.Attempt{TaskID: task, Number: logged.number, Inherited: true,
-			CPUs: j.CPUs, GPUs: j.GPUs, MemGB: j.MemGB, Image: j.Image}
-		e.attach(now, m, a, fleet.Recorded)
-		logged.page.Recover(a)
-		j.Assign(task.Task, m.Name, logged.number)
-	}
-}
-
-// newestLogged takes in the pages of the start log and returns each task's highest attempt
-// in them. Of several entries for one task only that can be current: it was written only
-// after the ones before it were proven gone (TestHighestAttemptCounts).
-func (e *Engine) newestLogged(stored []StoredPage) map[fleet.TaskID]loggedAttempt {
-	newest := map[fleet.TaskID]loggedAttempt{}
-	for _, s := range stored {
-		p := fleet.NewStartLogPage(s.Name, s.Version)
-		e.startLog.addPage(p)
-		for _, placed := range s.Record.Placed {
-			for _, entry := range placed.Entries {
-				p.AddStale() // until it turns out to be current
-				task := fleet.TaskID{Ref: entry.Ref, Task: entry.Task}
-				if known, ok := newest[task]; !ok || entry.Attempt > known.number {
-					newest[task] = loggedAttempt{placed, p, entry.Attempt}
-				}
-			}
-		}
-	}
-	return newest
-}
-
-// addAwaitingHeartbeat takes in a machine that the start log names and that has not been heard of
-// under this term.
-func (e *Engine) addAwaitingHeartbeat(now time.Time, p fleet.MachineStarts) *fleet.Machine {
-	m := fleet.NewInheritedMachine(now, p.Machine, fleet.PoolKey{Type: p.Type, Zone: p.Zone, Spot: p.Spot})
-	e.addMachine(now, m)
-	e.recovery.Expect(m.Name)
-	return m
-}
-
 // addMachine takes in a machine that is new here.
 func (e *Engine) addMachine(now time.Time, m *fleet.Machine) {
 	e.machines.add(now, m)
@@ -107,26 +47,6 @@
 	e.log(LogMachineRemoved, logMachine(m))
 }
 
-// scaleIn gives a machine back; the answer proves all on it gone.
-func (e *Engine) scaleIn(now time.Time, m *fleet.Machine, reason ScaleInReason) {
-	if m.ScaleInPending(now) {
-		return
-	}
-	if e.moveMachine(now, m, fleet.ScalingIn) {
-		e.log(LogScaleInRequested, logMachine(m), slog.String("type", m.Type), logReason(string(reason)), logActive(m))
-	}
-	m.ScaleInRequested()
-	n := len(e.out.ScaleIn)
-	if n == 0 || len(e.out.ScaleIn[n-1]) >= maxScaleIn {
-		e.out.ScaleIn = append(e.out.ScaleIn, nil)
-		n++
-	}
-	e.out.ScaleIn[n-1] = append(e.out.ScaleIn[n-1], m.Name)
-}
-
-// maxScaleIn is how many machines one release may name (PROTOCOL).
-const maxScaleIn = 100
-
 // checkMachines looks at the machines for which it is time: unresponsiveness, ended
 // leases, boots that take too long.
 func (e *Engine) checkMachines(now time.Time) {
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -1,6 +1,3 @@
-// Package placement decides which waiting task goes where: quota, constraints,
-// and a round of decisions that stops when its budget is spent and goes on
-// from there the next time.
 package placement
 
 import "gingertally/internal/core/pipeline"
--- a/internal/core/scale_in.go
+++ b/internal/core/scale_in.go
@@ -1,6 +1,7 @@
 package core
 
 import (
+	"log/slog"
 	"time"
 
 	"gingertally/internal/core/capacity"
@@ -8,6 +9,26 @@
 	"gingertally/internal/core/placement"
 )
 
+// scaleIn asks the cloud to release a machine; its answer proves all on the machine gone.
+func (e *Engine) scaleIn(now time.Time, m *fleet.Machine, reason ScaleInReason) {
+	if m.ScaleInPending(now) {
+		return
+	}
+	if e.moveMachine(now, m, fleet.ScalingIn) {
+		e.log(LogScaleInRequested, logMachine(m), slog.String("type", m.Type), logReason(string(reason)), logActive(m))
+	}
+	m.ScaleInRequested()
+	n := len(e.out.ScaleIn)
+	if n == 0 || len(e.out.ScaleIn[n-1]) >= maxScaleIn {
+		e.out.ScaleIn = append(e.out.ScaleIn, nil)
+		n++
+	}
+	e.out.ScaleIn[n-1] = append(e.out.ScaleIn[n-1], m.Name)
+}
+
+// maxScaleIn is how many machines one request for release may name (PROTOCOL).
+const maxScaleIn = 100
+
 // recentClass is how long a class of jobs counts as one that may come again.
 const recentClass = 4 * time.Minute
 
@@ -80,3 +101,24 @@
 	}
 	return last
 }
+
+// ScaleInAnswered says that the cloud answered a release with 200: the machines and
+// all on them are gone. OK false: unknown, to be tried again.
+type ScaleInAnswered struct {
+	Machines []string
+	OK       bool
+}
+
+func (r ScaleInAnswered) apply(e *Engine, now time.Time) {
+	for _, name := range r.Machines {
+		m := e.machines.get(name)
+		if m == nil {
+			continue
+		}
+		if !r.OK {
+			m.ScaleInFailed(now.Add(time.Second))
+			continue
+		}
+		e.removeMachine(now, m)
+	}
+}
