--- a/internal/core/cancel.go
+++ b/internal/core/cancel.go
@@ -99,6 +99,9 @@
 
 // beingStopped lists the jobs between stop and stopped, by name.
 func (c *cancellations) beingStopped() []*pipeline.Job {
+	if len(c.stopping) == 0 {
+		return nil // asked with every tick
+	}
 	return slices.SortedFunc(maps.Keys(c.stopping), func(a, b *pipeline.Job) int { return cmp.Compare(a.Ref, b.Ref) })
 }
 
--- a/internal/core/drain_moves.go
+++ b/internal/core/drain_moves.go
@@ -27,6 +27,9 @@
 
 // sorted lists the tasks by job and number.
 func (t movingTasks) sorted() []*movingTask {
+	if len(t) == 0 {
+		return nil
+	}
 	return slices.SortedFunc(maps.Values(t), func(a, b *movingTask) int {
 		return cmp.Or(cmp.Compare(a.job.Ref, b.job.Ref), cmp.Compare(a.task, b.task))
 	})
@@ -56,5 +59,8 @@
 
 // sorted lists the machines by name.
 func (o ownChoices) sorted() []*fleet.Machine {
+	if len(o) == 0 {
+		return nil // asked with every round
+	}
 	return slices.SortedFunc(maps.Keys(o), func(a, b *fleet.Machine) int { return cmp.Compare(a.Name, b.Name) })
 }
--- a/internal/core/start_log.go
+++ b/internal/core/start_log.go
@@ -210,5 +210,8 @@
 
 // sortedPages lists a set of pages by name.
 func sortedPages(set map[*fleet.StartLogPage]bool) []*fleet.StartLogPage {
+	if len(set) == 0 {
+		return nil // asked for every batch
+	}
 	return slices.SortedFunc(maps.Keys(set), func(a, b *fleet.StartLogPage) int { return cmp.Compare(a.Name, b.Name) })
 }
--- a/internal/core/warm_state.go
+++ b/internal/core/warm_state.go
@@ -157,7 +157,7 @@
 // take returns the keys of what has changed, in a fixed order, at most so many; the rest is
 // left for the next time.
 func (f *warmFeed) take(limit int) []WarmKey {
-	if f == nil {
+	if f == nil || len(f.changed) == 0 {
 		return nil
 	}
 	keys := slices.SortedFunc(maps.Keys(f.changed), compareWarmKeys)
