--- a/internal/core/fair_order_test.go
+++ b/internal/core/fair_order_test.go
@@ -10,7 +10,7 @@
 	"gingertally/internal/core/placement"
 )
 
-// twoTeams is a leader with one machine of eight GuaranteedCPUs, a backlog of one team, and a single job
+// twoTeams is a leader with one machine of eight CPUs, a backlog of one team, and a single job
 // of another that came after all of it.
 func twoTeams(t *testing.T, order FairOrderChanged) *harness {
 	cfg := testConfig()
--- a/internal/core/fixtures_test.go
+++ b/internal/core/fixtures_test.go
@@ -91,6 +91,27 @@
 	return fleet.TaskStatus{Ref: c.Ref, Task: c.Task, Attempt: c.Attempt, State: fleet.Running}
 }
 
+// exited is a task that was started, as its worker reports its exit.
+func exited(c fleet.Command, cause fleet.ExitCause) fleet.TaskStatus {
+	return fleet.TaskStatus{Ref: c.Ref, Task: c.Task, Attempt: c.Attempt, State: fleet.Exited, Cause: cause}
+}
+
+// heartbeatFrom is a heartbeat of a machine of the type big in zone a, with no tasks, of its first
+// incarnation.
+func heartbeatFrom(machine string, token, seq uint64) fleet.Heartbeat {
+	return fleet.Heartbeat{
+		Machine: machine, Addr: machine, Type: "big", Zone: "a",
+		Incarnation: 1, Sequence: seq, FencingToken: token, InterruptionIn: -1,
+	}
+}
+
+// drainPlan is a plan that drains machines by name, one after the other.
+func drainPlan(id string, created time.Time, machines ...string) drain.Plan {
+	return drain.Plan{
+		ID: id, Selector: drain.Selector{Machines: machines}, MaxAtOnce: 1, CreatedMS: created.UnixMilli(),
+	}
+}
+
 // stops counts the stops among an answer's commands that leave no time to save.
 func stops(r HeartbeatResponse) (n int) {
 	for _, c := range r.Commands {
