--- a/internal/core/capacity/capacity.go
+++ b/internal/core/capacity/capacity.go
@@ -154,10 +154,7 @@
 // addMachines counts on machines of an offer that are asked for, or about to be.
 func (g *planner) addMachines(t *placement.Type, o fleet.PoolKey, n int) {
 	for range n {
-		g.extra = append(g.extra, &placement.Slot{
-			Type: t, Zone: o.Zone, Spot: o.Spot,
-			CPUs: t.CPUs, GPUs: t.GPUs, MemGB: t.MemGB, Future: true,
-		})
+		g.extra = append(g.extra, placement.NewPlannedSlot(t, o))
 	}
 }
 
@@ -228,7 +225,7 @@
 	for _, z := range slices.Sorted(maps.Keys(names)) {
 		left := d.Tasks
 		g.eachSlot(d.Job, z, func(s *placement.Slot) bool {
-			left = max(0, left-s.Free(&d.Job.Spec))
+			left = max(0, left-s.RoomFor(&d.Job.Spec))
 			return left > 0
 		})
 		if left > 0 {
@@ -247,7 +244,7 @@
 // where they have to be.
 func (g *planner) book(j *pipeline.Job, left int, zones map[string]int, zone string) int {
 	g.eachSlot(j, zone, func(s *placement.Slot) bool {
-		for left > 0 && s.Free(&j.Spec) > 0 && placement.ZoneCapacity(j, s.Zone, zones) > 0 {
+		for left > 0 && s.RoomFor(&j.Spec) > 0 && placement.ZoneCapacity(j, s.Zone, zones) > 0 {
 			s.Take(&j.Spec)
 			zones[s.Zone]++
 			left--
--- a/internal/core/placement/free_capacity.go
+++ b/internal/core/placement/free_capacity.go
@@ -44,8 +44,7 @@
 		f.slots[m] = s
 		s.pool.Slots = slices.Insert(s.pool.Slots, s.pool.find(m.Name), s)
 	}
-	u := m.Used()
-	s.CPUs, s.GPUs, s.MemGB, s.Future = t.CPUs-u.CPUs, t.GPUs-u.GPUs, t.MemGB-u.MemGB, future
+	s.free, s.Future = t.total().Sub(m.Used()), future
 	s.serviceUsage = m.ServiceUsage()
 	s.pool.stale = true
 }
@@ -94,9 +93,7 @@
 	if p.stale {
 		p.stale, p.most = false, fleet.Amount{}
 		for _, s := range p.Slots {
-			p.most.CPUs = max(p.most.CPUs, s.CPUs)
-			p.most.GPUs = max(p.most.GPUs, s.GPUs)
-			p.most.MemGB = max(p.most.MemGB, s.MemGB)
+			p.most = p.most.Max(s.free)
 		}
 	}
 	return p.most.CPUs+slack >= sp.CPUs && p.most.GPUs+slack >= sp.GPUs && p.most.MemGB+slack >= sp.MemGB
@@ -110,7 +107,7 @@
 			continue
 		}
 		for _, s := range p.Slots {
-			if !s.Future && s.Free(sp) > 0 && accept(s) {
+			if !s.Future && s.RoomFor(sp) > 0 && accept(s) {
 				return s
 			}
 		}
@@ -125,7 +122,7 @@
 			continue
 		}
 		for _, s := range p.Slots {
-			if !s.Future && s.Free(sp) > 0 {
+			if !s.Future && s.RoomFor(sp) > 0 {
 				fn(s)
 			}
 		}
@@ -140,7 +137,7 @@
 			continue
 		}
 		for _, s := range p.Slots {
-			if HowMany(s.CPUs, s.GPUs, s.MemGB, sp) > 0 && !fn(s) {
+			if tasksWithin(s.free, sp) > 0 && !fn(s) {
 				return
 			}
 		}
--- a/internal/core/placement/machine_type.go
+++ b/internal/core/placement/machine_type.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"gingertally/internal/core/fleet"
 	"gingertally/internal/core/pipeline"
 )
 
@@ -50,15 +51,20 @@
 func (t *Type) Fits(s *pipeline.Spec) bool { return t.Capacity(s) > 0 }
 
 // Capacity is how many tasks of the job fit an empty machine of the type.
-func (t *Type) Capacity(s *pipeline.Spec) int { return HowMany(t.CPUs, t.GPUs, t.MemGB, s) }
+func (t *Type) Capacity(s *pipeline.Spec) int { return tasksWithin(t.total(), s) }
+
+// total is what an empty machine of the type has.
+func (t *Type) total() fleet.Amount {
+	return fleet.Amount{CPUs: t.CPUs, GPUs: t.GPUs, MemGB: t.MemGB}
+}
 
 // maxPerMachine bounds how many tasks are counted onto one machine.
 const maxPerMachine = 1000
 
-// HowMany is how many tasks of the job fit into some free room.
-func HowMany(cpus, gpus, mem float64, s *pipeline.Spec) int {
+// tasksWithin is how many tasks of the job fit into an amount.
+func tasksWithin(free fleet.Amount, s *pipeline.Spec) int {
 	n := maxPerMachine
-	for _, p := range [3][2]float64{{cpus, s.CPUs}, {gpus, s.GPUs}, {mem, s.MemGB}} {
+	for _, p := range [3][2]float64{{free.CPUs, s.CPUs}, {free.GPUs, s.GPUs}, {free.MemGB, s.MemGB}} {
 		if p[1] > 0 {
 			n = min(n, int((p[0]+slack)/p[1]))
 		}
--- a/internal/core/placement/preempt.go
+++ b/internal/core/placement/preempt.go
@@ -16,19 +16,22 @@
 // reservation is what a reserved slot may still give to jobs other than the one it is
 // kept for.
 type reservation struct {
-	ref             string
-	cpus, gpus, mem float64
+	ref  string // the job it is kept for
+	left fleet.Amount
 }
 
-func (f reservation) plus(a *fleet.Attempt) reservation {
-	return reservation{f.ref, f.cpus + a.CPUs, f.gpus + a.GPUs, f.mem + a.MemGB}
+// plus is the reservation once an attempt has left.
+func (r reservation) plus(a *fleet.Attempt) reservation {
+	return reservation{r.ref, r.left.Plus(a)}
 }
 
-func (f reservation) less(sp *pipeline.Spec) reservation {
-	return reservation{sp.Ref, f.cpus - sp.CPUs, f.gpus - sp.GPUs, f.mem - sp.MemGB}
+// minus is what a task of the job leaves.
+func (r reservation) minus(sp *pipeline.Spec) reservation {
+	return reservation{sp.Ref, r.left.Sub(need(sp))}
 }
 
-func (f reservation) fits(sp *pipeline.Spec) bool { return HowMany(f.cpus, f.gpus, f.mem, sp) > 0 }
+// fits tells whether there is room for a task of the job.
+func (r reservation) fits(sp *pipeline.Spec) bool { return tasksWithin(r.left, sp) > 0 }
 
 // endsLate is how much later than expected the last of what occupies a place may
 // end: room is made in time rather than hoped for until it is too late.
@@ -117,9 +120,9 @@
 
 // capacityAt is when a slot will have room for a task, and what will then be left.
 func (b *Board) capacityAt(s *Slot, sp *pipeline.Spec) (time.Time, reservation) {
-	at, free := b.Now, reservation{sp.Ref, s.CPUs, s.GPUs, s.MemGB}
+	at, free := b.Now, reservation{sp.Ref, s.free}
 	if free.fits(sp) {
-		return at, free.less(sp)
+		return at, free.minus(sp)
 	}
 	type end struct {
 		attempt *fleet.Attempt
@@ -136,7 +139,7 @@
 		}
 		at, free = e.at, free.plus(e.attempt)
 	}
-	return at, free.less(sp)
+	return at, free.minus(sp)
 }
 
 // makeCapacity stops what must make way for n tasks of the job, on the machines
@@ -190,7 +193,7 @@
 // victims are the attempts on a slot to stop for a task of the job, what that
 // costs in seconds of delay and lost work, and what room it leaves.
 func (b *Board) victims(s *Slot, j *pipeline.Job) (place, bool) {
-	free := reservation{j.Ref, s.CPUs, s.GPUs, s.MemGB}
+	free := reservation{j.Ref, s.free}
 	type candidate struct {
 		attempt *fleet.Attempt
 		cost    float64
@@ -216,6 +219,6 @@
 		free, p.cost = free.plus(c.attempt), p.cost+c.cost
 		p.victims = append(p.victims, c.attempt)
 	}
-	p.left = free.less(&j.Spec)
+	p.left = free.minus(&j.Spec)
 	return p, free.fits(&j.Spec)
 }
--- a/internal/core/placement/score.go
+++ b/internal/core/placement/score.go
@@ -32,10 +32,8 @@
 	if sp.Shape != pipeline.Service || large == nil {
 		return Share(s.Type, sp)
 	}
-	cpus := s.Type.CPUs - s.serviceUsage.CPUs
-	gpus := s.Type.GPUs - s.serviceUsage.GPUs
-	mem := s.Type.MemGB - s.serviceUsage.MemGB
-	lost := HowMany(cpus, gpus, mem, large) - HowMany(cpus-sp.CPUs, gpus, mem-sp.MemGB, large)
+	left := s.Type.total().Sub(s.serviceUsage)
+	lost := tasksWithin(left, large) - tasksWithin(left.Sub(need(sp)), large)
 	return float64(lost) * Share(s.Type, large)
 }
 
@@ -73,7 +71,7 @@
 			score += lateSeconds
 		}
 	}
-	score += fullerSeconds * s.CPUs / s.Type.CPUs
+	score += fullerSeconds * s.free.CPUs / s.Type.CPUs
 	if s.Machine != nil && s.Machine.Failures() > 0 {
 		score += probationSeconds
 	}
--- a/internal/core/placement/slot.go
+++ b/internal/core/placement/slot.go
@@ -9,28 +9,38 @@
 
 // Slot is a machine as a round sees it: what is free, and what it costs.
 type Slot struct {
-	Machine           *fleet.Machine // nil: only planned to be requested
-	Type              *Type
-	Zone              string
-	Spot              bool
-	CPUs, GPUs, MemGB float64
-	Future            bool         // is booting: counts as coming, takes no tasks yet
-	serviceUsage      fleet.Amount // what replicas of services take of it
-	reserved          *reservation
-	pool              *Pool
+	Machine      *fleet.Machine // nil: only planned to be requested
+	Type         *Type
+	Zone         string
+	Spot         bool
+	Future       bool         // is booting: counts as coming, takes no tasks yet
+	free         fleet.Amount // what nothing takes, reservations apart
+	serviceUsage fleet.Amount // what replicas of services take of it
+	reserved     *reservation // what is kept of it for a job; nil: nothing
+	pool         *Pool
+}
+
+// NewPlannedSlot is an empty machine of a pool that is requested, or about to be.
+func NewPlannedSlot(t *Type, k fleet.PoolKey) *Slot {
+	return &Slot{Type: t, Zone: k.Zone, Spot: k.Spot, Future: true, free: t.total()}
+}
+
+// need is what a task of the job takes.
+func need(sp *pipeline.Spec) fleet.Amount {
+	return fleet.Amount{CPUs: sp.CPUs, GPUs: sp.GPUs, MemGB: sp.MemGB}
 }
 
 // Take books a task of the job.
 func (s *Slot) Take(sp *pipeline.Spec) {
-	s.CPUs, s.GPUs, s.MemGB = s.CPUs-sp.CPUs, s.GPUs-sp.GPUs, s.MemGB-sp.MemGB
+	s.free = s.free.Sub(need(sp))
 	if sp.Shape == pipeline.Service {
-		s.serviceUsage = s.serviceUsage.Add(fleet.Amount{CPUs: sp.CPUs, GPUs: sp.GPUs, MemGB: sp.MemGB})
+		s.serviceUsage = s.serviceUsage.Add(need(sp))
 	}
 	if s.pool != nil {
 		s.pool.stale = true
 	}
 	if r := s.reserved; r != nil && r.ref != sp.Ref {
-		r.cpus, r.gpus, r.mem = r.cpus-sp.CPUs, r.gpus-sp.GPUs, r.mem-sp.MemGB
+		r.left = r.left.Sub(need(sp))
 	}
 }
 
@@ -39,11 +49,11 @@
 	return sp.AllowsType(s.Type.Name) && (sp.Zone == "" || sp.Zone == s.Zone) && (sp.Spot || !s.Spot)
 }
 
-// Free is how many tasks of the job the slot still takes.
-func (s *Slot) Free(sp *pipeline.Spec) int {
-	n := HowMany(s.CPUs, s.GPUs, s.MemGB, sp)
+// RoomFor is how many tasks of the job the slot still takes.
+func (s *Slot) RoomFor(sp *pipeline.Spec) int {
+	n := tasksWithin(s.free, sp)
 	if r := s.reserved; r != nil && r.ref != sp.Ref && n > 0 {
-		n = min(n, HowMany(r.cpus, r.gpus, r.mem, sp))
+		n = min(n, tasksWithin(r.left, sp))
 	}
 	return n
 }
