--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -98,14 +98,11 @@
 			return
 		}
 	}
-	if a.Stopping && a.Grace <= grace {
+	if a.Stopping() && a.Grace() <= grace {
 		return
 	}
-	a.Stopping, a.StopAt, a.Grace, a.Eviction = true, now, grace, fleet.NotEvicted
+	a.RequestStop(now, grace)
 	e.capacityChanged(m)
-	if a.State() != fleet.Sent {
-		a.CommandSequence = 0
-	}
 	if a.State() == fleet.Sent || m.Incarnation() == 0 {
 		return // goes with the next heartbeat's response, once it is there
 	}
@@ -154,7 +151,7 @@
 		return
 	}
 	for _, b := range e.usage.attemptsOf(a.Ref) {
-		if b.Number == a.Number && !b.Stopping {
+		if b.Number == a.Number && !b.Stopping() {
 			e.chargeInvoluntary(now, b)
 			e.stop(now, b.Machine, b, 0)
 		}
@@ -172,7 +169,7 @@
 		e.chargeInvoluntary(now, a)
 	}
 	e.moveAttempt(now, m, a, fleet.Exited)
-	a.Cause, a.CommandSequence = t.Cause, 0
+	a.NoteExit(t.Cause)
 	if t.Cause == fleet.CauseDone {
 		e.taskDone(now, m, a)
 		return
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -21,21 +21,23 @@
 		case state == fleet.Exited:
 			if a.ExitHandled {
 				c.Kind = fleet.Forget
-				a.CommandSequence = m.Sequence()
+				a.CommandSent()
 				forgets = append(forgets, c)
 			}
-		case a.Eviction == fleet.EvictionApproved:
+		case a.Eviction() == fleet.EvictionApproved:
 			if e.sendEviction(now, m, a) {
-				c.Kind, c.Grace = fleet.Stop, a.Grace
+				c.Kind, c.Grace = fleet.Stop, a.Grace()
 				stops = append(stops, c)
 			}
-		case a.Eviction == fleet.EvictionSent && e.evictionLost(m, a):
-		case a.Stopping:
-			if state == fleet.Checkpointing && a.Grace > 0 {
+		case a.EvictionIgnored():
+			// It is judged again, since a window may have closed meanwhile; its charge stands.
+			a.ForgetEviction()
+		case a.Stopping():
+			if state == fleet.Checkpointing && a.Grace() > 0 {
 				continue // it saves; a second stop could end that
 			}
-			c.Kind, c.Grace = fleet.Stop, a.Grace
-			a.CommandSequence = m.Sequence()
+			c.Kind, c.Grace = fleet.Stop, a.Grace()
+			a.CommandSent()
 			stops = append(stops, c)
 		case state == fleet.Recorded && e.startDue(now, m, a) && e.recovery.Pacer().Take(e.urgent(a)):
 			c.Kind = fleet.Start
@@ -59,7 +61,7 @@
 
 // startSent notes that an attempt's start goes out with the answer to the newest heartbeat.
 func (e *Engine) startSent(now time.Time, m *fleet.Machine, a *fleet.Attempt) {
-	a.CommandSequence = m.Sequence()
+	a.CommandSent()
 	if j := e.jobs.get(a.Ref); j != nil && !j.Started && !j.StartSent {
 		j.StartSent = true
 		e.waits.note(j, now.Sub(j.Since))
--- a/internal/core/connectivity.go
+++ b/internal/core/connectivity.go
@@ -51,19 +51,19 @@
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
 		a := m.Attempt(fleet.TaskID{Ref: t.Ref, Task: t.Task})
-		if a == nil || a.Number != t.Attempt || a.CommandSequence == 0 || a.CommandSequence >= r.Sequence {
+		if a == nil || a.Number != t.Attempt || a.CommandSequence() == 0 || a.CommandSequence() >= r.Sequence {
 			continue
 		}
 		switch {
 		case a.State() == fleet.Sent:
 			d.delivered = true
 		case t.State == fleet.Exited && a.State() == fleet.Exited,
-			a.Stopping && a.Grace == 0 && t.State < fleet.Checkpointing:
+			a.Stopping() && a.Grace() == 0 && t.State < fleet.Checkpointing:
 			d.undelivered = true // a forget, or a stop that asks for no saving
 		}
 	}
 	for a := range m.Attempts() {
-		if a.State() == fleet.Sent && a.CommandSequence < r.Sequence && !listsAttempt(r, a) {
+		if a.State() == fleet.Sent && a.CommandSequence() < r.Sequence && !listsAttempt(r, a) {
 			d.undelivered = true
 		}
 	}
--- a/internal/core/consolidate.go
+++ b/internal/core/consolidate.go
@@ -105,7 +105,7 @@
 // runsElsewhere tells whether a task of a job runs on another machine and isn't to stop.
 func (e *Engine) runsElsewhere(ref string, m *fleet.Machine) bool {
 	for _, a := range e.usage.attemptsOf(ref) {
-		if a.Machine != m && a.State() == fleet.Running && !a.Stopping {
+		if a.Machine != m && a.State() == fleet.Running && !a.Stopping() {
 			return true
 		}
 	}
@@ -181,7 +181,7 @@
 // movable tells whether an attempt may be moved: it saves, has run long enough for its start to
 // count, and no budget is in the way.
 func (v *consolidation) movable(a *fleet.Attempt, j *pipeline.Job) bool {
-	if a.State() != fleet.Running || a.Stopping || v.now.Sub(a.RunStart) < settledRun {
+	if a.State() != fleet.Running || a.Stopping() || v.now.Sub(a.RunStart) < settledRun {
 		return false
 	}
 	return j.CheckpointInterval > 0 && !isGang(j) && v.engine.mayMoveByChoice(v.now, a, j)
--- a/internal/core/drain_eviction.go
+++ b/internal/core/drain_eviction.go
@@ -209,7 +209,7 @@
 		e.stopWithCheckpoint(now, a.Machine, a, g.job)
 		return true
 	}
-	g.attempts[0].Eviction = fleet.EvictionApproved
+	g.attempts[0].ApproveEviction()
 	return true
 }
 
@@ -218,27 +218,15 @@
 func (e *Engine) sendEviction(now time.Time, m *fleet.Machine, a *fleet.Attempt) bool {
 	j := e.jobs.get(a.Ref)
 	if j == nil || !e.cfg.Drain.MayMoveNow(now, j.Team, j.Class, evictionTime(j)) {
-		a.Eviction = fleet.NotEvicted
+		a.WithdrawEviction()
 		return false
 	}
-	a.Eviction, a.Stopping, a.StopAt, a.CommandSequence = fleet.EvictionSent, true, now, m.Sequence()
-	a.Grace = j.CheckpointTime + time.Second
+	a.SendEviction(now, j.CheckpointTime+time.Second)
 	e.capacityChanged(m)
 	e.log(LogTaskEvicted, logAttempt(a)...)
 	return true
 }
 
-// evictionLost tells whether a worker that was told of an eviction goes on as if it hadn't
-// been: the answer was dropped. The eviction is then judged again, since a window may have
-// closed meanwhile; its charge stands.
-func (*Engine) evictionLost(m *fleet.Machine, a *fleet.Attempt) bool {
-	if a.State() == fleet.Checkpointing || a.CommandSequence >= m.Sequence() {
-		return false
-	}
-	a.Eviction, a.Stopping = fleet.NotEvicted, false
-	return true
-}
-
 // revokeEvictions takes back the evictions from a machine that haven't gone out.
 func (e *Engine) revokeEvictions(machine string) {
 	m := e.machines.get(machine)
@@ -246,9 +234,7 @@
 		return
 	}
 	for a := range m.Attempts() {
-		if a.Eviction == fleet.EvictionApproved {
-			a.Eviction = fleet.NotEvicted
-		}
+		a.WithdrawEviction()
 	}
 }
 
@@ -292,7 +278,7 @@
 		return
 	}
 	onMachine := a.State() >= fleet.Fetching && a.State() != fleet.Exited
-	if a.Unrecorded || a.Stopping || !onMachine {
+	if a.Unrecorded || a.Stopping() || !onMachine {
 		return
 	}
 	ledger := e.drains.coordinator.Ledger
--- a/internal/core/estimates.go
+++ b/internal/core/estimates.go
@@ -109,8 +109,8 @@
 // endOf is when an attempt is expected to leave its machine.
 func (e *Engine) endOf(now time.Time, a *fleet.Attempt) time.Time {
 	j := e.jobs.get(a.Ref)
-	if a.Stopping {
-		return a.StopAt.Add(a.Grace + e.cfg.HeartbeatInterval)
+	if a.Stopping() {
+		return a.StopAt().Add(a.Grace() + e.cfg.HeartbeatInterval)
 	}
 	if j == nil {
 		return now.Add(overdue)
--- a/internal/core/fleet/attempt.go
+++ b/internal/core/fleet/attempt.go
@@ -50,34 +50,42 @@
 // Attempt is one attempt that is, or may be, on a machine.
 type Attempt struct {
 	TaskID
-	Number          uint64        // unique over all terms; the tasks of a gang share one
-	Machine         *Machine      // where it is, or may be
-	Page            *StartLogPage // the page of the start log that names it; nil: none does yet
-	CPUs            float64
-	GPUs            float64
-	MemGB           float64
-	Image           string
-	Inherited       bool   // from an earlier term: only a heartbeat under this term's fencing token proves it gone
-	Unrecorded      bool   // not wanted here; stopped and never counted as a result of ours
-	CommandSequence uint64 // the heartbeat in whose answer the machine last got a command about it
+	Number         uint64        // unique over all terms; the tasks of a gang share one
+	Machine        *Machine      // where it is, or may be
+	Page           *StartLogPage // the page of the start log that names it; nil: none does yet
+	CPUs           float64
+	GPUs           float64
+	MemGB          float64
+	Image          string
+	Inherited      bool // from an earlier term: only a heartbeat under this term's fencing token proves it gone
+	Unrecorded     bool // not wanted here; stopped and never counted as a result of ours
+	ServiceReplica bool // a service's: stays until the service is cancelled
 
 	state      TaskState
 	StateSince time.Time // when it entered its state
-	RunStart   time.Time
+	RunStart   time.Time // when it was first seen to run; zero: it hasn't been
 
 	// Its start.
 	NotBefore     time.Time     // when it may leave
 	SentAt        time.Time     // when it left
 	FetchEstimate time.Duration // how long the image was then expected to take
 
+	// commandSequence is the heartbeat in whose answer the machine last got a command about it;
+	// 0: none that the next heartbeat must show an effect of.
+	commandSequence uint64
+
 	// Its end.
-	Stopping       bool // it was told to stop
-	Eviction       Eviction
-	StopAt         time.Time
-	Grace          time.Duration // for saving
-	Cause          ExitCause     // of its exit
-	ExitHandled    bool          // the exit was dealt with; the worker may forget it
-	ServiceReplica bool          // a service's: stays until the service is cancelled
+	stop        stopRequest
+	eviction    Eviction
+	Cause       ExitCause // of its exit
+	ExitHandled bool      // the exit was dealt with; the worker may forget it
+}
+
+// stopRequest is what an attempt was told about stopping.
+type stopRequest struct {
+	requested bool
+	at        time.Time
+	grace     time.Duration // for saving
 }
 
 // State returns the attempt's state.
@@ -96,7 +104,66 @@
 	return true
 }
 
+// CommandSequence is the heartbeat in whose answer the machine last got a command about the
+// attempt of which the next heartbeat must show an effect; 0 if there is none.
+func (a *Attempt) CommandSequence() uint64 { return a.commandSequence }
+
+// CommandSent notes that a command about the attempt goes with the answer to its machine's newest
+// heartbeat.
+func (a *Attempt) CommandSent() { a.commandSequence = a.Machine.Sequence() }
+
+// RequestStop asks the attempt to stop, saving first if grace allows. It takes the place of an
+// eviction. A start that is on its way goes before it.
+func (a *Attempt) RequestStop(now time.Time, grace time.Duration) {
+	a.stop = stopRequest{requested: true, at: now, grace: grace}
+	a.eviction = NotEvicted
+	if a.state != Sent {
+		a.commandSequence = 0
+	}
+}
+
+// Stopping tells whether the attempt was told to stop, or is to be told with the next answer.
+func (a *Attempt) Stopping() bool { return a.stop.requested }
+
+// StopAt is when the attempt was asked to stop.
+func (a *Attempt) StopAt() time.Time { return a.stop.at }
+
+// Grace is the time for saving that the stop allows.
+func (a *Attempt) Grace() time.Duration { return a.stop.grace }
+
+// Eviction is how far the eviction of the attempt is.
+func (a *Attempt) Eviction() Eviction { return a.eviction }
+
+// ApproveEviction has the attempt evicted with the next answer, if that is still in time.
+func (a *Attempt) ApproveEviction() { a.eviction = EvictionApproved }
+
+// WithdrawEviction takes an eviction back that hasn't gone out.
+func (a *Attempt) WithdrawEviction() {
+	if a.eviction == EvictionApproved {
+		a.eviction = NotEvicted
+	}
+}
+
+// SendEviction notes that the eviction goes with the answer to its machine's newest heartbeat.
+func (a *Attempt) SendEviction(now time.Time, grace time.Duration) {
+	a.stop = stopRequest{requested: true, at: now, grace: grace}
+	a.eviction = EvictionSent
+	a.CommandSent()
+}
+
+// EvictionIgnored tells whether a worker that was told of an eviction goes on as if it hadn't been:
+// the answer was dropped.
+func (a *Attempt) EvictionIgnored() bool {
+	return a.eviction == EvictionSent && a.state != Checkpointing && a.commandSequence < a.Machine.Sequence()
+}
+
+// ForgetEviction takes back an eviction that the worker has ignored.
+func (a *Attempt) ForgetEviction() { a.eviction, a.stop.requested = NotEvicted, false }
+
+// NoteExit takes in why the attempt has exited. What its machine was told before is settled.
+func (a *Attempt) NoteExit(cause ExitCause) { a.Cause, a.commandSequence = cause, 0 }
+
 // Leaving tells whether an attempt is to stop, or is about to be told so.
 func (a *Attempt) Leaving() bool {
-	return a.Stopping || a.Eviction != NotEvicted || a.state == Checkpointing || a.state == Exited
+	return a.stop.requested || a.eviction != NotEvicted || a.state == Checkpointing || a.state == Exited
 }
--- a/internal/core/fleet/machine_test.go
+++ b/internal/core/fleet/machine_test.go
@@ -13,6 +13,10 @@
 		m.OneWayLoss.NoteUndelivered(at(0))
 		m.OneWayLoss.NoteUndelivered(at(1))
 	}
+	unresponsiveDraining := func(m *Machine) {
+		m.Move(at(0), Unresponsive)
+		m.StartDraining()
+	}
 	for _, c := range []struct {
 		name      string
 		change    func(m *Machine)
@@ -31,7 +35,7 @@
 		{"cordoned in quarantine", func(m *Machine) { m.SetCordon(true, false); m.Quarantine() }, BlockedQuarantined, true},
 		{"unreachable", unreachable, BlockedUnreachable, true},
 		{"unresponsive", func(m *Machine) { m.Move(at(0), Unresponsive) }, BlockedNotLive, false},
-		{"unresponsive, draining", func(m *Machine) { m.Move(at(0), Unresponsive); m.draining = true }, BlockedDraining, true},
+		{"unresponsive and draining", unresponsiveDraining, BlockedDraining, true},
 		{"not confirmed", func(m *Machine) { m.termConfirmed = false }, BlockedUnconfirmedTerm, false},
 	} {
 		m := NewMachine(at(0), "m-1", PoolKey{Type: "cpu", Zone: "a"})
@@ -87,3 +91,29 @@
 		t.Fatalf("handed on: %+v", next.History())
 	}
 }
+
+// An eviction that the worker ignores is noticed by the next heartbeat, and a stop takes its place
+// for good: an eviction that could be taken back after a stop would let the attempt run on.
+func TestStopReplacesEviction(t *testing.T) {
+	m := NewMachine(at(0), "m-1", PoolKey{Type: "cpu", Zone: "a"})
+	a := &Attempt{TaskID: TaskID{Ref: "j-1"}, Number: 1}
+	m.HeartbeatReceived(at(0), &Heartbeat{Incarnation: 1, Sequence: 1})
+	m.AddAttempt(at(0), a, Running)
+	a.ApproveEviction()
+	a.SendEviction(at(1), time.Second)
+	if a.EvictionIgnored() || !a.Leaving() {
+		t.Fatal("an eviction counts as ignored before the next heartbeat")
+	}
+	a.WithdrawEviction()
+	if a.Eviction() != EvictionSent {
+		t.Fatal("an eviction that has gone out is taken back")
+	}
+	m.HeartbeatReceived(at(4), &Heartbeat{Incarnation: 1, Sequence: 2})
+	if !a.EvictionIgnored() {
+		t.Fatal("an ignored eviction isn't noticed")
+	}
+	a.RequestStop(at(4), 0)
+	if a.EvictionIgnored() || a.Eviction() != NotEvicted || !a.Stopping() || a.Grace() != 0 || a.CommandSequence() != 0 {
+		t.Fatal("a stop doesn't take the place of an eviction")
+	}
+}
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -178,7 +178,7 @@
 			Inherited: a.Inherited, Confirmed: m.TermConfirmed(),
 			// The response with the start was answered or dropped before this heartbeat was
 			// sent; the worker never executes it later.
-			Answered: a.State() == fleet.Sent && r.Sequence > a.CommandSequence,
+			Answered: a.State() == fleet.Sent && r.Sequence > a.CommandSequence(),
 			Seen:     a.State() >= fleet.Fetching,
 		})
 		if finding.Action == recovery.MarkLost {
--- a/internal/core/interruption.go
+++ b/internal/core/interruption.go
@@ -25,7 +25,7 @@
 func (e *Engine) stopTasksOn(now time.Time, m *fleet.Machine, left time.Duration) {
 	for _, a := range m.SortedAttempts() {
 		j := e.jobs.get(a.Ref)
-		if a.Stopping || a.State() == fleet.Exited || j == nil {
+		if a.Stopping() || a.State() == fleet.Exited || j == nil {
 			continue
 		}
 		if a.State() == fleet.Running && (j.CheckpointInterval == 0 || j.CheckpointTime >= left) {
--- a/internal/core/placement/preempt.go
+++ b/internal/core/placement/preempt.go
@@ -201,7 +201,7 @@
 	var may []candidate
 	if !free.fits(&j.Spec) {
 		for _, a := range present(s.Machine) {
-			if a.Stopping {
+			if a.Stopping() {
 				free = free.plus(a) // on its way out already
 				continue
 			}
--- a/internal/core/preemption.go
+++ b/internal/core/preemption.go
@@ -16,7 +16,7 @@
 // whole machine: many small tasks of an array are less than one gang.
 func (e *Engine) preemptionCost(now time.Time, by *pipeline.Job, a *fleet.Attempt) (float64, bool) {
 	j := e.jobs.get(a.Ref)
-	if j == nil || a.Unrecorded || a.Stopping || a.State() == fleet.Checkpointing {
+	if j == nil || a.Unrecorded || a.Stopping() || a.State() == fleet.Checkpointing {
 		return 0, false
 	}
 	if by.Urgency >= j.Urgency && !e.mayReclaimGuarantee(by, j) || e.starvesBefore(now, j, by) {
--- a/internal/core/priority_order_test.go
+++ b/internal/core/priority_order_test.go
@@ -43,7 +43,7 @@
 	stopped := func() (n int) {
 		for _, m := range machines {
 			for a := range b.e.machines.get(m).Attempts() {
-				if a.Stopping {
+				if a.Stopping() {
 					n++
 				}
 			}
