--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -85,8 +85,8 @@
 	e.debug(LogJobTasksStopped, logJob(j), logReason(string(reason)))
 }
 
-// stop has an attempt end, saving first if grace allows. A start that hasn't left is simply
-// withdrawn.
+// stop asks an attempt to stop, after a checkpoint if grace leaves time for one. A start that
+// hasn't been sent is simply withdrawn.
 func (e *Engine) stop(now time.Time, m *fleet.Machine, a *fleet.Attempt, grace time.Duration) {
 	switch a.State() {
 	case fleet.Exited:
--- a/internal/core/batch.go
+++ b/internal/core/batch.go
@@ -21,7 +21,7 @@
 	failing      bool // the last batch wasn't written
 }
 
-// endsFirst tells whether the ends of jobs go before starts in the batch that is being made;
+// endsFirst reports whether the ends of jobs go before starts in the batch that is being made;
 // they take turns.
 func (t *batchTurns) endsFirst() bool {
 	t.jobEndsFirst = !t.jobEndsFirst
@@ -31,7 +31,7 @@
 // finished notes how a batch has ended.
 func (t *batchTurns) finished(ok bool) { t.failing = !ok }
 
-// WritesPending tells whether a start or a job's end waits for a write.
+// WritesPending reports whether a start or a job's end waits for a write.
 func (e *Engine) WritesPending() bool {
 	return e.startLog.pending() || e.jobWrites.pending() || e.drains.pending()
 }
--- a/internal/core/cancel.go
+++ b/internal/core/cancel.go
@@ -23,7 +23,7 @@
 // at the most: the worker's lease, the drift of two clocks, and the steps of timers.
 func (c *Config) CancelBound() time.Duration { return fleet.LeaseBound(c.Lease) }
 
-// CancelKept tells whether a cancellation may be confirmed while tasks of the job may be
+// CancelKept reports whether a cancellation may be confirmed while tasks of the job may be
 // on machines. If not, they have to be proven gone first.
 func (c *Config) CancelKept() bool { return c.CancelBound() <= c.CancelWithin }
 
@@ -48,7 +48,7 @@
 	deferredUntil  time.Time // put off until then, for its user to ask again
 }
 
-// undecided tells whether the store may hold the cancellation, or may yet come to hold
+// undecided reports whether the store may hold the cancellation, or may yet come to hold
 // it. RecordVersion is that of the job's record, 0 if the job isn't known.
 func (p *pendingCancellation) undecided(recordVersion uint64) bool {
 	return p.transactions > 0 || p.unknownVersion != 0 && recordVersion <= p.unknownVersion
@@ -85,7 +85,7 @@
 	return true
 }
 
-// outcomeUnknown tells whether a transaction without an answer may yet change the job's record.
+// outcomeUnknown reports whether a transaction without an answer may yet change the job's record.
 func (c *cancellations) outcomeUnknown(ref string, recordVersion uint64) bool {
 	p := c.pending[ref]
 	return p != nil && p.unknownVersion >= recordVersion
@@ -105,16 +105,16 @@
 	return slices.SortedFunc(maps.Keys(c.stopping), func(a, b *pipeline.Job) int { return cmp.Compare(a.Ref, b.Ref) })
 }
 
-// isPending tells whether something isn't known yet about a cancellation of the job.
+// isPending reports whether something isn't known yet about a cancellation of the job.
 func (c *cancellations) isPending(ref string) bool { return c.pending[ref] != nil }
 
-// inTransaction tells whether a transaction is under way that cancels the job.
+// inTransaction reports whether a transaction is under way that cancels the job.
 func (c *cancellations) inTransaction(ref string) bool {
 	p := c.pending[ref]
 	return p != nil && p.transactions > 0
 }
 
-// undecided tells whether the store may hold a cancellation of the job that isn't known
+// undecided reports whether the store may hold a cancellation of the job that isn't known
 // here, and forgets what has been decided.
 func (c *cancellations) undecided(ref string, recordVersion uint64) bool {
 	p := c.pending[ref]
@@ -131,7 +131,7 @@
 	return false
 }
 
-// deferred tells whether the job's cancellation is put off, and forgets it once its user
+// deferred reports whether the job's cancellation is put off, and forgets it once its user
 // hasn't asked again in time.
 func (c *cancellations) deferred(now time.Time, ref string) bool {
 	p := c.pending[ref]
@@ -175,7 +175,7 @@
 	e.rounds.request()
 }
 
-// resolveUnknownOutcome has the record of a job written again whose cancellation may yet
+// resolveUnknownOutcome requests a new write of the record of a job whose cancellation may yet
 // be carried out: a transaction that was meant for an earlier version of the record fails
 // from then on (docs/design.md, "The bound of a cancellation", 1; TestCancelWithoutAnswer,
 // TestCancelInDoubt).
@@ -186,7 +186,7 @@
 	}
 }
 
-// cancelUndecided tells whether the store may hold a cancellation that isn't known here.
+// cancelUndecided reports whether the store may hold a cancellation that isn't known here.
 func (e *Engine) cancelUndecided(ref string) bool {
 	if !e.cancellations.isPending(ref) {
 		return false
@@ -198,7 +198,7 @@
 	return e.cancellations.undecided(ref, version)
 }
 
-// cancelHolds tells whether nothing of a job may be started because of its cancellation.
+// cancelHolds reports whether nothing of a job may be started because of its cancellation.
 func (e *Engine) cancelHolds(now time.Time, ref string) bool {
 	return e.cancelUndecided(ref) || e.cancellations.deferred(now, ref)
 }
@@ -224,5 +224,5 @@
 	}
 }
 
-// MayBeOnMachines tells whether any task of a job may be on a machine.
+// MayBeOnMachines reports whether any task of a job may be on a machine.
 func (e *Engine) MayBeOnMachines(ref string) bool { return len(e.usage.attemptsOf(ref)) > 0 }
--- a/internal/core/capacity/capacity.go
+++ b/internal/core/capacity/capacity.go
@@ -38,7 +38,7 @@
 	Refusals int // in a row
 }
 
-// Backoff tells how long an offer is left alone; false if it isn't.
+// Backoff is how long an offer is left alone; false if it isn't.
 func (p *Plan) Backoff(o fleet.PoolKey) (Backoff, bool) {
 	b, refused := p.backoffs[o]
 	return b, refused
@@ -109,7 +109,7 @@
 	return slices.SortedFunc(maps.Keys(p.requested), fleet.PoolKey.Compare)
 }
 
-// available tells whether an offer may be asked for now.
+// available reports whether an offer may be asked for now.
 func (p *Plan) available(now time.Time, o fleet.PoolKey) bool {
 	return !p.backoffs[o].Until.After(now) && p.requested[o] == 0
 }
@@ -283,7 +283,7 @@
 	return best
 }
 
-// mayOrder tells whether one more machine of an offer may be ordered for a job.
+// mayOrder reports whether one more machine of an offer may be ordered for a job.
 func (g *planner) mayOrder(j *pipeline.Job, o fleet.PoolKey, zones map[string]int, zone string) bool {
 	if j.Zone != "" && j.Zone != o.Zone || zone != "" && zone != o.Zone {
 		return false
--- a/internal/core/capacity_view.go
+++ b/internal/core/capacity_view.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// usable tells whether work may be placed on a machine that isn't withdrawn from placement.
+// usable reports whether work may be placed on a machine that isn't withdrawn from placement.
 func usable(m *fleet.Machine) bool {
 	if m.HeartbeatExpected() {
 		return true
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -48,12 +48,12 @@
 	return append(append(forgets, stops...), starts...)
 }
 
-// startDue tells whether the start of an attempt that the store holds may leave now.
+// startDue reports whether the start of an attempt that the store holds may leave now.
 func (*Engine) startDue(now time.Time, m *fleet.Machine, a *fleet.Attempt) bool {
 	return !a.Inherited && m.StartBlock() == fleet.NotBlocked && !now.Before(a.NotBefore)
 }
 
-// urgent tells whether an attempt's start isn't held back by the pace of a recovery.
+// urgent reports whether an attempt's start isn't held back by the pace of a recovery.
 func (e *Engine) urgent(a *fleet.Attempt) bool {
 	j := e.jobs.get(a.Ref)
 	return j != nil && j.Urgency <= pipeline.High
--- a/internal/core/consolidate.go
+++ b/internal/core/consolidate.go
@@ -35,7 +35,7 @@
 
 func newEmptying() emptying { return emptying{machines: map[*fleet.Machine]bool{}} }
 
-// lookDue tells whether it is time to look for machines to be emptied, and notes the look.
+// lookDue reports whether it is time to look for machines to be emptied, and notes the look.
 func (s *emptying) lookDue(now time.Time) bool {
 	if now.Sub(s.lookedAt) < consolidateEvery {
 		return false
@@ -89,7 +89,7 @@
 	}
 }
 
-// hasAllReplicas tells whether a machine has all the running replicas of a service of
+// hasAllReplicas reports whether a machine has all the running replicas of a service of
 // several: moving them together would stop the service.
 func (e *Engine) hasAllReplicas(m *fleet.Machine) bool {
 	for a := range m.Attempts() {
@@ -102,7 +102,7 @@
 	return false
 }
 
-// runsElsewhere tells whether a task of a job runs on another machine and isn't to stop.
+// runsElsewhere reports whether a task of a job runs on another machine and isn't to stop.
 func (e *Engine) runsElsewhere(ref string, m *fleet.Machine) bool {
 	for _, a := range e.usage.attemptsOf(ref) {
 		if a.Machine != m && a.State() == fleet.Running && !a.Stopping() {
@@ -178,7 +178,7 @@
 	return candidate{s, moved, price*longest.Seconds() - v.engine.cfg.Weights.MoveGain*cost}
 }
 
-// movable tells whether an attempt may be moved: it saves, has run long enough for its start to
+// movable reports whether an attempt may be moved: it saves, has run long enough for its start to
 // count, and no budget is in the way.
 func (v *consolidation) movable(a *fleet.Attempt, j *pipeline.Job) bool {
 	if a.State() != fleet.Running || a.Stopping() || v.now.Sub(a.RunStart) < settledRun {
@@ -255,7 +255,7 @@
 	return best
 }
 
-// headroom tells whether there is room for what is expected to arrive, of each
+// headroom reports whether there is room for what is expected to arrive, of each
 // class, while a machine boots.
 func (v *consolidation) headroom(boot time.Duration) bool {
 	for _, c := range v.engine.classes {
--- a/internal/core/consolidate_test.go
+++ b/internal/core/consolidate_test.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// emptiedWith tells whether a machine with two long tasks of a job is emptied, once
+// emptiedWith reports whether a machine with two long tasks of a job is emptied, once
 // another machine in use has room for them.
 func emptiedWith(t *testing.T, shape pipeline.Shape) bool {
 	long, filler, other := job("j-1", 2), job("j-2", 1), job("j-3", 1)
--- a/internal/core/decide.go
+++ b/internal/core/decide.go
@@ -18,7 +18,7 @@
 // planEach is the pause between plans for each machine.
 const planEach = 4 * time.Millisecond
 
-// settled tells whether a new leader knows enough to place (recovery.Reconciler.MayPlace).
+// settled reports whether a new leader knows enough to place (recovery.Reconciler.MayPlace).
 func (e *Engine) settled(now time.Time) bool {
 	return e.recovery.MayPlace(now, e.machines.everListed())
 }
--- a/internal/core/decision_rounds.go
+++ b/internal/core/decision_rounds.go
@@ -25,7 +25,7 @@
 // request has a go begin with the next tick: something has changed that placement may use.
 func (r *decisionRounds) request() { r.requested = true }
 
-// due tells whether a go is to begin.
+// due reports whether a go is to begin.
 func (r *decisionRounds) due(now time.Time) bool {
 	return r.requested || now.Sub(r.begunAt) >= decideEvery
 }
@@ -39,7 +39,7 @@
 	}
 }
 
-// run carries a go out. It tells whether the round has come to its end; if not, the next go
+// run carries a go out. It reports whether the round has come to its end; if not, the next go
 // is requested.
 func (r *decisionRounds) run(b *placement.Board) bool {
 	finished := r.round.Run(b)
@@ -55,7 +55,7 @@
 // waiting notes what the jobs that may choose need, in seconds of each resource.
 func (r *decisionRounds) waiting(backlog fleet.Amount) { r.backlog = backlog }
 
-// planDue tells whether it is time to plan scaling again.
+// planDue reports whether it is time to plan scaling again.
 func (r *decisionRounds) planDue(now time.Time, every time.Duration) bool {
 	return now.Sub(r.plannedAt) >= every
 }
--- a/internal/core/drain_capacity.go
+++ b/internal/core/drain_capacity.go
@@ -125,7 +125,7 @@
 	return drain.Verdict{Kind: drain.NotYet, Cause: drain.CauseReplacement}
 }
 
-// replacementLost tells whether a replacement won't come up any more, or has and isn't enough.
+// replacementLost reports whether a replacement won't come up any more, or has and isn't enough.
 func (e *Engine) replacementLost(now time.Time, r *replacement) bool {
 	if r.machine == "" {
 		return now.Sub(r.requested) > replacementAnswer
@@ -137,7 +137,7 @@
 // replacementAnswer is how long the cloud's answer about a replacement is waited for.
 const replacementAnswer = 30 * time.Second
 
-// isReplacement tells whether a machine was requested in place of one that is still there.
+// isReplacement reports whether a machine was requested in place of one that is still there.
 func (e *Engine) isReplacement(m *fleet.Machine) bool {
 	return e.drains != nil && e.drains.replacements.include(m.Name)
 }
--- a/internal/core/drain_eviction.go
+++ b/internal/core/drain_eviction.go
@@ -61,7 +61,7 @@
 // taskKey names an attempt's task in the ledger of charges.
 func taskKey(a *fleet.Attempt) drain.TaskKey { return drain.TaskKey{Job: a.Ref, Task: a.Task} }
 
-// isGang tells whether a job's tasks are stopped together.
+// isGang reports whether a job's tasks are stopped together.
 func isGang(j *pipeline.Job) bool { return j.Shape == pipeline.Gang && len(j.Tasks) > 1 }
 
 func allObserved(attempts []*fleet.Attempt) bool {
@@ -140,7 +140,7 @@
 	return len(j.Tasks) - len(up)
 }
 
-// taskUp tells whether a task runs and stays, or is one of some attempts.
+// taskUp reports whether a task runs and stays, or is one of some attempts.
 func (e *Engine) taskUp(j *pipeline.Job, task int, except []*fleet.Attempt) bool {
 	m := e.machines.get(j.Tasks[task].Machine)
 	if m == nil {
@@ -150,12 +150,12 @@
 	return a != nil && (e.isUp(a) || slices.Contains(except, a))
 }
 
-// isUp tells whether an attempt runs and isn't to be interrupted.
+// isUp reports whether an attempt runs and isn't to be interrupted.
 func (e *Engine) isUp(a *fleet.Attempt) bool {
 	return a.State() == fleet.Running && !a.Leaving() && !e.charged(a)
 }
 
-// charged tells whether an interruption of an attempt is charged and may be under way.
+// charged reports whether an interruption of an attempt is charged and may be under way.
 func (e *Engine) charged(a *fleet.Attempt) bool {
 	c := e.drains.coordinator.Ledger.Find(taskKey(a), a.Number)
 	return c != nil && c.Open()
@@ -190,8 +190,8 @@
 	return blocked
 }
 
-// evict has a group leave its machines, once the state service holds all its charges; false
-// as long as it doesn't.
+// evict requests that a group leaves its machines, once the state service holds all its charges.
+// It returns false as long as it doesn't.
 func (e *Engine) evict(now time.Time, g *evictionGroup) bool {
 	ledger, stored := e.drains.coordinator.Ledger, true
 	for _, t := range g.candidate.Tasks {
@@ -242,7 +242,7 @@
 const voidEvery = 10 * time.Second
 
 // voidCharges takes back the charges of attempts that run on and whose machines aren't drained
-// any more. Their machines have been heard under this term, so that no stop by an earlier leader
+// any more. Their machines have sent heartbeats under this term, so that no stop by an earlier leader
 // is obeyed there, and this one hasn't told them to stop (TestUnspentChargeIsVoid).
 func (e *Engine) voidCharges(now time.Time) {
 	d := e.drains
@@ -295,7 +295,7 @@
 	return []*fleet.Attempt{a}
 }
 
-// mayMoveByChoice tells whether the scheduler may move a task by its own choice, as far as
+// mayMoveByChoice reports whether the scheduler may move a task by its own choice, as far as
 // disruption budgets go.
 func (e *Engine) mayMoveByChoice(now time.Time, a *fleet.Attempt, j *pipeline.Job) bool {
 	if e.drains == nil || !e.cfg.Drain.Limits(j.Team, j.Class) {
--- a/internal/core/drain_round.go
+++ b/internal/core/drain_round.go
@@ -45,14 +45,14 @@
 	}
 }
 
-// machinesComplete tells whether all machines that exist are known: the cloud's list was read
+// machinesComplete reports whether all machines that exist are known: the cloud's list was read
 // often enough under this term for even the latest to be on it.
 func (e *Engine) machinesComplete(now time.Time) bool {
 	wait := 2*e.cfg.InstanceListLag + e.cfg.HeartbeatInterval
 	return e.machines.everListed() && e.machines.lastListed().Sub(e.started) > wait && e.settled(now)
 }
 
-// mayDisrupt tells whether the leader knows enough, and enough of the fleet is there, to
+// mayDisrupt reports whether the leader knows enough, and enough of the fleet is there, to
 // interrupt anything by choice. While the store takes no writes, no charge can be made.
 func (e *Engine) mayDisrupt(now time.Time) bool {
 	if len(e.catalog) == 0 || !e.settled(now) || e.batches.failing || e.ticks.answersLate(now, e.cfg.HeartbeatInterval) {
@@ -87,7 +87,7 @@
 	}
 }
 
-// mayCordon tells whether cordoning a machine would come to anything soon: nothing there is
+// mayCordon reports whether cordoning a machine would come to anything soon: nothing there is
 // without hope of leaving by a plan's deadline, or waits for long.
 func (e *Engine) mayCordon(now time.Time, m *fleet.Machine, deadline time.Time) drain.Verdict {
 	if m.State() != fleet.Live || m.Draining() {
@@ -169,7 +169,7 @@
 	return verdict
 }
 
-// machineEmptied has a machine on which nothing is left take the way of all that are given back.
+// machineEmptied starts the release of a machine on which nothing is left.
 func (e *Engine) machineEmptied(now time.Time, dm *drain.Machine, m *fleet.Machine) {
 	if e.drains.coordinator.Move(dm, drain.Empty) {
 		e.log(LogMachineDrained, logMachine(m), slog.String(logKeyPlan, dm.Plan), logSince("took", now, dm.Since))
--- a/internal/core/draining.go
+++ b/internal/core/draining.go
@@ -169,5 +169,5 @@
 	}
 }
 
-// pending tells whether an eviction or a cordon waits for a write.
+// pending reports whether an eviction or a cordon waits for a write.
 func (d *draining) pending() bool { return d != nil && d.coordinator.Pending() }
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -46,5 +46,5 @@
 	Log                     []LogRecord
 }
 
-// Deposed tells whether this term is over since a higher one exists.
+// Deposed reports whether this term is over since a higher one exists.
 func (e *Effects) Deposed() bool { return e.HigherFencingToken != 0 }
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -97,7 +97,7 @@
 	e.graph = pipeline.NewGraph(e.expectedDuration)
 	e.startLog = newStartLog(&e.cfg, e.numbers.nextPageName)
 	e.images = newImageLog(&e.cfg, now, e.numbers.nextPageName, e.imagesOn)
-	e.images.recover(snap.Images) // before the machines that it speaks of
+	e.images.recover(snap.Images) // before the machines that they name
 	if cfg.Drain != nil {
 		e.drains = newDraining(now, e, snap.Drains) // before the machines that it cordons
 	}
@@ -113,7 +113,7 @@
 	return e
 }
 
-// RestoreSettled tells whether this term need not be taken for one after a restore of the state
+// RestoreSettled reports whether this term need not be taken for one after a restore of the state
 // service any more.
 func (e *Engine) RestoreSettled(now time.Time) bool { return e.recovery.RestoreSettled(now) }
 
@@ -150,7 +150,7 @@
 
 // Tick lets time pass: unresponsiveness, leases, cancellations, rounds of decisions.
 type Tick struct {
-	// Spent tells whether a round's time budget is used up; nil: never.
+	// Spent reports whether a round's time budget is used up; nil: never.
 	Spent func() bool
 }
 
@@ -164,8 +164,8 @@
 	e.drainRound(now)
 }
 
-// LeaseResumed says that the leader's lease had lapsed and holds again: unresponsiveness meanwhile says
-// nothing about the machines.
+// LeaseResumed says that the leader's lease had lapsed and holds again: heartbeats that were missed
+// meanwhile say nothing about the machines.
 type LeaseResumed struct{}
 
 func (LeaseResumed) apply(e *Engine, now time.Time) {
@@ -189,7 +189,7 @@
 	}
 }
 
-// sameTypes tells whether two catalogs are equal.
+// sameTypes reports whether two catalogs are equal.
 func sameTypes(a, b placement.Catalog) bool {
 	if len(a) != len(b) {
 		return false
--- a/internal/core/fair_order.go
+++ b/internal/core/fair_order.go
@@ -9,9 +9,10 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// FairOrderChanged has the jobs of one urgency choose in the order of their teams' weighted dominant
-// shares, the team that uses least for its weight first, so that a small team's job doesn't
-// wait behind the backlog of a large one. Admission switches it on under overload.
+// FairOrderChanged switches fair order on or off. With it, jobs of one urgency choose in the order
+// of their teams' weighted dominant shares, the team that uses least for its weight first, so
+// that a small team's job doesn't wait behind the backlog of a large one. Admission switches it
+// on under overload.
 type FairOrderChanged struct {
 	On      bool
 	Weights map[string]float64 // by team; those that aren't named weigh 1
@@ -48,7 +49,7 @@
 	}
 }
 
-// sameStretch tells whether fairness between teams decides which of two entries is first.
+// sameStretch reports whether fairness between teams decides which of two entries is first.
 func (a *prioritized) sameStretch(b *prioritized) bool {
 	return a.failing == b.failing && a.starving == b.starving && a.Job.Urgency == b.Job.Urgency
 }
--- a/internal/core/fleet/attempt.go
+++ b/internal/core/fleet/attempt.go
@@ -122,7 +122,7 @@
 	}
 }
 
-// Stopping tells whether the attempt was told to stop, or is to be told with the next answer.
+// Stopping reports whether the attempt was told to stop, or is to be told with the next answer.
 func (a *Attempt) Stopping() bool { return a.stop.requested }
 
 // StopAt is when the attempt was asked to stop.
@@ -134,7 +134,7 @@
 // Eviction is how far the eviction of the attempt is.
 func (a *Attempt) Eviction() Eviction { return a.eviction }
 
-// ApproveEviction has the attempt evicted with the next answer, if that is still in time.
+// ApproveEviction lets the eviction go with the next answer, if that is still in time.
 func (a *Attempt) ApproveEviction() { a.eviction = EvictionApproved }
 
 // WithdrawEviction takes an eviction back that hasn't gone out.
@@ -151,7 +151,7 @@
 	a.CommandSent()
 }
 
-// EvictionIgnored tells whether a worker that was told of an eviction goes on as if it hadn't been:
+// EvictionIgnored reports whether a worker that was told of an eviction goes on as if it hadn't been:
 // the answer was dropped.
 func (a *Attempt) EvictionIgnored() bool {
 	return a.eviction == EvictionSent && a.state != Checkpointing && a.commandSequence < a.Machine.Sequence()
@@ -163,7 +163,7 @@
 // NoteExit takes in why the attempt has exited. What its machine was told before is settled.
 func (a *Attempt) NoteExit(cause ExitCause) { a.Cause, a.commandSequence = cause, 0 }
 
-// Leaving tells whether an attempt is to stop, or is about to be told so.
+// Leaving reports whether an attempt is to stop, or is about to be told so.
 func (a *Attempt) Leaving() bool {
 	return a.stop.requested || a.eviction != NotEvicted || a.state == Checkpointing || a.state == Exited
 }
--- a/internal/core/fleet/images.go
+++ b/internal/core/fleet/images.go
@@ -54,7 +54,7 @@
 }
 
 // ImageThere notes that a task past its fetch was seen, perhaps one that an
-// earlier leader started. It tells whether the image is news.
+// earlier leader started. It reports whether the image is news.
 func (m *Machine) ImageThere(now time.Time, name string, gb float64) bool {
 	for i := range m.images {
 		if m.images[i].Name == name {
@@ -70,7 +70,7 @@
 
 // FetchGivenUp notes that a task which waited for an image is gone, in the given state: a
 // machine gives a fetch up that no task waits for any more. A task that was reported as
-// fetching shows that the image wasn't there. It tells whether the image was believed
+// fetching shows that the image wasn't there. It reports whether the image was believed
 // there.
 func (m *Machine) FetchGivenUp(now time.Time, name string, was TaskState) bool {
 	for _, a := range m.attempts {
--- a/internal/core/fleet/machine.go
+++ b/internal/core/fleet/machine.go
@@ -112,7 +112,7 @@
 // IdleSince is since when the machine has been idle, if it is.
 func (m *Machine) IdleSince() time.Time { return m.idleSince }
 
-// Listed takes in that the cloud lists the machine. It tells whether its existence had not
+// Listed takes in that the cloud lists the machine. It reports whether its existence had not
 // been verified before.
 func (m *Machine) Listed(now time.Time, addr string, running bool) (newlyVerified bool) {
 	m.listedAt, m.listedRunning = now, running
@@ -125,10 +125,10 @@
 // ListedAt is when the cloud last listed the machine; zero if it never has.
 func (m *Machine) ListedAt() time.Time { return m.listedAt }
 
-// ListedRunning tells whether the cloud's last list with the machine said that it is up.
+// ListedRunning reports whether the cloud's last list with the machine said that it is up.
 func (m *Machine) ListedRunning() bool { return m.listedRunning }
 
-// VerifyExistence notes that more than an old copy of a record speaks of the machine. It tells
+// VerifyExistence notes that more than an old copy of a record names the machine. It reports
 // whether that is news.
 func (m *Machine) VerifyExistence() bool {
 	if m.existenceVerified {
@@ -138,10 +138,10 @@
 	return true
 }
 
-// ExistenceVerified tells whether the machine is known to exist, see VerifyExistence.
+// ExistenceVerified reports whether the machine is known to exist, see VerifyExistence.
 func (m *Machine) ExistenceVerified() bool { return m.existenceVerified }
 
-// AnnounceInterruption takes in when the cloud will take the machine back. It tells whether
+// AnnounceInterruption takes in when the cloud will take the machine back. It reports whether
 // this is the first notice.
 func (m *Machine) AnnounceInterruption(at time.Time) (first bool) {
 	first = m.interruptionAt.IsZero()
@@ -149,7 +149,7 @@
 	return first
 }
 
-// InterruptionAnnounced tells whether the cloud will take the machine back.
+// InterruptionAnnounced reports whether the cloud will take the machine back.
 func (m *Machine) InterruptionAnnounced() bool { return !m.interruptionAt.IsZero() }
 
 // Used returns what all that may be on the machine takes of it. Exited tasks
@@ -166,7 +166,7 @@
 // is none.
 func (m *Machine) Attempt(id TaskID) *Attempt { return m.attempts[id] }
 
-// Empty tells whether nothing at all is on the machine, not even an exited attempt that its
+// Empty reports whether nothing at all is on the machine, not even an exited attempt that its
 // worker still lists.
 func (m *Machine) Empty() bool { return len(m.attempts) == 0 }
 
@@ -191,7 +191,7 @@
 	return out
 }
 
-// HasUnrecorded tells whether something runs on the machine that no record names.
+// HasUnrecorded reports whether something runs on the machine that no record names.
 func (m *Machine) HasUnrecorded() bool {
 	for _, a := range m.attempts {
 		if a.Unrecorded && a.state != Exited {
@@ -201,7 +201,7 @@
 	return false
 }
 
-// HasUnstoredResults tells whether results on the machine are not yet written.
+// HasUnstoredResults reports whether results on the machine are not yet written.
 func (m *Machine) HasUnstoredResults() bool {
 	for _, a := range m.attempts {
 		if a.state == Exited && !a.ExitHandled {
--- a/internal/core/fleet/machine_condition.go
+++ b/internal/core/fleet/machine_condition.go
@@ -27,7 +27,7 @@
 // String returns the reason's name.
 func (b StartBlock) String() string { return startBlockNames[b] }
 
-// Withdraws tells whether the reason takes the machine out of placement altogether. The other
+// Withdraws reports whether the reason takes the machine out of placement altogether. The other
 // reasons pass by themselves, so that the machine may count as coming.
 func (b StartBlock) Withdraws() bool { return b >= BlockedDraining && b <= BlockedUnreachable }
 
@@ -62,11 +62,11 @@
 	return NotBlocked
 }
 
-// ToBeReleased tells whether the machine is to be released once it is empty: it drains, or is
+// ToBeReleased reports whether the machine is to be released once it is empty: it drains, or is
 // in quarantine. A cordon alone doesn't release it.
 func (m *Machine) ToBeReleased() bool { return m.draining || m.quarantined }
 
-// Draining tells whether the machine is being emptied.
+// Draining reports whether the machine is being emptied.
 func (m *Machine) Draining() bool { return m.draining }
 
 // StartDraining lets the machine run empty.
@@ -75,10 +75,10 @@
 // StopDraining gives up emptying the machine.
 func (m *Machine) StopDraining() { m.draining = false }
 
-// Cordoned tells whether operators have withdrawn the machine from placement.
+// Cordoned reports whether operators have withdrawn the machine from placement.
 func (m *Machine) Cordoned() bool { return m.cordoned }
 
-// CordonPlanned tells whether the machine is about to be cordoned.
+// CordonPlanned reports whether the machine is about to be cordoned.
 func (m *Machine) CordonPlanned() bool { return m.cordonPlanned }
 
 // SetCordon takes over what the operators' plans say of the machine. It returns false if
@@ -94,7 +94,7 @@
 // PauseStarts has nothing placed on the machine for a while.
 func (m *Machine) PauseStarts(until time.Time) { m.startsPausedUntil = until }
 
-// StartsPaused tells whether nothing is to be placed on the machine for the moment. What has
+// StartsPaused reports whether nothing is to be placed on the machine for the moment. What has
 // been placed may still be started.
 func (m *Machine) StartsPaused(now time.Time) bool { return m.startsPausedUntil.After(now) }
 
@@ -108,15 +108,15 @@
 	m.startsPausedUntil = retryAt
 }
 
-// ScaleInToRetry tells whether the release that was last asked for has failed.
+// ScaleInToRetry reports whether the release that was last asked for has failed.
 func (m *Machine) ScaleInToRetry() bool { return m.failedScaleIns > 0 }
 
-// ScaleInPending tells whether a release is under way that must not be asked for again now.
+// ScaleInPending reports whether a release is under way that must not be asked for again now.
 func (m *Machine) ScaleInPending(now time.Time) bool {
 	return m.state == ScalingIn && (m.failedScaleIns == 0 || now.Before(m.startsPausedUntil))
 }
 
-// Quarantined tells whether too much has failed on the machine.
+// Quarantined reports whether too much has failed on the machine.
 func (m *Machine) Quarantined() bool { return m.quarantined }
 
 // Quarantine withdraws the machine for good: it is to be released once it is empty.
--- a/internal/core/fleet/machine_heartbeats.go
+++ b/internal/core/fleet/machine_heartbeats.go
@@ -32,7 +32,7 @@
 // LastHeartbeat is when the newest heartbeat arrived.
 func (m *Machine) LastHeartbeat() time.Time { return m.lastHeartbeat }
 
-// Newer tells whether a heartbeat is newer than all that have been taken in.
+// Newer reports whether a heartbeat is newer than all that have been taken in.
 func (m *Machine) Newer(r *Heartbeat) bool { return r.Version().After(m.newest) }
 
 // HeartbeatReceived takes in the head of a heartbeat that is newer than all before it.
@@ -45,7 +45,7 @@
 func (m *Machine) ExcuseMissingHeartbeats(now time.Time) { m.lastHeartbeat = now }
 
 // ConfirmTerm takes in that the worker has this term's fencing token, which also shows that
-// the machine exists. It tells whether anything of that is news.
+// the machine exists. It reports whether anything of that is news.
 func (m *Machine) ConfirmTerm() bool {
 	if m.termConfirmed && m.existenceVerified {
 		return false
@@ -54,7 +54,7 @@
 	return true
 }
 
-// TermConfirmed tells whether nothing of an earlier term can start on the machine any more: its
+// TermConfirmed reports whether nothing of an earlier term can start on the machine any more: its
 // worker has this term's fencing token, or never held a task of an earlier term.
 func (m *Machine) TermConfirmed() bool { return m.termConfirmed }
 
@@ -69,7 +69,7 @@
 // and this term's fencing token with it.
 func (m *Machine) TokenSent() { m.fencingTokenSent = true }
 
-// FencingTokenSent tells whether the worker may know this term's fencing token from this leader.
+// FencingTokenSent reports whether the worker may know this term's fencing token from this leader.
 func (m *Machine) FencingTokenSent() bool { return m.fencingTokenSent }
 
 // NextResponseIn is after how long the machine's next heartbeat is expected, whose answer
@@ -81,15 +81,15 @@
 	return max(0, every-now.Sub(m.lastHeartbeat))
 }
 
-// LeaseExpired tells whether the worker's lease has certainly ended: nobody can have
+// LeaseExpired reports whether the worker's lease has certainly ended: nobody can have
 // answered it since the lease was last renewed, and the drift of the two clocks is allowed
 // for (docs/design.md, safety argument 5; TestInheritedAttemptUntilLeaseOver).
 func (m *Machine) LeaseExpired(now time.Time, lease time.Duration) bool {
 	return !m.leaseRenewedAt.IsZero() && now.Sub(m.leaseRenewedAt) > LeaseBound(lease)
 }
 
-// ExpectHeartbeat has work placed on a machine that the leader before heard shortly before its
-// end, ahead of its first heartbeat under this term. It tells whether that is news.
+// ExpectHeartbeat lets work be placed on a machine ahead of its first heartbeat under this term,
+// since the leader before heard from it shortly before its end. It reports whether that is news.
 func (m *Machine) ExpectHeartbeat() bool {
 	if m.state != AwaitingHeartbeat || m.heartbeatExpected {
 		return false
@@ -98,7 +98,7 @@
 	return true
 }
 
-// HeartbeatExpected tells whether work may be placed on the machine ahead of its first
+// HeartbeatExpected reports whether work may be placed on the machine ahead of its first
 // heartbeat under this term.
 func (m *Machine) HeartbeatExpected() bool { return m.heartbeatExpected }
 
--- a/internal/core/fleet/one_way_loss.go
+++ b/internal/core/fleet/one_way_loss.go
@@ -21,10 +21,10 @@
 // Expect notes whether the answer that is being sent must show an effect in the next heartbeat.
 func (l *OneWayLoss) Expect(effect bool) { l.expecting = effect }
 
-// Expecting tells whether the next heartbeat must show an effect of the last answer.
+// Expecting reports whether the next heartbeat must show an effect of the last answer.
 func (l *OneWayLoss) Expecting() bool { return l.expecting }
 
-// Unreachable tells whether answers to the machine's heartbeats are taken to be lost.
+// Unreachable reports whether answers to the machine's heartbeats are taken to be lost.
 func (l *OneWayLoss) Unreachable() bool { return l.undelivered >= unreachableAfter }
 
 // FirstUndelivered is when the present run of undelivered answers was noticed; zero without one.
@@ -51,7 +51,7 @@
 	l.expecting = false
 }
 
-// MustHaveDelivered tells whether a worker that is still in the same incarnation must have
+// MustHaveDelivered reports whether a worker that is still in the same incarnation must have
 // received an answer since the last undelivered one: its lease would have ended
 // otherwise.
 func (l *OneWayLoss) MustHaveDelivered(now time.Time, lease time.Duration) bool {
--- a/internal/core/fleet/stale_heartbeats.go
+++ b/internal/core/fleet/stale_heartbeats.go
@@ -13,7 +13,7 @@
 	return HeartbeatVersion{r.FencingToken, r.Incarnation, r.Sequence}
 }
 
-// After tells whether a version is later than another. The fencing token comes first: it alone
+// After reports whether a version is later than another. The fencing token comes first: it alone
 // tells the heartbeats of a restarted worker from late copies of its former ones
 // (docs/design.md, safety argument 5; TestCopyFromFormerLife).
 func (p HeartbeatVersion) After(o HeartbeatVersion) bool {
@@ -23,12 +23,12 @@
 	return p.CountsPast(o)
 }
 
-// CountsPast tells whether incarnation and sequence number alone are past another version's.
+// CountsPast reports whether incarnation and sequence number alone are past another version's.
 func (p HeartbeatVersion) CountsPast(o HeartbeatVersion) bool {
 	return p.Incarnation > o.Incarnation || p.Incarnation == o.Incarnation && p.Sequence > o.Sequence
 }
 
-// Restarted tells whether a heartbeat of this version, which is after the other, can only
+// Restarted reports whether a heartbeat of this version, which is after the other, can only
 // come from a worker that has restarted in between: its fencing token is higher, but it
 // counts from lower numbers. What was known before are late copies.
 func (p HeartbeatVersion) Restarted(o HeartbeatVersion) bool {
@@ -47,7 +47,7 @@
 // restartHeartbeats is how many stale heartbeats must rise steadily to show a restart.
 const restartHeartbeats = 3
 
-// NoteStale takes in a stale heartbeat. It tells whether such heartbeats have risen steadily
+// NoteStale takes in a stale heartbeat. It reports whether such heartbeats have risen steadily
 // for at least the given time, so that the worker must have restarted.
 func (s *StaleHeartbeats) NoteStale(now time.Time, r *Heartbeat, atLeast time.Duration) (restarted bool) {
 	if r.Version().CountsPast(s.last) {
--- a/internal/core/fleet/start_log.go
+++ b/internal/core/fleet/start_log.go
@@ -101,7 +101,7 @@
 // Stale counts the entries in the store whose attempts are gone.
 func (p *StartLogPage) Stale() int { return p.stale }
 
-// Fits tells whether the page, with one more attempt if there is one, takes no
+// Fits reports whether the page, with one more attempt if there is one, takes no
 // more than so many bytes. A single attempt always does.
 func (p *StartLogPage) Fits(a *Attempt, maxBytes int) bool {
 	n := pageBytes + p.bytes
@@ -111,7 +111,7 @@
 	return n <= maxBytes || a != nil && len(p.live) == 0
 }
 
-// HalfEmpty tells whether at least half of so many bytes are free.
+// HalfEmpty reports whether at least half of so many bytes are free.
 func (p *StartLogPage) HalfEmpty(maxBytes int) bool { return pageBytes+p.bytes <= maxBytes/2 }
 
 // Unwritten lists the attempts that the store isn't known to hold, by machine and number.
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// emptyUnderNewLeader tells whether a machine is empty in the first heartbeat interval of a
+// emptyUnderNewLeader reports whether a machine is empty in the first heartbeat interval of a
 // leader, which then has much to place at once, and which doesn't lag (docs/design.md,
 // "Safety arguments", last paragraph; TestNewLeaderHoldsAnswers).
 func (e *Engine) emptyUnderNewLeader(now time.Time, m *fleet.Machine) bool {
@@ -80,7 +80,7 @@
 	maxTickLag      = 300 * time.Millisecond
 )
 
-// keepHeld tells whether a reply that was held had better be held once more: the
+// keepHeld reports whether a reply that was held had better be held once more: the
 // machine is still empty, or what was placed there isn't written yet.
 func (e *Engine) keepHeld(now time.Time, m *fleet.Machine) bool {
 	if m.StartBlock() != fleet.NotBlocked || now.Sub(m.LastHeartbeat()) > maxResponseHold {
@@ -152,7 +152,7 @@
 	}
 }
 
-// listsAttempt tells whether a heartbeat names an attempt.
+// listsAttempt reports whether a heartbeat names an attempt.
 func listsAttempt(r *fleet.Heartbeat, a *fleet.Attempt) bool {
 	for i := range r.Tasks {
 		if t := &r.Tasks[i]; t.Attempt == a.Number && t.Task == a.Task && t.Ref == a.Ref {
--- a/internal/core/image_log.go
+++ b/internal/core/image_log.go
@@ -19,7 +19,7 @@
 	imagesOf  func(machine string) (has []fleet.Image, ok bool) // of a machine that has been heard of
 	pages     map[string]*imagePage
 	byMachine map[string]*imagePage
-	inherited map[string][]fleet.Image // an earlier leader's word on machines not heard of yet
+	inherited map[string][]fleet.Image // what an earlier leader knew of machines without a heartbeat yet
 	open      *imagePage               // takes machines that are on no page
 	lastWrite time.Time
 	expired   bool // what was inherited and not used is forgotten
@@ -45,8 +45,8 @@
 	imagePageEvery = 20 * time.Second
 	// imageWritesPart is the part of the leader's writes that the image log may take.
 	imageWritesPart = 8
-	// inheritedFor is how long an earlier leader's word on a machine is kept that isn't
-	// heard of.
+	// inheritedFor is how long what an earlier leader knew of a machine is kept while that
+	// sends no heartbeat.
 	inheritedFor = 5 * time.Minute
 	// machineBytes is about what a machine takes of a page, minPageMachines and
 	// maxPageMachines bound how many a page takes.
--- a/internal/core/image_log_writes.go
+++ b/internal/core/image_log_writes.go
@@ -36,7 +36,7 @@
 // rejected leaves the page as it is until something on it changes.
 func (PutImagePage) rejected(_ *Engine, _ time.Time) {}
 
-// DeleteImagePage deletes a page of the image log that speaks of no machine any more.
+// DeleteImagePage deletes a page of the image log that names no machine any more.
 type DeleteImagePage struct{ Name string }
 
 // Kind implements Write.
--- a/internal/core/interruption.go
+++ b/internal/core/interruption.go
@@ -8,7 +8,7 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// interruptionAnnounced handles the cloud's word that it takes the machine: what can save is
+// interruptionAnnounced handles the cloud's notice that it will take the machine back: what can save is
 // stopped in time and goes on elsewhere; the rest may still finish.
 func (e *Engine) interruptionAnnounced(now time.Time, m *fleet.Machine, left time.Duration) {
 	if left < 0 {
--- a/internal/core/job_write_types.go
+++ b/internal/core/job_write_types.go
@@ -174,7 +174,7 @@
 // chunkTarget names a chunk of a job in the log.
 func chunkTarget(ref string, chunk int) string { return fmt.Sprintf("%s/%d", ref, chunk) }
 
-// rewriteChunk has a chunk of a job's done ranges written again; chunk 0 is part of the
+// rewriteChunk requests a new write of a chunk of a job's done ranges; chunk 0 is part of the
 // job's record.
 func (e *Engine) rewriteChunk(ref string, chunk int) {
 	if j := e.jobs.get(ref); j != nil {
--- a/internal/core/job_writes.go
+++ b/internal/core/job_writes.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// pending tells whether anything of a job waits for a write.
+// pending reports whether anything of a job waits for a write.
 func (w *jobWrites) pending() bool { return len(w.changed) > 0 }
 
 // addCleanup adds deletes of keys of jobs that are over.
@@ -128,7 +128,7 @@
 	})
 }
 
-// cancelledWithOthers tells whether a job is cancelled with one of its dependencies, and
+// cancelledWithOthers reports whether a job is cancelled with one of its dependencies, and
 // the store doesn't hold that yet.
 func cancelledWithOthers(j *pipeline.Job) bool {
 	return j.Phase() == pipeline.Cancelled && j.StoredPhase() != pipeline.Cancelled
@@ -149,7 +149,7 @@
 	return needsProgress
 }
 
-// over tells whether a job's final entry can take the place of its record: all
+// over reports whether a job's final entry can take the place of its record: all
 // done, or cancelled with nothing left on any machine.
 func (e *Engine) over(j *pipeline.Job) bool {
 	switch j.Phase() {
--- a/internal/core/machine_registry.go
+++ b/internal/core/machine_registry.go
@@ -49,7 +49,7 @@
 // inState is how many machines are in a state.
 func (r *machineRegistry) inState(s fleet.MachineState) int { return r.states[s] }
 
-// wasRemoved tells whether a machine is proven gone: what still speaks of it is late.
+// wasRemoved reports whether a machine is proven gone: messages that still name it are late.
 func (r *machineRegistry) wasRemoved(name string) bool {
 	_, removed := r.removed[name]
 	return removed
@@ -94,7 +94,7 @@
 	maps.DeleteFunc(r.removed, func(_ string, at time.Time) bool { return now.Sub(at) > keepRemovedNames })
 }
 
-// answerDelivered notes that an answer to a machine's heartbeat has shown its effect. It tells
+// answerDelivered notes that an answer to a machine's heartbeat has shown its effect. It reports
 // whether the machine seemed unreachable until now.
 func (r *machineRegistry) answerDelivered(m *fleet.Machine) (regained bool) {
 	regained = m.OneWayLoss.Unreachable()
@@ -117,7 +117,7 @@
 // unreachableCount is how many machines seem to receive no answers.
 func (r *machineRegistry) unreachableCount() int { return r.unreachable }
 
-// checkAt has a machine checked at the given time, or earlier if that is due anyway.
+// checkAt schedules the next check of a machine. A check that is due earlier stays so.
 func (r *machineRegistry) checkAt(m *fleet.Machine, at time.Time) { r.timers.schedule(m, at) }
 
 // nextDue takes a machine that is to be checked now, or returns nil.
@@ -129,5 +129,5 @@
 // lastListed is when the cloud last listed its machines; zero if it hasn't in this term.
 func (r *machineRegistry) lastListed() time.Time { return r.listedAt }
 
-// everListed tells whether the cloud has listed its machines in this term.
+// everListed reports whether the cloud has listed its machines in this term.
 func (r *machineRegistry) everListed() bool { return !r.listedAt.IsZero() }
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -137,7 +137,7 @@
 	return e.cfg.Lease
 }
 
-// missingFromList tells whether the cloud no longer lists a machine that it did: hint
+// missingFromList reports whether the cloud no longer lists a machine that it did: hint
 // enough to release it before its worker's lease has ended, which proves all on
 // it gone. Machines that only hang stay listed, and are waited for.
 func (e *Engine) missingFromList(m *fleet.Machine) bool {
@@ -194,7 +194,7 @@
 	return unknownBoot
 }
 
-// HasLiveMachines tells whether any machine is up as far as is known.
+// HasLiveMachines reports whether any machine is up as far as is known.
 func (e *Engine) HasLiveMachines() bool {
 	for m := range e.machines.all() {
 		if s := m.State(); s == fleet.Live || s == fleet.Unresponsive {
--- a/internal/core/numbering.go
+++ b/internal/core/numbering.go
@@ -23,7 +23,7 @@
 	return n.counter
 }
 
-// attemptsUsedUp tells whether this term has no attempt numbers left. A fleet of thousands of
+// attemptsUsedUp reports whether this term has no attempt numbers left. A fleet of thousands of
 // machines uses them up within hours; the next number would be one of the next term
 // (TestTermEndsBeforeItsNumbers).
 func (n *numbering) attemptsUsedUp() bool { return n.counter >= 1<<attemptBits-attemptReserve }
--- a/internal/core/placement/board.go
+++ b/internal/core/placement/board.go
@@ -40,9 +40,9 @@
 	// StartBy is when a job's tasks must have started for its next objective on starting; zero
 	// if there is none that it can still keep.
 	StartBy(j *pipeline.Job) time.Time
-	// MayPreempt tells whether it is worth asking for PreemptionCost on behalf of a job.
+	// MayPreempt reports whether it is worth asking for PreemptionCost on behalf of a job.
 	MayPreempt(by *pipeline.Job) bool
-	// PreemptionCost tells whether an attempt may be stopped for a job, and what that would
+	// PreemptionCost reports whether an attempt may be stopped for a job, and what that would
 	// cost in seconds.
 	PreemptionCost(by *pipeline.Job, a *fleet.Attempt) (cost float64, ok bool)
 }
@@ -55,6 +55,6 @@
 	Unplaced(j *pipeline.Job, tasks int)
 	// Preempt stops an attempt to make room.
 	Preempt(a *fleet.Attempt)
-	// Spent tells whether the budget of this go is used up.
+	// Spent reports whether the budget of this go is used up.
 	Spent() bool
 }
--- a/internal/core/placement/free_capacity.go
+++ b/internal/core/placement/free_capacity.go
@@ -82,13 +82,13 @@
 	return i
 }
 
-// Allowed tells whether a job may use the pool's machines at all.
+// Allowed reports whether a job may use the pool's machines at all.
 func (p *Pool) Allowed(sp *pipeline.Spec) bool {
 	return len(p.Slots) > 0 && sp.AllowsType(p.Key.Type) && (sp.Zone == "" || sp.Zone == p.Key.Zone) &&
 		(sp.Spot || !p.Key.Spot) && p.Type.Fits(sp)
 }
 
-// mayFit tells whether any slot might have room for a task: no is certain.
+// mayFit reports whether any slot might have room for a task: no is certain.
 func (p *Pool) mayFit(sp *pipeline.Spec) bool {
 	if p.stale {
 		p.stale, p.most = false, fleet.Amount{}
--- a/internal/core/placement/machine_type.go
+++ b/internal/core/placement/machine_type.go
@@ -28,7 +28,7 @@
 	return t.Hourly
 }
 
-// InZone tells whether the type is offered in a zone.
+// InZone reports whether the type is offered in a zone.
 func (t *Type) InZone(zone string) bool {
 	return slices.Contains(t.Zones, zone)
 }
@@ -47,7 +47,7 @@
 // slack absorbs the rounding of sums of decimal amounts.
 const slack = 1e-6
 
-// Fits tells whether one task fits an empty machine of the type.
+// Fits reports whether one task fits an empty machine of the type.
 func (t *Type) Fits(s *pipeline.Spec) bool { return t.Capacity(s) > 0 }
 
 // Capacity is how many tasks of the job fit an empty machine of the type.
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -2,7 +2,7 @@
 
 import "gingertally/internal/core/pipeline"
 
-// Possible tells whether a job could ever run: some allowed type, in an allowed
+// Possible reports whether a job could ever run: some allowed type, in an allowed
 // zone, fits a task, and the team's limit allows what has to run at once.
 func Possible(s *pipeline.Spec, team Quota, c Catalog) bool {
 	n := 1.0
--- a/internal/core/placement/preempt.go
+++ b/internal/core/placement/preempt.go
@@ -30,7 +30,7 @@
 	return reservation{sp.Ref, r.left.Sub(need(sp))}
 }
 
-// fits tells whether there is room for a task of the job.
+// fits reports whether there is room for a task of the job.
 func (r reservation) fits(sp *pipeline.Spec) bool { return tasksWithin(r.left, sp) > 0 }
 
 // endsLate is how much later than expected the last of what occupies a place may
@@ -59,7 +59,7 @@
 	}
 }
 
-// large tells whether the job's tasks count as large on some type it may use.
+// large reports whether the job's tasks count as large on some type it may use.
 func (b *Board) large(j *pipeline.Job) bool {
 	for _, p := range b.FreeCapacity.Pools {
 		if p.Allowed(&j.Spec) && Share(p.Type, &j.Spec) >= largeShare {
--- a/internal/core/placement/quota.go
+++ b/internal/core/placement/quota.go
@@ -5,7 +5,7 @@
 // Quota is a team's guarantee and limit; a limit of 0 means none.
 type Quota struct{ GuaranteedCPUs, GuaranteedGPUs, CPULimit, GPULimit float64 }
 
-// Within tells whether an amount is within the team's limits.
+// Within reports whether an amount is within the team's limits.
 func (t Quota) Within(cpus, gpus float64) bool {
 	return (t.CPULimit == 0 || cpus <= t.CPULimit+slack) && (t.GPULimit == 0 || gpus <= t.GPULimit+slack)
 }
--- a/internal/core/placement/rounds.go
+++ b/internal/core/placement/rounds.go
@@ -28,11 +28,11 @@
 	resume string // the job it stopped before
 }
 
-// Resumes tells whether the next go continues a round.
+// Resumes reports whether the next go continues a round.
 func (r *Round) Resumes() bool { return r.resume != "" }
 
 // Run goes through the jobs from where it last stopped until all were looked
-// at or the budget is spent; it tells whether it came to the end.
+// at or the budget is spent; it reports whether it came to the end.
 func (r *Round) Run(b *Board) bool {
 	from := 0
 	if r.resume != "" {
--- a/internal/core/placement/slot.go
+++ b/internal/core/placement/slot.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// Allowed tells whether the job may use the slot's type, zone and kind.
+// Allowed reports whether the job may use the slot's type, zone and kind.
 func (s *Slot) Allowed(sp *pipeline.Spec) bool {
 	return sp.AllowsType(s.Type.Name) && (sp.Zone == "" || sp.Zone == s.Zone) && (sp.Spot || !s.Spot)
 }
@@ -76,7 +76,7 @@
 	return &c
 }
 
-// paused tells whether nothing is to be placed on the slot for the moment.
+// paused reports whether nothing is to be placed on the slot for the moment.
 func (s *Slot) paused(now time.Time) bool {
 	return s.Machine != nil && s.Machine.StartsPaused(now)
 }
--- a/internal/core/preemption.go
+++ b/internal/core/preemption.go
@@ -41,7 +41,7 @@
 	return cost, true
 }
 
-// starvesBefore tells whether a job of which nothing has begun for long comes before another:
+// starvesBefore reports whether a job of which nothing has begun for long comes before another:
 // what it has just been given mustn't be taken from it again, round after round, so that
 // neither ever starts.
 func (e *Engine) starvesBefore(now time.Time, j, by *pipeline.Job) bool {
@@ -51,7 +51,7 @@
 	return !e.pastStarvationBound(now, by) || !e.starvingSince(by).Before(e.starvingSince(j))
 }
 
-// mayReclaimGuarantee tells whether a job's team is within its guarantee with what the job needs at
+// mayReclaimGuarantee reports whether a job's team is within its guarantee with what the job needs at
 // once, and the other job's team beyond its own. Where both CPUs and GPUs are guaranteed,
 // both have to fit; a guarantee of none holds nothing back but gives nothing either.
 func (e *Engine) mayReclaimGuarantee(by, j *pipeline.Job) bool {
--- a/internal/core/priority_order.go
+++ b/internal/core/priority_order.go
@@ -113,7 +113,7 @@
 	return int(math.Ceil(left * run / (run + max(0, spare.Seconds()))))
 }
 
-// pastStarvationBound tells whether a job has waited so long for its first task that it comes
+// pastStarvationBound reports whether a job has waited so long for its first task that it comes
 // before all others.
 func (e *Engine) pastStarvationBound(now time.Time, j *pipeline.Job) bool {
 	return !j.Started && now.Sub(j.Since) > e.starvationBound(j)
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -37,7 +37,7 @@
 	return o
 }
 
-// unsent tells whether an attempt's start hasn't left.
+// unsent reports whether an attempt's start hasn't left.
 func unsent(a *fleet.Attempt) bool { return a.State() <= fleet.Recorded && !a.Inherited }
 
 // holderHere is what the attempt known on a machine is to the reported one.
@@ -84,7 +84,7 @@
 	return true
 }
 
-// newAttempt is a reported attempt of which nothing here speaks.
+// newAttempt makes an attempt that only a heartbeat names.
 func (e *Engine) newAttempt(t fleet.TaskStatus) *fleet.Attempt {
 	a := &fleet.Attempt{TaskID: fleet.TaskID{Ref: t.Ref, Task: t.Task}, Number: t.Attempt}
 	if j := e.jobs.get(t.Ref); j != nil && t.Task < len(j.Tasks) {
--- a/internal/core/replacements.go
+++ b/internal/core/replacements.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// include tells whether a machine was requested in place of one that is still there.
+// include reports whether a machine was requested in place of one that is still there.
 func (r replacements) include(machine string) bool {
 	for _, by := range r {
 		if by.machine == machine {
--- a/internal/core/scale_in.go
+++ b/internal/core/scale_in.go
@@ -79,7 +79,7 @@
 	return keep
 }
 
-// neededByDemand tells whether waiting work could use the machine: a gang, say, that
+// neededByDemand reports whether waiting work could use the machine: a gang, say, that
 // still lacks room for some of its tasks.
 func neededByDemand(now time.Time, p *placement.Pool, m *fleet.Machine, demand []capacity.Demand) bool {
 	for _, d := range demand {
--- a/internal/core/start_log.go
+++ b/internal/core/start_log.go
@@ -33,7 +33,7 @@
 
 // trimEvery is how often a page is trimmed of attempts that are gone, trimPause how much
 // time lies between the trims of two pages. An untrimmed entry costs a later leader the
-// wait for that machine's word.
+// wait for that machine's next confirmed heartbeat.
 const (
 	trimEvery = 10 * time.Second
 	trimPause = trimEvery / 10
@@ -69,7 +69,7 @@
 // unstored is how many starts aren't on a page yet.
 func (l *startLog) unstored() int { return len(l.unpaged) }
 
-// pending tells whether a start waits for a write.
+// pending reports whether a start waits for a write.
 func (l *startLog) pending() bool { return len(l.unpaged) > 0 || len(l.dirty) > 0 }
 
 // addWrites puts new attempts on pages, and adds the pages that are to be written.
--- a/internal/core/tick_clock.go
+++ b/internal/core/tick_clock.go
@@ -27,7 +27,7 @@
 // sinceLast is how long ago the last tick came.
 func (c *tickClock) sinceLast(now time.Time) time.Duration { return now.Sub(c.last) }
 
-// answersLate tells whether this node has been slow of late: answers that workers drop for
+// answersLate reports whether this node has been slow of late: answers that workers drop for
 // being late, or that meet heartbeats held back and delivered together, are no sign that a
 // machine receives nothing (TestSlowLeaderReleasesNone, TestReportsDeliveredTogether).
 func (c *tickClock) answersLate(now time.Time, heartbeatInterval time.Duration) bool {
--- a/internal/core/timer_queue.go
+++ b/internal/core/timer_queue.go
@@ -21,8 +21,7 @@
 	machine *fleet.Machine
 }
 
-// schedule has a machine checked at the given time, or earlier if its present timer
-// expires before then.
+// schedule sets a machine's timer. If its present timer expires earlier, that one stays.
 func (q *timerQueue) schedule(m *fleet.Machine, at time.Time) {
 	if present, scheduled := q.valid[m]; scheduled && !at.Before(present) {
 		return
--- a/internal/core/warm_start.go
+++ b/internal/core/warm_start.go
@@ -25,7 +25,7 @@
 // WarmOutcome counts what came of a warm start.
 type WarmOutcome struct {
 	Confirmed bool
-	Expected  int // machines on which work is placed before they are heard of
+	Expected  int // machines on which work is placed before their first heartbeat
 	Differing int // machines of which the start log and the warm state tell different things
 	Unstored  int // attempts that only the warm state knows
 	Unknown   int // attempts that only the start log knows
@@ -157,7 +157,7 @@
 			return
 		}
 		m = e.addAwaitingHeartbeat(s.now, fleet.MachineStarts{Machine: w.Name, Type: w.Type, Zone: w.Zone, Spot: w.Spot})
-		// Its existence stays unverified: nothing but the warm state speaks of it so far.
+		// Its existence stays unverified: so far only the warm state names it.
 	}
 	m.RestoreHistory(fleet.History{
 		Quarantined: w.Quarantined, Draining: w.Draining, ListedRunning: w.ListedRunning,
@@ -184,8 +184,8 @@
 	s.engine.imagesChanged(m)
 }
 
-// expect has work placed on a machine that hasn't been heard of under this term. The start still
-// leaves only in the answer to a heartbeat that proves the machine free of anything else, as
+// expect lets work be placed on a machine that hasn't sent a heartbeat under this term. The start
+// still leaves only in the answer to a heartbeat that proves the machine free of anything else, as
 // for all other machines.
 func (e *Engine) expect(m *fleet.Machine) {
 	if m.ExpectHeartbeat() {
@@ -194,7 +194,7 @@
 	}
 }
 
-// expectNoLonger gives up on a machine that was expected and hasn't been heard of for as long
+// expectNoLonger gives up on a machine that was expected and hasn't sent a heartbeat for as long
 // as makes any machine unresponsive: what was placed there goes elsewhere.
 func (e *Engine) expectNoLonger(now time.Time, m *fleet.Machine) {
 	m.HeartbeatOverdue()
--- a/internal/core/writes.go
+++ b/internal/core/writes.go
@@ -25,7 +25,7 @@
 	started(e *Engine, now time.Time)
 	// succeeded notes that the state service holds the write, at a revision.
 	succeeded(e *Engine, now time.Time, revision uint64)
-	// failed has what the write was to store written again. Versions are those of the pages
+	// failed requests a new write of what the write was to store. Versions are those of the pages
 	// that were read afterwards, by name.
 	failed(e *Engine, versions map[string]uint64)
 	// rejected notes that the state service takes the write under no circumstances.
