--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -5,69 +5,24 @@
 
 import (
 	"log/slog"
-	"sort"
 	"time"
 
 	"gingertally/internal/core/fleet"
 	"gingertally/internal/core/pipeline"
 )
 
-// jobUse is what of a job may be on machines. Quotas, zones and gangs are checked against
-// it, also for jobs that are over (TestQuotaCountsJobsThatAreOver).
-type jobUse struct {
-	team     string
-	attempts map[*fleet.Attempt]bool
-	results  map[*fleet.Attempt]bool // that the store isn't known to hold
-	running  int
-	zones    map[string]int
-}
-
-// attemptBits is the room for the attempts of one term in an attempt's number.
-const attemptBits = 24
-
-// attemptReserve is how many numbers are left when a term counts as used up: more than one
-// round of decisions and its rentals take.
-const attemptReserve = 1 << 16
-
-// attemptsUsedUp tells whether this term has no attempt numbers left. A fleet of thousands of
-// machines uses them up within hours; the next number would be one of the next term
-// (TestTermEndsBeforeItsNumbers).
-func (e *Engine) attemptsUsedUp() bool { return e.counter >= 1<<attemptBits-attemptReserve }
-
-// nextAttempt makes a number that no other term can have made (docs/design.md, safety
-// argument 3).
-func (e *Engine) nextAttempt() uint64 {
-	e.counter++
-	return e.term<<attemptBits | e.counter
-}
-
-// useOf returns the use of a job, empty if nothing of it may be on a machine.
-func (e *Engine) useOf(ref string) *jobUse {
-	u := e.use[ref]
-	if u == nil {
-		u = &jobUse{attempts: map[*fleet.Attempt]bool{}, results: map[*fleet.Attempt]bool{}, zones: map[string]int{}}
-		e.use[ref] = u
-	}
-	return u
-}
-
 // attach notes an attempt that is, or may be, on a machine. Together with moveAttempt and
 // detach it keeps the counts that quotas, zones and gangs are checked against.
 func (e *Engine) attach(now time.Time, m *fleet.Machine, a *fleet.Attempt, st fleet.TaskState) {
-	u := e.useOf(a.Ref)
-	if j := e.jobs[a.Ref]; j != nil {
-		u.team = j.Team
+	team := ""
+	if j := e.jobs.get(a.Ref); j != nil {
+		team = j.Team
 		a.ServiceReplica = j.Shape == pipeline.Service
 	}
 	m.AddAttempt(now, a, st)
-	u.attempts[a] = true
-	u.zones[m.Zone]++
-	e.teamUse[u.team] = e.teamUse[u.team].Plus(a)
+	e.usage.add(a, team)
 	e.capacityChanged(m)
 	e.warm.noteAttempt(a)
-	if st == fleet.Running {
-		u.running++
-	}
 }
 
 // moveAttempt is the one place where an attempt that is attached changes state.
@@ -77,13 +32,10 @@
 		return
 	}
 	e.warm.noteAttempt(a)
-	u := e.useOf(a.Ref)
-	if was == fleet.Running {
-		u.running--
-	}
+	e.usage.moved(a, was)
 	if to == fleet.Running {
-		u.running++
-		e.debug(LogAttemptRunning, logAttempt(a, logSince("since_start_sent", now, a.SentAt), slog.Duration("fetch_estimate", a.FetchEstimate))...)
+		e.debug(LogAttemptRunning, logAttempt(a, logSince("since_start_sent", now, a.SentAt),
+			slog.Duration("fetch_estimate", a.FetchEstimate))...)
 	}
 	if to == fleet.Exited {
 		e.settleExit(now, m, a, was)
@@ -98,20 +50,17 @@
 			e.imagesChanged(m)
 		}
 	}
-	u := e.useOf(a.Ref)
-	delete(u.attempts, a)
-	u.zones[m.Zone]--
-	e.teamUse[u.team] = e.teamUse[u.team].Minus(a)
+	e.usage.exited(a)
 	e.startLog.removeAttempt(a)
 	e.endCharge(now, a)
 	e.capacityChanged(m)
-	e.forgetUse(a.Ref)
+	e.forgetUsage(a.Ref)
 }
 
-// forgetUse forgets the use of a job that is over and nowhere any more.
-func (e *Engine) forgetUse(ref string) {
-	if u := e.use[ref]; u != nil && len(u.attempts)+len(u.results) == 0 && e.jobs[ref] == nil {
-		delete(e.use, ref)
+// forgetUsage forgets the usage of a job that is over and nowhere any more.
+func (e *Engine) forgetUsage(ref string) {
+	if e.jobs.get(ref) == nil {
+		e.usage.forgetUnused(ref)
 	}
 }
 
@@ -124,41 +73,20 @@
 // removeAttempt forgets an attempt that has exited.
 func (e *Engine) removeAttempt(now time.Time, m *fleet.Machine, a *fleet.Attempt) {
 	m.RemoveAttempt(now, a.TaskID)
-	if u := e.use[a.Ref]; u != nil {
-		delete(u.results, a)
-		e.forgetUse(a.Ref)
-	}
-}
-
-// attemptsOf lists the attempts of a job that may be on machines, by machine.
-func (e *Engine) attemptsOf(ref string) []*fleet.Attempt {
-	u := e.use[ref]
-	if u == nil || len(u.attempts) == 0 {
-		return nil
-	}
-	out := make([]*fleet.Attempt, 0, len(u.attempts))
-	for a := range u.attempts {
-		out = append(out, a)
-	}
-	sort.Slice(out, func(i, k int) bool {
-		if out[i].Machine.Name != out[k].Machine.Name {
-			return out[i].Machine.Name < out[k].Machine.Name
-		}
-		return out[i].Task < out[k].Task
-	})
-	return out
+	e.usage.removeResult(a)
+	e.forgetUsage(a.Ref)
 }
 
 // stopJob ends all attempts of a job at once: nothing they could save counts.
 func (e *Engine) stopJob(now time.Time, j *pipeline.Job, reason stopReason) {
-	for _, a := range e.attemptsOf(j.Ref) {
+	for _, a := range e.usage.attemptsOf(j.Ref) {
 		e.stop(now, a.Machine, a, 0)
 	}
 	e.debug(LogJobTasksStopped, logJob(j), logReason(string(reason)))
 }
 
-// stop has an attempt end, saving first if grace allows. A start that hasn't left is simply
-// withdrawn.
+// stop asks an attempt to stop, after a checkpoint if grace leaves time for one. A start that
+// hasn't been sent is simply withdrawn.
 func (e *Engine) stop(now time.Time, m *fleet.Machine, a *fleet.Attempt, grace time.Duration) {
 	switch a.State() {
 	case fleet.Exited:
@@ -170,15 +98,12 @@
 			return
 		}
 	}
-	if a.Stopping && a.Grace <= grace {
+	if a.Stopping() && a.Grace() <= grace {
 		return
 	}
-	a.Stopping, a.StopAt, a.Grace, a.Eviction = true, now, grace, fleet.NotEvicted
+	a.RequestStop(now, grace)
 	e.capacityChanged(m)
-	if a.State() != fleet.Sent {
-		a.CommandSequence = 0
-	}
-	if a.State() == fleet.Sent || m.Incarnation == 0 {
+	if a.State() == fleet.Sent || m.Incarnation() == 0 {
 		return // goes with the next heartbeat's response, once it is there
 	}
 	e.direct(m, fleet.Command{Kind: fleet.Stop, Ref: a.Ref, Task: a.Task, Attempt: a.Number, Grace: grace})
@@ -188,19 +113,22 @@
 // stops go this way: they name their attempt and are harmless late (docs/design.md, safety
 // argument 7).
 func (e *Engine) direct(m *fleet.Machine, c fleet.Command) {
-	m.FencingTokenSent = true
+	m.TokenSent()
 	for i := range e.out.Direct {
 		if d := &e.out.Direct[i]; d.Machine == m.Name {
 			d.Commands = append(d.Commands, c)
 			return
 		}
 	}
-	e.out.Direct = append(e.out.Direct, Direct{Machine: m.Name, Addr: m.Addr, Incarnation: m.Incarnation, FencingToken: e.term, Commands: []fleet.Command{c}})
+	e.out.Direct = append(e.out.Direct, Direct{
+		Machine: m.Name, Addr: m.Addr(), Incarnation: m.Incarnation(), FencingToken: e.numbers.term,
+		Commands: []fleet.Command{c},
+	})
 }
 
-// requeue lets the task of a gone attempt be placed again.
+// requeue lets the task of an attempt that is proven gone be placed again.
 func (e *Engine) requeue(a *fleet.Attempt) {
-	if j := e.jobs[a.Ref]; j != nil && a.Task < len(j.Tasks) && j.Tasks[a.Task].Attempt == a.Number {
+	if j := e.jobs.get(a.Ref); j != nil && a.Task < len(j.Tasks) && j.Tasks[a.Task].Attempt == a.Number {
 		j.Requeue(a.Task)
 	}
 }
@@ -218,12 +146,12 @@
 // gang runs whole or not at all. Another attempt of the gang, which took the place of one
 // given up, doesn't end with that (TestOldAttemptOfAGangEndsAlone).
 func (e *Engine) stopBrokenGang(now time.Time, a *fleet.Attempt) {
-	j := e.jobs[a.Ref]
+	j := e.jobs.get(a.Ref)
 	if j == nil || j.Shape != pipeline.Gang || j.Tasks[0].State() == pipeline.Finished || len(j.Tasks) == 1 {
 		return
 	}
-	for _, b := range e.attemptsOf(a.Ref) {
-		if b.Number == a.Number && !b.Stopping {
+	for _, b := range e.usage.attemptsOf(a.Ref) {
+		if b.Number == a.Number && !b.Stopping() {
 			e.chargeInvoluntary(now, b)
 			e.stop(now, b.Machine, b, 0)
 		}
@@ -235,19 +163,20 @@
 	if a.State() == fleet.Exited {
 		return // reported again, until the worker is told to forget it
 	}
-	j := e.jobs[a.Ref]
+	j := e.jobs.get(a.Ref)
 	current := j != nil && a.Task < len(j.Tasks) && j.Tasks[a.Task].Attempt == a.Number
 	if t.Cause == fleet.CauseGangPeerLost {
 		e.chargeInvoluntary(now, a)
 	}
 	e.moveAttempt(now, m, a, fleet.Exited)
-	a.Cause, a.CommandSequence = t.Cause, 0
+	a.NoteExit(t.Cause)
 	if t.Cause == fleet.CauseDone {
 		e.taskDone(now, m, a)
 		return
 	}
 	a.ExitHandled = true
-	e.debug(LogAttemptExited, logAttempt(a, slog.String("cause", t.Cause.String()), slog.Bool("checkpointed", t.Checkpointed))...)
+	e.debug(LogAttemptExited, logAttempt(a, slog.String("cause", t.Cause.String()),
+		slog.Bool("checkpointed", t.Checkpointed))...)
 	if !current {
 		return
 	}
@@ -255,14 +184,14 @@
 	case fleet.CauseError:
 		e.taskFailed(now, m, j, a.Task)
 	case fleet.CauseInsufficientResources, fleet.CauseAlreadyPresent:
-		m.StartsPausedUntil = now.Add(min(e.cfg.HeartbeatInterval, maxNoCapacityPause))
+		m.PauseStarts(now.Add(min(e.cfg.HeartbeatInterval, maxNoCapacityPause)))
 		m.RemoveImage(a.Image)
 	case fleet.CauseUnknownTask:
 		j.Tasks[a.Task].NotUntil = now.Add(unknownExitPause)
 	}
 	j.Requeue(a.Task)
 	e.stopBrokenGang(now, a)
-	e.replan = true
+	e.rounds.request()
 }
 
 const (
@@ -277,15 +206,16 @@
 func (e *Engine) taskDone(now time.Time, m *fleet.Machine, a *fleet.Attempt) {
 	e.debug(LogAttemptSucceeded, logAttempt(a)...)
 	m.ClearFailures()
-	j := e.jobs[a.Ref]
+	j := e.jobs.get(a.Ref)
 	if j == nil || j.Over() || a.Task >= len(j.Tasks) {
 		a.ExitHandled = true
 		return
 	}
 	if !a.RunStart.IsZero() && j.Estimate > 0 {
-		e.learnRunTime(j, now.Sub(a.RunStart))
+		e.classes.class(j.Class).learnRunTime(now.Sub(a.RunStart), j.Estimate)
+		e.warm.noteClass(j.Class)
 	}
-	e.useOf(a.Ref).results[a] = true
+	e.usage.addResult(a)
 	j.Finish(a.Task)
 	if j.CompleteIfDone() {
 		e.log(LogJobTasksDone, logJob(j))
@@ -307,36 +237,20 @@
 	j.TaskFailed(now, task, e.cfg.RestartLimit)
 	e.jobWrites.jobChanged(j)
 	e.capacityChanged(m)
-	if !m.Quarantined && (len(m.FailedJobs) >= quarantineAfterJobs || m.Failures >= quarantineAfterFailures && len(j.AvoidUntil) == 0) {
-		m.Quarantined = true
-		e.timers.schedule(m, now)
-		e.log(LogMachineQuarantined, logMachine(m), slog.Int("failures", m.Failures))
-		for ref := range m.FailedJobs {
-			if o := e.jobs[ref]; o != nil {
+	if m.Quarantined() {
+		return
+	}
+	failedAgain := m.Failures() >= quarantineAfterFailures && len(j.AvoidUntil) == 0
+	if len(m.FailedJobs()) >= quarantineAfterJobs || failedAgain {
+		m.Quarantine()
+		e.machines.checkAt(m, now)
+		e.log(LogMachineQuarantined, logMachine(m), slog.Int("failures", m.Failures()))
+		for _, ref := range m.FailedJobs() {
+			if o := e.jobs.get(ref); o != nil {
 				delete(o.AvoidUntil, m.Name)
 			}
 		}
 		return
 	}
-	if !m.Quarantined {
-		j.Avoid(now, m.Name)
-	}
-}
-
-// learnRunTime smooths the ratio of run time to estimate that a class of jobs shows.
-func (e *Engine) learnRunTime(j *pipeline.Job, ran time.Duration) {
-	c := e.class(j.Class)
-	ratio := min(max(float64(ran)/float64(j.Estimate), minRunRatio), maxRunRatio)
-	c.runs++
-	weight := max(1/float64(c.runs), minRunWeight)
-	c.ratio += (ratio - c.ratio) * weight
-	e.warm.noteClass(j.Class)
+	j.Avoid(now, m.Name)
 }
-
-const (
-	// minRunRatio and maxRunRatio bound what one run may show.
-	minRunRatio = 0.1
-	maxRunRatio = 10
-	// minRunWeight is the weight of a run once many have been seen.
-	minRunWeight = 0.1
-)
--- a/internal/core/cancel.go
+++ b/internal/core/cancel.go
@@ -1,6 +1,9 @@
 package core
 
 import (
+	"cmp"
+	"maps"
+	"slices"
 	"time"
 
 	"gingertally/internal/core/fleet"
@@ -20,7 +23,7 @@
 // at the most: the worker's lease, the drift of two clocks, and the steps of timers.
 func (c *Config) CancelBound() time.Duration { return fleet.LeaseBound(c.Lease) }
 
-// CancelKept tells whether a cancellation may be confirmed while tasks of the job may be
+// CancelKept reports whether a cancellation may be confirmed while tasks of the job may be
 // on machines. If not, they have to be proven gone first.
 func (c *Config) CancelKept() bool { return c.CancelBound() <= c.CancelWithin }
 
@@ -45,7 +48,7 @@
 	deferredUntil  time.Time // put off until then, for its user to ask again
 }
 
-// undecided tells whether the store may hold the cancellation, or may yet come to hold
+// undecided reports whether the store may hold the cancellation, or may yet come to hold
 // it. RecordVersion is that of the job's record, 0 if the job isn't known.
 func (p *pendingCancellation) undecided(recordVersion uint64) bool {
 	return p.transactions > 0 || p.unknownVersion != 0 && recordVersion <= p.unknownVersion
@@ -65,13 +68,53 @@
 // end of the job.
 func (c *cancellations) resolve(ref string) { delete(c.pending, ref) }
 
-// inTransaction tells whether a transaction is under way that cancels the job.
+// transactionEnded takes in how a transaction ended that didn't certainly cancel the job; one
+// that was put off is expected again by deferredUntil. It returns false if nothing is pending.
+func (c *cancellations) transactionEnded(end CancelUndecided, deferredUntil time.Time) bool {
+	p := c.pending[end.Ref]
+	if p == nil {
+		return false
+	}
+	p.transactions = max(0, p.transactions-1)
+	if end.Deferred {
+		p.deferredUntil = deferredUntil
+	}
+	if end.Unknown {
+		p.unknownVersion = max(p.unknownVersion, end.Version)
+	}
+	return true
+}
+
+// outcomeUnknown reports whether a transaction without an answer may yet change the job's record.
+func (c *cancellations) outcomeUnknown(ref string, recordVersion uint64) bool {
+	p := c.pending[ref]
+	return p != nil && p.unknownVersion >= recordVersion
+}
+
+// stop notes a job that is cancelled and of which tasks may still be on machines.
+func (c *cancellations) stop(j *pipeline.Job) { c.stopping[j] = true }
+
+// stopped notes that nothing of a cancelled job is on machines any more.
+func (c *cancellations) stopped(j *pipeline.Job) { delete(c.stopping, j) }
+
+// beingStopped lists the jobs between stop and stopped, by name.
+func (c *cancellations) beingStopped() []*pipeline.Job {
+	if len(c.stopping) == 0 {
+		return nil // asked with every tick
+	}
+	return slices.SortedFunc(maps.Keys(c.stopping), func(a, b *pipeline.Job) int { return cmp.Compare(a.Ref, b.Ref) })
+}
+
+// isPending reports whether something isn't known yet about a cancellation of the job.
+func (c *cancellations) isPending(ref string) bool { return c.pending[ref] != nil }
+
+// inTransaction reports whether a transaction is under way that cancels the job.
 func (c *cancellations) inTransaction(ref string) bool {
 	p := c.pending[ref]
 	return p != nil && p.transactions > 0
 }
 
-// undecided tells whether the store may hold a cancellation of the job that isn't known
+// undecided reports whether the store may hold a cancellation of the job that isn't known
 // here, and forgets what has been decided.
 func (c *cancellations) undecided(ref string, recordVersion uint64) bool {
 	p := c.pending[ref]
@@ -88,7 +131,7 @@
 	return false
 }
 
-// deferred tells whether the job's cancellation is put off, and forgets it once its user
+// deferred reports whether the job's cancellation is put off, and forgets it once its user
 // hasn't asked again in time.
 func (c *cancellations) deferred(now time.Time, ref string) bool {
 	p := c.pending[ref]
@@ -107,7 +150,7 @@
 
 func (c CancelRequested) apply(e *Engine, now time.Time) {
 	e.cancellations.begin(c.Ref)
-	if j := e.jobs[c.Ref]; j != nil {
+	if j := e.jobs.get(c.Ref); j != nil {
 		e.stopJob(now, j, stopCancelRequested)
 	}
 }
@@ -122,49 +165,40 @@
 }
 
 func (c CancelUndecided) apply(e *Engine, now time.Time) {
-	p := e.cancellations.pending[c.Ref]
-	if p == nil {
+	if !e.cancellations.transactionEnded(c, now.Add(e.cfg.CancelWithin)) {
 		return // resolved meanwhile
 	}
-	p.transactions = max(0, p.transactions-1)
-	if c.Deferred {
-		p.deferredUntil = now.Add(e.cfg.CancelWithin)
-	}
-	j := e.jobs[c.Ref]
-	if c.Unknown {
-		p.unknownVersion = max(p.unknownVersion, c.Version)
-		if j != nil {
-			e.resolveUnknownOutcome(j)
-		}
+	if j := e.jobs.get(c.Ref); c.Unknown && j != nil {
+		e.resolveUnknownOutcome(j)
 	}
 	e.cancelUndecided(c.Ref) // forgets what is decided
-	e.replan = true
+	e.rounds.request()
 }
 
-// resolveUnknownOutcome has the record of a job written again whose cancellation may yet
+// resolveUnknownOutcome requests a new write of the record of a job whose cancellation may yet
 // be carried out: a transaction that was meant for an earlier version of the record fails
 // from then on (docs/design.md, "The bound of a cancellation", 1; TestCancelWithoutAnswer,
 // TestCancelInDoubt).
 func (e *Engine) resolveUnknownOutcome(j *pipeline.Job) {
-	if p := e.cancellations.pending[j.Ref]; p != nil && p.unknownVersion >= j.Version {
+	if e.cancellations.outcomeUnknown(j.Ref, j.Version) {
 		j.MarkDirty(0)
 		e.jobWrites.jobChanged(j)
 	}
 }
 
-// cancelUndecided tells whether the store may hold a cancellation that isn't known here.
+// cancelUndecided reports whether the store may hold a cancellation that isn't known here.
 func (e *Engine) cancelUndecided(ref string) bool {
-	if e.cancellations.pending[ref] == nil {
+	if !e.cancellations.isPending(ref) {
 		return false
 	}
 	var version uint64
-	if j := e.jobs[ref]; j != nil {
+	if j := e.jobs.get(ref); j != nil {
 		version = j.Version
 	}
 	return e.cancellations.undecided(ref, version)
 }
 
-// cancelHolds tells whether nothing of a job may be started because of its cancellation.
+// cancelHolds reports whether nothing of a job may be started because of its cancellation.
 func (e *Engine) cancelHolds(now time.Time, ref string) bool {
 	return e.cancelUndecided(ref) || e.cancellations.deferred(now, ref)
 }
@@ -173,10 +207,10 @@
 // also on machines that don't answer: those are released (docs/design.md, safety
 // argument 8; TestCancelIsFinalAndInTime).
 func (e *Engine) enforceCancellations(now time.Time) {
-	for _, j := range sortedJobs(e.cancellations.stopping) {
-		left := e.attemptsOf(j.Ref)
+	for _, j := range e.cancellations.beingStopped() {
+		left := e.usage.attemptsOf(j.Ref)
 		if len(left) == 0 {
-			delete(e.cancellations.stopping, j)
+			e.cancellations.stopped(j)
 			e.jobWrites.jobChanged(j) // its final entry can be written
 			continue
 		}
@@ -190,5 +224,5 @@
 	}
 }
 
-// MayBeOnMachines tells whether any task of a job may be on a machine.
-func (e *Engine) MayBeOnMachines(ref string) bool { return len(e.attemptsOf(ref)) > 0 }
+// MayBeOnMachines reports whether any task of a job may be on a machine.
+func (e *Engine) MayBeOnMachines(ref string) bool { return len(e.usage.attemptsOf(ref)) > 0 }
--- a/internal/core/capacity/capacity_test.go
+++ b/internal/core/capacity/capacity_test.go
@@ -26,11 +26,13 @@
 
 var now = time.Unix(100, 0)
 
+// The cheapest offer is asked for, once; after a refusal it is left alone for a while and the next
+// one is asked for.
 func TestChoosesTheCheapestOpenOffer(t *testing.T) {
 	var p Plan
 	j := job(t, pipeline.Spec{Tasks: 3, CPUs: 8, Spot: true})
 	o := p.Choose(now, []Demand{{Job: j, Tasks: 3}}, &placement.FreeCapacity{}, types)
-	if len(o) != 1 || o[0] != (Order{Offer{"cpu", "a", true}, 3}) {
+	if len(o) != 1 || o[0] != (Order{fleet.PoolKey{Type: "cpu", Zone: "a", Spot: true}, 3}) {
 		t.Fatalf("orders %v", o)
 	}
 	p.Requested(o[0].Offer, 3)
@@ -38,16 +40,19 @@
 		t.Fatalf("asked again while asking: %v", again)
 	}
 	p.Answered(now, o[0].Offer, Answer{Requested: 3})
-	if o := p.Choose(now, []Demand{{Job: j, Tasks: 3}}, &placement.FreeCapacity{}, types); len(o) != 1 || o[0].Offer != (Offer{"cpu", "b", true}) {
+	other := fleet.PoolKey{Type: "cpu", Zone: "b", Spot: true}
+	o = p.Choose(now, []Demand{{Job: j, Tasks: 3}}, &placement.FreeCapacity{}, types)
+	if len(o) != 1 || o[0].Offer != other {
 		t.Fatalf("after a refusal: %v", o)
 	}
-	if o := p.Choose(now.Add(minBackoff+time.Second), []Demand{{Job: j, Tasks: 3}}, &placement.FreeCapacity{}, types); o[0].Offer.Zone != "a" {
+	later := now.Add(minBackoff + time.Second)
+	if o := p.Choose(later, []Demand{{Job: j, Tasks: 3}}, &placement.FreeCapacity{}, types); o[0].Offer.Zone != "a" {
 		t.Fatalf("after the pause: %v", o)
 	}
 }
 
 // A gang that must spread over zones isn't helped by more machines in one: the
-// plan once rented and returned there without end.
+// plan once requested and released there without end.
 func TestGangZones(t *testing.T) {
 	var p Plan
 	j := job(t, pipeline.Spec{Tasks: 4, CPUs: 8, Shape: pipeline.Gang, Spread: true})
@@ -69,12 +74,13 @@
 
 // Room on a machine where the job failed is none: the plan once waited for it.
 func TestRoomOnBadMachineIsNone(t *testing.T) {
-	m := fleet.NewMachine(now, "m-1", fleet.PoolKey{Type: "cpu", Zone: "a"}, fleet.Live)
+	m := fleet.NewMachine(now, "m-1", fleet.PoolKey{Type: "cpu", Zone: "a"})
+	m.Move(now, fleet.Live)
 	freeCapacity := &placement.FreeCapacity{}
 	freeCapacity.Set(m, types["cpu"], false)
 	j := job(t, pipeline.Spec{Tasks: 1, CPUs: 8})
 	if o := new(Plan).Choose(now, []Demand{{Job: j, Tasks: 1}}, freeCapacity, types); len(o) != 0 {
-		t.Fatalf("rents although there is room: %v", o)
+		t.Fatalf("requests machines although there is room: %v", o)
 	}
 	j.AvoidUntil["m-1"] = now.Add(time.Minute)
 	if o := new(Plan).Choose(now, []Demand{{Job: j, Tasks: 1}}, freeCapacity, types); len(o) != 1 {
@@ -89,7 +95,8 @@
 	for range 5 {
 		d = append(d, Demand{Job: job(t, pipeline.Spec{Tasks: 2, CPUs: 8, Spot: true}), Tasks: 2})
 	}
-	if o := new(Plan).Choose(now, d, &placement.FreeCapacity{}, types); len(o) != 1 || o[0] != (Order{Offer{"cpu", "a", true}, 10}) {
+	want := Order{fleet.PoolKey{Type: "cpu", Zone: "a", Spot: true}, 10}
+	if o := new(Plan).Choose(now, d, &placement.FreeCapacity{}, types); len(o) != 1 || o[0] != want {
 		t.Fatalf("orders %v", o)
 	}
 }
@@ -102,8 +109,8 @@
 	var first []Order
 	for i := range 100 {
 		var p Plan
-		p.Requested(Offer{"cpu", "b", false}, 1)
-		p.Requested(Offer{"big", "a", false}, 1)
+		p.Requested(fleet.PoolKey{Type: "cpu", Zone: "b", Spot: false}, 1)
+		p.Requested(fleet.PoolKey{Type: "big", Zone: "a", Spot: false}, 1)
 		orders := p.Choose(now, demand, &placement.FreeCapacity{}, types)
 		if i == 0 {
 			first = orders
--- a/internal/core/connectivity.go
+++ b/internal/core/connectivity.go
@@ -16,49 +16,33 @@
 func (e *Engine) detectOneWayLoss(now time.Time, m *fleet.Machine, r *fleet.Heartbeat, leaseEnded bool) {
 	switch d := e.deliveryShown(now, m, r, leaseEnded); {
 	case d.delivered:
-		if m.OneWayLoss.Undelivered > 1 {
+		if e.machines.answerDelivered(m) {
 			e.capacityChanged(m)
 		}
-		m.OneWayLoss.NoteDelivered()
-		delete(e.unreachable, m)
 	case d.undelivered:
-		if e.answersLate(now) || now.Sub(m.OneWayLoss.LastUndelivered) < e.cfg.HeartbeatInterval/2 {
+		sameLoss := now.Sub(m.OneWayLoss.LastUndelivered()) < e.cfg.HeartbeatInterval/2
+		if sameLoss || e.ticks.answersLate(now, e.cfg.HeartbeatInterval) {
 			return
 		}
-		m.OneWayLoss.NoteUndelivered(now)
-		m.StartsPausedUntil = now.Add(undeliveredPause)
+		e.machines.answerUndelivered(now, m)
+		m.PauseStarts(now.Add(undeliveredPause))
 		e.capacityChanged(m)
-		if m.OneWayLoss.Undelivered > 1 {
-			e.unreachable[m] = true
-			e.timers.schedule(m, now)
+		if m.OneWayLoss.Unreachable() {
+			e.machines.checkAt(m, now)
 		}
 	}
 }
 
-// answerTimeout is after how long a worker drops an answer (PROTOCOL). A node whose ticks
-// come lateTick late may be answering so late.
-const (
-	answerTimeout = 4 * time.Second
-	lateTick      = 500 * time.Millisecond
-)
-
-// answersLate tells whether this node has been slow of late: answers that workers drop for
-// being late, or that meet reports held back and delivered together, are no sign that a
-// machine hears nothing (TestSlowLeaderReleasesNone, TestReportsDeliveredTogether).
-func (e *Engine) answersLate(now time.Time) bool {
-	return now.Sub(e.lastTick) > lateTick || now.Sub(e.laggedAt) < answerTimeout+e.cfg.HeartbeatInterval
-}
-
 // deliveryShown compares a heartbeat with the commands and the fencing token that the machine was
 // last told. LeaseEnded says that the worker's lease has ended although its heartbeats
 // were answered.
 func (e *Engine) deliveryShown(now time.Time, m *fleet.Machine, r *fleet.Heartbeat, leaseEnded bool) delivery {
 	d := delivery{
-		delivered:   r.Incarnation == m.Incarnation && m.OneWayLoss.MustHaveDelivered(now, e.cfg.Lease),
+		delivered:   r.Incarnation == m.Incarnation() && m.OneWayLoss.MustHaveDelivered(now, e.cfg.Lease),
 		undelivered: leaseEnded,
 	}
-	if m.OneWayLoss.Expecting {
-		if r.FencingToken == e.term {
+	if m.OneWayLoss.Expecting() {
+		if r.FencingToken == e.numbers.term {
 			d.delivered = true
 		} else {
 			d.undelivered = true
@@ -66,19 +50,20 @@
 	}
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
-		a := m.Attempts[fleet.TaskID{Ref: t.Ref, Task: t.Task}]
-		if a == nil || a.Number != t.Attempt || a.CommandSequence == 0 || a.CommandSequence >= r.Sequence {
+		a := m.Attempt(fleet.TaskID{Ref: t.Ref, Task: t.Task})
+		if a == nil || a.Number != t.Attempt || a.CommandSequence() == 0 || a.CommandSequence() >= r.Sequence {
 			continue
 		}
 		switch {
 		case a.State() == fleet.Sent:
 			d.delivered = true
-		case t.State == fleet.Exited && a.State() == fleet.Exited, a.Stopping && a.Grace == 0 && t.State < fleet.Checkpointing:
+		case t.State == fleet.Exited && a.State() == fleet.Exited,
+			a.Stopping() && a.Grace() == 0 && t.State < fleet.Checkpointing:
 			d.undelivered = true // a forget, or a stop that asks for no saving
 		}
 	}
-	for _, a := range m.Attempts {
-		if a.State() == fleet.Sent && a.CommandSequence < r.Sequence && !listsAttempt(r, a) {
+	for a := range m.Attempts() {
+		if a.State() == fleet.Sent && a.CommandSequence() < r.Sequence && !listsAttempt(r, a) {
 			d.undelivered = true
 		}
 	}
@@ -95,10 +80,10 @@
 // answers are lost, and none is released (docs/design.md, safety argument 6;
 // TestOneWayLossOfAllIsOurs).
 func (e *Engine) scaleInUnreachable(now time.Time, m *fleet.Machine) {
-	if !e.unreachable[m] || now.Sub(m.OneWayLoss.FirstUndelivered) < e.cfg.Lease/2 {
+	if !m.OneWayLoss.Unreachable() || now.Sub(m.OneWayLoss.FirstUndelivered()) < e.cfg.Lease/2 {
 		return
 	}
-	if len(e.unreachable) > max(2, len(e.machines)/4) {
+	if e.machines.unreachableCount() > max(2, e.machines.count()/4) {
 		return
 	}
 	e.scaleIn(now, m, ScaleInUnreachable)
--- a/internal/core/consolidate.go
+++ b/internal/core/consolidate.go
@@ -1,10 +1,11 @@
 package core
 
 import (
+	"cmp"
 	"log/slog"
 	"maps"
 	"math"
-	"sort"
+	"slices"
 	"time"
 
 	"gingertally/internal/core/fleet"
@@ -24,41 +25,52 @@
 	moveOverhead = 4 * time.Second
 	// emptiedPart is the part of the fleet that may be emptied at once.
 	emptiedPart = 25
-	// rateWindow smooths the observed arrivals.
-	rateWindow = time.Minute
 )
 
-// arrived notes a job's tasks for its class's rate of arrivals.
-func (c *classStats) arrived(now time.Time, tasks int) {
-	c.rate = c.rateAt(now) + float64(tasks)/rateWindow.Seconds()
-	c.lastAt = now
+// emptying is which machines are being emptied to be released.
+type emptying struct {
+	machines map[*fleet.Machine]bool
+	lookedAt time.Time // when machines to be emptied were last looked for
 }
 
-// rateAt is the class's recent rate of arrivals, in tasks a second.
-func (c *classStats) rateAt(now time.Time) float64 {
-	if c.lastAt.IsZero() {
-		return 0
+func newEmptying() emptying { return emptying{machines: map[*fleet.Machine]bool{}} }
+
+// lookDue reports whether it is time to look for machines to be emptied, and notes the look.
+func (s *emptying) lookDue(now time.Time) bool {
+	if now.Sub(s.lookedAt) < consolidateEvery {
+		return false
 	}
-	return c.rate * math.Exp(-now.Sub(c.lastAt).Seconds()/rateWindow.Seconds())
+	s.lookedAt = now
+	return true
+}
+
+// add notes that a machine is being emptied.
+func (s *emptying) add(m *fleet.Machine) { s.machines[m] = true }
+
+// remove notes that a machine is kept after all.
+func (s *emptying) remove(m *fleet.Machine) { delete(s.machines, m) }
+
+// stillRunning counts the machines on which something is left, and forgets the others.
+func (s *emptying) stillRunning() int {
+	maps.DeleteFunc(s.machines, func(m *fleet.Machine, _ bool) bool {
+		return m.State() != fleet.Live || m.ActiveAttempts() == 0
+	})
+	return len(s.machines)
 }
 
 // consolidate empties the machines whose emptying saves the most, a few at a
 // time, if their tasks have room elsewhere and what stays free is enough for the
 // arrivals of a boot time.
 func (e *Engine) consolidate(now time.Time) {
-	if now.Sub(e.movedAt) < consolidateEvery {
+	if !e.emptying.lookDue(now) {
 		return
 	}
-	e.movedAt = now
-	for m := range e.emptying {
-		if m.State() != fleet.Live || m.ActiveAttempts() == 0 {
-			delete(e.emptying, m)
-		}
-	}
-	atOnce := max(1, e.freeCapacity.Size()/emptiedPart) - len(e.emptying)
-	board := &placement.Board{Now: now, SecondsPerDollarHour: e.cfg.Weights.SecondsPerDollarHour, LargeGPUWork: e.largeGPUWork(now)}
-	plan := &consolidation{engine: e, board: board, now: now, copies: map[*placement.Slot]*placement.Slot{},
-		emptied: map[*placement.Slot]bool{}, targets: map[*fleet.Machine]bool{}}
+	atOnce := max(1, e.capacity.free.Size()/emptiedPart) - e.emptying.stillRunning()
+	plan := newConsolidation(now, e, &placement.Scorer{
+		Now:                  now,
+		SecondsPerDollarHour: e.cfg.Weights.SecondsPerDollarHour,
+		LargeGPUWork:         e.largeGPUWork(now),
+	})
 	candidates := plan.candidates()
 	for _, c := range candidates[:min(len(candidates), 3*max(atOnce, 0))] {
 		if atOnce <= 0 {
@@ -69,18 +81,19 @@
 		}
 		atOnce--
 		m := c.slot.Machine
-		e.emptying[m] = true
-		e.log(LogConsolidationStarted, logMachine(m), slog.String("type", m.Type), logActive(m), slog.Float64("saves_dollars", math.Round(c.gain*100)/100))
+		e.emptying.add(m)
+		e.log(LogConsolidationStarted, logMachine(m), slog.String("type", m.Type), logActive(m),
+			slog.Float64("saves_dollars", math.Round(c.gain*100)/100))
 		e.moveByChoice(now, m)
 		e.startDraining(now, m)
 	}
 }
 
-// hasAllReplicas tells whether a machine has all the running replicas of a service of
+// hasAllReplicas reports whether a machine has all the running replicas of a service of
 // several: moving them together would stop the service.
 func (e *Engine) hasAllReplicas(m *fleet.Machine) bool {
-	for _, a := range m.Attempts {
-		j := e.jobs[a.Ref]
+	for a := range m.Attempts() {
+		j := e.jobs.get(a.Ref)
 		several := j != nil && j.Shape == pipeline.Service && len(j.Tasks) > 1
 		if several && a.State() != fleet.Exited && !e.runsElsewhere(a.Ref, m) {
 			return true
@@ -89,10 +102,10 @@
 	return false
 }
 
-// runsElsewhere tells whether a task of a job runs on another machine and isn't to stop.
+// runsElsewhere reports whether a task of a job runs on another machine and isn't to stop.
 func (e *Engine) runsElsewhere(ref string, m *fleet.Machine) bool {
-	for _, a := range e.attemptsOf(ref) {
-		if a.Machine != m && a.State() == fleet.Running && !a.Stopping {
+	for _, a := range e.usage.attemptsOf(ref) {
+		if a.Machine != m && a.State() == fleet.Running && !a.Stopping() {
 			return true
 		}
 	}
@@ -102,13 +115,22 @@
 // consolidation is one plan of which machines to empty, and where their tasks go.
 type consolidation struct {
 	engine  *Engine
-	board   *placement.Board // to score places
+	scorer  *placement.Scorer
 	now     time.Time
 	copies  map[*placement.Slot]*placement.Slot // with what is to move there
 	emptied map[*placement.Slot]bool            // slots that are being emptied
 	targets map[*fleet.Machine]bool             // machines that something is to move to
 }
 
+func newConsolidation(now time.Time, e *Engine, scorer *placement.Scorer) *consolidation {
+	return &consolidation{
+		engine: e, scorer: scorer, now: now,
+		copies:  map[*placement.Slot]*placement.Slot{},
+		emptied: map[*placement.Slot]bool{},
+		targets: map[*fleet.Machine]bool{},
+	}
+}
+
 // candidate is a machine that might be emptied, with the jobs of its tasks and
 // what that would save in money.
 type candidate struct {
@@ -120,7 +142,7 @@
 // candidates are the machines whose emptying saves something, the most first.
 func (v *consolidation) candidates() []candidate {
 	var out []candidate
-	for _, p := range v.engine.freeCapacity.Pools {
+	for _, p := range v.engine.capacity.free.Pools {
 		for _, s := range p.Slots {
 			if s.Future || s.Machine.ActiveAttempts() == 0 {
 				continue
@@ -130,7 +152,7 @@
 			}
 		}
 	}
-	sort.SliceStable(out, func(i, k int) bool { return out[i].gain > out[k].gain })
+	slices.SortStableFunc(out, func(a, b candidate) int { return cmp.Compare(b.gain, a.gain) })
 	return out
 }
 
@@ -141,23 +163,31 @@
 	var longest time.Duration
 	var moved []*pipeline.Job
 	cost := 0.0
-	for _, a := range s.Machine.Attempts {
+	for _, a := range s.Machine.SortedAttempts() {
 		if a.State() == fleet.Exited {
 			continue
 		}
-		j := v.engine.jobs[a.Ref]
-		if j == nil || a.State() != fleet.Running || a.Stopping || j.CheckpointInterval == 0 || v.now.Sub(a.RunStart) < settledRun ||
-			isGang(j) || !v.engine.mayMoveByChoice(v.now, a, j) {
+		j := v.engine.jobs.get(a.Ref)
+		if j == nil || !v.movable(a, j) {
 			return candidate{}
 		}
 		longest = max(longest, v.engine.expectedRun(j)-v.now.Sub(a.RunStart))
 		cost += placement.Share(s.Type, &j.Spec) * price * (j.CheckpointTime + moveOverhead).Seconds()
 		moved = append(moved, j)
 	}
-	sort.Slice(moved, func(i, k int) bool { return moved[i].Ref < moved[k].Ref })
 	return candidate{s, moved, price*longest.Seconds() - v.engine.cfg.Weights.MoveGain*cost}
 }
 
+// movable reports whether an attempt may be moved: it saves, has run long enough for its start to
+// count, and no budget is in the way.
+func (v *consolidation) movable(a *fleet.Attempt, j *pipeline.Job) bool {
+	if a.State() != fleet.Running || a.Stopping() || v.now.Sub(a.RunStart) < settledRun {
+		return false
+	}
+	return j.CheckpointInterval > 0 && !isGang(j) && v.engine.mayMoveByChoice(v.now, a, j)
+}
+
+// copyOf is the plan's own copy of a slot, with what is to move there.
 func (v *consolidation) copyOf(s *placement.Slot) *placement.Slot {
 	c := v.copies[s]
 	if c == nil {
@@ -208,16 +238,16 @@
 func (v *consolidation) bestTarget(j *pipeline.Job, from *placement.Slot) *placement.Slot {
 	var best *placement.Slot
 	low := math.Inf(1)
-	zones := maps.Clone(v.engine.useOf(j.Ref).zones)
+	zones := maps.Clone(v.engine.usage.ofJob(j.Ref).zones)
 	zones[from.Zone]--
-	v.engine.freeCapacity.EachOpen(&j.Spec, "", func(o *placement.Slot) {
+	v.engine.capacity.free.EachOpen(&j.Spec, "", func(o *placement.Slot) {
 		if o == from || v.emptied[o] || placement.ZoneCapacity(j, o.Zone, zones) < 1 || j.Avoids(v.now, o.Machine.Name) ||
 			(o.Machine.ActiveAttempts() == 0 && o.Type.Price(o.Spot) > from.Type.Price(from.Spot)/2) ||
 			o.Machine.FetchLeft(v.now, j.Image, j.ImageGB, o.Type.FetchGBPerS) > moveOverhead {
 			return
 		}
-		if c := v.copyOf(o); c.Free(&j.Spec) > 0 {
-			if sc := v.board.Score(c, j, time.Time{}); sc < low {
+		if c := v.copyOf(o); c.RoomFor(&j.Spec) > 0 {
+			if sc := v.scorer.Score(c, j, time.Time{}); sc < low {
 				best, low = c, sc
 			}
 		}
@@ -225,7 +255,7 @@
 	return best
 }
 
-// headroom tells whether there is room for what is expected to arrive, of each
+// headroom reports whether there is room for what is expected to arrive, of each
 // class, while a machine boots.
 func (v *consolidation) headroom(boot time.Duration) bool {
 	for _, c := range v.engine.classes {
@@ -233,12 +263,12 @@
 		if c.spec == nil || need < 0.1 {
 			continue
 		}
-		v.engine.freeCapacity.EachOpen(c.spec, "", func(s *placement.Slot) {
+		v.engine.capacity.free.EachOpen(c.spec, "", func(s *placement.Slot) {
 			if !v.emptied[s] {
 				if o := v.copies[s]; o != nil {
 					s = o
 				}
-				need -= float64(s.Free(c.spec))
+				need -= float64(s.RoomFor(c.spec))
 			}
 		})
 		if need > 0 {
--- a/internal/core/drain_capacity.go
+++ b/internal/core/drain_capacity.go
@@ -1,24 +1,15 @@
 package core
 
 import (
-	"fmt"
 	"maps"
 	"time"
 
-	"gingertally/internal/core/capacity"
 	"gingertally/internal/core/fleet"
 	"gingertally/internal/core/pipeline"
 	"gingertally/internal/core/placement"
 	"gingertally/internal/drain"
 )
 
-// replacement is a machine that is rented ahead of one that is being drained.
-type replacement struct {
-	request string // name of the rental
-	machine string // empty until the cloud has answered
-	asked   time.Time
-}
-
 // capacityBooking finds out whether what is to be evicted has room elsewhere, beside all that is
 // moving already. It looks at the machines only once something asks.
 type capacityBooking struct {
@@ -38,8 +29,8 @@
 func (b *capacityBooking) book(g *evictionGroup, ahead bool) bool {
 	if b.copies == nil {
 		b.copies, b.without = map[*placement.Slot]*placement.Slot{}, map[string]bool{}
-		for _, t := range b.engine.drains.sortedMoving() {
-			s := b.find(t.job, b.engine.useOf(t.job.Ref).zones, ahead)
+		for _, t := range b.engine.drains.moving.sorted() {
+			s := b.find(t.job, b.engine.usage.ofJob(t.job.Ref).zones, ahead)
 			if s == nil {
 				b.short = true
 				break
@@ -53,7 +44,7 @@
 	undo := map[*placement.Slot]placement.Slot{}
 	zones := b.engine.zonesWithout(g.job, g.attempts)
 	for _, a := range g.attempts {
-		if !a.Machine.Cordoned && !a.Machine.Draining {
+		if !a.Machine.Cordoned() && !a.Machine.Draining() {
 			zones[a.Machine.Zone]++
 			continue // it may go back to where it is
 		}
@@ -75,7 +66,7 @@
 
 // zonesWithout counts the tasks of a job that may be on machines by zone, but for some.
 func (e *Engine) zonesWithout(j *pipeline.Job, leaving []*fleet.Attempt) map[string]int {
-	zones := maps.Clone(e.useOf(j.Ref).zones)
+	zones := maps.Clone(e.usage.ofJob(j.Ref).zones)
 	for _, a := range leaving {
 		zones[a.Machine.Zone]--
 	}
@@ -88,9 +79,11 @@
 	if b.without[j.Ref] {
 		return nil
 	}
-	found := b.engine.freeCapacity.FindOpen(&j.Spec, func(s *placement.Slot) bool {
-		usable := !(ahead && s.Machine.CordonPlanned) && !j.Avoids(b.now, s.Machine.Name) && placement.ZoneCapacity(j, s.Zone, zones) > 0
-		return usable && b.copyOf(s).Free(&j.Spec) > 0
+	found := b.engine.capacity.free.FindOpen(&j.Spec, func(s *placement.Slot) bool {
+		if ahead && s.Machine.CordonPlanned() || j.Avoids(b.now, s.Machine.Name) {
+			return false
+		}
+		return placement.ZoneCapacity(j, s.Zone, zones) > 0 && b.copyOf(s).RoomFor(&j.Spec) > 0
 	})
 	if found == nil {
 		b.without[j.Ref] = true
@@ -109,67 +102,42 @@
 }
 
 // awaitReplacement deals with a machine whose work has no room elsewhere: a machine like it is
-// rented, if its plan says so.
+// requested, if its plan says so.
 func (e *Engine) awaitReplacement(now time.Time, dm *drain.Machine) drain.Verdict {
 	d := e.drains
-	m := e.machines[dm.Name]
-	if r := d.replacements[dm.Name]; r != nil && !e.replacementLost(now, r) {
+	m := e.machines.get(dm.Name)
+	if r := d.replacements.of(dm.Name); r != nil && !e.replacementLost(now, r) {
 		return drain.Verdict{Kind: drain.NotYet, Cause: drain.CauseReplacement}
 	}
-	delete(d.replacements, dm.Name)
+	d.replacements.forget(dm.Name)
 	noRoom := drain.Verdict{Kind: drain.NotYet, Cause: drain.CauseNoCapacity}
-	offer := capacity.Offer{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
-	backoff, refused := e.plan.Backoff(offer)
+	backoff, refused := e.plan.Backoff(m.PoolKey)
 	if len(d.replacements) >= d.coordinator.Surge(dm) || refused && now.Before(backoff.Until) {
 		return noRoom
 	}
-	e.counter++
-	r := &replacement{request: fmt.Sprintf("r-%d-%d", e.term, e.counter), asked: now}
-	d.replacements[dm.Name] = r
+	request := e.numbers.nextRequestName()
+	d.replacements.request(now, dm.Name, request)
 	d.coordinator.Move(dm, drain.Replacing)
-	e.plan.Requested(offer, 1)
-	e.out.ScaleOut = append(e.out.ScaleOut, ScaleOut{Name: r.request, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Count: 1})
+	e.plan.Requested(m.PoolKey, 1)
+	e.out.ScaleOut = append(e.out.ScaleOut, ScaleOut{
+		Name: request, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Count: 1,
+	})
 	return drain.Verdict{Kind: drain.NotYet, Cause: drain.CauseReplacement}
 }
 
-// replacementLost tells whether a replacement won't come up any more, or has and isn't enough.
+// replacementLost reports whether a replacement won't come up any more, or has and isn't enough.
 func (e *Engine) replacementLost(now time.Time, r *replacement) bool {
 	if r.machine == "" {
-		return now.Sub(r.asked) > replacementAnswer
+		return now.Sub(r.requested) > replacementAnswer
 	}
-	m := e.machines[r.machine]
+	m := e.machines.get(r.machine)
 	return m == nil || m.State() != fleet.Booting && m.ActiveAttempts() > 0
 }
 
 // replacementAnswer is how long the cloud's answer about a replacement is waited for.
 const replacementAnswer = 30 * time.Second
 
-// replacementAnswered takes in the cloud's answer about a machine that may be a replacement.
-func (d *draining) replacementAnswered(r ScaleOutAnswered) {
-	if d == nil {
-		return
-	}
-	for old, replaced := range d.replacements {
-		if replaced.request != r.Request.Name {
-			continue
-		}
-		if len(r.Machines) == 0 {
-			delete(d.replacements, old)
-			return
-		}
-		replaced.machine = r.Machines[0]
-	}
-}
-
-// isReplacement tells whether a machine was rented in place of one that is still there.
-func (d *draining) isReplacement(name string) bool {
-	if d == nil {
-		return false
-	}
-	for _, r := range d.replacements {
-		if r.machine == name {
-			return true
-		}
-	}
-	return false
+// isReplacement reports whether a machine was requested in place of one that is still there.
+func (e *Engine) isReplacement(m *fleet.Machine) bool {
+	return e.drains != nil && e.drains.replacements.include(m.Name)
 }
--- a/internal/core/drain_eviction.go
+++ b/internal/core/drain_eviction.go
@@ -1,10 +1,7 @@
 package core
 
 import (
-	"maps"
 	"slices"
-	"sort"
-	"strings"
 	"time"
 
 	"gingertally/internal/core/fleet"
@@ -13,7 +10,7 @@
 )
 
 const (
-	// answerDropped is how long after it sent a report a worker takes its answer (PROTOCOL).
+	// answerDropped is how long after it sent a heartbeat a worker takes its answer (PROTOCOL).
 	answerDropped = 4 * time.Second
 	// evictionSlack is what a stop takes beside the way to the worker and saving.
 	evictionSlack = 2 * time.Second
@@ -40,8 +37,8 @@
 func (e *Engine) workOn(now time.Time, m *fleet.Machine) *machineWork {
 	work := &machineWork{}
 	seen := map[string]bool{}
-	for _, a := range sortedAttempts(m) {
-		j := e.jobs[a.Ref]
+	for _, a := range m.SortedAttempts() {
+		j := e.jobs.get(a.Ref)
 		if a.Leaving() || j == nil || j.Over() || a.Unrecorded {
 			continue
 		}
@@ -61,7 +58,10 @@
 	return work
 }
 
-// isGang tells whether a job's tasks are stopped together.
+// taskKey names an attempt's task in the ledger of charges.
+func taskKey(a *fleet.Attempt) drain.TaskKey { return drain.TaskKey{Job: a.Ref, Task: a.Task} }
+
+// isGang reports whether a job's tasks are stopped together.
 func isGang(j *pipeline.Job) bool { return j.Shape == pipeline.Gang && len(j.Tasks) > 1 }
 
 func allObserved(attempts []*fleet.Attempt) bool {
@@ -85,12 +85,15 @@
 // newEvictionGroup describes what would be interrupted.
 func newEvictionGroup(now time.Time, j *pipeline.Job, attempts []*fleet.Attempt) *evictionGroup {
 	g := &evictionGroup{job: j, attempts: attempts}
-	g.candidate = drain.Candidate{Team: j.Team, Class: j.Class, Job: j.Ref, Checkpoints: j.CheckpointInterval > 0, Takes: evictionTime(j), Since: now}
+	g.candidate = drain.Candidate{
+		Team: j.Team, Class: j.Class, Job: j.Ref,
+		Checkpoints: j.CheckpointInterval > 0, Takes: evictionTime(j), Since: now,
+	}
 	if j.Shape == pipeline.Service {
 		g.candidate.Replicas = len(j.Tasks)
 	}
 	for _, a := range attempts {
-		g.candidate.Tasks = append(g.candidate.Tasks, drain.TaskAttempt{TaskKey: drain.TaskKey{Job: a.Ref, Task: a.Task}, Attempt: a.Number})
+		g.candidate.Tasks = append(g.candidate.Tasks, drain.TaskAttempt{TaskKey: taskKey(a), Attempt: a.Number})
 	}
 	return g
 }
@@ -129,7 +132,7 @@
 // replicasDown counts the replicas of a service that don't run or are leaving, but for some.
 func (e *Engine) replicasDown(j *pipeline.Job, except []*fleet.Attempt) int {
 	up := map[int]bool{}
-	for a := range e.useOf(j.Ref).attempts {
+	for a := range e.usage.ofJob(j.Ref).attempts {
 		if e.isUp(a) || slices.Contains(except, a) {
 			up[a.Task] = true
 		}
@@ -137,24 +140,24 @@
 	return len(j.Tasks) - len(up)
 }
 
-// taskUp tells whether a task runs and stays, or is one of some attempts.
+// taskUp reports whether a task runs and stays, or is one of some attempts.
 func (e *Engine) taskUp(j *pipeline.Job, task int, except []*fleet.Attempt) bool {
-	m := e.machines[j.Tasks[task].Machine]
+	m := e.machines.get(j.Tasks[task].Machine)
 	if m == nil {
 		return false
 	}
-	a := m.Attempts[fleet.TaskID{Ref: j.Ref, Task: task}]
+	a := m.Attempt(fleet.TaskID{Ref: j.Ref, Task: task})
 	return a != nil && (e.isUp(a) || slices.Contains(except, a))
 }
 
-// isUp tells whether an attempt runs and isn't to be interrupted.
+// isUp reports whether an attempt runs and isn't to be interrupted.
 func (e *Engine) isUp(a *fleet.Attempt) bool {
 	return a.State() == fleet.Running && !a.Leaving() && !e.charged(a)
 }
 
-// charged tells whether an interruption of an attempt is charged and may be under way.
+// charged reports whether an interruption of an attempt is charged and may be under way.
 func (e *Engine) charged(a *fleet.Attempt) bool {
-	c := e.drains.coordinator.Ledger.Find(drain.TaskKey{Job: a.Ref, Task: a.Task}, a.Number)
+	c := e.drains.coordinator.Ledger.Find(taskKey(a), a.Number)
 	return c != nil && c.Open()
 }
 
@@ -165,7 +168,9 @@
 }
 
 // evictAllowed evicts what may leave a machine. It tells what stands in the way beside budgets.
-func (e *Engine) evictAllowed(now time.Time, dm *drain.Machine, work *machineWork, booking *capacityBooking) drain.Verdict {
+func (e *Engine) evictAllowed(
+	now time.Time, dm *drain.Machine, work *machineWork, booking *capacityBooking,
+) drain.Verdict {
 	blocked := drain.Verdict{}
 	for _, group := range work.groups {
 		if group.verdict.Kind != drain.Allowed {
@@ -185,8 +190,8 @@
 	return blocked
 }
 
-// evict has a group leave its machines, once the state service holds all its charges; false
-// as long as it doesn't.
+// evict requests that a group leaves its machines, once the state service holds all its charges.
+// It returns false as long as it doesn't.
 func (e *Engine) evict(now time.Time, g *evictionGroup) bool {
 	ledger, stored := e.drains.coordinator.Ledger, true
 	for _, t := range g.candidate.Tasks {
@@ -197,53 +202,39 @@
 		return false
 	}
 	for _, a := range g.attempts {
-		e.drains.moving[a.TaskID] = &movingTask{job: g.job, task: a.Task, attempt: a.Number}
+		e.drains.moving.add(g.job, a)
 	}
 	if isGang(g.job) {
 		a := g.attempts[0]
 		e.stopWithCheckpoint(now, a.Machine, a, g.job)
 		return true
 	}
-	g.attempts[0].Eviction = fleet.EvictionApproved
+	g.attempts[0].ApproveEviction()
 	return true
 }
 
 // sendEviction has an approved eviction go with an answer, if it is still in time; else it is
 // judged again.
 func (e *Engine) sendEviction(now time.Time, m *fleet.Machine, a *fleet.Attempt) bool {
-	j := e.jobs[a.Ref]
+	j := e.jobs.get(a.Ref)
 	if j == nil || !e.cfg.Drain.MayMoveNow(now, j.Team, j.Class, evictionTime(j)) {
-		a.Eviction = fleet.NotEvicted
+		a.WithdrawEviction()
 		return false
 	}
-	a.Eviction, a.Stopping, a.StopAt, a.CommandSequence = fleet.EvictionSent, true, now, m.Sequence
-	a.Grace = j.CheckpointTime + time.Second
+	a.SendEviction(now, j.CheckpointTime+time.Second)
 	e.capacityChanged(m)
 	e.log(LogTaskEvicted, logAttempt(a)...)
 	return true
 }
 
-// evictionLost tells whether a worker that was told of an eviction goes on as if it hadn't
-// been: the answer was dropped. The eviction is then judged again, since a window may have
-// closed meanwhile; its charge stands.
-func (*Engine) evictionLost(m *fleet.Machine, a *fleet.Attempt) bool {
-	if a.State() == fleet.Checkpointing || a.CommandSequence >= m.Sequence {
-		return false
-	}
-	a.Eviction, a.Stopping = fleet.NotEvicted, false
-	return true
-}
-
 // revokeEvictions takes back the evictions from a machine that haven't gone out.
 func (e *Engine) revokeEvictions(machine string) {
-	m := e.machines[machine]
+	m := e.machines.get(machine)
 	if m == nil {
 		return
 	}
-	for _, a := range m.Attempts {
-		if a.Eviction == fleet.EvictionApproved {
-			a.Eviction = fleet.NotEvicted
-		}
+	for a := range m.Attempts() {
+		a.WithdrawEviction()
 	}
 }
 
@@ -251,7 +242,7 @@
 const voidEvery = 10 * time.Second
 
 // voidCharges takes back the charges of attempts that run on and whose machines aren't drained
-// any more. Their machines have reported under this term, so that no stop by an earlier leader
+// any more. Their machines have sent heartbeats under this term, so that no stop by an earlier leader
 // is obeyed there, and this one hasn't told them to stop (TestUnspentChargeIsVoid).
 func (e *Engine) voidCharges(now time.Time) {
 	d := e.drains
@@ -261,11 +252,13 @@
 	d.voidedAt = now
 	ledger := d.coordinator.Ledger
 	for _, c := range ledger.OpenCharges() {
-		a := e.attemptOf(fleet.TaskID{Ref: c.Job, Task: c.Task}, c.Attempt)
+		a := e.usage.find(fleet.TaskID{Ref: c.Job, Task: c.Task}, c.Attempt)
 		if a == nil || a.Leaving() || a.State() != fleet.Running {
 			continue
 		}
-		if m := a.Machine; m.State() == fleet.Live && m.TermConfirmed && m.FencingToken == e.term && !m.Cordoned && !m.Draining {
+		m := a.Machine
+		confirmed := m.State() == fleet.Live && m.TermConfirmed() && m.FencingToken() == e.numbers.term
+		if confirmed && !m.Cordoned() && !m.Draining() {
 			ledger.Void(c.TaskKey, c.Attempt)
 		}
 	}
@@ -274,64 +267,35 @@
 // endCharge notes that an attempt is gone, if anything was charged for it.
 func (e *Engine) endCharge(now time.Time, a *fleet.Attempt) {
 	if e.drains != nil {
-		e.drains.coordinator.Ledger.End(now, drain.TaskKey{Job: a.Ref, Task: a.Task}, a.Number)
+		e.drains.coordinator.Ledger.End(now, taskKey(a), a.Number)
 	}
 }
 
 // chargeInvoluntary counts an interruption that budgets can't forbid against what they leave.
 func (e *Engine) chargeInvoluntary(now time.Time, a *fleet.Attempt) {
-	j := e.jobs[a.Ref]
-	if e.drains == nil || j == nil || j.Over() || a.Unrecorded || a.Stopping || a.State() < fleet.Fetching || a.State() == fleet.Exited || !e.cfg.Drain.Limits(j.Team, j.Class) {
+	j := e.jobs.get(a.Ref)
+	if e.drains == nil || j == nil || j.Over() || !e.cfg.Drain.Limits(j.Team, j.Class) {
+		return
+	}
+	onMachine := a.State() >= fleet.Fetching && a.State() != fleet.Exited
+	if a.Unrecorded || a.Stopping() || !onMachine {
 		return
 	}
 	ledger := e.drains.coordinator.Ledger
 	for _, o := range e.interruptedWith(j, a) {
-		ledger.Charge(now, j.Team, j.Class, drain.TaskKey{Job: o.Ref, Task: o.Task}, o.Number, drain.Involuntary)
+		ledger.Charge(now, j.Team, j.Class, taskKey(o), o.Number, drain.Involuntary)
 	}
 }
 
 // interruptedWith is what is interrupted together with an attempt: all of a gang.
 func (e *Engine) interruptedWith(j *pipeline.Job, a *fleet.Attempt) []*fleet.Attempt {
 	if isGang(j) {
-		return e.attemptsOf(j.Ref)
+		return e.usage.attemptsOf(j.Ref)
 	}
 	return []*fleet.Attempt{a}
 }
 
-// sortedMoving lists the tasks that are moving, by job and task.
-func (d *draining) sortedMoving() []*movingTask {
-	out := make([]*movingTask, 0, len(d.moving))
-	for _, t := range d.moving {
-		out = append(out, t)
-	}
-	sort.Slice(out, func(i, k int) bool { return out[i].less(out[k]) })
-	return out
-}
-
-func (t *movingTask) less(o *movingTask) bool {
-	if t.job.Ref != o.job.Ref {
-		return t.job.Ref < o.job.Ref
-	}
-	return t.task < o.task
-}
-
-// sortedOwn lists the machines that the scheduler empties by its own choice, by name.
-func (d *draining) sortedOwn() []*fleet.Machine {
-	return slices.SortedFunc(maps.Keys(d.own), func(a, b *fleet.Machine) int { return strings.Compare(a.Name, b.Name) })
-}
-
-// forgetMoved forgets tasks that have been placed elsewhere, or are over.
-func (d *draining) forgetMoved() {
-	for k, t := range d.moving {
-		task := &t.job.Tasks[k.Task]
-		elsewhere := task.State() == pipeline.Assigned && task.Attempt != t.attempt
-		if elsewhere || task.State() == pipeline.Finished || t.job.Over() {
-			delete(d.moving, k)
-		}
-	}
-}
-
-// mayMoveByChoice tells whether the scheduler may move a task by its own choice, as far as
+// mayMoveByChoice reports whether the scheduler may move a task by its own choice, as far as
 // disruption budgets go.
 func (e *Engine) mayMoveByChoice(now time.Time, a *fleet.Attempt, j *pipeline.Job) bool {
 	if e.drains == nil || !e.cfg.Drain.Limits(j.Team, j.Class) {
@@ -344,12 +308,12 @@
 // moveByChoice stops what is on a machine that the scheduler has chosen to empty. What is
 // under a budget is charged first (evictOwn).
 func (e *Engine) moveByChoice(now time.Time, m *fleet.Machine) {
-	for _, a := range sortedAttempts(m) {
-		j := e.jobs[a.Ref]
+	for _, a := range m.SortedAttempts() {
+		j := e.jobs.get(a.Ref)
 		switch {
 		case j == nil || a.State() == fleet.Exited:
 		case e.drains != nil && e.cfg.Drain.Limits(j.Team, j.Class):
-			e.drains.own[m] = now
+			e.drains.own.begin(now, m)
 		default:
 			e.stopWithCheckpoint(now, m, a, j)
 		}
@@ -362,22 +326,22 @@
 // keepMachine gives up emptying a machine by the scheduler's own choice: budgets don't let what
 // is left on it go, and its room is needed.
 func (e *Engine) keepMachine(m *fleet.Machine) {
-	delete(e.drains.own, m)
-	delete(e.emptying, m)
+	e.drains.own.end(m)
+	e.emptying.remove(m)
 	e.revokeEvictions(m.Name)
-	m.Draining = false
+	m.StopDraining()
 	e.capacityChanged(m)
 	e.log(LogConsolidationGivenUp, logMachine(m), logActive(m))
 }
 
 // evictOwn evicts what is under a budget on machines that the scheduler empties by choice.
 func (e *Engine) evictOwn(now time.Time, booking *capacityBooking) {
-	for _, m := range e.drains.sortedOwn() {
+	for _, m := range e.drains.own.sorted() {
 		if m.State() != fleet.Live || m.ActiveAttempts() == 0 {
-			delete(e.drains.own, m)
+			e.drains.own.end(m)
 			continue
 		}
-		if now.Sub(e.drains.own[m]) > ownPatience && m.InterruptionAt.IsZero() {
+		if e.drains.own.since(now, m) > ownPatience && !m.InterruptionAnnounced() {
 			e.keepMachine(m)
 			continue
 		}
--- a/internal/core/drain_round.go
+++ b/internal/core/drain_round.go
@@ -16,7 +16,7 @@
 	proposalsPerRound = 16
 	// drainLookEvery is the least time between two looks at one machine.
 	drainLookEvery = 400 * time.Millisecond
-	// lostPart: while more than so much of the fleet doesn't report, nothing is disrupted.
+	// lostPart: while more than so much of the fleet sends no heartbeats, nothing is disrupted.
 	lostPart = 10
 	// cordonAhead is how long before its first task may leave a machine is cordoned at most.
 	cordonAhead = 5 * time.Minute
@@ -30,7 +30,7 @@
 	}
 	complete := e.machinesComplete(now)
 	e.out.Drains = append(e.out.Drains, d.coordinator.PlanWrites(now, d.newest, complete)...)
-	d.forgetMoved()
+	d.moving.forgetPlaced()
 	e.voidCharges(now)
 	booking := e.newCapacityBooking(now)
 	e.evictOwn(now, booking)
@@ -45,21 +45,22 @@
 	}
 }
 
-// machinesComplete tells whether all machines that exist are known: the cloud's list was read
+// machinesComplete reports whether all machines that exist are known: the cloud's list was read
 // often enough under this term for even the latest to be on it.
 func (e *Engine) machinesComplete(now time.Time) bool {
 	wait := 2*e.cfg.InstanceListLag + e.cfg.HeartbeatInterval
-	return !e.lastList.IsZero() && e.lastList.Sub(e.started) > wait && e.settled(now)
+	return e.machines.everListed() && e.machines.lastListed().Sub(e.started) > wait && e.settled(now)
 }
 
-// mayDisrupt tells whether the leader knows enough, and enough of the fleet is there, to
+// mayDisrupt reports whether the leader knows enough, and enough of the fleet is there, to
 // interrupt anything by choice. While the store takes no writes, no charge can be made.
 func (e *Engine) mayDisrupt(now time.Time) bool {
-	if len(e.catalog) == 0 || !e.settled(now) || e.writesFail || e.answersLate(now) {
+	if len(e.catalog) == 0 || !e.settled(now) || e.batches.failing || e.ticks.answersLate(now, e.cfg.HeartbeatInterval) {
 		return false
 	}
-	lost := e.inState[fleet.Unresponsive] + e.inState[fleet.AwaitingHeartbeat] + len(e.unreachable)
-	return lost <= max(1, len(e.machines)/lostPart)
+	lost := e.machines.inState(fleet.Unresponsive) + e.machines.inState(fleet.AwaitingHeartbeat) +
+		e.machines.unreachableCount()
+	return lost <= max(1, e.machines.count()/lostPart)
 }
 
 // cordonNext cordons machines as far as the plans' stages have room.
@@ -70,7 +71,7 @@
 		if name == "" {
 			return
 		}
-		m := e.machines[name]
+		m := e.machines.get(name)
 		if m == nil {
 			c.MachineRemoved(name)
 			continue
@@ -86,10 +87,10 @@
 	}
 }
 
-// mayCordon tells whether cordoning a machine would come to anything soon: nothing there is
+// mayCordon reports whether cordoning a machine would come to anything soon: nothing there is
 // without hope of leaving by a plan's deadline, or waits for long.
 func (e *Engine) mayCordon(now time.Time, m *fleet.Machine, deadline time.Time) drain.Verdict {
-	if m.State() != fleet.Live || m.Draining {
+	if m.State() != fleet.Live || m.Draining() {
 		return drain.Verdict{Kind: drain.NotYet, Cause: drain.CauseAwaitingHeartbeat}
 	}
 	work := e.workOn(now, m)
@@ -110,10 +111,10 @@
 // drainMachine looks at one machine that is being drained and does what can be done.
 func (e *Engine) drainMachine(now time.Time, dm *drain.Machine, booking *capacityBooking, complete bool) {
 	c := e.drains.coordinator
-	m := e.machines[dm.Name]
+	m := e.machines.get(dm.Name)
 	if m == nil {
 		if complete {
-			c.MachineRemoved(dm.Name) // the list and all reports have had time to speak of it
+			c.MachineRemoved(dm.Name) // the list and all heartbeats have had time to speak of it
 		}
 		return
 	}
@@ -125,7 +126,9 @@
 }
 
 // emptyMachine brings a machine closer to being empty, and tells why it isn't yet.
-func (e *Engine) emptyMachine(now time.Time, dm *drain.Machine, m *fleet.Machine, booking *capacityBooking) drain.Verdict {
+func (e *Engine) emptyMachine(
+	now time.Time, dm *drain.Machine, m *fleet.Machine, booking *capacityBooking,
+) drain.Verdict {
 	c := e.drains.coordinator
 	notYet := func(cause drain.Cause) drain.Verdict { return drain.Verdict{Kind: drain.NotYet, Cause: cause} }
 	switch {
@@ -136,7 +139,7 @@
 	case c.PlanPhase(dm) == drain.Paused:
 		e.revokeEvictions(m.Name)
 		return notYet(drain.CausePaused)
-	case m.ActiveAttempts() == 0 && !e.hasUnstoredResults(m):
+	case m.ActiveAttempts() == 0 && !m.HasUnstoredResults():
 		e.machineEmptied(now, dm, m)
 		return drain.Verdict{}
 	case !e.mayDisrupt(now):
@@ -166,7 +169,7 @@
 	return verdict
 }
 
-// machineEmptied has a machine on which nothing is left take the way of all that are given back.
+// machineEmptied starts the release of a machine on which nothing is left.
 func (e *Engine) machineEmptied(now time.Time, dm *drain.Machine, m *fleet.Machine) {
 	if e.drains.coordinator.Move(dm, drain.Empty) {
 		e.log(LogMachineDrained, logMachine(m), slog.String(logKeyPlan, dm.Plan), logSince("took", now, dm.Since))
--- a/internal/core/draining.go
+++ b/internal/core/draining.go
@@ -9,34 +9,26 @@
 	"time"
 
 	"gingertally/internal/core/fleet"
-	"gingertally/internal/core/pipeline"
 	"gingertally/internal/drain"
 )
 
 // draining is a leader's part in drains. A nil one stands for none.
 type draining struct {
 	coordinator  *drain.Coordinator
-	replacements map[string]*replacement // by the machine that is replaced
-	moving       map[fleet.TaskID]*movingTask
-	own          map[*fleet.Machine]time.Time // that the scheduler empties by its own choice, under budgets, and since when
-	voidedAt     time.Time                    // when charges were last looked for that won't be spent
-	newest       string                       // last name of a machine that is known
-}
-
-// movingTask is a task that is being evicted and isn't placed elsewhere yet.
-type movingTask struct {
-	job     *pipeline.Job
-	task    int
-	attempt uint64
+	replacements replacements
+	moving       movingTasks
+	own          ownChoices
+	voidedAt     time.Time // when charges were last looked for that won't be spent
+	newest       string    // last name of a machine that is known
 }
 
 func newDraining(now time.Time, e *Engine, stored drain.Stored) *draining {
 	pageLimit := func() int { return e.cfg.MaxValueBytes }
 	return &draining{
-		coordinator:  drain.NewCoordinator(now, e.cfg.Drain, stored, e.newPageName, pageLimit),
-		replacements: map[string]*replacement{},
-		moving:       map[fleet.TaskID]*movingTask{},
-		own:          map[*fleet.Machine]time.Time{},
+		coordinator:  drain.NewCoordinator(now, e.cfg.Drain, stored, e.numbers.nextPageName, pageLimit),
+		replacements: replacements{},
+		moving:       movingTasks{},
+		own:          ownChoices{},
 	}
 }
 
@@ -48,31 +40,17 @@
 	}
 	ledger := e.drains.coordinator.Ledger
 	for _, c := range ledger.OpenCharges() {
-		if e.attemptOf(fleet.TaskID{Ref: c.Job, Task: c.Task}, c.Attempt) == nil {
+		if e.usage.find(fleet.TaskID{Ref: c.Job, Task: c.Task}, c.Attempt) == nil {
 			ledger.End(now, c.TaskKey, c.Attempt)
 		}
 	}
 	for _, job := range ledger.ChargedJobs() {
-		if e.jobs[job] == nil {
+		if e.jobs.get(job) == nil {
 			ledger.JobOver(job)
 		}
 	}
 }
 
-// attemptOf is an attempt of a task that may be on a machine; nil if it is proven gone.
-func (e *Engine) attemptOf(k fleet.TaskID, number uint64) *fleet.Attempt {
-	u := e.use[k.Ref]
-	if u == nil {
-		return nil
-	}
-	for a := range u.attempts {
-		if a.TaskID == k && a.Number == number {
-			return a
-		}
-	}
-	return nil
-}
-
 // drainMachineKnown takes in a machine that is new here: it may be cordoned, or part of a plan.
 func (e *Engine) drainMachineKnown(now time.Time, m *fleet.Machine) {
 	d := e.drains
@@ -91,12 +69,11 @@
 func (e *Engine) applyCordon(m *fleet.Machine) {
 	c := e.drains.coordinator
 	cordoned, planned := c.Cordoned(m.Name), c.Planned(m.Name)
-	if m.Cordoned == cordoned && m.CordonPlanned == planned {
+	if !m.SetCordon(cordoned, planned) {
 		return
 	}
-	m.Cordoned, m.CordonPlanned = cordoned, planned
 	if !cordoned {
-		delete(e.drains.replacements, m.Name) // it stays, so nothing is kept in its place
+		e.drains.replacements.forget(m.Name) // it stays, so nothing is kept in its place
 	}
 	e.capacityChanged(m)
 }
@@ -108,8 +85,8 @@
 		return
 	}
 	d.coordinator.MachineRemoved(m.Name)
-	delete(d.replacements, m.Name)
-	delete(d.own, m)
+	d.replacements.forget(m.Name)
+	d.own.end(m)
 }
 
 // drainJobOver takes in that a job is over.
@@ -132,17 +109,19 @@
 		e.revokeEvictions(name)
 	}
 	if fresh {
-		for _, m := range e.machines {
+		for m := range e.machines.all() {
 			d.coordinator.Add(drain.MachineID{Name: m.Name, Type: m.Type, Zone: m.Zone})
 		}
 	}
-	for _, m := range e.machines {
+	for m := range e.machines.all() {
 		e.applyCordon(m)
-		if dm := d.coordinator.Machine(m.Name); dm != nil && dm.Plan == s.Stored.Plan.ID && s.Stored.Plan.Phase != drain.Running {
+		dm := d.coordinator.Machine(m.Name)
+		if s.Stored.Plan.Phase != drain.Running && dm != nil && dm.Plan == s.Stored.Plan.ID {
 			e.revokeEvictions(m.Name)
 		}
 	}
-	e.log(LogDrainPlanChanged, slog.String(logKeyPlan, s.Stored.Plan.ID), slog.String("phase", s.Stored.Plan.Phase.String()))
+	e.log(LogDrainPlanChanged, slog.String(logKeyPlan, s.Stored.Plan.ID),
+		slog.String("phase", s.Stored.Plan.Phase.String()))
 }
 
 // DrainPlanWritten says that the write of a plan's record has ended.
@@ -190,5 +169,5 @@
 	}
 }
 
-// pending tells whether an eviction or a cordon waits for a write.
+// pending reports whether an eviction or a cordon waits for a write.
 func (d *draining) pending() bool { return d != nil && d.coordinator.Pending() }
--- a/internal/core/fair_order.go
+++ b/internal/core/fair_order.go
@@ -9,9 +9,10 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// FairOrderChanged has the jobs of one urgency choose in the order of their teams' weighted dominant
-// shares, the team that uses least for its weight first, so that a small team's job doesn't
-// wait behind the backlog of a large one. Admission switches it on under overload.
+// FairOrderChanged switches fair order on or off. With it, jobs of one urgency choose in the order
+// of their teams' weighted dominant shares, the team that uses least for its weight first, so
+// that a small team's job doesn't wait behind the backlog of a large one. Admission switches it
+// on under overload.
 type FairOrderChanged struct {
 	On      bool
 	Weights map[string]float64 // by team; those that aren't named weigh 1
@@ -19,7 +20,7 @@
 
 func (f FairOrderChanged) apply(e *Engine, _ time.Time) {
 	if f.On != e.fairOrder.On {
-		e.replan = true
+		e.rounds.request()
 		e.log(LogFairOrderSwitched, slog.Bool("enabled", f.On))
 	}
 	e.fairOrder = f
@@ -48,7 +49,7 @@
 	}
 }
 
-// sameStretch tells whether fairness between teams decides which of two entries is first.
+// sameStretch reports whether fairness between teams decides which of two entries is first.
 func (a *prioritized) sameStretch(b *prioritized) bool {
 	return a.failing == b.failing && a.starving == b.starving && a.Job.Urgency == b.Job.Urgency
 }
@@ -61,7 +62,7 @@
 	for _, entry := range stretch {
 		team := entry.Job.Team
 		if lines[team] == nil {
-			use := e.teamUse[team]
+			use := e.usage.ofTeam(team)
 			lines[team] = &teamLine{used: dominantShare(use, total) / e.fairWeight(team)}
 			teams = append(teams, team)
 		}
@@ -112,7 +113,7 @@
 // capacityTotal is what all machines have that take tasks.
 func (e *Engine) capacityTotal() fleet.Amount {
 	var total fleet.Amount
-	for _, p := range e.freeCapacity.Pools {
+	for _, p := range e.capacity.free.Pools {
 		n := float64(len(p.Slots))
 		total.CPUs += n * p.Type.CPUs
 		total.GPUs += n * p.Type.GPUs
@@ -131,7 +132,7 @@
 // Load tells of capacity and backlog, the latter as of the last round of decisions.
 func (e *Engine) Load(now time.Time) ClusterLoad {
 	load := ClusterLoad{Capacity: e.capacityTotal(), Settled: e.settled(now) && len(e.catalog) > 0}
-	load.Backlog = time.Duration(dominantShare(e.backlog, load.Capacity) * float64(time.Second))
+	load.Backlog = time.Duration(dominantShare(e.rounds.backlog, load.Capacity) * float64(time.Second))
 	return load
 }
 
--- a/internal/core/fleet/connectivity_test.go
+++ b/internal/core/fleet/connectivity_test.go
@@ -9,8 +9,8 @@
 
 func at(seconds int) time.Time { return start.Add(time.Duration(seconds) * time.Second) }
 
-// Reports are ordered by fencing token, then session, then sequence number.
-func TestEpochOrder(t *testing.T) {
+// Heartbeats are ordered by fencing token, then incarnation, then sequence number.
+func TestHeartbeatVersionOrder(t *testing.T) {
 	ordered := []HeartbeatVersion{{1, 1, 1}, {1, 1, 2}, {1, 2, 1}, {2, 1, 1}, {2, 1, 9}, {3, 7, 1}}
 	for i, a := range ordered {
 		for k, b := range ordered {
@@ -22,7 +22,7 @@
 }
 
 // Only a higher fencing token under counts that haven't risen shows a restart.
-func TestEpochRestarted(t *testing.T) {
+func TestHeartbeatVersionRestarted(t *testing.T) {
 	known := HeartbeatVersion{FencingToken: 4, Incarnation: 3, Sequence: 10}
 	for _, c := range []struct {
 		report    HeartbeatVersion
@@ -42,15 +42,15 @@
 	}
 }
 
-// Stale reports show a restart only if they rise steadily, three at the least, for long
+// Stale heartbeats show a restart only if they rise steadily, three at the least, for long
 // enough; a copy in between restarts the count.
-func TestStaleReportsShowRestart(t *testing.T) {
+func TestStaleHeartbeatsShowRestart(t *testing.T) {
 	var s StaleHeartbeats
 	note := func(second int, seq uint64) bool {
 		return s.NoteStale(at(second), &Heartbeat{Incarnation: 1, Sequence: seq}, 3*time.Second)
 	}
 	if note(0, 1) || note(3, 2) {
-		t.Fatal("restarted after two reports")
+		t.Fatal("restarted after two heartbeats")
 	}
 	if note(4, 2) {
 		t.Fatal("restarted by a duplicate")
@@ -65,10 +65,10 @@
 
 // Answers in a row that aren't delivered are counted from the first one, until one is.
 func TestOneWayLossCounts(t *testing.T) {
-	l := OneWayLoss{Expecting: true}
+	l := OneWayLoss{expecting: true}
 	l.NoteUndelivered(at(1))
 	l.NoteUndelivered(at(4))
-	if l.Undelivered != 2 || !l.FirstUndelivered.Equal(at(1)) || !l.LastUndelivered.Equal(at(4)) || l.Expecting {
+	if l.Undelivered() != 2 || !l.FirstUndelivered().Equal(at(1)) || !l.LastUndelivered().Equal(at(4)) || l.Expecting() {
 		t.Fatalf("after two undelivered answers: %+v", l)
 	}
 	lease := 20 * time.Second
@@ -76,7 +76,7 @@
 		t.Fatal("the lease isn't counted from the last undelivered answer")
 	}
 	l.NoteDelivered()
-	if l.Undelivered != 0 || !l.FirstUndelivered.IsZero() || l.MustHaveDelivered(at(99), lease) {
+	if l.Undelivered() != 0 || !l.FirstUndelivered().IsZero() || l.MustHaveDelivered(at(99), lease) {
 		t.Fatalf("after a delivered answer: %+v", l)
 	}
 }
--- a/internal/core/fleet_size_test.go
+++ b/internal/core/fleet_size_test.go
@@ -38,7 +38,7 @@
 		j.Record.SubmittedMS = now.UnixMilli()
 		jobs = append(jobs, j)
 	}
-	b := newBench(t, 2, Snapshot{Jobs: jobs})
+	b := newHarness(t, 2, Snapshot{Jobs: jobs})
 	pages := storedPages{}
 	tasks := map[string][]fleet.TaskStatus{}
 	names := make([]string, largeFleet)
@@ -47,8 +47,9 @@
 	}
 	report := func(term uint64) {
 		for _, name := range names {
-			b.seq[name]++
-			r := fleet.Heartbeat{Machine: name, Addr: name, Type: "big", Zone: "a", Incarnation: 1, Sequence: b.seq[name], FencingToken: term, InterruptionIn: -1, Tasks: tasks[name]}
+			b.sequences[name]++
+			r := heartbeatFrom(name, term, b.sequences[name])
+			r.Tasks = tasks[name]
 			reply := b.e.Step(b.now, HeartbeatReceived{r}).Response
 			if reply.Held {
 				reply = b.e.Step(b.now.Add(maxResponseHold+time.Second), HeldResponseDue{r}).Response
@@ -76,9 +77,9 @@
 	for _, p := range pages {
 		next.Pages = append(next.Pages, p)
 	}
-	b.e = New(b.now, config(), 3, next, rand.New(rand.NewPCG(1, 2)))
-	if len(b.e.machines) != largeFleet || b.e.recovery.Status(b.now).Machines["expected"] != largeFleet {
-		t.Fatalf("the next leader knows %d machines", len(b.e.machines))
+	b.e = New(b.now, testConfig(), 3, next, rand.New(rand.NewPCG(1, 2)))
+	if b.e.machines.count() != largeFleet || b.e.recovery.Status(b.now).Machines["expected"] != largeFleet {
+		t.Fatalf("the next leader knows %d machines", b.e.machines.count())
 	}
 	report(2)
 	report(3)
@@ -92,10 +93,10 @@
 }
 
 // checkTakenOver demands that a leader knows each machine with its one task.
-func checkTakenOver(t *testing.T, b *bench, names []string) {
+func checkTakenOver(t *testing.T, b *harness, names []string) {
 	t.Helper()
 	for _, name := range names {
-		if m := b.e.machines[name]; m.State() != fleet.Live || m.ActiveAttempts() != 1 {
+		if m := b.e.machines.get(name); m.State() != fleet.Live || m.ActiveAttempts() != 1 {
 			t.Fatalf("%s is %v with %d tasks under the next leader", name, m.State(), m.ActiveAttempts())
 		}
 	}
@@ -107,14 +108,14 @@
 // An attempt's number has room for so many in a term. The next ones would be those of the
 // next term, so the term has to end before.
 func TestTermEndsBeforeItsNumbers(t *testing.T) {
-	b := newBench(t, 2, Snapshot{Jobs: []StoredJob{job("j-1", 1)}})
+	b := newHarness(t, 2, Snapshot{Jobs: []StoredJob{job("j-1", 1)}})
 	b.up("m-1")
-	b.e.counter = 1<<attemptBits - attemptReserve
+	b.e.numbers.counter = 1<<attemptBits - attemptReserve
 	b.now = b.now.Add(6 * time.Second)
 	if effects := b.e.Step(b.now, Tick{}); !effects.AttemptNumbersExhausted {
 		t.Fatal("the term goes on without numbers")
 	}
-	if n := b.e.machines["m-1"].ActiveAttempts(); n != 0 {
+	if n := b.e.machines.get("m-1").ActiveAttempts(); n != 0 {
 		t.Fatalf("%d tasks were placed without numbers", n)
 	}
 }
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -2,56 +2,54 @@
 
 import (
 	"log/slog"
-	"sort"
 	"time"
 
 	"gingertally/internal/core/fleet"
-	"gingertally/internal/core/pipeline"
 	"gingertally/internal/recovery"
 )
 
-// HeartbeatReceived brings a worker's heartbeat; its Reply is in the effects.
+// HeartbeatReceived brings a worker's heartbeat; its Response is in the effects.
 type HeartbeatReceived struct{ Heartbeat fleet.Heartbeat }
 
 func (r HeartbeatReceived) apply(e *Engine, now time.Time) {
-	rep := r.Heartbeat
+	heartbeat := r.Heartbeat
 	e.out.Response = &HeartbeatResponse{}
-	if rep.FencingToken > e.term {
-		e.out.HigherFencingToken = rep.FencingToken
+	if heartbeat.FencingToken > e.numbers.term {
+		e.out.HigherFencingToken = heartbeat.FencingToken
 		return
 	}
-	if _, gone := e.removed[rep.Machine]; gone {
+	if e.machines.wasRemoved(heartbeat.Machine) {
 		return // sent before the machine was released
 	}
-	m := e.machines[rep.Machine]
+	m := e.machines.get(heartbeat.Machine)
 	if m == nil {
-		m = fleet.NewMachine(now, rep.Machine, fleet.PoolKey{Type: rep.Type, Zone: rep.Zone, Spot: rep.Spot}, fleet.Booting)
-		m.TermConfirmed = true // the start log doesn't name it, so it never held a task
+		pool := fleet.PoolKey{Type: heartbeat.Type, Zone: heartbeat.Zone, Spot: heartbeat.Spot}
+		m = fleet.NewMachine(now, heartbeat.Machine, pool)
 		e.addMachine(now, m)
 		e.log(LogMachineDiscovered, logMachine(m), slog.String("type", m.Type), slog.String("zone", m.Zone))
 	}
-	if rep.FencingToken == e.term && !m.FencingTokenSent {
+	if heartbeat.FencingToken == e.numbers.term && !m.FencingTokenSent() {
 		// It has this fencing token from a leader that the state service has forgotten.
-		e.out.HigherFencingToken = rep.FencingToken
+		e.out.HigherFencingToken = heartbeat.FencingToken
 		return
 	}
-	if !m.Newer(&rep) {
-		e.staleHeartbeat(now, m, &rep)
+	if !m.Newer(&heartbeat) {
+		e.staleHeartbeat(now, m, &heartbeat)
 		return // a stale copy proves nothing and must not renew the lease
 	}
-	busy := m.ActiveAttempts()
-	e.applyHeartbeat(now, m, &rep)
+	active := m.ActiveAttempts()
+	e.applyHeartbeat(now, m, &heartbeat)
 	// Room has become free, or a new leader is about to place: a start decided now
 	// would otherwise wait for the worker's next heartbeat.
-	startExpected := m.ActiveAttempts() < busy || e.emptyUnderNewLeader(now, m)
-	e.respond(now, m, startExpected && e.mayStart(m))
-	m.LeaseRenewedAt = now
+	startExpected := m.ActiveAttempts() < active || e.emptyUnderNewLeader(now, m)
+	e.respond(now, m, startExpected && m.StartBlock() == fleet.NotBlocked)
+	m.RenewLease(now)
 }
 
 // respond answers the newest heartbeat of a machine with 200, at once or after a hold.
 func (e *Engine) respond(now time.Time, m *fleet.Machine, hold bool) {
-	m.ResponseHeld, m.FencingTokenSent = hold, true
-	e.out.Response = &HeartbeatResponse{OK: true, FencingToken: e.term, Held: hold}
+	m.HeartbeatAnswered(hold)
+	e.out.Response = &HeartbeatResponse{OK: true, FencingToken: e.numbers.term, Held: hold}
 	if !hold {
 		e.out.Response.Commands = e.commands(now, m)
 	}
@@ -63,16 +61,16 @@
 // lost, and since nothing tells its heartbeats from copies, the machine is released.
 func (e *Engine) staleHeartbeat(now time.Time, m *fleet.Machine, r *fleet.Heartbeat) {
 	restarted := m.StaleHeartbeats.NoteStale(now, r, e.cfg.HeartbeatInterval)
-	if restarted && now.Sub(m.LastHeartbeat) > e.unresponsiveAfter() {
+	if restarted && now.Sub(m.LastHeartbeat()) > e.unresponsiveAfter() {
 		e.scaleIn(now, m, ScaleInWorkerRestarted)
 	}
 }
 
-// emptyUnderNewLeader tells whether a machine is empty in the first heartbeat interval of a
+// emptyUnderNewLeader reports whether a machine is empty in the first heartbeat interval of a
 // leader, which then has much to place at once, and which doesn't lag (docs/design.md,
 // "Safety arguments", last paragraph; TestNewLeaderHoldsAnswers).
 func (e *Engine) emptyUnderNewLeader(now time.Time, m *fleet.Machine) bool {
-	return len(m.Attempts) == 0 && now.Sub(e.started) < e.cfg.HeartbeatInterval && now.Sub(e.lastTick) < maxTickLag
+	return m.Empty() && now.Sub(e.started) < e.cfg.HeartbeatInterval && e.ticks.sinceLast(now) < maxTickLag
 }
 
 // maxResponseHold is how long a reply may be held in all, maxTickLag how late a tick may be
@@ -82,13 +80,13 @@
 	maxTickLag      = 300 * time.Millisecond
 )
 
-// keepHeld tells whether a reply that was held had better be held once more: the
+// keepHeld reports whether a reply that was held had better be held once more: the
 // machine is still empty, or what was placed there isn't written yet.
 func (e *Engine) keepHeld(now time.Time, m *fleet.Machine) bool {
-	if !e.mayStart(m) || now.Sub(m.LastHeartbeat) > maxResponseHold {
+	if m.StartBlock() != fleet.NotBlocked || now.Sub(m.LastHeartbeat()) > maxResponseHold {
 		return false
 	}
-	for _, a := range m.Attempts {
+	for a := range m.Attempts() {
 		if a.State() == fleet.Intended {
 			return true
 		}
@@ -101,8 +99,8 @@
 
 func (c HeldResponseDue) apply(e *Engine, now time.Time) {
 	e.out.Response = &HeartbeatResponse{}
-	m := e.machines[c.Heartbeat.Machine]
-	if m == nil || m.Incarnation != c.Heartbeat.Incarnation || m.Sequence != c.Heartbeat.Sequence {
+	m := e.machines.get(c.Heartbeat.Machine)
+	if m == nil || m.Incarnation() != c.Heartbeat.Incarnation || m.Sequence() != c.Heartbeat.Sequence {
 		return // a newer heartbeat has come; only its answer may start anything
 	}
 	e.respond(now, m, e.keepHeld(now, m))
@@ -110,35 +108,32 @@
 
 // applyHeartbeat takes in a heartbeat that is newer than all before it.
 func (e *Engine) applyHeartbeat(now time.Time, m *fleet.Machine, r *fleet.Heartbeat) {
-	newSession := r.Incarnation > m.Incarnation || r.Version().Restarted(m.HeartbeatVersion())
-	was, quiet := m.State(), now.Sub(m.LastHeartbeat)
-	leaseEnded := newSession && was == fleet.Live && quiet < e.cfg.Lease/2
-	if was == fleet.Booting || was == fleet.Unresponsive {
-		m.IdleSince = now // it couldn't be used before
-	}
+	newIncarnation := r.Incarnation > m.Incarnation() || r.Version().Restarted(m.HeartbeatVersion())
+	was, quiet := m.State(), now.Sub(m.LastHeartbeat())
+	leaseEnded := newIncarnation && was == fleet.Live && quiet < e.cfg.Lease/2
 	if was != fleet.ScalingIn && e.moveMachine(now, m, fleet.Live) {
-		e.log(LogMachineLive, append(logPool(m.PoolKey()), logMachine(m), slog.String("previous_state", was.String()), logSince("since_first_seen", now, m.FirstSeen))...)
+		e.log(LogMachineLive, append(logPool(m.PoolKey), logMachine(m),
+			slog.String("previous_state", was.String()),
+			logSince("since_first_seen", now, m.FirstSeen()))...)
 	}
 	e.detectOneWayLoss(now, m, r, leaseEnded)
-	m.Addr, m.LastHeartbeat = r.Addr, now
-	m.Incarnation, m.Sequence, m.FencingToken = r.Incarnation, r.Sequence, r.FencingToken
-	if r.FencingToken == e.term && (!m.TermConfirmed || !m.ExistenceVerified) {
-		m.TermConfirmed, m.ExistenceVerified = true, true
+	m.HeartbeatReceived(now, r)
+	if r.FencingToken == e.numbers.term && m.ConfirmTerm() {
 		e.capacityChanged(m)
 	}
-	if newSession {
+	if newIncarnation {
 		e.incarnationEnded(now, m, r)
 	}
 	for i := range r.Tasks {
 		e.applyTaskStatus(now, m, r.FencingToken, r.Tasks[i])
 	}
-	if len(m.Attempts) > 0 {
+	if !m.Empty() {
 		e.applyUnlisted(now, m, r)
 	}
 	if r.FencingToken > 0 {
 		e.recovery.ConfirmPreviousTerm()
 	}
-	e.recovery.HeartbeatReceived(m.Name, r.FencingToken == e.term, hasUnrecorded(m))
+	e.recovery.HeartbeatReceived(m.Name, r.FencingToken == e.numbers.term, m.HasUnrecorded())
 	e.interruptionAnnounced(now, m, r.InterruptionIn)
 }
 
@@ -147,17 +142,17 @@
 // the heartbeat's list; of earlier terms' late starts only a confirmed heartbeat can speak
 // (docs/design.md, safety argument 5; TestInheritedAttemptNeedsConfirmedReport).
 func (e *Engine) incarnationEnded(now time.Time, m *fleet.Machine, r *fleet.Heartbeat) {
-	for _, a := range sortedAttempts(m) {
+	for _, a := range m.SortedAttempts() {
 		if a.State() <= fleet.Recorded && !a.Inherited {
 			continue // its start hasn't left, so it belongs to no incarnation yet
 		}
-		if !listsAttempt(r, a) && (!a.Inherited || m.TermConfirmed) {
+		if !listsAttempt(r, a) && (!a.Inherited || m.TermConfirmed()) {
 			e.attemptLost(now, m, a, lostIncarnationEnded)
 		}
 	}
 }
 
-// listsAttempt tells whether a heartbeat names an attempt.
+// listsAttempt reports whether a heartbeat names an attempt.
 func listsAttempt(r *fleet.Heartbeat, a *fleet.Attempt) bool {
 	for i := range r.Tasks {
 		if t := &r.Tasks[i]; t.Attempt == a.Number && t.Task == a.Task && t.Ref == a.Ref {
@@ -170,7 +165,7 @@
 // applyUnlisted deals with attempts that a heartbeat doesn't list (docs/design.md, safety
 // argument 5; TestDroppedStart, TestOldReportProvesNothing).
 func (e *Engine) applyUnlisted(now time.Time, m *fleet.Machine, r *fleet.Heartbeat) {
-	for _, a := range sortedAttempts(m) {
+	for _, a := range m.SortedAttempts() {
 		if listsAttempt(r, a) {
 			continue
 		}
@@ -180,10 +175,10 @@
 			continue
 		}
 		finding := recovery.ClassifyUnreported(recovery.UnreportedAttempt{
-			Inherited: a.Inherited, Confirmed: m.TermConfirmed,
+			Inherited: a.Inherited, Confirmed: m.TermConfirmed(),
 			// The response with the start was answered or dropped before this heartbeat was
 			// sent; the worker never executes it later.
-			Answered: a.State() == fleet.Sent && r.Sequence > a.CommandSequence,
+			Answered: a.State() == fleet.Sent && r.Sequence > a.CommandSequence(),
 			Seen:     a.State() >= fleet.Fetching,
 		})
 		if finding.Action == recovery.MarkLost {
@@ -205,13 +200,13 @@
 // what is done about it, is decided by recovery.Classify.
 func (e *Engine) applyTaskStatus(now time.Time, m *fleet.Machine, token uint64, t fleet.TaskStatus) {
 	k := fleet.TaskID{Ref: t.Ref, Task: t.Task}
-	finding := recovery.Classify(e.observe(m, m.Attempts[k], token, t))
+	finding := recovery.Classify(e.observe(m, m.Attempt(k), token, t))
 	e.recovery.Found(m.Name, finding)
 	switch finding.Action {
 	case recovery.Ignore:
 		return
 	case recovery.MarkLost:
-		e.attemptLost(now, m, m.Attempts[k], lostReason(finding.Reason.String()))
+		e.attemptLost(now, m, m.Attempt(k), lostReason(finding.Reason.String()))
 		e.applyTaskStatus(now, m, token, t)
 		return
 	case recovery.WithdrawFirst:
@@ -224,11 +219,11 @@
 	case recovery.Stop:
 		e.adoptUnrecorded(now, m, t)
 	default:
-		if m.Attempts[k] == nil {
+		if m.Attempt(k) == nil {
 			e.adoptExited(now, m, t)
 		}
 	}
-	e.updateAttempt(now, m, m.Attempts[k], t)
+	e.updateAttempt(now, m, m.Attempt(k), t)
 }
 
 // updateAttempt takes over what a heartbeat says of an attempt.
@@ -242,63 +237,7 @@
 	if t.State != fleet.Fetching && a.Image != "" && m.ImageThere(now, a.Image, e.imageGB(a.Ref)) {
 		e.imagesChanged(m)
 	}
-	if j := e.jobs[t.Ref]; j != nil && t.State == fleet.Running {
+	if j := e.jobs.get(t.Ref); j != nil && t.State == fleet.Running {
 		j.Started = true
 	}
 }
-
-// interruptionAnnounced handles the cloud's word that it takes the machine: what can save is
-// stopped in time and goes on elsewhere; the rest may still finish.
-func (e *Engine) interruptionAnnounced(now time.Time, m *fleet.Machine, left time.Duration) {
-	if left < 0 {
-		return
-	}
-	if m.InterruptionAt.IsZero() {
-		e.log(LogInterruptionNotice, logMachine(m), slog.Duration("in", left))
-	}
-	m.InterruptionAt = now.Add(left)
-	e.startDraining(now, m)
-	e.stopTasksOn(now, m, left)
-}
-
-// stopTasksOn stops what is on a machine that is to be left.
-func (e *Engine) stopTasksOn(now time.Time, m *fleet.Machine, left time.Duration) {
-	for _, a := range sortedAttempts(m) {
-		j := e.jobs[a.Ref]
-		if a.Stopping || a.State() == fleet.Exited || j == nil {
-			continue
-		}
-		if a.State() == fleet.Running && (j.CheckpointInterval == 0 || j.CheckpointTime >= left) {
-			continue // can't save: it may as well go on
-		}
-		e.chargeInvoluntary(now, a)
-		e.stopWithCheckpoint(now, m, a, j)
-	}
-}
-
-// stopWithCheckpoint stops an attempt so that it saves; of a gang, all tasks at once.
-func (e *Engine) stopWithCheckpoint(now time.Time, m *fleet.Machine, a *fleet.Attempt, j *pipeline.Job) {
-	grace := j.CheckpointTime + time.Second
-	if j.Shape != pipeline.Gang {
-		e.stop(now, m, a, grace)
-		return
-	}
-	for _, o := range e.attemptsOf(a.Ref) {
-		e.stop(now, o.Machine, o, grace)
-	}
-}
-
-// sortedAttempts lists a machine's attempts by job and task.
-func sortedAttempts(m *fleet.Machine) []*fleet.Attempt {
-	out := make([]*fleet.Attempt, 0, len(m.Attempts))
-	for _, a := range m.Attempts {
-		out = append(out, a)
-	}
-	sort.Slice(out, func(i, k int) bool {
-		if out[i].Ref != out[k].Ref {
-			return out[i].Ref < out[k].Ref
-		}
-		return out[i].Task < out[k].Task
-	})
-	return out
-}
--- a/internal/core/instances.go
+++ b/internal/core/instances.go
@@ -1,10 +1,8 @@
 package core
 
 import (
-	"log/slog"
 	"time"
 
-	"gingertally/internal/core/capacity"
 	"gingertally/internal/core/fleet"
 )
 
@@ -31,76 +29,22 @@
 type InstancesListed struct{ Instances []Instance }
 
 func (l InstancesListed) apply(e *Engine, now time.Time) {
-	e.lastList = now
+	e.machines.listed(now)
 	for _, lm := range l.Instances {
-		if _, gone := e.removed[lm.Name]; gone {
+		if e.machines.wasRemoved(lm.Name) {
 			continue
 		}
-		m := e.machines[lm.Name]
+		m := e.machines.get(lm.Name)
 		if m == nil {
-			m = fleet.NewMachine(now, lm.Name, fleet.PoolKey{Type: lm.Type, Zone: lm.Zone, Spot: lm.Spot}, fleet.Booting)
-			m.TermConfirmed = true // the start log doesn't name it
-			m.FirstSeen = now.Add(-lm.Age)
+			m = fleet.NewMachine(now, lm.Name, fleet.PoolKey{Type: lm.Type, Zone: lm.Zone, Spot: lm.Spot})
+			m.SetAge(now, lm.Age)
 			e.addMachine(now, m)
 		}
-		m.ListedAt = now
-		m.ListedRunning = lm.Status == InstanceRunning
-		if !m.ExistenceVerified {
-			m.ExistenceVerified = true
+		if m.Listed(now, lm.Addr, lm.Status == InstanceRunning) {
 			e.capacityChanged(m)
 		}
-		if m.Addr == "" {
-			m.Addr = lm.Addr
-		}
 		if lm.Status == InstanceFailed {
 			e.scaleIn(now, m, ScaleInInstanceFailed)
 		}
 	}
 }
-
-// ScaleOutAnswered brings the answer to a request for machines.
-type ScaleOutAnswered struct {
-	Request        ScaleOut
-	Machines       []string // those rented
-	NoCapacity     bool     // no capacity
-	OutcomeUnknown bool     // given up without an answer; the list will tell
-}
-
-func (r ScaleOutAnswered) apply(e *Engine, now time.Time) {
-	o := capacity.Offer{Type: r.Request.Type, Zone: r.Request.Zone, Spot: r.Request.Spot}
-	e.plan.Answered(now, o, capacity.Answer{Requested: r.Request.Count, Created: len(r.Machines), OutcomeUnknown: r.OutcomeUnknown})
-	e.warm.noteOffer(o)
-	for _, name := range r.Machines {
-		if _, gone := e.removed[name]; gone || e.machines[name] != nil {
-			continue
-		}
-		m := fleet.NewMachine(now, name, fleet.PoolKey(o), fleet.Booting)
-		m.TermConfirmed, m.ExistenceVerified = true, true
-		e.addMachine(now, m)
-	}
-	e.drains.replacementAnswered(r)
-	e.replan = true
-	e.log(LogScaleOutAnswered, append(logPool(fleet.PoolKey(o)), slog.Int("requested", r.Request.Count), slog.Int("created", len(r.Machines)), slog.Bool("no_capacity", r.NoCapacity))...)
-}
-
-// ScaleInAnswered says that the cloud answered a release with 200: the machines and
-// all on them are gone. OK false: unknown, to be tried again.
-type ScaleInAnswered struct {
-	Machines []string
-	OK       bool
-}
-
-func (r ScaleInAnswered) apply(e *Engine, now time.Time) {
-	for _, name := range r.Machines {
-		m := e.machines[name]
-		if m == nil {
-			continue
-		}
-		if !r.OK {
-			m.ScaleInAttempts++
-			m.StartsPausedUntil = now.Add(time.Second)
-			continue
-		}
-		e.removeMachine(now, m)
-	}
-}
--- a/internal/core/job_writes.go
+++ b/internal/core/job_writes.go
@@ -1,8 +1,8 @@
 package core
 
 import (
+	"cmp"
 	"slices"
-	"sort"
 	"time"
 
 	"gingertally/internal/core/pipeline"
@@ -43,7 +43,7 @@
 	}
 }
 
-// pending tells whether anything of a job waits for a write.
+// pending reports whether anything of a job waits for a write.
 func (w *jobWrites) pending() bool { return len(w.changed) > 0 }
 
 // addCleanup adds deletes of keys of jobs that are over.
@@ -62,31 +62,39 @@
 	}
 }
 
+// jobWriteNeed is what is to be written of a job that has changed.
+type jobWriteNeed uint8
+
+const (
+	needsNothing  jobWriteNeed = iota
+	needsLater                 // something, but not now
+	needsProgress              // its record, with partial progress
+	needsEnd                   // its final entry, in place of the record
+)
+
 // dueJobs are the jobs of which something is to be written now.
 type dueJobs struct {
 	ends     []*pipeline.Job // final entries, in place of records
 	progress []*pipeline.Job // records with partial progress
 }
 
-// dueJobWrites are the jobs that are over, and those of which progress is due to be
-// written, in the order in which they are to be written.
-func (e *Engine) dueJobWrites(now time.Time) dueJobs {
-	w := &e.jobWrites
+// due are the jobs that are over, and those of which progress is due to be written, in the order
+// in which they are to be written. Needs tells what is to be written of a job.
+func (w *jobWrites) due(now time.Time, interval time.Duration, needs func(*pipeline.Job) jobWriteNeed) dueJobs {
 	var due dueJobs
 	for j := range w.changed {
-		switch {
-		case e.over(j):
+		switch needs(j) {
+		case needsNothing:
+			delete(w.changed, j)
+		case needsEnd:
 			if !w.lastWrite[j.Ref].After(now) { // else it was refused
 				due.ends = append(due.ends, j)
 			}
-		case j.Over() || !j.Dirty():
-			delete(w.changed, j)
-		case e.cancellations.inTransaction(j.Ref):
-			// A new version of the record would only be in the cancellation's way.
-		case !j.Fits(e.cfg.MaxValueBytes):
-			// Only its end is written; until then its workers keep its results.
-		case now.Sub(w.lastWrite[j.Ref]) >= e.cfg.BatchInterval:
-			due.progress = append(due.progress, j)
+		case needsProgress:
+			if now.Sub(w.lastWrite[j.Ref]) >= interval {
+				due.progress = append(due.progress, j)
+			}
+		case needsLater:
 		}
 	}
 	w.sortEnds(due.ends)
@@ -94,46 +102,61 @@
 	return due
 }
 
+// recordWritten notes that a job's record is on its way.
+func (w *jobWrites) recordWritten(ref string, now time.Time) { w.lastWrite[ref] = now }
+
+// pause has nothing of a job written for a while.
+func (w *jobWrites) pause(ref string, until time.Time) { w.lastWrite[ref] = until }
+
 // sortEnds puts those jobs first that are cancelled with others: their users are told
 // nothing until that is written, and can't be told for long that they wait (docs/design.md,
 // safety argument 15; TestCancelledWithOthersAreWrittenFirst). Of the others, what has
 // waited longest comes first.
 func (w *jobWrites) sortEnds(ends []*pipeline.Job) {
-	sort.Slice(ends, func(i, k int) bool {
-		a, b := ends[i], ends[k]
+	slices.SortFunc(ends, func(a, b *pipeline.Job) int {
 		if cancelledWithOthers(a) != cancelledWithOthers(b) {
-			return cancelledWithOthers(a)
+			return -falseFirst(cancelledWithOthers(a))
 		}
-		return w.changed[a] < w.changed[b]
+		return cmp.Compare(w.changed[a], w.changed[b])
 	})
 }
 
 // sortProgress puts the job first whose record was written longest ago.
 func (w *jobWrites) sortProgress(progress []*pipeline.Job) {
-	sort.Slice(progress, func(i, k int) bool {
-		a, b := progress[i], progress[k]
-		if at, bt := w.lastWrite[a.Ref], w.lastWrite[b.Ref]; !at.Equal(bt) {
-			return at.Before(bt)
-		}
-		return w.changed[a] < w.changed[b]
+	slices.SortFunc(progress, func(a, b *pipeline.Job) int {
+		return cmp.Or(w.lastWrite[a.Ref].Compare(w.lastWrite[b.Ref]), cmp.Compare(w.changed[a], w.changed[b]))
 	})
 }
 
-// cancelledWithOthers tells whether a job is cancelled with one of its dependencies, and
+// cancelledWithOthers reports whether a job is cancelled with one of its dependencies, and
 // the store doesn't hold that yet.
 func cancelledWithOthers(j *pipeline.Job) bool {
 	return j.Phase() == pipeline.Cancelled && j.StoredPhase() != pipeline.Cancelled
 }
 
-// over tells whether a job's final entry can take the place of its record: all
+// writeNeed is what is to be written of a job.
+func (e *Engine) writeNeed(j *pipeline.Job) jobWriteNeed {
+	switch {
+	case e.over(j):
+		return needsEnd
+	case j.Over() || !j.Dirty():
+		return needsNothing
+	case e.cancellations.inTransaction(j.Ref):
+		return needsLater // a new version of the record would only be in the cancellation's way
+	case !j.Fits(e.cfg.MaxValueBytes):
+		return needsLater // only its end is written; until then its workers keep its results
+	}
+	return needsProgress
+}
+
+// over reports whether a job's final entry can take the place of its record: all
 // done, or cancelled with nothing left on any machine.
 func (e *Engine) over(j *pipeline.Job) bool {
 	switch j.Phase() {
 	case pipeline.Done:
 		return true
 	case pipeline.Cancelled:
-		u := e.use[j.Ref]
-		return u == nil || len(u.attempts) == 0
+		return e.usage.ofJob(j.Ref).active() == 0
 	}
 	return false
 }
@@ -162,7 +185,7 @@
 		}
 		b.add(PutJob{Ref: j.Ref, Version: j.Version, Record: j.Record(limit)})
 		chunks := j.DirtyChunks()
-		sort.Ints(chunks)
+		slices.Sort(chunks)
 		for _, c := range chunks {
 			if c > 0 && b.remaining > 0 {
 				b.add(PutDoneRanges{Ref: j.Ref, Chunk: c, Runs: pipeline.FitRuns(j.Chunk(c), limit)})
@@ -174,15 +197,11 @@
 // forgetStoredResults lets workers forget results that the store now holds (docs/design.md,
 // safety argument 7; TestForgetOnlyAfterWritten).
 func (e *Engine) forgetStoredResults(j *pipeline.Job) {
-	u := e.use[j.Ref]
-	if u == nil {
-		return
-	}
-	for a := range u.results {
+	for a := range e.usage.ofJob(j.Ref).results {
 		if j.StoredPhase() == pipeline.Done || j.StoredPhase() == pipeline.Cancelled || j.ResultStored(a.Task) {
 			a.ExitHandled = true
-			delete(u.results, a)
+			e.usage.removeResult(a)
 		}
 	}
-	e.forgetUse(j.Ref)
+	e.forgetUsage(j.Ref)
 }
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -1,78 +1,16 @@
 package core
 
 import (
-	"log/slog"
 	"time"
 
 	"gingertally/internal/core/fleet"
-	"gingertally/internal/core/pipeline"
 )
 
-// loggedAttempt is what the start log says of one task: where its attempt may be.
-type loggedAttempt struct {
-	placed fleet.MachineStarts
-	page   *fleet.StartLogPage
-	number uint64
-}
-
-// recoverStartLog takes over what the start log says may be on machines (docs/design.md,
-// safety argument 4).
-func (e *Engine) recoverStartLog(now time.Time, stored []StoredPage) {
-	for task, logged := range e.newestLogged(stored) {
-		j := e.jobs[task.Ref]
-		if j == nil || task.Task >= len(j.Tasks) || j.Tasks[task.Task].State() == pipeline.Finished {
-			continue // should it still be there, the machine's heartbeat will say so
-		}
-		m := e.machines[logged.placed.Machine]
-		if m == nil {
-			m = e.addAwaitingHeartbeat(now, logged.placed)
-		}
-		a := &fleet.Attempt{TaskID: task, Number: logged.number, Inherited: true,
-			CPUs: j.CPUs, GPUs: j.GPUs, MemGB: j.MemGB, Image: j.Image}
-		e.attach(now, m, a, fleet.Recorded)
-		logged.page.Recover(a)
-		j.Assign(task.Task, m.Name, logged.number)
-	}
-}
-
-// newestLogged takes in the pages of the start log and returns each task's highest attempt
-// in them. Of several entries for one task only that can be current: it was written only
-// after the ones before it were proven gone (TestHighestAttemptCounts).
-func (e *Engine) newestLogged(stored []StoredPage) map[fleet.TaskID]loggedAttempt {
-	newest := map[fleet.TaskID]loggedAttempt{}
-	for _, s := range stored {
-		p := fleet.NewStartLogPage(s.Name, s.Version)
-		e.startLog.addPage(p)
-		for _, placed := range s.Record.Placed {
-			for _, entry := range placed.Entries {
-				p.AddStale() // until it turns out to be current
-				task := fleet.TaskID{Ref: entry.Ref, Task: entry.Task}
-				if known, ok := newest[task]; !ok || entry.Attempt > known.number {
-					newest[task] = loggedAttempt{placed, p, entry.Attempt}
-				}
-			}
-		}
-	}
-	return newest
-}
-
-// addAwaitingHeartbeat takes in a machine that the start log names and that has not been heard of
-// under this term.
-func (e *Engine) addAwaitingHeartbeat(now time.Time, p fleet.MachineStarts) *fleet.Machine {
-	m := fleet.NewMachine(now, p.Machine, fleet.PoolKey{Type: p.Type, Zone: p.Zone, Spot: p.Spot}, fleet.AwaitingHeartbeat)
-	m.LastHeartbeat, m.LeaseRenewedAt, m.ExistenceVerified = now, now, true
-	e.addMachine(now, m)
-	e.recovery.Expect(m.Name)
-	return m
-}
-
 // addMachine takes in a machine that is new here.
 func (e *Engine) addMachine(now time.Time, m *fleet.Machine) {
-	e.machines[m.Name] = m
-	e.inState[m.State()]++
-	m.Images = e.images.takeInherited(m.Name)
+	e.machines.add(now, m)
+	m.SetImages(e.images.takeInherited(m.Name))
 	e.recovery.Discover(m.Name)
-	e.timers.schedule(m, now)
 	e.capacityChanged(m)
 	e.drainMachineKnown(now, m)
 }
@@ -80,17 +18,12 @@
 // moveMachine is the one place where a machine that is known here changes state. It returns
 // false if nothing changes.
 func (e *Engine) moveMachine(now time.Time, m *fleet.Machine, to fleet.MachineState) bool {
-	was := m.State()
-	if !m.Move(to) {
+	if !e.machines.move(now, m, to) {
 		return false
 	}
-	e.inState[was]--
-	e.inState[to]++
-	m.HeartbeatExpected = false
 	if to == fleet.Unresponsive || to == fleet.ScalingIn {
 		e.recovery.GivenUp(m.Name)
 	}
-	e.timers.schedule(m, now)
 	e.capacityChanged(m)
 	return true
 }
@@ -98,7 +31,7 @@
 // removeMachine forgets a machine that is proven gone with all on it.
 func (e *Engine) removeMachine(now time.Time, m *fleet.Machine) {
 	e.moveMachine(now, m, fleet.Removed)
-	for _, a := range sortedAttempts(m) {
+	for _, a := range m.SortedAttempts() {
 		if a.State() == fleet.Exited {
 			e.removeAttempt(now, m, a)
 			e.exitNoLongerListed(a)
@@ -106,60 +39,24 @@
 		}
 		e.attemptLost(now, m, a, lostMachineRemoved)
 	}
-	delete(e.machines, m.Name)
-	delete(e.unreachable, m)
+	e.machines.remove(now, m)
 	e.recovery.MachineRemoved(m.Name)
 	e.images.machineRemoved(m.Name)
-	e.inState[fleet.Removed]--
-	e.removed[m.Name] = now
 	e.drainMachineRemoved(m)
 	e.warm.noteMachine(m.Name)
 	e.log(LogMachineRemoved, logMachine(m))
 }
 
-// scaleIn gives a machine back; the answer proves all on it gone.
-func (e *Engine) scaleIn(now time.Time, m *fleet.Machine, reason ScaleInReason) {
-	if m.State() == fleet.ScalingIn && (m.ScaleInAttempts == 0 || now.Before(m.StartsPausedUntil)) {
-		return
-	}
-	if e.moveMachine(now, m, fleet.ScalingIn) {
-		e.log(LogScaleInRequested, logMachine(m), slog.String("type", m.Type), logReason(string(reason)), logActive(m))
-	}
-	m.Draining, m.ScaleInAttempts = true, 0
-	n := len(e.out.ScaleIn)
-	if n == 0 || len(e.out.ScaleIn[n-1]) >= maxScaleIn {
-		e.out.ScaleIn = append(e.out.ScaleIn, nil)
-		n++
-	}
-	e.out.ScaleIn[n-1] = append(e.out.ScaleIn[n-1], m.Name)
-}
-
-// maxScaleIn is how many machines one release may name (PROTOCOL).
-const maxScaleIn = 100
-
 // checkMachines looks at the machines for which it is time: unresponsiveness, ended
 // leases, boots that take too long.
 func (e *Engine) checkMachines(now time.Time) {
-	for m := e.timers.expired(now); m != nil; m = e.timers.expired(now) {
+	for m := e.machines.nextDue(now); m != nil; m = e.machines.nextDue(now) {
 		next := e.checkMachine(now, m)
 		if m.State() != fleet.Removed {
-			e.timers.schedule(m, next)
-		}
-	}
-	e.pruneRemoved(now)
-}
-
-// pruneRemoved forgets, once a minute, names of machines that have been gone for long.
-func (e *Engine) pruneRemoved(now time.Time) {
-	if now.Sub(e.prunedAt) < time.Minute {
-		return
-	}
-	e.prunedAt = now
-	for name, at := range e.removed {
-		if now.Sub(at) > keepRemovedNames {
-			delete(e.removed, name)
+			e.machines.checkAt(m, next)
 		}
 	}
+	e.machines.pruneRemoved(now)
 }
 
 // recheckEvery is how soon a machine is looked at again on which something is
@@ -171,32 +68,32 @@
 	next := now.Add(recheckEvery)
 	switch m.State() {
 	case fleet.ScalingIn:
-		if m.ScaleInAttempts > 0 {
+		if m.ScaleInToRetry() {
 			e.scaleIn(now, m, ScaleInRetry)
 		}
 		next = now.Add(time.Second)
 	case fleet.Booting:
-		if now.Sub(m.FirstSeen) > e.bootLimit(e.bootTime(m)) && now.Sub(e.started) > e.firstHeartbeatTimeout(m) {
+		if now.Sub(m.FirstSeen()) > e.bootLimit(e.bootTime(m)) && now.Sub(e.started) > e.firstHeartbeatTimeout(m) {
 			e.scaleIn(now, m, ScaleInNeverLive)
 		}
 		next = now.Add(time.Second)
 	case fleet.Live, fleet.Unresponsive, fleet.AwaitingHeartbeat:
 		e.checkResponsiveness(now, m)
 		e.scaleInUnreachable(now, m)
-		if m.HeartbeatExpected && now.Sub(m.LastHeartbeat) > e.unresponsiveAfter() {
+		if m.HeartbeatExpected() && now.Sub(m.LastHeartbeat()) > e.unresponsiveAfter() {
 			e.expectNoLonger(now, m)
 		}
 		switch {
-		case m.State() == fleet.Live && !m.Quarantined && !m.Draining && !e.unreachable[m]:
-			next = m.LastHeartbeat.Add(e.unresponsiveAfter() + time.Millisecond)
-		case m.State() == fleet.Unresponsive && len(m.Attempts) == 0:
+		case m.State() == fleet.Live && !m.ToBeReleased() && !m.OneWayLoss.Unreachable():
+			next = m.LastHeartbeat().Add(e.unresponsiveAfter() + time.Millisecond)
+		case m.State() == fleet.Unresponsive && m.Empty():
 			next = now.Add(time.Second)
 		}
 	}
-	if m.Quarantined || m.Draining || e.unreachable[m] || m.State() == fleet.Unresponsive {
+	if m.ToBeReleased() || m.OneWayLoss.Unreachable() || m.State() == fleet.Unresponsive {
 		e.withdrawUnsentStarts(now, m)
 	}
-	if m.State() == fleet.Live && (m.Quarantined || m.Draining) && m.ActiveAttempts() == 0 && !e.hasUnstoredResults(m) {
+	if m.State() == fleet.Live && m.ToBeReleased() && m.ActiveAttempts() == 0 && !m.HasUnstoredResults() {
 		e.scaleIn(now, m, ScaleInDrained)
 	}
 	if !next.After(now) {
@@ -207,15 +104,15 @@
 
 // startDraining keeps a machine from getting more starts; it goes back once empty.
 func (e *Engine) startDraining(now time.Time, m *fleet.Machine) {
-	m.Draining = true
-	e.timers.schedule(m, now)
+	m.StartDraining()
+	e.machines.checkAt(m, now)
 	e.capacityChanged(m)
 }
 
 // withdrawUnsentStarts takes back starts that haven't left from a machine that gets
 // no more of them; they would wait there for good.
 func (e *Engine) withdrawUnsentStarts(now time.Time, m *fleet.Machine) {
-	for _, a := range sortedAttempts(m) {
+	for _, a := range m.SortedAttempts() {
 		if a.State() <= fleet.Recorded && !a.Inherited {
 			e.stop(now, m, a, 0)
 			e.stopBrokenGang(now, a)
@@ -223,10 +120,6 @@
 	}
 }
 
-// keepRemovedNames is how long the names of machines that are gone are kept, for
-// messages and lists that are late.
-const keepRemovedNames = 15 * time.Minute
-
 // bootLimit is after how long a boot is given up: boots usually take up to one
 // and a half times the nominal time, some several times as long.
 func (e *Engine) bootLimit(boot time.Duration) time.Duration {
@@ -238,35 +131,25 @@
 // is still booting: it may take a lease's time to find the new leader. If the cloud lists
 // it as running, it may be in a zone that is cut off, and is kept like an unresponsive one.
 func (e *Engine) firstHeartbeatTimeout(m *fleet.Machine) time.Duration {
-	if m.ListedRunning {
+	if m.ListedRunning() {
 		return e.unresponsiveLimit(m)
 	}
 	return e.cfg.Lease
 }
 
-// hasUnstoredResults tells whether results on a machine are not yet written.
-func (*Engine) hasUnstoredResults(m *fleet.Machine) bool {
-	for _, a := range m.Attempts {
-		if a.State() == fleet.Exited && !a.ExitHandled {
-			return true
-		}
-	}
-	return false
-}
-
-// missingFromList tells whether the cloud no longer lists a machine that it did: hint
+// missingFromList reports whether the cloud no longer lists a machine that it did: hint
 // enough to release it before its worker's lease has ended, which proves all on
 // it gone. Machines that only hang stay listed, and are waited for.
 func (e *Engine) missingFromList(m *fleet.Machine) bool {
-	return !m.ListedAt.IsZero() && e.lastList.Sub(m.ListedAt) > 2*e.cfg.InstanceListLag+4*time.Second
+	return !m.ListedAt().IsZero() && e.machines.lastListed().Sub(m.ListedAt()) > 2*e.cfg.InstanceListLag+4*time.Second
 }
 
-// unresponsiveAfter is when a machine that doesn't report gets no more starts: two
-// reports have then failed to arrive, with a change of node between them.
+// unresponsiveAfter is when a machine that sends no heartbeats gets no more starts: two
+// heartbeats have then failed to arrive, with a change of node between them.
 func (e *Engine) unresponsiveAfter() time.Duration { return 2*e.cfg.HeartbeatInterval + 5*time.Second }
 
 func (e *Engine) checkResponsiveness(now time.Time, m *fleet.Machine) {
-	quiet := now.Sub(m.LastHeartbeat)
+	quiet := now.Sub(m.LastHeartbeat())
 	if m.State() == fleet.Live && quiet > e.unresponsiveAfter() && e.moveMachine(now, m, fleet.Unresponsive) {
 		e.log(LogMachineUnresponsive, logMachine(m), logActive(m))
 	}
@@ -281,7 +164,7 @@
 	if m.ActiveAttempts() > 0 {
 		e.log(LogWorkerLeaseExpired, logMachine(m), logActive(m))
 	}
-	for _, a := range sortedAttempts(m) {
+	for _, a := range m.SortedAttempts() {
 		if a.State() != fleet.Exited {
 			e.attemptLost(now, m, a, lostLeaseExpired)
 		}
@@ -291,11 +174,11 @@
 	}
 }
 
-// unresponsiveLimit is how long a machine is kept that doesn't report but stays listed:
+// unresponsiveLimit is how long a machine is kept that sends no heartbeats but stays listed:
 // beyond its worker's lease, which ends all on it, for about as long as another
 // would take to be of use. A zone that is cut off, or many machines that hang,
 // mostly come back sooner, with their images; and while they are away, what waits
-// is placed and rented for elsewhere.
+// is placed and requested elsewhere.
 func (e *Engine) unresponsiveLimit(m *fleet.Machine) time.Duration {
 	return e.cfg.Lease + 2*e.bootTime(m)
 }
@@ -311,9 +194,9 @@
 	return unknownBoot
 }
 
-// HasLiveMachines tells whether any machine is up as far as is known.
+// HasLiveMachines reports whether any machine is up as far as is known.
 func (e *Engine) HasLiveMachines() bool {
-	for _, m := range e.machines {
+	for m := range e.machines.all() {
 		if s := m.State(); s == fleet.Live || s == fleet.Unresponsive {
 			return true // mostly the first one looked at
 		}
--- a/internal/core/placement/machine_type.go
+++ b/internal/core/placement/machine_type.go
@@ -2,8 +2,10 @@
 
 import (
 	"math"
+	"slices"
 	"time"
 
+	"gingertally/internal/core/fleet"
 	"gingertally/internal/core/pipeline"
 )
 
@@ -26,14 +28,9 @@
 	return t.Hourly
 }
 
-// InZone tells whether the type is offered in a zone.
+// InZone reports whether the type is offered in a zone.
 func (t *Type) InZone(zone string) bool {
-	for _, z := range t.Zones {
-		if z == zone {
-			return true
-		}
-	}
-	return false
+	return slices.Contains(t.Zones, zone)
 }
 
 // Catalog holds the machine types by name.
@@ -50,19 +47,24 @@
 // slack absorbs the rounding of sums of decimal amounts.
 const slack = 1e-6
 
-// Fits tells whether one task fits an empty machine of the type.
+// Fits reports whether one task fits an empty machine of the type.
 func (t *Type) Fits(s *pipeline.Spec) bool { return t.Capacity(s) > 0 }
 
 // Capacity is how many tasks of the job fit an empty machine of the type.
-func (t *Type) Capacity(s *pipeline.Spec) int { return HowMany(t.CPUs, t.GPUs, t.MemGB, s) }
+func (t *Type) Capacity(s *pipeline.Spec) int { return tasksWithin(t.total(), s) }
+
+// total is what an empty machine of the type has.
+func (t *Type) total() fleet.Amount {
+	return fleet.Amount{CPUs: t.CPUs, GPUs: t.GPUs, MemGB: t.MemGB}
+}
 
 // maxPerMachine bounds how many tasks are counted onto one machine.
 const maxPerMachine = 1000
 
-// HowMany is how many tasks of the job fit into some free room.
-func HowMany(cpus, gpus, mem float64, s *pipeline.Spec) int {
+// tasksWithin is how many tasks of the job fit into an amount.
+func tasksWithin(free fleet.Amount, s *pipeline.Spec) int {
 	n := maxPerMachine
-	for _, p := range [3][2]float64{{cpus, s.CPUs}, {gpus, s.GPUs}, {mem, s.MemGB}} {
+	for _, p := range [3][2]float64{{free.CPUs, s.CPUs}, {free.GPUs, s.GPUs}, {free.MemGB, s.MemGB}} {
 		if p[1] > 0 {
 			n = min(n, int((p[0]+slack)/p[1]))
 		}
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -1,11 +1,8 @@
-// Package placement decides which waiting task goes where: quota, constraints,
-// and a round of decisions that stops when its budget is spent and goes on
-// from there the next time.
 package placement
 
 import "gingertally/internal/core/pipeline"
 
-// Possible tells whether a job could ever run: some allowed type, in an allowed
+// Possible reports whether a job could ever run: some allowed type, in an allowed
 // zone, fits a task, and the team's limit allows what has to run at once.
 func Possible(s *pipeline.Spec, team Quota, c Catalog) bool {
 	n := 1.0
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -13,6 +13,8 @@
 	"gpu": {Name: "gpu", CPUs: 8, GPUs: 2, MemGB: 32, Hourly: 9, FetchGBPerS: 1, Zones: []string{"a"}},
 }
 
+// A job that no type of machine, zone or limit ever allows is turned away when it is submitted,
+// rather than left to wait for good.
 func TestPossible(t *testing.T) {
 	limit := Quota{CPULimit: 10, GPULimit: 2}
 	for _, c := range []struct {
@@ -36,36 +38,25 @@
 	}
 }
 
-// board is a round over some machines; it records what is placed and stopped.
+// board is a round over some machines; it records what is placed and stopped. Attempts of j-9
+// may be stopped for others, all end in a minute, and the only team may use 40 CPUs.
 type board struct {
 	Board
 	placed  []Decision
 	stopped []*fleet.Attempt
 	unmet   int
+	zones   map[string]int // nil: what is placed isn't counted by zone
+	startBy time.Time
+	spent   func() bool
 }
 
 func newBoard(t *testing.T, jobs []*pipeline.Job, machines ...*fleet.Machine) *board {
 	t.Helper()
 	b := &board{}
-	now := time.Unix(100, 0)
-	b.Board = Board{Now: now, FreeCapacity: &FreeCapacity{}, MaxReservations: 5, SecondsPerDollarHour: 1,
-		Quota:   func(string) Quota { return Quota{CPULimit: 40} },
-		Usage:   func(string) fleet.Amount { return fleet.Amount{CPUs: float64(8 * len(b.placed))} },
-		InZones: func(string) map[string]int { return map[string]int{} },
-		Busy:    func(string) int { return 0 },
-		Commit: func(d Decision) {
-			b.placed = append(b.placed, d)
-			d.Job.Assign(d.Task, d.Slot.Machine.Name, 1)
-		},
-		Unplaced: func(_ *pipeline.Job, n int) { b.unmet += n },
-		EndOf:    func(*fleet.Attempt) time.Time { return now.Add(time.Minute) },
-		Due:      func(*pipeline.Job) time.Time { return now.Add(time.Second) },
-		StartBy:  func(*pipeline.Job) time.Time { return time.Time{} },
-		MayStop:  func(_ *pipeline.Job, a *fleet.Attempt) (float64, bool) { return 1, a.Ref == "j-9" },
-		Stop:     func(a *fleet.Attempt) { b.stopped = append(b.stopped, a) },
-		Preempts: func(*pipeline.Job) bool { return true },
-
-		LargeGPUWork: func(*Type) *pipeline.Spec { return nil },
+	b.Board = Board{
+		Scorer:       Scorer{Now: time.Unix(100, 0), SecondsPerDollarHour: 1},
+		FreeCapacity: &FreeCapacity{}, MaxReservations: 5,
+		Cluster: b, Executor: b,
 	}
 	for _, j := range jobs {
 		b.Queue = append(b.Queue, QueueEntry{Job: j, Most: len(j.Tasks)})
@@ -76,10 +67,46 @@
 	return b
 }
 
+func (*board) Quota(string) Quota { return Quota{CPULimit: 40} }
+
+func (b *board) Usage(string) fleet.Amount { return fleet.Amount{CPUs: float64(8 * len(b.placed))} }
+
+func (b *board) Zones(string) map[string]int { return b.zones }
+
+func (*board) ActiveAttempts(string) int { return 0 }
+
+func (b *board) EndOf(*fleet.Attempt) time.Time { return b.Now.Add(time.Minute) }
+
+func (b *board) NeedsCapacityBy(*pipeline.Job) time.Time { return b.Now.Add(time.Second) }
+
+func (b *board) StartBy(*pipeline.Job) time.Time { return b.startBy }
+
+func (*board) MayPreempt(*pipeline.Job) bool { return true }
+
+func (*board) PreemptionCost(_ *pipeline.Job, a *fleet.Attempt) (float64, bool) {
+	return 1, a.Ref == "j-9"
+}
+
+func (b *board) Commit(d Decision) {
+	if b.zones != nil {
+		b.zones[d.Slot.Zone]++
+	}
+	b.placed = append(b.placed, d)
+	d.Job.Assign(d.Task, d.Slot.Machine.Name, 1)
+}
+
+func (b *board) Unplaced(_ *pipeline.Job, n int) { b.unmet += n }
+
+func (b *board) Preempt(a *fleet.Attempt) { b.stopped = append(b.stopped, a) }
+
+func (b *board) Spent() bool { return b.spent != nil && b.spent() }
+
 func machine(name, typ, zone string, tasks ...string) *fleet.Machine {
-	m := fleet.NewMachine(time.Unix(0, 0), name, fleet.PoolKey{Type: typ, Zone: zone}, fleet.Live)
+	m := fleet.NewMachine(time.Unix(0, 0), name, fleet.PoolKey{Type: typ, Zone: zone})
+	m.Move(time.Unix(0, 0), fleet.Live)
 	for i, ref := range tasks {
-		m.AddAttempt(time.Unix(0, 0), &fleet.Attempt{TaskID: fleet.TaskID{Ref: ref, Task: i}, Number: uint64(i + 1), CPUs: 4}, fleet.Running)
+		a := &fleet.Attempt{TaskID: fleet.TaskID{Ref: ref, Task: i}, Number: uint64(i + 1), CPUs: 4}
+		m.AddAttempt(time.Unix(0, 0), a, fleet.Running)
 	}
 	return m
 }
@@ -93,13 +120,17 @@
 	return j
 }
 
+// Of a gang either all tasks are placed, in one zone if it must stay in one, or none: a part would
+// hold machines and never start.
 func TestGangWholeOrNotAtAll(t *testing.T) {
 	gang := job(t, pipeline.Spec{Ref: "j-1", Tasks: 3, CPUs: 8, Shape: pipeline.Gang, OneZone: true})
-	b := newBoard(t, []*pipeline.Job{gang}, machine("m-1", "cpu", "a"), machine("m-2", "cpu", "b"), machine("m-3", "cpu", "b"))
+	b := newBoard(t, []*pipeline.Job{gang},
+		machine("m-1", "cpu", "a"), machine("m-2", "cpu", "b"), machine("m-3", "cpu", "b"))
 	if new(Round).Run(&b.Board); len(b.placed) != 0 || b.unmet != 3 {
 		t.Fatalf("placed %v, unmet %d", b.placed, b.unmet)
 	}
-	b = newBoard(t, []*pipeline.Job{gang}, machine("m-1", "cpu", "a"), machine("m-2", "cpu", "b"), machine("m-3", "cpu", "b"), machine("m-4", "cpu", "b"))
+	b = newBoard(t, []*pipeline.Job{gang},
+		machine("m-1", "cpu", "a"), machine("m-2", "cpu", "b"), machine("m-3", "cpu", "b"), machine("m-4", "cpu", "b"))
 	if new(Round).Run(&b.Board); len(b.placed) != 3 {
 		t.Fatalf("placed %v", b.placed)
 	}
@@ -110,6 +141,8 @@
 	}
 }
 
+// Of an array only as many tasks are placed as the team's limit allows, also when machines have
+// room for more.
 func TestQuotaBoundsArrays(t *testing.T) {
 	j := job(t, pipeline.Spec{Ref: "j-1", Tasks: 9, CPUs: 8})
 	var ms []*fleet.Machine
@@ -143,7 +176,7 @@
 	}
 }
 
-// Work without GuaranteedGPUs goes where it wastes none.
+// Work without GPUs goes where it wastes none.
 func TestCheaperPlace(t *testing.T) {
 	j := job(t, pipeline.Spec{Ref: "j-1", Tasks: 1, CPUs: 4})
 	b := newBoard(t, []*pipeline.Job{j}, machine("m-1", "gpu", "a"), machine("m-2", "cpu", "a"))
@@ -169,7 +202,9 @@
 // A gang of several tasks makes room for itself in one zone, or not at all, and
 // keeps what it has made: gangs were once left out of preemption.
 func TestGangMakesRoom(t *testing.T) {
-	gang := job(t, pipeline.Spec{Ref: "j-1", Tasks: 2, CPUs: 8, Priority: pipeline.High, Shape: pipeline.Gang, OneZone: true})
+	gang := job(t, pipeline.Spec{
+		Ref: "j-1", Tasks: 2, CPUs: 8, Priority: pipeline.High, Shape: pipeline.Gang, OneZone: true,
+	})
 	small := job(t, pipeline.Spec{Ref: "j-2", Tasks: 4, CPUs: 1, Priority: pipeline.Normal})
 	b := newBoard(t, []*pipeline.Job{gang, small}, machine("m-1", "cpu", "a", "j-9"), machine("m-2", "cpu", "a", "j-8"),
 		machine("m-3", "cpu", "b", "j-9"), machine("m-4", "cpu", "b", "j-9"))
@@ -200,7 +235,7 @@
 	}
 	b := newBoard(t, jobs, machine("m-1", "cpu", "a"))
 	asked := 0
-	b.Spent = func() bool { asked++; return asked%2 == 0 }
+	b.spent = func() bool { asked++; return asked%2 == 0 }
 	var r Round
 	rounds := 1
 	for !r.Run(&b.Board) {
@@ -221,7 +256,7 @@
 	var machines []*fleet.Machine
 	for i, ago := range []time.Duration{time.Second, 7 * time.Second, 4 * time.Second} {
 		m := machine([]string{"m-1", "m-2", "m-3"}[i], "cpu", "a")
-		m.LastHeartbeat = now.Add(-ago)
+		m.HeartbeatReceived(now.Add(-ago), &fleet.Heartbeat{})
 		machines = append(machines, m)
 	}
 	for _, want := range []string{"m-2", "m-1"} {
@@ -231,24 +266,25 @@
 		if len(b.placed) != 1 || b.placed[0].Slot.Machine.Name != want {
 			t.Errorf("placed %+v, want %s", b.placed, want)
 		}
-		machines[0].ResponseHeld = true
+		machines[0].HeartbeatAnswered(true)
 	}
 }
 
 // Where it must start by a time that it can still keep, a task goes to the machine that
 // answers in time, though another one is used more.
-func TestStartsInTimeForItsAim(t *testing.T) {
+func TestStartsInTimeForItsObjective(t *testing.T) {
 	now := time.Unix(100, 0)
 	for _, c := range []struct {
 		by   time.Time
 		want string
 	}{{time.Time{}, "m-1"}, {now.Add(2 * time.Second), "m-2"}, {now.Add(time.Millisecond), "m-1"}} {
 		used, idle := machine("m-1", "cpu", "a"), machine("m-2", "cpu", "a")
-		used.LastHeartbeat, idle.LastHeartbeat = now.Add(-4*time.Second), now.Add(-7*time.Second)
+		used.HeartbeatReceived(now.Add(-4*time.Second), &fleet.Heartbeat{})
+		idle.HeartbeatReceived(now.Add(-7*time.Second), &fleet.Heartbeat{})
 		used.AddAttempt(now, &fleet.Attempt{TaskID: fleet.TaskID{Ref: "j-8"}, CPUs: 6}, fleet.Running)
 		b := newBoard(t, []*pipeline.Job{job(t, pipeline.Spec{Ref: "j-1", Tasks: 1, CPUs: 1})}, used, idle)
 		b.HeartbeatInterval = 8 * time.Second
-		b.StartBy = func(*pipeline.Job) time.Time { return c.by }
+		b.startBy = c.by
 		new(Round).Run(&b.Board)
 		if len(b.placed) != 1 || b.placed[0].Slot.Machine.Name != c.want {
 			t.Errorf("by %s: placed %+v, want %s", c.by.Sub(now), b.placed, c.want)
--- a/internal/core/placement/preempt.go
+++ b/internal/core/placement/preempt.go
@@ -1,7 +1,8 @@
 package placement
 
 import (
-	"sort"
+	"cmp"
+	"slices"
 	"time"
 
 	"gingertally/internal/core/fleet"
@@ -15,19 +16,22 @@
 // reservation is what a reserved slot may still give to jobs other than the one it is
 // kept for.
 type reservation struct {
-	ref             string
-	cpus, gpus, mem float64
+	ref  string // the job it is kept for
+	left fleet.Amount
 }
 
-func (f reservation) plus(a *fleet.Attempt) reservation {
-	return reservation{f.ref, f.cpus + a.CPUs, f.gpus + a.GPUs, f.mem + a.MemGB}
+// plus is the reservation once an attempt has left.
+func (r reservation) plus(a *fleet.Attempt) reservation {
+	return reservation{r.ref, r.left.Plus(a)}
 }
 
-func (f reservation) less(sp *pipeline.Spec) reservation {
-	return reservation{sp.Ref, f.cpus - sp.CPUs, f.gpus - sp.GPUs, f.mem - sp.MemGB}
+// minus is what a task of the job leaves.
+func (r reservation) minus(sp *pipeline.Spec) reservation {
+	return reservation{sp.Ref, r.left.Sub(need(sp))}
 }
 
-func (f reservation) fits(sp *pipeline.Spec) bool { return HowMany(f.cpus, f.gpus, f.mem, sp) > 0 }
+// fits reports whether there is room for a task of the job.
+func (r reservation) fits(sp *pipeline.Spec) bool { return tasksWithin(r.left, sp) > 0 }
 
 // endsLate is how much later than expected the last of what occupies a place may
 // end: room is made in time rather than hoped for until it is too late.
@@ -37,13 +41,13 @@
 // is coming is kept for it, and if that comes too late, room is made by stopping
 // what may be stopped. Each round does so for a few jobs, the first in the order.
 func (b *Board) wait(j *pipeline.Job, n int, zones map[string]int) {
-	preempts := b.Preempts(j)
+	preempts := b.Cluster.MayPreempt(j)
 	if b.MaxReservations == 0 || !(preempts || n > 1 || b.large(j)) {
 		return
 	}
 	b.MaxReservations--
 	places, at := b.soonest(j, n, zones)
-	if len(places) < n || at.After(b.Due(j).Add(-endsLate)) {
+	if len(places) < n || at.After(b.Cluster.NeedsCapacityBy(j).Add(-endsLate)) {
 		if preempts && b.makeCapacity(j, n, zones) {
 			return
 		}
@@ -55,7 +59,7 @@
 	}
 }
 
-// large tells whether the job's tasks count as large on some type it may use.
+// large reports whether the job's tasks count as large on some type it may use.
 func (b *Board) large(j *pipeline.Job) bool {
 	for _, p := range b.FreeCapacity.Pools {
 		if p.Allowed(&j.Spec) && Share(p.Type, &j.Spec) >= largeShare {
@@ -92,7 +96,7 @@
 		if len(all) < n {
 			continue
 		}
-		sort.SliceStable(all, func(i, k int) bool { return all[i].at.Before(all[k].at) })
+		slices.SortStableFunc(all, func(a, b place) int { return a.at.Compare(b.at) })
 		if last := all[n-1].at; best == nil || last.Before(at) {
 			best, at = all[:n], last
 		}
@@ -100,27 +104,25 @@
 	return best, at
 }
 
+// present lists what may be on a machine, by attempt.
 func present(m *fleet.Machine) []*fleet.Attempt {
-	out := make([]*fleet.Attempt, 0, len(m.Attempts))
-	for _, a := range m.Attempts {
+	out := make([]*fleet.Attempt, 0, m.ActiveAttempts())
+	for a := range m.Attempts() {
 		if a.State() != fleet.Exited {
 			out = append(out, a)
 		}
 	}
-	sort.Slice(out, func(i, k int) bool {
-		if out[i].Number != out[k].Number {
-			return out[i].Number < out[k].Number
-		}
-		return out[i].Task < out[k].Task
+	slices.SortFunc(out, func(a, b *fleet.Attempt) int {
+		return cmp.Or(cmp.Compare(a.Number, b.Number), cmp.Compare(a.Task, b.Task))
 	})
 	return out
 }
 
 // capacityAt is when a slot will have room for a task, and what will then be left.
 func (b *Board) capacityAt(s *Slot, sp *pipeline.Spec) (time.Time, reservation) {
-	at, free := b.Now, reservation{sp.Ref, s.CPUs, s.GPUs, s.MemGB}
+	at, free := b.Now, reservation{sp.Ref, s.free}
 	if free.fits(sp) {
-		return at, free.less(sp)
+		return at, free.minus(sp)
 	}
 	type end struct {
 		attempt *fleet.Attempt
@@ -128,16 +130,16 @@
 	}
 	var ends []end
 	for _, a := range present(s.Machine) {
-		ends = append(ends, end{a, b.EndOf(a)})
+		ends = append(ends, end{a, b.Cluster.EndOf(a)})
 	}
-	sort.SliceStable(ends, func(i, k int) bool { return ends[i].at.Before(ends[k].at) })
+	slices.SortStableFunc(ends, func(a, b end) int { return a.at.Compare(b.at) })
 	for _, e := range ends {
 		if free.fits(sp) {
 			break
 		}
 		at, free = e.at, free.plus(e.attempt)
 	}
-	return at, free.less(sp)
+	return at, free.minus(sp)
 }
 
 // makeCapacity stops what must make way for n tasks of the job, on the machines
@@ -176,7 +178,7 @@
 			all = append(all, p)
 		}
 	})
-	sort.SliceStable(all, func(i, k int) bool { return all[i].cost < all[k].cost })
+	slices.SortStableFunc(all, func(a, b place) int { return cmp.Compare(a.cost, b.cost) })
 	return all
 }
 
@@ -184,14 +186,14 @@
 func (b *Board) clear(p place) {
 	b.FreeCapacity.reserve(p.slot, p.left)
 	for _, a := range p.victims {
-		b.Stop(a)
+		b.Executor.Preempt(a)
 	}
 }
 
 // victims are the attempts on a slot to stop for a task of the job, what that
 // costs in seconds of delay and lost work, and what room it leaves.
 func (b *Board) victims(s *Slot, j *pipeline.Job) (place, bool) {
-	free := reservation{j.Ref, s.CPUs, s.GPUs, s.MemGB}
+	free := reservation{j.Ref, s.free}
 	type candidate struct {
 		attempt *fleet.Attempt
 		cost    float64
@@ -199,15 +201,15 @@
 	var may []candidate
 	if !free.fits(&j.Spec) {
 		for _, a := range present(s.Machine) {
-			if a.Stopping {
+			if a.Stopping() {
 				free = free.plus(a) // on its way out already
 				continue
 			}
-			if cost, ok := b.MayStop(j, a); ok {
+			if cost, ok := b.Cluster.PreemptionCost(j, a); ok {
 				may = append(may, candidate{a, cost})
 			}
 		}
-		sort.SliceStable(may, func(i, k int) bool { return may[i].cost < may[k].cost })
+		slices.SortStableFunc(may, func(a, b candidate) int { return cmp.Compare(a.cost, b.cost) })
 	}
 	p := place{slot: s}
 	for _, c := range may {
@@ -217,6 +219,6 @@
 		free, p.cost = free.plus(c.attempt), p.cost+c.cost
 		p.victims = append(p.victims, c.attempt)
 	}
-	p.left = free.less(&j.Spec)
+	p.left = free.minus(&j.Spec)
 	return p, free.fits(&j.Spec)
 }
--- a/internal/core/placement/quota.go
+++ b/internal/core/placement/quota.go
@@ -5,14 +5,14 @@
 // Quota is a team's guarantee and limit; a limit of 0 means none.
 type Quota struct{ GuaranteedCPUs, GuaranteedGPUs, CPULimit, GPULimit float64 }
 
-// Within tells whether an amount is within the team's limits.
+// Within reports whether an amount is within the team's limits.
 func (t Quota) Within(cpus, gpus float64) bool {
 	return (t.CPULimit == 0 || cpus <= t.CPULimit+slack) && (t.GPULimit == 0 || gpus <= t.GPULimit+slack)
 }
 
 // quotaHeadroom is how many more tasks of the job its team's limit allows.
 func (b *Board) quotaHeadroom(j *pipeline.Job) int {
-	t, u := b.Quota(j.Team), b.Usage(j.Team)
+	t, u := b.Cluster.Quota(j.Team), b.Cluster.Usage(j.Team)
 	n := maxPerMachine * 1000
 	if t.CPULimit > 0 && j.CPUs > 0 {
 		n = min(n, int((t.CPULimit-u.CPUs+slack)/j.CPUs))
--- a/internal/core/placement/replicas.go
+++ b/internal/core/placement/replicas.go
@@ -1,8 +1,9 @@
 package placement
 
 import (
+	"cmp"
 	"maps"
-	"sort"
+	"slices"
 
 	"gingertally/internal/core/fleet"
 	"gingertally/internal/core/pipeline"
@@ -20,18 +21,18 @@
 	}
 	choices := b.replicaChoices(j)
 	for task >= 0 && want > 0 {
-		s := choices.next(j, b.InZones(j.Ref), task)
+		s := choices.next(j, b.Cluster.Zones(j.Ref), task)
 		if s == nil {
 			break
 		}
 		s.Take(&j.Spec)
-		b.Commit(Decision{Job: j, Task: task, Slot: s})
+		b.Executor.Commit(Decision{Job: j, Task: task, Slot: s})
 		want--
 		task = j.NextWaiting(b.Now, task+1)
 	}
 	if task >= 0 && want > 0 {
-		b.makeCapacityForReplicas(j, want, b.InZones(j.Ref))
-		b.Unplaced(j, want)
+		b.makeCapacityForReplicas(j, want, b.Cluster.Zones(j.Ref))
+		b.Executor.Unplaced(j, want)
 	}
 }
 
@@ -50,10 +51,7 @@
 	for _, s := range b.open(j, "") {
 		c.byZone[s.Zone] = append(c.byZone[s.Zone], s)
 	}
-	for zone := range c.byZone {
-		c.zones = append(c.zones, zone)
-	}
-	sort.Strings(c.zones)
+	c.zones = slices.Sorted(maps.Keys(c.byZone))
 	return c
 }
 
@@ -82,7 +80,8 @@
 // skipFull drops the first slots of a zone that can't take the replica.
 func (c *replicaChoices) skipFull(j *pipeline.Job, zone string, task int) {
 	slots := c.byZone[zone]
-	for len(slots) > 0 && (slots[0].Free(&j.Spec) < 1 || slots[0].Machine.Attempts[fleet.TaskID{Ref: j.Ref, Task: task}] != nil) {
+	id := fleet.TaskID{Ref: j.Ref, Task: task}
+	for len(slots) > 0 && (slots[0].RoomFor(&j.Spec) < 1 || slots[0].Machine.Attempt(id) != nil) {
 		slots = slots[1:]
 	}
 	c.byZone[zone] = slots
@@ -96,14 +95,14 @@
 // one on each machine and no more in a zone than may be there, on the cheapest machines:
 // unlike a gang's tasks, each is of use without the others.
 func (b *Board) makeCapacityForReplicas(j *pipeline.Job, n int, zones map[string]int) {
-	if b.MaxReservations == 0 || !b.Preempts(j) {
+	if b.MaxReservations == 0 || !b.Cluster.MayPreempt(j) {
 		return
 	}
 	inZones := map[string]int{}
 	maps.Copy(inZones, zones)
 	for _, pool := range b.FreeCapacity.byPrice(&j.Spec) {
 		choices := b.preemptibleIn(pool, j, inZones, placesPerReplica*n)
-		sort.SliceStable(choices, func(i, k int) bool { return choices[i].cost < choices[k].cost })
+		slices.SortStableFunc(choices, func(a, b place) int { return cmp.Compare(a.cost, b.cost) })
 		for _, p := range choices {
 			if n == 0 {
 				return
--- a/internal/core/placement/replicas_test.go
+++ b/internal/core/placement/replicas_test.go
@@ -1,6 +1,7 @@
 package placement
 
 import (
+	"fmt"
 	"testing"
 	"time"
 
@@ -9,15 +10,7 @@
 )
 
 // countingZones has a board count what it places by zone, as the engine does.
-func countingZones(b *board) {
-	zones := map[string]int{}
-	b.InZones = func(string) map[string]int { return zones }
-	commit := b.Commit
-	b.Commit = func(d Decision) {
-		zones[d.Slot.Zone]++
-		commit(d)
-	}
-}
+func countingZones(b *board) { b.zones = map[string]int{} }
 
 func service(t *testing.T, replicas int) *pipeline.Job {
 	t.Helper()
@@ -25,10 +18,11 @@
 }
 
 // Replicas missing after a zone was lost once waited for arrays' tasks to end, for 7 s on
-// the mean, since a service that had begun had no aim left to be late for.
+// the mean, since a service that had begun had no objective left to be late for.
 func TestMissingReplicasMakeRoom(t *testing.T) {
 	b := newBoard(t, []*pipeline.Job{service(t, 4)}, machine("m-1", "cpu", "a", "j-9", "j-8"),
-		machine("m-2", "cpu", "a", "j-9", "j-8"), machine("m-3", "cpu", "a", "j-9", "j-8"), machine("m-4", "cpu", "b", "j-9", "j-8"))
+		machine("m-2", "cpu", "a", "j-9", "j-8"), machine("m-3", "cpu", "a", "j-9", "j-8"),
+		machine("m-4", "cpu", "b", "j-9", "j-8"))
 	countingZones(b)
 	new(Round).Run(&b.Board)
 	byMachine := map[string]int{}
@@ -44,8 +38,8 @@
 // limit of half of them allowed.
 func TestReplicasSpread(t *testing.T) {
 	var machines []*fleet.Machine
-	for _, name := range []string{"m-1", "m-2", "m-3", "m-4"} {
-		machines = append(machines, machine(name, "cpu", map[string]string{"m-1": "a", "m-2": "a", "m-3": "b", "m-4": "c"}[name]))
+	for i, zone := range []string{"a", "a", "b", "c"} {
+		machines = append(machines, machine(fmt.Sprintf("m-%d", i+1), "cpu", zone))
 	}
 	b := newBoard(t, []*pipeline.Job{service(t, 4)}, machines...)
 	countingZones(b)
@@ -59,8 +53,8 @@
 	}
 }
 
-// Replicas were once strewn over machines with GuaranteedGPUs, on each a few more than fit beside the
-// tasks that need its GuaranteedGPUs: gangs waited for minutes while those machines stood idle. They
+// Replicas were once strewn over machines with GPUs, on each a few more than fit beside the
+// tasks that need its GPUs: gangs waited for minutes while those machines stood idle. They
 // first take what is left beside such tasks, then fill machines that are lost to those already.
 func TestReplicasLeaveRoomForGPUWork(t *testing.T) {
 	large := &pipeline.Spec{Ref: "j-9", CPUs: 4, GPUs: 2}
@@ -69,12 +63,13 @@
 		machines := []*fleet.Machine{machine("m-1", "gpu", "a"), machine("m-2", "gpu", "a"), machine("m-3", "gpu", "a")}
 		for k, m := range machines {
 			for n := range on[m.Name] {
-				m.AddAttempt(time.Unix(0, 0), &fleet.Attempt{TaskID: fleet.TaskID{Ref: "j-8", Task: 10*k + n}, CPUs: 2, ServiceReplica: true}, fleet.Running)
+				replica := &fleet.Attempt{TaskID: fleet.TaskID{Ref: "j-8", Task: 10*k + n}, CPUs: 2, ServiceReplica: true}
+				m.AddAttempt(time.Unix(0, 0), replica, fleet.Running)
 			}
 		}
 		replica := job(t, pipeline.Spec{Ref: "j-1", Tasks: 1, CPUs: 2, Shape: pipeline.Service})
 		b := newBoard(t, []*pipeline.Job{replica}, machines...)
-		b.LargeGPUWork = func(*Type) *pipeline.Spec { return large }
+		b.LargeGPUWork = map[*Type]*pipeline.Spec{types["gpu"]: large}
 		countingZones(b)
 		new(Round).Run(&b.Board)
 		if len(b.placed) != 1 {
--- a/internal/core/preemption.go
+++ b/internal/core/preemption.go
@@ -15,8 +15,8 @@
 // its own. The cost is the delay of saving and the work that is lost, in seconds of a
 // whole machine: many small tasks of an array are less than one gang.
 func (e *Engine) preemptionCost(now time.Time, by *pipeline.Job, a *fleet.Attempt) (float64, bool) {
-	j := e.jobs[a.Ref]
-	if j == nil || a.Unrecorded || a.Stopping || a.State() == fleet.Checkpointing {
+	j := e.jobs.get(a.Ref)
+	if j == nil || a.Unrecorded || a.Stopping() || a.State() == fleet.Checkpointing {
 		return 0, false
 	}
 	if by.Urgency >= j.Urgency && !e.mayReclaimGuarantee(by, j) || e.starvesBefore(now, j, by) {
@@ -41,22 +41,25 @@
 	return cost, true
 }
 
-// starvesBefore tells whether a job of which nothing has begun for long comes before another:
+// starvesBefore reports whether a job of which nothing has begun for long comes before another:
 // what it has just been given mustn't be taken from it again, round after round, so that
 // neither ever starts.
 func (e *Engine) starvesBefore(now time.Time, j, by *pipeline.Job) bool {
-	return e.pastStarvationBound(now, j) && !(e.pastStarvationBound(now, by) && e.starvingSince(by).Before(e.starvingSince(j)))
+	if !e.pastStarvationBound(now, j) {
+		return false
+	}
+	return !e.pastStarvationBound(now, by) || !e.starvingSince(by).Before(e.starvingSince(j))
 }
 
-// mayReclaimGuarantee tells whether a job's team is within its guarantee with what the job needs at
-// once, and the other job's team beyond its own. Where both GuaranteedCPUs and GuaranteedGPUs are guaranteed,
+// mayReclaimGuarantee reports whether a job's team is within its guarantee with what the job needs at
+// once, and the other job's team beyond its own. Where both CPUs and GPUs are guaranteed,
 // both have to fit; a guarantee of none holds nothing back but gives nothing either.
 func (e *Engine) mayReclaimGuarantee(by, j *pipeline.Job) bool {
 	if by.Team == j.Team {
 		return false
 	}
 	t, o := e.cfg.Teams[by.Team], e.cfg.Teams[j.Team]
-	u, ou := e.teamUse[by.Team], e.teamUse[j.Team]
+	u, ou := e.usage.ofTeam(by.Team), e.usage.ofTeam(j.Team)
 	n := 1.0
 	if by.Shape == pipeline.Gang {
 		n = float64(len(by.Tasks))
@@ -75,5 +78,5 @@
 	e.log(LogTaskPreempted, logAttempt(a)...)
 	e.out.Preempted = append(e.out.Preempted, a)
 	e.chargeInvoluntary(now, a)
-	e.stopWithCheckpoint(now, a.Machine, a, e.jobs[a.Ref])
+	e.stopWithCheckpoint(now, a.Machine, a, e.jobs.get(a.Ref))
 }
--- a/internal/core/priority_order.go
+++ b/internal/core/priority_order.go
@@ -1,8 +1,9 @@
 package core
 
 import (
+	"cmp"
 	"math"
-	"sort"
+	"slices"
 	"time"
 
 	"gingertally/internal/core/fleet"
@@ -11,23 +12,24 @@
 )
 
 // priorityOrder is the jobs with waiting tasks in the order in which they may choose:
-// by urgency, then by how soon they must start to keep an aim that can still be
+// by urgency, then by how soon they must start to keep an objective that can still be
 // kept, the small ones sooner. Jobs that keep failing come last. A job of which
 // nothing has begun for long comes before all others, if only with a few of its
 // tasks: neither urgent nor small work may starve it.
 func (e *Engine) priorityOrder(now time.Time) []placement.QueueEntry {
-	machines := float64(max(e.freeCapacity.Size(), fewMachines))
+	machines := float64(max(e.capacity.free.Size(), fewMachines))
 	var out []prioritized
-	e.backlog = fleet.Amount{}
-	for _, j := range e.order {
+	var backlog fleet.Amount
+	for _, j := range e.jobs.inOrder() {
 		if j.Phase() == pipeline.Active && j.Count(pipeline.Waiting) > 0 && !e.cancelHolds(now, j.Ref) {
 			out = e.appendEntries(out, now, j, machines)
 			if e.cfg.Admission {
-				e.backlog = e.backlog.Add(e.waitingWork(j))
+				backlog = backlog.Add(e.waitingWork(j))
 			}
 		}
 	}
-	sort.SliceStable(out, func(i, k int) bool { return out[i].before(&out[k]) })
+	e.rounds.waiting(backlog)
+	slices.SortStableFunc(out, comparePrioritized)
 	e.orderFairly(out)
 	entries := make([]placement.QueueEntry, len(out))
 	for i := range out {
@@ -44,18 +46,27 @@
 	due               time.Time
 }
 
-func (a *prioritized) before(b *prioritized) bool {
+// comparePrioritized orders queue entries.
+func comparePrioritized(a, b prioritized) int {
 	switch {
 	case a.failing != b.failing:
-		return b.failing
+		return falseFirst(a.failing)
 	case a.starving != b.starving:
-		return a.starving
+		return -falseFirst(a.starving)
 	case !a.starving && a.Job.Urgency != b.Job.Urgency:
-		return a.Job.Urgency < b.Job.Urgency
+		return cmp.Compare(a.Job.Urgency, b.Job.Urgency)
 	case a.cacheMiss != b.cacheMiss:
-		return a.cacheMiss < b.cacheMiss
+		return cmp.Compare(a.cacheMiss, b.cacheMiss)
 	}
-	return a.due.Before(b.due)
+	return a.due.Compare(b.due)
+}
+
+// falseFirst compares a fact with its opposite, so that what it isn't true of comes first.
+func falseFirst(fact bool) int {
+	if fact {
+		return 1
+	}
+	return -1
 }
 
 // appendEntries adds a job's queue entries. Arrays whose image is slow to fetch have three: for
@@ -69,7 +80,10 @@
 		if j.Shape == pipeline.Array {
 			most = 1 + most/starvingPart
 		}
-		out = append(out, prioritized{QueueEntry: placement.QueueEntry{Job: j, Most: most}, starving: true, due: e.starvingSince(j)})
+		out = append(out, prioritized{
+			QueueEntry: placement.QueueEntry{Job: j, Most: most},
+			starving:   true, due: e.starvingSince(j),
+		})
 	}
 	size := time.Duration(float64(e.remainingWork(j)) * e.cfg.Weights.SmallFirst / machines)
 	size = time.Duration(float64(size) * min(1, max(0, 2-float64(wait)/float64(sizeFades))))
@@ -78,7 +92,7 @@
 	if j.Shape == pipeline.Array && e.expectedFetch(j) > longFetch {
 		cached, first := r, r
 		cached.ImageCachedOnly, r.cacheMiss, first.cacheMiss = true, 2, 1
-		first.Most = e.firstWave(j, due.Sub(now)-spareTime) - len(e.useOf(j.Ref).attempts)
+		first.Most = e.firstWave(j, due.Sub(now)-spareTime) - e.usage.ofJob(j.Ref).active()
 		out = append(out, cached)
 		if first.Most > 0 {
 			out = append(out, first)
@@ -99,7 +113,7 @@
 	return int(math.Ceil(left * run / (run + max(0, spare.Seconds()))))
 }
 
-// pastStarvationBound tells whether a job has waited so long for its first task that it comes
+// pastStarvationBound reports whether a job has waited so long for its first task that it comes
 // before all others.
 func (e *Engine) pastStarvationBound(now time.Time, j *pipeline.Job) bool {
 	return !j.Started && now.Sub(j.Since) > e.starvationBound(j)
@@ -109,7 +123,7 @@
 func (e *Engine) starvingSince(j *pipeline.Job) time.Time { return j.Since.Add(-e.gatherTime(j)) }
 
 // needsCapacityBy is when a job must have room if it isn't to be late; one that has
-// waited for long is late already, whatever aim it can still keep.
+// waited for long is late already, whatever objective it can still keep.
 // A service is late with each replica that isn't running, since every second of it counts.
 func (e *Engine) needsCapacityBy(now time.Time, j *pipeline.Job) time.Time {
 	if e.pastStarvationBound(now, j) || j.Shape == pipeline.Service {
@@ -142,7 +156,7 @@
 	if j.Shape != pipeline.Gang {
 		return 0
 	}
-	each := gatherEach * gatherFleet / time.Duration(max(gatherFleet, e.freeCapacity.Size()))
+	each := gatherEach * gatherFleet / time.Duration(max(gatherFleet, e.capacity.free.Size()))
 	return time.Duration(len(j.Tasks)-1) * each
 }
 
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -14,8 +14,12 @@
 // observe compares a reported task with what is known of it; a is the attempt of the task that
 // is known on this machine, if any.
 func (e *Engine) observe(m *fleet.Machine, a *fleet.Attempt, token uint64, t fleet.TaskStatus) recovery.ObservedTask {
-	o := recovery.ObservedTask{Exited: t.State == fleet.Exited, Done: t.State == fleet.Exited && t.Cause == fleet.CauseDone, Confirmed: token == e.term}
-	if j := e.jobs[t.Ref]; j != nil && t.Task < len(j.Tasks) {
+	exited := t.State == fleet.Exited
+	o := recovery.ObservedTask{
+		Exited: exited, Done: exited && t.Cause == fleet.CauseDone,
+		Confirmed: token == e.numbers.term,
+	}
+	if j := e.jobs.get(t.Ref); j != nil && t.Task < len(j.Tasks) {
 		o.JobOpen, o.Wanted = !j.Over(), j.Tasks[t.Task].State() != pipeline.Finished
 		o.Whole = j.Shape == pipeline.Gang && len(j.Tasks) > 1
 	}
@@ -33,7 +37,7 @@
 	return o
 }
 
-// unsent tells whether an attempt's start hasn't left.
+// unsent reports whether an attempt's start hasn't left.
 func unsent(a *fleet.Attempt) bool { return a.State() <= fleet.Recorded && !a.Inherited }
 
 // holderHere is what the attempt known on a machine is to the reported one.
@@ -51,15 +55,15 @@
 
 // holderElsewhere is the attempt of a task that another machine holds, or may; nil if none.
 func (e *Engine) holderElsewhere(m *fleet.Machine, k fleet.TaskID) *fleet.Attempt {
-	j := e.jobs[k.Ref]
+	j := e.jobs.get(k.Ref)
 	if j == nil || k.Task >= len(j.Tasks) || j.Tasks[k.Task].State() != pipeline.Assigned {
 		return nil
 	}
-	other := e.machines[j.Tasks[k.Task].Machine]
+	other := e.machines.get(j.Tasks[k.Task].Machine)
 	if other == nil || other == m {
 		return nil
 	}
-	a := other.Attempts[k]
+	a := other.Attempt(k)
 	if a == nil || a.State() == fleet.Exited {
 		return nil
 	}
@@ -69,7 +73,7 @@
 // withdrawStart takes back the start of a task that hasn't left, on this machine or another;
 // false if there is none.
 func (e *Engine) withdrawStart(now time.Time, m *fleet.Machine, k fleet.TaskID) bool {
-	a := m.Attempts[k]
+	a := m.Attempt(k)
 	if a == nil {
 		a = e.holderElsewhere(m, k)
 	}
@@ -80,10 +84,10 @@
 	return true
 }
 
-// newAttempt is a reported attempt of which nothing here speaks.
+// newAttempt makes an attempt that only a heartbeat names.
 func (e *Engine) newAttempt(t fleet.TaskStatus) *fleet.Attempt {
 	a := &fleet.Attempt{TaskID: fleet.TaskID{Ref: t.Ref, Task: t.Task}, Number: t.Attempt}
-	if j := e.jobs[t.Ref]; j != nil && t.Task < len(j.Tasks) {
+	if j := e.jobs.get(t.Ref); j != nil && t.Task < len(j.Tasks) {
 		a.CPUs, a.GPUs, a.MemGB, a.Image = j.CPUs, j.GPUs, j.MemGB, j.Image
 	}
 	return a
@@ -95,7 +99,7 @@
 	a := e.newAttempt(t)
 	e.attach(now, m, a, t.State)
 	e.startLog.addAttempt(a)
-	e.jobs[t.Ref].Assign(t.Task, m.Name, t.Attempt)
+	e.jobs.get(t.Ref).Assign(t.Task, m.Name, t.Attempt)
 	e.log(LogAttemptAdopted, logAttempt(a)...)
 }
 
--- a/internal/core/scale_in.go
+++ b/internal/core/scale_in.go
@@ -1,6 +1,7 @@
 package core
 
 import (
+	"log/slog"
 	"time"
 
 	"gingertally/internal/core/capacity"
@@ -8,6 +9,26 @@
 	"gingertally/internal/core/placement"
 )
 
+// scaleIn asks the cloud to release a machine; its answer proves all on the machine gone.
+func (e *Engine) scaleIn(now time.Time, m *fleet.Machine, reason ScaleInReason) {
+	if m.ScaleInPending(now) {
+		return
+	}
+	if e.moveMachine(now, m, fleet.ScalingIn) {
+		e.log(LogScaleInRequested, logMachine(m), slog.String("type", m.Type), logReason(string(reason)), logActive(m))
+	}
+	m.ScaleInRequested()
+	n := len(e.out.ScaleIn)
+	if n == 0 || len(e.out.ScaleIn[n-1]) >= maxScaleIn {
+		e.out.ScaleIn = append(e.out.ScaleIn, nil)
+		n++
+	}
+	e.out.ScaleIn[n-1] = append(e.out.ScaleIn[n-1], m.Name)
+}
+
+// maxScaleIn is how many machines one request for release may name (PROTOCOL).
+const maxScaleIn = 100
+
 // recentClass is how long a class of jobs counts as one that may come again.
 const recentClass = 4 * time.Minute
 
@@ -26,7 +47,7 @@
 	if len(e.classes) == 0 || now.Sub(e.started) < 3*e.cfg.HeartbeatInterval || !e.recovery.Pacer().AtHighest() {
 		return
 	}
-	for _, p := range e.freeCapacity.Pools {
+	for _, p := range e.capacity.free.Pools {
 		if len(p.Slots) == 0 {
 			continue
 		}
@@ -34,7 +55,10 @@
 		for i := len(p.Slots) - 1; i >= 0; i-- {
 			s := p.Slots[i]
 			m := s.Machine
-			if s.Future || m.HeartbeatExpected || len(m.Attempts) > 0 || e.drains.isReplacement(m.Name) || now.Sub(m.IdleSince) <= keep || neededByDemand(now, p, m, demand) {
+			if s.Future || m.HeartbeatExpected() || !m.Empty() || now.Sub(m.IdleSince()) <= keep {
+				continue
+			}
+			if e.isReplacement(m) || neededByDemand(now, p, m, demand) {
 				continue
 			}
 			e.scaleIn(now, m, ScaleInIdle)
@@ -55,7 +79,7 @@
 	return keep
 }
 
-// neededByDemand tells whether waiting work could use the machine: a gang, say, that
+// neededByDemand reports whether waiting work could use the machine: a gang, say, that
 // still lacks room for some of its tasks.
 func neededByDemand(now time.Time, p *placement.Pool, m *fleet.Machine, demand []capacity.Demand) bool {
 	for _, d := range demand {
@@ -77,3 +101,24 @@
 	}
 	return last
 }
+
+// ScaleInAnswered says that the cloud answered a release with 200: the machines and
+// all on them are gone. OK false: unknown, to be tried again.
+type ScaleInAnswered struct {
+	Machines []string
+	OK       bool
+}
+
+func (r ScaleInAnswered) apply(e *Engine, now time.Time) {
+	for _, name := range r.Machines {
+		m := e.machines.get(name)
+		if m == nil {
+			continue
+		}
+		if !r.OK {
+			m.ScaleInFailed(now.Add(time.Second))
+			continue
+		}
+		e.removeMachine(now, m)
+	}
+}
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -2,13 +2,13 @@
 
 import (
 	"fmt"
-	"sort"
+	"maps"
+	"slices"
 	"strings"
 	"time"
 
 	"gingertally/internal/core/fleet"
 	"gingertally/internal/core/pipeline"
-	"gingertally/internal/core/placement"
 	"gingertally/internal/drain"
 	"gingertally/internal/recovery"
 )
@@ -61,8 +61,11 @@
 
 // Status tells of machines and of jobs that wait.
 func (e *Engine) Status(now time.Time) Status {
-	s := Status{Term: e.term, Settled: e.settled(now), Pools: e.poolStatus(), Active: len(e.order), Unstored: len(e.startLog.unpaged), Starts: e.waits.list(), Recovery: e.recovery.Status(now)}
-	s.Drains = e.DrainStatus(now)
+	s := Status{
+		Term: e.numbers.term, Settled: e.settled(now),
+		Pools: e.poolStatus(), Active: e.jobs.count(), Unstored: e.startLog.unstored(),
+		Starts: e.waits.list(), Recovery: e.recovery.Status(now), Drains: e.DrainStatus(now),
+	}
 	e.addWaiting(now, &s)
 	e.addHeld(now, &s)
 	return s
@@ -70,25 +73,23 @@
 
 // poolStatus counts the machines of each pool.
 func (e *Engine) poolStatus() []PoolStatus {
-	pools := map[placement.PoolKey]*PoolStatus{}
-	for _, m := range e.machines {
-		k := placement.PoolKey{Type: m.Type, Zone: m.Zone, Spot: m.Spot}
-		p := pools[k]
+	pools := map[fleet.PoolKey]*PoolStatus{}
+	for m := range e.machines.all() {
+		p := pools[m.PoolKey]
 		if p == nil {
 			p = &PoolStatus{Type: m.Type, Zone: m.Zone, Spot: m.Spot, States: map[string]int{}}
-			pools[k] = p
+			pools[m.PoolKey] = p
 		}
 		p.States[m.State().String()]++
 		p.Attempts += m.ActiveAttempts()
-		if m.Draining {
+		if m.Draining() {
 			p.Draining++
 		}
 	}
 	var out []PoolStatus
-	for _, p := range pools {
-		out = append(out, *p)
+	for _, k := range slices.SortedFunc(maps.Keys(pools), fleet.PoolKey.Compare) {
+		out = append(out, *pools[k])
 	}
-	sort.Slice(out, func(i, k int) bool { return poolLess(&out[i], &out[k]) })
 	return out
 }
 
@@ -111,7 +112,7 @@
 
 // addHeld adds the jobs that wait for their dependencies.
 func (e *Engine) addHeld(now time.Time, s *Status) {
-	for _, j := range e.order {
+	for _, j := range e.jobs.inOrder() {
 		if j.Phase() != pipeline.Held {
 			continue
 		}
@@ -133,19 +134,9 @@
 // maxNamedDependencies is how many jobs are named that one waits for.
 const maxNamedDependencies = 5
 
-func poolLess(a, b *PoolStatus) bool {
-	if a.Type != b.Type {
-		return a.Type < b.Type
-	}
-	if a.Zone != b.Zone {
-		return a.Zone < b.Zone
-	}
-	return !a.Spot && b.Spot
-}
-
 // reason is why a job's waiting tasks wait.
 func (e *Engine) reason(now time.Time, j *pipeline.Job, settled bool) string {
-	u, team := e.teamUse[j.Team], e.cfg.Teams[j.Team]
+	u, team := e.usage.ofTeam(j.Team), e.cfg.Teams[j.Team]
 	n := 1.0
 	if j.Shape == pipeline.Gang {
 		n = float64(len(j.Tasks))
@@ -157,12 +148,12 @@
 		return ReasonFails
 	case j.NextWaiting(now, 0) < 0:
 		return ReasonPause
-	case j.Shape == pipeline.Gang && len(e.useOf(j.Ref).attempts) > 0:
+	case j.Shape == pipeline.Gang && e.usage.ofJob(j.Ref).active() > 0:
 		return ReasonOldGang
 	case !team.Within(u.CPUs+n*j.CPUs, u.GPUs+n*j.GPUs):
 		return ReasonQuota
 	}
-	for _, m := range e.machines {
+	for m := range e.machines.all() {
 		t := e.catalog[m.Type]
 		if m.State() == fleet.Booting && t != nil && t.Fits(&j.Spec) && j.AllowsType(m.Type) {
 			return ReasonAsking
--- a/internal/core/warm_start.go
+++ b/internal/core/warm_start.go
@@ -10,7 +10,7 @@
 
 // WarmStart brings a new leader the warm state of the leader before it, right after New and
 // before anything else. Confirmed says that the state is that leader's last one as far as
-// can be told, and recent: machines that reported to it are then expected to report here,
+// can be told, and recent: machines that sent it heartbeats are then expected to do so here,
 // and work is placed on those at once.
 //
 // Where the start log, which New has read, and the warm state differ, the start log holds:
@@ -25,7 +25,7 @@
 // WarmOutcome counts what came of a warm start.
 type WarmOutcome struct {
 	Confirmed bool
-	Expected  int // machines on which work is placed before they report
+	Expected  int // machines on which work is placed before their first heartbeat
 	Differing int // machines of which the start log and the warm state tell different things
 	Unstored  int // attempts that only the warm state knows
 	Unknown   int // attempts that only the start log knows
@@ -55,8 +55,9 @@
 	}
 	s.outcome.Differing = len(s.differing)
 	e.warmOutcome = s.outcome
-	e.replan = true
-	e.log(LogWarmStateApplied, slog.Bool("confirmed", w.Confirmed), slog.Int("machines_expected", s.outcome.Expected), slog.Int("machines_differing", s.outcome.Differing),
+	e.rounds.request()
+	e.log(LogWarmStateApplied, slog.Bool("confirmed", w.Confirmed),
+		slog.Int("machines_expected", s.outcome.Expected), slog.Int("machines_differing", s.outcome.Differing),
 		slog.Int("attempts_unstored", s.outcome.Unstored), slog.Int("attempts_unknown", s.outcome.Unknown))
 }
 
@@ -76,8 +77,9 @@
 // since when each attempt has run.
 func (s *warmStart) compareAttempts() {
 	e := s.engine
-	for _, m := range e.machines {
-		for task, a := range m.Attempts {
+	for m := range e.machines.all() {
+		for a := range m.Attempts() {
+			task := a.TaskID
 			known := s.attempts[task]
 			if known == nil || known.Number != a.Number || known.Machine != m.Name {
 				s.differing[m.Name] = true
@@ -89,7 +91,7 @@
 				continue
 			}
 			a.RunStart = s.timeOf(known.RunStartMS)
-			e.jobs[task.Ref].Started = true
+			e.jobs.get(task.Ref).Started = true
 		}
 	}
 	s.outcome.Unstored = len(s.attempts)
@@ -119,26 +121,22 @@
 }
 
 func (s *warmStart) takeClass(w *WarmClass) {
-	c := s.engine.class(w.Name)
-	c.runs, c.ratio = w.Runs, min(max(w.Ratio, minRunRatio), maxRunRatio)
-	c.rate, c.lastAt = max(w.Rate, 0), time.Time{}
+	var lastAt time.Time
 	if w.LastArriveMS != 0 {
-		c.lastAt = s.timeOf(w.LastArriveMS)
-	}
-	if c.spec == nil {
-		c.spec = w.Spec
+		lastAt = s.timeOf(w.LastArriveMS)
 	}
+	s.engine.classes.class(w.Name).restore(w, lastAt)
 	s.engine.warm.noteClass(w.Name)
 }
 
 func (s *warmStart) takeOffer(w *WarmOffer) {
-	o := capacity.Offer{Type: w.Type, Zone: w.Zone, Spot: w.Spot}
+	o := fleet.PoolKey{Type: w.Type, Zone: w.Zone, Spot: w.Spot}
 	s.engine.plan.SetBackoff(o, capacity.Backoff{Until: s.timeAhead(w.UntilMS), Refusals: w.Refusals})
 	s.engine.warm.noteOffer(o)
 }
 
 func (s *warmStart) takeJob(w *WarmJob) {
-	j := s.engine.jobs[w.Ref]
+	j := s.engine.jobs.get(w.Ref)
 	if j == nil {
 		return
 	}
@@ -152,25 +150,20 @@
 // taken in only if it is to be expected; else the cloud's list or its heartbeat will tell of it.
 func (s *warmStart) takeMachine(w *WarmMachine) {
 	e := s.engine
-	m := e.machines[w.Name]
+	m := e.machines.get(w.Name)
 	expected := s.outcome.Confirmed && w.Reporting && !w.Quarantined && !w.Draining && !s.differing[w.Name]
 	if m == nil {
 		if !expected {
 			return
 		}
 		m = e.addAwaitingHeartbeat(s.now, fleet.MachineStarts{Machine: w.Name, Type: w.Type, Zone: w.Zone, Spot: w.Spot})
-		m.ExistenceVerified = false // nothing but the view speaks of it so far
-	}
-	m.Quarantined, m.Draining = w.Quarantined, w.Draining
-	m.ListedRunning = w.ListedRunning
-	m.FirstSeen, m.IdleSince = s.timeOf(w.FirstSeenMS), s.timeOf(w.IdleSinceMS)
-	m.Failures = w.Failures
-	for _, ref := range w.FailedJobs {
-		if m.FailedJobs == nil {
-			m.FailedJobs = map[string]bool{}
-		}
-		m.FailedJobs[ref] = true
+		// Its existence stays unverified: so far only the warm state names it.
 	}
+	m.RestoreHistory(fleet.History{
+		Quarantined: w.Quarantined, Draining: w.Draining, ListedRunning: w.ListedRunning,
+		FirstSeen: s.timeOf(w.FirstSeenMS), IdleSince: s.timeOf(w.IdleSinceMS),
+		Failures: w.Failures, FailedJobs: w.FailedJobs,
+	})
 	s.takeImages(m, w.Images)
 	if expected {
 		e.expect(m)
@@ -183,28 +176,28 @@
 	if len(images) == 0 {
 		return
 	}
-	m.Images = m.Images[:0]
-	for _, image := range images {
-		m.Images = append(m.Images, fleet.Image{Name: image.Name, GB: image.GB, Ready: s.timeAhead(image.ReadyMS)})
+	known := make([]fleet.Image, len(images))
+	for i, image := range images {
+		known[i] = fleet.Image{Name: image.Name, GB: image.GB, Ready: s.timeAhead(image.ReadyMS)}
 	}
+	m.SetImages(known)
 	s.engine.imagesChanged(m)
 }
 
-// expect has work placed on a machine that hasn't reported under this term. The start still
-// leaves only in the answer to a heartbeat that proves the machine free of anything else, as
+// expect lets work be placed on a machine that hasn't sent a heartbeat under this term. The start
+// still leaves only in the answer to a heartbeat that proves the machine free of anything else, as
 // for all other machines.
 func (e *Engine) expect(m *fleet.Machine) {
-	if m.State() == fleet.AwaitingHeartbeat && !m.HeartbeatExpected {
-		m.HeartbeatExpected = true
+	if m.ExpectHeartbeat() {
 		e.recovery.ExpectByWarmState(m.Name, true)
 		e.capacityChanged(m)
 	}
 }
 
-// expectNoLonger gives up on a machine that was expected and hasn't reported for as long as
-// makes any machine unresponsive: what was placed there goes elsewhere.
+// expectNoLonger gives up on a machine that was expected and hasn't sent a heartbeat for as long
+// as makes any machine unresponsive: what was placed there goes elsewhere.
 func (e *Engine) expectNoLonger(now time.Time, m *fleet.Machine) {
-	m.HeartbeatExpected = false
+	m.HeartbeatOverdue()
 	e.recovery.ExpectByWarmState(m.Name, false)
 	e.capacityChanged(m)
 	e.withdrawUnsentStarts(now, m)
--- a/internal/core/warm_start_test.go
+++ b/internal/core/warm_start_test.go
@@ -6,16 +6,15 @@
 	"testing"
 	"time"
 
-	"gingertally/internal/core/capacity"
 	"gingertally/internal/core/fleet"
 	"gingertally/internal/core/pipeline"
 )
 
 // warmBench is a leader whose changes of the warm state are noted.
-func warmBench(t *testing.T, term uint64, snap Snapshot) *bench {
-	cfg := config()
+func warmBench(t *testing.T, term uint64, snap Snapshot) *harness {
+	cfg := testConfig()
 	cfg.WarmState = true
-	return newBenchWith(t, cfg, term, snap)
+	return newHarnessWith(t, cfg, term, snap)
 }
 
 // warmTable is the warm state as a follower has it.
@@ -43,21 +42,21 @@
 
 // takenOver is a leader of term 2 that has started j-1/0 on m-1, and has m-2 idle, and the
 // leader after it, which starts from the records and the warm state.
-func takenOver(t *testing.T, jobs []StoredJob, alter func(warmTable)) (next *bench, started fleet.Command) {
+func takenOver(t *testing.T, jobs []StoredJob, alter func(warmTable)) (next *harness, started fleet.Command) {
 	t.Helper()
 	b := warmBench(t, 2, Snapshot{Jobs: jobs[:1]})
 	b.up("m-1")
 	b.pass(6*time.Second, true)
-	s := starts(b.report("m-1", 2))
+	s := starts(b.heartbeat("m-1", 2))
 	if len(s) != 1 {
 		t.Fatalf("%d starts", len(s))
 	}
-	b.report("m-1", 2, running(s[0]))
+	b.heartbeat("m-1", 2, running(s[0]))
 	b.up("m-2")
 	for range 10 {
 		b.pass(2*time.Second, true)
-		b.report("m-1", 2, running(s[0]))
-		b.report("m-2", 2)
+		b.heartbeat("m-1", 2, running(s[0]))
+		b.heartbeat("m-2", 2)
 	}
 	state := warmTable{}
 	state.take(b.e, b.now)
@@ -68,16 +67,16 @@
 	for _, p := range b.e.startLog.pages {
 		snap.Pages = append(snap.Pages, StoredPage{Name: p.Name, Version: p.Version, Record: p.Record()})
 	}
-	cfg := config()
+	cfg := testConfig()
 	cfg.WarmState = true
-	next = &bench{t: t, now: b.now.Add(4 * time.Second), seq: b.seq}
+	next = &harness{t: t, cfg: cfg, now: b.now.Add(4 * time.Second), sequences: b.sequences}
 	next.e = New(next.now, cfg, 3, snap, rand.New(rand.NewPCG(1, 1)))
 	next.e.Step(next.now, WarmStart{Records: state.records(), Confirmed: true})
 	next.e.Step(next.now, CatalogUpdated{b.e.catalog})
 	return next, s[0]
 }
 
-// With a confirmed view, work is placed before anything has reported, and its start goes with
+// With a confirmed view, work is placed before anything is heard of, and its start goes with
 // the first answer after the one that gives the machine the new fencing token.
 func TestWarmStartPlacesAtOnce(t *testing.T) {
 	b, _ := takenOver(t, []StoredJob{job("j-1", 1), job("j-2", 2)}, nil)
@@ -85,16 +84,16 @@
 		t.Fatalf("%+v", o)
 	}
 	b.pass(400*time.Millisecond, true)
-	if n := b.e.jobs["j-2"].Count(pipeline.Assigned); n != 2 {
-		t.Fatalf("%d tasks placed before a report", n)
+	if n := b.e.jobs.get("j-2").Count(pipeline.Assigned); n != 2 {
+		t.Fatalf("%d tasks placed before a heartbeat", n)
 	}
 	began := b.now
 	got := 0
 	for _, m := range []string{"m-1", "m-2"} {
-		if s := starts(b.report(m, 2)); len(s) != 0 {
-			t.Fatalf("%s gets %v with an answer to a report that may be a late copy", m, s)
+		if s := starts(b.heartbeat(m, 2)); len(s) != 0 {
+			t.Fatalf("%s gets %v with an answer to a heartbeat that may be a late copy", m, s)
 		}
-		got += len(starts(b.report(m, 3)))
+		got += len(starts(b.heartbeat(m, 3)))
 	}
 	if got != 2 || b.now.Sub(began) > time.Second {
 		t.Fatalf("%d starts after %s", got, b.now.Sub(began))
@@ -112,43 +111,45 @@
 		}
 		delete(state, key) // as if the old leader had known it gone
 		ghost := WarmKey{Kind: WarmAttemptKind, Name: "j-2", Task: 7}
-		state[ghost] = WarmRecord{Key: ghost, Attempt: &WarmAttempt{Ref: "j-2", Task: 7, Number: 2<<attemptBits | 99, Machine: "m-2", RunStartMS: 1}}
+		state[ghost] = WarmRecord{Key: ghost, Attempt: &WarmAttempt{
+			Ref: "j-2", Task: 7, Number: 2<<attemptBits | 99, Machine: "m-2", RunStartMS: 1,
+		}}
 	})
 	if o := b.e.WarmOutcome(); o.Differing != 1 || o.Unknown != 1 || o.Unstored != 1 || o.Expected != 1 {
 		t.Fatalf("%+v", o)
 	}
 	b.pass(2*time.Second, true)
-	if n := b.e.jobs["j-1"].Count(pipeline.Waiting); n != 0 {
+	if n := b.e.jobs.get("j-1").Count(pipeline.Waiting); n != 0 {
 		t.Fatal("the task is placed again on the word of the warm state")
 	}
-	if n := b.e.machines["m-1"].ActiveAttempts(); n != 1 {
+	if n := b.e.machines.get("m-1").ActiveAttempts(); n != 1 {
 		t.Fatalf("%d attempts on the machine of which the start log tells otherwise", n)
 	}
-	if n := b.e.machines["m-2"].ActiveAttempts(); n != 8 {
+	if n := b.e.machines.get("m-2").ActiveAttempts(); n != 8 {
 		t.Fatalf("%d attempts on the expected machine, which takes 8", n)
 	}
-	b.report("m-1", 2, running(c))
-	b.report("m-1", 3, running(c))
-	if a := b.e.machines["m-1"].Attempts[fleet.TaskID{Ref: "j-1"}]; a == nil || a.Number != c.Attempt {
+	b.heartbeat("m-1", 2, running(c))
+	b.heartbeat("m-1", 3, running(c))
+	if a := b.e.machines.get("m-1").Attempt(fleet.TaskID{Ref: "j-1"}); a == nil || a.Number != c.Attempt {
 		t.Fatal("the attempt isn't taken up")
 	}
 }
 
-// What was placed on an expected machine that never reports goes elsewhere, and nothing has
+// What was placed on an expected machine that is never heard of goes elsewhere, and nothing has
 // been started twice: the start hasn't left.
 func TestExpectedMachineNeverReports(t *testing.T) {
 	b, _ := takenOver(t, []StoredJob{job("j-1", 1), job("j-2", 14)}, nil)
 	b.pass(time.Second, true)
-	b.report("m-1", 2)
+	b.heartbeat("m-1", 2)
 	for range 8 {
 		b.pass(2*time.Second, true)
-		b.report("m-1", 3)
+		b.heartbeat("m-1", 3)
 	}
-	if m := b.e.machines["m-2"]; m.HeartbeatExpected || m.ActiveAttempts() != 0 {
-		t.Fatalf("still expected %v with %d attempts", m.HeartbeatExpected, m.ActiveAttempts())
+	if m := b.e.machines.get("m-2"); m.HeartbeatExpected() || m.ActiveAttempts() != 0 {
+		t.Fatalf("still expected %v with %d attempts", m.HeartbeatExpected(), m.ActiveAttempts())
 	}
-	if n := b.e.jobs["j-2"].Count(pipeline.Waiting); n == 0 {
-		t.Fatal("the tasks wait for a machine that doesn't report")
+	if n := b.e.jobs.get("j-2").Count(pipeline.Waiting); n == 0 {
+		t.Fatal("the tasks wait for a machine that isn't heard of")
 	}
 	if b.e.recovery.Status(b.now).Machines["expected"] != 1 {
 		t.Fatalf("machines: %v", b.e.recovery.Status(b.now).Machines)
@@ -158,7 +159,7 @@
 // What a leader has learnt outlives it: faulty machines, run times and arrivals of classes,
 // refused offers, machines that a job avoids, and since when tasks run.
 func TestWarmStateIsTakenOver(t *testing.T) {
-	offer := capacity.Offer{Type: "big", Zone: "a"}
+	offer := fleet.PoolKey{Type: "big", Zone: "a"}
 	b, c := takenOver(t, []StoredJob{job("j-1", 1), job("j-2", 1)}, func(state warmTable) {
 		for key, r := range state {
 			if r.Machine != nil && r.Machine.Name == "m-2" {
@@ -172,24 +173,28 @@
 			}
 		}
 		key := WarmKey{Kind: WarmOfferKind, Name: "big", Zone: "a"}
-		state[key] = WarmRecord{Key: key, Offer: &WarmOffer{Type: "big", Zone: "a", Refusals: 3, UntilMS: time.Unix(5050, 0).UnixMilli()}}
+		state[key] = WarmRecord{Key: key, Offer: &WarmOffer{
+			Type: "big", Zone: "a", Refusals: 3, UntilMS: time.Unix(5050, 0).UnixMilli(),
+		}}
 		avoid := WarmKey{Kind: WarmJobKind, Name: "j-2"}
-		state[avoid] = WarmRecord{Key: avoid, Job: &WarmJob{Ref: "j-2", Avoids: []WarmAvoid{{Machine: "m-1", UntilMS: time.Unix(5060, 0).UnixMilli()}}}}
+		state[avoid] = WarmRecord{Key: avoid, Job: &WarmJob{
+			Ref: "j-2", Avoids: []WarmAvoid{{Machine: "m-1", UntilMS: time.Unix(5060, 0).UnixMilli()}},
+		}}
 	})
-	if m := b.e.machines["m-2"]; m != nil && m.HeartbeatExpected {
-		t.Error("a sick machine is expected")
+	if m := b.e.machines.get("m-2"); m != nil && m.HeartbeatExpected() {
+		t.Error("a quarantined machine is expected")
 	}
-	if c := b.e.class("c"); c.ratio != 1.5 || c.runs != 12 {
+	if c := b.e.classes.class("c"); c.ratio != 1.5 || c.runs != 12 {
 		t.Errorf("class: %+v", c)
 	}
 	if back, refused := b.e.plan.Backoff(offer); !refused || back.Refusals != 3 {
 		t.Errorf("offer: %+v", back)
 	}
-	if !b.e.jobs["j-2"].Avoids(b.now, "m-1") {
+	if !b.e.jobs.get("j-2").Avoids(b.now, "m-1") {
 		t.Error("the job doesn't avoid the machine where it failed")
 	}
-	b.report("m-1", 2, running(c))
-	a := b.e.machines["m-1"].Attempts[fleet.TaskID{Ref: "j-1"}]
+	b.heartbeat("m-1", 2, running(c))
+	a := b.e.machines.get("m-1").Attempt(fleet.TaskID{Ref: "j-1"})
 	if ran := b.now.Sub(a.RunStart); ran < 20*time.Second {
 		t.Errorf("the task counts as running since %s ago", ran)
 	}
@@ -209,7 +214,7 @@
 	for range 200 {
 		m := machines[rng.IntN(len(machines))]
 		someFail(rng, tasks[m])
-		for _, c := range b.report(m, 2, tasks[m]...).Commands {
+		for _, c := range b.heartbeat(m, 2, tasks[m]...).Commands {
 			tasks[m] = obeyed(tasks[m], c)
 		}
 		b.pass(400*time.Millisecond, true)
@@ -242,11 +247,13 @@
 func (w warmTable) compare(t *testing.T, e *Engine) {
 	t.Helper()
 	busy, attempts := 0, 0
-	for name, m := range e.machines {
+	for m := range e.machines.all() {
+		name := m.Name
 		busy += m.ActiveAttempts()
 		got := w[WarmKey{Kind: WarmMachineKind, Name: name}].Machine
 		want := e.warmMachine(name)
-		if got == nil || got.Quarantined != want.Quarantined || got.Draining != want.Draining || got.Failures != want.Failures || got.Reporting != want.Reporting || len(got.Images) != len(want.Images) {
+		if got == nil || got.Quarantined != want.Quarantined || got.Draining != want.Draining ||
+			got.Failures != want.Failures || got.Reporting != want.Reporting || len(got.Images) != len(want.Images) {
 			t.Fatalf("%s: replicated %+v, is %+v", name, got, want)
 		}
 	}
--- a/internal/core/warm_state.go
+++ b/internal/core/warm_state.go
@@ -6,7 +6,6 @@
 	"slices"
 	"time"
 
-	"gingertally/internal/core/capacity"
 	"gingertally/internal/core/fleet"
 	"gingertally/internal/core/pipeline"
 )
@@ -149,7 +148,7 @@
 
 func (f *warmFeed) noteClass(name string) { f.note(WarmKey{Kind: WarmClassKind, Name: name}) }
 
-func (f *warmFeed) noteOffer(o capacity.Offer) {
+func (f *warmFeed) noteOffer(o fleet.PoolKey) {
 	f.note(WarmKey{Kind: WarmOfferKind, Name: o.Type, Zone: o.Zone, Spot: o.Spot})
 }
 
@@ -158,11 +157,10 @@
 // take returns the keys of what has changed, in a fixed order, at most so many; the rest is
 // left for the next time.
 func (f *warmFeed) take(limit int) []WarmKey {
-	keys := make([]WarmKey, 0, len(f.changed))
-	for key := range f.changed {
-		keys = append(keys, key)
+	if f == nil || len(f.changed) == 0 {
+		return nil
 	}
-	slices.SortFunc(keys, compareWarmKeys)
+	keys := slices.SortedFunc(maps.Keys(f.changed), compareWarmKeys)
 	keys = keys[:min(limit, len(keys))]
 	for _, key := range keys {
 		delete(f.changed, key)
@@ -173,12 +171,8 @@
 // WarmChanges returns the records of the warm state that have changed since the last call,
 // at most so many at a time. It returns none unless Config.WarmState is set.
 func (e *Engine) WarmChanges(now time.Time, limit int) []WarmRecord {
-	if e.warm == nil || len(e.warm.changed) == 0 {
-		return nil
-	}
-	keys := e.warm.take(limit)
-	records := make([]WarmRecord, 0, len(keys))
-	for _, key := range keys {
+	var records []WarmRecord
+	for _, key := range e.warm.take(limit) {
 		records = append(records, e.warmRecord(now, key))
 	}
 	return records
@@ -195,7 +189,7 @@
 	case WarmClassKind:
 		record.Class = e.warmClass(key.Name)
 	case WarmOfferKind:
-		record.Offer = e.warmOffer(now, capacity.Offer{Type: key.Name, Zone: key.Zone, Spot: key.Spot})
+		record.Offer = e.warmOffer(now, fleet.PoolKey{Type: key.Name, Zone: key.Zone, Spot: key.Spot})
 	case WarmJobKind:
 		record.Job = e.warmJob(now, key.Name)
 	}
@@ -203,36 +197,34 @@
 }
 
 func (e *Engine) warmMachine(name string) *WarmMachine {
-	m := e.machines[name]
+	m := e.machines.get(name)
 	if m == nil {
 		return nil
 	}
+	h := m.History()
 	w := &WarmMachine{
-		Name: m.Name, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
-		Reporting: m.State() == fleet.Live && !e.unreachable[m], Booting: m.State() == fleet.Booting,
-		Quarantined: m.Quarantined, Draining: m.Draining, ListedRunning: m.ListedRunning, Failures: m.Failures,
-		FirstSeenMS: m.FirstSeen.UnixMilli(), IdleSinceMS: m.IdleSince.UnixMilli(),
-	}
-	for ref := range m.FailedJobs {
-		w.FailedJobs = append(w.FailedJobs, ref)
+		Name: m.Name, Addr: m.Addr(), Type: m.Type, Zone: m.Zone, Spot: m.Spot,
+		Reporting: m.State() == fleet.Live && !m.OneWayLoss.Unreachable(), Booting: m.State() == fleet.Booting,
+		Quarantined: h.Quarantined, Draining: h.Draining, ListedRunning: h.ListedRunning,
+		Failures: h.Failures, FailedJobs: h.FailedJobs,
+		FirstSeenMS: h.FirstSeen.UnixMilli(), IdleSinceMS: h.IdleSince.UnixMilli(),
 	}
-	slices.Sort(w.FailedJobs)
-	for _, image := range m.Images {
+	for _, image := range m.Images() {
 		w.Images = append(w.Images, WarmImage{Name: image.Name, GB: image.GB, ReadyMS: image.Ready.UnixMilli()})
 	}
 	return w
 }
 
 func (e *Engine) warmAttempt(task fleet.TaskID) *WarmAttempt {
-	j := e.jobs[task.Ref]
+	j := e.jobs.get(task.Ref)
 	if j == nil || task.Task >= len(j.Tasks) {
 		return nil
 	}
-	m := e.machines[j.Tasks[task.Task].Machine]
+	m := e.machines.get(j.Tasks[task.Task].Machine)
 	if m == nil {
 		return nil
 	}
-	a := m.Attempts[task]
+	a := m.Attempt(task)
 	if a == nil || a.State() == fleet.Exited || a.Unrecorded {
 		return nil
 	}
@@ -255,7 +247,7 @@
 	return w
 }
 
-func (e *Engine) warmOffer(now time.Time, o capacity.Offer) *WarmOffer {
+func (e *Engine) warmOffer(now time.Time, o fleet.PoolKey) *WarmOffer {
 	b, refused := e.plan.Backoff(o)
 	if !refused || !b.Until.After(now) {
 		return nil
@@ -264,7 +256,7 @@
 }
 
 func (e *Engine) warmJob(now time.Time, ref string) *WarmJob {
-	j := e.jobs[ref]
+	j := e.jobs.get(ref)
 	if j == nil || len(j.AvoidUntil) == 0 {
 		return nil
 	}
--- a/internal/core/writes.go
+++ b/internal/core/writes.go
@@ -25,7 +25,7 @@
 	started(e *Engine, now time.Time)
 	// succeeded notes that the state service holds the write, at a revision.
 	succeeded(e *Engine, now time.Time, revision uint64)
-	// failed has what the write was to store written again. Versions are those of the pages
+	// failed requests a new write of what the write was to store. Versions are those of the pages
 	// that were read afterwards, by name.
 	failed(e *Engine, versions map[string]uint64)
 	// rejected notes that the state service takes the write under no circumstances.
@@ -70,7 +70,7 @@
 }
 
 func (o WritesFinished) apply(e *Engine, now time.Time) {
-	e.writesFail = !o.OK
+	e.batches.finished(o.OK)
 	for _, w := range o.Batch {
 		if o.OK {
 			w.succeeded(e, now, o.Revision)
@@ -95,7 +95,8 @@
 
 func (r WriteRejected) apply(e *Engine, now time.Time) {
 	w := r.Write
-	e.log(LogWriteRejected, slog.String("kind", w.Kind()), slog.String("target", w.Target()), slog.Int("value_bytes", e.cfg.MaxValueBytes))
+	e.log(LogWriteRejected, slog.String("kind", w.Kind()), slog.String("target", w.Target()),
+		slog.Int("value_bytes", e.cfg.MaxValueBytes))
 	e.cfg.MaxValueBytes = max(minValueBytes, int(float64(e.cfg.MaxValueBytes)*rejectedPart))
 	w.rejected(e, now)
 }
