--- a/internal/agentapi/agentapi.go
+++ b/internal/agentapi/agentapi.go
@@ -1,6 +1,12 @@
-// Package agentapi serves the workers' heartbeats: the leader answers them, every
-// other node redirects the worker to it, or relays the heartbeat for a worker that
-// evidently can't reach it.
+// Package agentapi is the controller's side of the workers' interface (PROTOCOL: Workers ->
+// controller nodes; Controller nodes -> workers). The leader answers heartbeats. Every other node
+// redirects the worker to the leader, or relays the heartbeat for a worker that evidently can't
+// reach the leader.
+//
+// The package owns which workers this node redirected of late, and when a worker last reached it.
+// It keeps nothing that has to survive a restart. Its callers are the node's HTTP server, for
+// workers, and its server for peers, for heartbeats that they relayed; each call runs in the
+// goroutine of its request, so that a Service may be used by many goroutines at once.
 package agentapi
 
 import (
@@ -9,167 +15,106 @@
 	"sync"
 	"time"
 
-	"gingertally/internal/codec"
 	"gingertally/internal/core"
 	"gingertally/internal/core/fleet"
 	"gingertally/internal/wire"
 )
 
-// Leader is the leading node, be it this one or another.
+// Leader is the leading node as a Service needs it, be it this node or another. The controller
+// implements it. Its methods are called from the goroutines of requests, many at a time.
 type Leader interface {
-	// Heartbeat hands a heartbeat to this node's engine; ok is false if this node doesn't
-	// hold the leader's lease.
-	Heartbeat(report fleet.Heartbeat) (reply core.HeartbeatResponse, ok bool)
-	// Name names the node believed to lead; empty if unknown.
+	// Heartbeat hands a heartbeat to this node's engine and returns the engine's response. ok is
+	// false, and the engine isn't asked, unless this node holds the leader's lease.
+	Heartbeat(heartbeat fleet.Heartbeat) (response core.HeartbeatResponse, ok bool)
+	// Name is the name of the node that is believed to lead; it is empty if none is known.
 	Name() string
-	// RelayHeartbeat passes a heartbeat on to the leader.
+	// RelayHeartbeat sends an encoded heartbeat on to the leader, and returns the status and the
+	// body of the leader's answer.
 	RelayHeartbeat(ctx context.Context, body []byte) (status int, reply []byte, err error)
 }
 
-// Service serves workers.
+// Service answers workers. Self and Leader are set before its first use and not changed later.
 type Service struct {
-	Self   string
+	// Self is the name of this node.
+	Self string
+	// Leader is the leading node.
 	Leader Leader
 
-	mu          sync.Mutex
-	redirects   map[string]redirect // by machine
-	lastContact time.Time           // when any worker last reached this node
-}
+	redirects redirectHistory
 
-// redirect is what this node did with a machine's last heartbeats.
-type redirect struct {
-	leader     string    // which it was redirected to
-	at         time.Time // when
-	relayUntil time.Time // its heartbeats are relayed until then
+	contactMu   sync.Mutex
+	lastContact time.Time // when any worker last reached this node
 }
 
-const (
-	// returnWithin: a worker redirected to a leader that is here again so soon, while
-	// that node still leads, hasn't reached it: it would have stayed. On its way it may
-	// have tried several nodes in vain, each for 4 s and a second.
-	returnWithin = 25 * time.Second
-	// relayFor is how long its heartbeats are then relayed before it is redirected to
-	// the leader once more.
-	relayFor = time.Minute
-	// relayTimeout leaves the worker time to get the answer within its 4 s.
-	relayTimeout = 2500 * time.Millisecond
-	// maxRedirects bounds the machines remembered.
-	maxRedirects = 10_000
-)
-
-// Answer is the answer to a heartbeat.
-type Answer struct {
-	Status int
-	Body   []byte
-}
+// relayTimeout bounds the wait for the leader's answer to a relayed heartbeat. A worker waits 4 s
+// for the answer to its heartbeat, so that it still gets the relayed one.
+const relayTimeout = 2500 * time.Millisecond
 
-// unavailable has the worker try another node.
-func unavailable() Answer { return Answer{Status: http.StatusServiceUnavailable} }
-
-// LastContact is when any worker last reached this node.
+// LastContact is when any worker last reached this node; the zero time means never.
 func (s *Service) LastContact() time.Time {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	s.contactMu.Lock()
+	defer s.contactMu.Unlock()
 	return s.lastContact
 }
 
-// Heartbeat serves a heartbeat that a worker sent to this node.
+func (s *Service) noteContact() {
+	s.contactMu.Lock()
+	defer s.contactMu.Unlock()
+	s.lastContact = time.Now()
+}
+
+// Heartbeat answers a heartbeat that a worker sent to this node.
 func (s *Service) Heartbeat(ctx context.Context, body []byte) Answer {
-	report, err := wire.ParseHeartbeat(body)
+	heartbeat, err := wire.ParseHeartbeat(body)
 	if err != nil {
-		return Answer{Status: http.StatusBadRequest}
+		return malformedAnswer()
 	}
 	s.noteContact()
-	if answer, ok := s.answerAsLeader(report); ok {
+	if answer, ok := s.answerAsLeader(heartbeat); ok {
 		return answer
 	}
 	leader := s.Leader.Name()
 	if leader == "" || leader == s.Self {
-		return unavailable()
+		return tryAnotherNodeAnswer()
 	}
-	if s.shouldRelay(report.Machine, leader, time.Now()) {
+	if s.redirects.shouldRelay(heartbeat.Machine, leader, time.Now()) {
 		return s.relay(ctx, body)
 	}
 	return Redirected(leader)
 }
 
-// Redirected has a worker report to the leader.
-func Redirected(leader string) Answer {
-	return Answer{http.StatusMisdirectedRequest, codec.MustMarshal(wire.Redirect{Clerk: leader})}
-}
-
-// OrdersPath is where a worker takes direct commands.
-const OrdersPath = "/orders"
-
-// DirectCommands is the body of a request to a worker to carry commands out at once.
-func DirectCommands(direct core.Direct) []byte {
-	return codec.MustMarshal(wire.Orders{Gavel: direct.FencingToken, Shift: direct.Incarnation, Orders: wire.OrdersOf(direct.Commands)})
-}
-
-// Accepted is the leader's answer to a worker's heartbeat.
-func Accepted(reply core.HeartbeatResponse) Answer {
-	orders := wire.Orders{Gavel: reply.FencingToken, Orders: wire.OrdersOf(reply.Commands)}
-	return Answer{http.StatusOK, codec.MustMarshal(orders)}
-}
-
-// Relayed serves a heartbeat that another node relayed. It never goes further.
+// Relayed answers a heartbeat that another node relayed to this one. It is never relayed again,
+// so that two nodes that take each other for the leader can't pass it to and fro.
 func (s *Service) Relayed(body []byte) Answer {
-	report, err := wire.ParseHeartbeat(body)
+	heartbeat, err := wire.ParseHeartbeat(body)
 	if err != nil {
-		return Answer{Status: http.StatusBadRequest}
+		return malformedAnswer()
 	}
-	if answer, ok := s.answerAsLeader(report); ok {
+	if answer, ok := s.answerAsLeader(heartbeat); ok {
 		return answer
 	}
-	return unavailable()
-}
-
-func (s *Service) noteContact() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.lastContact = time.Now()
+	return tryAnotherNodeAnswer()
 }
 
-// answerAsLeader answers a heartbeat if this node holds the leader's lease.
-func (s *Service) answerAsLeader(report fleet.Heartbeat) (Answer, bool) {
-	reply, ok := s.Leader.Heartbeat(report)
-	if !ok {
+// answerAsLeader answers a heartbeat if this node holds the leader's lease; else ok is false.
+func (s *Service) answerAsLeader(heartbeat fleet.Heartbeat) (answer Answer, ok bool) {
+	response, leads := s.Leader.Heartbeat(heartbeat)
+	if !leads {
 		return Answer{}, false
 	}
-	if !reply.OK {
-		return unavailable(), true
+	if !response.OK {
+		return tryAnotherNodeAnswer(), true
 	}
-	return Accepted(reply), true
+	return Accepted(response), true
 }
 
-// relay passes a heartbeat on to the leader, and its answer back.
+// relay sends a heartbeat on to the leader, and returns the leader's answer.
 func (s *Service) relay(ctx context.Context, body []byte) Answer {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
 	status, reply, err := s.Leader.RelayHeartbeat(ctx, body)
 	if err != nil || status != http.StatusOK {
-		return unavailable()
-	}
-	return Answer{http.StatusOK, reply}
-}
-
-// shouldRelay notes that a machine is about to be redirected, and tells whether
-// it was of late, in vain (docs/design.md, "Safety arguments" 13;
-// TestRelayForWorkersThatComeBack).
-func (s *Service) shouldRelay(machine, leader string, now time.Time) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.redirects == nil || len(s.redirects) > maxRedirects {
-		s.redirects = map[string]redirect{}
-	}
-	last := s.redirects[machine]
-	if now.Before(last.relayUntil) {
-		return true
-	}
-	if last.leader == leader && now.Sub(last.at) < returnWithin {
-		s.redirects[machine] = redirect{relayUntil: now.Add(relayFor)}
-		return true
+		return tryAnotherNodeAnswer()
 	}
-	s.redirects[machine] = redirect{leader: leader, at: now}
-	return false
+	return Answer{Status: http.StatusOK, Body: reply}
 }
