--- /dev/null
+++ b/internal/userapi/answers.go
@@ -0,0 +1,82 @@
+package userapi
+
+import (
+	"net/http"
+	"time"
+
+	"gingertally/internal/admission"
+	"gingertally/internal/core"
+	"gingertally/internal/core/pipeline"
+	"gingertally/internal/wire"
+)
+
+// Answer is the answer to a call of a user.
+type Answer struct {
+	// Status is the HTTP status.
+	Status int
+	// Body is the message to encode; nil means that there is no body.
+	Body any
+	// RetryAfter is when the user should call again; 0 says nothing about it.
+	RetryAfter time.Duration
+}
+
+// tryAgainPause is when a user whose call is undecided should call again.
+const tryAgainPause = time.Second
+
+// acceptedAnswer says that a new job is stored.
+func acceptedAnswer(ref string) Answer {
+	return Answer{Status: http.StatusCreated, Body: wire.State(ref, pipeline.Active, 0, 0)}
+}
+
+// JobState tells the state of a job that exists.
+func JobState(ref string, view core.JobView) Answer {
+	return Answer{Status: http.StatusOK, Body: wire.State(ref, view.Phase, view.Done, view.Running)}
+}
+
+// Cancelled answers a cancellation with the phase that the job now has: it is cancelled, or was done
+// before.
+func Cancelled(ref string, phase pipeline.Phase) Answer {
+	return Answer{Status: http.StatusOK, Body: cancelResult{Ref: ref, Status: wire.StatusOf(phase, 0)}}
+}
+
+// cancelResult is the body of the answer to a cancellation.
+type cancelResult struct {
+	Ref    string `cbor:"ref"`
+	Status string `cbor:"status"`
+}
+
+// tryAgainAnswer says that the call is undecided: it may or may not have been carried out, and may be
+// repeated.
+func tryAgainAnswer() Answer {
+	return Answer{Status: http.StatusServiceUnavailable, RetryAfter: tryAgainPause}
+}
+
+// unknownJobAnswer says that no job with this name was ever accepted.
+func unknownJobAnswer() Answer { return Answer{Status: http.StatusNotFound} }
+
+// malformedAnswer says what is wrong with the form of a submission.
+func malformedAnswer(err error) Answer {
+	return Answer{Status: http.StatusBadRequest, Body: errorMessage{Error: err.Error()}}
+}
+
+// rejectedAnswer says why a well-formed job will never be accepted as it is.
+func rejectedAnswer(err error) Answer {
+	return Answer{Status: http.StatusUnprocessableEntity, Body: errorMessage{Error: err.Error()}}
+}
+
+// errorMessage is the body of the answer to a submission that is refused for good.
+type errorMessage struct {
+	Error string `cbor:"error"`
+}
+
+// overloadedAnswer refuses a job for now, and says when it may be submitted again.
+func overloadedAnswer(decision admission.Decision) Answer {
+	body := Refusal{Error: "overloaded: " + decision.Reason.String(), RetryAfterS: decision.RetryAfter.Seconds()}
+	return Answer{Status: http.StatusTooManyRequests, Body: body, RetryAfter: decision.RetryAfter}
+}
+
+// Refusal is the body of the answer to a job that is refused under overload.
+type Refusal struct {
+	Error       string  `cbor:"error"`
+	RetryAfterS float64 `cbor:"retry_after_s"`
+}
--- a/internal/userapi/userapi.go
+++ b/internal/userapi/userapi.go
@@ -1,12 +1,16 @@
-// Package userapi serves the users' calls. Any node accepts jobs and
-// cancellations by writing them to the state service itself; states come from
-// the leader, or from the store.
+// Package userapi is the controller's side of the users' interface (PROTOCOL: Users -> controller
+// nodes). Any node accepts jobs by writing them to the state service itself. What it says of a job
+// comes from the leader, or from the store if the leader can't be asked. Only the leader cancels.
+//
+// The package keeps no state. It may assume that its caller has bounded the context's time and the
+// body's size (MaxBody). Its callers are the node's HTTP server, for users, and its server for
+// peers, for calls that they forwarded; each call runs in the goroutine of its request, so that a
+// Service is used by many goroutines at once.
 package userapi
 
 import (
 	"context"
 	"errors"
-	"net/http"
 	"time"
 
 	"gingertally/internal/admission"
@@ -17,99 +21,80 @@
 	"gingertally/internal/wire"
 )
 
-// Jobs is the store of jobs.
+// Jobs is the store of jobs. jobstore.Jobs implements it; it is called from the goroutines of
+// requests. An error that isn't one of those named here leaves the call undecided, and the user is
+// told to try again.
 type Jobs interface {
-	// CheckDependencies makes sure that a job may wait for others.
+	// CheckDependencies returns nil if a job may wait for others: all of them exist. Else the error
+	// is jobstore.ErrBadDependency, or jobstore.ErrExists if the job itself exists already.
 	CheckDependencies(ctx context.Context, ref string, dependencies []string) error
-	// Create writes a new job.
+	// Create stores a new job. The error is jobstore.ErrExists if there is a job with this name, and
+	// jobstore.ErrTooLarge if its record exceeds what the state service takes.
 	Create(ctx context.Context, spec pipeline.Spec, dependencies []string, now time.Time) error
-	// Load reads a job.
+	// Load reads a job's state; a job that doesn't exist is no error.
 	Load(ctx context.Context, ref string) (jobstore.State, error)
-	// DependencyCancelled tells whether a job that the store says waits may have to be cancelled.
+	// DependencyCancelled reports whether a job that is stored as waiting for others may have to be
+	// cancelled because one of those was.
 	DependencyCancelled(ctx context.Context, state jobstore.State, now time.Time) (bool, error)
 }
 
-// Leader is the leader's view of jobs, here or on another node.
+// Leader is the leading node, be it this node or another. The controller implements it; it is called
+// from the goroutines of requests.
 type Leader interface {
-	// View is what this node, as the leader with a valid lease, knows of a job.
+	// View is what this node knows of a job; ok is false if this node doesn't hold the leader's
+	// lease, or doesn't know the job.
 	View(ref string) (view core.JobView, ok bool)
-	// Ask asks the leading node; ok is false if it can't be asked or doesn't know.
+	// Ask asks the leading node; ok is false if that can't be asked or doesn't know the job.
 	Ask(ctx context.Context, ref string) (view core.JobView, ok bool)
-	// Cancel cancels a job as the leader. Any other node would leave the leader
-	// telling users an older state (docs/design.md, "The bound of a cancellation").
+	// Cancel cancels a job and returns the phase that the job then has, which is pipeline.Done if it
+	// was done already. Only the leader may: after another node's cancellation, the leader would go
+	// on telling users the older state (docs/design.md, "The bound of a cancellation"). The error is
+	// jobstore.ErrUnknownJob if there is no such job.
 	Cancel(ctx context.Context, ref string) (pipeline.Phase, error)
 }
 
-// Admission decides under overload which jobs are taken.
+// Admission decides which jobs are refused under overload. The controller's admission control
+// implements it; it is called from the goroutines of requests.
 type Admission interface {
-	// Decide decides about a submission, at once.
+	// Decide decides about a submission without waiting for anything.
 	Decide(spec *pipeline.Spec) admission.Decision
-	// Known tells whether a job that was refused had been accepted before.
+	// Known reports whether a job that was refused had been accepted before.
 	Known(ctx context.Context, ref string) bool
 }
 
-// MaxBody is the largest body that a user or worker may send or be sent.
+// MaxBody is the largest body that a user or a worker may send or be sent, in bytes.
 const MaxBody = wire.MaxBody
 
-// Service serves users.
+// Service answers users. Its fields are set before its first use and not changed later.
 type Service struct {
-	Jobs      Jobs
-	Leader    Leader
-	Catalog   func() placement.Catalog
-	Teams     map[string]placement.Quota
-	Admission Admission // nil: all jobs are taken
-}
-
-// Answer is the answer to a call; a nil body is none.
-type Answer struct {
-	Status     int
-	Body       any
-	RetryAfter time.Duration // 0: none
-}
-
-// retrySoon is when a user comes back about whom nothing could be decided.
-const retrySoon = time.Second
-
-// later has the user come back: nothing is decided yet.
-func later() Answer { return Answer{Status: http.StatusServiceUnavailable, RetryAfter: retrySoon} }
-
-// Refusal is the body of the answer to a job that isn't taken now.
-type Refusal struct {
-	Error       string  `cbor:"error"`
-	RetryAfterS float64 `cbor:"retry_after_s"`
-}
-
-// notFound says that no such job was accepted.
-func notFound() Answer { return Answer{Status: http.StatusNotFound} }
-
-// failure says why a call is refused for good.
-func failure(status int, err error) Answer {
-	return Answer{Status: status, Body: failureMessage{Error: err.Error()}}
-}
-
-// failureMessage is the body of a refusal.
-type failureMessage struct {
-	Error string `cbor:"error"`
+	Jobs   Jobs
+	Leader Leader
+	// Catalog returns the machine types that the cloud offers; it is empty until they are known.
+	Catalog func() placement.Catalog
+	// Teams are the quotas by team.
+	Teams map[string]placement.Quota
+	// Admission is nil while admission control is off: then every job is admitted.
+	Admission Admission
 }
 
 var errNeverPlaced = errors.New("no allowed machine type fits, or the team's limit is too low")
 
-// Submit accepts a job.
+// Submit accepts a job, or refuses it. A repeated submission is answered with the job's state.
 func (s *Service) Submit(ctx context.Context, body []byte) Answer {
 	spec, dependencies, err := wire.ParseSubmission(body)
 	if err != nil {
-		return failure(http.StatusBadRequest, err)
+		return malformedAnswer(err)
 	}
 	catalog := s.Catalog()
 	if len(catalog) == 0 {
-		return later()
+		return tryAgainAnswer()
 	}
 	team, known := s.Teams[spec.Team]
 	if !known || !placement.Possible(&spec, team, catalog) {
-		return s.refuse(ctx, spec.Ref)
+		return s.answerImpossible(ctx, spec.Ref)
 	}
 	spec.Types = knownTypes(spec.Types, catalog)
-	if answer, refused := s.overload(ctx, &spec); refused {
+	if answer, refused := s.answerOverload(ctx, &spec); refused {
 		return answer
 	}
 	if err = s.Jobs.CheckDependencies(ctx, spec.Ref, dependencies); err == nil {
@@ -117,50 +102,49 @@
 	}
 	switch {
 	case err == nil:
-		return Answer{Status: http.StatusCreated, Body: wire.State(spec.Ref, pipeline.Active, 0, 0)}
+		return acceptedAnswer(spec.Ref)
 	case errors.Is(err, jobstore.ErrExists):
-		return s.state(ctx, spec.Ref)
+		return s.answerState(ctx, spec.Ref)
 	case errors.Is(err, jobstore.ErrBadDependency), errors.Is(err, jobstore.ErrTooLarge):
-		return failure(http.StatusUnprocessableEntity, err)
+		return rejectedAnswer(err)
 	}
-	return later()
+	return tryAgainAnswer()
 }
 
-// overload is the answer to a job that isn't taken now. One that was accepted before is
-// answered as known.
-func (s *Service) overload(ctx context.Context, spec *pipeline.Spec) (answer Answer, refused bool) {
+// answerOverload answers a submission that admission control refuses; refused is false if it doesn't.
+// A job that was accepted before is never refused: it is answered with its state.
+func (s *Service) answerOverload(ctx context.Context, spec *pipeline.Spec) (answer Answer, refused bool) {
 	if s.Admission == nil {
 		return Answer{}, false
 	}
 	if _, known := s.Leader.View(spec.Ref); known {
-		return Answer{}, false // the write will find it there
+		return Answer{}, false // Jobs.Create will find that the job exists
 	}
 	decision := s.Admission.Decide(spec)
 	if decision.Admitted {
 		return Answer{}, false
 	}
 	if _, known := s.Leader.Ask(ctx, spec.Ref); known || s.Admission.Known(ctx, spec.Ref) {
-		return s.state(ctx, spec.Ref), true
+		return s.answerState(ctx, spec.Ref), true
 	}
-	body := Refusal{Error: "overloaded: " + decision.Reason.String(), RetryAfterS: decision.RetryAfter.Seconds()}
-	return Answer{Status: http.StatusTooManyRequests, Body: body, RetryAfter: decision.RetryAfter}, true
+	return overloadedAnswer(decision), true
 }
 
-// refuse is the answer for a job that can never be placed. One that was accepted earlier
-// must never be refused, whatever changed since.
-func (s *Service) refuse(ctx context.Context, ref string) Answer {
+// answerImpossible answers the submission of a job that can never be placed. A job that was accepted
+// earlier is never rejected, whatever became of its team and of the machine types since.
+func (s *Service) answerImpossible(ctx context.Context, ref string) Answer {
 	state, err := s.Jobs.Load(ctx, ref)
 	switch {
 	case err != nil:
-		return later()
+		return tryAgainAnswer()
 	case state.Found:
-		return s.state(ctx, ref)
+		return s.answerState(ctx, ref)
 	}
-	return failure(http.StatusUnprocessableEntity, errNeverPlaced)
+	return rejectedAnswer(errNeverPlaced)
 }
 
-// knownTypes leaves out names of types that don't exist: they allow nothing,
-// and a record has to stay small. Nil allows all types, and stays nil.
+// knownTypes returns those of the names that are machine types, each once. The others allow nothing,
+// and a job's record has to stay small. Nil allows all types and stays nil.
 func knownTypes(types []string, catalog placement.Catalog) []string {
 	if types == nil {
 		return nil
@@ -176,17 +160,17 @@
 	return known
 }
 
-// Get tells a job's state.
+// Get answers with a job's state.
 func (s *Service) Get(ctx context.Context, ref string) Answer {
 	if !pipeline.ValidRef(ref) {
-		return notFound()
+		return unknownJobAnswer()
 	}
-	return s.state(ctx, ref)
+	return s.answerState(ctx, ref)
 }
 
-// state is the answer about a job: from the leader if that can be asked, else from the
-// store (docs/design.md, "Safety arguments" 9; TestNoAnswerInDoubt).
-func (s *Service) state(ctx context.Context, ref string) Answer {
+// answerState answers with a job's state: from the leader if that can be asked, else from the store
+// (docs/design.md, "Safety arguments" 9; TestNoAnswerInDoubt).
+func (s *Service) answerState(ctx context.Context, ref string) Answer {
 	if view, ok := s.Leader.View(ref); ok {
 		return JobState(ref, view)
 	}
@@ -195,44 +179,28 @@
 	}
 	state, err := s.Jobs.Load(ctx, ref)
 	if err != nil {
-		return later()
+		return tryAgainAnswer()
 	}
 	if !state.Found {
-		return notFound()
+		return unknownJobAnswer()
 	}
 	if cancelled, err := s.Jobs.DependencyCancelled(ctx, state, time.Now()); err != nil || cancelled {
-		return later()
+		return tryAgainAnswer()
 	}
 	return JobState(ref, core.JobView{Phase: state.Phase, Done: state.Done})
 }
 
-// JobState is the answer about a job that is known.
-func JobState(ref string, view core.JobView) Answer {
-	return Answer{Status: http.StatusOK, Body: wire.State(ref, view.Phase, view.Done, view.Running)}
-}
-
-// cancelledMessage is the body of the answer to a cancellation.
-type cancelledMessage struct {
-	Ref    string `cbor:"ref"`
-	Status string `cbor:"status"`
-}
-
 // Cancel cancels a job, unless it is done.
 func (s *Service) Cancel(ctx context.Context, ref string) Answer {
 	if !pipeline.ValidRef(ref) {
-		return notFound()
+		return unknownJobAnswer()
 	}
 	phase, err := s.Leader.Cancel(ctx, ref)
 	switch {
 	case errors.Is(err, jobstore.ErrUnknownJob):
-		return notFound()
+		return unknownJobAnswer()
 	case err != nil:
-		return later()
+		return tryAgainAnswer()
 	}
 	return Cancelled(ref, phase)
 }
-
-// Cancelled is the answer to a cancellation, of a job that is over or now cancelled.
-func Cancelled(ref string, phase pipeline.Phase) Answer {
-	return Answer{Status: http.StatusOK, Body: cancelledMessage{Ref: ref, Status: wire.StatusOf(phase, 0)}}
-}
--- a/internal/userapi/userapi_test.go
+++ b/internal/userapi/userapi_test.go
@@ -15,63 +15,64 @@
 	"gingertally/internal/wire"
 )
 
-// world is the job store and the leader in one.
-type world struct {
-	jobs    map[string]jobstore.State
-	down    bool
-	view    map[string]core.JobView
-	created []pipeline.Spec
-	cancel  error
+// fakeBackend is the job store and the leader in one.
+type fakeBackend struct {
+	jobs      map[string]jobstore.State
+	down      bool                    // the store answers nothing
+	view      map[string]core.JobView // what this node knows as the leader
+	created   []pipeline.Spec
+	cancelErr error // the result of cancellations
 }
 
 var errDown = errors.New("store is down")
 
-func (w *world) CheckDependencies(_ context.Context, ref string, awaits []string) error {
-	if w.down {
+func (b *fakeBackend) CheckDependencies(_ context.Context, ref string, awaits []string) error {
+	if b.down {
 		return errDown
 	}
 	for _, a := range awaits {
 		switch {
-		case w.jobs[ref].Found:
+		case b.jobs[ref].Found:
 			return jobstore.ErrExists
-		case !w.jobs[a].Found:
+		case !b.jobs[a].Found:
 			return jobstore.ErrBadDependency
 		}
 	}
 	return nil
 }
 
-func (w *world) Create(_ context.Context, s pipeline.Spec, _ []string, _ time.Time) error {
-	if w.down {
+func (b *fakeBackend) Create(_ context.Context, s pipeline.Spec, _ []string, _ time.Time) error {
+	if b.down {
 		return errDown
 	}
-	if w.jobs[s.Ref].Found {
+	if b.jobs[s.Ref].Found {
 		return jobstore.ErrExists
 	}
-	w.created = append(w.created, s)
+	b.created = append(b.created, s)
 	return nil
 }
 
-func (w *world) Load(_ context.Context, ref string) (jobstore.State, error) {
-	if w.down {
+func (b *fakeBackend) Load(_ context.Context, ref string) (jobstore.State, error) {
+	if b.down {
 		return jobstore.State{}, errDown
 	}
-	return w.jobs[ref], nil
+	return b.jobs[ref], nil
 }
 
-func (*world) DependencyCancelled(_ context.Context, st jobstore.State, _ time.Time) (bool, error) {
+func (*fakeBackend) DependencyCancelled(_ context.Context, st jobstore.State, _ time.Time) (bool, error) {
 	return st.Record.Held(), nil
 }
 
-func (w *world) View(ref string) (core.JobView, bool) { v, ok := w.view[ref]; return v, ok }
+func (b *fakeBackend) View(ref string) (core.JobView, bool) { v, ok := b.view[ref]; return v, ok }
 
-func (*world) Ask(context.Context, string) (core.JobView, bool) { return core.JobView{}, false }
+func (*fakeBackend) Ask(context.Context, string) (core.JobView, bool) { return core.JobView{}, false }
 
-func (w *world) Cancel(context.Context, string) (pipeline.Phase, error) {
-	return pipeline.Cancelled, w.cancel
+func (b *fakeBackend) Cancel(context.Context, string) (pipeline.Phase, error) {
+	return pipeline.Cancelled, b.cancelErr
 }
 
-func submission(change map[string]any) []byte {
+// encodedSubmission is a good submission with some fields changed.
+func encodedSubmission(change map[string]any) []byte {
 	m := map[string]any{"ref": "j-000001", "lot_kind": "c", "owner": "t", "shape": "sweep", "urgency": "normal", "lots": 2, "vcpus": 4.0,
 		"cards": 0.0, "mem_gb": 8.0, "kit": "i", "pull_gb": 1.0, "builds": []string{"cpu", "old", "cpu"}, "one_zone": false, "apart": false,
 		"loaners": false, "guess_s": 10.0, "mark_s": 0.0, "stash_s": 0.0}
@@ -81,18 +82,21 @@
 	return codec.MustMarshal(m)
 }
 
-func service(w *world) *Service {
-	return &Service{Jobs: w, Leader: w, Teams: map[string]placement.Quota{"t": {CPULimit: 6}},
+// service has one team and one machine type.
+func service(b *fakeBackend) *Service {
+	return &Service{Jobs: b, Leader: b, Teams: map[string]placement.Quota{"t": {CPULimit: 6}},
 		Catalog: func() placement.Catalog {
 			return placement.Catalog{"cpu": {Name: "cpu", CPUs: 8, MemGB: 32, Zones: []string{"a"}}}
 		}}
 }
 
+// What becomes of a submission: the table's rows differ by one field. A job that was accepted once is
+// never refused, and one that can't be stored is never accepted: users rely on both.
 func TestSubmit(t *testing.T) {
 	ctx := context.Background()
 	known := jobstore.State{Found: true, Over: true, Phase: pipeline.Done, Done: 2}
-	w := &world{jobs: map[string]jobstore.State{"j-000002": known}}
-	s := service(w)
+	b := &fakeBackend{jobs: map[string]jobstore.State{"j-000002": known}}
+	s := service(b)
 	for _, c := range []struct {
 		name   string
 		change map[string]any
@@ -104,7 +108,6 @@
 		{"fits nowhere", map[string]any{"vcpus": 9.0}, 422},
 		{"gang above the limit", map[string]any{"shape": "ensemble"}, 422},
 		{"known", map[string]any{"ref": "j-000002"}, 200},
-		// An accepted job must not be refused, whatever became of teams and types.
 		{"waits for a known job", map[string]any{"awaits": []string{"j-000002"}}, 201},
 		{"waits for nothing", map[string]any{"awaits": []string{}}, 201},
 		{"waits for null", map[string]any{"awaits": nil}, 201},
@@ -115,32 +118,34 @@
 		{"known, whatever it now waits for", map[string]any{"ref": "j-000002", "awaits": []string{"j-000003"}}, 200},
 		{"known, now impossible", map[string]any{"ref": "j-000002", "owner": "u"}, 200},
 	} {
-		if a := s.Submit(ctx, submission(c.change)); a.Status != c.want {
+		if a := s.Submit(ctx, encodedSubmission(c.change)); a.Status != c.want {
 			t.Errorf("%s: %d, want %d", c.name, a.Status, c.want)
 		}
 	}
-	if len(w.created) != 4 || len(w.created[0].Types) != 1 {
-		t.Fatalf("created %+v", w.created)
+	if len(b.created) != 4 || len(b.created[0].Types) != 1 {
+		t.Fatalf("created %+v", b.created)
 	}
-	// What can't be stored isn't accepted, and the user is told when to come back.
-	w.down = true
+	// What can't be stored isn't accepted, and the user is told when to try again.
+	b.down = true
 	for _, change := range []map[string]any{nil, {"owner": "u"}, {"awaits": []string{"j-000002"}}} {
-		if a := s.Submit(ctx, submission(change)); a.Status != 503 || a.RetryAfter != time.Second {
+		if a := s.Submit(ctx, encodedSubmission(change)); a.Status != 503 || a.RetryAfter != time.Second {
 			t.Errorf("store down: %+v", a)
 		}
 	}
 	s.Catalog = func() placement.Catalog { return nil }
-	w.down = false
-	if a := s.Submit(ctx, submission(nil)); a.Status != 503 {
+	b.down = false
+	if a := s.Submit(ctx, encodedSubmission(nil)); a.Status != 503 {
 		t.Errorf("types unknown: %d", a.Status)
 	}
 }
 
+// A state or a cancellation is told only if the leader or the store says so: 404 without asking the
+// store would have a user submit a job twice, and a state that is in doubt may be taken back later.
 func TestGetAndCancel(t *testing.T) {
 	ctx := context.Background()
-	w := &world{jobs: map[string]jobstore.State{"j-000002": {Found: true, Phase: pipeline.Cancelled}},
+	b := &fakeBackend{jobs: map[string]jobstore.State{"j-000002": {Found: true, Phase: pipeline.Cancelled}},
 		view: map[string]core.JobView{"j-000003": {Phase: pipeline.Active, Running: 1, Done: 4}}}
-	s := service(w)
+	s := service(b)
 	for ref, want := range map[string]string{"j-000002": "aborted", "j-000003": "running"} {
 		a := s.Get(ctx, ref)
 		if st, ok := a.Body.(wire.RunState); a.Status != 200 || !ok || st.Status != want {
@@ -153,16 +158,16 @@
 	if a := s.Get(ctx, "nonsense"); a.Status != 404 {
 		t.Errorf("malformed id: %d", a.Status)
 	}
-	w.jobs["j-000004"] = jobstore.State{Found: true, Record: pipeline.Record{Dependencies: []string{"j-000002"}}}
+	b.jobs["j-000004"] = jobstore.State{Found: true, Record: pipeline.Record{Dependencies: []string{"j-000002"}}}
 	if a := s.Get(ctx, "j-000004"); a.Status != 503 || a.RetryAfter != time.Second {
-		t.Errorf("a job behind a cancelled one is told of: %+v", a)
+		t.Errorf("the state of a job behind a cancelled one is told: %+v", a)
 	}
-	w.down = true
+	b.down = true
 	if a := s.Get(ctx, "j-000009"); a.Status != 503 {
 		t.Errorf("404 without asking the store: %d", a.Status)
 	}
 	for err, want := range map[error]int{nil: 200, jobstore.ErrUnknownJob: 404, jobstore.ErrNotLeader: 503, errDown: 503} {
-		w.cancel = err
+		b.cancelErr = err
 		if a := s.Cancel(ctx, "j-000002"); a.Status != want {
 			t.Errorf("cancel with %v: %d, want %d", err, a.Status, want)
 		}
@@ -182,14 +187,14 @@
 
 func (r *refusing) Known(_ context.Context, ref string) bool { return r.known[ref] }
 
-// Under overload a job is refused with 429 and a time to come back, but only after what is
-// wrong with it for good; a known job is always answered as known; questions and cancellations
-// are never refused.
+// Under overload a job is refused with 429 and a time to try again, unless it is to be rejected for
+// good, of which its user has to hear. A known job is always answered with its state; queries are
+// never refused.
 func TestRefusedUnderOverload(t *testing.T) {
 	ctx := context.Background()
-	w := &world{jobs: map[string]jobstore.State{"j-000002": {Found: true}, "j-000005": {Found: true}},
+	b := &fakeBackend{jobs: map[string]jobstore.State{"j-000002": {Found: true}, "j-000005": {Found: true}},
 		view: map[string]core.JobView{"j-000005": {Phase: pipeline.Active, Running: 1}}}
-	s := service(w)
+	s := service(b)
 	r := &refusing{known: map[string]bool{"j-000002": true}}
 	s.Admission = r
 	for _, c := range []struct {
@@ -204,15 +209,15 @@
 		{"known to the store", map[string]any{"ref": "j-000002"}, 200},
 		{"known to the leader", map[string]any{"ref": "j-000005"}, 200},
 	} {
-		a := s.Submit(ctx, submission(c.change))
+		a := s.Submit(ctx, encodedSubmission(c.change))
 		if a.Status != c.want || (a.Status == 429) != (a.RetryAfter == 10*time.Second) {
 			t.Errorf("%s: %+v", c.name, a)
 		}
 	}
 	if a := s.Get(ctx, "j-000002"); a.Status != 200 {
-		t.Errorf("a question: %+v", a)
+		t.Errorf("a query: %+v", a)
 	}
-	if len(w.created) != 0 || r.decisions == 0 {
-		t.Errorf("created %+v after %d decisions", w.created, r.decisions)
+	if len(b.created) != 0 || r.decisions == 0 {
+		t.Errorf("created %+v after %d decisions", b.created, r.decisions)
 	}
 }
