--- a/internal/agentapi/answers.go
+++ b/internal/agentapi/answers.go
@@ -34,7 +34,7 @@
 func malformedAnswer() Answer { return Answer{Status: http.StatusBadRequest} }
 
 // OrdersPath is the path at which a worker accepts direct commands.
-const OrdersPath = "/orders"
+const OrdersPath = wire.OrdersPath
 
 // DirectCommands is the encoded body of a request to OrdersPath of a worker.
 func DirectCommands(direct core.Direct) []byte {
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -47,9 +47,6 @@
 
 func (e *UnexpectedStatusError) Error() string { return fmt.Sprintf("unexpected status %d", e.Status) }
 
-// noCapacityText is the cloud's word for ErrNoCapacity.
-const noCapacityText = "no capacity"
-
 // Client is a client of the cloud's interface.
 type Client struct {
 	http     *fasthttp.HostClient
@@ -129,10 +126,8 @@
 	case fasthttp.StatusTooManyRequests:
 		return fmt.Errorf("%w: too many requests", ErrUnavailable)
 	case fasthttp.StatusServiceUnavailable:
-		var refusal struct {
-			Error string `cbor:"error"`
-		}
-		if codec.Unmarshal(response.Body(), &refusal) == nil && refusal.Error == noCapacityText {
+		var refusal wire.ErrorMessage
+		if codec.Unmarshal(response.Body(), &refusal) == nil && refusal.Error == wire.ErrorNoCapacity {
 			return ErrNoCapacity
 		}
 		return fmt.Errorf("%w: status %d", ErrUnavailable, status)
@@ -144,7 +139,7 @@
 // MachineTypes reads the machine types with their present prices.
 func (c *Client) MachineTypes(ctx context.Context) (MachineTypes, error) {
 	var flavors wire.Flavors
-	err := c.do(ctx, call{operation: "read machine types", method: fasthttp.MethodGet, uri: "/flavors", answer: &flavors})
+	err := c.do(ctx, call{operation: "read machine types", method: fasthttp.MethodGet, uri: wire.FlavorsPath, answer: &flavors})
 	return MachineTypes{flavors.Builds}, err
 }
 
@@ -152,13 +147,13 @@
 // were asked for. The same request may be repeated until it is answered: it creates machines once.
 func (c *Client) ScaleOut(ctx context.Context, request core.ScaleOut) ([]string, error) {
 	var created wire.Stalls
-	err := c.do(ctx, call{operation: "scale out", method: fasthttp.MethodPost, uri: "/rentals", body: ScaleOutBody(request), answer: &created})
+	err := c.do(ctx, call{operation: "scale out", method: fasthttp.MethodPost, uri: wire.RentalsPath, body: ScaleOutBody(request), answer: &created})
 	return created.Stalls, err
 }
 
 // ScaleIn deletes machines; without an error they, and all on them, are gone.
 func (c *Client) ScaleIn(ctx context.Context, names []string) error {
-	return c.do(ctx, call{operation: "scale in", method: fasthttp.MethodPost, uri: "/rentals/release", body: ScaleInBody(names)})
+	return c.do(ctx, call{operation: "scale in", method: fasthttp.MethodPost, uri: wire.ReleasePath, body: ScaleInBody(names)})
 }
 
 // ListInstances reads the whole list of machines. It lags behind what was created and deleted.
@@ -167,7 +162,7 @@
 	after := ""
 	for {
 		var page wire.RentalPage
-		uri := fmt.Sprintf("/rentals?since=%s&most=%d", url.QueryEscape(after), pageSize)
+		uri := fmt.Sprintf("%s?since=%s&most=%d", wire.RentalsPath, url.QueryEscape(after), pageSize)
 		if err := c.do(ctx, call{operation: "list instances", method: fasthttp.MethodGet, uri: uri, answer: &page}); err != nil {
 			return nil, err
 		}
--- a/internal/userapi/answers.go
+++ b/internal/userapi/answers.go
@@ -36,13 +36,7 @@
 // Cancelled answers a cancellation with the phase that the job now has: it is cancelled, or was done
 // before.
 func Cancelled(ref string, phase pipeline.Phase) Answer {
-	return Answer{Status: http.StatusOK, Body: cancelResult{Ref: ref, Status: wire.StatusOf(phase, 0)}}
-}
-
-// cancelResult is the body of the answer to a cancellation.
-type cancelResult struct {
-	Ref    string `cbor:"ref"`
-	Status string `cbor:"status"`
+	return Answer{Status: http.StatusOK, Body: wire.CancelResult{Ref: ref, Status: wire.StatusOf(phase, 0)}}
 }
 
 // tryAgainAnswer says that the call is undecided: it may or may not have been carried out, and may be
@@ -56,17 +50,12 @@
 
 // malformedAnswer says what is wrong with the form of a submission.
 func malformedAnswer(err error) Answer {
-	return Answer{Status: http.StatusBadRequest, Body: errorMessage{Error: err.Error()}}
+	return Answer{Status: http.StatusBadRequest, Body: wire.ErrorMessage{Error: err.Error()}}
 }
 
 // rejectedAnswer says why a well-formed job will never be accepted as it is.
 func rejectedAnswer(err error) Answer {
-	return Answer{Status: http.StatusUnprocessableEntity, Body: errorMessage{Error: err.Error()}}
-}
-
-// errorMessage is the body of the answer to a submission that is refused for good.
-type errorMessage struct {
-	Error string `cbor:"error"`
+	return Answer{Status: http.StatusUnprocessableEntity, Body: wire.ErrorMessage{Error: err.Error()}}
 }
 
 // overloadedAnswer refuses a job for now, and says when it may be submitted again.
@@ -76,7 +65,4 @@
 }
 
 // Refusal is the body of the answer to a job that is refused under overload.
-type Refusal struct {
-	Error       string  `cbor:"error"`
-	RetryAfterS float64 `cbor:"retry_after_s"`
-}
+type Refusal = wire.OverloadRefusal
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -1,11 +1,24 @@
 package wire
 
-// Flavors mirrors GET /flavors.
+// This file mirrors the cloud's interface (PROTOCOL: Controller nodes -> cloud).
+
+// Paths of the cloud's interface.
+const (
+	FlavorsPath = "/flavors"
+	RentalsPath = "/rentals"
+	ReleasePath = "/rentals/release"
+)
+
+// ErrorNoCapacity is the text of the ErrorMessage by which the cloud says, with status 503, that it has no machines
+// of the type, zone and kind that were asked for.
+const ErrorNoCapacity = "no capacity"
+
+// Flavors is the body of the answer to GET /flavors.
 type Flavors struct {
 	Builds []Flavor `cbor:"builds"`
 }
 
-// Flavor is one machine type.
+// Flavor is a machine type with its present prices.
 type Flavor struct {
 	Label      string   `cbor:"label"`
 	VCPUs      float64  `cbor:"vcpus"`
@@ -19,7 +32,7 @@
 	Yards      []string `cbor:"yards"`
 }
 
-// RentalRequest mirrors POST /rentals.
+// RentalRequest is the body of POST /rentals. Hire names the request: a repeated name creates nothing more.
 type RentalRequest struct {
 	Hire    string `cbor:"hire"`
 	Build   string `cbor:"build"`
@@ -28,18 +41,19 @@
 	Count   int    `cbor:"count"`
 }
 
-// Stalls names machines, in a rental's answer and a release's request.
+// Stalls has the names of machines. It is the body of the answer to a RentalRequest, and of POST
+// /rentals/release.
 type Stalls struct {
 	Stalls []string `cbor:"stalls"`
 }
 
-// RentalPage mirrors one page of GET /rentals.
+// RentalPage is the body of the answer to GET /rentals, one page of the list of machines.
 type RentalPage struct {
 	Stalls  []Rental `cbor:"stalls"`
 	HasNext bool     `cbor:"has_next"`
 }
 
-// Rental is one listed machine.
+// Rental is one machine of the list.
 type Rental struct {
 	Ref      string  `cbor:"ref"`
 	Endpoint string  `cbor:"endpoint"`
@@ -50,7 +64,7 @@
 	HeldS    float64 `cbor:"held_s"`
 }
 
-// Listed states of a rental.
+// Statuses of a Rental.
 const (
 	RentalStarting = "starting"
 	RentalRunning  = "running"
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"maps"
 	"math"
 	"strings"
 	"testing"
@@ -10,15 +11,22 @@
 	"gingertally/internal/core/fleet"
 )
 
+// good is a submission in which every field is set.
 func good() map[string]any {
-	return map[string]any{"ref": "j-000412", "lot_kind": "train", "owner": "vision", "shape": "ensemble", "urgency": "urgent",
+	return map[string]any{
+		"ref": "j-000412", "lot_kind": "train", "owner": "vision", "shape": "ensemble", "urgency": "urgent",
 		"lots": 16, "vcpus": 8.0, "cards": 1.0, "mem_gb": 64.0, "kit": "img-07", "pull_gb": 6.2, "builds": []string{"g8"},
-		"yard": nil, "one_zone": true, "apart": false, "loaners": true, "guess_s": 240.0, "mark_s": 30.0, "stash_s": 4.0, "due_s": 900.0}
+		"yard": nil, "one_zone": true, "apart": false, "loaners": true, "guess_s": 240.0,
+		"mark_s": 30.0, "stash_s": 4.0, "due_s": 900.0,
+	}
 }
 
+// A submission is accepted or found malformed as the protocol says. Each row changes or leaves out one field of a
+// good one: a malformed job that is accepted has to be kept for ever, and a good one that is refused isn't retried.
 func TestParseSubmission(t *testing.T) {
-	if s, _, err := ParseSubmission(codec.MustMarshal(good())); err != nil || s.Tasks != 16 || s.Types[0] != "g8" || s.Deadline.Seconds() != 900 {
-		t.Fatalf("good submission: %+v, %v", s, err)
+	spec, _, err := ParseSubmission(codec.MustMarshal(good()))
+	if err != nil || spec.Tasks != 16 || spec.Types[0] != "g8" || spec.Deadline.Seconds() != 900 {
+		t.Fatalf("good submission: %+v, %v", spec, err)
 	}
 	change := func(field string, v any) []byte {
 		m := good()
@@ -75,22 +83,25 @@
 	}
 }
 
-func goodBeat() map[string]any {
+// goodHeartbeat is a heartbeat with a running task and an exited one.
+func goodHeartbeat() map[string]any {
 	return map[string]any{"stall": "m-000231", "endpoint": "10.1.0.232:9000", "build": "g8", "yard": "a", "loaners": true,
 		"shift": 1, "tick": 88, "gavel": 41, "warning_s": nil, "lots": []any{
 			map[string]any{"lot": "j-000412/3", "try": 2, "status": "running"},
 			map[string]any{"lot": "j-000398/0", "try": uint64(1) << 63, "status": "ended", "cause": "stopped", "kept": true}}}
 }
 
-func TestParseReport(t *testing.T) {
-	r, err := ParseHeartbeat(codec.MustMarshal(goodBeat()))
-	if err != nil || len(r.Tasks) != 2 || r.InterruptionIn >= 0 || r.Tasks[0].State != fleet.Running ||
-		r.Tasks[1].Cause != fleet.CauseStopped || !r.Tasks[1].Checkpointed || r.Tasks[1].Attempt != 1<<63 {
-		t.Fatalf("good report: %+v, %v", r, err)
+// A heartbeat is read whole or not at all: what is missing or malformed must not be taken for an empty machine, on
+// which tasks would be started a second time.
+func TestParseHeartbeat(t *testing.T) {
+	heartbeat, err := ParseHeartbeat(codec.MustMarshal(goodHeartbeat()))
+	if err != nil || len(heartbeat.Tasks) != 2 || heartbeat.InterruptionIn >= 0 || heartbeat.Tasks[0].State != fleet.Running ||
+		heartbeat.Tasks[1].Cause != fleet.CauseStopped || !heartbeat.Tasks[1].Checkpointed || heartbeat.Tasks[1].Attempt != 1<<63 {
+		t.Fatalf("good heartbeat: %+v, %v", heartbeat, err)
 	}
 	for field, v := range map[string]any{"stall": nil, "shift": -1, "tick": "x", "gavel": nil, "warning_s": math.NaN(),
 		"lots": []any{map[string]any{"lot": "j-000412", "try": 2, "status": "running"}}} {
-		m := goodBeat()
+		m := goodHeartbeat()
 		m[field] = v
 		if _, err := ParseHeartbeat(codec.MustMarshal(m)); !errors.Is(err, codec.ErrMalformed) {
 			t.Errorf("%s = %v: error %v", field, v, err)
@@ -103,10 +114,27 @@
 		map[string]any{"lot": "j-1/1", "try": 2, "status": "resting"},
 		map[string]any{"lot": "j-1/1", "try": 2, "status": "ended"},
 	} {
-		m := goodBeat()
+		m := goodHeartbeat()
 		m["lots"] = []any{lot}
 		if _, err := ParseHeartbeat(codec.MustMarshal(m)); !errors.Is(err, codec.ErrMalformed) {
 			t.Errorf("%v: error %v", lot, err)
 		}
 	}
 }
+
+// The bodies of answers to users that the golden files don't hold: users read these names.
+func TestAnswersToUsers(t *testing.T) {
+	for _, c := range []struct {
+		message any
+		want    map[string]any
+	}{
+		{CancelResult{Ref: "j-000412", Status: StatusCancelled}, map[string]any{"ref": "j-000412", "status": "aborted"}},
+		{OverloadRefusal{Error: "overloaded", RetryAfterS: 10}, map[string]any{"error": "overloaded", "retry_after_s": 10.0}},
+		{ErrorMessage{Error: "no"}, map[string]any{"error": "no"}},
+	} {
+		var got map[string]any
+		if err := codec.Unmarshal(codec.MustMarshal(c.message), &got); err != nil || !maps.Equal(got, c.want) {
+			t.Errorf("%T: %v, want %v, %v", c.message, got, c.want, err)
+		}
+	}
+}
--- /dev/null
+++ b/internal/wire/workers.go
@@ -0,0 +1,259 @@
+package wire
+
+// This file mirrors the workers' interface (PROTOCOL: Workers -> controller nodes; Controller nodes -> workers).
+
+import (
+	"math"
+	"strings"
+	"time"
+
+	"gingertally/internal/core/fleet"
+	"gingertally/internal/core/pipeline"
+)
+
+// Paths of the workers' interface: HeartbeatPath at a controller, the others at a worker.
+const (
+	HeartbeatPath    = "/agent/beat"
+	OrdersPath       = "/orders"
+	WorkerStatusPath = "/status"
+)
+
+// States of a task on a machine, in the protocol's words.
+const (
+	TaskFetching       = "fetching"
+	TaskWaitingForGang = "waiting"
+	TaskRunning        = "running"
+	TaskCheckpointing  = "flushing"
+	TaskExited         = "ended"
+)
+
+// Causes of a task's exit, in the protocol's words.
+const (
+	CauseDone                  = "done"
+	CauseStopped               = "stopped"
+	CauseGangPeerLost          = "mates_gone"
+	CauseGangIncomplete        = "alone"
+	CauseError                 = "error"
+	CauseInsufficientResources = "no_room"
+	CauseAlreadyPresent        = "busy"
+	CauseUnknownTask           = "no_such"
+)
+
+// Commands to a worker, in the protocol's words.
+const (
+	VerbStart  = "start"
+	VerbStop   = "halt"
+	VerbForget = "clear"
+)
+
+// Heartbeat is the body of POST /agent/beat, and of a worker's answers to direct commands and status requests.
+// Its fields are pointers to tell an absent field from a zero.
+type Heartbeat struct {
+	Stall    *string         `cbor:"stall"`
+	Endpoint *string         `cbor:"endpoint"`
+	Build    *string         `cbor:"build"`
+	Yard     *string         `cbor:"yard"`
+	Loaners  *bool           `cbor:"loaners"`
+	Shift    *uint64         `cbor:"shift"`
+	Tick     *uint64         `cbor:"tick"`
+	Gavel    *uint64         `cbor:"gavel"`
+	WarningS *float64        `cbor:"warning_s"`
+	Lots     []HeartbeatTask `cbor:"lots"`
+}
+
+// HeartbeatTask is a task on the machine of a heartbeat.
+type HeartbeatTask struct {
+	Lot    *string `cbor:"lot"`
+	Try    *uint64 `cbor:"try"`
+	Status *string `cbor:"status"`
+	Cause  *string `cbor:"cause"`
+	Kept   *bool   `cbor:"kept"`
+}
+
+var taskStates = map[string]fleet.TaskState{
+	TaskFetching:       fleet.Fetching,
+	TaskWaitingForGang: fleet.WaitingForGang,
+	TaskRunning:        fleet.Running,
+	TaskCheckpointing:  fleet.Checkpointing,
+	TaskExited:         fleet.Exited,
+}
+
+var exitCauses = map[string]fleet.ExitCause{
+	CauseDone:                  fleet.CauseDone,
+	CauseStopped:               fleet.CauseStopped,
+	CauseGangPeerLost:          fleet.CauseGangPeerLost,
+	CauseGangIncomplete:        fleet.CauseGangIncomplete,
+	CauseError:                 fleet.CauseError,
+	CauseInsufficientResources: fleet.CauseInsufficientResources,
+	CauseAlreadyPresent:        fleet.CauseAlreadyPresent,
+	CauseUnknownTask:           fleet.CauseUnknownTask,
+}
+
+// ParseHeartbeat decodes and checks a worker's heartbeat. Every error is a codec.ErrMalformed.
+func ParseHeartbeat(body []byte) (fleet.Heartbeat, error) {
+	var message Heartbeat
+	if err := unmarshalMap(body, &message); err != nil {
+		return fleet.Heartbeat{}, err
+	}
+	heartbeat, err := parseMachineStatus(&message)
+	if err != nil {
+		return heartbeat, err
+	}
+	for i := range message.Lots {
+		task, err := parseTaskStatus(&message.Lots[i])
+		if err != nil {
+			return heartbeat, err
+		}
+		heartbeat.Tasks = append(heartbeat.Tasks, task)
+	}
+	return heartbeat, nil
+}
+
+// noInterruption is fleet.Heartbeat.InterruptionIn of a machine without an interruption notice.
+const noInterruption = -1
+
+// parseMachineStatus reads what a heartbeat says of the machine itself.
+func parseMachineStatus(message *Heartbeat) (fleet.Heartbeat, error) {
+	if field := message.missingField(); field != "" {
+		return fleet.Heartbeat{}, malformed("%s of the heartbeat is missing", field)
+	}
+	heartbeat := fleet.Heartbeat{
+		Machine: *message.Stall, Addr: *message.Endpoint, Type: *message.Build, Zone: *message.Yard,
+		Spot: *message.Loaners, Incarnation: *message.Shift, Sequence: *message.Tick,
+		FencingToken: *message.Gavel, InterruptionIn: noInterruption,
+	}
+	if message.WarningS == nil {
+		return heartbeat, nil
+	}
+	if math.IsNaN(*message.WarningS) || math.IsInf(*message.WarningS, 0) {
+		return heartbeat, malformed("warning_s")
+	}
+	heartbeat.InterruptionIn = max(0, time.Duration(*message.WarningS*float64(time.Second)))
+	return heartbeat, nil
+}
+
+// missingField names the first required field that is absent; empty means that all are there.
+func (m *Heartbeat) missingField() string {
+	switch {
+	case m.Stall == nil || *m.Stall == "":
+		return "stall"
+	case m.Endpoint == nil:
+		return "endpoint"
+	case m.Build == nil:
+		return "build"
+	case m.Yard == nil:
+		return "yard"
+	case m.Loaners == nil:
+		return "loaners"
+	case m.Shift == nil:
+		return "shift"
+	case m.Tick == nil:
+		return "tick"
+	case m.Gavel == nil:
+		return "gavel"
+	}
+	return ""
+}
+
+// parseTaskStatus reads what a heartbeat says of one task.
+func parseTaskStatus(message *HeartbeatTask) (fleet.TaskStatus, error) {
+	if message.Lot == nil || message.Try == nil || message.Status == nil {
+		return fleet.TaskStatus{}, malformed("a field of a task in the heartbeat is missing")
+	}
+	ref, number, err := ParseTaskName(*message.Lot)
+	if err != nil {
+		return fleet.TaskStatus{}, err
+	}
+	state, known := taskStates[*message.Status]
+	if !known {
+		return fleet.TaskStatus{}, malformed("task state %q", *message.Status)
+	}
+	task := fleet.TaskStatus{Ref: ref, Task: number, Attempt: *message.Try, State: state}
+	if state != fleet.Exited {
+		return task, nil
+	}
+	if message.Cause == nil {
+		return task, malformed("exit without a cause")
+	}
+	if task.Cause, known = exitCauses[*message.Cause]; !known {
+		task.Cause = fleet.CauseError // a cause that a later protocol may add is no success
+	}
+	task.Checkpointed = message.Kept != nil && *message.Kept
+	return task, nil
+}
+
+// Orders is the body of the answer to a heartbeat. With the worker's incarnation in Shift it is also the body of
+// POST /orders, which sends direct commands.
+type Orders struct {
+	Gavel  uint64  `cbor:"gavel"`
+	Shift  uint64  `cbor:"shift,omitempty"`
+	Orders []Order `cbor:"orders"`
+}
+
+// Order is one command to a worker.
+type Order struct {
+	Verb   string   `cbor:"verb"`
+	Lot    string   `cbor:"lot"`
+	Try    uint64   `cbor:"try"`
+	Leeway *float64 `cbor:"leeway_s,omitempty"`
+}
+
+// Redirect is the body of an answer 421 to a heartbeat: the name of the controller that the worker should go to.
+type Redirect struct {
+	Clerk string `cbor:"clerk,omitempty"`
+}
+
+// OrdersOf converts commands to their wire form.
+func OrdersOf(commands []fleet.Command) []Order {
+	orders := make([]Order, 0, len(commands))
+	for _, command := range commands {
+		orders = append(orders, orderOf(command))
+	}
+	return orders
+}
+
+func orderOf(command fleet.Command) Order {
+	order := Order{Lot: fleet.TaskID{Ref: command.Ref, Task: command.Task}.String(), Try: command.Attempt}
+	switch command.Kind {
+	case fleet.Start:
+		order.Verb = VerbStart
+	case fleet.Stop:
+		order.Verb = VerbStop
+		grace := command.Grace.Seconds()
+		order.Leeway = &grace
+	case fleet.Forget:
+		order.Verb = VerbForget
+	}
+	return order
+}
+
+// maxTaskDigits is the largest number of digits of a task's number.
+const maxTaskDigits = 9
+
+// ParseTaskName splits the name of a task, such as j-000412/3, into its job's name and its number. Every error
+// is a codec.ErrMalformed.
+func ParseTaskName(name string) (ref string, task int, err error) {
+	ref, digits, ok := strings.Cut(name, "/")
+	if !ok || !pipeline.ValidRef(ref) {
+		return "", 0, malformed("task name %q", name)
+	}
+	if task, ok = parseTaskNumber(digits); !ok {
+		return "", 0, malformed("task name %q", name)
+	}
+	return ref, task, nil
+}
+
+// parseTaskNumber reads a number without sign and leading zeros, so that each task has one name only.
+func parseTaskNumber(digits string) (number int, ok bool) {
+	leadingZero := len(digits) > 1 && digits[0] == '0'
+	if digits == "" || len(digits) > maxTaskDigits || leadingZero {
+		return 0, false
+	}
+	for _, digit := range digits {
+		if digit < '0' || digit > '9' {
+			return 0, false
+		}
+		number = number*10 + int(digit-'0')
+	}
+	return number, true
+}
