--- /dev/null
+++ b/internal/cloud/client_test.go
@@ -0,0 +1,137 @@
+package cloud
+
+import (
+	"context"
+	"errors"
+	"net"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"gingertally/internal/codec"
+	"gingertally/internal/core"
+	"gingertally/internal/wire"
+)
+
+// ampleRate is a rate that no test reaches.
+const ampleRate = 1000
+
+// serve is a client of a cloud that answers with a handler.
+func serve(t *testing.T, handler fasthttp.RequestHandler) *Client {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	server := &fasthttp.Server{Handler: handler}
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		_ = server.Serve(listener) // ends with the listener
+	}()
+	t.Cleanup(func() {
+		_ = listener.Close()
+		<-ended
+	})
+	return New(listener.Addr().String(), ampleRate)
+}
+
+// Callers decide by the cause of an error: a scale-out of unknown outcome may have created machines,
+// one without capacity or that the cloud didn't execute hasn't. A status taken for another cause would
+// lose machines, or have them created twice.
+func TestErrorsSayWhetherExecuted(t *testing.T) {
+	noCapacity := codec.MustMarshal(wire.ErrorMessage{Error: wire.ErrorNoCapacity})
+	outage := codec.MustMarshal(wire.ErrorMessage{Error: "trouble"})
+	for _, c := range []struct {
+		name   string
+		status int
+		body   []byte
+		want   error
+	}{
+		{"no capacity", fasthttp.StatusServiceUnavailable, noCapacity, ErrNoCapacity},
+		{"outage", fasthttp.StatusServiceUnavailable, outage, ErrUnavailable},
+		{"outage without a body", fasthttp.StatusServiceUnavailable, nil, ErrUnavailable},
+		{"above the rate", fasthttp.StatusTooManyRequests, nil, ErrUnavailable},
+		{"unreadable answer", fasthttp.StatusOK, []byte("nonsense"), codec.ErrMalformed},
+	} {
+		client := serve(t, func(request *fasthttp.RequestCtx) {
+			request.SetStatusCode(c.status)
+			request.SetBody(c.body)
+		})
+		_, err := client.ScaleOut(t.Context(), core.ScaleOut{Name: "r-1"})
+		var failed *RequestError
+		if !errors.Is(err, c.want) || !errors.As(err, &failed) || failed.Operation != operationScaleOut {
+			t.Errorf("%s: %v, want %v of %s", c.name, err, c.want, operationScaleOut)
+		}
+	}
+}
+
+// A status that the protocol doesn't have is none of the known causes, and is told with the error.
+func TestUnexpectedStatus(t *testing.T) {
+	client := serve(t, func(request *fasthttp.RequestCtx) { request.SetStatusCode(fasthttp.StatusTeapot) })
+	err := client.ScaleIn(t.Context(), []string{"m-000001"})
+	var unexpected *UnexpectedStatusError
+	if !errors.As(err, &unexpected) || unexpected.Status != fasthttp.StatusTeapot {
+		t.Errorf("%v", err)
+	}
+}
+
+// Without an answer the request may have been executed; a request that was never sent has not been.
+func TestRequestsWithoutAnswer(t *testing.T) {
+	client := serve(t, func(request *fasthttp.RequestCtx) { _ = request.Conn().Close() }) // no answer
+	if err := client.ScaleIn(t.Context(), nil); !errors.Is(err, ErrUnknownOutcome) {
+		t.Errorf("connection closed: %v", err)
+	}
+	cancelled, cancel := context.WithCancel(t.Context())
+	cancel()
+	if err := client.ScaleIn(cancelled, nil); !errors.Is(err, ErrUnavailable) || errors.Is(err, ErrUnknownOutcome) {
+		t.Errorf("never sent: %v", err)
+	}
+}
+
+// The list is read page by page until its end: machines of a page that isn't read would be taken for
+// deleted ones. Machines whose status isn't known are left out, and the next page still begins after
+// them.
+func TestListInstancesReadsAllPages(t *testing.T) {
+	pages := map[string]wire.RentalPage{
+		"": {HasNext: true, Stalls: []wire.Rental{
+			{Ref: "m-000001", Endpoint: "x:1", Build: "g8", Yard: "a", Loaners: true, Status: wire.RentalRunning, HeldS: 1.5},
+			{Ref: "m-000002", Status: "resting"},
+		}},
+		"m-000002": {Stalls: []wire.Rental{{Ref: "m-000003", Status: wire.RentalFailed}}},
+	}
+	client := serve(t, func(request *fasthttp.RequestCtx) {
+		request.SetBody(codec.MustMarshal(pages[string(request.QueryArgs().Peek("since"))]))
+	})
+	got, err := client.ListInstances(t.Context())
+	want := []core.Instance{
+		{Name: "m-000001", Addr: "x:1", Type: "g8", Zone: "a", Spot: true, Status: core.InstanceRunning, Age: 1500 * time.Millisecond},
+		{Name: "m-000003", Status: core.InstanceFailed},
+	}
+	if err != nil || !slices.Equal(got, want) {
+		t.Errorf("%+v, %v, want %+v", got, err, want)
+	}
+}
+
+// Stored machine types are read as the cloud told them: a follower plans with the leader's copy.
+func TestMachineTypesStored(t *testing.T) {
+	flavor := wire.Flavor{Label: "g8", VCPUs: 96, Cards: 8, MemGB: 768, SpotPrice: 4.5, ReadyS: 45, Yards: []string{"a", "b"}}
+	client := serve(t, func(request *fasthttp.RequestCtx) {
+		request.SetBody(codec.MustMarshal(wire.Flavors{Builds: []wire.Flavor{flavor}}))
+	})
+	types, err := client.MachineTypes(t.Context())
+	if err != nil {
+		t.Fatal(err)
+	}
+	stored, err := DecodeMachineTypes(types.Encode())
+	if err != nil {
+		t.Fatal(err)
+	}
+	got := stored.Catalog()["g8"]
+	if got == nil || got.CPUs != 96 || got.GPUs != 8 || got.SpotHour != 4.5 || got.Boot != 45*time.Second ||
+		!slices.Equal(got.Zones, flavor.Yards) {
+		t.Errorf("%+v", got)
+	}
+}
--- a/internal/cloud/convert.go
+++ b/internal/cloud/messages.go
@@ -9,12 +9,13 @@
 	"gingertally/internal/wire"
 )
 
-// The protocol's messages and the terms that the rest of the program knows them by.
+// This file maps the protocol's messages to the field's terms.
 
-// MachineTypes are the machine types that the cloud offers, with their prices, as it told them.
+// MachineTypes are the machine types that the cloud offers, with their prices, in the cloud's own form: that is
+// the form in which they are stored.
 type MachineTypes struct{ flavors []wire.Flavor }
 
-// Catalog is what placement needs of the types.
+// Catalog converts the types to what placement needs of them.
 func (t MachineTypes) Catalog() placement.Catalog {
 	catalog := placement.Catalog{}
 	for _, flavor := range t.flavors {
@@ -27,33 +28,35 @@
 	return catalog
 }
 
-// Encode puts the types into the form in which they are stored.
+// Encode returns the types in their stored form.
 func (t MachineTypes) Encode() []byte { return codec.MustMarshal(wire.Flavors{Builds: t.flavors}) }
 
-// DecodeMachineTypes reads types that were stored.
+// DecodeMachineTypes reads types in their stored form.
 func DecodeMachineTypes(value []byte) (MachineTypes, error) {
 	var message wire.Flavors
 	err := codec.Unmarshal(value, &message)
 	return MachineTypes{message.Builds}, err
 }
 
-// ScaleOutBody is the body of a request for machines.
+// ScaleOutBody is the encoded body of a request that creates machines.
 func ScaleOutBody(request core.ScaleOut) []byte {
-	return codec.MustMarshal(wire.RentalRequest{Hire: request.Name, Build: request.Type, Yard: request.Zone, Loaners: request.Spot, Count: request.Count})
+	return codec.MustMarshal(wire.RentalRequest{
+		Hire: request.Name, Build: request.Type, Yard: request.Zone, Loaners: request.Spot, Count: request.Count,
+	})
 }
 
-// ScaleInBody is the body of a request to delete machines.
+// ScaleInBody is the encoded body of a request that deletes machines.
 func ScaleInBody(names []string) []byte { return codec.MustMarshal(wire.Stalls{Stalls: names}) }
 
-// instanceStatuses are the cloud's words for an instance's status.
+// instanceStatuses maps the cloud's words for the status of an instance.
 var instanceStatuses = map[string]core.InstanceStatus{
 	wire.RentalStarting: core.InstanceStarting,
 	wire.RentalRunning:  core.InstanceRunning,
 	wire.RentalFailed:   core.InstanceFailed,
 }
 
-// appendInstances adds a page of the cloud's list. Instances with a status that isn't known here
-// are left out.
+// appendInstances appends a page of the cloud's list. An instance with a status that isn't known here is left
+// out: nothing is concluded from it.
 func appendInstances(instances []core.Instance, page []wire.Rental) []core.Instance {
 	for _, rental := range page {
 		status, known := instanceStatuses[rental.Status]
