--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -6,18 +6,18 @@
 	"net"
 )
 
-// Least limits of the state service with which the service can work.
+// The lowest limits of the state service with which controllers can work.
 const (
 	minRate    = 1
 	minValueKB = 1
 	minTxnOps  = 2
 )
 
-// minSockets is the least number of sockets with which a node can work.
+// minSockets is the lowest number of sockets with which a controller can work.
 const minSockets = 64
 
-// check returns the first thing that is wrong.
-func (s *Settings) check() error {
+// check returns the first thing that is wrong, without its file and line; nil if nothing is.
+func (s *Settings) check() *FieldError {
 	var c checker
 	c.node(s)
 	c.endpoints(&s.Endpoints)
@@ -35,8 +35,8 @@
 	return c.err
 }
 
-// checker keeps the first thing that is wrong.
-type checker struct{ err error }
+// checker keeps the first thing that is wrong, so that checking needs no branch after each field.
+type checker struct{ err *FieldError }
 
 func (c *checker) node(s *Settings) {
 	c.text("member", s.Member)
@@ -100,9 +100,9 @@
 	}
 }
 
-func (c *checker) fail(field, what string) {
+func (c *checker) fail(field, problem string) {
 	if c.err == nil {
-		c.err = fmt.Errorf("settings: %s: %s", field, what)
+		c.err = &FieldError{Field: field, Problem: problem}
 	}
 }
 
@@ -112,7 +112,7 @@
 	}
 }
 
-// unique notes a name, and fails if it was seen before.
+// unique fails if a name was seen before.
 func (c *checker) unique(field, name string, seen map[string]bool) {
 	if seen[name] {
 		c.fail(field, "named twice")
@@ -130,14 +130,14 @@
 	}
 }
 
-// positive fails for NaN too, which compares with nothing.
+// positive fails unless a value is finite and above 0; the negated comparison also fails for NaN.
 func (c *checker) positive(field string, value float64) {
 	if !(value > 0) || math.IsInf(value, 0) {
 		c.fail(field, "missing or not above 0")
 	}
 }
 
-// atLeast fails for NaN too, which compares with nothing.
+// atLeast fails unless a value is finite and not below a bound; the negated comparison also fails for NaN.
 func (c *checker) atLeast(field string, value, low float64) {
 	if !(value >= low) || math.IsInf(value, 0) {
 		c.fail(field, fmt.Sprintf("missing or below %g", low))
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,10 @@
-// Package config reads and checks the settings that the platform hands over.
+// Package config reads and checks the settings that the platform hands over at a controller's start, a
+// file in JSON (DEPLOY: the settings file). Fields that aren't known here are ignored, so that a newer
+// platform can start an older controller. Nothing is filled in: a setting that is needed and missing is
+// an error, a *FieldError that names file, line and field.
+//
+// The command calls Load once, before anything else runs; afterwards the settings aren't changed and may be
+// read from any goroutine.
 package config
 
 import (
@@ -9,13 +15,13 @@
 	"time"
 )
 
-// Seconds is a duration given as a number of seconds.
+// Seconds is a duration as a number of seconds.
 type Seconds float64
 
-// Duration converts to the standard type.
+// Duration converts the number to a time.Duration.
 func (s Seconds) Duration() time.Duration { return time.Duration(float64(s) * float64(time.Second)) }
 
-// Settings is the platform's file. Unknown fields are ignored.
+// Settings is the content of the platform's file.
 type Settings struct {
 	Member       string    `json:"member"`
 	Zone         string    `json:"zone"`
@@ -42,13 +48,13 @@
 	Addr   string `json:"addr"`
 }
 
-// Endpoints are the outside services.
+// Endpoints are the addresses of the services that controllers call.
 type Endpoints struct {
 	Cloud string `json:"cloud"`
 	State string `json:"state"`
 }
 
-// Params are the deployment's parameters.
+// Params are the parameters of the deployment, the same for all controllers.
 type Params struct {
 	Zones      []string    `json:"zones"`
 	Teams      []Team      `json:"teams"`
@@ -60,7 +66,7 @@
 	SkewMS     float64     `json:"skew_ms"`
 }
 
-// Team is a team's guarantee and limit; 0 means none.
+// Team is a team's guarantee and its limit, in CPUs and GPUs; 0 means that there is none.
 type Team struct {
 	Name           string  `json:"name"`
 	GuaranteedCPUs float64 `json:"cpus"`
@@ -69,7 +75,7 @@
 	GPULimit       float64 `json:"gpus_max"`
 }
 
-// Objective says what is expected of a class of jobs. Kinds not known here are ignored.
+// Objective is a service-level objective for a class of jobs. Kinds that aren't known here are ignored.
 type Objective struct {
 	Kind   string  `json:"kind"`
 	Class  string  `json:"class"`
@@ -77,7 +83,7 @@
 	Times  float64 `json:"times"`
 }
 
-// Workers are the workers' timings.
+// Workers are the timings that workers go by.
 type Workers struct {
 	HeartbeatInterval Seconds `json:"report_s"`
 	Lease             Seconds `json:"lease_s"`
@@ -86,7 +92,7 @@
 	Cancel            Seconds `json:"cancel_s"`
 }
 
-// State is what the state service bears.
+// State is the load that the state service bears.
 type State struct {
 	RPS      float64 `json:"rps"`
 	WriteRPS float64 `json:"write_rps"`
@@ -95,8 +101,7 @@
 	Next     Next    `json:"next"`
 }
 
-// Next is what the state service will bear from some moment on; what isn't named
-// stays as it is.
+// Next is the load that the state service will bear from some moment on. A limit that isn't named stays as it is.
 type Next struct {
 	RPS      *float64 `json:"rps"`
 	WriteRPS *float64 `json:"write_rps"`
@@ -104,8 +109,8 @@
 	TxnOps   *int     `json:"txn_ops"`
 }
 
-// Lowest is the lower of the present and the coming limits: both are kept from the
-// start, since nobody says when the coming ones hold.
+// Lowest is the lower of the present and the coming limits. Both are kept from the start, since nobody says from
+// when the coming ones hold.
 func (s State) Lowest() State {
 	return State{
 		RPS:      lower(s.RPS, s.Next.RPS),
@@ -115,7 +120,7 @@
 	}
 }
 
-// lower is the lower of two limits, of which the second may not be given.
+// lower is the lower of two limits, of which the second may be missing.
 func lower[T int | float64](present T, next *T) T {
 	if next == nil {
 		return present
@@ -123,37 +128,54 @@
 	return min(present, *next)
 }
 
-// Cloud is what the cloud's interface bears, and how far its list lags.
+// Cloud is the load that the cloud's interface bears, and how far its list of machines lags.
 type Cloud struct {
 	RPS     float64 `json:"rps"`
 	ListLag Seconds `json:"list_lag_s"`
 }
 
-// Resources are what this process may use.
+// Resources are the machine's resources that this process may use.
 type Resources struct {
 	CPUShare   float64 `json:"cpu_share"`
 	MemoryMB   float64 `json:"memory_mb"`
 	MaxSockets int     `json:"max_sockets"`
 }
 
-// Load reads and checks a settings file. The error is one line and names the field.
+// Load reads and checks a file of settings. If the file can be read, the error is a *FieldError.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	return Parse(text)
+	return parse(path, text)
 }
 
-// Parse checks settings.
-func Parse(text []byte) (*Settings, error) {
+// parse reads and checks the text of a file.
+func parse(file string, text []byte) (*Settings, error) {
 	var settings Settings
 	if err := json.Unmarshal(text, &settings); err != nil {
-		var wrongType *json.UnmarshalTypeError
-		if errors.As(err, &wrongType) {
-			return nil, fmt.Errorf("settings: %s: expected %s, found %s", wrongType.Field, wrongType.Type, wrongType.Value)
+		return nil, decodeError(file, text, err)
+	}
+	if err := settings.check(); err != nil {
+		err.File, err.Line = file, fieldLines(text)[err.Field]
+		return nil, err
+	}
+	return &settings, nil
+}
+
+// decodeError says where a text isn't JSON, or a value isn't of its field's type.
+func decodeError(file string, text []byte, err error) *FieldError {
+	var wrongType *json.UnmarshalTypeError
+	if errors.As(err, &wrongType) {
+		return &FieldError{
+			File: file, Line: lineAt(text, wrongType.Offset), Field: wrongType.Field, Err: err,
+			Problem: fmt.Sprintf("expected %s, found %s", wrongType.Type, wrongType.Value),
 		}
-		return nil, fmt.Errorf("settings: not valid JSON: %w", err)
 	}
-	return &settings, settings.check()
+	failed := &FieldError{File: file, Problem: fmt.Sprintf("not valid JSON: %v", err), Err: err}
+	var syntax *json.SyntaxError
+	if errors.As(err, &syntax) {
+		failed.Line = lineAt(text, syntax.Offset)
+	}
+	return failed
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -1,6 +1,9 @@
 package config
 
 import (
+	"errors"
+	"os"
+	"path/filepath"
 	"strings"
 	"testing"
 )
@@ -12,8 +15,10 @@
 "state":{"rps":60,"write_rps":20,"value_kb":4,"txn_ops":12},"cloud":{"rps":2,"list_lag_s":10},
 "resources":{"cpu_share":0.1,"memory_mb":98,"max_sockets":800},"skew_ms":100}}`
 
+// A setting that is missing or wrong is refused with its name, on one line: a controller that starts with it would
+// fail later, or break its limits. Each row changes one setting of the good ones.
 func TestParse(t *testing.T) {
-	if _, err := Parse([]byte(good)); err != nil {
+	if _, err := parse("settings.json", []byte(good)); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ old, new, field string }{
@@ -35,12 +40,44 @@
 		if changed == good {
 			t.Fatalf("%s is not in the good settings", c.old)
 		}
-		_, err := Parse([]byte(changed))
-		if err == nil || !strings.Contains(err.Error(), c.field+":") || strings.Contains(err.Error(), "\n") {
+		_, err := parse("settings.json", []byte(changed))
+		var failed *FieldError
+		if !errors.As(err, &failed) || failed.Field != c.field {
+			t.Errorf("%s: error %v", c.field, err)
+			continue
+		}
+		if !strings.Contains(err.Error(), c.field+":") || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: error %v", c.field, err)
 		}
 	}
-	if _, err := Parse([]byte("{")); err == nil {
+	if _, err := parse("settings.json", []byte("{")); err == nil {
 		t.Error("half a file is accepted")
 	}
 }
+
+// An error says file and line, so that operators find the place: of the field, or of what isn't JSON.
+func TestErrorNamesFileAndLine(t *testing.T) {
+	for _, c := range []struct{ name, old, new, want string }{
+		{"value out of bounds", `"lease_s":30`, `"lease_s":0`, ":4: settings.workers.lease_s: missing or not above 0"},
+		{"value in a list", `"cpus_max":8`, `"cpus_max":-8`, ":3: settings.teams[0].cpus_max: missing or below 0"},
+		{"another type", `"memory_mb":98`, `"memory_mb":"98"`, ":6: settings.resources.memory_mb: expected float64, found string"},
+		{"no JSON", `"cpu_share":`, `"cpu_share"`, ":6: not valid JSON: invalid character '0' after object key"},
+		{"field set twice", `"skew_ms":100`, `"skew_ms":100,"skew_ms":-1`, ":6: settings.skew_ms: missing or below 0"},
+		{"missing field", `"memory_mb":98,`, ``, ": settings.resources.memory_mb: missing or not above 0"},
+	} {
+		changed := strings.Replace(good, c.old, c.new, 1)
+		if changed == good {
+			t.Fatalf("%s is not in the good settings", c.old)
+		}
+		path := filepath.Join(t.TempDir(), "settings.json")
+		if err := os.WriteFile(path, []byte(changed), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		if _, err := Load(path); err == nil || err.Error() != path+c.want {
+			t.Errorf("%s: %v, want %s", c.name, err, path+c.want)
+		}
+	}
+	if _, err := Load(filepath.Join(t.TempDir(), "none")); !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("no file: %v", err)
+	}
+}
--- a/internal/config/next_test.go
+++ b/internal/config/limits_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// The lower of the present and the coming limits of the state service holds from
-// the start; each coming one may be missing, and what is too low is refused by name.
+// The lower of the present and the coming limits of the state service holds from the start, since nobody says when
+// the coming ones begin to. Each coming one may be missing; one that is too low is refused by its name.
 func TestLowestLimits(t *testing.T) {
 	for _, c := range []struct {
 		next, refused string
@@ -21,7 +21,7 @@
 		{`{"write_rps": 0}`, "settings.state.next.write_rps", State{}},
 	} {
 		text := strings.Replace(good, `"txn_ops":12`, `"txn_ops":12,"next":`+c.next, 1)
-		s, err := Parse([]byte(text))
+		s, err := parse("settings.json", []byte(text))
 		switch {
 		case c.refused != "":
 			if err == nil || !strings.Contains(err.Error(), c.refused) {
