--- a/cmd/gingertally/drain.go
+++ b/cmd/gingertally/drain.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -55,13 +56,13 @@
 	if c.DryRun {
 		return c.preview(plan)
 	}
-	answer, err := (&client.Client{Addr: c.Server}).StartDrain(plan)
+	answer, err := (&client.Client{Addr: c.Server}).StartDrain(context.Background(), plan)
 	return printPlan(answer, err, c.JSON)
 }
 
 // preview shows what a plan would do.
 func (c *drainStartCmd) preview(plan drain.Plan) error {
-	preview, err := (&client.Client{Addr: c.Server}).PreviewDrain(plan)
+	preview, err := (&client.Client{Addr: c.Server}).PreviewDrain(context.Background(), plan)
 	switch {
 	case err != nil:
 		return withCode(err)
@@ -100,7 +101,7 @@
 
 // change takes the plan to another phase.
 func (a *drainPlanArg) change(verb string) error {
-	answer, err := (&client.Client{Addr: a.Server}).ChangeDrain(a.Plan, verb)
+	answer, err := (&client.Client{Addr: a.Server}).ChangeDrain(context.Background(), a.Plan, verb)
 	return printPlan(answer, err, a.JSON)
 }
 
--- /dev/null
+++ b/internal/client/drains.go
@@ -0,0 +1,89 @@
+package client
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+
+	"github.com/valyala/fasthttp"
+
+	"gingertally/internal/drain"
+)
+
+// Paths of the operators' interface to drains.
+const (
+	drainsPath  = "/drains"
+	previewPath = drainsPath + "/preview"
+)
+
+// StartDrain starts a plan, and returns it as it now is: a repeat changes nothing. It tries once.
+func (c *Client) StartDrain(ctx context.Context, plan drain.Plan) (drain.Plan, error) {
+	var started drain.Plan
+	err := c.callDrains(ctx, "start drain plan "+plan.ID, drainsPath, plan, &started)
+	return started, err
+}
+
+// ChangeDrain pauses, resumes or cancels a plan, and returns it as it now is. It tries once.
+func (c *Client) ChangeDrain(ctx context.Context, id, verb string) (drain.Plan, error) {
+	var changed drain.Plan
+	err := c.callDrains(ctx, fmt.Sprintf("%s drain plan %s", verb, id), drainsPath+"/"+id+"/"+verb, nil, &changed)
+	return changed, err
+}
+
+// PreviewDrain returns what a plan would do, and changes nothing. It tries once.
+func (c *Client) PreviewDrain(ctx context.Context, plan drain.Plan) (drain.Preview, error) {
+	var preview drain.Preview
+	err := c.callDrains(ctx, "preview drain plan "+plan.ID, previewPath, plan, &preview)
+	return preview, err
+}
+
+// callDrains makes a call about drains, with its message and its answer in JSON.
+func (c *Client) callDrains(ctx context.Context, operation, path string, message, answer any) error {
+	body, err := json.Marshal(message)
+	if err != nil {
+		return fmt.Errorf("%s: %w", operation, err)
+	}
+	call := request{operation: operation, method: fasthttp.MethodPost, path: path, contentType: contentTypeJSON, body: body}
+	err = c.send(ctx, call, func(response *fasthttp.Response) error {
+		if err := drainStatusError(response); err != nil {
+			return err
+		}
+		return json.Unmarshal(response.Body(), answer)
+	})
+	var noAnswer *noAnswerError
+	if errors.As(err, &noAnswer) {
+		err = fmt.Errorf("%w: %w", ErrGaveUp, err)
+	}
+	if err != nil {
+		return &CallError{Operation: operation, Addr: c.Addr, Err: err}
+	}
+	return nil
+}
+
+// drainStatusError is the cause that the status of an answer stands for; nil if the call was carried out.
+func drainStatusError(response *fasthttp.Response) error {
+	switch status := response.StatusCode(); status {
+	case fasthttp.StatusOK:
+		return nil
+	case fasthttp.StatusNotFound:
+		return fmt.Errorf("%w: %s", ErrNotFound, drainErrorText(response.Body()))
+	case fasthttp.StatusBadRequest:
+		return fmt.Errorf("%w: %s", ErrRefused, drainErrorText(response.Body()))
+	case fasthttp.StatusConflict:
+		return fmt.Errorf("%w: %s", ErrConflict, drainErrorText(response.Body()))
+	default:
+		return fmt.Errorf("%w: status %d: %s", ErrGaveUp, status, drainErrorText(response.Body()))
+	}
+}
+
+// drainErrorText is what an answer says is wrong: the text of its error message, or else the whole body.
+func drainErrorText(body []byte) string {
+	var message struct {
+		Error string `json:"error"`
+	}
+	if json.Unmarshal(body, &message) != nil || message.Error == "" {
+		return string(body)
+	}
+	return message.Error
+}
--- /dev/null
+++ b/internal/client/drains_test.go
@@ -0,0 +1,44 @@
+package client
+
+import (
+	"errors"
+	"strings"
+	"testing"
+
+	"github.com/valyala/fasthttp"
+
+	"gingertally/internal/drain"
+)
+
+// A call about drains is tried once, and its status tells the cause: an operator who takes a conflict for a plan that
+// was started would wait for it in vain.
+func TestDrainCallsTellTheCause(t *testing.T) {
+	for _, c := range []struct {
+		status int
+		body   string
+		want   error
+		text   string
+	}{
+		{fasthttp.StatusNotFound, `{"error":"drains are off"}`, ErrNotFound, "drains are off"},
+		{fasthttp.StatusBadRequest, `{"error":"no machines"}`, ErrRefused, "no machines"},
+		{fasthttp.StatusConflict, `{"error":"the name is taken"}`, ErrConflict, "the name is taken"},
+		{fasthttp.StatusServiceUnavailable, `later`, ErrGaveUp, "status 503: later"},
+	} {
+		client, pauses := serve(t, func(request *fasthttp.RequestCtx) {
+			request.SetStatusCode(c.status)
+			request.SetBodyString(c.body)
+		})
+		_, err := client.StartDrain(t.Context(), drain.Plan{ID: "p"})
+		if !errors.Is(err, c.want) || !strings.HasSuffix(err.Error(), c.text) || len(*pauses) != 0 {
+			t.Errorf("%d: %v after pauses %v, want %v", c.status, err, *pauses, c.want)
+		}
+	}
+}
+
+// A call that got no answer may have been carried out, of which the caller is told as of one that gave up.
+func TestDrainCallWithoutAnswer(t *testing.T) {
+	client, _ := serve(t, func(request *fasthttp.RequestCtx) { _ = request.Conn().Close() })
+	if _, err := client.PreviewDrain(t.Context(), drain.Plan{ID: "p"}); !errors.Is(err, ErrGaveUp) {
+		t.Errorf("%v", err)
+	}
+}
--- a/internal/emulator/drain_test.go
+++ b/internal/emulator/drain_test.go
@@ -72,7 +72,7 @@
 		var preview drain.Preview
 		var err error
 		for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-			if preview, err = (&client.Client{Addr: c.Addr}).PreviewDrain(plan); err == nil {
+			if preview, err = (&client.Client{Addr: c.Addr}).PreviewDrain(t.Context(), plan); err == nil {
 				break // else no leader is known there for the moment
 			}
 		}
@@ -91,7 +91,7 @@
 	t.Helper()
 	plan := drain.Plan{ID: "all", Selector: drain.Selector{All: true}, MaxAtOnce: 2, Surge: 2}
 	for range 2 {
-		if _, err := (&client.Client{Addr: c.Addr}).StartDrain(plan); err != nil {
+		if _, err := (&client.Client{Addr: c.Addr}).StartDrain(t.Context(), plan); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/tools/drain/main.go
+++ b/tools/drain/main.go
@@ -145,7 +145,7 @@
 func (r *replacement) request(plan drain.Plan) error {
 	for time.Since(r.began) < r.options.Limit {
 		c := r.cluster.Controllers[r.rng.IntN(len(r.cluster.Controllers))]
-		if _, err := (&client.Client{Addr: c.Addr}).StartDrain(plan); err == nil {
+		if _, err := (&client.Client{Addr: c.Addr}).StartDrain(context.Background(), plan); err == nil {
 			return nil
 		}
 		time.Sleep(pollEvery)
