--- a/cmd/gingertally/admission.go
+++ b/cmd/gingertally/admission.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"io"
 	"maps"
 	"os"
 	"slices"
@@ -19,56 +18,52 @@
 
 // Run prints which classes of jobs are refused now, and why.
 func (c *admissionCmd) Run() error {
-	status, err := fetchStatus(c.Server)
+	status, err := c.status()
 	if err != nil {
 		return err
 	}
-	return printAdmission(os.Stdout, &status, c.Team)
+	return printTable(os.Stdout, admissionText(&status, c.Team))
 }
 
-// printAdmission prints the policy, and each class of a team, of all if none is named.
-func printAdmission(out io.Writer, status *daemon.Status, team string) error {
-	return printTable(out, admissionText(status, team))
-}
-
-// admissionText is the same with cells set off by tabs.
+// admissionText is the policy and each class of a team, with cells separated by tabs. An empty name stands for all
+// teams.
 func admissionText(status *daemon.Status, team string) string {
-	a := status.Admission
-	if a == nil {
+	policy := status.Admission
+	if policy == nil {
 		return "admission control is off\n"
 	}
 	var text strings.Builder
-	fmt.Fprintf(&text, "policy\t%d of term %d, confirmed %s ago\n", a.Number, a.Term, a.Age.Round(time.Millisecond))
+	fmt.Fprintf(&text, "policy\t%d of term %d, confirmed %s ago\n", policy.Number, policy.Term, policy.Age.Round(time.Millisecond))
 	for _, name := range slices.Sorted(maps.Keys(status.Policies)) {
 		fmt.Fprintf(&text, "applied by\t%s: %d\n", name, status.Policies[name])
 	}
-	fmt.Fprintf(&text, "overload\t%s\n", a.Reason)
-	if a.Fallback {
+	fmt.Fprintf(&text, "overload\t%s\n", policy.Reason)
+	if policy.Fallback {
 		fmt.Fprintln(&text, "fallback\tthe policy is old; no leader was heard")
 	}
 	fmt.Fprintln(&text, "\nTEAM\tCLASS\tPRIORITY\tASKED\tDUE\tGOT\tTAKEN EACH POLICY\tOFFERED\tADMITTED\tREFUSED")
-	for _, c := range a.Classes {
-		if team == "" || c.Team == team {
-			fmt.Fprintln(&text, classText(c))
+	for _, class := range policy.Classes {
+		if team == "" || class.Team == team {
+			fmt.Fprintln(&text, classText(class))
 		}
 	}
 	return text.String()
 }
 
 // classText is the line of a class.
-func classText(c daemon.ClassDecision) string {
+func classText(class daemon.ClassDecision) string {
 	fraction := "all"
-	if c.Fraction < 1 {
-		fraction = fmt.Sprintf("%.2f%%", 100*c.Fraction)
+	if class.Fraction < 1 {
+		fraction = fmt.Sprintf("%.2f%%", 100*class.Fraction)
 	}
-	return fmt.Sprintf("%s\t%s\t%d\t%s\t%s\t%s\t%s\t%d\t%d\t%d", c.Team, c.Class, c.Priority, partText(c.Asked), partText(c.Due), partText(c.Got),
-		fraction, c.Offered, c.Admitted, c.Refused)
+	return fmt.Sprintf("%s\t%s\t%d\t%s\t%s\t%s\t%s\t%d\t%d\t%d", class.Team, class.Class, class.Priority,
+		shareText(class.Asked), shareText(class.Due), shareText(class.Got), fraction, class.Offered, class.Admitted, class.Refused)
 }
 
-// partText is a part of the capacity in percent.
-func partText(part float64) string {
-	if part <= 0 {
+// shareText is a share of the capacity in percent.
+func shareText(share float64) string {
+	if share <= 0 {
 		return "-"
 	}
-	return fmt.Sprintf("%.1f%%", 100*part)
+	return fmt.Sprintf("%.1f%%", 100*share)
 }
--- /dev/null
+++ b/cmd/gingertally/commands_test.go
@@ -0,0 +1,115 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"strings"
+	"testing"
+
+	"github.com/valyala/fasthttp"
+
+	"gingertally/internal/client"
+	"gingertally/internal/core"
+	"gingertally/internal/daemon"
+	"gingertally/internal/drain"
+	"gingertally/internal/goldentest"
+	"gingertally/internal/recovery"
+)
+
+// Scripts tell by the exit code whether to repeat a command, to give up, or to look for the job elsewhere.
+func TestExitCodes(t *testing.T) {
+	for _, c := range []struct {
+		err  error
+		want int
+	}{
+		{errors.New("disk full"), exitFailed},
+		{&client.CallError{Operation: "submit job j-1", Err: fmt.Errorf("%w (422): no team", client.ErrRefused)}, exitRefused},
+		{&client.CallError{Operation: "pause drain plan p", Err: client.ErrConflict}, exitRefused},
+		{&client.CallError{Operation: "get job j-1", Err: client.ErrNotFound}, exitNotFound},
+		{&client.CallError{Operation: "get job j-1", Err: fmt.Errorf("%w: status 503", client.ErrGaveUp)}, exitGaveUp},
+		{fmt.Errorf("j-1: %w", errJobCancelled), exitCancelled},
+	} {
+		if got := exitCode(c.err); got != c.want {
+			t.Errorf("%v: %d, want %d", c.err, got, c.want)
+		}
+	}
+}
+
+// A plan that can't be right is refused before anybody is asked.
+func TestDrainStartRefusesBadPlan(t *testing.T) {
+	err := (&drainStartCmd{ID: "p", MaxAtOnce: 1}).Run() // no machines are named
+	if exitCode(err) != exitRefused || !strings.Contains(err.Error(), "drain plan p") {
+		t.Errorf("%v", err)
+	}
+}
+
+// serveStatus is a controller that answers with a status in JSON.
+func serveStatus(t *testing.T, code int, body string) serverFlag {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	server := &fasthttp.Server{Handler: func(request *fasthttp.RequestCtx) {
+		request.SetStatusCode(code)
+		request.SetBodyString(body)
+	}}
+	ended := make(chan struct{})
+	go func() {
+		defer close(ended)
+		_ = server.Serve(listener) // ends with the listener
+	}()
+	t.Cleanup(func() {
+		_ = listener.Close()
+		<-ended
+	})
+	return serverFlag{Server: listener.Addr().String()}
+}
+
+// Without the leader's status the commands that need it give up, and name the controller that they asked; a status that
+// can't be read is another failure.
+func TestStatusErrors(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		status int
+		body   string
+		want   int
+	}{
+		{"leader unknown", 200, `{}`, exitGaveUp},
+		{"controller not ready", 503, ``, exitGaveUp},
+		{"no JSON", 200, `?`, exitFailed},
+	} {
+		server := serveStatus(t, c.status, c.body)
+		_, err := server.leaderStatus()
+		if err == nil || exitCode(err) != c.want || !strings.Contains(err.Error(), server.Server) {
+			t.Errorf("%s: %v, exit code %d, want %d", c.name, err, exitCode(err), c.want)
+		}
+	}
+}
+
+// Each text has a line for what an operator looks for at night, and none fails on a part that is missing.
+func TestTexts(t *testing.T) {
+	status := goldentest.Filled[daemon.Status]()
+	team := status.Admission.Classes[0].Team
+	drains := goldentest.Filled[drain.Status]()
+	differences := goldentest.Filled[recovery.Status]()
+	for _, c := range []struct{ name, text, want string }{
+		{"status", statusText(status), "\nJOB\tCLASS\tTEAM\tWAITING\tFOR\tREASON\n" + status.Leading.Waiting[0].Ref},
+		{"status without a leader", statusText(daemon.Status{}), "leader\tunknown\n"},
+		{"leader unreachable", statusText(daemon.Status{}), "The leader can't be asked."},
+		{"admission", admissionText(&status, ""), "\n" + team + "\t"},
+		{"admission of a team", admissionText(&status, team), "\n" + team + "\t"},
+		{"admission off", admissionText(&daemon.Status{}, ""), "admission control is off"},
+		{"drains", drainText(&drains), "\n" + drains.Plans[0].Waiting[0].Name + "\t" + drains.Plans[0].ID},
+		{"drains off", drainText((&core.Status{}).Drains), "drains are off"},
+		{"differences", differencesText(7, &differences), "\nMACHINE\tSTATE\tLAST DIFFERENCE\n" + differences.Unsettled[0].Machine},
+	} {
+		if !strings.Contains(c.text, c.want) {
+			t.Errorf("%s: %q isn't in\n%s", c.name, c.want, c.text)
+		}
+	}
+	if text := admissionText(&status, "another team"); strings.Contains(text, "\n"+team+"\t") {
+		t.Errorf("another team's classes:\n%s", text)
+	}
+}
--- a/cmd/gingertally/drain.go
+++ b/cmd/gingertally/drain.go
@@ -2,16 +2,12 @@
 
 import (
 	"context"
-	"encoding/json"
-	"errors"
 	"fmt"
-	"io"
 	"maps"
 	"math/rand/v2"
 	"os"
 	"slices"
 	"strings"
-	"text/tabwriter"
 	"time"
 
 	"gingertally/internal/client"
@@ -41,7 +37,7 @@
 	JSON         bool          `name:"json" help:"Print JSON."`
 }
 
-// Run starts a drain, or shows what it would do.
+// Run starts a plan, or prints what it would do.
 func (c *drainStartCmd) Run() error {
 	plan := drain.Plan{
 		ID: c.ID, Selector: drain.Selector{Machines: c.Machine, Type: c.Type, Zone: c.Zone, All: c.All},
@@ -51,28 +47,28 @@
 		plan.ID = fmt.Sprintf("drain-%08x", rand.Uint32())
 	}
 	if err := plan.Check(); err != nil {
-		return exitError{err, exitRefused}
+		return fmt.Errorf("drain plan %s: %w: %w", plan.ID, client.ErrRefused, err)
 	}
 	if c.DryRun {
 		return c.preview(plan)
 	}
-	answer, err := (&client.Client{Addr: c.Server}).StartDrain(context.Background(), plan)
-	return printPlan(answer, err, c.JSON)
+	started, err := c.client().StartDrain(context.Background(), plan)
+	return printPlan(started, err, c.JSON)
 }
 
-// preview shows what a plan would do.
+// preview prints what a plan would do.
 func (c *drainStartCmd) preview(plan drain.Plan) error {
-	preview, err := (&client.Client{Addr: c.Server}).PreviewDrain(context.Background(), plan)
+	preview, err := c.client().PreviewDrain(context.Background(), plan)
 	switch {
 	case err != nil:
-		return withCode(err)
+		return err
 	case c.JSON:
-		return printJSON(preview)
+		return printJSON(os.Stdout, preview)
 	}
 	return printTable(os.Stdout, previewText(&preview))
 }
 
-// previewText is a preview with cells set off by tabs.
+// previewText is a preview with its cells separated by tabs.
 func previewText(p *drain.Preview) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "machines\t%d\nstages\t%d\n", p.Machines, p.Stages)
@@ -99,10 +95,10 @@
 	JSON bool   `name:"json" help:"Print JSON."`
 }
 
-// change takes the plan to another phase.
+// change pauses, resumes or cancels the plan.
 func (a *drainPlanArg) change(verb string) error {
-	answer, err := (&client.Client{Addr: a.Server}).ChangeDrain(context.Background(), a.Plan, verb)
-	return printPlan(answer, err, a.JSON)
+	changed, err := a.client().ChangeDrain(context.Background(), a.Plan, verb)
+	return printPlan(changed, err, a.JSON)
 }
 
 type drainPauseCmd struct{ drainPlanArg }
@@ -125,95 +121,75 @@
 	JSON bool `name:"json" help:"Print JSON."`
 }
 
-// Run shows how far plans are.
+// Run prints the plans, the interruptions, and why machines aren't empty.
 func (c *drainStatusCmd) Run() error {
-	status, err := fetchStatus(c.Server)
+	leader, err := c.leaderStatus()
 	if err != nil {
 		return err
 	}
-	if status.Leading == nil {
-		return exitError{fmt.Errorf("%s: the leader can't be asked", c.Server), exitGaveUp}
-	}
 	if c.JSON {
-		return printJSON(status.Leading.Drains)
+		return printJSON(os.Stdout, leader.Drains)
 	}
-	return printTable(os.Stdout, drainText(status.Leading.Drains))
+	return printTable(os.Stdout, drainText(leader.Drains))
 }
 
-// drainText is the status of drains with cells set off by tabs.
-func drainText(s *drain.Status) string {
-	if s == nil {
+// drainText is the status of drains with its cells separated by tabs.
+func drainText(status *drain.Status) string {
+	if status == nil {
 		return "drains are off\n"
 	}
 	var text strings.Builder
-	fmt.Fprintln(&text, "PLAN\tPHASE\tMACHINES\tAT ONCE\tSURGE")
-	for _, p := range s.Plans {
+	writePlans(&text, status)
+	writeBudgets(&text, status)
+	writeDrainingMachines(&text, status)
+	return text.String()
+}
+
+// writePlans writes a line for each plan.
+func writePlans(text *strings.Builder, status *drain.Status) {
+	fmt.Fprintln(text, "PLAN\tPHASE\tMACHINES\tAT ONCE\tSURGE")
+	for _, plan := range status.Plans {
 		var states []string
-		for _, state := range slices.Sorted(maps.Keys(p.Machines)) {
-			states = append(states, fmt.Sprintf("%d %s", p.Machines[state], state))
+		for _, state := range slices.Sorted(maps.Keys(plan.Machines)) {
+			states = append(states, fmt.Sprintf("%d %s", plan.Machines[state], state))
 		}
-		fmt.Fprintf(&text, "%s\t%s\t%s\t%d\t%d\n", p.ID, p.PhaseName, strings.Join(states, ", "), p.MaxAtOnce, p.Surge)
+		fmt.Fprintf(text, "%s\t%s\t%s\t%d\t%d\n", plan.ID, plan.PhaseName, strings.Join(states, ", "), plan.MaxAtOnce, plan.Surge)
 	}
-	fmt.Fprintln(&text, "\nOF\tVOLUNTARY\tINVOLUNTARY\tIN THE WINDOW\tALLOWED IN IT")
-	for _, scope := range s.Scopes {
+}
+
+// writeBudgets writes the interruptions of each budget's scope.
+func writeBudgets(text *strings.Builder, status *drain.Status) {
+	fmt.Fprintln(text, "\nOF\tVOLUNTARY\tINVOLUNTARY\tIN THE WINDOW\tALLOWED IN IT")
+	for _, scope := range status.Scopes {
 		allowed := "any number"
 		if scope.Limit != drain.Unlimited {
 			allowed = fmt.Sprintf("%d in %s", scope.Limit, scope.Window)
 		}
-		fmt.Fprintf(&text, "%s\t%d\t%d\t%d\t%s\n", scope.Scope, scope.Voluntary, scope.Involuntary, scope.InWindow, allowed)
+		fmt.Fprintf(text, "%s\t%d\t%d\t%d\t%s\n", scope.Scope, scope.Voluntary, scope.Involuntary, scope.InWindow, allowed)
 	}
-	fmt.Fprintln(&text, "\nMACHINE\tPLAN\tSTATE\tWAITS FOR")
-	for _, p := range s.Plans {
-		for _, m := range p.Waiting {
-			fmt.Fprintf(&text, "%s\t%s\t%s\t%s\n", m.Name, p.ID, m.State, m.Reason)
-		}
-		if p.More > 0 {
-			fmt.Fprintf(&text, "and %d more of %s\n", p.More, p.ID)
-		}
-	}
-	return text.String()
 }
 
-// withCode gives an error of a call about drains its exit code.
-func withCode(err error) error {
-	switch {
-	case err == nil:
-		return nil
-	case errors.Is(err, client.ErrNotFound):
-		return exitError{err, exitNotFound}
-	case errors.Is(err, client.ErrRefused), errors.Is(err, client.ErrConflict):
-		return exitError{err, exitRefused}
+// writeDrainingMachines writes why machines aren't empty.
+func writeDrainingMachines(text *strings.Builder, status *drain.Status) {
+	fmt.Fprintln(text, "\nMACHINE\tPLAN\tSTATE\tWAITS FOR")
+	for _, plan := range status.Plans {
+		for _, machine := range plan.Waiting {
+			fmt.Fprintf(text, "%s\t%s\t%s\t%s\n", machine.Name, plan.ID, machine.State, machine.Reason)
+		}
+		if plan.More > 0 {
+			fmt.Fprintf(text, "and %d more of %s\n", plan.More, plan.ID)
+		}
 	}
-	return exitError{err, exitGaveUp}
 }
 
-// printPlan prints a plan as it now is.
+// printPlan prints a plan as it now is, unless the call that returned it failed.
 func printPlan(plan drain.Plan, err error, asJSON bool) error {
 	switch {
 	case err != nil:
-		return withCode(err)
+		return err
 	case asJSON:
-		return printJSON(plan)
+		return printJSON(os.Stdout, plan)
 	}
 	_, err = fmt.Printf("%s %s\n", plan.ID, plan.Phase)
 	return err
 }
-
-// printJSON prints a message.
-func printJSON(message any) error {
-	text, err := json.Marshal(message)
-	if err != nil {
-		return err
-	}
-	_, err = fmt.Println(string(text))
-	return err
-}
-
-// printTable prints text with cells set off by tabs in aligned columns.
-func printTable(out io.Writer, text string) error {
-	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	if _, err := io.WriteString(table, text); err != nil {
-		return err
-	}
-	return table.Flush()
-}
--- /dev/null
+++ b/cmd/gingertally/jobs.go
@@ -0,0 +1,73 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"os"
+
+	"gingertally/internal/client"
+)
+
+type submitCmd struct {
+	serverFlag
+	Job string `arg:"" help:"File with the job in JSON; - for standard input."`
+}
+
+// Run submits the job.
+func (c *submitCmd) Run() error {
+	job, err := readJob(c.Job)
+	if err != nil {
+		return err
+	}
+	return printRun(c.client().Submit(context.Background(), job))
+}
+
+// readJob reads a job's description from a file, or from standard input if the name is -.
+func readJob(name string) ([]byte, error) {
+	if name == "-" {
+		return io.ReadAll(os.Stdin)
+	}
+	return os.ReadFile(name)
+}
+
+type getCmd struct {
+	serverFlag
+	Ref string `arg:"" help:"The job's id."`
+}
+
+// Run prints the job's state.
+func (c *getCmd) Run() error { return printRun(c.client().Get(context.Background(), c.Ref)) }
+
+type cancelCmd struct {
+	serverFlag
+	Ref string `arg:"" help:"The job's id."`
+}
+
+// Run cancels the job.
+func (c *cancelCmd) Run() error { return printRun(c.client().Cancel(context.Background(), c.Ref)) }
+
+type waitCmd struct {
+	serverFlag
+	Ref string `arg:"" help:"The job's id."`
+}
+
+// Run waits until the job is done or cancelled.
+func (c *waitCmd) Run() error {
+	run, err := c.client().Wait(context.Background(), c.Ref)
+	if err := printRun(run, err); err != nil {
+		return err
+	}
+	if run.Cancelled() {
+		return fmt.Errorf("%s: %w", c.Ref, errJobCancelled)
+	}
+	return nil
+}
+
+// printRun prints a job's state in JSON, unless the call that asked for it failed.
+func printRun(run client.Run, err error) error {
+	if err != nil {
+		return err
+	}
+	return printJSON(os.Stdout, run)
+}
--- a/cmd/gingertally/main.go
+++ b/cmd/gingertally/main.go
@@ -1,4 +1,7 @@
-// Command gingertally is the cluster scheduler's daemon and command line.
+// Command gingertally is the cluster scheduler: the controller's process (serve), the check of its settings, and the
+// commands for users (submit, get, cancel, wait) and operators (status, admission, drain, differences).
+//
+// A command that fails prints one line, which says what was asked of whom, and ends with an exit code (errors.go).
 package main
 
 import (
@@ -54,7 +57,7 @@
 
 type serveCmd struct{ settingsFiles }
 
-// Run serves until the process is told to end.
+// Run runs a controller until the process is told to end.
 func (c *serveCmd) Run() error {
 	settings, operatorSettings, err := c.load()
 	if err != nil {
@@ -91,9 +94,12 @@
 	return nil
 }
 
-// logLevel is the level that the environment asks for.
+// logLevelVariable is the variable of the environment that names the log level (DEPLOY: the controller's process).
+const logLevelVariable = "LOG_LEVEL"
+
+// logLevel is the log level that the environment names.
 func logLevel() slog.Level {
-	switch strings.ToLower(os.Getenv("LOG_LEVEL")) {
+	switch strings.ToLower(os.Getenv(logLevelVariable)) {
 	case "error":
 		return slog.LevelError
 	case "debug":
@@ -108,10 +114,6 @@
 	ctx := kong.Parse(&commands, kong.Name("gingertally"), kong.Description("A cluster scheduler: pipelines of jobs on rented machines."))
 	if err := ctx.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "gingertally:", err)
-		var coded exitError
-		if errors.As(err, &coded) {
-			os.Exit(coded.code)
-		}
-		os.Exit(1)
+		os.Exit(exitCode(err))
 	}
 }
--- /dev/null
+++ b/cmd/gingertally/output.go
@@ -0,0 +1,33 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"text/tabwriter"
+)
+
+// The form of tables.
+const (
+	tabWidth      = 4
+	columnPadding = 2 // spaces between columns
+)
+
+// printTable prints text whose cells are separated by tabs, in aligned columns.
+func printTable(out io.Writer, text string) error {
+	table := tabwriter.NewWriter(out, 0, tabWidth, columnPadding, ' ', 0)
+	if _, err := io.WriteString(table, text); err != nil {
+		return err
+	}
+	return table.Flush()
+}
+
+// printJSON prints a message in JSON, on a line of its own.
+func printJSON(out io.Writer, message any) error {
+	text, err := json.Marshal(message)
+	if err != nil {
+		return err
+	}
+	_, err = fmt.Fprintln(out, string(text))
+	return err
+}
--- a/cmd/gingertally/status.go
+++ b/cmd/gingertally/status.go
@@ -1,18 +1,13 @@
 package main
 
 import (
-	"encoding/json"
 	"fmt"
-	"io"
 	"maps"
 	"os"
 	"slices"
-	"sort"
 	"strings"
 	"time"
 
-	"github.com/valyala/fasthttp"
-
 	"gingertally/internal/core"
 	"gingertally/internal/daemon"
 	"gingertally/internal/standby"
@@ -23,61 +18,24 @@
 	JSON bool `name:"json" help:"Print JSON as the controller sends it."`
 }
 
-// statusTimeout leaves the node asked time to ask the leader.
-const statusTimeout = 3 * time.Second
-
 // Run prints the status.
 func (c *statusCmd) Run() error {
-	body, err := fetchStatusBody(c.Server)
-	if err != nil {
-		return err
-	}
 	if c.JSON {
-		_, err := fmt.Println(string(body))
+		body, err := c.statusBody()
+		if err != nil {
+			return err
+		}
+		_, err = fmt.Println(string(body))
 		return err
 	}
-	status, err := decodeStatus(c.Server, body)
+	status, err := c.status()
 	if err != nil {
 		return err
 	}
-	return printStatus(os.Stdout, status)
-}
-
-// fetchStatusBody asks a controller for the status, as it sends it.
-func fetchStatusBody(server string) ([]byte, error) {
-	code, body, err := fasthttp.GetTimeout(nil, "http://"+server+daemon.StatusPath, statusTimeout)
-	switch {
-	case err != nil:
-		return nil, exitError{fmt.Errorf("%s: %w", server, err), exitGaveUp}
-	case code != fasthttp.StatusOK:
-		return nil, exitError{fmt.Errorf("%s: status %d", server, code), exitGaveUp}
-	}
-	return body, nil
-}
-
-func decodeStatus(server string, body []byte) (daemon.Status, error) {
-	var status daemon.Status
-	if err := json.Unmarshal(body, &status); err != nil {
-		return status, fmt.Errorf("%s: %w", server, err)
-	}
-	return status, nil
-}
-
-// fetchStatus asks a controller for the status.
-func fetchStatus(server string) (daemon.Status, error) {
-	body, err := fetchStatusBody(server)
-	if err != nil {
-		return daemon.Status{}, err
-	}
-	return decodeStatus(server, body)
-}
-
-// printStatus prints the status as aligned tables.
-func printStatus(out io.Writer, status daemon.Status) error {
-	return printTable(out, statusText(status))
+	return printTable(os.Stdout, statusText(status))
 }
 
-// statusText is the status with cells set off by tabs.
+// statusText is the status with its cells separated by tabs.
 func statusText(status daemon.Status) string {
 	var text strings.Builder
 	writeNodes(&text, status)
@@ -90,7 +48,7 @@
 	return text.String()
 }
 
-// writeNodes tells of the controllers.
+// writeNodes writes who leads, and the versions and standbys of the controllers.
 func writeNodes(text *strings.Builder, status daemon.Status) {
 	leader := status.Leader
 	if leader == "" {
@@ -106,7 +64,7 @@
 	}
 }
 
-// standbyText tells of a controller's part in the warm standby.
+// standbyText is a controller's part in the warm standby.
 func standbyText(s *daemon.StandbyStatus) string {
 	text := fmt.Sprintf("%s, term %d, change %d", s.State, s.Term, s.Sequence)
 	if s.Followers == nil {
@@ -126,7 +84,7 @@
 	return text
 }
 
-// writePools tells of the machines by pool.
+// writePools writes the machines by pool.
 func writePools(text *strings.Builder, leading *core.Status) {
 	fmt.Fprintf(text, "term\t%d\n", leading.Term)
 	fmt.Fprintf(text, "recovery\t%s\n", recoveryText(&leading.Recovery))
@@ -141,24 +99,27 @@
 		for state, count := range pool.States {
 			states = append(states, fmt.Sprintf("%d %s", count, state))
 		}
-		sort.Strings(states)
-		fmt.Fprintf(text, "%s\t%s\t%s\t%s\t%d\t%d\n", pool.Type, pool.Zone, kind, strings.Join(states, ", "), pool.Draining, pool.Attempts)
+		slices.Sort(states)
+		fmt.Fprintf(text, "%s\t%s\t%s\t%s\t%d\t%d\n",
+			pool.Type, pool.Zone, kind, strings.Join(states, ", "), pool.Draining, pool.Attempts)
 	}
 }
 
-// writeWaiting tells which jobs wait, and why.
+// writeWaiting writes which jobs wait and why, and how long jobs waited for their start.
 func writeWaiting(text *strings.Builder, leading *core.Status) {
 	if len(leading.Waiting) > 0 {
 		fmt.Fprintln(text, "\nJOB\tCLASS\tTEAM\tWAITING\tFOR\tREASON")
 	}
 	for _, job := range leading.Waiting {
-		fmt.Fprintf(text, "%s\t%s\t%s\t%d of %d\t%s\t%s\n", job.Ref, job.Class, job.Team, job.Waiting, job.Tasks, job.Since.Round(time.Second), job.Reason)
+		fmt.Fprintf(text, "%s\t%s\t%s\t%d of %d\t%s\t%s\n",
+			job.Ref, job.Class, job.Team, job.Waiting, job.Tasks, job.Since.Round(time.Second), job.Reason)
 	}
-	for i, w := range leading.Starts {
+	for i, class := range leading.Starts {
 		if i == 0 {
 			fmt.Fprintln(text, "\nTEAM\tCLASS\tJOBS STARTED\tMEAN WAIT\tLONGEST")
 		}
-		fmt.Fprintf(text, "%s\t%s\t%d\t%s\t%s\n", w.Team, w.Class, w.Jobs, w.Mean.Round(time.Millisecond), w.Max.Round(time.Millisecond))
+		fmt.Fprintf(text, "%s\t%s\t%d\t%s\t%s\n",
+			class.Team, class.Class, class.Jobs, class.Mean.Round(time.Millisecond), class.Max.Round(time.Millisecond))
 	}
 	if more := leading.Waits - len(leading.Waiting); more > 0 {
 		fmt.Fprintf(text, "and %d more\n", more)
--- a/internal/client/drains.go
+++ b/internal/client/drains.go
@@ -49,7 +49,10 @@
 		if err := drainStatusError(response); err != nil {
 			return err
 		}
-		return json.Unmarshal(response.Body(), answer)
+		if err := json.Unmarshal(response.Body(), answer); err != nil {
+			return fmt.Errorf("%w: unreadable answer: %w", ErrGaveUp, err)
+		}
+		return nil
 	})
 	var noAnswer *noAnswerError
 	if errors.As(err, &noAnswer) {
