--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -4,8 +4,11 @@
 	"errors"
 	"maps"
 	"math"
+	"reflect"
+	"slices"
 	"strings"
 	"testing"
+	"time"
 
 	"gingertally/internal/codec"
 	"gingertally/internal/core/fleet"
@@ -122,6 +125,32 @@
 	}
 }
 
+// A stand-in of a worker says in its heartbeats what it means, and understands the commands that controllers send: tests
+// against it would else hold for another protocol.
+func TestStandInsSpeakTheProtocol(t *testing.T) {
+	heartbeat, err := ParseHeartbeat(codec.MustMarshal(goodHeartbeat()))
+	if err != nil {
+		t.Fatal(err)
+	}
+	again, err := ParseHeartbeat(codec.MustMarshal(HeartbeatOf(heartbeat)))
+	if err != nil || !reflect.DeepEqual(again, heartbeat) {
+		t.Errorf("heartbeat %+v, want %+v, %v", again, heartbeat, err)
+	}
+	commands := []fleet.Command{
+		{Kind: fleet.Start, Ref: "j-000412", Task: 4, Attempt: 2},
+		{Kind: fleet.Stop, Ref: "j-000377", Task: 1, Attempt: 1, Grace: 10 * time.Second},
+		{Kind: fleet.Forget, Ref: "j-000398", Attempt: 1 << 63},
+	}
+	if got, err := CommandsOf(OrdersOf(commands)); err != nil || !slices.Equal(got, commands) {
+		t.Errorf("commands %+v, want %+v, %v", got, commands, err)
+	}
+	for _, order := range []Order{{Verb: "burn", Lot: "j-000412/4"}, {Verb: VerbStart, Lot: "j-000412"}} {
+		if _, err := CommandsOf([]Order{order}); !errors.Is(err, codec.ErrMalformed) {
+			t.Errorf("%+v: error %v", order, err)
+		}
+	}
+}
+
 // The bodies of answers to users that the golden files don't hold: users read these names.
 func TestAnswersToUsers(t *testing.T) {
 	for _, c := range []struct {
--- a/internal/wire/workers.go
+++ b/internal/wire/workers.go
@@ -227,6 +227,76 @@
 	return order
 }
 
+// taskStateWords and exitCauseWords are taskStates and exitCauses the other way round.
+var (
+	taskStateWords = inverse(taskStates)
+	exitCauseWords = inverse(exitCauses)
+)
+
+func inverse[V comparable](byWord map[string]V) map[V]string {
+	words := make(map[V]string, len(byWord))
+	for word, value := range byWord {
+		words[value] = word
+	}
+	return words
+}
+
+// HeartbeatOf converts a heartbeat to its wire form. Controllers don't send heartbeats; stand-ins of workers do.
+func HeartbeatOf(heartbeat fleet.Heartbeat) Heartbeat {
+	message := Heartbeat{
+		Stall: &heartbeat.Machine, Endpoint: &heartbeat.Addr, Build: &heartbeat.Type, Yard: &heartbeat.Zone,
+		Loaners: &heartbeat.Spot, Shift: &heartbeat.Incarnation, Tick: &heartbeat.Sequence,
+		Gavel: &heartbeat.FencingToken, Lots: make([]HeartbeatTask, 0, len(heartbeat.Tasks)),
+	}
+	if heartbeat.InterruptionIn >= 0 {
+		seconds := heartbeat.InterruptionIn.Seconds()
+		message.WarningS = &seconds
+	}
+	for _, task := range heartbeat.Tasks {
+		message.Lots = append(message.Lots, heartbeatTaskOf(task))
+	}
+	return message
+}
+
+func heartbeatTaskOf(task fleet.TaskStatus) HeartbeatTask {
+	name := fleet.TaskID{Ref: task.Ref, Task: task.Task}.String()
+	state := taskStateWords[task.State]
+	message := HeartbeatTask{Lot: &name, Try: &task.Attempt, Status: &state}
+	if task.State == fleet.Exited {
+		cause := exitCauseWords[task.Cause]
+		message.Cause, message.Kept = &cause, &task.Checkpointed
+	}
+	return message
+}
+
+// CommandsOf converts commands from their wire form, as stand-ins of workers do. Every error is a
+// codec.ErrMalformed.
+func CommandsOf(orders []Order) ([]fleet.Command, error) {
+	commands := make([]fleet.Command, 0, len(orders))
+	for _, order := range orders {
+		ref, task, err := ParseTaskName(order.Lot)
+		if err != nil {
+			return nil, err
+		}
+		command := fleet.Command{Ref: ref, Task: task, Attempt: order.Try}
+		switch order.Verb {
+		case VerbStart:
+			command.Kind = fleet.Start
+		case VerbStop:
+			command.Kind = fleet.Stop
+		case VerbForget:
+			command.Kind = fleet.Forget
+		default:
+			return nil, malformed("verb %q", order.Verb)
+		}
+		if order.Leeway != nil {
+			command.Grace = time.Duration(*order.Leeway * float64(time.Second))
+		}
+		commands = append(commands, command)
+	}
+	return commands, nil
+}
+
 // maxTaskDigits is the largest number of digits of a task's number.
 const maxTaskDigits = 9
 
