--- a/internal/emulator/cluster.go
+++ b/internal/emulator/cluster.go
@@ -1,19 +1,12 @@
 package emulator
 
 import (
-	"encoding/json"
-	"fmt"
-	"math/rand/v2"
-	"net"
-	"os"
 	"os/exec"
-	"path/filepath"
 	"sync"
 	"time"
 
-	"github.com/valyala/fasthttp"
-
 	"gingertally/internal/config"
+	"gingertally/internal/daemon"
 )
 
 // ClusterOptions say what a cluster on loopback is like.
@@ -22,201 +15,109 @@
 	Controllers int
 	Machines    int
 	Timings     Timings
-	// Elastic: machines can be rented and given back; else they stay as they are.
+	// Elastic has the cloud create and delete machines; else they stay as they are.
 	Elastic bool
-	// Teams are the teams; none: one without guarantee or limit.
+	// Teams are the teams; none stands for one without guarantee or limit.
 	Teams []config.Team
-	// OperatorSettings is the operators' file as text; empty: none.
+	// OperatorSettings is the text of the operators' file; empty for none.
 	OperatorSettings string
-	// Command makes a controller's command from the paths of its settings files; the second
-	// is empty without operators' settings.
+	// Command makes a controller's command from the paths of its settings files; the second is empty
+	// without operators' settings.
 	Command func(settings, operatorSettings string) *exec.Cmd
 }
 
-// Cluster is a deployment on loopback: real controller processes against stand-ins of all
-// else.
+// Cluster is a deployment on loopback: real controller processes against stand-ins of all else.
 type Cluster struct {
 	State       *StateService
 	Cloud       *Cloud
 	History     *History
 	Controllers []*Controller
-	options     ClusterOptions
-	stop        chan struct{}
-	workers     sync.WaitGroup
+
+	options ClusterOptions
+	stop    chan struct{}  // closed by Stop
+	servers sync.WaitGroup // goroutines of the stand-ins' servers
+	workers sync.WaitGroup
 
 	mu      sync.Mutex
 	running map[string]*Worker // by machine
 }
 
-// Controller is one controller process.
-type Controller struct {
-	Name     string
-	Addr     string // for users and workers
-	settings string
-	operator string
-	log      string
-	command  func(settings, operatorSettings string) *exec.Cmd
-
-	mu      sync.Mutex
-	process *exec.Cmd
-	ended   chan struct{}
-}
+// defaultTeam is the only team where the options name none.
+const defaultTeam = "t"
 
-// teamName is the only team where none is named.
-const teamName = "t"
+var zones = []string{"a", "b", "c"}
 
 // zoneOf spreads controllers and machines over the zones.
-func zoneOf(i int) string { return zoneNames[i%len(zoneNames)] }
-
-var zoneNames = []string{"a", "b", "c"}
+func zoneOf(i int) string { return zones[i%len(zones)] }
 
-// StartCluster starts stand-ins, controllers and workers.
+// StartCluster starts stand-ins, controllers and workers. The caller ends them with Stop.
 func StartCluster(options ClusterOptions) (*Cluster, error) {
 	if len(options.Teams) == 0 {
-		options.Teams = []config.Team{{Name: teamName}}
+		options.Teams = []config.Team{{Name: defaultTeam}}
 	}
-	c := &Cluster{History: NewHistory(), options: options, stop: make(chan struct{})}
-	c.State = NewStateService(c.stop)
-	state, err := Serve(c.State.Handle, c.stop)
-	if err != nil {
-		return nil, err
-	}
-	c.Cloud = &Cloud{Zones: zoneNames}
-	for i := range options.Machines {
-		c.Cloud.add(zoneOf(i))
-	}
-	if options.Elastic {
-		c.Cloud.Boot, c.Cloud.Delete = c.startWorker, c.endWorker
-	}
-	cloudAddr, err := Serve(c.Cloud.Handle, c.stop)
-	if err != nil {
-		return nil, err
+	c := &Cluster{
+		State: newStateService(), Cloud: &Cloud{Zones: zones}, History: NewHistory(), options: options,
+		stop: make(chan struct{}), running: map[string]*Worker{},
 	}
-	if err := c.startControllers(config.Endpoints{Cloud: cloudAddr, State: state}); err != nil {
+	if err := c.start(); err != nil {
 		c.Stop()
 		return nil, err
 	}
-	for i := range options.Machines {
-		c.startWorker(MachineName(i), zoneOf(i))
-	}
 	return c, nil
 }
 
-// freeAddrs finds addresses on which nothing listens, of a loopback address of the cluster's
-// own: a controller that is away for a while finds its port free when it is back, whatever the
-// stand-ins of other clusters listen on.
-func freeAddrs(n int) ([]string, error) {
-	host := fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(250), rand.IntN(250), 1+rand.IntN(250))
-	var listeners []net.Listener
-	var addrs []string
-	defer func() {
-		for _, l := range listeners {
-			_ = l.Close()
-		}
-	}()
-	for range n {
-		l, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
-		if err != nil {
-			return nil, err
-		}
-		listeners, addrs = append(listeners, l), append(addrs, l.Addr().String())
-	}
-	return addrs, nil
-}
-
-func (c *Cluster) startControllers(endpoints config.Endpoints) error {
-	n := c.options.Controllers
-	addrs, err := freeAddrs(2 * n)
+func (c *Cluster) start() error {
+	c.servers.Go(func() { c.State.expireLeases(c.stop) })
+	stateAddr, err := serve(c.State.Handle, c.stop, &c.servers)
 	if err != nil {
 		return err
 	}
-	clients, peers := addrs[:n], addrs[n:]
-	for i := range n {
-		settings := c.settings(i, clients[i], peers, endpoints)
-		controller, err := c.newController(settings)
-		if err != nil {
-			return err
-		}
-		c.Controllers = append(c.Controllers, controller)
-		if err := controller.Start(); err != nil {
-			return err
-		}
+	for i := range c.options.Machines {
+		c.Cloud.add(zoneOf(i))
 	}
-	return nil
-}
-
-func controllerName(i int) string { return fmt.Sprintf("n-%d", i) }
-
-// settings are a controller's, as the platform would hand them over.
-func (c *Cluster) settings(i int, client string, peers []string, endpoints config.Endpoints) *config.Settings {
-	s := &config.Settings{
-		Member: controllerName(i), Zone: zoneOf(i), ClientListen: client, PeerListen: peers[i], Endpoints: endpoints,
-		Params: config.Params{
-			Zones: zoneNames, Teams: c.options.Teams,
-			Workers: config.Workers{HeartbeatInterval: config.Seconds(c.options.Timings.Heartbeat.Seconds()), Lease: config.Seconds(c.options.Timings.Lease.Seconds()),
-				GangWait: 10, GangPeer: 2, Cancel: config.Seconds(2 * c.options.Timings.Lease.Seconds())},
-			State:     config.State{RPS: 500, WriteRPS: 200, ValueKB: 16, TxnOps: 32},
-			Cloud:     config.Cloud{RPS: 20, ListLag: 0.5},
-			Resources: config.Resources{CPUShare: 1, MemoryMB: 200, MaxSockets: 2000},
-			SkewMS:    20,
-		},
-	}
-	for k, addr := range peers {
-		if k != i {
-			s.Peers = append(s.Peers, config.Peer{Member: controllerName(k), Zone: zoneOf(k), Addr: addr})
-		}
+	if c.options.Elastic {
+		c.Cloud.Boot, c.Cloud.Delete = c.startWorker, c.endWorker
 	}
-	return s
-}
-
-// newController writes a controller's files.
-func (c *Cluster) newController(settings *config.Settings) (*Controller, error) {
-	file := func(suffix string) string { return filepath.Join(c.options.Directory, settings.Member+suffix) }
-	controller := &Controller{Name: settings.Member, Addr: settings.ClientListen, settings: file(".json"), log: file(".log"), command: c.options.Command}
-	text, err := json.Marshal(settings)
+	cloudAddr, err := serve(c.Cloud.Handle, c.stop, &c.servers)
 	if err != nil {
-		return nil, err
+		return err
 	}
-	if err := os.WriteFile(controller.settings, text, 0o600); err != nil {
-		return nil, err
+	if err := c.startControllers(config.Endpoints{Cloud: cloudAddr, State: stateAddr}); err != nil {
+		return err
 	}
-	if c.options.OperatorSettings == "" {
-		return controller, nil
+	for i := range c.options.Machines {
+		c.startWorker(MachineName(i), zoneOf(i))
 	}
-	controller.operator = file(".txtpb")
-	return controller, os.WriteFile(controller.operator, []byte(c.options.OperatorSettings), 0o600)
+	return nil
 }
 
-// Get reads a path of the controller's.
-func (c *Controller) Get(path string, timeout time.Duration) ([]byte, error) {
-	status, body, err := fasthttp.GetTimeout(nil, "http://"+c.Addr+path, timeout)
-	if err == nil && status != fasthttp.StatusOK {
-		err = fmt.Errorf("status %d", status)
+// Stop ends controllers, workers and stand-ins, and waits for them.
+func (c *Cluster) Stop() {
+	for _, controller := range c.Controllers {
+		if controller.process == nil {
+			continue
+		}
+		_ = controller.Resume() // a paused process ends only when it goes on
+		controller.Kill()
 	}
-	return body, err
+	close(c.stop)
+	c.workers.Wait()
+	c.servers.Wait()
 }
 
-// startWorker starts the worker of a machine, which reports from now on.
+// startWorker starts the worker of a machine, which sends heartbeats from now on.
 func (c *Cluster) startWorker(name, zone string) {
-	addrs := map[string]string{}
-	var names []string
+	var controllers []controllerAddr
 	for _, controller := range c.Controllers {
-		addrs[controller.Name] = controller.Addr
-		names = append(names, controller.Name)
+		controllers = append(controllers, controllerAddr{name: controller.Name, addr: controller.Addr})
 	}
-	worker := NewWorker(name, zone, c.options.Timings, c.History)
-	worker.Controllers = addrs
+	worker := newWorker(name, zone, c.options.Timings, controllers, c.History)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.running == nil {
-		c.running = map[string]*Worker{}
-	}
 	c.running[name] = worker
 	c.workers.Go(func() {
-		if err := worker.Run(names, c.stop); err != nil {
-			c.History.mu.Lock()
-			c.History.fail("worker %s: %v", worker.Name, err)
-			c.History.mu.Unlock()
+		if err := worker.run(c.stop, &c.servers); err != nil {
+			c.History.fail("worker %s: %v", name, err)
 		}
 	})
 }
@@ -228,28 +129,38 @@
 	delete(c.running, name)
 	c.mu.Unlock()
 	if worker != nil {
-		worker.Delete()
+		worker.delete()
 	}
 }
 
-// Users are users of the cluster.
+// Users are users of the cluster, of its first team.
 func (c *Cluster) Users(openJobs, maxTasks int) *Users {
-	u := &Users{OpenJobs: openJobs, MaxTasks: maxTasks, Team: c.options.Teams[0].Name, Class: "c", Urgency: "normal", History: c.History, RunTime: c.options.Timings.RunTime}
+	users := &Users{
+		OpenJobs: openJobs, MaxTasks: maxTasks, Team: c.options.Teams[0].Name, Class: "c", Urgency: "normal",
+		History: c.History, RunTime: c.options.Timings.RunTime,
+	}
 	for _, controller := range c.Controllers {
-		u.Controllers = append(u.Controllers, controller.Addr)
+		users.Controllers = append(users.Controllers, controller.Addr)
 	}
-	return u
+	return users
 }
 
-// Stop ends the controllers, workers and stand-ins.
-func (c *Cluster) Stop() {
+// Leader is the controller that says of itself that it leads, with its status; nil if none does.
+func (c *Cluster) Leader() (*Controller, daemon.Status) {
 	for _, controller := range c.Controllers {
-		if controller.process == nil {
-			continue
+		status, err := controller.Status()
+		if err == nil && status.Node == controller.Name && status.Leading != nil {
+			return controller, status
 		}
-		_ = controller.Resume()
-		controller.Kill()
 	}
-	close(c.stop)
-	c.workers.Wait()
+	return nil, daemon.Status{}
+}
+
+// controllerTimings are the workers' timings as controllers are told them.
+func controllerTimings(timings Timings) config.Workers {
+	seconds := func(d time.Duration) config.Seconds { return config.Seconds(d.Seconds()) }
+	return config.Workers{
+		HeartbeatInterval: seconds(timings.Heartbeat), Lease: seconds(timings.Lease),
+		GangWait: 10, GangPeer: 2, Cancel: seconds(2 * timings.Lease),
+	}
 }
--- /dev/null
+++ b/internal/emulator/cluster_settings.go
@@ -0,0 +1,100 @@
+package emulator
+
+import (
+	"encoding/json"
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"os"
+	"path/filepath"
+
+	"gingertally/internal/config"
+)
+
+// startControllers writes the controllers' files and starts their processes.
+func (c *Cluster) startControllers(endpoints config.Endpoints) error {
+	count := c.options.Controllers
+	addrs, err := freeAddrs(2 * count)
+	if err != nil {
+		return err
+	}
+	clientAddrs, peerAddrs := addrs[:count], addrs[count:]
+	for i := range count {
+		controller, err := c.newController(c.settings(i, clientAddrs[i], peerAddrs, endpoints))
+		if err != nil {
+			return err
+		}
+		c.Controllers = append(c.Controllers, controller)
+		if err := controller.Start(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// freeAddrs finds addresses on which nothing listens, of a loopback address of the cluster's own: a controller
+// that is away for a while finds its port free when it is back, whatever the stand-ins of other clusters listen
+// on.
+func freeAddrs(count int) ([]string, error) {
+	host := fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(250), rand.IntN(250), 1+rand.IntN(250))
+	var listeners []net.Listener
+	var addrs []string
+	defer func() {
+		for _, listener := range listeners {
+			_ = listener.Close()
+		}
+	}()
+	for range count {
+		listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
+		if err != nil {
+			return nil, err
+		}
+		listeners, addrs = append(listeners, listener), append(addrs, listener.Addr().String())
+	}
+	return addrs, nil
+}
+
+func controllerName(i int) string { return fmt.Sprintf("n-%d", i) }
+
+// settings are a controller's settings, as the platform would hand them over.
+func (c *Cluster) settings(i int, clientAddr string, peerAddrs []string, endpoints config.Endpoints) *config.Settings {
+	settings := &config.Settings{
+		Member: controllerName(i), Zone: zoneOf(i), ClientListen: clientAddr, PeerListen: peerAddrs[i],
+		Endpoints: endpoints,
+		Params: config.Params{
+			Zones: zones, Teams: c.options.Teams,
+			Workers:   controllerTimings(c.options.Timings),
+			State:     config.State{RPS: 500, WriteRPS: 200, ValueKB: 16, TxnOps: 32},
+			Cloud:     config.Cloud{RPS: 20, ListLag: 0.5},
+			Resources: config.Resources{CPUShare: 1, MemoryMB: 200, MaxSockets: 2000},
+			SkewMS:    20,
+		},
+	}
+	for k, addr := range peerAddrs {
+		if k != i {
+			settings.Peers = append(settings.Peers, config.Peer{Member: controllerName(k), Zone: zoneOf(k), Addr: addr})
+		}
+	}
+	return settings
+}
+
+// newController writes a controller's settings files.
+func (c *Cluster) newController(settings *config.Settings) (*Controller, error) {
+	file := func(suffix string) string { return filepath.Join(c.options.Directory, settings.Member+suffix) }
+	controller := &Controller{
+		Name: settings.Member, Addr: settings.ClientListen,
+		settings: file(".json"), log: file(".log"), command: c.options.Command,
+	}
+	text, err := json.Marshal(settings)
+	if err != nil {
+		return nil, err
+	}
+	if err := os.WriteFile(controller.settings, text, 0o600); err != nil {
+		return nil, err
+	}
+	if c.options.OperatorSettings == "" {
+		return controller, nil
+	}
+	controller.operator = file(".txtpb")
+	return controller, os.WriteFile(controller.operator, []byte(c.options.OperatorSettings), 0o600)
+}
--- a/internal/emulator/cluster_test.go
+++ b/internal/emulator/cluster_test.go
@@ -56,14 +56,13 @@
 	return controller.Run(ctx)
 }
 
-// startTestCluster starts three real controllers of this program, with or without the warm
-// standby.
+// startTestCluster starts three real controllers of this program, and machines that stay.
 func startTestCluster(t *testing.T, operatorSettings string) *Cluster {
 	t.Helper()
 	return startCluster(t, ClusterOptions{Machines: 6, OperatorSettings: operatorSettings})
 }
 
-// startElasticCluster is the same with machines that can be rented and given back.
+// startElasticCluster is the same with machines that the cloud creates and deletes.
 func startElasticCluster(t *testing.T, operatorSettings string) *Cluster {
 	t.Helper()
 	return startCluster(t, ClusterOptions{Machines: 4, OperatorSettings: operatorSettings, Elastic: true})
@@ -71,15 +70,14 @@
 
 func startCluster(t *testing.T, options ClusterOptions) *Cluster {
 	t.Helper()
-	cluster, err := StartCluster(ClusterOptions{
-		Directory: t.TempDir(), Controllers: 3, Machines: options.Machines, OperatorSettings: options.OperatorSettings, Elastic: options.Elastic,
-		Timings: Timings{Heartbeat: time.Second, Lease: 15 * time.Second, RunTime: time.Second},
-		Command: func(settings, operatorSettings string) *exec.Cmd {
-			command := exec.Command(os.Args[0])
-			command.Env = append(os.Environ(), settingsVariable+"="+settings, operatorVariable+"="+operatorSettings)
-			return command
-		},
-	})
+	options.Directory, options.Controllers = t.TempDir(), 3
+	options.Timings = Timings{Heartbeat: time.Second, Lease: 15 * time.Second, RunTime: time.Second}
+	options.Command = func(settings, operatorSettings string) *exec.Cmd {
+		command := exec.Command(os.Args[0])
+		command.Env = append(os.Environ(), settingsVariable+"="+settings, operatorVariable+"="+operatorSettings)
+		return command
+	}
+	cluster, err := StartCluster(options)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,8 +85,7 @@
 	return cluster
 }
 
-// leaderOf waits until a controller leads whose term workers know, and returns it with its
-// status.
+// leaderOf waits until a controller leads in whose term a task was started, and returns it with its status.
 func leaderOf(t *testing.T, cluster *Cluster) (*Controller, daemon.Status) {
 	t.Helper()
 	for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
@@ -104,9 +101,9 @@
 	return nil, daemon.Status{}
 }
 
-// Real controllers on loopback, with the warm standby on: the leader is killed, paused until
-// another leads, and told to end, under load. However long that takes on a busy machine, no
-// order is issued twice, no job forgotten, and every accepted job comes to its end.
+// Real controllers on loopback, with the warm standby on: under load, the leader is killed, paused until another
+// leads, and told to end. However long that takes on a busy machine, no start is commanded twice, no job forgotten,
+// and every accepted job comes to its end.
 func TestLeadersEndUnderLoad(t *testing.T) {
 	cluster := startTestCluster(t, "standby { enabled: true }")
 	load, stop := context.WithCancel(t.Context())
--- a/internal/emulator/controller.go
+++ b/internal/emulator/controller.go
@@ -6,15 +6,33 @@
 	"fmt"
 	"os"
 	"os/exec"
+	"sync"
 	"syscall"
 	"time"
 
+	"github.com/valyala/fasthttp"
 	"golang.org/x/sys/unix"
 
 	"gingertally/internal/daemon"
 )
 
-// Start starts the controller's process.
+// Controller is one controller process. Its methods may be called from any goroutine, but Start only while
+// no process runs.
+type Controller struct {
+	Name string
+	Addr string // for users and workers
+
+	settings string // path of the platform's settings
+	operator string // path of the operators' settings; empty: none
+	log      string // path of the log, to which each process appends
+	command  func(settings, operatorSettings string) *exec.Cmd
+
+	mu      sync.Mutex
+	process *exec.Cmd
+	ended   chan struct{} // closed when the process has ended
+}
+
+// Start starts the controller's process. It ends by Kill, or by a signal.
 func (c *Controller) Start() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -30,9 +48,9 @@
 	}
 	ended := make(chan struct{})
 	go func() {
-		_ = process.Wait() // it is killed sooner or later
+		defer close(ended)
+		_ = process.Wait() // fails, since the process is killed sooner or later
 		_ = log.Close()
-		close(ended)
 	}()
 	c.process, c.ended = process, ended
 	return nil
@@ -51,7 +69,7 @@
 	<-c.ended
 }
 
-// WaitEnd waits for the process's end, but not for longer than a bound.
+// WaitEnd waits for the process's end, and reports whether it came within a bound.
 func (c *Controller) WaitEnd(bound time.Duration) bool {
 	select {
 	case <-c.ended:
@@ -61,7 +79,7 @@
 	}
 }
 
-// Program is the command of a controller that is a program of its own.
+// Program makes the commands of controllers (ClusterOptions.Command) whose program is a file.
 func Program(binary string) func(settings, operatorSettings string) *exec.Cmd {
 	return func(settings, operatorSettings string) *exec.Cmd {
 		arguments := []string{"--config", settings}
@@ -75,7 +93,19 @@
 // statusTimeout bounds the wait for a controller's status, which asks the others.
 const statusTimeout = 2 * time.Second
 
-// Status is the status that the controller tells: the leader's, if it can be asked.
+// Get reads a path of the controller's.
+func (c *Controller) Get(path string, timeout time.Duration) ([]byte, error) {
+	status, body, err := fasthttp.GetTimeout(nil, "http://"+c.Addr+path, timeout)
+	if err == nil && status != fasthttp.StatusOK {
+		err = fmt.Errorf("status %d", status)
+	}
+	if err != nil {
+		return nil, fmt.Errorf("get %s of %s: %w", path, c.Name, err)
+	}
+	return body, nil
+}
+
+// Status is the controller's status, with the leader's part if the leader can be asked.
 func (c *Controller) Status() (daemon.Status, error) {
 	var status daemon.Status
 	body, err := c.Get(daemon.StatusPath, statusTimeout)
@@ -85,17 +115,6 @@
 	return status, json.Unmarshal(body, &status)
 }
 
-// Leader is the controller that leads by its own word, with its status; nil if none says so.
-func (c *Cluster) Leader() (*Controller, daemon.Status) {
-	for _, controller := range c.Controllers {
-		status, err := controller.Status()
-		if err == nil && status.Node == controller.Name && status.Leading != nil {
-			return controller, status
-		}
-	}
-	return nil, daemon.Status{}
-}
-
 const (
 	// pauseBound bounds the wait until a process has stopped.
 	pauseBound = 30 * time.Second
@@ -103,12 +122,12 @@
 	pausePoll = time.Millisecond
 )
 
-// errNotStopped says that a process was sent SIGSTOP and still runs.
+// errNotStopped says that a process still runs long after SIGSTOP.
 var errNotStopped = errors.New("the process doesn't stop")
 
-// Pause stops the controller's process and returns once no thread of it runs any more. The
-// signal alone only asks for that: on a busy machine, threads go on for tens of milliseconds
-// after it was sent, and the process still answers as the leader that it was.
+// Pause stops the controller's process, and returns once none of its threads runs any more. The signal alone
+// doesn't ensure that: on a busy machine, threads go on for tens of milliseconds after it was sent, and the
+// process still answers as the leader that it was.
 func (c *Controller) Pause() error {
 	if err := c.Signal(syscall.SIGSTOP); err != nil {
 		return err
@@ -122,8 +141,8 @@
 	return fmt.Errorf("%s: %w", c.Name, errNotStopped)
 }
 
-// hasStopped takes the kernel's word that all threads of the process have stopped, which it
-// gives once for each time.
+// hasStopped reports whether all threads of the process have stopped. The kernel says so only once for each
+// stop.
 func (c *Controller) hasStopped() (bool, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -138,5 +157,5 @@
 	return info.Signo == int32(unix.SIGCHLD), nil
 }
 
-// Resume has a process go on that was paused.
+// Resume has a paused process go on.
 func (c *Controller) Resume() error { return c.Signal(syscall.SIGCONT) }
--- a/internal/emulator/drain_test.go
+++ b/internal/emulator/drain_test.go
@@ -9,12 +9,11 @@
 	"gingertally/internal/drain"
 )
 
-// drainSettings: of a task that saves, one interruption is allowed.
+// drainSettings allow one interruption of each task.
 const drainSettings = `draining { enabled: true finish_wait { seconds: 2 } budgets { team: "t" task_interruptions: 1 } }`
 
-// Every worker of a cluster on loopback is replaced under load while leaders are killed and
-// paused. However long that takes on a busy machine, the budget holds, no task is dropped or
-// runs twice, and every accepted job comes to its end.
+// Every worker of a cluster on loopback is replaced under load while leaders are killed and paused. However long that
+// takes on a busy machine, the budget holds, no task is dropped or runs twice, and every accepted job comes to its end.
 func TestEveryWorkerIsReplaced(t *testing.T) {
 	cluster := startElasticCluster(t, drainSettings)
 	load, stop := context.WithCancel(t.Context())
@@ -55,16 +54,17 @@
 		t.Errorf("%d accepted jobs never came to an end: %v", len(open), open)
 	}
 	interrupted := map[string]int{}
-	for _, halt := range cluster.History.Halts() {
-		if interrupted[halt.Task]++; interrupted[halt.Task] > 1 {
-			t.Errorf("%s was interrupted %d times", halt.Task, interrupted[halt.Task])
+	for _, interruption := range cluster.History.Interruptions() {
+		task := interruption.Task
+		if interrupted[task]++; interrupted[task] > 1 {
+			t.Errorf("%s was interrupted %d times", task, interrupted[task])
 		}
 	}
 	t.Logf("%d starts, %d interruptions", cluster.History.Started(), len(interrupted))
 }
 
-// previewDrain asks every controller what a plan for all machines would do; each asks the leader,
-// and nothing comes of it.
+// previewDrain asks every controller for the preview of a plan for all machines: each gets it from the leader, and none
+// starts the plan.
 func previewDrain(t *testing.T, cluster *Cluster, machines int) {
 	t.Helper()
 	plan := drain.Plan{ID: "preview", Selector: drain.Selector{All: true}, MaxAtOnce: 3}
@@ -86,7 +86,7 @@
 	}
 }
 
-// requestDrain has all machines replaced, two at a time. A repeat of the request changes nothing.
+// requestDrain starts a plan that replaces all machines, two at a time. A repeat of the request changes nothing.
 func requestDrain(t *testing.T, c *Controller) {
 	t.Helper()
 	plan := drain.Plan{ID: "all", Selector: drain.Selector{All: true}, MaxAtOnce: 2, Surge: 2}
@@ -97,7 +97,7 @@
 	}
 }
 
-// replaced tells whether none of some machines is left.
+// replaced reports whether none of some machines is left.
 func replaced(cluster *Cluster, old []string) bool {
 	there := map[string]bool{}
 	for _, name := range cluster.Cloud.Machines() {
--- a/internal/emulator/history.go
+++ b/internal/emulator/history.go
@@ -3,47 +3,53 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"slices"
 	"sync"
 	"time"
+
+	"gingertally/internal/core/fleet"
 )
 
-// History notes what workers were told and did and what users heard, and holds the rules of
-// the protocol against it.
+// History notes what workers were told and did, and holds the protocol's rules against it. What users heard
+// is in history_jobs.go.
 type History struct {
-	mu       sync.Mutex
-	on       map[string]string          // machine by task that is on one
-	attempts map[string]string          // machine by attempt that was ever started
-	done     map[string]map[string]bool // tasks done by job
-	jobs     map[string]*jobHistory
-	newest   uint64 // highest term that a worker has accepted
-	answers  map[uint64]time.Time
-	starts   map[uint64]time.Time
-	started  int
-	times    []time.Time // of the starts
-	halts    []Halt
-	placed   map[string]int // starts by machine
-	broken   []string
-}
+	mu     sync.Mutex
+	broken []string // rules
+
+	// What workers were told.
+	highestTerm  uint64               // that a worker has accepted an answer of
+	firstAnswers map[uint64]time.Time // accepted by a worker, by term
+	firstStarts  map[uint64]time.Time // by term
+	startTimes   []time.Time
+	startsOn     map[string]int       // by machine
+	startedOn    map[attemptID]string // the machine of each attempt that was ever started
+
+	// What became of tasks.
+	machineOf     map[fleet.TaskID]string // of tasks that are on one
+	done          map[string]map[int]bool // tasks by job
+	interruptions []Interruption
 
-// jobHistory is what a job's user knows.
-type jobHistory struct {
-	team      string
-	tasks     int
-	profile   JobProfile
-	progress  map[string]time.Duration // saved, by task
-	submitted time.Time
-	accepted  time.Time
-	started   time.Time
-	told      string
+	jobs map[string]*jobHistory
 }
 
 // NewHistory makes an empty history.
 func NewHistory() *History {
-	return &History{on: map[string]string{}, attempts: map[string]string{}, done: map[string]map[string]bool{},
-		jobs: map[string]*jobHistory{}, placed: map[string]int{}, answers: map[uint64]time.Time{}, starts: map[uint64]time.Time{}}
+	return &History{
+		firstAnswers: map[uint64]time.Time{}, firstStarts: map[uint64]time.Time{},
+		startsOn: map[string]int{}, startedOn: map[attemptID]string{},
+		machineOf: map[fleet.TaskID]string{}, done: map[string]map[int]bool{},
+		jobs: map[string]*jobHistory{},
+	}
 }
 
+// fail notes that a rule was broken.
 func (h *History) fail(format string, args ...any) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.failLocked(format, args...)
+}
+
+func (h *History) failLocked(format string, args ...any) {
 	h.broken = append(h.broken, fmt.Sprintf(format, args...))
 }
 
@@ -51,222 +57,146 @@
 func (h *History) Broken() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return append([]string(nil), h.broken...)
-}
-
-// Started is how many tasks were started.
-func (h *History) Started() int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.started
+	return slices.Clone(h.broken)
 }
 
 // answered notes that a worker accepted an answer of a term.
 func (h *History) answered(term uint64, at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.newest = max(h.newest, term)
-	if h.answers[term].IsZero() {
-		h.answers[term] = at
+	h.highestTerm = max(h.highestTerm, term)
+	if h.firstAnswers[term].IsZero() {
+		h.firstAnswers[term] = at
 	}
 }
 
-// startOrdered notes a start that a worker was given and carries out.
-func (h *History) startOrdered(machine, job, task string, attempt, term uint64) {
+// startCommanded notes a start that a worker was commanded and carries out.
+func (h *History) startCommanded(machine string, id attemptID, term uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.starts[term].IsZero() {
-		h.starts[term] = time.Now()
+	now := time.Now()
+	if h.firstStarts[term].IsZero() {
+		h.firstStarts[term] = now
 	}
-	h.started++
-	h.placed[machine]++
-	h.times = append(h.times, time.Now())
-	key := fmt.Sprintf("%s#%d", task, attempt)
-	if earlier, used := h.attempts[key]; used {
-		h.fail("order issued twice: %s on %s and %s", key, earlier, machine)
+	h.startsOn[machine]++
+	h.startTimes = append(h.startTimes, now)
+	if earlier, used := h.startedOn[id]; used {
+		h.failLocked("start commanded twice: %s#%d on %s and %s", id.TaskID, id.attempt, earlier, machine)
 	}
-	h.attempts[key] = machine
-	if other, there := h.on[task]; there {
-		h.fail("ran_twice: %s starts on %s while on %s", task, machine, other)
+	h.startedOn[id] = machine
+	if other, there := h.machineOf[id.TaskID]; there {
+		h.failLocked("ran_twice: %s starts on %s while on %s", id.TaskID, machine, other)
 	}
-	h.on[task] = machine
-	j := h.jobs[job]
-	if j == nil {
-		h.fail("start of %s, which nobody submitted", task)
+	h.machineOf[id.TaskID] = machine
+	job := h.jobs[id.Ref]
+	if job == nil {
+		h.failLocked("start of %s, which nobody submitted", id.TaskID)
 		return
 	}
-	if j.started.IsZero() {
-		j.started = time.Now()
+	if job.started.IsZero() {
+		job.started = now
 	}
 }
 
-// left notes that a task has left its machine.
-func (h *History) left(job, task string, done bool) {
+// left notes that a task runs on its machine no more.
+func (h *History) left(id fleet.TaskID, done bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	delete(h.on, task)
+	delete(h.machineOf, id)
 	if !done {
 		return
 	}
-	if h.done[job] == nil {
-		h.done[job] = map[string]bool{}
+	if h.done[id.Ref] == nil {
+		h.done[id.Ref] = map[int]bool{}
 	}
-	h.done[job][task] = true
-}
-
-func (h *History) submitted(job, team string, tasks int, profile JobProfile) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.jobs[job] = &jobHistory{team: team, tasks: tasks, profile: profile, progress: map[string]time.Duration{}, submitted: time.Now()}
-}
-
-// JobProfile is what the tasks of a user's jobs are like.
-type JobProfile struct {
-	Run   time.Duration // of a task, give or take a half; 0: as the worker's timings say
-	Saves bool          // a task that is told to stop saves its progress
+	h.done[id.Ref][id.Task] = true
 }
 
-// Halt is a task's end by a command.
-type Halt struct {
+// Interruption is the end of a task by a command.
+type Interruption struct {
 	At            time.Time
 	Team          string
 	Task, Machine string
-	Repeated      time.Duration // work that is lost
+	Lost          time.Duration // work that has to be repeated
 }
 
-// halted notes that a task was told to stop after it had run for a while, and tells whether its
+// interrupted notes that a task was commanded to stop after it had run for a while, and reports whether its
 // progress is saved.
-func (h *History) halted(job, task, machine string, ran time.Duration) bool {
+func (h *History) interrupted(id fleet.TaskID, machine string, ran time.Duration) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	j := h.jobs[job]
-	if j == nil || h.done[job][task] {
-		return false // its result is known: it isn't needed
+	job := h.jobs[id.Ref]
+	if job == nil || h.done[id.Ref][id.Task] {
+		return false // its result is known, so that it isn't needed
 	}
-	halt := Halt{At: time.Now(), Team: j.team, Task: task, Machine: machine}
-	if j.profile.Saves {
-		j.progress[task] += ran
+	interruption := Interruption{At: time.Now(), Team: job.team, Task: id.String(), Machine: machine}
+	if job.profile.Saves {
+		job.progress[id.Task] += ran
 	} else {
-		halt.Repeated = ran
+		interruption.Lost = ran
 	}
-	h.halts = append(h.halts, halt)
-	return j.profile.Saves
+	h.interruptions = append(h.interruptions, interruption)
+	return job.profile.Saves
 }
 
-// Halts lists the ends of tasks by commands.
-func (h *History) Halts() []Halt {
+// Interruptions lists the ends of tasks by commands, oldest first.
+func (h *History) Interruptions() []Interruption {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return append([]Halt(nil), h.halts...)
+	return slices.Clone(h.interruptions)
 }
 
-// runTime is how long a task runs on, given how long it would run by default.
-func (h *History) runTime(job, task string, otherwise time.Duration) time.Duration {
+// minRunTime is how long a task runs at the least.
+const minRunTime = 100 * time.Millisecond
+
+// runTime is how long a task runs on from now, given how long it runs if its job doesn't say.
+func (h *History) runTime(id fleet.TaskID, otherwise time.Duration) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	j := h.jobs[job]
-	if j == nil || j.profile.Run == 0 {
+	job := h.jobs[id.Ref]
+	if job == nil || job.profile.Run == 0 {
 		return otherwise
 	}
-	return max(j.profile.Run/2+rand.N(j.profile.Run)-j.progress[task], minRun)
-}
-
-// minRun is how long a task runs at the least.
-const minRun = 100 * time.Millisecond
-
-// StartsOn is how many tasks were started on a machine.
-func (h *History) StartsOn(machine string) int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.placed[machine]
+	return max(job.profile.Run/2+rand.N(job.profile.Run)-job.progress[id.Task], minRunTime)
 }
 
-func (h *History) accepted(job string) {
+// Started is how many tasks were started.
+func (h *History) Started() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.jobs[job].accepted = time.Now()
+	return len(h.startTimes)
 }
 
-// told notes an answer to a user about an accepted job; an empty status is a 404.
-func (h *History) told(job, status string) {
+// StartsOn is how many tasks were started on a machine.
+func (h *History) StartsOn(machine string) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	j := h.jobs[job]
-	switch {
-	case status == "":
-		h.fail("forgotten: %s", job)
-		return
-	case status == "done" && len(h.done[job]) < j.tasks:
-		h.fail("not_done: %s with %d of %d tasks", job, len(h.done[job]), j.tasks)
-	case j.told == "done" && status != j.told:
-		h.fail("went_back: %s from %s to %s", job, j.told, status)
-	case status == "aborted":
-		h.fail("went_back: %s is cancelled, and nobody has asked for it", job)
-	}
-	j.told = status
+	return h.startsOn[machine]
 }
 
-// Open lists the accepted jobs that aren't over as far as their users know.
-func (h *History) Open() []string {
+// Starts lists when tasks were started within a time.
+func (h *History) Starts(from, to time.Time) []time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	var open []string
-	for ref, j := range h.jobs {
-		if !j.accepted.IsZero() && j.told != "done" {
-			open = append(open, ref)
+	var times []time.Time
+	for _, at := range h.startTimes {
+		if !at.Before(from) && at.Before(to) {
+			times = append(times, at)
 		}
 	}
-	return open
+	return times
 }
 
 // Term is the highest term that a worker has accepted an answer of.
 func (h *History) Term() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.newest
+	return h.highestTerm
 }
 
 // FirstOf is when a worker first accepted an answer and a start of a term; zero if none did.
 func (h *History) FirstOf(term uint64) (answer, start time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.answers[term], h.starts[term]
-}
-
-// JobTimes is what became of a job, from its first submission on; negative: it didn't.
-type JobTimes struct {
-	Team               string
-	Tasks              int
-	Admission, Started time.Duration
-}
-
-// Jobs lists what became of all jobs.
-func (h *History) Jobs() []JobTimes {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	out := make([]JobTimes, 0, len(h.jobs))
-	for _, j := range h.jobs {
-		times := JobTimes{Team: j.team, Tasks: j.tasks, Admission: -1, Started: -1}
-		if !j.accepted.IsZero() {
-			times.Admission = j.accepted.Sub(j.submitted)
-		}
-		if !j.started.IsZero() {
-			times.Started = j.started.Sub(j.submitted)
-		}
-		out = append(out, times)
-	}
-	return out
-}
-
-// Starts lists when tasks were started in a time.
-func (h *History) Starts(from, to time.Time) []time.Time {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	var out []time.Time
-	for _, at := range h.times {
-		if !at.Before(from) && at.Before(to) {
-			out = append(out, at)
-		}
-	}
-	return out
+	return h.firstAnswers[term], h.firstStarts[term]
 }
--- a/internal/emulator/pause_test.go
+++ b/internal/emulator/pause_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// busyVariable has the test's program keep several threads busy until it is killed.
+// busyVariable is the variable by which the test's program keeps several threads busy until it is killed.
 const busyVariable = "EMULATOR_BUSY"
 
 // busyThreads is how many threads it keeps busy.
@@ -48,8 +48,8 @@
 	return states
 }
 
-// A controller that was paused does nothing any more. SIGSTOP alone leaves its threads running
-// for a while: TestLeadersEndUnderLoad once found the stopped leader still answering.
+// A paused controller does nothing. SIGSTOP alone leaves its threads running for a while:
+// TestLeadersEndUnderLoad once found the stopped leader still answering.
 func TestPauseStopsAllThreads(t *testing.T) {
 	c := &Controller{Name: "busy", log: filepath.Join(t.TempDir(), "log"), command: func(string, string) *exec.Cmd {
 		command := exec.Command(os.Args[0])
--- a/internal/emulator/worker.go
+++ b/internal/emulator/worker.go
@@ -2,12 +2,14 @@
 
 import (
 	"math/rand/v2"
+	"slices"
 	"sync"
 	"time"
 
 	"github.com/valyala/fasthttp"
 
 	"gingertally/internal/codec"
+	"gingertally/internal/core/fleet"
 	"gingertally/internal/wire"
 )
 
@@ -17,117 +19,63 @@
 	RunTime          time.Duration // of a task, give or take a half
 }
 
-// Worker is one machine's worker. It reports to one controller at a time and carries out
-// what it is told, as the protocol says.
+// Worker is the worker of one machine. It sends its heartbeats to one controller at a time and carries out
+// commands, as the protocol says (PROTOCOL: Workers -> controller nodes; Controller nodes -> workers). Its
+// tasks are in worker_tasks.go.
 type Worker struct {
-	Name, Zone  string
-	Timings     Timings
-	Controllers map[string]string // addresses by name
-	History     *History
+	name, zone  string
+	timings     Timings
+	controllers []controllerAddr
+	history     *History
 
-	names    []string // of the controllers
-	endpoint string
-	http     fasthttp.Client
+	addr  string // for direct commands
+	http  fasthttp.Client
+	tasks sync.WaitGroup // goroutines of tasks
 
-	mu       sync.Mutex
-	target   int // which controller it reports to
-	session  uint64
-	seq      uint64
-	token    uint64
-	answered time.Time // when the last answered report was sent
-	lots     map[string]*lot
-	changed  chan struct{}
-	deleted  chan struct{} // closed when the machine is gone
+	mu           sync.Mutex
+	target       int // which controller gets the heartbeats
+	incarnation  uint64
+	sequence     uint64
+	fencingToken uint64
+	answeredAt   time.Time // when the last heartbeat that was answered was sent
+	onMachine    map[attemptID]*task
+	changed      chan struct{} // has an element if a heartbeat is due on a change
+	deleted      chan struct{} // closed when the machine no longer exists
+	ended        chan struct{} // closed when Run ends
 }
 
-// NewWorker makes the worker of a machine.
-func NewWorker(name, zone string, timings Timings, history *History) *Worker {
-	return &Worker{Name: name, Zone: zone, Timings: timings, History: history,
-		lots: map[string]*lot{}, changed: make(chan struct{}, 1), deleted: make(chan struct{})}
-}
+// controllerAddr is where a controller is called.
+type controllerAddr struct{ name, addr string }
 
-// Delete ends the machine and all on it.
-func (w *Worker) Delete() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	close(w.deleted)
-	for key := range w.lots {
-		w.remove(key, false)
+// newWorker makes the worker of a machine.
+func newWorker(name, zone string, timings Timings, controllers []controllerAddr, history *History) *Worker {
+	return &Worker{
+		name: name, zone: zone, timings: timings, controllers: controllers, history: history,
+		http:        fasthttp.Client{MaxConnsPerHost: 1, MaxIdemponentCallAttempts: 1},
+		target:      rand.IntN(len(controllers)),
+		incarnation: 1, answeredAt: time.Now(), onMachine: map[attemptID]*task{},
+		changed: make(chan struct{}, 1), deleted: make(chan struct{}), ended: make(chan struct{}),
 	}
 }
 
-// isDeleted tells whether the machine is gone.
-func (w *Worker) isDeleted() bool {
-	select {
-	case <-w.deleted:
-		return true
-	default:
-		return false
-	}
-}
-
-// lot is a task on the machine.
-type lot struct {
-	name, job string
-	attempt   uint64
-	status    string
-	cause     string
-	kept      bool          // its progress was saved
-	began     time.Time     // when it was started
-	gone      chan struct{} // closed when it leaves the machine
-}
-
-// Words of the protocol.
 const (
-	lotRunning  = "running"
-	lotEnded    = "ended"
-	causeDone   = "done"
-	causeHalted = "stopped"
-	verbStart   = "start"
-	verbHalt    = "halt"
-	verbClear   = "clear"
-)
-
-const (
-	// answerTimeout is how long a worker waits for an answer.
+	// answerTimeout is how long a worker waits for the answer to a heartbeat.
 	answerTimeout = 4 * time.Second
-	// nextNodePause is the pause before the next controller is tried.
-	nextNodePause = time.Second
+	// nextControllerPause is the pause before the next controller is tried.
+	nextControllerPause = time.Second
 	// changePause is the least time between two heartbeats.
 	changePause = 500 * time.Millisecond
 )
 
-// heartbeatTask is a task as a heartbeat has it.
-type heartbeatTask struct {
-	Lot    string `cbor:"lot"`
-	Try    uint64 `cbor:"try"`
-	Status string `cbor:"status"`
-	Cause  string `cbor:"cause,omitempty"`
-	Kept   bool   `cbor:"kept"`
-}
-
-// heartbeat is a worker's heartbeat.
-type heartbeat struct {
-	Stall    string          `cbor:"stall"`
-	Endpoint string          `cbor:"endpoint"`
-	Build    string          `cbor:"build"`
-	Yard     string          `cbor:"yard"`
-	Loaners  bool            `cbor:"loaners"`
-	Shift    uint64          `cbor:"shift"`
-	Tick     uint64          `cbor:"tick"`
-	Gavel    uint64          `cbor:"gavel"`
-	Lots     []heartbeatTask `cbor:"lots"`
-}
-
-// Run serves direct commands and reports until stop.
-func (w *Worker) Run(names []string, stop <-chan struct{}) error {
-	w.names, w.session, w.answered = names, 1, time.Now()
-	w.target = rand.IntN(len(names))
-	w.http.MaxConnsPerHost, w.http.MaxIdemponentCallAttempts = 1, 1
+// run accepts direct commands and sends heartbeats until stop is closed or the machine is deleted. It
+// returns when no goroutine of a task is left. The goroutines of the worker's server belong to servers.
+func (w *Worker) run(stop <-chan struct{}, servers *sync.WaitGroup) error {
 	var err error
-	if w.endpoint, err = Serve(w.direct, stop); err != nil {
+	if w.addr, err = serve(w.handle, stop, servers); err != nil {
 		return err
 	}
+	defer w.tasks.Wait()
+	defer w.end()
 	for {
 		pause := w.sendHeartbeat()
 		select {
@@ -142,167 +90,170 @@
 	}
 }
 
-// sendHeartbeat sends one report, and returns the pause before the next.
+// end has the goroutines of tasks end, and no more tasks start.
+func (w *Worker) end() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	close(w.ended)
+}
+
+// delete ends the machine and all tasks on it.
+func (w *Worker) delete() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	close(w.deleted)
+	w.loseTasks()
+}
+
+// isOver reports whether the worker carries out no more commands.
+func (w *Worker) isOver() bool {
+	select {
+	case <-w.deleted:
+		return true
+	case <-w.ended:
+		return true
+	default:
+		return false
+	}
+}
+
+// noteChange has a heartbeat sent before its time.
+func (w *Worker) noteChange() {
+	select {
+	case w.changed <- struct{}{}:
+	default: // one is due already
+	}
+}
+
+// sendHeartbeat sends a heartbeat and carries out the answer. It returns the pause before the next.
 func (w *Worker) sendHeartbeat() time.Duration {
 	w.expire()
 	sent := time.Now()
-	body, target, session := w.nextHeartbeat()
+	body, target, incarnation := w.nextHeartbeat()
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
-	request.SetRequestURI("http://" + w.Controllers[target] + "/agent/beat")
+	request.SetRequestURI("http://" + target.addr + wire.HeartbeatPath)
 	request.Header.SetMethod(fasthttp.MethodPost)
 	request.SetBodyRaw(body)
 	err := w.http.DoTimeout(request, response, answerTimeout)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	switch {
-	case err == nil && response.StatusCode() == fasthttp.StatusOK && session == w.session:
-		w.obeyAnswer(response.Body(), sent)
-		return w.Timings.Heartbeat*3/4 + rand.N(w.Timings.Heartbeat/2)
-	case err == nil && response.StatusCode() == fasthttp.StatusMisdirectedRequest && w.redirected(response.Body(), target):
-		return rand.N(changePause)
+	if err == nil {
+		switch response.StatusCode() {
+		case fasthttp.StatusOK:
+			if incarnation == w.incarnation {
+				w.obeyAnswer(response.Body(), sent)
+				return w.timings.Heartbeat*3/4 + rand.N(w.timings.Heartbeat/2)
+			}
+		case fasthttp.StatusMisdirectedRequest:
+			if w.redirected(response.Body(), target.name) {
+				return rand.N(changePause)
+			}
+		}
 	}
-	w.target = (w.target + 1) % len(w.names)
-	return nextNodePause
+	w.target = (w.target + 1) % len(w.controllers)
+	return nextControllerPause
 }
 
-// redirected has the worker go to the controller that a redirect names, if that is another.
+// redirected goes over to the controller that a redirect names; false if that is unknown or the same.
 func (w *Worker) redirected(body []byte, from string) bool {
 	var redirect wire.Redirect
 	if codec.Unmarshal(body, &redirect) != nil || redirect.Clerk == from {
 		return false
 	}
-	for i, name := range w.names {
-		if name == redirect.Clerk {
-			w.target = i
-			return true
-		}
+	to := slices.IndexFunc(w.controllers, func(c controllerAddr) bool { return c.name == redirect.Clerk })
+	if to < 0 {
+		return false
 	}
-	return false
+	w.target = to
+	return true
 }
 
-// expire ends the session if the worker's lease is over: all that it has is gone.
+// expire begins a new incarnation if the worker's lease has expired: all its tasks are lost.
 func (w *Worker) expire() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if time.Since(w.answered) <= w.Timings.Lease {
+	if time.Since(w.answeredAt) <= w.timings.Lease {
 		return
 	}
-	for key := range w.lots {
-		w.remove(key, false)
-	}
-	w.session++
-	w.answered = time.Now()
+	w.loseTasks()
+	w.incarnation++
+	w.answeredAt = time.Now()
 }
 
-// nextHeartbeat is the next heartbeat, whom it goes to, and its incarnation.
-func (w *Worker) nextHeartbeat() (body []byte, target string, session uint64) {
+// nextHeartbeat is the next heartbeat in its encoded form, whom it goes to, and its incarnation.
+func (w *Worker) nextHeartbeat() (body []byte, target controllerAddr, incarnation uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return codec.MustMarshal(w.heartbeatNow()), w.names[w.target], w.session
+	return codec.MustMarshal(wire.HeartbeatOf(w.heartbeat())), w.controllers[w.target], w.incarnation
 }
 
-func (w *Worker) heartbeatNow() heartbeat {
-	w.seq++
-	r := heartbeat{Stall: w.Name, Endpoint: w.endpoint, Build: MachineType, Yard: w.Zone, Shift: w.session, Tick: w.seq, Gavel: w.token, Lots: []heartbeatTask{}}
-	for _, l := range w.lots {
-		r.Lots = append(r.Lots, heartbeatTask{Lot: l.name, Try: l.attempt, Status: l.status, Cause: l.cause, Kept: l.cause == causeDone || l.kept})
+// heartbeat is the heartbeat of this moment.
+func (w *Worker) heartbeat() fleet.Heartbeat {
+	w.sequence++
+	heartbeat := fleet.Heartbeat{
+		Machine: w.name, Addr: w.addr, Type: MachineType, Zone: w.zone, Incarnation: w.incarnation,
+		Sequence: w.sequence, FencingToken: w.fencingToken, InterruptionIn: noInterruption,
 	}
-	return r
+	for _, task := range w.onMachine {
+		heartbeat.Tasks = append(heartbeat.Tasks, task.status())
+	}
+	return heartbeat
 }
 
-// obeyAnswer carries out what an answer to a heartbeat says, unless its fencing token is too low.
+// noInterruption says that the cloud gave no interruption notice.
+const noInterruption = -1
+
+// obeyAnswer carries out the answer to a heartbeat that was sent at a time, unless its fencing token is lower
+// than one that the worker has seen.
 func (w *Worker) obeyAnswer(body []byte, sent time.Time) {
 	var orders wire.Orders
-	if codec.Unmarshal(body, &orders) != nil || orders.Gavel < w.token || w.isDeleted() {
+	if codec.Unmarshal(body, &orders) != nil || orders.Gavel < w.fencingToken || w.isOver() {
 		return
 	}
-	if orders.Gavel > w.token {
+	if orders.Gavel > w.fencingToken {
 		w.noteChange()
 	}
-	w.token, w.answered = orders.Gavel, sent
-	w.History.answered(orders.Gavel, time.Now())
-	w.obey(orders.Orders)
+	w.fencingToken, w.answeredAt = orders.Gavel, sent
+	w.history.answered(orders.Gavel, time.Now())
+	w.obey(orders)
 }
 
-// direct serves direct commands.
-func (w *Worker) direct(request *fasthttp.RequestCtx) {
+// handle serves direct commands and status requests.
+func (w *Worker) handle(request *fasthttp.RequestCtx) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var orders wire.Orders
-	status := fasthttp.StatusConflict
-	switch {
-	case string(request.Path()) == "/status":
-		status = fasthttp.StatusOK
-	case codec.Unmarshal(request.PostBody(), &orders) != nil:
-		status = fasthttp.StatusBadRequest
-	case orders.Gavel >= w.token && orders.Shift == w.session && !w.isDeleted():
-		status = fasthttp.StatusOK
-		w.token = orders.Gavel
-		w.obey(orders.Orders)
+	status := fasthttp.StatusOK
+	if string(request.Path()) != wire.WorkerStatusPath {
+		status = w.obeyDirect(request.PostBody())
 	}
-	reply(request, status, w.heartbeatNow())
+	reply(request, status, wire.HeartbeatOf(w.heartbeat()))
 }
 
-func (w *Worker) obey(orders []wire.Order) {
-	for _, o := range orders {
-		job, _, err := wire.ParseTaskName(o.Lot)
-		if err != nil {
-			continue
-		}
-		key := codec.MustMarshal([]any{o.Lot, o.Try})
-		l := w.lots[string(key)]
-		switch {
-		case o.Verb == verbStart && l == nil:
-			w.start(string(key), &lot{name: o.Lot, job: job, attempt: o.Try, status: lotRunning, gone: make(chan struct{})})
-		case o.Verb == verbHalt && l != nil && l.status == lotRunning:
-			l.kept = w.History.halted(l.job, l.name, w.Name, time.Since(l.began))
-			w.end(l, causeHalted)
-		case o.Verb == verbClear && l != nil && l.status == lotEnded:
-			delete(w.lots, string(key))
-		}
+// obeyDirect carries out direct commands, unless their fencing token or incarnation doesn't fit, and returns
+// the status of the answer.
+func (w *Worker) obeyDirect(body []byte) (status int) {
+	var orders wire.Orders
+	switch {
+	case codec.Unmarshal(body, &orders) != nil:
+		return fasthttp.StatusBadRequest
+	case orders.Gavel < w.fencingToken || orders.Shift != w.incarnation || w.isOver():
+		return fasthttp.StatusConflict
 	}
+	w.fencingToken = orders.Gavel
+	w.obey(orders)
+	return fasthttp.StatusOK
 }
 
-// start starts a task; it runs for a while and is done.
-func (w *Worker) start(key string, l *lot) {
-	w.lots[key], l.began = l, time.Now()
-	w.History.startOrdered(w.Name, l.job, l.name, l.attempt, w.token)
-	w.noteChange()
-	runs := w.History.runTime(l.job, l.name, w.Timings.RunTime/2+rand.N(w.Timings.RunTime))
-	go func() {
-		select {
-		case <-l.gone:
-		case <-time.After(runs):
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			if w.lots[key] == l && l.status == lotRunning {
-				w.end(l, causeDone)
-			}
-		}
-	}()
-}
-
-func (w *Worker) end(l *lot, cause string) {
-	l.status, l.cause = lotEnded, cause
-	close(l.gone)
-	w.History.left(l.job, l.name, cause == causeDone)
-	w.noteChange()
-}
-
-// remove has a task vanish without a heartbeat.
-func (w *Worker) remove(key string, done bool) {
-	if l := w.lots[key]; l.status == lotRunning {
-		close(l.gone)
-		w.History.left(l.job, l.name, done)
+// obey carries out commands in their order.
+func (w *Worker) obey(orders wire.Orders) {
+	commands, err := wire.CommandsOf(orders.Orders)
+	if err != nil {
+		w.history.fail("commands of term %d to %s: %v", orders.Gavel, w.name, err)
+		return
 	}
-	delete(w.lots, key)
-}
-
-func (w *Worker) noteChange() {
-	select {
-	case w.changed <- struct{}{}:
-	default:
+	for _, command := range commands {
+		w.carryOut(command)
 	}
 }
--- a/tools/drain/budgets.go
+++ b/tools/drain/budgets.go
@@ -90,7 +90,7 @@
 }
 
 // count holds the interruptions against the budgets.
-func (b *budgets) count(halts []emulator.Halt) []use {
+func (b *budgets) count(halts []emulator.Interruption) []use {
 	uses := map[string]*use{
 		teamRuns:  {Team: teamRuns, Allowed: runsInterruptions, What: "most interruptions of one task"},
 		teamDesk:  {Team: teamDesk, Allowed: 0, What: "interruptions in opening hours"},
@@ -101,7 +101,7 @@
 	for _, h := range halts {
 		u := uses[h.Team]
 		u.Interruptions++
-		u.Repeated += h.Repeated
+		u.Repeated += h.Lost
 		switch h.Team {
 		case teamRuns:
 			perTask[h.Task]++
--- a/tools/drain/report.go
+++ b/tools/drain/report.go
@@ -24,7 +24,7 @@
 	fmt.Printf("%d machines replaced %s in %s, %d at once; leaders killed %d times, paused %d times\n", len(r.old), name,
 		r.ended.Sub(r.began).Round(time.Second), r.options.MaxAtOnce, r.killed, r.paused)
 	broken := r.cluster.History.Broken()
-	halts := r.cluster.History.Halts()
+	halts := r.cluster.History.Interruptions()
 	for _, u := range r.budgets.count(halts) {
 		fmt.Printf("  %-6s %4d interruptions; %s: %d, allowed %d; work repeated: %s\n", u.Team, u.Interruptions, u.What, u.Used, u.Allowed, u.Repeated.Round(time.Millisecond))
 		if u.Used > u.Allowed && !r.options.Ignore {
@@ -58,7 +58,7 @@
 }
 
 // list prints the interruptions of a team.
-func (*replacement) list(halts []emulator.Halt, team string) {
+func (*replacement) list(halts []emulator.Interruption, team string) {
 	for _, h := range halts {
 		if h.Team == team {
 			fmt.Printf("    %s %s on %s\n", h.At.Format("15:04:05.000"), h.Task, h.Machine)
