--- a/cmd/gingertally/commands_test.go
+++ b/cmd/gingertally/commands_test.go
@@ -3,7 +3,6 @@
 import (
 	"errors"
 	"fmt"
-	"net"
 	"strings"
 	"testing"
 
@@ -15,6 +14,7 @@
 	"gingertally/internal/drain"
 	"gingertally/internal/goldentest"
 	"gingertally/internal/recovery"
+	"gingertally/internal/testserver"
 )
 
 // Scripts tell by the exit code whether to repeat a command, to give up, or to look for the job elsewhere.
@@ -47,24 +47,10 @@
 // serveStatus is a controller that answers with a status in JSON.
 func serveStatus(t *testing.T, code int, body string) serverFlag {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	server := &fasthttp.Server{Handler: func(request *fasthttp.RequestCtx) {
+	return serverFlag{Server: testserver.Start(t, func(request *fasthttp.RequestCtx) {
 		request.SetStatusCode(code)
 		request.SetBodyString(body)
-	}}
-	ended := make(chan struct{})
-	go func() {
-		defer close(ended)
-		_ = server.Serve(listener) // ends with the listener
-	}()
-	t.Cleanup(func() {
-		_ = listener.Close()
-		<-ended
-	})
-	return serverFlag{Server: listener.Addr().String()}
+	})}
 }
 
 // Without the leader's status the commands that need it give up, and name the controller that they asked; a status that
--- a/internal/client/jobs_test.go
+++ b/internal/client/jobs_test.go
@@ -3,15 +3,15 @@
 import (
 	"context"
 	"errors"
-	"net"
+	"fmt"
 	"slices"
 	"testing"
 	"time"
 
 	"github.com/valyala/fasthttp"
-	"github.com/valyala/fasthttp/fasthttputil"
 
 	"gingertally/internal/codec"
+	"gingertally/internal/testserver"
 	"gingertally/internal/wire"
 )
 
@@ -26,21 +26,9 @@
 // serve is a client of a controller that answers with a handler, and the pauses that the client made.
 func serve(t *testing.T, handler fasthttp.RequestHandler) (c *Client, pauses *[]time.Duration) {
 	t.Helper()
-	listener := fasthttputil.NewInmemoryListener()
-	server := &fasthttp.Server{Handler: handler}
-	ended := make(chan struct{})
-	go func() {
-		defer close(ended)
-		_ = server.Serve(listener) // ends with the listener
-	}()
-	t.Cleanup(func() {
-		_ = listener.Close()
-		<-ended
-	})
 	pauses = new([]time.Duration)
 	c = &Client{
-		Addr: "service",
-		Dial: func(string) (net.Conn, error) { return listener.Dial() },
+		Addr: testserver.Start(t, handler),
 		Pause: func(_ context.Context, d time.Duration) error {
 			*pauses = append(*pauses, d)
 			return nil
@@ -117,16 +105,17 @@
 		call func(*Client) error
 		want string
 	}{
-		{"submit", func(c *Client) error { _, err := c.Submit(t.Context(), []byte(job)); return err }, "submit job j-000412: service: not found"},
-		{"get", func(c *Client) error { _, err := c.Get(t.Context(), submittedRef); return err }, "get job j-000412: service: not found"},
-		{"cancel", func(c *Client) error { _, err := c.Cancel(t.Context(), submittedRef); return err }, "cancel job j-000412: service: not found"},
-		{"pause", func(c *Client) error { _, err := c.ChangeDrain(t.Context(), "p", "pause"); return err }, "pause drain plan p: service: not found: "},
+		{"submit", func(c *Client) error { _, err := c.Submit(t.Context(), []byte(job)); return err }, "submit job j-000412: %s: not found"},
+		{"get", func(c *Client) error { _, err := c.Get(t.Context(), submittedRef); return err }, "get job j-000412: %s: not found"},
+		{"cancel", func(c *Client) error { _, err := c.Cancel(t.Context(), submittedRef); return err }, "cancel job j-000412: %s: not found"},
+		{"pause", func(c *Client) error { _, err := c.ChangeDrain(t.Context(), "p", "pause"); return err }, "pause drain plan p: %s: not found: "},
 	} {
 		client, _ := serveStatuses(t, 404)
 		err := c.call(client)
+		want := fmt.Sprintf(c.want, client.Addr)
 		var failed *CallError
-		if !errors.As(err, &failed) || failed.Addr != "service" || err.Error() != c.want {
-			t.Errorf("%s: %v, want %s", c.name, err, c.want)
+		if !errors.As(err, &failed) || failed.Addr != client.Addr || err.Error() != want {
+			t.Errorf("%s: %v, want %s", c.name, err, want)
 		}
 	}
 }
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"net"
 	"slices"
 	"testing"
 	"time"
@@ -12,6 +11,7 @@
 
 	"gingertally/internal/codec"
 	"gingertally/internal/core"
+	"gingertally/internal/testserver"
 	"gingertally/internal/wire"
 )
 
@@ -21,21 +21,7 @@
 // serve is a client of a cloud that answers with a handler.
 func serve(t *testing.T, handler fasthttp.RequestHandler) *Client {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	server := &fasthttp.Server{Handler: handler}
-	ended := make(chan struct{})
-	go func() {
-		defer close(ended)
-		_ = server.Serve(listener) // ends with the listener
-	}()
-	t.Cleanup(func() {
-		_ = listener.Close()
-		<-ended
-	})
-	return New(listener.Addr().String(), ampleRate)
+	return New(testserver.Start(t, handler), ampleRate)
 }
 
 // Callers decide by the cause of an error: a scale-out of unknown outcome may have created machines,
--- a/tools/drain/budgets.go
+++ b/tools/drain/budgets.go
@@ -1,8 +1,9 @@
 package main
 
 import (
+	"cmp"
 	"fmt"
-	"sort"
+	"slices"
 	"strings"
 	"time"
 
@@ -28,6 +29,9 @@
 	openHours = 2
 )
 
+// usersPerTeam bounds the users of a team, so that the numbers of different teams' users differ.
+const usersPerTeam = 1000
+
 // team is a team with its load.
 type team struct {
 	name    string
@@ -41,7 +45,8 @@
 	{teamBatch, 20, emulator.JobProfile{Run: 20 * time.Second}},
 }
 
-// budgets are the budgets of a run, with the minutes in which the desk is open.
+// budgets are the budgets of a run. They differ from run to run in the minutes in which the desk is open, which are
+// given by their beginnings.
 type budgets struct{ open []time.Time }
 
 func newBudgets(now time.Time) *budgets {
@@ -70,7 +75,7 @@
 	return text.String()
 }
 
-// isOpen tells whether the desk is open.
+// isOpen reports whether the desk is open.
 func (b *budgets) isOpen(at time.Time) bool {
 	for _, open := range b.open {
 		if !at.Before(open) && at.Before(open.Add(time.Minute)) {
@@ -85,12 +90,12 @@
 	Team          string
 	Interruptions int
 	Used, Allowed int
-	What          string
-	Repeated      time.Duration // work
+	What          string        // is used
+	Lost          time.Duration // work that was repeated
 }
 
-// count holds the interruptions against the budgets.
-func (b *budgets) count(halts []emulator.Interruption) []use {
+// count holds the interruptions against the budgets. The uses are in the order of the teams' names.
+func (b *budgets) count(interruptions []emulator.Interruption) []use {
 	uses := map[string]*use{
 		teamRuns:  {Team: teamRuns, Allowed: runsInterruptions, What: "most interruptions of one task"},
 		teamDesk:  {Team: teamDesk, Allowed: 0, What: "interruptions in opening hours"},
@@ -98,35 +103,35 @@
 	}
 	perTask := map[string]int{}
 	var batch []time.Time
-	for _, h := range halts {
-		u := uses[h.Team]
-		u.Interruptions++
-		u.Repeated += h.Lost
-		switch h.Team {
+	for _, interruption := range interruptions {
+		use := uses[interruption.Team]
+		use.Interruptions++
+		use.Lost += interruption.Lost
+		switch interruption.Team {
 		case teamRuns:
-			perTask[h.Task]++
-			u.Used = max(u.Used, perTask[h.Task])
+			perTask[interruption.Task]++
+			use.Used = max(use.Used, perTask[interruption.Task])
 		case teamDesk:
-			if b.isOpen(h.At) {
-				u.Used++
+			if b.isOpen(interruption.At) {
+				use.Used++
 			}
 		case teamBatch:
-			batch = append(batch, h.At)
-			u.Used = max(u.Used, within(batch, batchWindow))
+			batch = append(batch, interruption.At)
+			use.Used = max(use.Used, within(batch, batchWindow))
 		}
 	}
-	out := []use{*uses[teamRuns], *uses[teamDesk], *uses[teamBatch]}
-	sort.Slice(out, func(i, k int) bool { return out[i].Team < out[k].Team })
-	return out
+	sorted := []use{*uses[teamRuns], *uses[teamDesk], *uses[teamBatch]}
+	slices.SortFunc(sorted, func(a, b use) int { return cmp.Compare(a.Team, b.Team) })
+	return sorted
 }
 
 // within counts the times in the window that ends with the last.
 func within(times []time.Time, window time.Duration) int {
-	last, n := times[len(times)-1], 0
+	last, count := times[len(times)-1], 0
 	for _, at := range times {
 		if last.Sub(at) < window {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
--- a/tools/failover/result.go
+++ b/tools/failover/result.go
@@ -2,38 +2,25 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 	"maps"
 	"os"
 	"slices"
-	"sync"
 	"time"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
-
-	"gingertally/internal/emulator"
+	"gingertally/internal/loadtest"
 	"gingertally/tools/plots"
 )
 
-const (
-	// aim is within what time the first start of a new leader is wanted.
-	aim = 5 * time.Second
-	// Bounds and precision of the histograms, in milliseconds.
-	lowestMS, highestMS, digits = 1, 60_000, 3
-)
+// objective is the time within which the first start of a new leader is wanted.
+const objective = 5 * time.Second
 
-// result collects what all clusters have shown.
+// result collects what all clusters show.
 type result struct {
-	mu         sync.Mutex
-	histograms map[string]*hdrhistogram.Histogram
-
-	Options       options
-	Took          string
-	Counts        map[string]int
-	Started       int // tasks
-	Broken        []string
-	Distributions map[string]distribution
+	*loadtest.Result
+	options       options
+	took          time.Duration
+	distributions map[string]distribution
 }
 
 // distribution are figures of a histogram, in milliseconds.
@@ -42,112 +29,92 @@
 	Min, P50, P90, P99, P999 int64
 	Max                      int64
 	Mean                     float64
-	AboveAim                 int64   // how many are above the aim
-	AboveAimShare            float64 // and which share
+	AboveObjective           int64   `json:"AboveAim"` // how many are above the objective
+	AboveObjectiveShare      float64 `json:"AboveAimShare"`
 }
 
 func newResult(o options) *result {
-	return &result{Options: o, histograms: map[string]*hdrhistogram.Histogram{}, Counts: map[string]int{}}
-}
-
-func (r *result) fail(text string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.Broken = append(r.Broken, text)
-}
-
-func (r *result) count(what string, n int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.Counts[what] += n
-}
-
-func (r *result) observe(what string, d time.Duration) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	h := r.histograms[what]
-	if h == nil {
-		h = hdrhistogram.New(lowestMS, highestMS, digits)
-		r.histograms[what] = h
-	}
-	if err := h.RecordValue(min(max(d.Milliseconds(), lowestMS), highestMS)); err != nil {
-		r.Broken = append(r.Broken, err.Error())
-	}
-}
-
-// note takes in what a cluster's history has shown.
-func (r *result) note(h *emulator.History) {
-	broken := h.Broken()
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.Started += h.Started()
-	r.Broken = append(r.Broken, broken...)
+	return &result{Result: loadtest.NewResult(), options: o, distributions: map[string]distribution{}}
 }
 
 // finish prints the result and writes it to files; it fails if a rule was broken.
-func (r *result) finish(o options) error {
-	r.Distributions = map[string]distribution{}
-	for name, h := range r.histograms {
-		r.Distributions[name] = figures(h)
-	}
-	text, err := json.MarshalIndent(r, "", "  ")
-	if err != nil {
-		return err
+func (r *result) finish(took time.Duration) error {
+	r.took = took.Round(time.Second)
+	for name, histogram := range r.Histograms {
+		r.distributions[name] = distributionOf(histogram)
 	}
 	r.print()
-	if o.Result != "" {
-		if err := os.WriteFile(o.Result, append(text, '\n'), 0o600); err != nil {
+	if r.options.Result != "" {
+		if err := r.writeJSON(r.options.Result); err != nil {
 			return err
 		}
 	}
-	if o.Page != "" {
-		if err := r.writePage(o.Page); err != nil {
+	if r.options.Page != "" {
+		if err := r.writePage(r.options.Page); err != nil {
 			return err
 		}
 	}
-	if len(r.Broken) > 0 {
-		return errors.New("rules were broken")
-	}
-	return nil
+	return r.Err()
 }
 
-func figures(h *hdrhistogram.Histogram) distribution {
+func distributionOf(h loadtest.Histogram) distribution {
 	d := distribution{
 		Count: h.TotalCount(), Min: h.Min(), P50: h.ValueAtQuantile(50), P90: h.ValueAtQuantile(90),
 		P99: h.ValueAtQuantile(99), P999: h.ValueAtQuantile(99.9), Max: h.Max(), Mean: h.Mean(),
 	}
 	for _, bar := range h.Distribution() {
-		if bar.From > aim.Milliseconds() {
-			d.AboveAim += bar.Count
+		if bar.From > objective.Milliseconds() {
+			d.AboveObjective += bar.Count
 		}
 	}
-	d.AboveAimShare = float64(d.AboveAim) / float64(max(1, d.Count))
+	d.AboveObjectiveShare = float64(d.AboveObjective) / float64(max(1, d.Count))
 	return d
 }
 
 // print prints the figures.
 func (r *result) print() {
-	fmt.Printf("took %s, %d tasks started\n", r.Took, r.Started)
-	for _, what := range slices.Sorted(maps.Keys(r.Counts)) {
-		fmt.Printf("%6d %s\n", r.Counts[what], what)
-	}
-	fmt.Printf("%-34s %6s %7s %7s %7s %7s %7s  %s\n", "ms", "count", "min", "p50", "p90", "p99", "max", "above "+aim.String())
-	for _, name := range slices.Sorted(maps.Keys(r.Distributions)) {
-		d := r.Distributions[name]
-		fmt.Printf("%-34s %6d %7d %7d %7d %7d %7d  %d (%.2f%%)\n", name, d.Count, d.Min, d.P50, d.P90, d.P99, d.Max, d.AboveAim, 100*d.AboveAimShare)
+	fmt.Printf("took %s, %d tasks started\n", r.took, r.Started)
+	r.PrintCounts()
+	fmt.Printf("%-34s %6s %7s %7s %7s %7s %7s  %s\n",
+		"ms", "count", "min", "p50", "p90", "p99", "max", "above "+objective.String())
+	for _, name := range slices.Sorted(maps.Keys(r.distributions)) {
+		d := r.distributions[name]
+		fmt.Printf("%-34s %6d %7d %7d %7d %7d %7d  %d (%.2f%%)\n",
+			name, d.Count, d.Min, d.P50, d.P90, d.P99, d.Max, d.AboveObjective, 100*d.AboveObjectiveShare)
 	}
-	fmt.Printf("rules broken: %d\n", len(r.Broken))
-	for _, text := range r.Broken[:min(len(r.Broken), 20)] {
-		fmt.Println(" ", text)
+	r.PrintBroken()
+}
+
+// resultFile is the result as a file has it, in JSON.
+type resultFile struct {
+	Options       options
+	Took          string
+	Counts        map[string]int
+	Started       int // tasks
+	Broken        []string
+	Distributions map[string]distribution
+}
+
+func (r *result) writeJSON(path string) error {
+	text, err := json.MarshalIndent(resultFile{
+		Options: r.options, Took: r.took.String(), Counts: r.Counts, Started: r.Started, Broken: r.Broken,
+		Distributions: r.distributions,
+	}, "", "  ")
+	if err != nil {
+		return err
 	}
+	return os.WriteFile(path, append(text, '\n'), 0o600)
 }
 
 // writePage draws each distribution by percentile.
 func (r *result) writePage(path string) error {
-	chart := plots.Chart{Title: "Takeover times", Subtitle: fmt.Sprintf("%d leaders ended, %s, seed %d", r.Options.Kills, r.Took, r.Options.Seed),
-		X: "percentile", Y: "ms", Lines: map[string][]plots.Point{}}
-	for name, h := range r.histograms {
-		chart.Lines[name] = plots.Percentiles(h)
+	chart := plots.Chart{
+		Title:    "Takeover times",
+		Subtitle: fmt.Sprintf("%d leaders ended, %s, seed %d", r.options.Kills, r.took, r.options.Seed),
+		X:        "percentile", Y: "ms", Lines: map[string][]plots.Point{},
+	}
+	for name, h := range r.Histograms {
+		chart.Lines[name] = plots.Percentiles(h.Histogram)
 	}
 	return plots.WritePage(path, []plots.Chart{chart})
 }
--- /dev/null
+++ b/tools/outage/outage.go
@@ -0,0 +1,105 @@
+package main
+
+import (
+	"errors"
+	"time"
+
+	"gingertally/internal/daemon"
+	"gingertally/internal/emulator"
+	"gingertally/internal/loadtest"
+)
+
+const (
+	// settleTimeout bounds the wait until a leader's recovery is over.
+	settleTimeout = time.Minute
+	pollInterval  = 50 * time.Millisecond
+	// Time from a settled leader to the outage.
+	shortestNormal, longestNormal = 2 * time.Second, 4 * time.Second
+	// longestShort is the length up to which every second outage lasts at the most.
+	longestShort = 2 * time.Second
+	// longestGap is the longest time between the starts of two controllers.
+	longestGap = 200 * time.Millisecond
+	// rateWindow is the time after a restart in which starts are counted.
+	rateWindow = 10 * time.Second
+)
+
+// outageTest brings about the outages of one cluster.
+type outageTest struct {
+	options options
+	random  loadtest.Random
+	cluster *emulator.Cluster
+	result  *result
+}
+
+// outage kills all controllers, starts them after a while, and measures the restart.
+func (t *outageTest) outage() {
+	if _, err := t.waitSettled(); err != nil {
+		t.result.Count("not run: "+err.Error(), 1)
+		return
+	}
+	time.Sleep(t.random.Between(shortestNormal, longestNormal))
+	for _, controller := range t.cluster.Controllers {
+		controller.Kill()
+	}
+	time.Sleep(t.chooseLength())
+	lastTerm, restarted := t.cluster.History.Term(), time.Now()
+	t.startControllers()
+	status, err := t.waitSettled()
+	if err != nil {
+		t.result.Count("not settled within "+settleTimeout.String(), 1)
+		return
+	}
+	t.result.Count("restarts", 1)
+	t.result.observe("restart to normal", time.Since(restarted))
+	t.result.observe("term's start to normal", status.Leading.Recovery.Took)
+	t.measureFirsts(lastTerm, restarted)
+	t.result.recordRates(t.cluster.History.Starts(restarted, restarted.Add(rateWindow)))
+	for reason, times := range status.Leading.Recovery.Findings {
+		t.result.countFinding(reason, times)
+	}
+}
+
+// chooseLength is the length of an outage; every second one is short.
+func (t *outageTest) chooseLength() time.Duration {
+	length := t.random.Between(t.options.Shortest, t.options.Longest)
+	if t.random.IntN(2) == 0 {
+		length = t.random.Between(t.options.Shortest, longestShort)
+	}
+	return length
+}
+
+// startControllers starts all controllers one after the other, in any order.
+func (t *outageTest) startControllers() {
+	for _, i := range t.random.Perm(len(t.cluster.Controllers)) {
+		if err := t.cluster.Controllers[i].Start(); err != nil {
+			t.result.Fail("%v", err)
+		}
+		time.Sleep(t.random.Between(0, longestGap))
+	}
+}
+
+// measureFirsts measures the time to the first answer and start of the first term in which a task was started.
+func (t *outageTest) measureFirsts(lastTerm uint64, restarted time.Time) {
+	for term := lastTerm + 1; term <= t.cluster.History.Term(); term++ {
+		if answer, start := t.cluster.History.FirstOf(term); !start.IsZero() {
+			t.result.observe("restart to first answer", answer.Sub(restarted))
+			t.result.observe("restart to first start", start.Sub(restarted))
+			return
+		}
+	}
+}
+
+var errNotSettled = errors.New("no settled leader")
+
+// waitSettled waits until a leader's recovery is over, and returns its status.
+func (t *outageTest) waitSettled() (daemon.Status, error) {
+	for end := time.Now().Add(settleTimeout); time.Now().Before(end); time.Sleep(pollInterval) {
+		for _, controller := range t.cluster.Controllers {
+			status, err := controller.Status()
+			if err == nil && status.Leading != nil && status.Leading.Recovery.State == "normal" {
+				return status, nil
+			}
+		}
+	}
+	return daemon.Status{}, errNotSettled
+}
--- /dev/null
+++ b/tools/outage/result_test.go
@@ -0,0 +1,31 @@
+package main
+
+import (
+	"testing"
+	"time"
+)
+
+// The busiest second may begin at any start: a count by whole seconds would miss a burst across their border.
+func TestBusiestSecond(t *testing.T) {
+	began := time.Now()
+	at := func(milliseconds ...int) []time.Time {
+		var times []time.Time
+		for _, ms := range milliseconds {
+			times = append(times, began.Add(time.Duration(ms)*time.Millisecond))
+		}
+		return times
+	}
+	for _, c := range []struct {
+		times []time.Time
+		want  int
+	}{
+		{nil, 0},
+		{at(0), 1},
+		{at(0, 1000), 1},
+		{at(0, 900, 1100, 1800, 3000), 3},
+	} {
+		if got := busiestSecond(c.times); got != c.want {
+			t.Errorf("%v: %d, want %d", c.times, got, c.want)
+		}
+	}
+}
--- a/tools/plots/plots.go
+++ b/tools/plots/plots.go
@@ -1,4 +1,5 @@
-// Package plots draws the pages of the measurements under tools/.
+// Package plots draws the pages of the measurements under tools/: lines on charts, as HTML that a browser shows without
+// this program. The tools call it once, after their measurement.
 package plots
 
 import (
@@ -12,16 +13,17 @@
 	"github.com/go-echarts/go-echarts/v2/opts"
 )
 
-// Point is a point of a line.
+// Point is a point of a line, X before Y.
 type Point [2]float64
 
-// Chart is a chart of lines by name.
+// Chart is a chart of lines.
 type Chart struct {
-	Title, Subtitle, X, Y string
-	Lines                 map[string][]Point
+	Title, Subtitle string
+	X, Y            string             // names of the axes
+	Lines           map[string][]Point // by name
 }
 
-// Percentiles are a histogram's values by percentile.
+// Percentiles is the line of a histogram's values by percentile.
 func Percentiles(h *hdrhistogram.Histogram) []Point {
 	var points []Point
 	for _, b := range h.CumulativeDistribution() {
@@ -30,7 +32,7 @@
 	return points
 }
 
-// WritePage writes a page (HTML) with charts.
+// WritePage writes a page with charts, one below the other.
 func WritePage(path string, all []Chart) error {
 	page := components.NewPage()
 	for _, chart := range all {
@@ -41,12 +43,13 @@
 		return err
 	}
 	if err := page.Render(file); err != nil {
-		_ = file.Close() // the first error is told
+		_ = file.Close() // the first error is the one that counts
 		return err
 	}
 	return file.Close()
 }
 
+// draw draws a chart.
 func draw(chart Chart) *charts.Line {
 	line := charts.NewLine()
 	line.SetGlobalOptions(
@@ -56,11 +59,11 @@
 		charts.WithLegendOpts(opts.Legend{Top: "bottom"}),
 	)
 	for _, name := range slices.Sorted(maps.Keys(chart.Lines)) {
-		var data []opts.LineData
+		var points []opts.LineData
 		for _, point := range chart.Lines[name] {
-			data = append(data, opts.LineData{Value: point})
+			points = append(points, opts.LineData{Value: point})
 		}
-		line.AddSeries(name, data)
+		line.AddSeries(name, points)
 	}
 	return line
 }
