--- a/cmd/gingertally/admission.go
+++ b/cmd/gingertally/admission.go
@@ -33,7 +33,8 @@
 		return "admission control is off\n"
 	}
 	var text strings.Builder
-	fmt.Fprintf(&text, "policy\t%d of term %d, confirmed %s ago\n", policy.Number, policy.Term, policy.Age.Round(time.Millisecond))
+	fmt.Fprintf(&text, "policy\t%d of term %d, confirmed %s ago\n",
+		policy.Number, policy.Term, policy.Age.Round(time.Millisecond))
 	for _, name := range slices.Sorted(maps.Keys(status.Policies)) {
 		fmt.Fprintf(&text, "applied by\t%s: %d\n", name, status.Policies[name])
 	}
@@ -57,7 +58,8 @@
 		fraction = fmt.Sprintf("%.2f%%", 100*class.Fraction)
 	}
 	return fmt.Sprintf("%s\t%s\t%d\t%s\t%s\t%s\t%s\t%d\t%d\t%d", class.Team, class.Class, class.Priority,
-		shareText(class.Asked), shareText(class.Due), shareText(class.Got), fraction, class.Offered, class.Admitted, class.Refused)
+		shareText(class.Asked), shareText(class.Due), shareText(class.Got),
+		fraction, class.Offered, class.Admitted, class.Refused)
 }
 
 // shareText is a share of the capacity in percent.
--- a/cmd/gingertally/drain.go
+++ b/cmd/gingertally/drain.go
@@ -153,7 +153,8 @@
 		for _, state := range slices.Sorted(maps.Keys(plan.Machines)) {
 			states = append(states, fmt.Sprintf("%d %s", plan.Machines[state], state))
 		}
-		fmt.Fprintf(text, "%s\t%s\t%s\t%d\t%d\n", plan.ID, plan.PhaseName, strings.Join(states, ", "), plan.MaxAtOnce, plan.Surge)
+		fmt.Fprintf(text, "%s\t%s\t%s\t%d\t%d\n",
+			plan.ID, plan.PhaseName, strings.Join(states, ", "), plan.MaxAtOnce, plan.Surge)
 	}
 }
 
--- a/cmd/gingertally/main.go
+++ b/cmd/gingertally/main.go
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// logLevelVariable is the variable of the environment that names the log level (DEPLOY: the controller's process).
+// logLevelVariable is the variable of the environment that names the log level (DEPLOY: The deploy file).
 const logLevelVariable = "LOG_LEVEL"
 
 // logLevel is the log level that the environment names.
--- a/cmd/gingertally/status.go
+++ b/cmd/gingertally/status.go
@@ -88,7 +88,8 @@
 func writePools(text *strings.Builder, leading *core.Status) {
 	fmt.Fprintf(text, "term\t%d\n", leading.Term)
 	fmt.Fprintf(text, "recovery\t%s\n", recoveryText(&leading.Recovery))
-	fmt.Fprintf(text, "jobs\t%d active, %d waiting, %d starts not yet stored\n", leading.Active, leading.Waits, leading.Unstored)
+	fmt.Fprintf(text, "jobs\t%d active, %d waiting, %d starts not yet stored\n",
+		leading.Active, leading.Waits, leading.Unstored)
 	fmt.Fprintln(text, "\nTYPE\tZONE\tKIND\tMACHINES\tDRAINING\tATTEMPTS")
 	for _, pool := range leading.Pools {
 		kind := "ordinary"
--- a/internal/client/drains.go
+++ b/internal/client/drains.go
@@ -44,7 +44,10 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", operation, err)
 	}
-	call := request{operation: operation, method: fasthttp.MethodPost, path: path, contentType: contentTypeJSON, body: body}
+	call := request{
+		operation: operation, method: fasthttp.MethodPost, path: path,
+		contentType: contentTypeJSON, body: body,
+	}
 	err = c.send(ctx, call, func(response *fasthttp.Response) error {
 		if err := drainStatusError(response); err != nil {
 			return err
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
 // Package config reads and checks the settings that the platform hands over at a controller's start, a
-// file in JSON (DEPLOY: the settings file). Fields that aren't known here are ignored, so that a newer
+// file in JSON (DEPLOY: The deploy file). Fields that aren't known here are ignored, so that a newer
 // platform can start an older controller. Nothing is filled in: a setting that is needed and missing is
 // an error, a *FieldError that names file, line and field.
 //
--- a/internal/loadtest/loadtest.go
+++ b/internal/loadtest/loadtest.go
@@ -117,7 +117,9 @@
 
 // RunRounds runs the cluster's rounds under load, one after the other; those that would begin after the deadline
 // are counted as not run. Then it takes the history into the result.
-func (c Cluster) RunRounds(result *Result, deadline time.Time, cluster *emulator.Cluster, users *emulator.Users, round func()) {
+func (c Cluster) RunRounds(
+	result *Result, deadline time.Time, cluster *emulator.Cluster, users *emulator.Users, round func(),
+) {
 	load := StartLoad(loadWait, users)
 	for range c.Rounds {
 		if time.Now().After(deadline) {
