--- a/internal/simulation/digest.go
+++ b/internal/simulation/digest.go
@@ -7,6 +7,7 @@
 	"hash/fnv"
 
 	"gingertally/internal/core"
+	"gingertally/internal/core/fleet"
 )
 
 // digest sums up a run: every event of the world, every event and effect of the
@@ -47,5 +48,34 @@
 	if _, tick := ev.(core.Tick); !tick { // a tick brings nothing but the time
 		d.add(n.w, "step", n.name, ev)
 	}
-	d.add(n.w, "effects", n.name, eff)
+	d.add(n.w, "effects", n.name, encodableEffects(eff))
+}
+
+// digestedEffects are an engine's effects in a form that can be encoded as JSON.
+type digestedEffects struct {
+	core.Effects
+	Preempted []digestedAttempt // in place of the attempts themselves
+}
+
+// digestedAttempt is an attempt with the names of its machine and page in place of these: they
+// refer back to the attempt, and a machine's map of attempts has keys that JSON doesn't know.
+type digestedAttempt struct {
+	*fleet.Attempt
+	Machine string
+	Page    string
+}
+
+func encodableEffects(eff core.Effects) digestedEffects {
+	digested := digestedEffects{Effects: eff}
+	for _, a := range eff.Preempted {
+		attempt := digestedAttempt{Attempt: a}
+		if a.Machine != nil {
+			attempt.Machine = a.Machine.Name
+		}
+		if a.Page != nil {
+			attempt.Page = a.Page.Name
+		}
+		digested.Preempted = append(digested.Preempted, attempt)
+	}
+	return digested
 }
