--- a/internal/simulation/admission.go
+++ b/internal/simulation/admission.go
@@ -17,13 +17,13 @@
 	"gingertally/internal/userapi"
 )
 
-// admissionWorld is admission control in a world: the nodes' gates and the leader's planner
+// admissionNetwork is admission control in a world: the nodes' gates and the leader's planner
 // are the real ones. It draws random numbers of its own, so that worlds without it stay what
 // they are. A nil one admits everything.
-type admissionWorld struct {
+type admissionNetwork struct {
 	w        *World
 	rng      *rand.Rand
-	notes    map[string]int
+	counts   eventCounts
 	policies map[[2]uint64]string // what each policy says, by term and number
 }
 
@@ -39,22 +39,22 @@
 	simulatedFloor       = 0.05
 )
 
-func newAdmissionWorld(w *World) *admissionWorld {
-	return &admissionWorld{w: w, rng: rand.New(rand.NewPCG(w.o.Seed, 29)), notes: map[string]int{}, policies: map[[2]uint64]string{}}
+func newAdmissionWorld(w *World) *admissionNetwork {
+	return &admissionNetwork{w: w, rng: rand.New(rand.NewPCG(w.options.Seed, 29)), counts: eventCounts{}, policies: map[[2]uint64]string{}}
 }
 
-func (a *admissionWorld) between(lo, hi time.Duration) time.Duration {
+func (a *admissionNetwork) between(lo, hi time.Duration) time.Duration {
 	return lo + time.Duration(a.rng.Int64N(int64(hi-lo)+1))
 }
 
 // bootAdmission gives a process that has just started a gate without a policy.
 func (n *node) bootAdmission() {
 	n.gate, n.planner = nil, nil
-	if n.w.admission == nil || n.old {
+	if n.w.admission == nil || n.runsProduction {
 		return
 	}
 	n.gate = admission.NewGate(n.local(), admission.GateOptions{Teams: slices.Sorted(maps.Keys(n.w.teams)), Jobs: 4, PolicyAge: simulatedPolicyAge})
-	n.loop(n.incarnation, simulatedPolicyEvery, n.plan)
+	n.loop(n.incarnation, simulatedPolicyEvery, n.planAdmission)
 	n.loop(n.incarnation, simulatedPolicyAge/3, n.keepPolicy)
 }
 
@@ -66,39 +66,39 @@
 	}
 	d := n.gate.Decide(n.local(), admission.Offer{Job: j.spec.Ref, Spec: &j.spec})
 	if d.Admitted {
-		n.w.admission.notes["admitted"]++
+		n.w.admission.counts["admitted"]++
 		return 0, true
 	}
-	n.w.admission.notes["refused: "+d.Reason.String()]++
+	n.w.admission.counts["refused: "+d.Reason.String()]++
 	n.w.output.userAnswer(n, j.spec.Ref, userapi.Answer{Status: http.StatusTooManyRequests, Body: d.Reason.String(), RetryAfter: d.RetryAfter})
 	if d.RetryAfter < time.Second || d.RetryAfter > 30*time.Second {
-		n.w.check.fail("Retry-After of %s", d.RetryAfter)
+		n.w.checker.fail("Retry-After of %s", d.RetryAfter)
 	}
 	return d.RetryAfter, false
 }
 
-// take has a node take a policy, and checks that it never goes back, and that a policy says
+// takePolicy has a node take a policy, and checks that it never goes back, and that a policy says
 // the same wherever it comes from.
-func (n *node) take(p admission.Policy) {
+func (n *node) takePolicy(p admission.Policy) {
 	a, before := n.w.admission, *n.gate.Policy()
 	if p.Number > 0 {
 		key := [2]uint64{p.Term, p.Number}
 		text := fmt.Sprintf("%x", codec.MustMarshal(p))
 		if earlier, known := a.policies[key]; known && earlier != text {
-			n.w.check.fail("policy %d.%d says two things", p.Term, p.Number)
+			n.w.checker.fail("policy %d.%d says two things", p.Term, p.Number)
 		}
 		a.policies[key] = text
 	}
 	if n.gate.Take(n.local(), p) {
-		a.notes["policies taken"]++
+		a.counts["policies taken"]++
 	} else {
-		a.notes["policies not taken"]++
+		a.counts["policies not taken"]++
 	}
 	if before.Newer(n.gate.Policy()) {
-		n.w.check.fail("%s goes back from policy %d.%d", n.name, before.Term, before.Number)
+		n.w.checker.fail("%s goes back from policy %d.%d", n.name, before.Term, before.Number)
 	}
 	if n.gate.Fallback(n.local()) {
-		a.notes["fallbacks"]++
+		a.counts["fallbacks"]++
 	}
 }
 
@@ -109,7 +109,7 @@
 		return p, false
 	}
 	if found && codec.Unmarshal(item.Value, &p) != nil {
-		n.w.check.fail("the policy can't be read")
+		n.w.checker.fail("the policy can't be read")
 	}
 	return p, true
 }
@@ -120,12 +120,12 @@
 		return
 	}
 	if p, ok := n.storedPolicy(); ok {
-		n.take(p)
+		n.takePolicy(p)
 	}
 }
 
-// plan is the leader's round: gather, plan, store, send.
-func (n *node) plan() {
+// planAdmission is the leader's round: gather, plan, store, send.
+func (n *node) planAdmission() {
 	if !n.holdsLease() || n.cutOff() {
 		return
 	}
@@ -138,7 +138,7 @@
 			ExitBacklog: simulatedExit, Interval: simulatedPolicyEvery}, n.term.Number, stored)
 		n.plannerTerm, n.latestPolicy = n.term.Number, stored
 	}
-	load := n.eng.Load(n.local())
+	load := n.engine.Load(n.local())
 	batches := []admission.Batch{n.gate.TakeCounts(n.local())}
 	for _, o := range n.w.nodes {
 		if o != n && o.gate != nil && n.reaches(o) {
@@ -154,16 +154,16 @@
 		n.sendPolicy()
 		return
 	}
-	eng, term, view := n.eng, n.term, n.storeView()
+	eng, term, view := n.engine, n.term, n.storeView()
 	stored := false
 	n.call(func() {
 		_, err := view.Commit(bg, []statestore.Compare{jobstore.UnderTerm(term)}, []statestore.Op{statestore.Put(policyKey, codec.MustMarshal(policy))})
 		stored = err == nil
 	}, func() {
-		if stored && n.eng == eng && n.holdsLease() {
-			n.w.admission.notes["policies stored"]++
+		if stored && n.engine == eng && n.holdsLease() {
+			n.w.admission.counts["policies stored"]++
 			n.latestPolicy = policy
-			n.take(policy)
+			n.takePolicy(policy)
 			n.step(core.FairOrderChanged{On: policy.Overloaded()})
 			n.sendPolicy()
 		}
@@ -177,12 +177,12 @@
 		if o == n || o.gate == nil || !n.reaches(o) {
 			continue
 		}
-		life := o.incarnation
+		incarnation := o.incarnation
 		deliver := func(delay time.Duration) {
-			n.w.after(delay, func() { o.run(life, func() { o.take(p) }) })
+			n.w.after(delay, func() { o.run(incarnation, func() { o.takePolicy(p) }) })
 		}
 		deliver(a.between(time.Millisecond, 30*time.Millisecond))
-		if n.w.o.Faults && !n.w.noNet && a.rng.IntN(10) == 0 {
+		if n.w.options.Faults && !n.w.networkReliable && a.rng.IntN(10) == 0 {
 			deliver(a.between(time.Second, 10*time.Second))
 		}
 	}
@@ -196,7 +196,7 @@
 func (w *World) floodUsers() {
 	a := w.admission
 	for flood := range 3 {
-		at := a.between(0, w.o.Length*2/3)
+		at := a.between(0, w.options.Length*2/3)
 		for i := range jobsPerFlood {
 			j := &userJob{w: w, done: map[int]bool{}, run: a.between(4*time.Second, 12*time.Second)}
 			s := &j.spec
--- a/internal/simulation/cancel.go
+++ b/internal/simulation/cancel.go
@@ -9,15 +9,15 @@
 	"gingertally/internal/statestore"
 )
 
-// commitLater reads at once, and keeps the one transaction that it is given, to be sent.
-type commitLater struct {
+// recordedCommit reads at once, and keeps the one transaction that it is given, to be sent.
+type recordedCommit struct {
 	jobstore.Store
 	conds   []statestore.Compare
 	changes []statestore.Op
 }
 
 // Commit keeps the transaction; nobody knows yet what becomes of it.
-func (c *commitLater) Commit(_ context.Context, conds []statestore.Compare, changes []statestore.Op) (uint64, error) {
+func (c *recordedCommit) Commit(_ context.Context, conds []statestore.Compare, changes []statestore.Op) (uint64, error) {
 	c.conds, c.changes = conds, changes
 	return 0, statestore.ErrUnknownOutcome
 }
@@ -28,12 +28,12 @@
 	if !n.holdsLease() {
 		return // only the leader cancels
 	}
-	eng := n.eng
+	eng := n.engine
 	n.step(core.CancelRequested{Ref: ref})
-	sent := &commitLater{Store: n.storeView()}
+	sent := &recordedCommit{Store: n.storeView()}
 	st, err := jobstore.New(sent, n.limits()).Cancel(bg, ref, n.local(), jobstore.UnderTerm(n.term))
 	outcome := func() {
-		if n.eng == eng {
+		if n.engine == eng {
 			n.step(jobstore.CancelEvent(ref, st, err))
 		}
 		if err == nil {
@@ -59,9 +59,9 @@
 		}
 		outcome()
 	})
-	life := n.incarnation
+	incarnation := n.incarnation
 	n.w.after(callTimeout, func() {
-		n.run(life, func() {
+		n.run(incarnation, func() {
 			if !answered {
 				answered = true
 				outcome()
--- a/internal/simulation/checker.go
+++ b/internal/simulation/checker.go
@@ -48,13 +48,13 @@
 	}
 }
 
-func name(t *task) string { return fleet.TaskID{Ref: t.job.spec.Ref, Task: t.index}.String() }
+func taskName(t *task) string { return fleet.TaskID{Ref: t.job.spec.Ref, Task: t.index}.String() }
 
 // taskStarted checks a task's start: ran_twice, wrong_place, quota, ran_cancelled.
 func (c *checker) taskStarted(t *task) {
 	c.started++
 	c.progressed(t)
-	key := name(t)
+	key := taskName(t)
 	for o := range c.on[key] {
 		c.fail("ran_twice: %s starts on %s while on %s", key, t.m.name, o.m.name)
 	}
@@ -104,7 +104,7 @@
 		}
 	})
 	if s.OneZone && other > 0 {
-		c.fail("wrong_place: %s in %s while others are elsewhere", name(t), t.m.zone)
+		c.fail("wrong_place: %s in %s while others are elsewhere", taskName(t), t.m.zone)
 	}
 	if s.Spread && here > (s.Tasks+1)/2 {
 		c.fail("wrong_place: %d of %d tasks of %s in %s", here, s.Tasks, s.Ref, t.m.zone)
@@ -140,7 +140,7 @@
 	}
 }
 
-func (c *checker) left(t *task) { delete(c.on[name(t)], t) }
+func (c *checker) left(t *task) { delete(c.on[taskName(t)], t) }
 
 // stored looks at each change to the store: a job over is never taken back.
 func (c *checker) stored(changes []statestore.Op) {
@@ -167,7 +167,7 @@
 	if it == nil {
 		return f, false
 	}
-	if err := codec.Unmarshal(it.v, &f); err != nil {
+	if err := codec.Unmarshal(it.value, &f); err != nil {
 		c.fail("final entry of %s: %v", ref, err)
 	}
 	return f, true
@@ -175,7 +175,7 @@
 
 // mayBeCancelled tells whether somebody has asked to cancel a job or one that it needs.
 func (j *userJob) mayBeCancelled() bool {
-	if j.askedCancel {
+	if j.cancelRequested {
 		return true
 	}
 	for _, p := range j.dependencies {
@@ -190,12 +190,12 @@
 // is cancelled for the job still to be waiting.
 func (c *checker) orphan(j *userJob, since time.Time) *userJob {
 	for _, p := range j.dependencies {
-		if p.told == pipeline.Cancelled {
-			from := p.cancelTold
+		if p.reportedPhase == pipeline.Cancelled {
+			from := p.cancelReportedAt
 			if since.After(from) {
 				from = since
 			}
-			if c.w.now.Sub(from) > c.w.o.Cancel {
+			if c.w.now.Sub(from) > c.w.options.CancelWithin {
 				return p
 			}
 		}
@@ -214,44 +214,44 @@
 		c.fail("forgotten: %s", ref)
 	case v.Phase == pipeline.Done && len(j.done) != j.spec.Tasks:
 		c.fail("not_done: %s has %d of %d tasks", ref, len(j.done), j.spec.Tasks)
-	case j.told != pipeline.Active && v.Phase != j.told:
-		c.fail("went_back: %s from %v to %v", ref, j.told, v.Phase)
+	case j.reportedPhase != pipeline.Active && v.Phase != j.reportedPhase:
+		c.fail("went_back: %s from %v to %v", ref, j.reportedPhase, v.Phase)
 	case v.Phase == pipeline.Cancelled && !j.mayBeCancelled():
 		c.fail("went_back: %s cancelled by nobody", ref)
 	}
 	if v.Phase == pipeline.Active && len(j.dependencies) > 0 {
 		if p := c.orphan(j, j.acceptedAt); p != nil {
-			c.fail("orphaned: %s still waits, and %s has been cancelled since %s", ref, p.spec.Ref, p.cancelTold.Sub(c.w.start))
+			c.fail("orphaned: %s still waits, and %s has been cancelled since %s", ref, p.spec.Ref, p.cancelReportedAt.Sub(c.w.start))
 		}
 	}
-	if v.Phase == pipeline.Cancelled && j.told != pipeline.Cancelled {
-		j.cancelTold = c.w.now
-		c.w.script.confirmed(j)
-		c.w.after(c.w.o.Cancel, func() {
+	if v.Phase == pipeline.Cancelled && j.reportedPhase != pipeline.Cancelled {
+		j.cancelReportedAt = c.w.now
+		c.w.script.cancellationConfirmed(j)
+		c.w.after(c.w.options.CancelWithin, func() {
 			c.each(func(t *task) {
 				if t.job == j {
-					c.fail("ran_cancelled: %s is on %s", name(t), t.m.name)
+					c.fail("ran_cancelled: %s is on %s", taskName(t), t.m.name)
 				}
 			})
 		})
 	}
-	if j.told != v.Phase {
-		j.toldAt = c.w.now
+	if j.reportedPhase != v.Phase {
+		j.reportedAt = c.w.now
 	}
-	j.told = v.Phase
+	j.reportedPhase = v.Phase
 }
 
 // rememberedWithin is how long all questions about a job may fail once all
-// troubles are over.
+// faults are over.
 const rememberedWithin = 75 * time.Second
 
 // remembered checks, at a question about a job, that some are answered.
 func (c *checker) remembered(j *userJob) {
-	from := c.w.peace
-	if j.answered.After(from) {
-		from = j.answered
+	from := c.w.faultsEndedAt
+	if j.lastAnsweredAt.After(from) {
+		from = j.lastAnsweredAt
 	}
-	if !c.w.peace.IsZero() && c.w.now.Sub(from) > rememberedWithin {
+	if !c.w.faultsEndedAt.IsZero() && c.w.now.Sub(from) > rememberedWithin {
 		c.fail("forgotten: no question about %s was answered for %s", j.spec.Ref, c.w.now.Sub(from))
 	}
 }
@@ -262,8 +262,8 @@
 		return errors.New("nothing_ran")
 	}
 	for _, j := range c.w.sortedJobs() {
-		if (c.w.o.Jobs > 0 || c.w.o.ShortLease) && j.accepted && !j.mistake && j.told == pipeline.Active && j.spec.Shape != pipeline.Service {
-			return fmt.Errorf("seed %d: job %s never came to an end: %+v", c.w.o.Seed, j.spec.Ref, j.spec)
+		if (c.w.options.Jobs > 0 || c.w.options.ShortLease) && j.accepted && !j.failsAlways && j.reportedPhase == pipeline.Active && j.spec.Shape != pipeline.Service {
+			return fmt.Errorf("seed %d: job %s never came to an end: %+v", c.w.options.Seed, j.spec.Ref, j.spec)
 		}
 	}
 	return nil
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -10,11 +10,11 @@
 
 // cloudSim is the cloud: machines, a capacity for each offer, and a list that lags.
 type cloudSim struct {
-	w        *World
-	made     int
-	answered map[string][]string
-	down     bool
-	history  []snapshot
+	w               *World
+	made            int
+	scaleOutAnswers map[string][]string
+	down            bool
+	history         []snapshot
 }
 
 type snapshot struct {
@@ -28,7 +28,7 @@
 func (c *cloudSim) create(typ, zone string, spot bool, boot time.Duration) string {
 	name := fmt.Sprintf("m-%06d", c.made)
 	c.made++
-	m := &machine{w: c.w, name: name, typ: typ, zone: zone, spot: spot, born: c.w.now,
+	m := &machine{w: c.w, name: name, typ: typ, zone: zone, spot: spot, createdAt: c.w.now,
 		rate: c.w.shortLease.clockRate(1 + (c.w.rng.Float64()-0.5)*0.001), images: map[string]bool{}, tasks: map[string]*task{}}
 	c.w.machines[name] = m
 	c.w.after(boot, m.up)
@@ -39,7 +39,7 @@
 	if c.down {
 		return nil, false, false
 	}
-	if got, known := c.answered[r.Name]; known {
+	if got, known := c.scaleOutAnswers[r.Name]; known {
 		return got, false, true
 	}
 	have := 0
@@ -58,9 +58,9 @@
 		if c.w.chance(0.05) {
 			d = time.Hour // never comes up
 		}
-		names = append(names, c.create(r.Type, r.Zone, r.Spot, c.w.script.boot(d)))
+		names = append(names, c.create(r.Type, r.Zone, r.Spot, c.w.script.bootDelay(d)))
 	}
-	c.answered[r.Name] = names
+	c.scaleOutAnswers[r.Name] = names
 	return names, false, true
 }
 
@@ -88,7 +88,7 @@
 			st = core.InstanceStarting
 		}
 		s.list = append(s.list, core.Instance{Name: m.name, Addr: m.name, Type: m.typ, Zone: m.zone, Spot: m.spot,
-			Status: st, Age: c.w.now.Sub(m.born)})
+			Status: st, Age: c.w.now.Sub(m.createdAt)})
 	}
 	sort.Slice(s.list, func(i, k int) bool { return s.list[i].Name < s.list[k].Name })
 	c.history = append(c.history, s)
--- a/internal/simulation/consistency_probes.go
+++ b/internal/simulation/consistency_probes.go
@@ -29,27 +29,27 @@
 func (s *script) probeJob(j *userJob) {
 	for range 3 {
 		for _, n := range s.w.nodes {
-			s.at(s.between(1, 10*time.Millisecond), func() { s.ask(n, j) })
+			s.at(s.between(1, 10*time.Millisecond), func() { s.queryJob(n, j) })
 		}
 	}
 	n := s.w.nodes[s.rng.IntN(len(s.w.nodes))]
 	s.at(s.between(1, 10*time.Millisecond), func() { s.resubmit(n, j) })
 }
 
-// ask asks a node about a job: the answer is found some milliseconds after the
+// queryJob asks a node about a job: the answer is found some milliseconds after the
 // question, and arrives some later. Half of the questions meet a moment at which the
 // leader can't be asked, and are answered from the store.
-func (s *script) ask(n *node, j *userJob) {
-	asked, life := s.w.now, n.incarnation
+func (s *script) queryJob(n *node, j *userJob) {
+	asked, incarnation := s.w.now, n.incarnation
 	s.at(s.between(0, 4*time.Millisecond), func() {
-		n.run(life, func() {
-			v, known, ok := s.get(n, j.spec.Ref)
+		n.run(incarnation, func() {
+			v, known, ok := s.queryAtRandom(n, j.spec.Ref)
 			if !ok {
 				return
 			}
 			s.at(s.between(0, 4*time.Millisecond), func() {
-				s.note("consistency probes")
-				s.w.check.answered(j, asked, v, known)
+				s.count("consistency probes")
+				s.w.checker.answered(j, asked, v, known)
 			})
 		})
 	})
@@ -63,14 +63,14 @@
 	if !l.n.holdsLease() {
 		return v, false
 	}
-	return l.n.eng.Lookup(ref)
+	return l.n.engine.Lookup(ref)
 }
 
 // Ask asks the other nodes that this one reaches.
 func (l leaderView) Ask(_ context.Context, ref string) (v core.JobView, ok bool) {
 	for _, o := range l.n.w.nodes {
 		if o != l.n && l.n.reaches(o) && o.holdsLease() {
-			return o.eng.Lookup(ref)
+			return o.engine.Lookup(ref)
 		}
 	}
 	return v, false
@@ -102,9 +102,9 @@
 	return &userapi.Service{Jobs: simulatedClock{n.jobs, n}, Leader: leaderView{n}, Teams: n.w.teams, Catalog: func() placement.Catalog { return n.w.catalog }}
 }
 
-// post sends a submission's body to a node; status 0: no answer.
-func (*script) post(n *node, body any) userapi.Answer {
-	if n.down || n.stalled() || n.cutOff() {
+// postSubmission sends a submission's body to a node; status 0: no answer.
+func (*script) postSubmission(n *node, body any) userapi.Answer {
+	if n.down || n.paused() || n.cutOff() {
 		return userapi.Answer{}
 	}
 	answer := n.service().Submit(context.Background(), codec.MustMarshal(body))
@@ -133,10 +133,10 @@
 	return b
 }
 
-// get is what a node's users' calls answer to a question.
-func (s *script) get(n *node, ref string) (v core.JobView, known, ok bool) {
+// queryAtRandom is what a node's users' calls answer to a question.
+func (s *script) queryAtRandom(n *node, ref string) (v core.JobView, known, ok bool) {
 	if s.chance(0.5) {
-		return n.view(ref)
+		return n.answerQuery(ref)
 	}
 	a := n.service().Get(context.Background(), ref)
 	n.w.output.userAnswer(n, ref, a)
@@ -156,10 +156,10 @@
 	if !j.accepted {
 		return
 	}
-	asked, life := s.w.now, n.incarnation
+	asked, incarnation := s.w.now, n.incarnation
 	s.at(s.between(0, 4*time.Millisecond), func() {
-		n.run(life, func() {
-			a := s.post(n, bodyOf(&j.spec))
+		n.run(incarnation, func() {
+			a := s.postSubmission(n, bodyOf(&j.spec))
 			var v core.JobView
 			switch a.Status {
 			case 0, 503:
@@ -167,13 +167,13 @@
 			case 200, 201:
 				v.Phase = phaseOf(a)
 			default:
-				s.w.check.fail("forgotten: a repeated submission of %s gets %d", j.spec.Ref, a.Status)
+				s.w.checker.fail("forgotten: a repeated submission of %s gets %d", j.spec.Ref, a.Status)
 			}
-			s.note("repeated submissions answered")
-			if j.told != pipeline.Active {
-				s.note("repeated submissions of jobs over answered")
+			s.count("repeated submissions answered")
+			if j.reportedPhase != pipeline.Active {
+				s.count("repeated submissions of finished jobs answered")
 			}
-			s.at(s.between(0, 4*time.Millisecond), func() { s.w.check.answered(j, asked, v, true) })
+			s.at(s.between(0, 4*time.Millisecond), func() { s.w.checker.answered(j, asked, v, true) })
 		})
 	})
 }
@@ -198,7 +198,7 @@
 		for _, j := range s.sortedJobs() {
 			switch {
 			case !j.accepted:
-			case j.told == pipeline.Active:
+			case j.reportedPhase == pipeline.Active:
 				open = append(open, j)
 			default:
 				over = append(over, j)
@@ -210,17 +210,17 @@
 		if len(over) > 0 {
 			j := over[s.rng.IntN(len(over))]
 			s.resubmit(n, j)
-			if j.told == pipeline.Done {
-				s.note("cancellations of jobs done")
+			if j.reportedPhase == pipeline.Done {
+				s.count("cancellations of completed jobs")
 				j.cancel()
 			}
 		}
-		s.hopeless(n)
+		s.submitInvalid(n)
 	})
 }
 
-// hopeless submits a job that can't run or lacks a field; it must be refused.
-func (s *script) hopeless(n *node) {
+// submitInvalid submits a job that can't run or lacks a field; it must be refused.
+func (s *script) submitInvalid(n *node) {
 	s.jobs++
 	sp := pipeline.Spec{Class: "c", Team: "red", Image: "img-0", ImageGB: 1, Tasks: 2, CPUs: 1, MemGB: 1, Priority: pipeline.Normal, Estimate: time.Second}
 	sp.Ref = probeJobRefs.ref(s.jobs)
@@ -247,14 +247,14 @@
 			b[f] = nil
 		}
 	}
-	a := s.post(n, b)
+	a := s.postSubmission(n, b)
 	switch {
 	case a.Status == 0 || a.Status == 503:
 		return
 	case a.Status != want:
-		s.w.check.fail("accepted: a submission that must get %d gets %d: %v", want, a.Status, b)
+		s.w.checker.fail("accepted: a submission that must get %d gets %d: %v", want, a.Status, b)
 	case s.w.store.items["j/"+sp.Ref] != nil:
-		s.w.check.fail("accepted: %s is stored and was refused: %v", sp.Ref, b)
+		s.w.checker.fail("accepted: %s is stored and was refused: %v", sp.Ref, b)
 	}
-	s.note("hopeless submissions refused")
+	s.count("invalid submissions refused")
 }
--- a/internal/simulation/correlated_failures.go
+++ b/internal/simulation/correlated_failures.go
@@ -15,13 +15,13 @@
 }
 
 func (w *World) planCorrelatedFailures() {
-	f := &correlatedFailures{w: w, rng: rand.New(rand.NewPCG(w.o.Seed, 11))}
+	f := &correlatedFailures{w: w, rng: rand.New(rand.NewPCG(w.options.Seed, 11))}
 	w.correlated = f
 	for range 3 + f.rng.IntN(4) {
-		w.after(f.between(0, w.o.Length), f.failMachines)
+		w.after(f.between(0, w.options.Length), f.failMachines)
 	}
 	for range 3 + f.rng.IntN(6) {
-		w.after(f.between(0, w.o.Length), f.stallNode)
+		w.after(f.between(0, w.options.Length), f.pauseNode)
 	}
 }
 
@@ -34,7 +34,7 @@
 func (f *correlatedFailures) failMachines() {
 	w := f.w
 	share, kind := 0.2+0.8*f.rng.Float64(), f.rng.IntN(5)
-	hang := f.between(time.Second, 3*w.o.Lease)
+	hang := f.between(time.Second, 3*w.options.Lease)
 	for _, m := range w.sortedMachines() {
 		if f.rng.Float64() > share {
 			continue
@@ -46,7 +46,7 @@
 				m.die()
 			case kind == 1:
 				m.reboot()
-			case kind == 2 && !w.noNet:
+			case kind == 2 && !w.networkReliable:
 				m.inboundLost = true
 				w.after(hang, func() { m.inboundLost = false })
 			default:
@@ -66,9 +66,9 @@
 	}
 }
 
-// stallNode has a controller stall, mostly the leader; some end before
+// pauseNode has a controller stall, mostly the leader; some end before
 // they go on.
-func (f *correlatedFailures) stallNode() {
+func (f *correlatedFailures) pauseNode() {
 	w := f.w
 	n := w.nodes[f.rng.IntN(len(w.nodes))]
 	for _, o := range w.nodes {
@@ -83,20 +83,20 @@
 	if f.rng.IntN(3) == 0 {
 		d = f.between(6*time.Second, 60*time.Second)
 	}
-	n.stalledUntil = w.now.Add(d)
-	if life := n.incarnation; f.rng.IntN(5) == 0 {
+	n.pausedUntil = w.now.Add(d)
+	if incarnation := n.incarnation; f.rng.IntN(5) == 0 {
 		w.after(f.between(0, d), func() {
-			if n.incarnation == life && !n.down {
+			if n.incarnation == incarnation && !n.down {
 				n.crash(f.between(10*time.Millisecond, 4*time.Second))
 			}
 		})
 	}
 }
 
-// stallBeforeAnswer is how long an answer lay in a process that stalled after it had
+// pauseBeforeAnswer is how long an answer lay in a process that stalled after it had
 // checked its lease: seldom any time.
-func (f *correlatedFailures) stallBeforeAnswer() time.Duration {
-	if f.w.noNet || f.rng.IntN(100) > 0 {
+func (f *correlatedFailures) pauseBeforeAnswer() time.Duration {
+	if f.w.networkReliable || f.rng.IntN(100) > 0 {
 		return 0
 	}
 	return f.between(0, 6*time.Second)
--- /dev/null
+++ b/internal/simulation/counts_test.go
@@ -0,0 +1,13 @@
+package simulation
+
+import "testing"
+
+// requireAtLeast fails the test for each kind of event that came about less often than expected.
+func (c eventCounts) requireAtLeast(t *testing.T, least eventCounts) {
+	t.Helper()
+	for event, n := range least {
+		if c[event] < n {
+			t.Errorf("%s: %d, at least %d expected", event, c[event], n)
+		}
+	}
+}
--- a/internal/simulation/digest.go
+++ b/internal/simulation/digest.go
@@ -28,7 +28,7 @@
 	body, err := json.Marshal(what)
 	if err != nil {
 		body = fmt.Append(nil, "no JSON: ", err)
-		w.check.fail("the digest can't take in a %s: %v", kind, err)
+		w.checker.fail("the digest can't take in a %s: %v", kind, err)
 	}
 	text := fmt.Sprintf("%d %s %s %T %s\n", w.now.Sub(w.start), kind, who, what, body)
 	d.sum.Write([]byte(text))
--- a/internal/simulation/drain_check.go
+++ b/internal/simulation/drain_check.go
@@ -22,7 +22,7 @@
 // drainCheck holds the disruption budgets against what workers do. It knows nothing of the
 // planner: it counts the stops that reach tasks by nothing but the service's choice.
 type drainCheck struct {
-	d             *drainWorld
+	d             *drainOperators
 	interruptions []interruption
 	perTask       map[string]int
 	counted       map[string]bool           // attempts
@@ -41,7 +41,7 @@
 	team, class string
 }
 
-func newDrainCheck(d *drainWorld) *drainCheck {
+func newDrainCheck(d *drainOperators) *drainCheck {
 	return &drainCheck{d: d, perTask: map[string]int{}, counted: map[string]bool{}, down: map[*userJob]map[int]bool{},
 		leaving: map[*task]bool{}, cordoned: map[string]time.Time{}, sent: map[string]time.Time{}, released: map[string]bool{}, pages: map[string][]string{}}
 }
@@ -64,7 +64,7 @@
 	}
 	c := w.drains.check
 	key := taskKey(t.job.spec.Ref, t.index, t.attempt)
-	if c.counted[key] || t.job.done[t.index] || !w.check.byChoice(t) || c.gangBroken(t) || c.gangExcused(t) || c.productionLed() {
+	if c.counted[key] || t.job.done[t.index] || !w.checker.byChoice(t) || c.gangBroken(t) || c.gangExcused(t) || c.productionLed() {
 		return
 	}
 	budgets := c.applying(t.job)
@@ -72,11 +72,11 @@
 		return
 	}
 	c.counted[key] = true
-	c.perTask[name(t)]++
+	c.perTask[taskName(t)]++
 	c.interruptions = append(c.interruptions, interruption{w.now, t.job.spec.Team, t.job.spec.Class})
-	c.d.note("interruptions by choice")
+	c.d.count("interruptions by choice")
 	if isGang(t.job) {
-		c.d.note("interruptions of gangs")
+		c.d.count("interruptions of gangs")
 	}
 	c.leaving[t] = true
 	c.goesDown(t)
@@ -107,12 +107,12 @@
 		return false
 	}
 	for i := range t.job.spec.Tasks {
-		if c.d.w.check.preemptedAttempts[taskKey(t.job.spec.Ref, i, t.attempt)] {
+		if c.d.w.checker.preemptedAttempts[taskKey(t.job.spec.Ref, i, t.attempt)] {
 			return true
 		}
 	}
 	for _, o := range t.job.mates(t.attempt) {
-		if !c.d.w.check.byChoice(o) {
+		if !c.d.w.checker.byChoice(o) {
 			return true
 		}
 	}
@@ -126,7 +126,7 @@
 	c.down[t.job][t.index] = true
 }
 
-// runsAgain notes that a task runs.
+// runsAgain counts that a task runs.
 func (w *World) drainRuns(t *task) {
 	if w.drains != nil {
 		delete(w.drains.check.down[t.job], t.index)
@@ -141,12 +141,12 @@
 	}
 	c := w.drains.check
 	delete(c.leaving, t)
-	if t.job.askedCancel || !t.checkpointed || isGang(t.job) || t.m.hungUntil.After(c.sent[taskKey(t.job.spec.Ref, t.index, t.attempt)]) {
+	if t.job.cancelRequested || !t.checkpointed || isGang(t.job) || t.m.hungUntil.After(c.sent[taskKey(t.job.spec.Ref, t.index, t.attempt)]) {
 		return
 	}
 	for scope, b := range c.applying(t.job) {
 		if closedAt(b, w.now) {
-			w.check.fail("closed: %s is still saving on %s in a closed window of %s", name(t), t.m.name, scope)
+			w.checker.fail("closed: %s is still saving on %s in a closed window of %s", taskName(t), t.m.name, scope)
 		}
 	}
 }
@@ -158,8 +158,8 @@
 			continue
 		}
 		var record drain.ChargePage
-		if codec.Unmarshal(it.v, &record) != nil {
-			c.d.w.check.fail("%s can't be read", key)
+		if codec.Unmarshal(it.value, &record) != nil {
+			c.d.w.checker.fail("%s can't be read", key)
 			return
 		}
 		for _, job := range record.Jobs {
@@ -170,27 +170,27 @@
 			}
 		}
 	}
-	c.d.w.check.fail("uncharged: %s is stopped on %s by choice, and no charge is stored", name(t), t.m.name)
+	c.d.w.checker.fail("uncharged: %s is stopped on %s by choice, and no charge is stored", taskName(t), t.m.name)
 }
 
 // withinBudget holds one budget against a stop.
 func (c *drainCheck) withinBudget(t *task, scope drain.Scope, b drain.Budget) {
 	w := c.d.w
-	if b.TaskInterruptions != drain.Unlimited && c.perTask[name(t)] > b.TaskInterruptions {
-		w.check.fail("task budget: %s is stopped for the %d. time on %s, %d allowed", name(t), c.perTask[name(t)], t.m.name, b.TaskInterruptions)
+	if b.TaskInterruptions != drain.Unlimited && c.perTask[taskName(t)] > b.TaskInterruptions {
+		w.checker.fail("task budget: %s is stopped for the %d. time on %s, %d allowed", taskName(t), c.perTask[taskName(t)], t.m.name, b.TaskInterruptions)
 	}
 	if n := c.within(scope, b.Window); b.WindowInterruptions != drain.Unlimited && n > b.WindowInterruptions {
-		w.check.fail("window budget: %s is number %d of %s within %s, %d allowed", name(t), n, scope, b.Window, b.WindowInterruptions)
+		w.checker.fail("window budget: %s is number %d of %s within %s, %d allowed", taskName(t), n, scope, b.Window, b.WindowInterruptions)
 	}
 	if n := len(c.down[t.job]); b.MaxUnavailable != drain.Unlimited && n > b.MaxUnavailable {
-		w.check.fail("unavailable: with %s, %d tasks are down by choice, %d allowed", name(t), n, b.MaxUnavailable)
+		w.checker.fail("unavailable: with %s, %d tasks are down by choice, %d allowed", taskName(t), n, b.MaxUnavailable)
 	}
 	at := w.now
 	if sent := c.sent[taskKey(t.job.spec.Ref, t.index, t.attempt)]; isGang(t.job) || t.m.hungUntil.After(sent) {
 		at = sent // direct commands may be late, and a machine that hung acts when it goes on
 	}
 	if closedAt(b, at) {
-		w.check.fail("closed: %s is stopped on %s in a closed window of %s", name(t), t.m.name, scope)
+		w.checker.fail("closed: %s is stopped on %s in a closed window of %s", taskName(t), t.m.name, scope)
 	}
 }
 
@@ -208,7 +208,7 @@
 // isGang tells whether a job's tasks are stopped together, by direct commands.
 func isGang(j *userJob) bool { return j.spec.Shape == pipeline.Gang && j.spec.Tasks > 1 }
 
-// drainCommandSent notes when a direct command was sent.
+// drainCommandSent counts when a direct command was sent.
 func (w *World) drainCommandSent(d core.Direct) {
 	if w.drains == nil {
 		return
@@ -225,7 +225,7 @@
 // so shortly before that its commands may still arrive.
 func (c *drainCheck) productionLed() bool {
 	for _, n := range c.d.w.nodes {
-		if n.old && n.eng != nil {
+		if n.runsProduction && n.engine != nil {
 			c.oldLed = c.d.w.now
 		}
 	}
@@ -254,7 +254,7 @@
 		var record drain.MachinePage
 		if !change.Delete && strings.HasPrefix(page, cordonPrefix) {
 			if codec.Unmarshal(change.Value, &record) != nil {
-				c.d.w.check.fail("%s can't be read", page)
+				c.d.w.checker.fail("%s can't be read", page)
 			}
 		}
 		if !strings.HasPrefix(page, cordonPrefix) {
@@ -266,11 +266,11 @@
 			c.pages[page] = append(c.pages[page], m.Name)
 			if c.cordoned[m.Name].IsZero() {
 				c.cordoned[m.Name] = c.d.w.now
-				c.d.note("machines cordoned")
+				c.d.count("machines cordoned")
 			}
 			if m.State == drain.Released && !c.released[m.Name] {
 				c.released[m.Name] = true
-				c.d.note("machines released")
+				c.d.count("machines released")
 			}
 		}
 		for _, name := range before {
@@ -310,8 +310,8 @@
 		if command.Kind == fleet.Stop {
 			c.sent[key] = w.now
 		}
-		if since := c.cordoned[machine]; command.Kind == fleet.Start && !since.IsZero() && !w.o.Roll {
-			w.check.fail("cordoned: %s is started on %s, which has been cordoned for %s", key, machine, w.now.Sub(since))
+		if since := c.cordoned[machine]; command.Kind == fleet.Start && !since.IsZero() && !w.options.RollingUpgrade {
+			w.checker.fail("cordoned: %s is started on %s, which has been cordoned for %s", key, machine, w.now.Sub(since))
 		}
 	}
 }
--- a/internal/simulation/drains.go
+++ b/internal/simulation/drains.go
@@ -14,32 +14,32 @@
 	"gingertally/internal/jobstore"
 )
 
-// drainWorld adds to a world teams with disruption budgets and operators that have machines
+// drainOperators adds to a world teams with disruption budgets and operators that have machines
 // drained. It draws random numbers of its own, so that the other worlds of the same seed stay
 // what they are. A nil one does nothing.
-type drainWorld struct {
+type drainOperators struct {
 	w      *World
 	rng    *rand.Rand
 	policy *drain.Policy
 	plans  []string
 	check  *drainCheck
-	fault  drainFault
-	notes  map[string]int // what came about, and how often
+	fault  deliberateDrainFault
+	counts eventCounts // what came about, and how often
 
 	// what scripts have called when something happens
 	onCordon, onCharge, onScaleIn []func()
 }
 
 // call calls what waits for something.
-func (d *drainWorld) call(waiting []func()) {
+func (d *drainOperators) call(waiting []func()) {
 	for _, fn := range waiting {
 		d.w.after(0, fn)
 	}
 }
 
-// drainFault is a deliberate fault by which tests see a check fail. What isn't set is as it
+// deliberateDrainFault is a deliberate fault by which tests see a check fail. What isn't set is as it
 // should be.
-type drainFault struct {
+type deliberateDrainFault struct {
 	policy func(drain.Policy) drain.Policy                // that the controllers go by
 	stored func(*drain.Stored)                            // that a new leader reads
 	commit func([]statestore.Op) []statestore.Op          // that the state service is sent
@@ -49,21 +49,21 @@
 // drainSkew bounds how far the controllers' clocks are off in these worlds.
 const drainSkew = 250 * time.Millisecond
 
-func newDrainWorld(w *World) *drainWorld {
-	d := &drainWorld{w: w, rng: rand.New(rand.NewPCG(w.o.Seed, 23)), notes: map[string]int{}, fault: w.o.DrainFault}
+func newDrainWorld(w *World) *drainOperators {
+	d := &drainOperators{w: w, rng: rand.New(rand.NewPCG(w.options.Seed, 23)), counts: eventCounts{}, fault: w.options.DrainFault}
 	d.policy = d.randomPolicy()
 	d.check = newDrainCheck(d)
 	return d
 }
 
-func (d *drainWorld) between(lo, hi time.Duration) time.Duration {
+func (d *drainOperators) between(lo, hi time.Duration) time.Duration {
 	return lo + time.Duration(d.rng.Int64N(int64(hi-lo)+1))
 }
 
-func (d *drainWorld) note(what string) { d.notes[what]++ }
+func (d *drainOperators) count(what string) { d.counts[what]++ }
 
 // randomPolicy gives the teams budgets of every kind.
-func (d *drainWorld) randomPolicy() *drain.Policy {
+func (d *drainOperators) randomPolicy() *drain.Policy {
 	p := &drain.Policy{Budgets: map[drain.Scope]drain.Budget{}, FinishWait: d.between(2*time.Second, 20*time.Second), Skew: drainSkew}
 	for _, team := range []string{"red", "blue", "amber"} {
 		b := drain.NewBudget()
@@ -89,9 +89,9 @@
 }
 
 // randomWindows are closed windows that come and go within the world.
-func (d *drainWorld) randomWindows() []drain.ClosedWindow {
+func (d *drainOperators) randomWindows() []drain.ClosedWindow {
 	var out []drain.ClosedWindow
-	for at := d.between(0, 40*time.Second); at < d.w.o.Length; at += d.between(30*time.Second, 60*time.Second) {
+	for at := d.between(0, 40*time.Second); at < d.w.options.Length; at += d.between(30*time.Second, 60*time.Second) {
 		from := d.w.start.Add(at).In(time.UTC)
 		day := time.Date(from.Year(), from.Month(), from.Day(), 0, 0, 0, 0, time.UTC)
 		begin := from.Sub(day).Truncate(time.Second)
@@ -105,7 +105,7 @@
 }
 
 // nodePolicy are the budgets that the controllers go by.
-func (d *drainWorld) nodePolicy() *drain.Policy {
+func (d *drainOperators) nodePolicy() *drain.Policy {
 	if d.fault.policy == nil {
 		return d.policy
 	}
@@ -114,18 +114,18 @@
 }
 
 // start plans what operators ask for.
-func (d *drainWorld) start() {
+func (d *drainOperators) start() {
 	if d == nil {
 		return
 	}
 	d.planJobs()
 	for range 2 + d.rng.IntN(3) {
-		d.w.after(d.between(5*time.Second, d.w.o.Length*2/3), d.request)
+		d.w.after(d.between(5*time.Second, d.w.options.Length*2/3), d.request)
 	}
 	for range 3 {
-		d.w.after(d.between(20*time.Second, d.w.o.Length), d.interfere)
+		d.w.after(d.between(20*time.Second, d.w.options.Length), d.interfere)
 	}
-	d.w.after(d.w.o.Length+30*time.Second, func() {
+	d.w.after(d.w.options.Length+30*time.Second, func() {
 		for _, id := range d.plans {
 			d.cancel(id)
 		}
@@ -133,8 +133,8 @@
 }
 
 // planJobs submits long work of the teams with budgets: what doesn't end while drains go on.
-// It is cancelled when the troubles are over.
-func (d *drainWorld) planJobs() {
+// It is cancelled when the faults are over.
+func (d *drainOperators) planJobs() {
 	for i, shape := range []pipeline.Shape{pipeline.Array, pipeline.Service, pipeline.Array, pipeline.Gang} {
 		s := pipeline.Spec{Ref: drainJobRefs.ref(i), Class: []string{"c", "long"}[d.rng.IntN(2)], Team: []string{"red", "blue"}[i%2], Shape: shape,
 			Tasks: 2 + d.rng.IntN(2), CPUs: 1, MemGB: 1, Image: "img-0", ImageGB: 1, Estimate: endless, Priority: pipeline.High}
@@ -144,12 +144,12 @@
 		j := &userJob{w: d.w, spec: s, run: endless, done: map[int]bool{}}
 		d.w.jobs[s.Ref] = j
 		d.w.after(d.between(0, 15*time.Second), j.submit)
-		d.w.after(d.w.o.Length+d.between(0, 20*time.Second), j.cancel)
+		d.w.after(d.w.options.Length+d.between(0, 20*time.Second), j.cancel)
 	}
 }
 
 // request has an operator ask for a new drain, some of them at two controllers at once.
-func (d *drainWorld) request() {
+func (d *drainOperators) request() {
 	p := drain.Plan{ID: fmt.Sprintf("plan-%d", len(d.plans)), MaxAtOnce: 1 + d.rng.IntN(3), Surge: d.rng.IntN(3), KeepCordoned: d.rng.IntN(3) == 0}
 	switch d.rng.IntN(4) {
 	case 0:
@@ -170,13 +170,13 @@
 }
 
 // create sends a request to some controller until it is answered.
-func (d *drainWorld) create(p drain.Plan) {
+func (d *drainOperators) create(p drain.Plan) {
 	n := d.anyNode()
 	answered := false
-	if !n.down && !n.stalled() {
+	if !n.down && !n.paused() {
 		n.call(func() {
 			if _, err := n.jobs.CreateDrainPlan(bg, p, n.local()); err == nil {
-				d.note("plans accepted")
+				d.count("plans accepted")
 				answered = true
 			}
 		}, func() {})
@@ -189,7 +189,7 @@
 }
 
 // interfere has an operator pause, resume or cancel a plan.
-func (d *drainWorld) interfere() {
+func (d *drainOperators) interfere() {
 	if len(d.plans) == 0 {
 		return
 	}
@@ -203,20 +203,20 @@
 }
 
 // change has a plan's phase changed at some controller, as far as it can be reached.
-func (d *drainWorld) change(id string, to drain.Phase) {
+func (d *drainOperators) change(id string, to drain.Phase) {
 	n := d.anyNode()
-	if n.down || n.stalled() {
+	if n.down || n.paused() {
 		return
 	}
 	n.call(func() {
 		if _, err := n.jobs.ChangeDrainPlan(bg, id, to); err == nil {
-			d.note(to.String())
+			d.count(to.String())
 		}
 	}, func() {})
 }
 
 // cancel has a plan cancelled, again and again until it is over.
-func (d *drainWorld) cancel(id string) {
+func (d *drainOperators) cancel(id string) {
 	d.change(id, drain.Cancelled)
 	d.w.after(5*time.Second, func() {
 		stored, err := d.w.nodes[0].jobs.DrainPlan(bg, id)
@@ -226,10 +226,10 @@
 	})
 }
 
-func (d *drainWorld) anyNode() *node { return d.w.nodes[d.rng.IntN(len(d.w.nodes))] }
+func (d *drainOperators) anyNode() *node { return d.w.nodes[d.rng.IntN(len(d.w.nodes))] }
 
 // drainsOn tells whether a node runs a version that knows of drains.
-func (n *node) drainsOn() bool { return n.w.drains != nil && !n.old }
+func (n *node) drainsOn() bool { return n.w.drains != nil && !n.runsProduction }
 
 // readDrains reads what is stored of drains for a new leader.
 func (n *node) readDrains(snap *core.Snapshot) error {
@@ -246,16 +246,16 @@
 
 // writePlan writes a leader's change of a plan's record.
 func (n *node) writePlan(w drain.PlanWrite) {
-	eng, term, jobs, life := n.eng, n.term, n.jobs, n.incarnation
+	eng, term, jobs, incarnation := n.engine, n.term, n.jobs, n.incarnation
 	answered, ok := false, false
 	done := func() {
-		if !answered && n.eng == eng && eng != nil {
+		if !answered && n.engine == eng && eng != nil {
 			answered = true
 			n.step(core.DrainPlanWritten{Write: w, OK: ok})
 		}
 	}
 	n.call(func() { ok = jobs.WriteDrainPlan(bg, term, w) == nil }, done)
-	n.w.after(callTimeout, func() { n.run(life, done) })
+	n.w.after(callTimeout, func() { n.run(incarnation, done) })
 }
 
 // drainChanged lets watches see changes of plans, and the checker changes of cordons.
@@ -278,22 +278,22 @@
 			continue
 		}
 		for _, n := range w.nodes {
-			if n.eng != nil && n.drainsOn() {
-				w.watched(n, n.eng, w.between(time.Millisecond, 200*time.Millisecond), func() { n.takePlan(id) })
+			if n.engine != nil && n.drainsOn() {
+				w.deliverWatch(n, n.engine, w.between(time.Millisecond, 200*time.Millisecond), func() { n.loadDrainPlan(id) })
 			}
 		}
 	}
 }
 
-// takePlan brings a leader a plan as it is stored.
-func (n *node) takePlan(id string) {
+// loadDrainPlan brings a leader a plan as it is stored.
+func (n *node) loadDrainPlan(id string) {
 	if stored, err := n.jobs.DrainPlan(bg, id); err == nil {
 		n.step(core.DrainPlanStored{Stored: stored})
 	}
 }
 
 // spoilCommit carries a deliberate fault out on what the state service is sent.
-func (d *drainWorld) spoilCommit(changes []statestore.Op) []statestore.Op {
+func (d *drainOperators) spoilCommit(changes []statestore.Op) []statestore.Op {
 	if d == nil || d.fault.commit == nil {
 		return changes
 	}
--- a/internal/simulation/drains_test.go
+++ b/internal/simulation/drains_test.go
@@ -16,46 +16,39 @@
 const drainSeeds = 12
 
 // TestDrainWorlds plays worlds of every family in which operators drain machines while teams
-// have budgets of every kind, with all troubles, and the warm standby on in every other one.
+// have budgets of every kind, with all faults, and the warm standby on in every other one.
 // Besides all rules, the budgets and cordons hold after every step.
 func TestDrainWorlds(t *testing.T) {
-	from := map[string]uint64{"peace": 1, "troubles": 1000, "many fall together": 3000, "pipelines": 5000, "short leases": 7000}
-	notes := map[string]int{}
+	counts := eventCounts{}
 	for _, f := range families {
 		for seed := range uint64(drainSeeds) {
-			o := f.options(from[f.name] + seed)
-			o.Draining, o.Standby = true, seed%2 == 0
+			o := f.options(f.firstSeed + seed)
+			o.Drains, o.Standby = true, seed%2 == 0
 			w := NewWorld(o)
 			if err := w.Run(); err != nil {
 				t.Errorf("%s: %v", f.name, err)
 			}
-			for what, n := range w.drains.notes {
-				notes[what] += n
-			}
-		}
-	}
-	for what, least := range map[string]int{"plans accepted": 100, "machines cordoned": 100, "machines released": 50, "interruptions by choice": 40, "interruptions of gangs": 5} {
-		if notes[what] < least {
-			t.Errorf("%s: %d, at least %d expected", what, notes[what], least)
+			counts.addAll(w.drains.counts)
 		}
 	}
-	t.Log(notes)
+	counts.requireAtLeast(t, eventCounts{"plans accepted": 100, "machines cordoned": 100, "machines released": 50, "interruptions by choice": 40, "interruptions of gangs": 5})
+	t.Log(counts)
 }
 
 // Each check of drains is seen to fail under a deliberate fault.
 func TestDrainChecksSeeFaults(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		fault drainFault
+		fault deliberateDrainFault
 		says  string
 	}{
-		{"charges after the stop", drainFault{batch: chargeAfterTheStop}, "uncharged"},
-		{"charges kept in memory", drainFault{commit: dropCharges}, "uncharged"},
-		{"cordons forgotten at a takeover", drainFault{stored: func(s *drain.Stored) { s.Machines = nil }}, "cordoned"},
-		{"a gang charged as one task", drainFault{commit: chargeOneTask}, "uncharged"},
-		{"closed windows forgotten", drainFault{policy: withoutClosedWindows}, "closed"},
-		{"budgets of tasks forgotten", drainFault{policy: withoutTaskBudgets}, "task budget"},
-		{"budgets of windows forgotten", drainFault{policy: withoutWindowBudgets}, "window budget"},
+		{"charges after the stop", deliberateDrainFault{batch: chargeAfterTheStop}, "uncharged"},
+		{"charges kept in memory", deliberateDrainFault{commit: dropCharges}, "uncharged"},
+		{"cordons forgotten at a takeover", deliberateDrainFault{stored: func(s *drain.Stored) { s.Machines = nil }}, "cordoned"},
+		{"a gang charged as one task", deliberateDrainFault{commit: chargeOneTask}, "uncharged"},
+		{"closed windows forgotten", deliberateDrainFault{policy: withoutClosedWindows}, "closed"},
+		{"budgets of tasks forgotten", deliberateDrainFault{policy: withoutTaskBudgets}, "task budget"},
+		{"budgets of windows forgotten", deliberateDrainFault{policy: withoutWindowBudgets}, "window budget"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -67,13 +60,13 @@
 }
 
 // faultSeen tells whether a world with a deliberate fault breaks a rule.
-func faultSeen(fault drainFault, says string) bool {
+func faultSeen(fault deliberateDrainFault, says string) bool {
 	for seed := range uint64(150) {
-		o := options(1000+seed, true)
+		o := randomOptions(1000+seed, true)
 		if seed%2 == 0 {
-			o = shortLeases(7000 + seed)
+			o = shortLeaseOptions(7000 + seed)
 		}
-		o.Draining, o.DrainFault = true, fault
+		o.Drains, o.DrainFault = true, fault
 		if err := NewWorld(o).Run(); err != nil && strings.Contains(err.Error(), says) {
 			return true
 		}
--- a/internal/simulation/election.go
+++ b/internal/simulation/election.go
@@ -11,9 +11,9 @@
 	"gingertally/internal/leadership"
 )
 
-// lead claims the leader lease, or renews it.
-func (n *node) lead() {
-	if n.eng != nil {
+// claimOrRenew claims the leader lease, or renews it.
+func (n *node) claimOrRenew() {
+	if n.engine != nil {
 		n.requestExtensions()
 		n.renew()
 		return
@@ -36,17 +36,17 @@
 		switch {
 		case n.storeDown():
 		case w.lease.alive(w.now, lease):
-			w.lease.until, renewed = w.now.Add(w.o.LeaseTTL), true
+			w.lease.until, renewed = w.now.Add(w.options.LeaseTTL), true
 		default:
 			over = true
 		}
 	}, func() {
 		switch {
-		case n.eng == nil || n.lease != lease:
+		case n.engine == nil || n.lease != lease:
 		case over:
 			n.endTerm()
 		case renewed:
-			n.prove(sent)
+			n.leaseProven(sent)
 		}
 	}, true)
 }
@@ -56,23 +56,23 @@
 	sent := n.local()
 	n.claims++
 	claim := n.claims
-	n.claiming = claim
-	life := n.incarnation
+	n.pendingClaim = claim
+	incarnation := n.incarnation
 	n.w.after(callTimeout, func() { // without an answer by then it is never acted on
-		n.run(life, func() {
-			if n.claiming == claim {
-				n.claiming = 0
+		n.run(incarnation, func() {
+			if n.pendingClaim == claim {
+				n.pendingClaim = 0
 			}
 		})
 	})
 	var t leadership.Term
 	var lease int
 	n.send(func() { t, lease = n.nextTerm() }, func() {
-		if n.claiming != claim {
+		if n.pendingClaim != claim {
 			return
 		}
-		n.claiming = 0
-		if t.Number != 0 && n.eng == nil {
+		n.pendingClaim = 0
+		if t.Number != 0 && n.engine == nil {
 			n.elected(t, lease, sent)
 		}
 	}, true)
@@ -103,22 +103,22 @@
 		return t, 0
 	}
 	w.lease.id++
-	w.lease.until = w.now.Add(w.o.LeaseTTL)
+	w.lease.until = w.now.Add(w.options.LeaseTTL)
 	return leadership.Term{Number: tv.N, Revision: rev, Restored: restored}, w.lease.id
 }
 
-// storeLease is the lease under the leader's key.
-type storeLease struct {
+// leaderLease is the lease under the leader's key.
+type leaderLease struct {
 	id    int
 	until time.Time
 }
 
-func (l *storeLease) held(now time.Time) bool { return now.Before(l.until) }
+func (l *leaderLease) held(now time.Time) bool { return now.Before(l.until) }
 
-func (l *storeLease) alive(now time.Time, id int) bool { return l.id == id && l.held(now) }
+func (l *leaderLease) alive(now time.Time, id int) bool { return l.id == id && l.held(now) }
 
-func (n *node) prove(sent time.Time) {
-	if u := sent.Add(n.w.o.LeaseTTL - n.w.o.LeaseTTL/500 - 100*time.Millisecond); u.After(n.leaseUntil) {
+func (n *node) leaseProven(sent time.Time) {
+	if u := sent.Add(n.w.options.LeaseTTL - n.w.options.LeaseTTL/500 - 100*time.Millisecond); u.After(n.leaseUntil) {
 		lapsed := !n.holdsLease()
 		n.leaseUntil = u
 		if lapsed && n.holdsLease() {
@@ -134,8 +134,8 @@
 	}
 	n.term, n.lease, n.writing, n.leaseUntil, n.extensions = t, lease, false, time.Time{}, map[*node]time.Time{}
 	snap.Restored = t.Restored
-	n.eng = core.New(n.local(), n.coreConfig(), t.Number, snap, rand.New(rand.NewPCG(t.Number, n.w.o.Seed)))
+	n.engine = core.New(n.local(), n.coreConfig(), t.Number, snap, rand.New(rand.NewPCG(t.Number, n.w.options.Seed)))
 	n.warmStart(t, revision)
-	n.prove(sent)
+	n.leaseProven(sent)
 	n.step(core.CatalogUpdated{Types: n.w.catalog})
 }
--- a/internal/simulation/fault_scenarios_test.go
+++ b/internal/simulation/fault_scenarios_test.go
@@ -12,22 +12,22 @@
 	"gingertally/internal/core/placement"
 )
 
-// faultScenario is a row of TestFaultScenarios: troubles that meet, and what must have come
+// faultScenario is a row of TestFaultScenarios: faults that meet, and what must have come
 // about, over all its seeds, for the row to prove anything.
 type faultScenario struct {
 	name   string
-	noise  bool // every other seed has all other troubles on top
+	noise  bool // every other seed has all other faults on top
 	length time.Duration
 	alter  func(o *Options)
 	script func(s *script)
-	least  map[string]int
+	least  eventCounts
 }
 
-// seedsOf is how many worlds each fault scenario has.
-const seedsOf = 4
+// seedsPerScenario is how many worlds each fault scenario has.
+const seedsPerScenario = 4
 
 func (m *faultScenario) options(i uint64) Options {
-	o := options(9000+i, m.noise && i%2 == 1)
+	o := randomOptions(9000+i, m.noise && i%2 == 1)
 	o.Jobs = 0
 	if m.length > 0 {
 		o.Length = m.length
@@ -38,20 +38,20 @@
 	return o
 }
 
-// refusedThenOut has the state service refuse the leader alone; the next one confirms
+// refusedLeaderThenOutage has the state service refuse the leader alone; the next one confirms
 // cancellations to users; then the state service is out for all, while the workers
 // keep reporting to the old leader.
-func refusedThenOut(s *script, at time.Duration, out func(s *script)) {
+func refusedLeaderThenOutage(s *script, at time.Duration, out func(s *script)) {
 	outage := func(old *node) {
-		s.note("outage after confirmation by the next leader")
+		s.count("outage after confirmation by the next leader")
 		s.noteCancelledWithTasks()
 		out(s)
-		s.sendHeartbeatsTo(old, 2*s.w.o.Cancel)
+		s.sendHeartbeatsTo(old, 2*s.w.options.CancelWithin)
 	}
 	s.at(at, func() {
-		s.withLeader(func(old *node) {
+		s.onceLeader(func(old *node) {
 			s.refuse(old, s.between(20*time.Second, 70*time.Second))
-			s.afterLeader(old, func(*node) {
+			s.onceNextLeader(old, func(*node) {
 				s.at(s.between(0, 3*time.Second), func() { s.afterNextConfirmation(func() { outage(old) }) })
 			})
 		})
@@ -61,9 +61,9 @@
 // afterNextConfirmation cancels jobs, and does something within a second of the first
 // confirmation that a user gets.
 func (s *script) afterNextConfirmation(fn func()) {
-	before := s.notes["confirmed"]
+	before := s.counts["cancellations confirmed"]
 	s.cancelNow(3, 0)
-	s.when(func() bool { return s.notes["confirmed"] > before }, func() {
+	s.when(func() bool { return s.counts["cancellations confirmed"] > before }, func() {
 		s.at(s.between(0, time.Second), fn)
 	})
 }
@@ -72,8 +72,8 @@
 // still have tasks on machines.
 func (s *script) noteCancelledWithTasks() {
 	for _, j := range s.sortedJobs() {
-		if j.told == pipeline.Cancelled && s.tasksOf(j) > 0 {
-			s.note("cancelled jobs with tasks as the outage began")
+		if j.reportedPhase == pipeline.Cancelled && s.tasksOf(j) > 0 {
+			s.count("cancelled jobs with tasks as the outage began")
 		}
 	}
 }
@@ -86,7 +86,7 @@
 				for i, o := range s.w.nodes {
 					if o == n {
 						m.target = i
-						s.note("workers aimed at the old leader")
+						s.count("workers directed to the old leader")
 					}
 				}
 			}
@@ -94,17 +94,17 @@
 	}
 }
 
-// limitAll gives each team a limit that long jobs fill.
-func limitAll(s *script) {
+// limitTeams gives each team a limit that long jobs fill.
+func limitTeams(s *script) {
 	for _, t := range []string{"red", "blue", "green"} {
 		s.w.teams[t] = placement.Quota{CPULimit: 10, GPULimit: 4}
 	}
 }
 
-// full notes whether a team is at its limit: no further task of two GuaranteedCPUs is allowed.
-func (s *script) full(team string) bool {
+// teamAtLimit counts whether a team is at its limit: no further task of two GuaranteedCPUs is allowed.
+func (s *script) teamAtLimit(team string) bool {
 	var cpus float64
-	s.w.check.each(func(t *task) {
+	s.w.checker.each(func(t *task) {
 		if t.job.spec.Team == team {
 			cpus += t.job.spec.CPUs
 		}
@@ -112,53 +112,49 @@
 	return !s.w.teams[team].Within(cpus+2, 0)
 }
 
-// changes ends the leader again and again.
-func changes(s *script, from, period time.Duration, lo, hi time.Duration) {
-	s.every(from, period, func() { s.crash(s.ruling(), s.between(lo, hi)) })
+// crashLeaderRepeatedly ends the leader again and again.
+func crashLeaderRepeatedly(s *script, from, period time.Duration, lo, hi time.Duration) {
+	s.every(from, period, func() { s.crash(s.currentLeader(), s.between(lo, hi)) })
 }
 
-// someCancel has a share of the users call off their jobs soon after they were accepted.
-func someCancel(s *script, share float64, within time.Duration) {
+// cancelShare has a share of the users call off their jobs soon after they were accepted.
+func cancelShare(s *script, share float64, within time.Duration) {
 	s.onAccepted = append(s.onAccepted, func(j *userJob) {
 		if s.chance(share) {
-			s.note("called off")
+			s.count("cancellations requested")
 			s.at(s.between(0, within), j.cancel)
 		}
 	})
 }
 
-// atEndOf does something at the very moment at which a job's last task ends.
-func atEndOf(s *script, share float64, fn func(j *userJob)) {
+// whenJobEnds does something at the very moment at which a job's last task ends.
+func whenJobEnds(s *script, share float64, fn func(j *userJob)) {
 	s.onEnded = append(s.onEnded, func(j *userJob) {
 		if j.accepted && s.chance(share) {
-			s.note("ends met")
+			s.count("job ends met")
 			fn(j)
 		}
 	})
 }
 
-// TestFaultScenarios plays worlds in which troubles meet at just the wrong moments, and
+// TestFaultScenarios plays worlds in which faults meet at just the wrong moments, and
 // holds every rule against each step. A row whose scenario didn't come about proves
 // nothing, and fails.
 func TestFaultScenarios(t *testing.T) {
 	for i := range faultScenarios {
 		m := &faultScenarios[i]
 		t.Run(m.name, func(t *testing.T) {
-			notes := map[string]int{}
-			for k := range uint64(seedsOf) {
-				m.play(t, uint64(i)*100+k, notes, false)
+			counts := eventCounts{}
+			for k := range uint64(seedsPerScenario) {
+				m.play(t, uint64(i)*100+k, counts, false)
 			}
-			for what, least := range m.least {
-				if notes[what] < least {
-					t.Errorf("%s: %d, at least %d expected", what, notes[what], least)
-				}
-			}
-			t.Log(notes)
+			counts.requireAtLeast(t, m.least)
+			t.Log(counts)
 		})
 	}
 }
 
-func (m *faultScenario) play(t *testing.T, seed uint64, notes map[string]int, trace bool) {
+func (m *faultScenario) play(t *testing.T, seed uint64, counts eventCounts, trace bool) {
 	t.Helper()
 	o := m.options(seed)
 	o.Standby = o.Standby || os.Getenv("SIMULATION_STANDBY") != ""
@@ -174,26 +170,20 @@
 		t.Error(err)
 		return
 	}
-	for what, n := range s.notes {
-		notes[what] += n
-	}
+	counts.addAll(s.counts)
 	if w.standbys != nil {
-		for what, n := range w.standbys.notes {
-			notes[what] += n
-		}
+		counts.addAll(w.standbys.counts)
 	}
 	if w.drains != nil {
-		for what, n := range w.drains.notes {
-			notes[what] += n
-		}
+		counts.addAll(w.drains.counts)
 	}
-	notes["starts after a confirmed cancellation"] += w.check.startsCancelled
+	counts["starts after a confirmed cancellation"] += w.checker.startsCancelled
 	for _, j := range s.sortedJobs() {
 		switch {
 		case !j.accepted:
-			t.Errorf("seed %d: %s was never accepted", w.o.Seed, j.spec.Ref)
-		case j.told == pipeline.Active:
-			t.Errorf("seed %d: %s never came to an end: %+v", w.o.Seed, j.spec.Ref, j.spec)
+			t.Errorf("seed %d: %s was never accepted", w.options.Seed, j.spec.Ref)
+		case j.reportedPhase == pipeline.Active:
+			t.Errorf("seed %d: %s never came to an end: %+v", w.options.Seed, j.spec.Ref, j.spec)
 		}
 	}
 }
@@ -211,7 +201,7 @@
 		t.Run(all[i].name, func(t *testing.T) {
 			t.Parallel()
 			for k := range n {
-				all[i].play(t, from+k, map[string]int{}, os.Getenv("SIMULATION_TRACE") != "")
+				all[i].play(t, from+k, eventCounts{}, os.Getenv("SIMULATION_TRACE") != "")
 			}
 		})
 	}
--- a/internal/simulation/troubles.go
+++ b/internal/simulation/faults.go
@@ -8,21 +8,21 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// The troubles that scripts are made of. Each notes that it came about.
+// The faults that scripts are made of. Each counts that it came about.
 
 // refuse has the state service refuse one node alone: nothing that it asks is
 // executed, its leases run out, its watches wait and go on afterwards.
 func (s *script) refuse(n *node, d time.Duration) {
-	if n == nil || n.refused {
+	if n == nil || n.refusedByStore {
 		return
 	}
-	s.note("refused nodes")
-	n.refused = true
-	s.w.after(d, func() { n.refused = false })
+	s.count("nodes refused by the state service")
+	n.refusedByStore = true
+	s.w.after(d, func() { n.refusedByStore = false })
 }
 
-// ruling is the node that may act now, nil if none does.
-func (s *script) ruling() *node {
+// currentLeader is the node that may act now, nil if none does.
+func (s *script) currentLeader() *node {
 	for _, n := range s.w.nodes {
 		if n.holdsLease() {
 			return n
@@ -31,19 +31,19 @@
 	return nil
 }
 
-// withLeader does something with the leader, as soon as there is one.
-func (s *script) withLeader(fn func(n *node)) {
-	s.when(func() bool { return s.ruling() != nil }, func() {
-		if n := s.ruling(); n != nil {
+// onceLeader does something with the leader, as soon as there is one.
+func (s *script) onceLeader(fn func(n *node)) {
+	s.when(func() bool { return s.currentLeader() != nil }, func() {
+		if n := s.currentLeader(); n != nil {
 			fn(n)
 		}
 	})
 }
 
-// afterLeader does something once another leader than this one rules.
-func (s *script) afterLeader(old *node, fn func(n *node)) {
-	s.when(func() bool { n := s.ruling(); return n != nil && n != old }, func() {
-		if n := s.ruling(); n != nil {
+// onceNextLeader does something once another leader than this one rules.
+func (s *script) onceNextLeader(old *node, fn func(n *node)) {
+	s.when(func() bool { n := s.currentLeader(); return n != nil && n != old }, func() {
+		if n := s.currentLeader(); n != nil {
 			fn(n)
 		}
 	})
@@ -54,7 +54,7 @@
 	if s.w.store.down {
 		return
 	}
-	s.note("outages")
+	s.count("outages")
 	s.w.outage(d)
 }
 
@@ -71,50 +71,50 @@
 		return
 	}
 	if n.holdsLease() {
-		s.note("leaders ended")
+		s.count("leaders crashed")
 	}
 	n.crash(back)
 }
 
-// handOver ends the leader, which gives its lease up.
-func (s *script) handOver(back time.Duration) {
-	n := s.ruling()
+// shutDownLeader ends the leader, which gives its lease up.
+func (s *script) shutDownLeader(back time.Duration) {
+	n := s.currentLeader()
 	if n == nil {
 		return
 	}
-	if !s.w.store.down && !n.refused && !n.cutOff() && s.w.lease.id == n.lease {
+	if !s.w.store.down && !n.refusedByStore && !n.cutOff() && s.w.lease.id == n.lease {
 		s.w.lease.until = s.w.now
 	}
 	n.nameSuccessor()
-	s.note("handed over")
+	s.count("leaders shut down")
 	s.crash(n, back)
 }
 
 // crashAll ends all nodes within a second; each is back after a while.
 func (s *script) crashAll(lo, hi time.Duration) {
-	s.note("all ended")
+	s.count("crashes of all controllers")
 	for _, n := range s.w.nodes {
 		s.at(s.between(0, min(time.Second, lo)), func() { s.crash(n, s.between(lo, hi)) })
 	}
 }
 
-// alone cuts a node off from the state service and the other nodes, while workers
+// partitionFromPeersAndStore cuts a node off from the state service and the other nodes, while workers
 // and users reach it.
-func (s *script) alone(n *node, d time.Duration) {
-	s.note("nodes alone")
-	n.noStore, n.noPeers = true, true
-	s.w.after(d, func() { n.noStore, n.noPeers = false, false })
+func (s *script) partitionFromPeersAndStore(n *node, d time.Duration) {
+	s.count("nodes partitioned from peers and state service")
+	n.storeUnreachable, n.peersUnreachable = true, true
+	s.w.after(d, func() { n.storeUnreachable, n.peersUnreachable = false, false })
 }
 
 // cutZone cuts a zone off with all in it.
 func (s *script) cutZone(zone string, d time.Duration) {
-	s.note("zones cut")
+	s.count("zones cut off")
 	s.w.cutZones[zone] = true
 	s.w.after(d, func() { delete(s.w.cutZones, zone) })
 }
 
-// some are the machines that are up, each with some chance.
-func (s *script) some(share float64, only func(m *machine) bool) []*machine {
+// sampleMachines are the machines that are up, each with some chance.
+func (s *script) sampleMachines(share float64, only func(m *machine) bool) []*machine {
 	var out []*machine
 	for _, m := range s.w.sortedMachines() {
 		if m.isUp && !m.dead && (only == nil || only(m)) && s.chance(share) {
@@ -124,8 +124,8 @@
 	return out
 }
 
-// busy tells whether a machine has a task.
-func busy(m *machine) bool {
+// hasTask tells whether a machine has a task.
+func hasTask(m *machine) bool {
 	for _, t := range m.tasks {
 		if t.state != fleet.Exited {
 			return true
@@ -134,9 +134,9 @@
 	return false
 }
 
-func (s *script) hang(m *machine, d time.Duration) {
-	if busy(m) {
-		s.note("busy machines hung")
+func (s *script) hangMachine(m *machine, d time.Duration) {
+	if hasTask(m) {
+		s.count("machines with tasks hung")
 	}
 	if until := s.w.now.Add(d); until.After(m.hungUntil) {
 		m.hungUntil = until
@@ -147,7 +147,7 @@
 func (s *script) loseOutbound(ms []*machine, d time.Duration) {
 	for _, m := range ms {
 		m.outboundLost = true
-		s.note("machines with outbound loss")
+		s.count("machines with outbound loss")
 		s.w.after(d, func() { m.outboundLost = false })
 	}
 }
@@ -156,7 +156,7 @@
 func (s *script) loseInbound(ms []*machine, d time.Duration) {
 	for _, m := range ms {
 		m.inboundLost = true
-		s.note("machines with inbound loss")
+		s.count("machines with inbound loss")
 		s.w.after(d, func() { m.inboundLost = false })
 	}
 }
@@ -164,8 +164,8 @@
 // cutMachines cuts machines off from all controllers.
 func (s *script) cutMachines(ms []*machine, d time.Duration) {
 	for _, m := range ms {
-		if busy(m) {
-			s.note("busy machines cut")
+		if hasTask(m) {
+			s.count("machines with tasks cut off")
 		}
 		for _, n := range s.w.nodes {
 			m.cut[n] = true
@@ -176,31 +176,31 @@
 
 // lateWrites leaves a share of the transactions without an answer.
 func (s *script) lateWrites(share float64, d time.Duration, atOnce bool) {
-	s.lost, s.atOnce = share, atOnce
-	s.at(d, func() { s.lost = 0 })
+	s.lostAnswerShare, s.commitBeforeLoss = share, atOnce
+	s.at(d, func() { s.lostAnswerShare = 0 })
 }
 
 // lateHeartbeats has copies of a share of the heartbeats arrive again, much later or just
 // when a new leader begins.
 func (s *script) lateHeartbeats(share float64, d time.Duration, forNext bool) {
-	s.copies, s.forNext = share, forNext
-	s.at(d, func() { s.copies = 0 })
+	s.duplicateShare, s.forNextLeader = share, forNext
+	s.at(d, func() { s.duplicateShare = 0 })
 }
 
 // heldHeartbeats holds a share of the heartbeats back until a new leader has acted.
 func (s *script) heldHeartbeats(share float64, d time.Duration) {
-	s.holds = share
-	s.at(d, func() { s.holds = 0 })
+	s.heldShare = share
+	s.at(d, func() { s.heldShare = 0 })
 }
 
-// running are jobs of which a task runs, those with long to go only if so asked.
-func (s *script) running(long bool) []*userJob {
+// runningJobs are jobs of which a task runs, those with long to go only if so asked.
+func (s *script) runningJobs(long bool) []*userJob {
 	seen := map[*userJob]bool{}
 	var out []*userJob
 	for _, m := range s.w.sortedMachines() {
 		for _, t := range m.sorted() {
 			j := t.job
-			if !seen[j] && t.state == fleet.Running && j.accepted && j.told == pipeline.Active && !j.askedCancel && (!long || j.run >= endless) {
+			if !seen[j] && t.state == fleet.Running && j.accepted && j.reportedPhase == pipeline.Active && !j.cancelRequested && (!long || j.run >= endless) {
 				seen[j] = true
 				out = append(out, j)
 			}
@@ -226,16 +226,16 @@
 // cancelNow has users call off some running jobs with long to go within a fifth of a
 // second; up to eight of their machines hang.
 func (s *script) cancelNow(count int, hang time.Duration) {
-	js := s.running(true)
+	js := s.runningJobs(true)
 	s.rng.Shuffle(len(js), func(i, k int) { js[i], js[k] = js[k], js[i] })
 	hung := 0
 	for _, j := range js[:min(count, len(js))] {
-		s.note("called off")
+		s.count("cancellations requested")
 		s.at(s.between(0, 200*time.Millisecond), j.cancel)
 		for _, m := range s.machinesOf(j) {
 			if hang > 0 && hung < 8 {
 				hung++
-				s.hang(m, hang)
+				s.hangMachine(m, hang)
 			}
 		}
 	}
@@ -268,8 +268,8 @@
 	return j
 }
 
-// long submits arrays and gangs that only a cancellation ends.
-func (s *script) long(count int, at time.Duration) {
+// submitEndless submits arrays and gangs that only a cancellation ends.
+func (s *script) submitEndless(count int, at time.Duration) {
 	for i := range count {
 		sp := pipeline.Spec{Shape: pipeline.Array}
 		if i%3 == 2 {
@@ -282,8 +282,8 @@
 	}
 }
 
-// short submits small jobs over some time.
-func (s *script) short(count int, from, to time.Duration) {
+// submitShort submits small jobs over some time.
+func (s *script) submitShort(count int, from, to time.Duration) {
 	for i := range count {
 		sp := pipeline.Spec{CPUs: 1, MemGB: 1}
 		if i%4 == 3 {
@@ -298,7 +298,7 @@
 // tasksOf counts the tasks of a job that are on machines.
 func (s *script) tasksOf(j *userJob) int {
 	n := 0
-	s.w.check.each(func(t *task) {
+	s.w.checker.each(func(t *task) {
 		if t.job == j {
 			n++
 		}
--- a/internal/simulation/lease_extension.go
+++ b/internal/simulation/lease_extension.go
@@ -34,13 +34,13 @@
 		return false
 	}
 	led := n.w.store.items[leadership.TermKey] != nil
-	return n.old || !led || n.local().Sub(n.booted) >= leadership.ExtensionFor
+	return n.runsProduction || !led || n.local().Sub(n.booted) >= leadership.ExtensionFor
 }
 
 // requestExtensions asks all peers to extend the lease if it isn't renewed. Nodes of the
 // version in production don't know lease extensions.
 func (n *node) requestExtensions() {
-	if n.old || n.leaseUntil.Sub(n.local()) >= n.w.o.LeaseTTL*5/8 {
+	if n.runsProduction || n.leaseUntil.Sub(n.local()) >= n.w.options.LeaseTTL*5/8 {
 		return
 	}
 	for _, peer := range n.w.nodes {
@@ -53,20 +53,20 @@
 // requestExtension asks one peer. The request may be delayed; the extension counts from
 // the time at which it was sent.
 func (n *node) requestExtension(peer *node) {
-	w, eng, life, sent := n.w, n.eng, n.incarnation, n.local()
+	w, eng, incarnation, sent := n.w, n.engine, n.incarnation, n.local()
 	there, back := w.between(time.Millisecond, 30*time.Millisecond), w.between(time.Millisecond, 30*time.Millisecond)
-	if w.o.Faults && !w.noNet && w.chance(0.05) {
+	if w.options.Faults && !w.networkReliable && w.chance(0.05) {
 		there += w.between(0, 5*time.Second) // delayed in the network
 	}
 	granted := func() {
-		if n.eng == eng {
+		if n.engine == eng {
 			n.extensionGranted(peer, sent.Add(leadership.ExtensionCounted))
 		}
 	}
 	w.after(there, func() {
 		peer.run(peer.incarnation, func() {
 			if peer.grantExtension() && n.reaches(peer) {
-				w.after(back, func() { n.run(life, granted) })
+				w.after(back, func() { n.run(incarnation, granted) })
 			}
 		})
 	})
@@ -75,7 +75,7 @@
 // grantExtension has this node agree not to claim for a while. Now and then it does so
 // although the state service serves it: safety doesn't depend on its refusal.
 func (n *node) grantExtension() bool {
-	if n.old || n.eng != nil || n.claiming != 0 {
+	if n.runsProduction || n.engine != nil || n.pendingClaim != 0 {
 		return false
 	}
 	if served := !n.storeDown() && !n.cutOff(); served && !n.w.script.grantsWhileServed() && !n.w.chance(0.2) {
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -17,34 +17,34 @@
 
 // node is a controller: the real core and job store round a simulated shell.
 type node struct {
-	w            *World
-	name, zone   string
-	health       *health.Tracker
-	rate         float64 // of its steady clock
-	incarnation  int     // rises with each end of the process
-	old          bool    // runs the version in production
-	jobs         *jobstore.Jobs
-	down         bool
-	stalledUntil time.Time     // stalled until then, its clocks running on
-	slowUntil    time.Time     // computes slowly until then
-	busyUntil    time.Time     // is busy with a step until then
-	noStore      bool          // cut off from the state service
-	refused      bool          // refused by the state service, alone
-	unanswered   bool          // what it is just sending gets no answer
-	late         time.Duration // how much later its transaction is carried out
-	noWorkers    bool          // cut off from the workers
-	noPeers      bool          // cut off from the other controllers
-	eng          *core.Engine
-	term         leadership.Term
-	lease        int       // number of its leader lease in the state service
-	leaseUntil   time.Time // when the lease ends, by its clock
-	writing      bool
-	claimTried   bool
-	claiming     int                 // which claim is under way, 0: none
-	claims       int                 // so far
-	extensions   map[*node]time.Time // of its lease, granted by each peer, by its clock
-	grantedUntil time.Time           // end of the last extension that it granted to a leader
-	booted       time.Time
+	w                  *World
+	name, zone         string
+	health             *health.Tracker
+	rate               float64 // of its steady clock
+	incarnation        int     // rises with each end of the process
+	runsProduction     bool    // runs the version in production
+	jobs               *jobstore.Jobs
+	down               bool
+	pausedUntil        time.Time     // stalled until then, its clocks running on
+	slowUntil          time.Time     // computes slowly until then
+	busyUntil          time.Time     // is busy with a step until then
+	storeUnreachable   bool          // cut off from the state service
+	refusedByStore     bool          // refused by the state service, alone
+	answerLost         bool          // what it is just sending gets no answer
+	commitDelay        time.Duration // how much later its transaction is carried out
+	workersUnreachable bool          // cut off from the workers
+	peersUnreachable   bool          // cut off from the other controllers
+	engine             *core.Engine
+	term               leadership.Term
+	lease              int       // number of its leader lease in the state service
+	leaseUntil         time.Time // when the lease ends, by its clock
+	writing            bool
+	claimTried         bool
+	pendingClaim       int                 // which claim is under way, 0: none
+	claims             int                 // so far
+	extensions         map[*node]time.Time // of its lease, granted by each peer, by its clock
+	grantedUntil       time.Time           // end of the last extension that it granted to a leader
+	booted             time.Time
 
 	// Warm standby; all nil where it is off.
 	standby   *standby.Standby
@@ -60,9 +60,9 @@
 
 var bg = context.Background()
 
-// sureParts is which part of a cancellation's time it counts that a job was seen not
+// notCancelledParts is which part of a cancellation's time it counts that a job was seen not
 // to be cancelled.
-const sureParts = 4
+const notCancelledParts = 4
 
 // local is the node's steady clock.
 func (n *node) local() time.Time {
@@ -71,37 +71,37 @@
 
 // holdsLease tells whether the node leads with a valid lease, by its own clock.
 func (n *node) holdsLease() bool {
-	return !n.down && n.eng != nil && n.local().Before(n.leaseUntil)
+	return !n.down && n.engine != nil && n.local().Before(n.leaseUntil)
 }
 
 // boot starts the process; its loops end with it.
 func (n *node) boot() {
 	n.incarnation++
-	n.down, n.eng, n.writing, n.leaseUntil = false, nil, false, time.Time{}
-	n.claiming, n.grantedUntil, n.booted, n.extensions = 0, time.Time{}, n.local(), map[*node]time.Time{}
+	n.down, n.engine, n.writing, n.leaseUntil = false, nil, false, time.Time{}
+	n.pendingClaim, n.grantedUntil, n.booted, n.extensions = 0, time.Time{}, n.local(), map[*node]time.Time{}
 	n.health = health.New(n.local())
 	n.bootStandby()
 	n.bootAdmission()
 	limits := n.limits()
-	limits.NotCancelledFor = n.w.o.Cancel / sureParts
+	limits.NotCancelledFor = n.w.options.CancelWithin / notCancelledParts
 	n.jobs = jobstore.New(n.storeView(), limits)
 	n.loop(n.incarnation, 500*time.Millisecond, n.lookUpDependencies)
-	n.loop(n.incarnation, time.Second, n.keepContact)
-	n.loop(n.incarnation, n.w.o.LeaseTTL/4, n.lead)
+	n.loop(n.incarnation, time.Second, n.probeHealth)
+	n.loop(n.incarnation, n.w.options.LeaseTTL/4, n.claimOrRenew)
 	n.loop(n.incarnation, 200*time.Millisecond, n.tick)
-	n.loop(n.incarnation, 2*time.Second, n.list)
+	n.loop(n.incarnation, 2*time.Second, n.listInstances)
 }
 
 // cutOff tells whether the state service can't be reached from here.
-func (n *node) cutOff() bool { return n.noStore || !n.w.reach("", n.zone) }
+func (n *node) cutOff() bool { return n.storeUnreachable || !n.w.reachable("", n.zone) }
 
 // reaches tells whether another controller can be reached from here.
 func (n *node) reaches(o *node) bool {
-	return !n.down && !o.down && !n.stalled() && !o.stalled() && !n.noPeers && !o.noPeers && !n.w.peersRefuse && n.w.reach(n.zone, o.zone)
+	return !n.down && !o.down && !n.paused() && !o.paused() && !n.peersUnreachable && !o.peersUnreachable && !n.w.peersRefuse && n.w.reachable(n.zone, o.zone)
 }
 
-// keepContact notes whom this node reaches.
-func (n *node) keepContact() {
+// probeHealth counts whom this node reaches.
+func (n *node) probeHealth() {
 	switch {
 	case n.cutOff():
 	case n.storeDown():
@@ -116,34 +116,34 @@
 	}
 }
 
-func (n *node) loop(life int, every time.Duration, fn func()) {
+func (n *node) loop(incarnation int, every time.Duration, fn func()) {
 	n.w.after(n.w.between(every/2, every), func() {
-		n.run(life, func() {
+		n.run(incarnation, func() {
 			fn()
-			n.loop(life, every, fn)
+			n.loop(incarnation, every, fn)
 		})
 	})
 }
 
-// run has a life of the process do something: at once, or, if it is stalled,
+// run has a incarnation of the process do something: at once, or, if it is stalled,
 // when it goes on.
-func (n *node) run(life int, fn func()) {
+func (n *node) run(incarnation int, fn func()) {
 	switch {
-	case n.incarnation != life || n.down:
-	case n.stalled():
-		n.w.after(n.stalledUntil.Sub(n.w.now)+n.w.between(0, 50*time.Millisecond), func() { n.run(life, fn) })
+	case n.incarnation != incarnation || n.down:
+	case n.paused():
+		n.w.after(n.pausedUntil.Sub(n.w.now)+n.w.between(0, 50*time.Millisecond), func() { n.run(incarnation, fn) })
 	case n.busyFor() > 0:
-		n.w.after(n.busyFor(), func() { n.run(life, fn) })
+		n.w.after(n.busyFor(), func() { n.run(incarnation, fn) })
 	default:
 		fn()
 	}
 }
 
-// stalled tells whether the process is stopped for a while, its clocks running on.
-func (n *node) stalled() bool { return n.w.now.Before(n.stalledUntil) }
+// paused tells whether the process is stopped for a while, its clocks running on.
+func (n *node) paused() bool { return n.w.now.Before(n.pausedUntil) }
 
 func (n *node) crash(back time.Duration) {
-	n.down, n.eng, n.publisher, n.stalledUntil, n.busyUntil = true, nil, nil, time.Time{}, time.Time{}
+	n.down, n.engine, n.publisher, n.pausedUntil, n.busyUntil = true, nil, nil, time.Time{}, time.Time{}
 	n.incarnation++
 	n.w.after(back, n.boot)
 }
@@ -155,7 +155,7 @@
 // send is call. In worlds with a script, what takes longer than the node waits for is
 // a transaction whose conditions were read in time, unless it travels whole.
 func (n *node) send(at func(), answer func(), whole bool) {
-	w, life := n.w, n.incarnation
+	w, incarnation := n.w, n.incarnation
 	if n.cutOff() {
 		if w.chance(0.3) { // held back, and delivered when the cut is over
 			w.after(w.between(time.Second, 20*time.Second), at)
@@ -164,23 +164,23 @@
 	}
 	there, back := w.between(time.Millisecond, 30*time.Millisecond), w.between(time.Millisecond, 30*time.Millisecond)
 	lost := false
-	if !w.noNet && w.o.Faults {
+	if !w.networkReliable && w.options.Faults {
 		if w.chance(0.01) {
 			there += w.between(0, 10*time.Second)
 		}
 		lost = w.chance(0.01)
 	}
-	there, back = there+w.script.slowness(), back+w.script.slowness()
+	there, back = there+w.script.randomStoreDelay(), back+w.script.randomStoreDelay()
 	var late time.Duration
 	if w.script != nil && !whole && there > callTimeout {
 		there, late, lost = 30*time.Millisecond, there, true
 	}
 	w.after(there, func() {
-		n.unanswered, n.late = false, late
+		n.answerLost, n.commitDelay = false, late
 		at()
-		n.late = 0
-		if !lost && !n.unanswered {
-			w.after(back, func() { n.run(life, answer) })
+		n.commitDelay = 0
+		if !lost && !n.answerLost {
+			w.after(back, func() { n.run(incarnation, answer) })
 		}
 	})
 }
@@ -189,14 +189,14 @@
 const callTimeout = 1500 * time.Millisecond
 
 func (n *node) step(ev core.Event) core.Effects {
-	if n.stalled() {
-		n.w.check.fail("%s acts while it is stalled", n.name)
+	if n.paused() {
+		n.w.checker.fail("%s acts while it is stalled", n.name)
 	}
-	eff := n.eng.Step(n.local(), ev)
+	eff := n.engine.Step(n.local(), ev)
 	n.w.digest.addStep(n, ev, eff)
-	n.w.check.notePreemptions(eff.Preempted)
-	if n.w.o.Pace.Enabled && eff.Response != nil && eff.Response.OK && !eff.Response.Held {
-		n.w.check.paced(n, eff.Response)
+	n.w.checker.notePreemptions(eff.Preempted)
+	if n.w.options.Pace.Enabled && eff.Response != nil && eff.Response.OK && !eff.Response.Held {
+		n.w.checker.paced(n, eff.Response)
 	}
 	n.compute(ev)
 	if n.w.Trace != nil {
@@ -229,7 +229,7 @@
 	return eff
 }
 
-// noteRestored notes in the state service that it was restored from an older copy, if this
+// noteRestored counts in the state service that it was restored from an older copy, if this
 // node's term is the newest that it knows.
 func (n *node) noteRestored(token uint64) {
 	term, view := n.term, n.storeView()
@@ -244,7 +244,7 @@
 		return
 	}
 	n.step(core.Tick{})
-	if n.term.Restored && n.eng != nil && n.eng.RestoreSettled(n.local()) && n.w.store.items[leadership.RestoredKey] != nil && !n.storeDown() && !n.cutOff() {
+	if n.term.Restored && n.engine != nil && n.engine.RestoreSettled(n.local()) && n.w.store.items[leadership.RestoredKey] != nil && !n.storeDown() && !n.cutOff() {
 		_ = n.jobs.Drop(bg, n.term, leadership.RestoredKey) // else with the next tick
 	}
 	n.write()
@@ -256,37 +256,37 @@
 	if n.writing || !n.holdsLease() {
 		return
 	}
-	batch := n.eng.Batch(n.local(), n.limits().TxnOps)
+	batch := n.engine.Batch(n.local(), n.limits().TxnOps)
 	batch = n.spoilBatch(batch)
 	if len(batch) == 0 {
 		return
 	}
 	n.writing = true
 	n.w.digest.add(n.w, "batch", n.name, batch)
-	eng, term, jobs := n.eng, n.term, n.jobs
+	eng, term, jobs := n.engine, n.term, n.jobs
 	n.step(core.WritesStarted{Batch: batch})
 	var sent []core.Write
 	var rev uint64
 	err := statestore.ErrUnknownOutcome
 	answered := false
 	n.call(func() { sent, rev, err = jobs.Apply(bg, term, batch) }, func() {
-		if !answered && n.eng == eng {
+		if !answered && n.engine == eng {
 			answered = true
-			n.written(batch, sent, rev, err)
+			n.batchFinished(batch, sent, rev, err)
 		}
 	})
-	life := n.incarnation
+	incarnation := n.incarnation
 	n.w.after(callTimeout, func() {
-		n.run(life, func() {
-			if !answered && n.eng == eng {
+		n.run(incarnation, func() {
+			if !answered && n.engine == eng {
 				answered = true
-				n.written(batch, batch, 0, statestore.ErrUnknownOutcome)
+				n.batchFinished(batch, batch, 0, statestore.ErrUnknownOutcome)
 			}
 		})
 	})
 }
 
-func (n *node) written(batch, sent []core.Write, rev uint64, err error) {
+func (n *node) batchFinished(batch, sent []core.Write, rev uint64, err error) {
 	n.writing = false
 	if rest := batch[len(sent):]; len(rest) > 0 {
 		n.step(core.WritesFinished{Batch: rest})
@@ -314,19 +314,19 @@
 			seen[wr.Target()] = v
 		}
 	}
-	if n.eng != nil {
+	if n.engine != nil {
 		n.step(core.WritesFinished{Batch: sent, CurrentVersions: seen})
 	}
 }
 
 func (n *node) refresh(ref string) {
-	if st, err := n.jobs.Load(bg, ref); err == nil && n.eng != nil {
-		n.learnt(st, ref)
+	if st, err := n.jobs.Load(bg, ref); err == nil && n.engine != nil {
+		n.jobLoaded(st, ref)
 	}
 }
 
-// learnt brings the engine what the store held of a job.
-func (n *node) learnt(st jobstore.State, ref string) {
+// jobLoaded brings the engine what the store held of a job.
+func (n *node) jobLoaded(st jobstore.State, ref string) {
 	switch {
 	case !st.Found:
 	case st.Over:
@@ -341,20 +341,20 @@
 	if !n.holdsLease() {
 		return
 	}
-	eng, life, jobs := n.eng, n.incarnation, n.jobs
+	eng, incarnation, jobs := n.engine, n.incarnation, n.jobs
 	for _, ref := range eng.DependenciesToLookUp(3) {
 		answered := false
 		var st jobstore.State
 		err := statestore.ErrUnknownOutcome
 		n.call(func() { st, err = jobs.LoadFinished(bg, ref) }, func() {
-			if err == nil && st.Found && n.eng == eng {
+			if err == nil && st.Found && n.engine == eng {
 				answered = true
-				n.learnt(st, ref)
+				n.jobLoaded(st, ref)
 			}
 		})
 		n.w.after(callTimeout, func() {
-			n.run(life, func() {
-				if !answered && n.eng == eng {
+			n.run(incarnation, func() {
+				if !answered && n.engine == eng {
 					n.step(core.DependencyLookupFailed{Ref: ref})
 				}
 			})
@@ -362,32 +362,32 @@
 	}
 }
 
-// storeChanged lets watches see changes to jobs.
-func (w *World) storeChanged(changes []statestore.Op) {
+// notifyWatchers lets watches see changes to jobs.
+func (w *World) notifyWatchers(changes []statestore.Op) {
 	for _, c := range changes {
 		ref, ok := strings.CutPrefix(c.Key, jobstore.JobPrefix)
 		if !ok || c.Delete {
 			continue
 		}
 		for _, n := range w.nodes {
-			if n.eng != nil {
-				w.watched(n, n.eng, w.between(time.Millisecond, 200*time.Millisecond), func() { n.refresh(ref) })
+			if n.engine != nil {
+				w.deliverWatch(n, n.engine, w.between(time.Millisecond, 200*time.Millisecond), func() { n.refresh(ref) })
 			}
 		}
 	}
-	w.check.stored(changes)
+	w.checker.stored(changes)
 	w.drainChanged(changes)
 }
 
-// watched has a leader take a change in, once the state service can be reached.
-func (w *World) watched(n *node, eng *core.Engine, in time.Duration, take func()) {
-	life := n.incarnation
+// deliverWatch has a leader take a change in, once the state service can be reached.
+func (w *World) deliverWatch(n *node, eng *core.Engine, in time.Duration, take func()) {
+	incarnation := n.incarnation
 	w.after(in, func() {
-		n.run(life, func() {
+		n.run(incarnation, func() {
 			switch {
-			case n.eng != eng:
+			case n.engine != eng:
 			case n.cutOff() || n.storeDown():
-				w.watched(n, eng, time.Second, take)
+				w.deliverWatch(n, eng, time.Second, take)
 			default:
 				take()
 			}
@@ -395,17 +395,17 @@
 	})
 }
 
-func (n *node) list() {
+func (n *node) listInstances() {
 	if !n.holdsLease() {
 		return
 	}
-	eng := n.eng
+	eng := n.engine
 	list, ok := n.w.cloud.list()
-	ok = ok && n.w.reach("", n.zone)
-	life := n.incarnation
+	ok = ok && n.w.reachable("", n.zone)
+	incarnation := n.incarnation
 	n.w.after(n.w.between(50*time.Millisecond, 300*time.Millisecond), func() {
-		n.run(life, func() {
-			if ok && n.eng == eng && n.holdsLease() {
+		n.run(incarnation, func() {
+			if ok && n.engine == eng && n.holdsLease() {
 				n.step(core.InstancesListed{Instances: list})
 			}
 		})
@@ -415,12 +415,12 @@
 func (n *node) scaleOut(r core.ScaleOut) {
 	answer := n.cloudAnswer()
 	n.w.after(n.w.between(50*time.Millisecond, 300*time.Millisecond), func() {
-		if !n.w.reach("", n.zone) {
+		if !n.w.reachable("", n.zone) {
 			n.w.after(4*time.Second, func() { answer(core.ScaleOutAnswered{Request: r, OutcomeUnknown: true}) })
 			return
 		}
 		names, refused, ok := n.w.cloud.scaleOut(r)
-		lost := n.w.o.Faults && !n.w.noNet && n.w.chance(0.1)
+		lost := n.w.options.Faults && !n.w.networkReliable && n.w.chance(0.1)
 		answer(core.ScaleOutAnswered{Request: r, Machines: names, NoCapacity: refused, OutcomeUnknown: !ok || lost})
 	})
 }
@@ -428,7 +428,7 @@
 func (n *node) scaleIn(names []string) {
 	answer := n.cloudAnswer()
 	delay := n.w.between(50*time.Millisecond, 300*time.Millisecond)
-	if n.w.o.Faults && !n.w.noNet && (n.w.chance(0.05) || !n.w.reach("", n.zone)) {
+	if n.w.options.Faults && !n.w.networkReliable && (n.w.chance(0.05) || !n.w.reachable("", n.zone)) {
 		// The answer is lost, and the deletion happens at some later time.
 		n.w.after(n.w.between(time.Second, 20*time.Second), func() { n.w.cloud.scaleIn(names) })
 		n.w.after(4*time.Second, func() { answer(core.ScaleInAnswered{Machines: names}) })
@@ -440,10 +440,10 @@
 // cloudAnswer is how an answer of the cloud reaches the engine that asked, if that
 // still leads.
 func (n *node) cloudAnswer() func(core.Event) {
-	eng, life := n.eng, n.incarnation
+	eng, incarnation := n.engine, n.incarnation
 	return func(ev core.Event) {
-		n.run(life, func() {
-			if n.eng == eng && n.eng != nil {
+		n.run(incarnation, func() {
+			if n.engine == eng && n.engine != nil {
 				n.step(ev)
 			}
 		})
--- a/internal/simulation/node_heartbeats.go
+++ b/internal/simulation/node_heartbeats.go
@@ -44,7 +44,7 @@
 }
 
 func (n *node) completeResponse(r fleet.Heartbeat, eng *core.Engine) (int, core.HeartbeatResponse) {
-	if !n.holdsLease() || n.eng != eng {
+	if !n.holdsLease() || n.engine != eng {
 		return 503, core.HeartbeatResponse{}
 	}
 	eff := n.step(core.HeldResponseDue{Heartbeat: r})
--- a/internal/simulation/output_digest_test.go
+++ b/internal/simulation/output_digest_test.go
@@ -15,13 +15,6 @@
 	build func() *World
 }
 
-// allSwitches are the options of a world with everything on that can be switched on.
-func allSwitches(o Options) Options {
-	o.Standby, o.Admission, o.Draining, o.Pace = true, true, true, pace
-	o.Drain *= 2 // there is more to work off
-	return o
-}
-
 // outputWorlds are worlds of each family, each with every switch alone and all together, and one
 // of each scenario.
 func outputWorlds() []outputWorld {
@@ -32,16 +25,16 @@
 		{"", func(o Options) Options { return o }},
 		{", standby", withStandby},
 		{", admission", func(o Options) Options { o.Admission = true; return o }},
-		{", drains", func(o Options) Options { o.Draining = true; return o }},
+		{", drains", func(o Options) Options { o.Drains = true; return o }},
 		{", pace", func(o Options) Options { o.Pace = pace; return o }},
 		{", all switches", allSwitches},
 	}
 	var worlds []outputWorld
 	for _, f := range families {
 		for i, s := range switches {
-			seed := f.seeds[i%len(f.seeds)]
+			seed := f.repeatedSeeds[i%len(f.repeatedSeeds)]
 			worlds = append(worlds, outputWorld{
-				name:  fmt.Sprintf("%s%s/%d", f.name, s.name, seed),
+				name:  fmt.Sprintf("%s%s/%d", f.digestLabel, s.name, seed),
 				build: func() *World { return NewWorld(s.set(f.options(seed))) },
 			})
 		}
@@ -58,7 +51,7 @@
 func scenarioWorld(scenario *faultScenario, seed uint64) outputWorld {
 	return outputWorld{name: scenario.name, build: func() *World {
 		o := scenario.options(seed)
-		o.Standby, o.Draining, o.Pace = true, true, pace
+		o.Standby, o.Drains, o.Pace = true, true, pace
 		w := NewWorld(o)
 		scenario.script(newScript(w))
 		return w
@@ -99,7 +92,7 @@
 
 // TestOutputDigestCoversAllKinds changes one output of each kind, and expects another digest.
 func TestOutputDigestCoversAllKinds(t *testing.T) {
-	build := func() *World { return NewWorld(options(1000, true)) }
+	build := func() *World { return NewWorld(randomOptions(1000, true)) }
 	honest := playOutput(build())
 	for _, kind := range outputKinds {
 		if honest.counts[kind] == 0 {
--- a/internal/simulation/pace_check.go
+++ b/internal/simulation/pace_check.go
@@ -11,7 +11,7 @@
 // paced checks that the starts of bulk work in a second don't exceed the pace that the leader
 // was bound to then, by more than what may go at once.
 func (c *checker) paced(n *node, reply *core.HeartbeatResponse) {
-	rate := n.eng.Status(n.local()).Recovery.Pace
+	rate := n.engine.Status(n.local()).Recovery.Pace
 	if rate == 0 {
 		c.pacedSince = time.Time{}
 		return
--- a/internal/simulation/pipelines.go
+++ b/internal/simulation/pipelines.go
@@ -12,22 +12,22 @@
 // whatever the seed brings. It draws random numbers of its own, so that the other worlds of the
 // same seed stay what they are.
 type pipelinePlan struct {
-	w   *World
-	rng *rand.Rand
-	n   int // jobs so far
+	w    *World
+	rng  *rand.Rand
+	jobs int // jobs so far
 }
 
 func newPipelinePlan(w *World) *pipelinePlan {
-	l := &pipelinePlan{w: w, rng: rand.New(rand.NewPCG(w.o.Seed, 13))}
+	l := &pipelinePlan{w: w, rng: rand.New(rand.NewPCG(w.options.Seed, 13))}
 	begin := time.Duration(0)
-	if w.o.Roll {
+	if w.options.RollingUpgrade {
 		begin = l.roll()
 	}
-	if w.o.Lower {
-		w.after(l.between(begin, w.o.Length), w.store.lower)
+	if w.options.LowerStoreLimits {
+		w.after(l.between(begin, w.options.Length), w.store.lower)
 	}
-	for range w.o.Pipelines {
-		w.after(l.between(begin, begin+w.o.Length/2), l.start)
+	for range w.options.Pipelines {
+		w.after(l.between(begin, begin+w.options.Length/2), l.start)
 	}
 	return l
 }
@@ -44,7 +44,7 @@
 	for _, i := range l.rng.Perm(len(l.w.nodes)) {
 		n := l.w.nodes[i]
 		l.w.after(at, func() {
-			n.old = false
+			n.runsProduction = false
 			n.crash(l.between(10*time.Millisecond, 4*time.Second))
 		})
 		if l.rng.IntN(2) == 0 {
@@ -105,7 +105,7 @@
 			j.dependencies = append(j.dependencies, jobs[k])
 		}
 		if l.rng.IntN(6) == 0 {
-			j.dependencies = append(j.dependencies, l.stranger()...)
+			j.dependencies = append(j.dependencies, l.acceptedUserJob()...)
 		}
 		jobs = append(jobs, j)
 		l.w.jobs[j.spec.Ref] = j
@@ -115,16 +115,16 @@
 	}
 	if l.rng.IntN(3) == 0 {
 		j := jobs[l.rng.IntN(len(jobs))]
-		l.w.after(l.between(0, l.w.o.Length/3), func() { l.cancel(j) })
+		l.w.after(l.between(0, l.w.options.Length/3), func() { l.cancel(j) })
 	}
 }
 
 // job is one job of a pipeline, most of them small.
 func (l *pipelinePlan) job(last bool) *userJob {
-	l.n++
-	j := &userJob{w: l.w, done: map[int]bool{}, run: l.between(time.Second, 8*time.Second), mistake: l.rng.IntN(40) == 0}
+	l.jobs++
+	j := &userJob{w: l.w, done: map[int]bool{}, run: l.between(time.Second, 8*time.Second), failsAlways: l.rng.IntN(40) == 0}
 	s := &j.spec
-	s.Ref, s.Class, s.Team = pipelineJobRefs.ref(l.n), "c", "green"
+	s.Ref, s.Class, s.Team = pipelineJobRefs.ref(l.jobs), "c", "green"
 	if l.rng.IntN(3) == 0 {
 		s.Team = "blue"
 	}
@@ -138,14 +138,14 @@
 	if last {
 		s.Deadline = l.between(20*time.Second, 2*time.Minute)
 	}
-	j.wantsCancel = j.mistake
+	j.wantsCancel = j.failsAlways
 	return j
 }
 
-// stranger is a job outside the pipeline that one of it may need too.
-func (l *pipelinePlan) stranger() []*userJob {
+// acceptedUserJob is a job outside the pipeline that one of it may need too.
+func (l *pipelinePlan) acceptedUserJob() []*userJob {
 	for range 5 {
-		ref := userJobRefs.ref(userJobNumber(l.rng.IntN(max(1, l.w.o.Jobs))))
+		ref := userJobRefs.ref(userJobNumber(l.rng.IntN(max(1, l.w.options.Jobs))))
 		if o := l.w.jobs[ref]; o != nil && o.accepted && o.spec.Shape != pipeline.Service {
 			return []*userJob{o}
 		}
@@ -162,7 +162,7 @@
 		}
 	}
 	for _, p := range others {
-		if late && p.told == pipeline.Active && l.w.now.Sub(l.w.start) < l.w.o.Length {
+		if late && p.reportedPhase == pipeline.Active && l.w.now.Sub(l.w.start) < l.w.options.Length {
 			l.w.after(time.Second, func() { l.submit(j, late, others) })
 			return
 		}
@@ -176,24 +176,24 @@
 		return
 	}
 	j.cancel()
-	if l.w.o.Faults && l.rng.IntN(2) == 0 {
-		l.outageOnceTold(j)
+	if l.w.options.Faults && l.rng.IntN(2) == 0 {
+		l.outageOnceCancelReported(j)
 	}
 }
 
-// outageOnceTold has the state service fail as soon as a user knows that a job is
+// outageOnceCancelReported has the state service fail as soon as a user knows that a job is
 // cancelled, mostly for longer than those that need it may still be called queued,
 // and often all controllers end too.
-func (l *pipelinePlan) outageOnceTold(j *userJob) {
+func (l *pipelinePlan) outageOnceCancelReported(j *userJob) {
 	w := l.w
-	if w.now.Sub(w.start) > w.o.Length-w.o.Cancel {
+	if w.now.Sub(w.start) > w.options.Length-w.options.CancelWithin {
 		return
 	}
-	if j.told != pipeline.Cancelled {
-		w.after(10*time.Millisecond, func() { l.outageOnceTold(j) })
+	if j.reportedPhase != pipeline.Cancelled {
+		w.after(10*time.Millisecond, func() { l.outageOnceCancelReported(j) })
 		return
 	}
-	w.outage(l.between(w.o.Cancel/2, w.o.Cancel*5/4))
+	w.outage(l.between(w.options.CancelWithin/2, w.options.CancelWithin*5/4))
 	if l.rng.IntN(2) == 0 {
 		for _, n := range w.nodes {
 			n.crash(l.between(10*time.Millisecond, 4*time.Second))
--- a/internal/simulation/production.go
+++ b/internal/simulation/production.go
@@ -67,7 +67,7 @@
 		return it
 	}
 	if err := codec.Unmarshal(it.Value, as); err != nil {
-		v.w.check.fail("the version in production can't read %s: %v", it.Key, err)
+		v.w.checker.fail("the version in production can't read %s: %v", it.Key, err)
 	}
 	it.Value = codec.MustMarshal(as)
 	return it
@@ -93,7 +93,7 @@
 
 // storeView is the state service as the node's version sees it.
 func (n *node) storeView() jobstore.Store {
-	if n.old {
+	if n.runsProduction {
 		return nodeView{productionView{n.w.store}, n}
 	}
 	return nodeView{n.w.store, n}
@@ -101,7 +101,7 @@
 
 // limits are those of the state service that the node's version obeys.
 func (n *node) limits() jobstore.Limits {
-	if n.w.o.Lower && !n.old {
+	if n.w.options.LowerStoreLimits && !n.runsProduction {
 		return lowLimits
 	}
 	return highLimits
--- a/internal/simulation/random_test.go
+++ b/internal/simulation/random_test.go
@@ -9,27 +9,22 @@
 	"gingertally/internal/core"
 )
 
-func options(seed uint64, faults bool) Options {
-	return Options{Seed: seed, Length: 150 * time.Second, Drain: 250 * time.Second, Nodes: 3 + 2*int(seed%3), Zones: 2 + int(seed%2), Jobs: 14, Faults: faults,
-		HeartbeatInterval: 3 * time.Second, Lease: 20 * time.Second, Cancel: 40 * time.Second, LeaseTTL: 3 * time.Second}
-}
-
-// TestPeace plays worlds without troubles: all jobs come to their end.
-func TestPeace(t *testing.T) {
+// TestFaultFree plays worlds without faults: all jobs come to their end.
+func TestFaultFree(t *testing.T) {
 	for seed := range uint64(20) {
-		w := NewWorld(options(seed, false))
+		w := NewWorld(randomOptions(seed, false))
 		if err := w.Run(); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-// TestTroubles plays seeded worlds full of troubles, singly and together, and
+// TestRandomFaults plays seeded worlds full of faults, singly and together, and
 // holds every rule of PROTOCOL against each step.
-func TestTroubles(t *testing.T) {
+func TestRandomFaults(t *testing.T) {
 	started, done, extensions := 0, 0, 0
 	for seed := range uint64(150) {
-		w := NewWorld(options(1000+seed, true))
+		w := NewWorld(randomOptions(1000+seed, true))
 		if err := w.Run(); err != nil {
 			t.Error(err)
 			if testing.Short() {
@@ -43,20 +38,13 @@
 	}
 }
 
-// manyFall are the options of a world in which many machines fail together.
-func manyFall(seed uint64) Options {
-	o := options(seed, seed%4 != 0)
-	o.CorrelatedFailures, o.Jobs = true, 20
-	return o
-}
-
-// TestManyFallTogether plays worlds in which, on top of all other troubles, many
+// TestCorrelatedFailures plays worlds in which, on top of all other faults, many
 // machines stop, hang, restart or lose inbound messages at once, with the leader or all
 // controllers, and controllers stall with their clocks running on.
-func TestManyFallTogether(t *testing.T) {
+func TestCorrelatedFailures(t *testing.T) {
 	started, done := 0, 0
 	for seed := range uint64(80) {
-		w := NewWorld(manyFall(3000 + seed))
+		w := NewWorld(correlatedFailureOptions(3000 + seed))
 		if err := w.Run(); err != nil {
 			t.Error(err)
 		}
@@ -67,22 +55,13 @@
 	}
 }
 
-// pipelines are the options of a world with pipelines, most of them begun by the
-// version in production.
-func pipelines(seed uint64) Options {
-	o := options(seed, seed%4 != 0)
-	o.Pipelines, o.Jobs, o.Roll, o.Lower = 12, 8, seed%3 != 0, seed%2 == 0
-	o.CorrelatedFailures = seed%5 == 0
-	return o
-}
-
 // TestPipelines plays worlds in which jobs wait for each other: chains, diamonds
-// and fans, cancelled at any moment, with all troubles, the state service lowering
+// and fans, cancelled at any moment, with all faults, the state service lowering
 // its limits, and the version in production being replaced while it serves.
 func TestPipelines(t *testing.T) {
 	started, done, dependents := 0, 0, 0
 	for seed := range uint64(120) {
-		w := NewWorld(pipelines(5000 + seed))
+		w := NewWorld(pipelineOptions(5000 + seed))
 		if err := w.Run(); err != nil {
 			t.Error(err)
 		}
@@ -93,28 +72,7 @@
 	}
 }
 
-// optionsByVariables are the options of a world of the kind that the environment names (README).
-func optionsByVariables(seed uint64) Options {
-	set := func(variable string) bool { return os.Getenv("SIMULATION_"+variable) != "" }
-	o := options(seed, true)
-	o.CorrelatedFailures = set("CORRELATED_FAILURES")
-	if set("PIPELINES") {
-		o = pipelines(seed)
-	}
-	if set("SHORT_LEASE") {
-		o = shortLeases(seed)
-	}
-	o.Standby, o.Admission, o.Draining = set("STANDBY"), set("ADMISSION"), set("DRAIN")
-	if set("PACE") {
-		o.Pace = pace
-	}
-	if o.Admission {
-		o.Drain *= 2
-	}
-	return o
-}
-
-// TestSeed plays the one world of TestTroubles that SIMULATION_SEED names, and
+// TestSeed plays the one world of TestRandomFaults that SIMULATION_SEED names, and
 // logs what its controllers say.
 func TestSeed(t *testing.T) {
 	seed, err := strconv.ParseUint(os.Getenv("SIMULATION_SEED"), 10, 64)
--- a/internal/simulation/recovery_test.go
+++ b/internal/simulation/recovery_test.go
@@ -15,20 +15,19 @@
 var pace = recovery.PaceOptions{Enabled: true, Initial: 3, Highest: 20}
 
 // TestRecoveryWorlds plays worlds of every family with a bounded pace at the start of each
-// term, with all their troubles and the warm standby on in every other one: besides all rules,
+// term, with all their faults and the warm standby on in every other one: besides all rules,
 // the orders of each term keep to the pace.
 func TestRecoveryWorlds(t *testing.T) {
-	from := map[string]uint64{"peace": 1, "troubles": 1000, "many fall together": 3000, "pipelines": 5000, "short leases": 7000}
 	held := 0
 	for _, f := range families {
 		for seed := range uint64(12) {
-			o := f.options(from[f.name] + seed)
+			o := f.options(f.firstSeed + seed)
 			o.Pace, o.Standby = pace, seed%2 == 0
 			w := NewWorld(o)
 			if err := w.Run(); err != nil {
 				t.Errorf("%s: %v", f.name, err)
 			}
-			held += w.check.pacedSeconds
+			held += w.checker.pacedSeconds
 		}
 	}
 	if held < 400 {
@@ -40,7 +39,7 @@
 // forget restores the state service from a copy that lacks the start log and the last terms.
 // Jobs' records stay, since their users know of them.
 func (s *script) forget(terms uint64) {
-	s.note("restored from an older copy")
+	s.count("restored from an older copy")
 	store := s.w.store
 	for key, it := range store.items {
 		switch {
@@ -50,13 +49,13 @@
 			var term struct {
 				N uint64 `cbor:"n"`
 			}
-			if codec.Unmarshal(it.v, &term) != nil {
-				s.w.check.fail("term unreadable")
+			if codec.Unmarshal(it.value, &term) != nil {
+				s.w.checker.fail("term unreadable")
 			}
 			term.N -= min(term.N, terms)
-			store.rev++
-			store.items[key] = &item{codec.MustMarshal(term), store.rev}
-			s.w.check.newest = term.N // later terms are counted anew; fencing tokens keep them apart
+			store.revision++
+			store.items[key] = &item{codec.MustMarshal(term), store.revision}
+			s.w.checker.newest = term.N // later terms are counted anew; fencing tokens keep them apart
 		}
 	}
 }
@@ -64,81 +63,81 @@
 // recoveryScenarios are the hard cases of a restart.
 var recoveryScenarios = []faultScenario{
 	{name: "all controllers end again and again, and come back in any order", length: 200 * time.Second, script: func(s *script) {
-		s.long(10, 0)
-		s.short(30, 0, 160*time.Second)
+		s.submitEndless(10, 0)
+		s.submitShort(30, 0, 160*time.Second)
 		s.every(20*time.Second, 25*time.Second, func() { s.crashAll(10*time.Millisecond, 15*time.Second) })
 		s.every(33*time.Second, 40*time.Second, func() { s.cancelNow(2, 0) })
-	}, least: map[string]int{"all ended": 24, "leaders": 24, "confirmed": 12}},
+	}, least: eventCounts{"crashes of all controllers": 24, "leaders elected": 24, "cancellations confirmed": 12}},
 
 	{name: "all controllers and a third of the workers end together", length: 200 * time.Second, script: func(s *script) {
-		s.long(10, 0)
-		s.short(30, 0, 160*time.Second)
+		s.submitEndless(10, 0)
+		s.submitShort(30, 0, 160*time.Second)
 		s.every(20*time.Second, 45*time.Second, func() {
 			s.crashAll(100*time.Millisecond, 10*time.Second)
-			for _, m := range s.some(0.33, nil) {
-				s.note("workers ended")
+			for _, m := range s.sampleMachines(0.33, nil) {
+				s.count("workers restarted")
 				m.reboot()
 			}
 		})
-	}, least: map[string]int{"all ended": 12, "workers ended": 15}},
+	}, least: eventCounts{"crashes of all controllers": 12, "workers restarted": 15}},
 
 	{name: "outages longer and shorter than the lease, workers minutes late", length: 240 * time.Second, script: func(s *script) {
-		s.long(10, 0)
-		s.short(30, 0, 160*time.Second)
+		s.submitEndless(10, 0)
+		s.submitShort(30, 0, 160*time.Second)
 		s.every(25*time.Second, 60*time.Second, func() {
-			long := s.w.o.Lease * 3 / 2
+			long := s.w.options.Lease * 3 / 2
 			if s.chance(0.5) {
-				long = s.w.o.Lease / 2
+				long = s.w.options.Lease / 2
 			}
 			for _, n := range s.w.nodes {
 				s.crash(n, long+s.between(0, 3*time.Second))
 			}
-			s.note("all away")
-			s.cutMachines(s.some(0.3, nil), long+s.between(0, 2*s.w.o.Lease))
+			s.count("all controllers down")
+			s.cutMachines(s.sampleMachines(0.3, nil), long+s.between(0, 2*s.w.options.Lease))
 		})
-	}, least: map[string]int{"all away": 12}},
+	}, least: eventCounts{"all controllers down": 12}},
 
 	{name: "the state service is back last, slow, and loses answers", length: 220 * time.Second, script: func(s *script) {
-		s.long(8, 0)
-		s.short(30, 0, 160*time.Second)
-		s.slow, s.lost = 300*time.Millisecond, 0.1
+		s.submitEndless(8, 0)
+		s.submitShort(30, 0, 160*time.Second)
+		s.storeDelay, s.lostAnswerShare = 300*time.Millisecond, 0.1
 		s.every(25*time.Second, 50*time.Second, func() {
 			s.outage(s.between(6*time.Second, 15*time.Second))
 			s.crashAll(10*time.Millisecond, 3*time.Second)
 		})
-	}, least: map[string]int{"all ended": 12, "outages": 12}},
+	}, least: eventCounts{"crashes of all controllers": 12, "outages": 12}},
 
 	{name: "the start log and the last terms are forgotten", length: 220 * time.Second, script: func(s *script) {
-		s.long(10, 0)
-		s.short(30, 0, 160*time.Second)
+		s.submitEndless(10, 0)
+		s.submitShort(30, 0, 160*time.Second)
 		s.every(30*time.Second, 60*time.Second, func() {
 			for _, n := range s.w.nodes {
-				s.crash(n, s.between(s.w.o.LeaseTTL, 6*time.Second))
+				s.crash(n, s.between(s.w.options.LeaseTTL, 6*time.Second))
 			}
 			s.at(time.Second, func() { s.forget(3) })
 		})
-	}, least: map[string]int{"restored from an older copy": 8}},
+	}, least: eventCounts{"restored from an older copy": 8}},
 
 	{name: "repeated crashes in the middle of it", length: 200 * time.Second, script: func(s *script) {
-		s.long(10, 0)
-		s.short(30, 0, 160*time.Second)
+		s.submitEndless(10, 0)
+		s.submitShort(30, 0, 160*time.Second)
 		s.every(25*time.Second, 45*time.Second, func() {
 			s.crashAll(10*time.Millisecond, time.Second)
 			for k := range 3 {
-				s.at(time.Duration(5+k*5)*time.Second, func() { s.crash(s.ruling(), s.between(10*time.Millisecond, 2*time.Second)) })
+				s.at(time.Duration(5+k*5)*time.Second, func() { s.crash(s.currentLeader(), s.between(10*time.Millisecond, 2*time.Second)) })
 			}
 		})
-	}, least: map[string]int{"all ended": 12, "leaders ended": 24}},
+	}, least: eventCounts{"crashes of all controllers": 12, "leaders crashed": 24}},
 
-	{name: "the version in production restarts beside the new one", length: 200 * time.Second, alter: func(o *Options) { o.Roll, o.Pipelines = true, 4 }, script: func(s *script) {
-		s.long(6, 0)
-		s.short(30, 0, 160*time.Second)
+	{name: "the version in production restarts beside the new one", length: 200 * time.Second, alter: func(o *Options) { o.RollingUpgrade, o.Pipelines = true, 4 }, script: func(s *script) {
+		s.submitEndless(6, 0)
+		s.submitShort(30, 0, 160*time.Second)
 		s.every(20*time.Second, 30*time.Second, func() { s.crashAll(10*time.Millisecond, 8*time.Second) })
-	}, least: map[string]int{"all ended": 20}},
+	}, least: eventCounts{"crashes of all controllers": 20}},
 
 	{name: "one controller is refused by the state service, services and gangs", length: 200 * time.Second, script: func(s *script) {
-		s.long(6, 0)
-		s.short(20, 0, 160*time.Second)
+		s.submitEndless(6, 0)
+		s.submitShort(20, 0, 160*time.Second)
 		for i := range 4 {
 			s.add(time.Duration(i)*5*time.Second, pipeline.Spec{Team: "blue", Shape: pipeline.Service, Tasks: 2, CPUs: 1, MemGB: 2, Spot: true}, endless)
 			s.add(time.Duration(i)*30*time.Second, pipeline.Spec{Team: "red", Shape: pipeline.Gang, Tasks: 3, CPUs: 2, MemGB: 4, Spot: true}, 20*time.Second)
@@ -147,14 +146,14 @@
 			s.crashAll(10*time.Millisecond, 8*time.Second)
 			s.refuse(s.w.nodes[s.rng.IntN(len(s.w.nodes))], s.between(10*time.Second, 25*time.Second))
 		})
-	}, least: map[string]int{"all ended": 12, "refused nodes": 12}},
+	}, least: eventCounts{"crashes of all controllers": 12, "nodes refused by the state service": 12}},
 
 	{name: "old reports arrive in the middle", noise: true, length: 200 * time.Second, script: func(s *script) {
-		s.long(10, 0)
-		s.short(30, 0, 160*time.Second)
-		s.copies, s.forNext = 0.2, true
+		s.submitEndless(10, 0)
+		s.submitShort(30, 0, 160*time.Second)
+		s.duplicateShare, s.forNextLeader = 0.2, true
 		s.every(25*time.Second, 35*time.Second, func() { s.crashAll(10*time.Millisecond, 5*time.Second) })
-	}, least: map[string]int{"all ended": 16}},
+	}, least: eventCounts{"crashes of all controllers": 16}},
 }
 
 // TestRecoveryScenarios brings the hard cases of a restart about, with the pace bounded, and
@@ -164,23 +163,19 @@
 		m := recoveryScenarios[i]
 		alter := m.alter
 		t.Run(m.name, func(t *testing.T) {
-			notes := map[string]int{}
-			for k := range uint64(seedsOf) {
+			counts := eventCounts{}
+			for k := range uint64(seedsPerScenario) {
 				m.alter = func(o *Options) {
 					o.Pace, o.Standby = pace, k%2 == 0
-					o.Drain = max(o.Drain, 300*time.Second)
+					o.SettleTime = max(o.SettleTime, 300*time.Second)
 					if alter != nil {
 						alter(o)
 					}
 				}
-				m.play(t, 8000+uint64(i)*100+k, notes, false)
+				m.play(t, 8000+uint64(i)*100+k, counts, false)
 			}
-			for what, least := range m.least {
-				if notes[what] < least {
-					t.Errorf("%s: %d, at least %d expected", what, notes[what], least)
-				}
-			}
-			t.Log(notes)
+			counts.requireAtLeast(t, m.least)
+			t.Log(counts)
 		})
 	}
 }
@@ -188,7 +183,7 @@
 // Rentals once waited behind bulk starts for as long as the pace was bounded, and a replica that
 // was lost wasn't replaced in time.
 func TestPaceHoldsNoRentalsBack(t *testing.T) {
-	o := shortLeases(10205)
+	o := shortLeaseOptions(10205)
 	o.Pace = pace
 	if err := NewWorld(o).Run(); err != nil {
 		t.Error(err)
--- a/internal/simulation/replica_check.go
+++ b/internal/simulation/replica_check.go
@@ -27,19 +27,19 @@
 // its user, nor its machine's failures or end, nor a job with a better claim, nor a newer
 // attempt that has taken its place.
 func (c *checker) byChoice(t *task) bool {
-	if t.job.mayBeCancelled() || t.m.failures > 0 || t.m.faulty || !t.m.interruptionAt.IsZero() || c.preempted[name(t)] || c.preemptedAttempts[taskKey(t.job.spec.Ref, t.index, t.attempt)] {
+	if t.job.mayBeCancelled() || t.m.failures > 0 || t.m.faulty || !t.m.interruptionAt.IsZero() || c.preempted[taskName(t)] || c.preemptedAttempts[taskKey(t.job.spec.Ref, t.index, t.attempt)] {
 		return false
 	}
-	return t.attempt == c.newestAttempt[name(t)]
+	return t.attempt == c.newestAttempt[taskName(t)]
 }
 
-// startCame notes a start: the newest attempt of its task, which nothing has preempted.
+// startCame counts a start: the newest attempt of its task, which nothing has preempted.
 func (c *checker) startCame(t *task) {
-	c.newestAttempt[name(t)] = max(c.newestAttempt[name(t)], t.attempt)
-	delete(c.preempted, name(t))
+	c.newestAttempt[taskName(t)] = max(c.newestAttempt[taskName(t)], t.attempt)
+	delete(c.preempted, taskName(t))
 }
 
-// notePreemptions notes the attempts that an engine preempts.
+// notePreemptions counts the attempts that an engine preempts.
 func (c *checker) notePreemptions(preempted []*fleet.Attempt) {
 	for _, a := range preempted {
 		c.preempted[a.TaskID.String()] = true
--- a/internal/simulation/short_lease.go
+++ b/internal/simulation/short_lease.go
@@ -16,10 +16,10 @@
 // its own, so that the other worlds of the same seed stay what they are. A nil shortLease
 // does nothing.
 type shortLease struct {
-	w     *World
-	rng   *rand.Rand
-	notes map[string]int // what came about, and how often
-	jobs  int            // submitted so far
+	w      *World
+	rng    *rand.Rand
+	counts eventCounts // what came about, and how often
+	jobs   int         // submitted so far
 }
 
 // maxDrift is the most that a steady clock gains or loses, as a share of the time.
@@ -34,7 +34,7 @@
 const borrowed = "borrowed"
 
 func newShortLease(w *World) *shortLease {
-	s := &shortLease{w: w, rng: rand.New(rand.NewPCG(w.o.Seed, 19)), notes: map[string]int{}}
+	s := &shortLease{w: w, rng: rand.New(rand.NewPCG(w.options.Seed, 19)), counts: eventCounts{}}
 	w.teams = map[string]placement.Quota{
 		"red":   {GuaranteedCPUs: 8, GuaranteedGPUs: 2, CPULimit: 24, GPULimit: 4},
 		"blue":  {GuaranteedCPUs: 12, CPULimit: 30},
@@ -53,10 +53,10 @@
 	s.planBorrowing()
 	s.planOrdinary()
 	for i := range 7 + s.rng.IntN(5) {
-		s.w.after(s.between(8*time.Second, s.w.o.Length-5*time.Second), func() { s.fault(i + int(s.w.o.Seed)) })
+		s.w.after(s.between(8*time.Second, s.w.options.Length-5*time.Second), func() { s.fault(i + int(s.w.options.Seed)) })
 	}
-	if !s.w.o.Faults {
-		s.w.after(s.w.o.Length, s.w.endTroubles)
+	if !s.w.options.Faults {
+		s.w.after(s.w.options.Length, s.w.endFaults)
 	}
 }
 
@@ -64,7 +64,7 @@
 	return lo + time.Duration(s.rng.Int64N(int64(hi-lo)+1))
 }
 
-func (s *shortLease) note(what string) { s.notes[what]++ }
+func (s *shortLease) count(what string) { s.counts[what]++ }
 
 // clockRate is the rate of a steady clock: at its bound, in either direction.
 func (s *shortLease) clockRate(otherwise float64) float64 {
@@ -72,10 +72,10 @@
 	case s == nil:
 		return otherwise
 	case s.rng.IntN(2) == 0:
-		s.note("slow clocks")
+		s.count("slow clocks")
 		return 1 - maxDrift
 	}
-	s.note("fast clocks")
+	s.count("fast clocks")
 	return 1 + maxDrift
 }
 
@@ -110,7 +110,7 @@
 			sp.CheckpointInterval, sp.CheckpointTime = 3*time.Second, 2*time.Second
 		}
 		j := s.add(s.between(0, 20*time.Second), sp, endless)
-		s.w.after(s.w.o.Length+s.w.o.Drain*3/5, j.cancel)
+		s.w.after(s.w.options.Length+s.w.options.SettleTime*3/5, j.cancel)
 	}
 }
 
@@ -118,7 +118,7 @@
 // one come and go.
 func (s *shortLease) planBorrowing() {
 	for i := range 4 {
-		at := time.Duration(i) * s.w.o.Length / 5
+		at := time.Duration(i) * s.w.options.Length / 5
 		s.add(at+s.between(0, 5*time.Second), pipeline.Spec{Class: borrowed, Team: "green", Tasks: 14, CPUs: 2, MemGB: 4,
 			Priority: pipeline.Production, Spot: true, CheckpointInterval: 3 * time.Second, CheckpointTime: 2 * time.Second}, s.between(40*time.Second, 60*time.Second))
 	}
@@ -138,7 +138,7 @@
 		if s.rng.IntN(2) == 0 {
 			sp.CheckpointInterval, sp.CheckpointTime = 3*time.Second, 2*time.Second
 		}
-		j := s.add(s.between(0, s.w.o.Length*4/5), sp, s.between(3*time.Second, 30*time.Second))
+		j := s.add(s.between(0, s.w.options.Length*4/5), sp, s.between(3*time.Second, 30*time.Second))
 		j.wantsCancel = i%4 == 0
 	}
 }
--- a/internal/simulation/short_lease_faults.go
+++ b/internal/simulation/short_lease_faults.go
@@ -9,12 +9,12 @@
 // fault brings one fault about; those of a world begin with a kind that its seed chooses
 // and go on from there, so that each kind gets its share.
 func (s *shortLease) fault(kind int) {
-	lease := s.w.o.Lease
+	lease := s.w.options.Lease
 	switch kind % 7 {
 	case 0:
 		s.slowDown(s.nodeOrLeader(), s.between(10*time.Second, 40*time.Second))
 	case 1:
-		s.stall(s.nodeOrLeader(), s.w.o.LeaseTTL+s.between(time.Second, 25*time.Second))
+		s.pauseNode(s.nodeOrLeader(), s.w.options.LeaseTTL+s.between(time.Second, 25*time.Second))
 	case 2:
 		s.cutZone(true, lease+s.between(2*time.Second, 15*time.Second))
 	case 3:
@@ -24,13 +24,13 @@
 	case 5:
 		s.refuse(s.nodeOrLeader(), s.between(5*time.Second, 40*time.Second))
 	case 6: // the state service is out, and the leader goes on by lease extensions, if at all
-		s.note("outages")
+		s.count("outages")
 		s.w.outage(s.between(5*time.Second, lease+5*time.Second))
 	}
 }
 
-// leader is the node that may act now, nil if none does.
-func (w *World) leader() *node {
+// currentLeader is the node that may act now, nil if none does.
+func (w *World) currentLeader() *node {
 	for _, n := range w.nodes {
 		if n.holdsLease() {
 			return n
@@ -42,7 +42,7 @@
 // nodeOrLeader is mostly the leader, else any node.
 func (s *shortLease) nodeOrLeader() *node {
 	n := s.w.nodes[s.rng.IntN(len(s.w.nodes))]
-	if l := s.w.leader(); l != nil && s.rng.IntN(4) > 0 {
+	if l := s.w.currentLeader(); l != nil && s.rng.IntN(4) > 0 {
 		return l
 	}
 	return n
@@ -50,55 +50,55 @@
 
 // slowDown has a node compute several times slower.
 func (s *shortLease) slowDown(n *node, d time.Duration) {
-	s.note("slow nodes")
+	s.count("slow nodes")
 	n.slowUntil = s.w.now.Add(d)
 }
 
-// stall stops a node for longer than its lease, and then go on.
-func (s *shortLease) stall(n *node, d time.Duration) {
+// pauseNode stops a node for longer than its lease, and then go on.
+func (s *shortLease) pauseNode(n *node, d time.Duration) {
 	if n.down {
 		return
 	}
 	if n.holdsLease() {
-		s.note("leaders stalled beyond their lease")
+		s.count("leaders paused beyond their lease")
 	}
-	n.stalledUntil = s.w.now.Add(d)
+	n.pausedUntil = s.w.now.Add(d)
 }
 
 // cutZone cuts a zone off with all in it, the leader's or another.
 func (s *shortLease) cutZone(leaders bool, d time.Duration) {
-	zone, what := s.w.zones[s.rng.IntN(len(s.w.zones))], "zones cut without a leader"
-	if l := s.w.leader(); l != nil {
+	zone, what := s.w.zones[s.rng.IntN(len(s.w.zones))], "zones cut off without a leader"
+	if l := s.w.currentLeader(); l != nil {
 		for !leaders && zone == l.zone {
 			zone = s.w.zones[s.rng.IntN(len(s.w.zones))]
 		}
 		if leaders {
-			zone, what = l.zone, "zones cut with the leader"
+			zone, what = l.zone, "zones cut off with the leader"
 		}
 	}
-	s.note(what)
+	s.count(what)
 	s.w.cutZones[zone] = true
 	s.w.after(d, func() { delete(s.w.cutZones, zone) })
 }
 
 // refusePeers has all nodes refuse each other, or one and the others.
 func (s *shortLease) refusePeers(d time.Duration) {
-	s.note("nodes that refuse each other")
+	s.count("refusals between nodes")
 	if s.rng.IntN(2) == 0 {
 		s.w.peersRefuse = true
 		s.w.after(d, func() { s.w.peersRefuse = false })
 		return
 	}
 	n := s.nodeOrLeader()
-	n.noPeers = true
-	s.w.after(d, func() { n.noPeers = false })
+	n.peersUnreachable = true
+	s.w.after(d, func() { n.peersUnreachable = false })
 }
 
 // refuse has the state service refuse one node alone.
 func (s *shortLease) refuse(n *node, d time.Duration) {
-	s.note("nodes refused alone")
-	n.refused = true
-	s.w.after(d, func() { n.refused = false })
+	s.count("nodes refused by the state service")
+	n.refusedByStore = true
+	s.w.after(d, func() { n.refusedByStore = false })
 }
 
 // How long a slow node computes: a round of decisions, and anything else.
@@ -113,7 +113,7 @@
 	if s == nil || !n.w.now.Before(n.slowUntil) {
 		return
 	}
-	s.note("slow steps")
+	s.count("slow steps")
 	most := slowStep
 	if _, round := ev.(core.Tick); round {
 		most = slowRound
--- a/internal/simulation/standby.go
+++ b/internal/simulation/standby.go
@@ -13,14 +13,14 @@
 // keeps count of what it did. It draws random numbers of its own, so that worlds without it
 // stay what they are. A nil one carries nothing.
 type standbyNetwork struct {
-	w       *World
-	rng     *rand.Rand
-	notes   map[string]int
-	lost    float64 // share of frames lost
-	doubled float64 // share of frames that come twice
-	slow    time.Duration
-	lagging time.Time                   // no follower gets anything until then
-	streams map[*node]map[*node]*stream // by leader and follower
+	w              *World
+	rng            *rand.Rand
+	counts         eventCounts
+	lostShare      float64 // share of frames lost
+	duplicateShare float64 // share of frames that come twice
+	extraDelay     time.Duration
+	laggingUntil   time.Time                   // no follower gets anything until then
+	streams        map[*node]map[*node]*stream // by leader and follower
 }
 
 // stream is one connection from a leader to a follower.
@@ -39,14 +39,14 @@
 )
 
 func newStandbyNetwork(w *World) *standbyNetwork {
-	s := &standbyNetwork{w: w, rng: rand.New(rand.NewPCG(w.o.Seed, 23)), notes: map[string]int{}, streams: map[*node]map[*node]*stream{}}
-	if w.o.Faults {
-		s.lost, s.doubled, s.slow = 0.02, 0.05, 300*time.Millisecond
+	s := &standbyNetwork{w: w, rng: rand.New(rand.NewPCG(w.options.Seed, 23)), counts: eventCounts{}, streams: map[*node]map[*node]*stream{}}
+	if w.options.Faults {
+		s.lostShare, s.duplicateShare, s.extraDelay = 0.02, 0.05, 300*time.Millisecond
 	}
 	return s
 }
 
-func (s *standbyNetwork) note(what string, n int) { s.notes[what] += n }
+func (s *standbyNetwork) count(what string, n int) { s.counts[what] += n }
 
 func (s *standbyNetwork) between(lo, hi time.Duration) time.Duration {
 	return lo + time.Duration(s.rng.Int64N(int64(hi-lo)+1))
@@ -54,11 +54,11 @@
 
 // standbyTimeouts are a node's margins, derived as the daemon derives them.
 func (w *World) standbyTimeouts() standby.Timeouts {
-	return standby.TimeoutsFor(w.o.HeartbeatInterval, simulatedSnapshotPace)
+	return standby.TimeoutsFor(w.options.HeartbeatInterval, simulatedSnapshotPace)
 }
 
 // standbyOn tells whether a node takes part: the version in production doesn't.
-func (n *node) standbyOn() bool { return n.w.standbys != nil && !n.old }
+func (n *node) standbyOn() bool { return n.w.standbys != nil && !n.runsProduction }
 
 // bootStandby gives a process that has just started an empty copy.
 func (n *node) bootStandby() {
@@ -83,7 +83,7 @@
 	}
 	delay := n.standby.ClaimDelay(n.local())
 	if n.local().Sub(n.vacantSince) < delay {
-		n.w.standbys.note("claims put off", 1)
+		n.w.standbys.count("claims delayed", 1)
 		return false
 	}
 	return true
@@ -101,25 +101,25 @@
 		QueueBound: simulatedQueueBound, SnapshotInterval: simulatedSnapshotPace, Heartbeat: simulatedHeartbeat,
 	})
 	if err != nil {
-		s.note("cold takeovers: "+err.Error(), 1)
+		s.count("cold takeovers: "+err.Error(), 1)
 		return
 	}
 	records, err := standby.Decode(view.Entries)
 	if err != nil {
-		n.w.check.fail("%s can't read its copy: %v", n.name, err)
+		n.w.checker.fail("%s can't read its copy: %v", n.name, err)
 		return
 	}
 	n.step(core.WarmStart{Records: records, Confirmed: view.Recent})
-	s.note("warm takeovers", 1)
-	outcome := n.eng.WarmOutcome()
-	s.note("machines expected", outcome.Expected)
-	s.note("machines differing", outcome.Differing)
-	s.note("attempts unstored", outcome.Unstored)
+	s.count("warm takeovers", 1)
+	outcome := n.engine.WarmOutcome()
+	s.count("machines expected", outcome.Expected)
+	s.count("machines differing", outcome.Differing)
+	s.count("attempts unstored", outcome.Unstored)
 }
 
 // cancelTerm ends the node's term.
 func (n *node) endTerm() {
-	n.eng, n.publisher = nil, nil
+	n.engine, n.publisher = nil, nil
 	if n.standby != nil {
 		n.standby.TermEnded(n.term.Number)
 	}
@@ -127,10 +127,10 @@
 
 // replicate sends the changes of the leader's warm state on their way.
 func (n *node) replicate() {
-	if n.publisher == nil || n.eng == nil {
+	if n.publisher == nil || n.engine == nil {
 		return
 	}
-	n.publisher.Publish(standby.Encode(n.eng.WarmChanges(n.local(), warmChangesAtOnce)))
+	n.publisher.Publish(standby.Encode(n.engine.WarmChanges(n.local(), warmChangesAtOnce)))
 	s := n.w.standbys
 	for _, o := range n.w.nodes {
 		if o == n || o.standby == nil {
@@ -151,10 +151,10 @@
 // started anew.
 func (s *standbyNetwork) connect(leader, follower *node) *stream {
 	c := s.streams[leader][follower]
-	if c != nil && c.eng == leader.eng && c.followerIncarnation == follower.incarnation {
+	if c != nil && c.eng == leader.engine && c.followerIncarnation == follower.incarnation {
 		return c
 	}
-	c = &stream{eng: leader.eng, followerIncarnation: follower.incarnation}
+	c = &stream{eng: leader.engine, followerIncarnation: follower.incarnation}
 	if s.streams[leader] == nil {
 		s.streams[leader] = map[*node]*stream{}
 	}
@@ -167,20 +167,20 @@
 // a while, so that the leader's bound is met.
 func (n *node) sendFrames(c *stream, o *node) {
 	s, w := n.w.standbys, n.w
-	if w.now.Before(c.lagUntil) || w.now.Before(s.lagging) {
+	if w.now.Before(c.lagUntil) || w.now.Before(s.laggingUntil) {
 		return
 	}
-	if w.o.Faults && !w.noNet && s.rng.IntN(60) == 0 {
+	if w.options.Faults && !w.networkReliable && s.rng.IntN(60) == 0 {
 		c.lagUntil = w.now.Add(s.between(time.Second, 15*time.Second))
-		s.note("slow followers", 1)
+		s.count("slow followers", 1)
 	}
 	for f, ok := n.publisher.Next(n.local(), o.name); ok; f, ok = n.publisher.Next(n.local(), o.name) {
-		s.note("frames", 1)
-		if !w.noNet && s.rng.Float64() < s.lost {
+		s.count("frames", 1)
+		if !w.networkReliable && s.rng.Float64() < s.lostShare {
 			continue
 		}
 		s.deliver(n, o, f)
-		if !w.noNet && s.rng.Float64() < s.doubled {
+		if !w.networkReliable && s.rng.Float64() < s.duplicateShare {
 			s.deliver(n, o, f)
 		}
 	}
@@ -188,16 +188,16 @@
 
 // deliver brings a frame to a follower, and its answer back.
 func (s *standbyNetwork) deliver(leader, follower *node, f standby.Frame) {
-	w, eng, leaderLife, life := s.w, leader.eng, leader.incarnation, follower.incarnation
-	w.after(s.between(time.Millisecond, 20*time.Millisecond+s.slow), func() {
-		follower.run(life, func() {
+	w, eng, leaderIncarnation, incarnation := s.w, leader.engine, leader.incarnation, follower.incarnation
+	w.after(s.between(time.Millisecond, 20*time.Millisecond+s.extraDelay), func() {
+		follower.run(incarnation, func() {
 			verdict := follower.standby.Receive(follower.local(), f)
-			s.note("frames "+verdict.String(), 1)
+			s.count("frames "+verdict.String(), 1)
 			resync := verdict.Lost() && follower.standby.MayResync(follower.local())
 			at := follower.standby.Position()
 			w.after(s.between(time.Millisecond, 20*time.Millisecond), func() {
-				leader.run(leaderLife, func() {
-					if leader.eng != eng || leader.publisher == nil {
+				leader.run(leaderIncarnation, func() {
+					if leader.engine != eng || leader.publisher == nil {
 						return
 					}
 					leader.publisher.Acknowledge(follower.name, at)
@@ -222,7 +222,7 @@
 		}
 	}
 	if n.publisher.HandOver(names) != "" {
-		n.w.standbys.note("successors named", 1)
+		n.w.standbys.count("successors named", 1)
 	}
 	n.replicate()
 }
--- a/internal/simulation/standby_scenarios_test.go
+++ b/internal/simulation/standby_scenarios_test.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// stallLeader stops the leader, its clocks running on, for longer than its lease.
-func (s *script) stallLeader(what string) {
-	n := s.ruling()
+// pauseLeader stops the leader, its clocks running on, for longer than its lease.
+func (s *script) pauseLeader(what string) {
+	n := s.currentLeader()
 	if n == nil {
 		return
 	}
-	s.note(what)
-	n.stalledUntil = s.w.now.Add(s.w.o.LeaseTTL + s.between(time.Second, 15*time.Second))
+	s.count(what)
+	n.pausedUntil = s.w.now.Add(s.w.options.LeaseTTL + s.between(time.Second, 15*time.Second))
 }
 
 // load keeps work coming and running in a scenario.
 func (s *script) load() {
-	s.long(6, 0)
-	s.short(30, 0, 120*time.Second)
+	s.submitEndless(6, 0)
+	s.submitShort(30, 0, 120*time.Second)
 }
 
 // currentStandby is a follower that has all changes, nil if none has.
 func (s *script) currentStandby() *node {
 	for _, n := range s.w.nodes {
-		if n.eng == nil && !n.down && n.standby != nil && n.standby.Position().Term != 0 {
+		if n.engine == nil && !n.down && n.standby != nil && n.standby.Position().Term != 0 {
 			return n
 		}
 	}
@@ -35,96 +35,96 @@
 var standbyScenarios = []faultScenario{
 	{name: "leader pauses at any moment and wakes after the takeover", script: func(s *script) {
 		s.load()
-		s.every(15*time.Second, 22*time.Second, func() { s.stallLeader("paused") })
-	}, least: map[string]int{"paused": 16, "warm takeovers": 14, "machines expected": 40}},
+		s.every(15*time.Second, 22*time.Second, func() { s.pauseLeader("leaders paused") })
+	}, least: eventCounts{"leaders paused": 16, "warm takeovers": 14, "machines expected": 40}},
 
 	{name: "leader pauses between a write and its answer", script: func(s *script) {
 		s.load()
 		s.every(15*time.Second, 22*time.Second, func() {
-			s.when(func() bool { n := s.ruling(); return n != nil && n.writing }, func() { s.stallLeader("paused while writing") })
+			s.when(func() bool { n := s.currentLeader(); return n != nil && n.writing }, func() { s.pauseLeader("leaders paused while writing") })
 		})
-	}, least: map[string]int{"paused while writing": 16, "warm takeovers": 14}},
+	}, least: eventCounts{"leaders paused while writing": 16, "warm takeovers": 14}},
 
 	{name: "leader pauses while its lease is extended by its peers", script: func(s *script) {
 		s.load()
 		s.every(15*time.Second, 30*time.Second, func() {
 			s.outage(s.between(6*time.Second, 14*time.Second))
-			s.at(s.between(2*time.Second, 5*time.Second), func() { s.stallLeader("paused while extending") })
+			s.at(s.between(2*time.Second, 5*time.Second), func() { s.pauseLeader("leaders paused while extending") })
 		})
-	}, least: map[string]int{"paused while extending": 8, "leaders": 10}},
+	}, least: eventCounts{"leaders paused while extending": 8, "leaders elected": 10}},
 
 	{name: "leader is cut off between its answer and the worker", noise: true, script: func(s *script) {
 		s.load()
-		s.answers = 0.15
-		s.every(15*time.Second, 20*time.Second, func() { s.stallLeader("paused") })
-	}, least: map[string]int{"paused": 12, "answers with commands held up": 8}},
+		s.delayedAnswerShare = 0.15
+		s.every(15*time.Second, 20*time.Second, func() { s.pauseLeader("leaders paused") })
+	}, least: eventCounts{"leaders paused": 12, "answers with commands delayed": 8}},
 
 	{name: "all standbys lag as the leader ends", script: func(s *script) {
 		s.load()
 		s.every(15*time.Second, 25*time.Second, func() {
-			s.w.standbys.lagging = s.w.now.Add(15 * time.Second)
-			s.at(s.between(8*time.Second, 14*time.Second), func() { s.crash(s.ruling(), s.between(time.Second, 5*time.Second)) })
+			s.w.standbys.laggingUntil = s.w.now.Add(15 * time.Second)
+			s.at(s.between(8*time.Second, 14*time.Second), func() { s.crash(s.currentLeader(), s.between(time.Second, 5*time.Second)) })
 		})
-	}, least: map[string]int{"leaders ended": 14, "leaders": 18, "attempts unstored": 1, "machines differing": 10}},
+	}, least: eventCounts{"leaders crashed": 14, "leaders elected": 18, "attempts unstored": 1, "machines differing": 10}},
 
 	{name: "leader and a current standby end together", script: func(s *script) {
 		s.load()
 		s.every(15*time.Second, 20*time.Second, func() {
-			leader, standby := s.ruling(), s.currentStandby()
+			leader, standby := s.currentLeader(), s.currentStandby()
 			if leader == nil || standby == nil {
 				return
 			}
-			s.note("ended together")
+			s.count("leader and standby crashed together")
 			s.crash(leader, s.between(10*time.Millisecond, 6*time.Second))
 			s.crash(standby, s.between(10*time.Millisecond, 6*time.Second))
 		})
-	}, least: map[string]int{"ended together": 16, "leaders": 20}},
+	}, least: eventCounts{"leader and standby crashed together": 16, "leaders elected": 20}},
 
 	{name: "old leader is back within a fraction of a second", script: func(s *script) {
 		s.load()
-		s.every(12*time.Second, 11*time.Second, func() { s.crash(s.ruling(), s.between(10*time.Millisecond, 300*time.Millisecond)) })
-	}, least: map[string]int{"leaders ended": 35, "warm takeovers": 25}},
+		s.every(12*time.Second, 11*time.Second, func() { s.crash(s.currentLeader(), s.between(10*time.Millisecond, 300*time.Millisecond)) })
+	}, least: eventCounts{"leaders crashed": 35, "warm takeovers": 25}},
 
 	{name: "takeover during an outage of the state service", script: func(s *script) {
 		s.load()
 		s.every(15*time.Second, 35*time.Second, func() {
 			s.outage(s.between(8*time.Second, 16*time.Second))
-			s.at(s.between(0, 3*time.Second), func() { s.crash(s.ruling(), s.between(time.Second, 10*time.Second)) })
+			s.at(s.between(0, 3*time.Second), func() { s.crash(s.currentLeader(), s.between(time.Second, 10*time.Second)) })
 		})
-	}, least: map[string]int{"leaders ended": 8, "outages": 10, "leaders": 12}},
+	}, least: eventCounts{"leaders crashed": 8, "outages": 10, "leaders elected": 12}},
 
 	{name: "takeover during a takeover", script: func(s *script) {
 		s.load()
 		s.every(12*time.Second, 20*time.Second, func() {
-			old := s.ruling()
+			old := s.currentLeader()
 			s.crash(old, s.between(time.Second, 4*time.Second))
-			s.afterLeader(old, func(next *node) {
-				s.note("new leaders ended at once")
+			s.onceNextLeader(old, func(next *node) {
+				s.count("new leaders crashed at once")
 				s.crash(next, s.between(time.Second, 4*time.Second))
 			})
 		})
-	}, least: map[string]int{"new leaders ended at once": 18, "leaders": 40}},
+	}, least: eventCounts{"new leaders crashed at once": 18, "leaders elected": 40}},
 
 	{name: "stream lossy, doubled, late and cut within snapshots", noise: true, script: func(s *script) {
 		s.load()
 		n := s.w.standbys
-		n.lost, n.doubled, n.slow = 0.2, 0.3, 3*time.Second
-		s.every(12*time.Second, 13*time.Second, func() { s.crash(s.ruling(), s.between(time.Second, 4*time.Second)) })
-	}, least: map[string]int{"frames gap": 100, "frames ignored": 500, "leaders ended": 25}},
+		n.lostShare, n.duplicateShare, n.extraDelay = 0.2, 0.3, 3*time.Second
+		s.every(12*time.Second, 13*time.Second, func() { s.crash(s.currentLeader(), s.between(time.Second, 4*time.Second)) })
+	}, least: eventCounts{"frames gap": 100, "frames ignored": 500, "leaders crashed": 25}},
 
 	{name: "leader cut from the standbys but not from workers", script: func(s *script) {
 		s.load()
 		s.every(15*time.Second, 30*time.Second, func() {
-			s.withLeader(func(n *node) {
-				s.note("cut from standbys")
-				n.noPeers = true
+			s.onceLeader(func(n *node) {
+				s.count("leaders cut off from standbys")
+				n.peersUnreachable = true
 				s.at(s.between(3*time.Second, 20*time.Second), func() {
-					n.noPeers = false
+					n.peersUnreachable = false
 					s.crash(n, s.between(time.Second, 5*time.Second))
 				})
 			})
 		})
-	}, least: map[string]int{"cut from standbys": 12, "leaders ended": 10}},
+	}, least: eventCounts{"leaders cut off from standbys": 12, "leaders crashed": 10}},
 
 	{name: "clocks at their drift bound", alter: func(o *Options) { o.Nodes = 5 }, script: func(s *script) {
 		for i, n := range s.w.nodes {
@@ -134,19 +134,19 @@
 			}
 		}
 		s.load()
-		s.every(12*time.Second, 15*time.Second, func() { s.stallLeader("paused") })
-		s.every(20*time.Second, 15*time.Second, func() { s.crash(s.ruling(), s.between(10*time.Millisecond, 3*time.Second)) })
-	}, least: map[string]int{"paused": 20, "leaders": 40}},
+		s.every(12*time.Second, 15*time.Second, func() { s.pauseLeader("leaders paused") })
+		s.every(20*time.Second, 15*time.Second, func() { s.crash(s.currentLeader(), s.between(10*time.Millisecond, 3*time.Second)) })
+	}, least: eventCounts{"leaders paused": 20, "leaders elected": 40}},
 
-	{name: "rolling upgrade from the version in production", alter: func(o *Options) { o.Roll, o.Pipelines = true, 4 }, script: func(s *script) {
+	{name: "rolling upgrade from the version in production", alter: func(o *Options) { o.RollingUpgrade, o.Pipelines = true, 4 }, script: func(s *script) {
 		s.load()
-		s.every(12*time.Second, 16*time.Second, func() { s.crash(s.ruling(), s.between(time.Second, 4*time.Second)) })
-	}, least: map[string]int{"leaders ended": 20, "warm takeovers": 4}},
+		s.every(12*time.Second, 16*time.Second, func() { s.crash(s.currentLeader(), s.between(time.Second, 4*time.Second)) })
+	}, least: eventCounts{"leaders crashed": 20, "warm takeovers": 4}},
 
 	{name: "planned hand-over", script: func(s *script) {
 		s.load()
-		s.every(12*time.Second, 13*time.Second, func() { s.handOver(s.between(time.Second, 4*time.Second)) })
-	}, least: map[string]int{"handed over": 28, "successors named": 25, "warm takeovers": 25}},
+		s.every(12*time.Second, 13*time.Second, func() { s.shutDownLeader(s.between(time.Second, 4*time.Second)) })
+	}, least: eventCounts{"leaders shut down": 28, "successors named": 25, "warm takeovers": 25}},
 }
 
 // TestStandbyScenarios brings the hard cases of a takeover about, with all rules checked
@@ -162,16 +162,12 @@
 			}
 		}
 		t.Run(m.name, func(t *testing.T) {
-			notes := map[string]int{}
-			for k := range uint64(seedsOf) {
-				m.play(t, 5000+uint64(i)*100+k, notes, false)
+			counts := eventCounts{}
+			for k := range uint64(seedsPerScenario) {
+				m.play(t, 5000+uint64(i)*100+k, counts, false)
 			}
-			for what, least := range m.least {
-				if notes[what] < least {
-					t.Errorf("%s: %d, at least %d expected", what, notes[what], least)
-				}
-			}
-			t.Log(notes)
+			counts.requireAtLeast(t, m.least)
+			t.Log(counts)
 		})
 	}
 }
--- a/internal/simulation/starvation_check.go
+++ b/internal/simulation/starvation_check.go
@@ -12,7 +12,7 @@
 // Such a start breaks no rule as long as the task is gone in time.
 func (c *checker) begun(t *task) {
 	c.startCame(t)
-	if t.job.told == pipeline.Cancelled {
+	if t.job.reportedPhase == pipeline.Cancelled {
 		c.startsCancelled++
 	}
 }
@@ -20,8 +20,8 @@
 // goesOn checks at each step of a task that its job's user hasn't known for too long
 // that it is cancelled: also a machine that hung may only go on with it until then.
 func (c *checker) goesOn(t *task, does string) {
-	if t.job.told == pipeline.Cancelled && c.w.now.Sub(t.job.cancelTold) > c.w.o.Cancel {
-		c.fail("ran_cancelled: %s %s on %s", name(t), does, t.m.name)
+	if t.job.reportedPhase == pipeline.Cancelled && c.w.now.Sub(t.job.cancelReportedAt) > c.w.options.CancelWithin {
+		c.fail("ran_cancelled: %s %s on %s", taskName(t), does, t.m.name)
 	}
 }
 
@@ -31,7 +31,7 @@
 	if !known && (!j.accepted || !asked.After(j.acceptedAt)) {
 		return
 	}
-	if known && v.Phase == pipeline.Active && j.told != pipeline.Active && !asked.After(j.toldAt) {
+	if known && v.Phase == pipeline.Active && j.reportedPhase != pipeline.Active && !asked.After(j.reportedAt) {
 		return
 	}
 	c.told(j, v, known)
@@ -51,12 +51,12 @@
 
 // replacedWithin is how long a service may lack a replica in peace though there is room.
 func (c *checker) replacedWithin() time.Duration {
-	o := &c.w.o
+	o := &c.w.options
 	leaseProvenOver := o.Lease + o.Lease/500 + time.Second
 	return leaseProvenOver + roundAndWrite + 2*o.HeartbeatInterval*5/4 + fetchMost + lookEvery
 }
 
-// checkStarvation checks, again and again once all troubles are over, that no job is left
+// checkStarvation checks, again and again once all faults are over, that no job is left
 // with tasks that wait though machines have room for them: arrays that have begun or not,
 // whole gangs, and replicas of services, which are replaced sooner.
 func (c *checker) checkStarvation() {
@@ -81,18 +81,18 @@
 	c.w.after(lookEvery, c.checkStarvation)
 }
 
-// patience is how many failures of its tasks a job can have had without being held
+// failuresTolerated is how many failures of its tasks a job can have had without being held
 // back by the service.
-const patience = 3
+const failuresTolerated = 3
 
 // A machine on which a task failed once is tried again after failureForgotten at the
 // latest; one with more failures may be taken for sick.
 const (
 	failureForgotten = 2 * time.Minute
-	sickAfter        = 2
+	quarantinedAfter = 2
 )
 
-// progressed notes the start of a task: a job that had begun isn't left waiting.
+// progressed counts the start of a task: a job that had begun isn't left waiting.
 func (c *checker) progressed(t *task) {
 	present := 0
 	for _, n := range c.presentByZone(t.job) {
@@ -107,11 +107,11 @@
 // there is room for them.
 func (c *checker) couldStart(j *userJob) bool {
 	s := &j.spec
-	if !j.accepted || j.mistake || j.errors > patience || j.askedCancel || j.told != pipeline.Active {
+	if !j.accepted || j.failsAlways || j.failures > failuresTolerated || j.cancelRequested || j.reportedPhase != pipeline.Active {
 		return false
 	}
 	for _, p := range j.dependencies {
-		if p.told != pipeline.Done {
+		if p.reportedPhase != pipeline.Done {
 			return false
 		}
 	}
@@ -188,7 +188,7 @@
 // takes tells whether a machine is well, isn't cordoned, and a job may use it.
 func (c *checker) takes(m *machine, s *pipeline.Spec) bool {
 	well := !c.w.drainCordoned(m) && !c.w.now.Before(m.hungUntil) && m.isUp && !m.faulty && m.interruptionAt.IsZero() &&
-		(m.failures == 0 || m.failures < sickAfter && c.w.now.Sub(m.failedAt) > failureForgotten)
+		(m.failures == 0 || m.failures < quarantinedAfter && c.w.now.Sub(m.failedAt) > failureForgotten)
 	return well && s.AllowsType(m.typ) && (s.Zone == "" || s.Zone == m.zone) && (!m.spot || s.Spot)
 }
 
--- a/internal/simulation/starve_test.go
+++ b/internal/simulation/starve_test.go
@@ -8,13 +8,13 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// beginWithin is how soon the largest jobs must begin (the users' check).
-const beginWithin = 4 * time.Minute
+// largestStartWithin is how soon the largest jobs must begin (the users' check).
+const largestStartWithin = 4 * time.Minute
 
-// flow submits work without end for more than there is room: small urgent
+// submitOverload submits work without end for more than there is room: small urgent
 // arrays, small normal ones of another team, and now and then a large gang, a
 // large array and one of low priority.
-func flow(w *World) {
+func submitOverload(w *World) {
 	n := 0
 	add := func(at time.Duration, s pipeline.Spec, run time.Duration) {
 		n++
@@ -24,7 +24,7 @@
 		w.jobs[s.Ref] = j
 		w.after(at, j.submit)
 	}
-	for at := time.Duration(0); at < w.o.Length; at += 2 * time.Second {
+	for at := time.Duration(0); at < w.options.Length; at += 2 * time.Second {
 		jitter := w.between(0, 2*time.Second)
 		add(at+jitter, pipeline.Spec{Class: "small", Team: "blue", Tasks: 6, CPUs: 4, Priority: pipeline.High}, 12*time.Second)
 		add(at+jitter, pipeline.Spec{Class: "plain", Team: "green", Tasks: 4, CPUs: 4, Priority: pipeline.Normal}, 12*time.Second)
@@ -41,15 +41,15 @@
 // jobs begin within four minutes, and half of each class and team is served.
 func TestNothingStarves(t *testing.T) {
 	for seed := range uint64(2) {
-		o := options(seed, false)
-		o.Jobs, o.Length, o.Drain = 0, 6*time.Minute, 4*time.Minute
+		o := randomOptions(seed, false)
+		o.Jobs, o.Length, o.SettleTime = 0, 6*time.Minute, 4*time.Minute
 		w := NewWorld(o)
-		flow(w)
+		submitOverload(w)
 		if err := w.Run(); err != nil {
 			t.Fatal(err)
 		}
 		for _, j := range w.jobs {
-			if wait := j.waited(); j.isLargest() && wait > beginWithin {
+			if wait := j.queueTime(); j.isLargest() && wait > largestStartWithin {
 				t.Errorf("seed %d: %s %s began after %s", seed, j.spec.Class, j.spec.Ref, wait)
 			}
 		}
@@ -61,12 +61,12 @@
 	}
 }
 
-// waited is how long the job waited until it began, or until now if it never began.
-func (j *userJob) waited() time.Duration {
-	if j.began.IsZero() {
-		return j.w.now.Sub(j.asked)
+// queueTime is how long the job waited until it began, or until now if it never began.
+func (j *userJob) queueTime() time.Duration {
+	if j.startedAt.IsZero() {
+		return j.w.now.Sub(j.firstSubmittedAt)
 	}
-	return j.began.Sub(j.asked)
+	return j.startedAt.Sub(j.firstSubmittedAt)
 }
 
 // isLargest tells whether the job is of a class that small work may starve.
@@ -84,7 +84,7 @@
 		for _, group := range []string{"class " + j.spec.Class, "team " + j.spec.Team} {
 			c := groups[group]
 			c.all++
-			if j.told == pipeline.Done {
+			if j.reportedPhase == pipeline.Done {
 				c.served++
 			}
 			groups[group] = c
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -14,14 +14,14 @@
 // Store is the state service: keys with versions and atomic transactions. The
 // leaders' lease is kept beside the keys.
 type Store struct {
-	w     *World
-	items map[string]*item
-	rev   uint64
-	down  bool
-	low   bool // the lower limits hold
+	w        *World
+	items    map[string]*item
+	revision uint64
+	down     bool
+	lowered  bool // the lower limits hold
 	// what is left of the writes that it takes, and as of when
-	room  float64
-	since time.Time
+	writesLeft   float64
+	writesLeftAt time.Time
 }
 
 // Limits of the state service at first, and once it has lowered them.
@@ -30,15 +30,15 @@
 	lowLimits  = jobstore.Limits{ValueBytes: 1000, TxnOps: 3}
 )
 
-// lowWrites is how many changes a second the state service then takes.
-const lowWrites = 12
+// loweredWriteRate is how many changes a second the state service then takes.
+const loweredWriteRate = 12
 
-func (s *Store) lower() { s.low = true }
+func (s *Store) lower() { s.lowered = true }
 
-// takes tells whether the changes are within the limits.
-func (s *Store) takes(changes []statestore.Op) error {
+// checkLimits tells whether the changes are within the limits.
+func (s *Store) checkLimits(changes []statestore.Op) error {
 	limits := highLimits
-	if s.low {
+	if s.lowered {
 		limits = lowLimits
 	}
 	if len(changes) > limits.TxnOps {
@@ -52,21 +52,21 @@
 			return statestore.ErrRejected
 		}
 	}
-	if !s.low {
+	if !s.lowered {
 		return nil
 	}
-	s.room = min(lowWrites, s.room+lowWrites*s.w.now.Sub(s.since).Seconds())
-	s.since = s.w.now
-	if s.room < float64(len(changes)) {
+	s.writesLeft = min(loweredWriteRate, s.writesLeft+loweredWriteRate*s.w.now.Sub(s.writesLeftAt).Seconds())
+	s.writesLeftAt = s.w.now
+	if s.writesLeft < float64(len(changes)) {
 		return statestore.ErrUnavailable
 	}
-	s.room -= float64(len(changes))
+	s.writesLeft -= float64(len(changes))
 	return nil
 }
 
 type item struct {
-	v     []byte
-	stamp uint64
+	value       []byte
+	modRevision uint64
 }
 
 // Get reads a key.
@@ -78,7 +78,7 @@
 	if it == nil {
 		return statestore.KeyValue{}, false, nil
 	}
-	return statestore.KeyValue{Key: key, Value: it.v, ModRevision: it.stamp}, true, nil
+	return statestore.KeyValue{Key: key, Value: it.value, ModRevision: it.modRevision}, true, nil
 }
 
 // List reads a range.
@@ -89,11 +89,11 @@
 	var out []statestore.KeyValue
 	for k, it := range s.items {
 		if strings.HasPrefix(k, prefix) {
-			out = append(out, statestore.KeyValue{Key: k, Value: it.v, ModRevision: it.stamp})
+			out = append(out, statestore.KeyValue{Key: k, Value: it.value, ModRevision: it.modRevision})
 		}
 	}
 	sort.Slice(out, func(i, k int) bool { return out[i].Key < out[k].Key })
-	return out, s.rev, nil
+	return out, s.revision, nil
 }
 
 // Commit applies changes if all conditions hold.
@@ -101,14 +101,14 @@
 	if s.down {
 		return 0, statestore.ErrUnavailable
 	}
-	if err := s.takes(changes); err != nil {
+	if err := s.checkLimits(changes); err != nil {
 		return 0, err
 	}
 	var failed []string
 	for _, c := range conds {
 		var have uint64
 		if it := s.items[c.Key]; it != nil {
-			have = it.stamp
+			have = it.modRevision
 		}
 		if have != c.ModRevision {
 			failed = append(failed, c.Key)
@@ -119,7 +119,7 @@
 	}
 	s.w.digest.add(s.w, "commit", "store", changes)
 	if len(changes) > 0 {
-		s.rev++
+		s.revision++
 	}
 	changes = s.w.drains.spoilCommit(changes)
 	for _, c := range changes {
@@ -127,9 +127,9 @@
 			delete(s.items, c.Key)
 			continue
 		}
-		s.items[c.Key] = &item{c.Value, s.rev}
+		s.items[c.Key] = &item{c.Value, s.revision}
 	}
 	s.w.output.commit(s.w, changes)
-	s.w.storeChanged(changes)
-	return s.rev, nil
+	s.w.notifyWatchers(changes)
+	return s.revision, nil
 }
--- a/internal/simulation/task.go
+++ b/internal/simulation/task.go
@@ -10,15 +10,15 @@
 
 // task is an attempt of a job's task on a machine.
 type task struct {
-	m            *machine
-	job          *userJob
-	index        int
-	attempt      uint64
-	state        fleet.TaskState
-	cause        fleet.ExitCause
-	checkpointed bool
-	onIt         bool // counts as being on the machine
-	gen          int  // outdates timers
+	m               *machine
+	job             *userJob
+	index           int
+	attempt         uint64
+	state           fleet.TaskState
+	cause           fleet.ExitCause
+	checkpointed    bool
+	onMachine       bool // counts as being on the machine
+	timerGeneration int  // outdates timers
 }
 
 func taskKey(ref string, index int, attempt uint64) string {
@@ -27,10 +27,10 @@
 
 // timer runs fn unless the task changed meanwhile.
 func (t *task) timer(d time.Duration, fn func()) {
-	t.gen++
-	gen := t.gen
+	t.timerGeneration++
+	gen := t.timerGeneration
 	t.m.later(d, func() {
-		if t.gen == gen && t.state != fleet.Exited {
+		if t.timerGeneration == gen && t.state != fleet.Exited {
 			fn()
 		}
 	})
@@ -41,8 +41,8 @@
 
 // occupyMachine puts the task on its machine: its image is there.
 func (t *task) occupyMachine() {
-	t.onIt = true
-	t.m.w.check.taskStarted(t)
+	t.onMachine = true
+	t.m.w.checker.taskStarted(t)
 	if t.job.spec.Shape != pipeline.Gang {
 		t.run()
 		return
@@ -64,16 +64,16 @@
 }
 
 func (t *task) run() {
-	t.m.w.check.goesOn(t, "runs")
+	t.m.w.checker.goesOn(t, "runs")
 	t.state = fleet.Running
 	t.m.w.drainRuns(t)
-	delete(t.m.w.check.moved[t.job], t.index)
-	if t.job.began.IsZero() {
-		t.job.began = t.m.w.now
+	delete(t.m.w.checker.moved[t.job], t.index)
+	if t.job.startedAt.IsZero() {
+		t.job.startedAt = t.m.w.now
 	}
-	t.m.changed()
+	t.m.heartbeatSoon()
 	switch {
-	case t.m.faulty || t.job.mistake:
+	case t.m.faulty || t.job.failsAlways:
 		t.timer(time.Second, func() { t.exit(fleet.CauseError, false) })
 	case t.job.spec.Shape == pipeline.Array:
 		t.timer(t.job.runOf(t.index), func() { t.job.done[t.index] = true; t.exit(fleet.CauseDone, false) })
@@ -105,23 +105,23 @@
 	t.state, t.cause, t.checkpointed = fleet.Exited, c, saved
 	t.m.w.drainLeft(t)
 	t.leaveMachine()
-	t.m.changed()
+	t.m.heartbeatSoon()
 	switch c {
 	case fleet.CauseError:
 		t.m.failures++
 		t.m.failedAt = t.m.w.now
-		t.job.errors++
+		t.job.failures++
 	case fleet.CauseDone:
-		t.m.w.check.goesOn(t, "completes")
+		t.m.w.checker.goesOn(t, "completes")
 		t.m.w.script.taskDone(t)
 	}
 }
 
-// leaveMachine notes that the task is no longer on its machine; its gang notices.
+// leaveMachine counts that the task is no longer on its machine; its gang notices.
 func (t *task) leaveMachine() {
-	if t.onIt {
-		t.onIt = false
-		t.m.w.check.left(t)
+	if t.onMachine {
+		t.onMachine = false
+		t.m.w.checker.left(t)
 	}
 	if t.job.spec.Shape == pipeline.Gang && t.cause != fleet.CauseDone {
 		for _, o := range t.job.mates(t.attempt) {
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -17,24 +17,24 @@
 
 // userJob is a job as its user knows it.
 type userJob struct {
-	w            *World
-	spec         pipeline.Spec
-	run          time.Duration
-	runs         []time.Duration // of each task, if they differ
-	mistake      bool
-	wantsCancel  bool
-	accepted     bool
-	told         pipeline.Phase
-	toldAt       time.Time // since when
-	errors       int       // how often a task of it failed
-	cancelTold   time.Time
-	done         map[int]bool
-	asked        time.Time // when it was first submitted
-	began        time.Time // when a first task of it ran
-	answered     time.Time // when a question was last answered
-	dependencies []*userJob
-	acceptedAt   time.Time
-	askedCancel  bool // its user has asked to cancel it
+	w                *World
+	spec             pipeline.Spec
+	run              time.Duration
+	runs             []time.Duration // of each task, if they differ
+	failsAlways      bool
+	wantsCancel      bool
+	accepted         bool
+	reportedPhase    pipeline.Phase
+	reportedAt       time.Time // since when
+	failures         int       // how often a task of it failed
+	cancelReportedAt time.Time
+	done             map[int]bool
+	firstSubmittedAt time.Time // when it was first submitted
+	startedAt        time.Time // when a first task of it ran
+	lastAnsweredAt   time.Time // when a question was last answered
+	dependencies     []*userJob
+	acceptedAt       time.Time
+	cancelRequested  bool // its user has asked to cancel it
 }
 
 // mates are the tasks of one attempt of a gang that haven't exited.
@@ -72,8 +72,8 @@
 func userJobNumber(i int) int { return i * 7919 % 100_003 }
 
 func (w *World) planUsers() {
-	for i := range w.o.Jobs {
-		j := &userJob{w: w, done: map[int]bool{}, run: w.between(2*time.Second, 25*time.Second), mistake: w.chance(0.05)}
+	for i := range w.options.Jobs {
+		j := &userJob{w: w, done: map[int]bool{}, run: w.between(2*time.Second, 25*time.Second), failsAlways: w.chance(0.05)}
 		s := &j.spec
 		s.Ref = userJobRefs.ref(userJobNumber(i))
 		s.Class, s.Team, s.Image, s.ImageGB = "c", "red", fmt.Sprintf("img-%d", w.rng.IntN(3)), 2
@@ -106,27 +106,27 @@
 		if w.chance(0.6) {
 			s.CheckpointInterval, s.CheckpointTime = 3*time.Second, 2*time.Second
 		}
-		j.wantsCancel = j.wantsCancel || j.mistake || w.chance(0.2)
+		j.wantsCancel = j.wantsCancel || j.failsAlways || w.chance(0.2)
 		w.jobs[s.Ref] = j
-		w.after(w.between(0, w.o.Length*2/3), j.submit)
+		w.after(w.between(0, w.options.Length*2/3), j.submit)
 	}
-	w.after(w.between(0, 5*time.Second), w.askUnknown)
+	w.after(w.between(0, 5*time.Second), w.queryUnknownJob)
 }
 
-// askUnknown asks about a job that nobody submitted.
-func (w *World) askUnknown() {
+// queryUnknownJob asks about a job that nobody submitted.
+func (w *World) queryUnknownJob() {
 	n := w.nodes[w.rng.IntN(len(w.nodes))]
-	if v, known, ok := n.view(unsubmittedRef); ok && known {
-		w.check.fail("invented: unknown job is called %v", v.Phase)
+	if v, known, ok := n.answerQuery(unsubmittedRef); ok && known {
+		w.checker.fail("invented: unknown job is called %v", v.Phase)
 	}
-	w.after(7*time.Second, w.askUnknown)
+	w.after(7*time.Second, w.queryUnknownJob)
 }
 
-// anyNode is the node that the load balancer chooses: a healthy one, if any is.
-func (j *userJob) anyNode() *node {
+// loadBalancedNode is the node that the load balancer chooses: a healthy one, if any is.
+func (j *userJob) loadBalancedNode() *node {
 	var up []*node
 	for _, n := range j.w.nodes {
-		if !n.down && !n.stalled() && j.w.reach("", n.zone) && n.health.Serves(n.local()) {
+		if !n.down && !n.paused() && j.w.reachable("", n.zone) && n.health.Serves(n.local()) {
 			up = append(up, n)
 		}
 	}
@@ -137,11 +137,11 @@
 }
 
 func (j *userJob) submit() {
-	if j.asked.IsZero() {
-		j.asked = j.w.now
+	if j.firstSubmittedAt.IsZero() {
+		j.firstSubmittedAt = j.w.now
 	}
-	n := j.anyNode()
-	if n.down || n.stalled() || n.cutOff() {
+	n := j.loadBalancedNode()
+	if n.down || n.paused() || n.cutOff() {
 		j.w.after(time.Second, j.submit)
 		return
 	}
@@ -152,13 +152,13 @@
 	jobs := n.jobs
 	answered := false
 	create := func() {
-		n.call(func() { answered = j.taken(jobs.Create(bg, j.spec, j.dependencyNames(), j.w.now)) }, func() {
+		n.call(func() { answered = j.submissionStored(jobs.Create(bg, j.spec, j.dependencyNames(), j.w.now)) }, func() {
 			if answered {
 				j.w.output.userAnswer(n, j.spec.Ref, userapi.Answer{Status: http.StatusCreated})
 			}
 			if answered && !j.accepted {
 				j.accepted, j.acceptedAt = true, j.w.now
-				j.w.script.accepted(j)
+				j.w.script.jobAccepted(j)
 			}
 		})
 	}
@@ -167,7 +167,7 @@
 	} else { // the check and the write are two calls, between which anything may happen
 		err := statestore.ErrUnknownOutcome
 		n.call(func() { err = jobs.CheckDependencies(bg, j.spec.Ref, j.dependencyNames()) }, func() {
-			if j.taken(err) {
+			if j.submissionStored(err) {
 				create()
 			}
 		})
@@ -179,7 +179,7 @@
 		}
 		j.poll()
 		if j.wantsCancel {
-			j.w.after(j.w.between(0, j.w.o.Length/3), j.cancel)
+			j.w.after(j.w.between(0, j.w.options.Length/3), j.cancel)
 		}
 	})
 }
@@ -196,31 +196,31 @@
 	return out
 }
 
-// taken tells whether the outcome of a submission means that the job is accepted.
-func (j *userJob) taken(err error) bool {
+// submissionStored tells whether the outcome of a submission means that the job is accepted.
+func (j *userJob) submissionStored(err error) bool {
 	if errors.Is(err, jobstore.ErrBadDependency) || errors.Is(err, jobstore.ErrTooLarge) {
-		j.w.check.fail("%s refused: %v", j.spec.Ref, err)
+		j.w.checker.fail("%s refused: %v", j.spec.Ref, err)
 	}
 	return err == nil || errors.Is(err, jobstore.ErrExists)
 }
 
-// view is what a node tells of a job: itself, or by asking another.
-func (n *node) view(ref string) (v core.JobView, known, ok bool) {
-	v, known, ok = n.viewAnywhere(ref)
+// answerQuery is what a node tells of a job: itself, or by asking another.
+func (n *node) answerQuery(ref string) (v core.JobView, known, ok bool) {
+	v, known, ok = n.queryAnyNode(ref)
 	n.w.output.jobView(n, ref, v, known, ok)
 	return v, known, ok
 }
 
-func (n *node) viewAnywhere(ref string) (v core.JobView, known, ok bool) {
-	if n.down || n.stalled() || !n.w.reach("", n.zone) {
+func (n *node) queryAnyNode(ref string) (v core.JobView, known, ok bool) {
+	if n.down || n.paused() || !n.w.reachable("", n.zone) {
 		return v, false, false
 	}
-	if v, known, ok = n.ownView(ref); ok {
+	if v, known, ok = n.queryLocally(ref); ok {
 		return v, known, ok
 	}
 	for _, o := range n.w.nodes {
 		if o != n && n.reaches(o) {
-			if v, known, ok = o.ownView(ref); ok {
+			if v, known, ok = o.queryLocally(ref); ok {
 				return v, known, ok
 			}
 		}
@@ -228,14 +228,14 @@
 	return v, false, false
 }
 
-// ownView is what a node tells by itself: from its engine if it may, else from
+// queryLocally is what a node tells by itself: from its engine if it may, else from
 // the store. ok is false when it can't tell.
-func (n *node) ownView(ref string) (v core.JobView, known, ok bool) {
+func (n *node) queryLocally(ref string) (v core.JobView, known, ok bool) {
 	if n.down {
 		return v, false, false
 	}
-	if n.eng != nil {
-		if v, known := n.eng.Lookup(ref); known && n.holdsLease() {
+	if n.engine != nil {
+		if v, known := n.engine.Lookup(ref); known && n.holdsLease() {
 			return v, true, true
 		}
 	}
@@ -253,56 +253,56 @@
 }
 
 func (j *userJob) poll() {
-	if v, known, ok := j.anyNode().view(j.spec.Ref); ok {
-		j.w.check.told(j, v, known)
-		j.answered = j.w.now
+	if v, known, ok := j.loadBalancedNode().answerQuery(j.spec.Ref); ok {
+		j.w.checker.told(j, v, known)
+		j.lastAnsweredAt = j.w.now
 	}
-	j.w.check.remembered(j)
+	j.w.checker.remembered(j)
 	j.w.after(j.w.between(2*time.Second, 5*time.Second), j.poll)
 }
 
 func (j *userJob) cancel() {
-	n := j.anyNode()
+	n := j.loadBalancedNode()
 	for _, o := range j.w.nodes {
 		if o.holdsLease() {
 			n = o // the leader serves cancellations
 		}
 	}
-	if n.down || n.stalled() || n.cutOff() {
+	if n.down || n.paused() || n.cutOff() {
 		j.w.after(time.Second, j.cancel)
 		return
 	}
-	j.askedCancel = true
+	j.cancelRequested = true
 	n.cancel(j.spec.Ref, func(st jobstore.State) {
 		j.w.output.cancellation(n, j.spec.Ref, st.Phase)
-		j.w.check.told(j, core.JobView{Phase: st.Phase, Done: len(j.done)}, true)
+		j.w.checker.told(j, core.JobView{Phase: st.Phase, Done: len(j.done)}, true)
 	})
 	j.w.after(3*time.Second, func() {
-		if j.told == pipeline.Active {
+		if j.reportedPhase == pipeline.Active {
 			j.cancel()
 		}
 	})
 }
 
-// planFaults strews troubles over the world, singly and together.
+// planFaults strews faults over the world, singly and together.
 func (w *World) planFaults() {
 	for range 4 + w.rng.IntN(10) {
-		w.after(w.between(0, w.o.Length), w.trouble)
+		w.after(w.between(0, w.options.Length), w.randomFault)
 	}
-	w.after(w.o.Length, w.endTroubles)
+	w.after(w.options.Length, w.endFaults)
 }
 
-// endTroubles ends all troubles that have no end of their own: from now on there is peace.
-func (w *World) endTroubles() {
-	w.noNet, w.store.down, w.cloud.down, w.peersRefuse = true, false, false, false
-	w.peace = w.now
-	w.check.checkStarvation()
+// endFaults ends all faults that have no end of their own: from now on there is peace.
+func (w *World) endFaults() {
+	w.networkReliable, w.store.down, w.cloud.down, w.peersRefuse = true, false, false, false
+	w.faultsEndedAt = w.now
+	w.checker.checkStarvation()
 	clear(w.cutZones)
-	clear(w.apart)
+	clear(w.partitionedZones)
 	for _, n := range w.nodes {
-		n.noStore, n.noWorkers, n.noPeers = false, false, false
+		n.storeUnreachable, n.workersUnreachable, n.peersUnreachable = false, false, false
 		if w.shortLease != nil {
-			n.refused, n.slowUntil = false, time.Time{}
+			n.refusedByStore, n.slowUntil = false, time.Time{}
 		}
 	}
 	for _, m := range w.machines {
@@ -319,7 +319,7 @@
 	return ms[w.rng.IntN(len(ms))]
 }
 
-func (w *World) trouble() {
+func (w *World) randomFault() {
 	n, m := w.nodes[w.rng.IntN(len(w.nodes))], w.anyMachine()
 	long := w.between(2*time.Second, 40*time.Second)
 	switch w.rng.IntN(18) {
@@ -331,14 +331,14 @@
 			n.crash(w.between(10*time.Millisecond, back))
 		}
 	case 2:
-		n.noStore = true
-		w.after(long, func() { n.noStore = false })
+		n.storeUnreachable = true
+		w.after(long, func() { n.storeUnreachable = false })
 	case 3:
-		n.noWorkers = true
-		w.after(long, func() { n.noWorkers = false })
+		n.workersUnreachable = true
+		w.after(long, func() { n.workersUnreachable = false })
 	case 4:
-		n.noStore, n.noWorkers = true, true
-		w.after(long, func() { n.noStore, n.noWorkers = false, false })
+		n.storeUnreachable, n.workersUnreachable = true, true
+		w.after(long, func() { n.storeUnreachable, n.workersUnreachable = false, false })
 	case 5:
 		w.outage(w.between(time.Second, 20*time.Second))
 	case 6:
@@ -354,22 +354,22 @@
 			w.after(long, func() { m.cut[n] = false })
 		}
 	case 10, 11:
-		w.harm(m)
+		w.machineFault(m)
 	case 12, 13:
 		if m != nil {
 			m.inboundLost = true
 			w.after(2*long, func() { m.inboundLost = false })
 		}
 	case 14: // it keeps its workers, and nothing else
-		n.noStore, n.noPeers = true, true
-		w.after(long, func() { n.noStore, n.noPeers = false, false })
+		n.storeUnreachable, n.peersUnreachable = true, true
+		w.after(long, func() { n.storeUnreachable, n.peersUnreachable = false, false })
 	default:
-		w.troubleBetween(long)
+		w.networkFault(long)
 	}
 }
 
-// troubleBetween is a trouble between zones, or between controllers.
-func (w *World) troubleBetween(long time.Duration) {
+// networkFault is a fault between zones, or between controllers.
+func (w *World) networkFault(long time.Duration) {
 	i := w.rng.IntN(len(w.zones))
 	zone, other := w.zones[i], w.zones[(i+1)%len(w.zones)]
 	switch w.rng.IntN(4) {
@@ -377,8 +377,8 @@
 		w.cutZones[zone] = true
 		w.after(long, func() { delete(w.cutZones, zone) })
 	case 1:
-		w.apart[[2]string{zone, other}] = true
-		w.after(long, func() { delete(w.apart, [2]string{zone, other}) })
+		w.partitionedZones[[2]string{zone, other}] = true
+		w.after(long, func() { delete(w.partitionedZones, [2]string{zone, other}) })
 	case 2:
 		w.peersRefuse = true
 		w.after(long, func() { w.peersRefuse = false })
@@ -389,8 +389,8 @@
 	}
 }
 
-// harm takes a machine back, lets it die or fall sick.
-func (w *World) harm(m *machine) {
+// machineFault takes a machine back, lets it die or fall sick.
+func (w *World) machineFault(m *machine) {
 	if m == nil {
 		return
 	}
@@ -407,7 +407,7 @@
 		m.interruptionAt = w.now.Add(w.between(3*time.Second, 12*time.Second))
 		w.after(m.interruptionAt.Sub(w.now), m.die)
 		if m.isUp {
-			m.changed()
+			m.heartbeatSoon()
 		}
 	}
 }
@@ -421,7 +421,7 @@
 	w.after(d, func() {
 		w.store.down = false
 		if held {
-			w.lease.until = w.now.Add(w.o.LeaseTTL) // all leases have their full time again
+			w.lease.until = w.now.Add(w.options.LeaseTTL) // all leases have their full time again
 		}
 	})
 }
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -14,7 +14,7 @@
 	name, typ              string
 	zone                   string
 	spot                   bool
-	born                   time.Time
+	createdAt              time.Time
 	rate                   float64
 	isUp, dead             bool
 	hungUntil              time.Time
@@ -28,7 +28,7 @@
 	cut                    map[*node]bool
 	incarnation            uint64
 	sequence, fencingToken uint64
-	answered               time.Time // when the last answered report was sent, by its own clock
+	lastAnsweredAt         time.Time // when the last answered report was sent, by its own clock
 	target                 int
 	outstanding            uint64 // the heartbeat that is waited for, 0: none
 	lastHeartbeat          time.Time
@@ -58,7 +58,7 @@
 	if m.dead {
 		return
 	}
-	m.isUp, m.incarnation, m.answered = true, 1, m.local()
+	m.isUp, m.incarnation, m.lastAnsweredAt = true, 1, m.local()
 	m.target = m.w.rng.IntN(len(m.w.nodes))
 	m.cut = map[*node]bool{}
 	m.leaseLoop()
@@ -69,13 +69,13 @@
 	if m.dead {
 		return
 	}
-	if m.local().Sub(m.answered) > m.w.o.Lease {
+	if m.local().Sub(m.lastAnsweredAt) > m.w.options.Lease {
 		for _, t := range m.sorted() {
 			m.remove(t)
 		}
 		m.incarnation++
 		m.outstanding = 0
-		m.answered = m.local()
+		m.lastAnsweredAt = m.local()
 		m.sendHeartbeat()
 	}
 	// A hanging machine may go on within its lease only (PROTOCOL), so this
@@ -84,15 +84,15 @@
 }
 
 func (m *machine) heartbeatLoop() {
-	every := m.w.o.HeartbeatInterval
+	every := m.w.options.HeartbeatInterval
 	m.later(m.w.between(every*3/4, every*5/4), func() {
 		m.sendHeartbeat()
 		m.heartbeatLoop()
 	})
 }
 
-// changed reports soon, but no more often than every half second.
-func (m *machine) changed() {
+// heartbeatSoon reports soon, but no more often than every half second.
+func (m *machine) heartbeatSoon() {
 	wait := max(0, 500*time.Millisecond-m.w.now.Sub(m.lastHeartbeat))
 	m.later(wait, m.sendHeartbeat)
 }
@@ -136,20 +136,20 @@
 	m.deliver(n, r, sent)
 	m.later(answerWithin, func() {
 		if m.outstanding == r.Sequence {
-			m.next()
+			m.tryNextNode()
 		}
 	})
 }
 
-// next moves on to another node.
-func (m *machine) next() {
+// tryNextNode moves on to another node.
+func (m *machine) tryNextNode() {
 	m.outstanding = 0
 	m.target = (m.target + 1) % len(m.w.nodes)
 	m.later(time.Second, m.sendHeartbeat)
 }
 
 func (m *machine) blocked(n *node) bool {
-	return n.down || n.noWorkers || m.cut[n] || !m.w.reach(m.zone, n.zone)
+	return n.down || n.workersUnreachable || m.cut[n] || !m.w.reachable(m.zone, n.zone)
 }
 
 func (m *machine) deliver(n *node, r fleet.Heartbeat, sent time.Time) {
@@ -157,10 +157,10 @@
 	w.digest.add(w, "report", m.name, r)
 	delay := w.between(time.Millisecond, 20*time.Millisecond) + w.script.linkDelay()
 	if m.outboundLost {
-		w.script.note("reports of machines with outbound loss")
+		w.script.count("heartbeats of machines with outbound loss")
 		return
 	}
-	if w.script.takes(m, n, r, sent) {
+	if w.script.interceptHeartbeat(m, n, r, sent) {
 		return
 	}
 	if m.blocked(n) {
@@ -168,20 +168,20 @@
 			return
 		}
 		delay = w.between(time.Second, 25*time.Second) // held back by the cut
-	} else if w.o.Faults && !w.noNet && w.chance(0.01) {
+	} else if w.options.Faults && !w.networkReliable && w.chance(0.01) {
 		delay = w.between(0, 12*time.Second)
 	}
-	if w.o.Faults && !w.noNet && w.chance(0.05) {
+	if w.options.Faults && !w.networkReliable && w.chance(0.05) {
 		w.sendDuplicate(r)
 	}
-	life := m.workerProcess
+	process := m.workerProcess
 	w.after(delay, func() {
-		n.run(n.incarnation, func() { m.arrived(n, r, life, sent) })
+		n.run(n.incarnation, func() { m.heartbeatArrived(n, r, process, sent) })
 	})
 }
 
-// arrived has a node serve a heartbeat.
-func (m *machine) arrived(n *node, r fleet.Heartbeat, life int, sent time.Time) {
+// heartbeatArrived has a node serve a heartbeat.
+func (m *machine) heartbeatArrived(n *node, r fleet.Heartbeat, process int, sent time.Time) {
 	w := m.w
 	status, reply, leader := n.answerHeartbeat(r, false)
 	if status == 421 && n.reaches(leader) && w.chance(0.2) {
@@ -189,19 +189,21 @@
 	}
 	if status == 0 {
 		leader.tick()
-		leader.hold(r, func(status int, reply core.HeartbeatResponse) { m.answer(n, r, life, sent, status, reply, nil) })
+		leader.completeHeldResponse(r, func(status int, reply core.HeartbeatResponse) {
+			m.sendResponse(n, r, process, sent, status, reply, nil)
+		})
 		return
 	}
-	m.answer(n, r, life, sent, status, reply, leader)
+	m.sendResponse(n, r, process, sent, status, reply, leader)
 }
 
-// hold completes an answer a moment later, or when the leader says so.
-func (n *node) hold(r fleet.Heartbeat, answer func(int, core.HeartbeatResponse)) {
-	eng, life := n.eng, n.incarnation
+// completeHeldResponse completes an answer a moment later, or when the leader says so.
+func (n *node) completeHeldResponse(r fleet.Heartbeat, answer func(int, core.HeartbeatResponse)) {
+	eng, incarnation := n.engine, n.incarnation
 	var again func()
 	again = func() {
 		n.w.after(n.w.between(50*time.Millisecond, 500*time.Millisecond), func() {
-			n.run(life, func() {
+			n.run(incarnation, func() {
 				if status, reply := n.answerHeldHeartbeat(r, eng); status == 0 {
 					again()
 				} else {
@@ -213,20 +215,20 @@
 	again()
 }
 
-// answer sends a node's response back, if it gets through.
-func (m *machine) answer(n *node, r fleet.Heartbeat, life int, sent time.Time, status int, reply core.HeartbeatResponse, leader *node) {
+// sendResponse sends a node's response back, if it gets through.
+func (m *machine) sendResponse(n *node, r fleet.Heartbeat, process int, sent time.Time, status int, reply core.HeartbeatResponse, leader *node) {
 	w := m.w
-	if m.inboundLost || m.blocked(n) || (w.o.Faults && !w.noNet && w.chance(0.01)) {
+	if m.inboundLost || m.blocked(n) || (w.options.Faults && !w.networkReliable && w.chance(0.01)) {
 		return
 	}
 	delay := w.between(time.Millisecond, 30*time.Millisecond)
 	if w.correlated != nil {
-		delay += w.correlated.stallBeforeAnswer() // between the check of the lease and the answer
+		delay += w.correlated.pauseBeforeAnswer() // between the check of the lease and the answer
 	}
-	delay += w.script.linkDelay() + w.script.answerHeld(m, status, reply) + n.busyFor()
+	delay += w.script.linkDelay() + w.script.answerDelay(m, status, reply) + n.busyFor()
 	m.later(delay, func() {
-		if m.workerProcess == life {
-			m.response(r, sent, status, reply, leader)
+		if m.workerProcess == process {
+			m.handleResponse(r, sent, status, reply, leader)
 		}
 	})
 }
@@ -234,21 +236,21 @@
 // sendDuplicate has a copy of a heartbeat arrive late at some node, up to well over a lease
 // later; nobody waits for its answer.
 func (w *World) sendDuplicate(r fleet.Heartbeat) {
-	w.after(w.between(time.Second, 3*w.o.Lease), func() {
+	w.after(w.between(time.Second, 3*w.options.Lease), func() {
 		n := w.nodes[w.rng.IntN(len(w.nodes))]
 		n.run(n.incarnation, func() {
 			status, _, leader := n.answerHeartbeat(r, false)
-			if status == 421 && !leader.stalled() {
+			if status == 421 && !leader.paused() {
 				status, _, leader = leader.answerHeartbeat(r, true)
 			}
 			if status == 0 {
-				leader.hold(r, func(int, core.HeartbeatResponse) {})
+				leader.completeHeldResponse(r, func(int, core.HeartbeatResponse) {})
 			}
 		})
 	})
 }
 
-func (m *machine) response(r fleet.Heartbeat, sent time.Time, status int, reply core.HeartbeatResponse, leader *node) {
+func (m *machine) handleResponse(r fleet.Heartbeat, sent time.Time, status int, reply core.HeartbeatResponse, leader *node) {
 	if m.outstanding != r.Sequence || r.Incarnation != m.incarnation {
 		return // given up, or from an earlier incarnation
 	}
@@ -261,9 +263,9 @@
 		}
 		higher := reply.FencingToken > m.fencingToken
 		m.fencingToken = reply.FencingToken
-		m.answered = sent
+		m.lastAnsweredAt = sent
 		if m.execute(reply.Commands) || higher {
-			m.changed()
+			m.heartbeatSoon()
 		}
 	case 421:
 		for i, n := range m.w.nodes {
@@ -273,7 +275,7 @@
 		}
 		m.later(m.w.between(0, 500*time.Millisecond), m.sendHeartbeat)
 	default:
-		m.next()
+		m.tryNextNode()
 	}
 }
 
@@ -288,7 +290,7 @@
 	if m.inboundLost {
 		return
 	}
-	if m.blocked(n) || (w.o.Faults && !w.noNet && w.chance(0.05)) {
+	if m.blocked(n) || (w.options.Faults && !w.networkReliable && w.chance(0.05)) {
 		delay = w.between(0, 30*time.Second)
 	}
 	delay += w.script.linkDelay() + w.script.commandDelay(m) + n.busyFor()
@@ -298,7 +300,7 @@
 			m.fencingToken = d.FencingToken
 			m.sequence++
 			if m.execute(d.Commands) {
-				m.changed()
+				m.heartbeatSoon()
 			}
 		}
 	})
@@ -312,12 +314,12 @@
 		switch c.Kind {
 		case fleet.Start:
 			if t == nil {
-				m.begin(c)
+				m.startTask(c)
 				changed = true
 			}
 		case fleet.Stop:
 			if t != nil && t.state != fleet.Exited {
-				m.w.check.toldToStop(t)
+				m.w.checker.toldToStop(t)
 				m.w.drainToldToStop(t)
 				t.stop(c.Grace)
 				changed = true
@@ -332,14 +334,14 @@
 	return changed
 }
 
-func (m *machine) begin(c fleet.Command) {
+func (m *machine) startTask(c fleet.Command) {
 	j := m.w.jobs[c.Ref]
 	if j == nil {
-		m.w.check.fail("start of unknown job %s", c.Ref)
+		m.w.checker.fail("start of unknown job %s", c.Ref)
 		return
 	}
 	t := &task{m: m, job: j, index: c.Task, attempt: c.Attempt, state: fleet.Fetching}
-	m.w.check.begun(t)
+	m.w.checker.begun(t)
 	var cpus, gpus, mem float64
 	for _, o := range m.tasks {
 		if o.state == fleet.Exited {
@@ -370,7 +372,7 @@
 }
 
 func (m *machine) remove(t *task) {
-	t.gen++
+	t.timerGeneration++
 	delete(m.tasks, taskKey(t.job.spec.Ref, t.index, t.attempt))
 	if t.state != fleet.Exited {
 		t.state = fleet.Exited
@@ -385,7 +387,7 @@
 	}
 	m.workerProcess++
 	m.incarnation, m.sequence, m.fencingToken, m.outstanding = 1, 0, 0, 0
-	m.answered, m.lastHeartbeat = m.local(), time.Time{}
+	m.lastAnsweredAt, m.lastHeartbeat = m.local(), time.Time{}
 	clear(m.images)
 	m.later(m.w.between(10*time.Millisecond, time.Second), m.sendHeartbeat)
 }
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -19,31 +19,31 @@
 // Options say what a world is like.
 type Options struct {
 	Seed               uint64
-	Length             time.Duration // troubles and users' calls end here
-	Drain              time.Duration // how long the world then goes on in peace
+	Length             time.Duration // faults and users' calls end here
+	SettleTime              time.Duration // how long the world then goes on in peace
 	Nodes              int
 	Zones              int
 	Jobs               int
 	Faults             bool
 	CorrelatedFailures bool // many machines fail together, and controllers stall
 	Pipelines          int  // pipelines of jobs that wait for each other
-	Roll               bool // the version in production runs first, and is replaced node by node
-	Lower              bool // the state service lowers its limits at some moment after that
+	RollingUpgrade               bool // the version in production runs first, and is replaced node by node
+	LowerStoreLimits              bool // the state service lowers its limits at some moment after that
 	HeartbeatInterval  time.Duration
 	Lease              time.Duration
-	Cancel             time.Duration
+	CancelWithin             time.Duration
 	LeaseTTL           time.Duration        // of the lease under the leader key
 	Pace               recovery.PaceOptions // of orders at the start of a term
 	Admission          bool                 // admission control, and a team that floods the deployment
 	Standby            bool                 // the leader's warm state is replicated
-	Draining           bool                 // operators drain machines, within budgets
-	DrainFault         drainFault           // a deliberate fault of drains
+	Drains           bool                 // operators drain machines, within budgets
+	DrainFault         deliberateDrainFault // a deliberate fault of drains
 	ShortLease         bool                 // the jobs and faults of a deployment with short leases
 }
 
 // World is a simulated deployment.
 type World struct {
-	o        Options
+	options        Options
 	rng      *rand.Rand
 	start    time.Time
 	now      time.Time
@@ -57,26 +57,26 @@
 	cloud    *cloudSim
 	machines map[string]*machine
 	jobs     map[string]*userJob
-	check    *checker
-	lease    storeLease
+	checker    *checker
+	lease    leaderLease
 	// Trace, if set, gets what the controllers log.
-	Trace func(at time.Duration, node string, line core.LogRecord)
-	noNet bool // peace: no losses and delays any more
-	peace time.Time
+	Trace           func(at time.Duration, node string, line core.LogRecord)
+	networkReliable bool // peace: no losses and delays any more
+	faultsEndedAt   time.Time
 	// what the network between zones and nodes does
-	cutZones        map[string]bool     // cut off from everything
-	apart           map[[2]string]bool  // two zones that can't reach each other
-	peersRefuse     bool                // connections between controllers are refused
-	leaseExtensions int                 // how often peers have extended the lease of a leader
-	correlated      *correlatedFailures // nil: none
-	pipelines       *pipelinePlan
-	script          *script         // nil: none
-	shortLease      *shortLease     // nil: none
-	digest          *digest         // nil: none
-	output          *outputDigest   // nil: none
-	admission       *admissionWorld // nil: everything is admitted
-	drains          *drainWorld     // nil: nobody drains machines
-	standbys        *standbyNetwork // nil: the warm state isn't replicated
+	cutZones         map[string]bool     // cut off from everything
+	partitionedZones map[[2]string]bool  // two zones that can't reach each other
+	peersRefuse      bool                // connections between controllers are refused
+	leaseExtensions  int                 // how often peers have extended the lease of a leader
+	correlated       *correlatedFailures // nil: none
+	pipelines        *pipelinePlan
+	script           *script         // nil: none
+	shortLease       *shortLease     // nil: none
+	digest           *digest         // nil: none
+	output           *outputDigest   // nil: none
+	admission        *admissionNetwork // nil: everything is admitted
+	drains           *drainOperators     // nil: nobody drains machines
+	standbys         *standbyNetwork // nil: the warm state isn't replicated
 }
 
 type event struct {
@@ -109,8 +109,8 @@
 
 // NewWorld builds a deployment in which all is well so far.
 func NewWorld(o Options) *World {
-	w := &World{o: o, rng: rand.New(rand.NewPCG(o.Seed, 7)), start: time.Unix(1_800_000_000, 0), zones: []string{"east", "west", "north"}[:o.Zones],
-		cutZones: map[string]bool{}, apart: map[[2]string]bool{}, machines: map[string]*machine{}, jobs: map[string]*userJob{}}
+	w := &World{options: o, rng: rand.New(rand.NewPCG(o.Seed, 7)), start: time.Unix(1_800_000_000, 0), zones: []string{"east", "west", "north"}[:o.Zones],
+		cutZones: map[string]bool{}, partitionedZones: map[[2]string]bool{}, machines: map[string]*machine{}, jobs: map[string]*userJob{}}
 	w.now = w.start
 	w.store = &Store{w: w, items: map[string]*item{}}
 	w.catalog = placement.Catalog{
@@ -127,13 +127,13 @@
 	if o.Admission {
 		w.admission = newAdmissionWorld(w)
 	}
-	if o.Draining {
+	if o.Drains {
 		w.drains = newDrainWorld(w)
 	}
-	w.check = newChecker(w)
-	w.cloud = &cloudSim{w: w, answered: map[string][]string{}}
+	w.checker = newChecker(w)
+	w.cloud = &cloudSim{w: w, scaleOutAnswers: map[string][]string{}}
 	for i := range o.Nodes {
-		n := &node{w: w, old: o.Roll, name: fmt.Sprintf("node-%d", i), zone: w.zones[i%len(w.zones)], rate: w.shortLease.clockRate(1 + (w.rng.Float64()-0.5)*0.001)}
+		n := &node{w: w, runsProduction: o.RollingUpgrade, name: fmt.Sprintf("node-%d", i), zone: w.zones[i%len(w.zones)], rate: w.shortLease.clockRate(1 + (w.rng.Float64()-0.5)*0.001)}
 		w.nodes = append(w.nodes, n)
 		n.boot()
 	}
@@ -162,13 +162,13 @@
 	heap.Push(&w.queue, event{w.now.Add(max(d, 0)), w.seq, fn})
 }
 
-// reach tells whether packets get from one zone to another; an empty name stands
+// reachable tells whether packets get from one zone to another; an empty name stands
 // for what belongs to no zone, as the state service.
-func (w *World) reach(a, b string) bool {
+func (w *World) reachable(a, b string) bool {
 	if a == b {
 		return true
 	}
-	return !w.cutZones[a] && !w.cutZones[b] && !w.apart[[2]string{a, b}] && !w.apart[[2]string{b, a}]
+	return !w.cutZones[a] && !w.cutZones[b] && !w.partitionedZones[[2]string{a, b}] && !w.partitionedZones[[2]string{b, a}]
 }
 
 func (w *World) chance(p float64) bool { return w.rng.Float64() < p }
@@ -179,7 +179,7 @@
 
 // Run plays the world to its end, or to the first broken rule.
 func (w *World) Run() error {
-	end := w.start.Add(w.o.Length + w.o.Drain)
+	end := w.start.Add(w.options.Length + w.options.SettleTime)
 	for len(w.queue) > 0 {
 		e := heap.Pop(&w.queue).(event)
 		if e.at.After(end) {
@@ -188,23 +188,23 @@
 		w.now = e.at
 		w.digest.add(w, "event", "world", e.seq)
 		e.fn()
-		w.check.leaders()
+		w.checker.leaders()
 		w.script.observe()
-		if err := w.check.broken; err != nil {
-			return fmt.Errorf("seed %d, %.3f s: %w", w.o.Seed, w.now.Sub(w.start).Seconds(), err)
+		if err := w.checker.broken; err != nil {
+			return fmt.Errorf("seed %d, %.3f s: %w", w.options.Seed, w.now.Sub(w.start).Seconds(), err)
 		}
 	}
-	return w.check.atEnd()
+	return w.checker.atEnd()
 }
 
 // Started tells how many tasks were started, Done how many jobs were seen done.
-func (w *World) Started() int { return w.check.started }
+func (w *World) Started() int { return w.checker.started }
 
 // Done counts the jobs whose users were told that they are done.
 func (w *World) Done() int {
 	n := 0
 	for _, j := range w.jobs {
-		if j.told == pipeline.Done {
+		if j.reportedPhase == pipeline.Done {
 			n++
 		}
 	}
@@ -216,7 +216,7 @@
 func (w *World) CancelledAsDependent() int {
 	n := 0
 	for _, j := range w.jobs {
-		if j.told == pipeline.Cancelled && !j.askedCancel {
+		if j.reportedPhase == pipeline.Cancelled && !j.cancelRequested {
 			n++
 		}
 	}
@@ -226,9 +226,9 @@
 // coreConfig is the core's part of a node's settings.
 func (n *node) coreConfig() core.Config {
 	w := n.w
-	c := core.Config{Teams: w.teams, Debug: w.Trace != nil, HeartbeatInterval: w.o.HeartbeatInterval, Lease: w.o.Lease,
-		CancelWithin: w.o.Cancel, GangWait: gangWait, InstanceListLag: 2 * time.Second, RestartLimit: 3,
-		BatchInterval: 2 * time.Second, MaxValueBytes: n.limits().ValueBytes, RoundBudget: 200, Weights: core.DefaultWeights(), WarmState: n.standbyOn(), Pace: w.o.Pace, Admission: w.o.Admission}
+	c := core.Config{Teams: w.teams, Debug: w.Trace != nil, HeartbeatInterval: w.options.HeartbeatInterval, Lease: w.options.Lease,
+		CancelWithin: w.options.CancelWithin, GangWait: gangWait, InstanceListLag: 2 * time.Second, RestartLimit: 3,
+		BatchInterval: 2 * time.Second, MaxValueBytes: n.limits().ValueBytes, RoundBudget: 200, Weights: core.DefaultWeights(), WarmState: n.standbyOn(), Pace: w.options.Pace, Admission: w.options.Admission}
 	if n.drainsOn() {
 		c.Drain = w.drains.nodePolicy()
 	}
