--- a/internal/simulation/admission.go
+++ b/internal/simulation/admission.go
@@ -1,7 +1,6 @@
 package simulation
 
 import (
-	"fmt"
 	"maps"
 	"math/rand/v2"
 	"net/http"
@@ -21,10 +20,9 @@
 // are the real ones. It draws random numbers of its own, so that worlds without it stay what
 // they are. A nil one admits everything.
 type admissionNetwork struct {
-	w        *World
-	rng      *rand.Rand
-	counts   eventCounts
-	policies map[[2]uint64]string // what each policy says, by term and number
+	w      *World
+	rng    *rand.Rand
+	counts eventCounts
 }
 
 // policyKey holds the policy in the state service, as in the daemon.
@@ -40,7 +38,7 @@
 )
 
 func newAdmissionWorld(w *World) *admissionNetwork {
-	return &admissionNetwork{w: w, rng: rand.New(rand.NewPCG(w.options.Seed, 29)), counts: eventCounts{}, policies: map[[2]uint64]string{}}
+	return &admissionNetwork{w: w, rng: rand.New(rand.NewPCG(w.options.Seed, 29)), counts: eventCounts{}}
 }
 
 func (a *admissionNetwork) between(lo, hi time.Duration) time.Duration {
@@ -61,7 +59,7 @@
 // admits tells whether a node takes a job now, or when its user is to come again. A known job
 // is never refused.
 func (n *node) admits(j *userJob) (again time.Duration, ok bool) {
-	if n.gate == nil || n.w.store.items[jobstore.JobPrefix+j.spec.Ref] != nil || n.w.store.items["f/"+j.spec.Ref] != nil {
+	if n.gate == nil || n.w.store.holdsJob(j.spec.Ref) {
 		return 0, true
 	}
 	d := n.gate.Decide(n.local(), admission.Offer{Job: j.spec.Ref, Spec: &j.spec})
@@ -71,9 +69,7 @@
 	}
 	n.w.admission.counts["refused: "+d.Reason.String()]++
 	n.w.output.userAnswer(n, j.spec.Ref, userapi.Answer{Status: http.StatusTooManyRequests, Body: d.Reason.String(), RetryAfter: d.RetryAfter})
-	if d.RetryAfter < time.Second || d.RetryAfter > 30*time.Second {
-		n.w.checker.fail("Retry-After of %s", d.RetryAfter)
-	}
+	n.w.checker.observe(submissionRefused{d.RetryAfter})
 	return d.RetryAfter, false
 }
 
@@ -81,22 +77,12 @@
 // the same wherever it comes from.
 func (n *node) takePolicy(p admission.Policy) {
 	a, before := n.w.admission, *n.gate.Policy()
-	if p.Number > 0 {
-		key := [2]uint64{p.Term, p.Number}
-		text := fmt.Sprintf("%x", codec.MustMarshal(p))
-		if earlier, known := a.policies[key]; known && earlier != text {
-			n.w.checker.fail("policy %d.%d says two things", p.Term, p.Number)
-		}
-		a.policies[key] = text
-	}
 	if n.gate.Take(n.local(), p) {
 		a.counts["policies taken"]++
 	} else {
 		a.counts["policies not taken"]++
 	}
-	if before.Newer(n.gate.Policy()) {
-		n.w.checker.fail("%s goes back from policy %d.%d", n.name, before.Term, before.Number)
-	}
+	n.w.checker.observe(policyTaken{n, before, p})
 	if n.gate.Fallback(n.local()) {
 		a.counts["fallbacks"]++
 	}
--- a/internal/simulation/combined_test.go
+++ b/internal/simulation/combined_test.go
@@ -19,7 +19,7 @@
 			for _, part := range []eventCounts{w.standbys.counts, w.admission.counts, w.drains.counts} {
 				counts.addAll(part)
 			}
-			paced += w.checker.pacedSeconds
+			paced += w.checker.pace.seconds
 		}
 	}
 	least := eventCounts{"warm takeovers": 30, "machines expected": 100, "refused: backlog": 50, "policies stored": 300,
--- a/internal/simulation/consistency_probes.go
+++ b/internal/simulation/consistency_probes.go
@@ -49,7 +49,7 @@
 			}
 			s.at(s.between(0, 4*time.Millisecond), func() {
 				s.count("consistency probes")
-				s.w.checker.answered(j, asked, v, known)
+				j.learnLate(asked, v, known)
 			})
 		})
 	})
@@ -173,7 +173,7 @@
 			if j.reportedPhase != pipeline.Active {
 				s.count("repeated submissions of finished jobs answered")
 			}
-			s.at(s.between(0, 4*time.Millisecond), func() { s.w.checker.answered(j, asked, v, true) })
+			s.at(s.between(0, 4*time.Millisecond), func() { j.learnLate(asked, v, true) })
 		})
 	})
 }
@@ -253,7 +253,7 @@
 		return
 	case a.Status != want:
 		s.w.checker.fail("accepted: a submission that must get %d gets %d: %v", want, a.Status, b)
-	case s.w.store.items["j/"+sp.Ref] != nil:
+	case s.w.store.items[jobPrefix+sp.Ref] != nil:
 		s.w.checker.fail("accepted: %s is stored and was refused: %v", sp.Ref, b)
 	}
 	s.count("invalid submissions refused")
--- a/internal/simulation/drain_scenarios_test.go
+++ b/internal/simulation/drain_scenarios_test.go
@@ -122,7 +122,7 @@
 		s.drainAll(15*time.Second, 2)
 		s.drainAll(90*time.Second, 3)
 		s.every(20*time.Second, 20*time.Second, func() {
-			for _, m := range s.sampleMachines(0.2, func(m *machine) bool { return s.w.drainCordoned(m) || s.chance(0.3) }) {
+			for _, m := range s.sampleMachines(0.2, func(m *machine) bool { return s.w.checker.cordons.isCordoned(m) || s.chance(0.3) }) {
 				s.count("workers restarted")
 				m.reboot()
 			}
--- a/internal/simulation/drains.go
+++ b/internal/simulation/drains.go
@@ -22,7 +22,6 @@
 	rng    *rand.Rand
 	policy *drain.Policy
 	plans  []string
-	check  *drainCheck
 	fault  deliberateDrainFault
 	counts eventCounts // what came about, and how often
 
@@ -52,7 +51,6 @@
 func newDrainWorld(w *World) *drainOperators {
 	d := &drainOperators{w: w, rng: rand.New(rand.NewPCG(w.options.Seed, 23)), counts: eventCounts{}, fault: w.options.DrainFault}
 	d.policy = d.randomPolicy()
-	d.check = newDrainCheck(d)
 	return d
 }
 
@@ -258,12 +256,11 @@
 	n.w.after(callTimeout, func() { n.run(incarnation, done) })
 }
 
-// drainChanged lets watches see changes of plans, and the checker changes of cordons.
+// drainChanged lets watches see changes of drain plans.
 func (w *World) drainChanged(changes []statestore.Op) {
 	if w.drains == nil {
 		return
 	}
-	w.drains.check.stored(changes)
 	for _, c := range changes {
 		switch {
 		case c.Delete:
--- a/internal/simulation/fault_scenarios.go
+++ b/internal/simulation/fault_scenarios.go
@@ -82,7 +82,7 @@
 		}
 	}
 	if !w.options.Faults {
-		w.checker.checkStarvation()
+		w.checker.waiting.checkRepeatedly()
 	}
 }
 
--- a/internal/simulation/fault_scenarios_test.go
+++ b/internal/simulation/fault_scenarios_test.go
@@ -103,12 +103,7 @@
 
 // teamAtLimit counts whether a team is at its limit: no further task of two GuaranteedCPUs is allowed.
 func (s *script) teamAtLimit(team string) bool {
-	var cpus float64
-	s.w.checker.each(func(t *task) {
-		if t.job.spec.Team == team {
-			cpus += t.job.spec.CPUs
-		}
-	})
+	cpus, _ := s.w.checker.ledger.teamUse(team)
 	return !s.w.teams[team].Within(cpus+2, 0)
 }
 
@@ -177,7 +172,7 @@
 	if w.drains != nil {
 		counts.addAll(w.drains.counts)
 	}
-	counts["starts after a confirmed cancellation"] += w.checker.startsCancelled
+	counts["starts after a confirmed cancellation"] += w.checker.ledger.startsAfterCancellation
 	for _, j := range s.sortedJobs() {
 		switch {
 		case !j.accepted:
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -298,7 +298,7 @@
 // tasksOf counts the tasks of a job that are on machines.
 func (s *script) tasksOf(j *userJob) int {
 	n := 0
-	s.w.checker.each(func(t *task) {
+	s.w.checker.ledger.each(func(t *task) {
 		if t.job == j {
 			n++
 		}
--- /dev/null
+++ b/internal/simulation/invariant_replicas.go
@@ -0,0 +1,35 @@
+package simulation
+
+import "gingertally/internal/core/pipeline"
+
+// replicasMoveInTurn: a service with several replicas never has all of them moved by choice at once. A replica
+// counts as moved from when it is told to stop until it runs again.
+type replicasMoveInTurn struct {
+	w     *World
+	moved map[*userJob]map[int]bool // replicas that are moved at present, by number
+	moves int                       // so far
+}
+
+func (i *replicasMoveInTurn) observe(o observation) {
+	switch o := o.(type) {
+	case stopReceived:
+		i.checkStop(o.task)
+	case taskRunning:
+		delete(i.moved[o.task.job], o.task.index)
+	}
+}
+
+func (i *replicasMoveInTurn) checkStop(t *task) {
+	j := t.job
+	if j.spec.Shape != pipeline.Service || j.spec.Tasks < 2 || !i.w.checker.ledger.stoppedByChoice(t) {
+		return
+	}
+	if i.moved[j] == nil {
+		i.moved[j] = map[int]bool{}
+	}
+	i.moved[j][t.index] = true
+	i.moves++
+	if len(i.moved[j]) == j.spec.Tasks {
+		i.w.checker.fail("all moved: the last of %d replicas of %s is stopped on %s", j.spec.Tasks, j.spec.Ref, t.m.name)
+	}
+}
--- /dev/null
+++ b/internal/simulation/invariant_tasks.go
@@ -0,0 +1,160 @@
+package simulation
+
+import (
+	"gingertally/internal/core/pipeline"
+)
+
+// runsOnce holds ran_twice: a task doesn't start on one machine while it is on another. A task is on its
+// machine from when it has its image until it exits, is killed or the machine is gone.
+type runsOnce struct{ w *World }
+
+func (i *runsOnce) observe(o observation) {
+	started, ok := o.(taskStarted)
+	if !ok {
+		return
+	}
+	t := started.task
+	for other := range i.w.checker.ledger.onMachines[taskName(t)] {
+		if other != t {
+			i.w.checker.fail("ran_twice: %s starts on %s while on %s", taskName(t), t.m.name, other.m.name)
+		}
+	}
+}
+
+// attemptsUsedOnce: no two starts of a task have the same attempt number, or a late stop of one could end the
+// other.
+type attemptsUsedOnce struct {
+	w    *World
+	used map[string]bool
+}
+
+func (i *attemptsUsedOnce) observe(o observation) {
+	started, ok := o.(taskStarted)
+	if !ok {
+		return
+	}
+	t := started.task
+	if i.used[t.key()] {
+		i.w.checker.fail("attempt %d of %s used again", t.attempt, taskName(t))
+	}
+	i.used[t.key()] = true
+}
+
+// allowedPlace holds wrong_place: a task starts only on a machine type, in a zone and on a kind of machine that
+// its job allows, given where the job's other tasks are at that moment.
+type allowedPlace struct{ w *World }
+
+func (i *allowedPlace) observe(o observation) {
+	started, ok := o.(taskStarted)
+	if !ok {
+		return
+	}
+	t := started.task
+	s := &t.job.spec
+	if !s.AllowsType(t.m.typ) || (s.Zone != "" && s.Zone != t.m.zone) || (t.m.spot && !s.Spot) {
+		i.w.checker.fail("wrong_place: %s on %s (%s, %s, spot %v)", taskName(t), t.m.name, t.m.typ, t.m.zone, t.m.spot)
+	}
+	i.checkZones(t)
+}
+
+// checkZones checks a task's zone against those of its job's other tasks.
+func (i *allowedPlace) checkZones(t *task) {
+	s := &t.job.spec
+	sameZone, otherZones := 0, 0
+	i.w.checker.ledger.each(func(o *task) {
+		switch {
+		case o.job != t.job:
+		case o.m.zone == t.m.zone:
+			sameZone++
+		default:
+			otherZones++
+		}
+	})
+	if s.OneZone && otherZones > 0 {
+		i.w.checker.fail("wrong_place: %s in %s while others are elsewhere", taskName(t), t.m.zone)
+	}
+	if s.Spread && sameZone > (s.Tasks+1)/2 {
+		i.w.checker.fail("wrong_place: %d of %d tasks of %s in %s", sameZone, s.Tasks, s.Ref, t.m.zone)
+	}
+}
+
+// withinQuota holds quota: a team's tasks that are on machines use no more than its limit.
+type withinQuota struct{ w *World }
+
+func (i *withinQuota) observe(o observation) {
+	started, ok := o.(taskStarted)
+	if !ok {
+		return
+	}
+	team := started.task.job.spec.Team
+	cpus, gpus := i.w.checker.ledger.teamUse(team)
+	if !i.w.teams[team].Within(cpus, gpus) {
+		i.w.checker.fail("quota: %s uses %g CPUs and %g GPUs", team, cpus, gpus)
+	}
+}
+
+// storedBeforeStart: a task starts only if the state service holds its job, so that the next leader knows of it.
+type storedBeforeStart struct{ w *World }
+
+func (i *storedBeforeStart) observe(o observation) {
+	started, ok := o.(taskStarted)
+	if !ok {
+		return
+	}
+	j := started.task.job
+	if !j.accepted && !i.w.store.holdsJob(j.spec.Ref) {
+		i.w.checker.fail("%s starts, but its job isn't stored", taskName(started.task))
+	}
+}
+
+// dependenciesFirst: a task starts only once all jobs that its job depends on are stored as done.
+type dependenciesFirst struct{ w *World }
+
+func (i *dependenciesFirst) observe(o observation) {
+	started, ok := o.(taskStarted)
+	if !ok {
+		return
+	}
+	for _, dependency := range started.task.job.dependencies {
+		if final, over := i.w.finalEntry(dependency.spec.Ref); !over || final.Phase != pipeline.Done {
+			i.w.checker.fail("too_early: %s starts, and %s isn't stored as done", taskName(started.task), dependency.spec.Ref)
+		}
+	}
+}
+
+// cancelledTasksEnd holds ran_cancelled: once a user was told that a job is cancelled, none of its tasks is on a
+// machine after the time for cancellations. Nor does one start, run or complete then, not even on a machine
+// that hung meanwhile.
+type cancelledTasksEnd struct{ w *World }
+
+func (i *cancelledTasksEnd) observe(o observation) {
+	switch o := o.(type) {
+	case taskStarted:
+		i.checkTask(o.task, "starts")
+	case taskRunning:
+		i.checkTask(o.task, "runs")
+	case taskExited:
+		if o.task.completed() {
+			i.checkTask(o.task, "completes")
+		}
+	case cancellationReported:
+		i.w.after(i.w.options.CancelWithin, func() { i.checkGone(o.job) })
+	}
+}
+
+// checkTask checks that a task that goes on in some way belongs to no job that had to be gone by now.
+func (i *cancelledTasksEnd) checkTask(t *task, action string) {
+	j := t.job
+	if j.reportedPhase == pipeline.Cancelled && i.w.now.Sub(j.cancelReportedAt) > i.w.options.CancelWithin {
+		i.w.checker.fail("ran_cancelled: %s %s on %s", taskName(t), action, t.m.name)
+	}
+}
+
+// checkGone checks that no task of a job is on a machine.
+func (i *cancelledTasksEnd) checkGone(j *userJob) {
+	i.w.checker.ledger.each(func(t *task) {
+		if t.job == j {
+			i.w.checker.fail("ran_cancelled: %s is on %s", taskName(t), t.m.name)
+		}
+	})
+}
--- /dev/null
+++ b/internal/simulation/invariant_waiting.go
@@ -0,0 +1,191 @@
+package simulation
+
+import (
+	"time"
+
+	"gingertally/internal/core/fleet"
+	"gingertally/internal/core/pipeline"
+)
+
+// nothingLeftWaiting: once all faults are over, no job is left with tasks that wait though machines have room
+// for them: arrays whether they have begun or not, whole gangs, and replicas of services, which are replaced
+// sooner.
+type nothingLeftWaiting struct {
+	w     *World
+	since map[*userJob]time.Time // since when there has been room for tasks of a job that wait
+}
+
+// waitsAtMost is how long an array or a gang may wait in a fault-free world though there is room.
+const waitsAtMost = 90 * time.Second
+
+// What replacing a replica takes besides the proof that its last place is lost: a round of decisions and its
+// write, two heartbeats of the machine that gets it, and fetching its image.
+const (
+	roundAndWrite = 2 * time.Second
+	longestFetch  = 8 * time.Second
+	checkInterval = 5 * time.Second
+)
+
+// failuresTolerated is how many failures of its tasks a job can have had without being held back.
+const failuresTolerated = 3
+
+// A machine on which a task failed once is tried again after failureForgotten at the latest; one with
+// quarantinedAfter failures may be in quarantine.
+const (
+	failureForgotten = 2 * time.Minute
+	quarantinedAfter = 2
+)
+
+// observe drops a job that had begun from those that wait as soon as a task of it starts.
+func (i *nothingLeftWaiting) observe(o observation) {
+	started, ok := o.(taskStarted)
+	if !ok {
+		return
+	}
+	j := started.task.job
+	present := 0
+	for _, n := range i.presentByZone(j) {
+		present += n
+	}
+	if present > 1 || len(j.done) > 0 {
+		delete(i.since, j)
+	}
+}
+
+// replacedWithin is how long a service may lack a replica in a fault-free world though there is room.
+func (i *nothingLeftWaiting) replacedWithin() time.Duration {
+	o := &i.w.options
+	leaseProvenOver := o.Lease + o.Lease/500 + time.Second
+	return leaseProvenOver + roundAndWrite + 2*o.HeartbeatInterval*5/4 + longestFetch + checkInterval
+}
+
+// checkRepeatedly checks all jobs now and again until the world ends. It is called once all faults are over.
+func (i *nothingLeftWaiting) checkRepeatedly() {
+	for _, j := range i.w.sortedJobs() {
+		if !i.couldStart(j) {
+			delete(i.since, j)
+			continue
+		}
+		since, known := i.since[j]
+		if !known {
+			i.since[j] = i.w.now
+			continue
+		}
+		waited := i.w.now.Sub(since)
+		switch {
+		case j.spec.Shape == pipeline.Service && waited > i.replacedWithin():
+			i.w.checker.fail("not replaced: %s lacks a replica for %s though there is room: %+v", j.spec.Ref, waited, j.spec)
+		case j.spec.Shape != pipeline.Service && waited > waitsAtMost:
+			i.w.checker.fail("left waiting: %s for %s though there is room: %+v", j.spec.Ref, waited, j.spec)
+		}
+	}
+	i.w.after(checkInterval, i.checkRepeatedly)
+}
+
+// couldStart tells whether tasks of a job wait, all of a gang or some of any other, and there is room for them.
+func (i *nothingLeftWaiting) couldStart(j *userJob) bool {
+	s := &j.spec
+	if !j.accepted || j.failsAlways || j.failures > failuresTolerated || j.cancelRequested || j.reportedPhase != pipeline.Active {
+		return false
+	}
+	for _, dependency := range j.dependencies {
+		if dependency.reportedPhase != pipeline.Done {
+			return false
+		}
+	}
+	present := i.presentByZone(j)
+	placed := 0
+	for _, n := range present {
+		placed += n
+	}
+	need := 1
+	if s.Shape == pipeline.Gang {
+		need = s.Tasks
+	}
+	if s.Tasks-len(j.done)-placed < need {
+		return false
+	}
+	cpus, gpus := i.teamClaims(s.Team)
+	if !i.w.teams[s.Team].Within(cpus+float64(need)*s.CPUs, gpus+float64(need)*s.GPUs) {
+		return false
+	}
+	return i.fits(s, need, present)
+}
+
+// fits tells whether the machines have room for so many more tasks of a job, given how many it has in each zone.
+func (i *nothingLeftWaiting) fits(s *pipeline.Spec, need int, present map[string]int) bool {
+	room, mostInOneZone := 0, 0
+	for _, zone := range i.w.zones {
+		if s.OneZone && len(present) > 0 && present[zone] == 0 {
+			continue
+		}
+		here := 0
+		for _, m := range i.w.sortedMachines() {
+			if m.zone == zone && i.usable(m, s) {
+				here += m.roomFor(s)
+			}
+		}
+		if s.Spread {
+			here = max(0, min(here, (s.Tasks+1)/2-present[zone]))
+		}
+		room, mostInOneZone = room+here, max(mostInOneZone, here)
+	}
+	if s.OneZone {
+		return mostInOneZone >= need
+	}
+	return room >= need
+}
+
+// presentByZone counts the tasks of a job that are on machines, or whose images are being fetched there.
+func (i *nothingLeftWaiting) presentByZone(j *userJob) map[string]int {
+	present := map[string]int{}
+	for _, m := range i.w.machines {
+		for _, t := range m.tasks {
+			if t.job == j && t.state != fleet.Exited {
+				present[m.zone]++
+			}
+		}
+	}
+	return present
+}
+
+// teamClaims sums up the tasks of a team that are on machines, or whose images are being fetched there.
+func (i *nothingLeftWaiting) teamClaims(team string) (cpus, gpus float64) {
+	for _, m := range i.w.machines {
+		for _, t := range m.tasks {
+			if t.job.spec.Team == team && t.state != fleet.Exited {
+				cpus, gpus = cpus+t.job.spec.CPUs, gpus+t.job.spec.GPUs
+			}
+		}
+	}
+	return cpus, gpus
+}
+
+// usable tells whether a machine is healthy, isn't cordoned, and is one that a job may use.
+func (i *nothingLeftWaiting) usable(m *machine, s *pipeline.Spec) bool {
+	if i.w.checker.cordons.isCordoned(m) || i.w.now.Before(m.hungUntil) || !m.isUp || m.faulty || !m.interruptionAt.IsZero() {
+		return false
+	}
+	if m.failures >= quarantinedAfter || m.failures > 0 && i.w.now.Sub(m.failedAt) <= failureForgotten {
+		return false
+	}
+	return s.AllowsType(m.typ) && (s.Zone == "" || s.Zone == m.zone) && (!m.spot || s.Spot)
+}
+
+// roomFor is how many more tasks of a job a machine has room for.
+func (m *machine) roomFor(s *pipeline.Spec) int {
+	typ := m.w.catalog[m.typ]
+	cpus, gpus, mem := typ.CPUs, typ.GPUs, typ.MemGB
+	for _, t := range m.tasks {
+		if o := &t.job.spec; t.state != fleet.Exited {
+			cpus, gpus, mem = cpus-o.CPUs, gpus-o.GPUs, mem-o.MemGB
+		}
+	}
+	room := s.Tasks
+	for _, resource := range []struct{ free, perTask float64 }{{cpus, s.CPUs}, {gpus, s.GPUs}, {mem, s.MemGB}} {
+		if resource.perTask > 0 {
+			room = min(room, int(max(0, resource.free)/resource.perTask))
+		}
+	}
+	return room
+}
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -189,15 +189,9 @@
 const callTimeout = 1500 * time.Millisecond
 
 func (n *node) step(ev core.Event) core.Effects {
-	if n.paused() {
-		n.w.checker.fail("%s acts while it is stalled", n.name)
-	}
 	eff := n.engine.Step(n.local(), ev)
 	n.w.digest.addStep(n, ev, eff)
-	n.w.checker.notePreemptions(eff.Preempted)
-	if n.w.options.Pace.Enabled && eff.Response != nil && eff.Response.OK && !eff.Response.Held {
-		n.w.checker.paced(n, eff.Response)
-	}
+	n.w.checker.observe(engineStepped{n, eff})
 	n.compute(ev)
 	if n.w.Trace != nil {
 		for _, line := range eff.Log {
@@ -375,7 +369,7 @@
 			}
 		}
 	}
-	w.checker.stored(changes)
+	w.checker.observe(transactionCommitted{changes})
 	w.drainChanged(changes)
 }
 
--- a/internal/simulation/node_heartbeats.go
+++ b/internal/simulation/node_heartbeats.go
@@ -22,7 +22,7 @@
 		if eff.Response == nil || !eff.Response.OK || !n.holdsLease() {
 			return 503, reply, nil
 		}
-		n.w.drainAnswered(r.Machine, *eff.Response)
+		n.w.checker.observe(heartbeatAnswered{r.Machine, *eff.Response})
 		return 200, *eff.Response, nil
 	}
 	if relayed || !n.health.Serves(n.local()) {
@@ -54,6 +54,6 @@
 	if eff.Response == nil || !eff.Response.OK || !n.holdsLease() {
 		return 503, core.HeartbeatResponse{}
 	}
-	n.w.drainAnswered(r.Machine, *eff.Response)
+	n.w.checker.observe(heartbeatAnswered{r.Machine, *eff.Response})
 	return 200, *eff.Response
 }
--- a/internal/simulation/production.go
+++ b/internal/simulation/production.go
@@ -59,9 +59,9 @@
 func (v productionView) read(it statestore.KeyValue) statestore.KeyValue {
 	var as any
 	switch {
-	case strings.HasPrefix(it.Key, "j/"):
+	case strings.HasPrefix(it.Key, jobPrefix):
 		as = &productionRecord{}
-	case strings.HasPrefix(it.Key, "f/"):
+	case strings.HasPrefix(it.Key, finalPrefix):
 		as = &productionFinal{}
 	default:
 		return it
--- a/internal/simulation/recovery_test.go
+++ b/internal/simulation/recovery_test.go
@@ -27,7 +27,7 @@
 			if err := w.Run(); err != nil {
 				t.Errorf("%s: %v", f.name, err)
 			}
-			held += w.checker.pacedSeconds
+			held += w.checker.pace.seconds
 		}
 	}
 	if held < 400 {
@@ -55,7 +55,7 @@
 			term.N -= min(term.N, terms)
 			store.revision++
 			store.items[key] = &item{codec.MustMarshal(term), store.revision}
-			s.w.checker.newest = term.N // later terms are counted anew; fencing tokens keep them apart
+			s.w.checker.leaders.restoredTo(term.N)
 		}
 	}
 }
--- a/internal/simulation/short_lease_test.go
+++ b/internal/simulation/short_lease_test.go
@@ -16,8 +16,8 @@
 			t.Error(err)
 		}
 		counts.addAll(w.shortLease.counts)
-		counts["tasks on borrowed quota preempted"] += w.checker.takenBack
-		counts["replicas moved"] += w.checker.moves
+		counts["tasks on borrowed quota preempted"] += w.checker.ledger.borrowedPreempted
+		counts["replicas moved"] += w.checker.replicas.moves
 		counts["starts"] += w.Started()
 		counts["jobs done"] += w.Done()
 	}
--- a/internal/simulation/task.go
+++ b/internal/simulation/task.go
@@ -25,6 +25,12 @@
 	return fmt.Sprintf("%s/%05d/%d", ref, index, attempt)
 }
 
+// key names the attempt.
+func (t *task) key() string { return taskKey(t.job.spec.Ref, t.index, t.attempt) }
+
+// completed tells whether the task has exited since it was done.
+func (t *task) completed() bool { return t.state == fleet.Exited && t.cause == fleet.CauseDone }
+
 // timer runs fn unless the task changed meanwhile.
 func (t *task) timer(d time.Duration, fn func()) {
 	t.timerGeneration++
@@ -42,7 +48,7 @@
 // occupyMachine puts the task on its machine: its image is there.
 func (t *task) occupyMachine() {
 	t.onMachine = true
-	t.m.w.checker.taskStarted(t)
+	t.m.w.checker.observe(taskStarted{t})
 	if t.job.spec.Shape != pipeline.Gang {
 		t.run()
 		return
@@ -64,10 +70,8 @@
 }
 
 func (t *task) run() {
-	t.m.w.checker.goesOn(t, "runs")
+	t.m.w.checker.observe(taskRunning{t})
 	t.state = fleet.Running
-	t.m.w.drainRuns(t)
-	delete(t.m.w.checker.moved[t.job], t.index)
 	if t.job.startedAt.IsZero() {
 		t.job.startedAt = t.m.w.now
 	}
@@ -76,7 +80,7 @@
 	case t.m.faulty || t.job.failsAlways:
 		t.timer(time.Second, func() { t.exit(fleet.CauseError, false) })
 	case t.job.spec.Shape == pipeline.Array:
-		t.timer(t.job.runOf(t.index), func() { t.job.done[t.index] = true; t.exit(fleet.CauseDone, false) })
+		t.timer(t.job.runTime(t.index), func() { t.job.done[t.index] = true; t.exit(fleet.CauseDone, false) })
 	case t.job.spec.Shape == pipeline.Gang:
 		t.timer(t.job.run, func() {
 			for _, o := range t.job.mates(t.attempt) {
@@ -103,7 +107,7 @@
 		return
 	}
 	t.state, t.cause, t.checkpointed = fleet.Exited, c, saved
-	t.m.w.drainLeft(t)
+	t.m.w.checker.observe(taskExited{t})
 	t.leaveMachine()
 	t.m.heartbeatSoon()
 	switch c {
@@ -112,7 +116,6 @@
 		t.m.failedAt = t.m.w.now
 		t.job.failures++
 	case fleet.CauseDone:
-		t.m.w.checker.goesOn(t, "completes")
 		t.m.w.script.taskDone(t)
 	}
 }
@@ -121,7 +124,7 @@
 func (t *task) leaveMachine() {
 	if t.onMachine {
 		t.onMachine = false
-		t.m.w.checker.left(t)
+		t.m.w.checker.ledger.taskLeft(t)
 	}
 	if t.job.spec.Shape == pipeline.Gang && t.cause != fleet.CauseDone {
 		for _, o := range t.job.mates(t.attempt) {
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -117,7 +117,7 @@
 func (w *World) queryUnknownJob() {
 	n := w.nodes[w.rng.IntN(len(w.nodes))]
 	if v, known, ok := n.answerQuery(unsubmittedRef); ok && known {
-		w.checker.fail("invented: unknown job is called %v", v.Phase)
+		w.checker.observe(unknownJobReported{v})
 	}
 	w.after(7*time.Second, w.queryUnknownJob)
 }
@@ -252,12 +252,59 @@
 	return core.JobView{Phase: st.Phase, Done: st.Done}, st.Found, true
 }
 
+// learn has the job's user learn of it from a controller.
+func (j *userJob) learn(v core.JobView, known bool) {
+	j.w.checker.observe(jobReported{j, v, known})
+	if v.Phase == pipeline.Cancelled && j.reportedPhase != pipeline.Cancelled {
+		j.cancelReportedAt = j.w.now
+		j.w.script.cancellationConfirmed(j)
+		j.w.checker.observe(cancellationReported{j})
+	}
+	if j.reportedPhase != v.Phase {
+		j.reportedAt = j.w.now
+	}
+	j.reportedPhase = v.Phase
+}
+
+// learnLate has the job's user learn of it by an answer that took its time. Such an answer counts by when its
+// query was sent: an older answer may cross a newer one, and nothing else may.
+func (j *userJob) learnLate(askedAt time.Time, v core.JobView, known bool) {
+	if !known && (!j.accepted || !askedAt.After(j.acceptedAt)) {
+		return
+	}
+	if known && v.Phase == pipeline.Active && j.reportedPhase != pipeline.Active && !askedAt.After(j.reportedAt) {
+		return
+	}
+	j.learn(v, known)
+}
+
+// mayBeCancelled tells whether somebody has asked to cancel a job or one that it depends on.
+func (j *userJob) mayBeCancelled() bool {
+	if j.cancelRequested {
+		return true
+	}
+	for _, dependency := range j.dependencies {
+		if dependency.mayBeCancelled() {
+			return true
+		}
+	}
+	return false
+}
+
+// runTime is how long a task of the job runs.
+func (j *userJob) runTime(index int) time.Duration {
+	if index < len(j.runs) {
+		return j.runs[index]
+	}
+	return j.run
+}
+
 func (j *userJob) poll() {
 	if v, known, ok := j.loadBalancedNode().answerQuery(j.spec.Ref); ok {
-		j.w.checker.told(j, v, known)
+		j.learn(v, known)
 		j.lastAnsweredAt = j.w.now
 	}
-	j.w.checker.remembered(j)
+	j.w.checker.observe(queryFinished{j})
 	j.w.after(j.w.between(2*time.Second, 5*time.Second), j.poll)
 }
 
@@ -275,7 +322,7 @@
 	j.cancelRequested = true
 	n.cancel(j.spec.Ref, func(st jobstore.State) {
 		j.w.output.cancellation(n, j.spec.Ref, st.Phase)
-		j.w.checker.told(j, core.JobView{Phase: st.Phase, Done: len(j.done)}, true)
+		j.learn(core.JobView{Phase: st.Phase, Done: len(j.done)}, true)
 	})
 	j.w.after(3*time.Second, func() {
 		if j.reportedPhase == pipeline.Active {
@@ -296,7 +343,7 @@
 func (w *World) endFaults() {
 	w.networkReliable, w.store.down, w.cloud.down, w.peersRefuse = true, false, false, false
 	w.faultsEndedAt = w.now
-	w.checker.checkStarvation()
+	w.checker.waiting.checkRepeatedly()
 	clear(w.cutZones)
 	clear(w.partitionedZones)
 	for _, n := range w.nodes {
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -285,7 +285,7 @@
 	if m == nil {
 		return
 	}
-	w.drainCommandSent(d)
+	w.checker.observe(directCommandsSent{d})
 	delay := w.between(time.Millisecond, 20*time.Millisecond)
 	if m.inboundLost {
 		return
@@ -319,8 +319,7 @@
 			}
 		case fleet.Stop:
 			if t != nil && t.state != fleet.Exited {
-				m.w.checker.toldToStop(t)
-				m.w.drainToldToStop(t)
+				m.w.checker.observe(stopReceived{t})
 				t.stop(c.Grace)
 				changed = true
 			}
@@ -341,7 +340,7 @@
 		return
 	}
 	t := &task{m: m, job: j, index: c.Task, attempt: c.Attempt, state: fleet.Fetching}
-	m.w.checker.begun(t)
+	m.w.checker.observe(startReceived{t})
 	var cpus, gpus, mem float64
 	for _, o := range m.tasks {
 		if o.state == fleet.Exited {
@@ -373,7 +372,7 @@
 
 func (m *machine) remove(t *task) {
 	t.timerGeneration++
-	delete(m.tasks, taskKey(t.job.spec.Ref, t.index, t.attempt))
+	delete(m.tasks, t.key())
 	if t.state != fleet.Exited {
 		t.state = fleet.Exited
 		t.leaveMachine()
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -20,30 +20,30 @@
 type Options struct {
 	Seed               uint64
 	Length             time.Duration // faults and users' calls end here
-	SettleTime              time.Duration // how long the world then goes on in peace
+	SettleTime         time.Duration // how long the world then goes on in peace
 	Nodes              int
 	Zones              int
 	Jobs               int
 	Faults             bool
 	CorrelatedFailures bool // many machines fail together, and controllers stall
 	Pipelines          int  // pipelines of jobs that wait for each other
-	RollingUpgrade               bool // the version in production runs first, and is replaced node by node
-	LowerStoreLimits              bool // the state service lowers its limits at some moment after that
+	RollingUpgrade     bool // the version in production runs first, and is replaced node by node
+	LowerStoreLimits   bool // the state service lowers its limits at some moment after that
 	HeartbeatInterval  time.Duration
 	Lease              time.Duration
-	CancelWithin             time.Duration
+	CancelWithin       time.Duration
 	LeaseTTL           time.Duration        // of the lease under the leader key
 	Pace               recovery.PaceOptions // of orders at the start of a term
 	Admission          bool                 // admission control, and a team that floods the deployment
 	Standby            bool                 // the leader's warm state is replicated
-	Drains           bool                 // operators drain machines, within budgets
+	Drains             bool                 // operators drain machines, within budgets
 	DrainFault         deliberateDrainFault // a deliberate fault of drains
 	ShortLease         bool                 // the jobs and faults of a deployment with short leases
 }
 
 // World is a simulated deployment.
 type World struct {
-	options        Options
+	options  Options
 	rng      *rand.Rand
 	start    time.Time
 	now      time.Time
@@ -57,7 +57,7 @@
 	cloud    *cloudSim
 	machines map[string]*machine
 	jobs     map[string]*userJob
-	checker    *checker
+	checker  *checker
 	lease    leaderLease
 	// Trace, if set, gets what the controllers log.
 	Trace           func(at time.Duration, node string, line core.LogRecord)
@@ -70,13 +70,13 @@
 	leaseExtensions  int                 // how often peers have extended the lease of a leader
 	correlated       *correlatedFailures // nil: none
 	pipelines        *pipelinePlan
-	script           *script         // nil: none
-	shortLease       *shortLease     // nil: none
-	digest           *digest         // nil: none
-	output           *outputDigest   // nil: none
+	script           *script           // nil: none
+	shortLease       *shortLease       // nil: none
+	digest           *digest           // nil: none
+	output           *outputDigest     // nil: none
 	admission        *admissionNetwork // nil: everything is admitted
-	drains           *drainOperators     // nil: nobody drains machines
-	standbys         *standbyNetwork // nil: the warm state isn't replicated
+	drains           *drainOperators   // nil: nobody drains machines
+	standbys         *standbyNetwork   // nil: the warm state isn't replicated
 }
 
 type event struct {
@@ -188,17 +188,26 @@
 		w.now = e.at
 		w.digest.add(w, "event", "world", e.seq)
 		e.fn()
-		w.checker.leaders()
+		w.checker.observe(eventHandled{})
 		w.script.observe()
-		if err := w.checker.broken; err != nil {
-			return fmt.Errorf("seed %d, %.3f s: %w", w.options.Seed, w.now.Sub(w.start).Seconds(), err)
+		if w.checker.violation != nil {
+			return w.violation()
 		}
 	}
-	return w.checker.atEnd()
+	w.checker.observe(worldEnded{})
+	return w.violation()
+}
+
+// violation is the first broken rule, with the seed and the time at which it was broken; nil if all held.
+func (w *World) violation() error {
+	if w.checker.violation == nil {
+		return nil
+	}
+	return fmt.Errorf("seed %d, %.3f s: %w", w.options.Seed, w.now.Sub(w.start).Seconds(), w.checker.violation)
 }
 
 // Started tells how many tasks were started, Done how many jobs were seen done.
-func (w *World) Started() int { return w.checker.started }
+func (w *World) Started() int { return w.checker.ledger.started }
 
 // Done counts the jobs whose users were told that they are done.
 func (w *World) Done() int {
