--- a/internal/simulation/admission.go
+++ b/internal/simulation/admission.go
@@ -1,8 +1,8 @@
 package simulation
 
 import (
+	"context"
 	"maps"
-	"math/rand/v2"
 	"net/http"
 	"slices"
 	"time"
@@ -20,8 +20,8 @@
 // are the real ones. It draws random numbers of its own, so that worlds without it stay what
 // they are. A nil one admits everything.
 type admissionNetwork struct {
-	w      *World
-	rng    *rand.Rand
+	w *World
+	random
 	counts eventCounts
 }
 
@@ -38,11 +38,15 @@
 )
 
 func newAdmissionWorld(w *World) *admissionNetwork {
-	return &admissionNetwork{w: w, rng: rand.New(rand.NewPCG(w.options.Seed, 29)), counts: eventCounts{}}
+	return &admissionNetwork{w: w, random: newRandom(w.options.Seed, admissionStream), counts: eventCounts{}}
 }
 
-func (a *admissionNetwork) between(lo, hi time.Duration) time.Duration {
-	return lo + time.Duration(a.rng.Int64N(int64(hi-lo)+1))
+// admissionControl is a node's part in admission control. All of it is nil where that is off.
+type admissionControl struct {
+	gate         *admission.Gate
+	planner      *admission.Planner // of the term that the node leads in
+	plannerTerm  uint64
+	latestPolicy admission.Policy // that is stored
 }
 
 // bootAdmission gives a process that has just started a gate without a policy.
@@ -90,7 +94,7 @@
 
 // storedPolicy is the policy that the state service holds, as a node reads it.
 func (n *node) storedPolicy() (p admission.Policy, ok bool) {
-	item, found, err := n.storeView().Get(bg, policyKey)
+	item, found, err := n.storeView().Get(context.Background(), policyKey)
 	if err != nil {
 		return p, false
 	}
@@ -140,13 +144,13 @@
 		n.sendPolicy()
 		return
 	}
-	eng, term, view := n.engine, n.term, n.storeView()
+	engine, term, view := n.engine, n.term, n.storeView()
 	stored := false
 	n.call(func() {
-		_, err := view.Commit(bg, []statestore.Compare{jobstore.UnderTerm(term)}, []statestore.Op{statestore.Put(policyKey, codec.MustMarshal(policy))})
+		_, err := view.Commit(context.Background(), []statestore.Compare{jobstore.UnderTerm(term)}, []statestore.Op{statestore.Put(policyKey, codec.MustMarshal(policy))})
 		stored = err == nil
 	}, func() {
-		if stored && n.engine == eng && n.holdsLease() {
+		if stored && n.engine == engine && n.holdsLease() {
 			n.w.admission.counts["policies stored"]++
 			n.latestPolicy = policy
 			n.takePolicy(policy)
@@ -168,7 +172,7 @@
 			n.w.after(delay, func() { o.run(incarnation, func() { o.takePolicy(p) }) })
 		}
 		deliver(a.between(time.Millisecond, 30*time.Millisecond))
-		if n.w.options.Faults && !n.w.networkReliable && a.rng.IntN(10) == 0 {
+		if n.w.unreliable() && a.rng.IntN(10) == 0 {
 			deliver(a.between(time.Second, 10*time.Second))
 		}
 	}
--- a/internal/simulation/cancel.go
+++ b/internal/simulation/cancel.go
@@ -12,13 +12,13 @@
 // recordedCommit reads at once, and keeps the one transaction that it is given, to be sent.
 type recordedCommit struct {
 	jobstore.Store
-	conds   []statestore.Compare
-	changes []statestore.Op
+	conditions []statestore.Compare
+	changes    []statestore.Op
 }
 
 // Commit keeps the transaction; nobody knows yet what becomes of it.
-func (c *recordedCommit) Commit(_ context.Context, conds []statestore.Compare, changes []statestore.Op) (uint64, error) {
-	c.conds, c.changes = conds, changes
+func (c *recordedCommit) Commit(_ context.Context, conditions []statestore.Compare, changes []statestore.Op) (uint64, error) {
+	c.conditions, c.changes = conditions, changes
 	return 0, statestore.ErrUnknownOutcome
 }
 
@@ -28,12 +28,12 @@
 	if !n.holdsLease() {
 		return // only the leader cancels
 	}
-	eng := n.engine
+	engine := n.engine
 	n.step(core.CancelRequested{Ref: ref})
 	sent := &recordedCommit{Store: n.storeView()}
-	st, err := jobstore.New(sent, n.limits()).Cancel(bg, ref, n.local(), jobstore.UnderTerm(n.term))
+	st, err := jobstore.New(sent, n.limits()).Cancel(context.Background(), ref, n.local(), jobstore.UnderTerm(n.term))
 	outcome := func() {
-		if n.engine == eng {
+		if n.engine == engine {
 			n.step(jobstore.CancelEvent(ref, st, err))
 		}
 		if err == nil {
@@ -44,28 +44,16 @@
 		outcome()
 		return
 	}
-	answered := false
-	var rev uint64
+	var revision uint64
 	var refused error
-	n.call(func() {
-		rev, refused = n.storeView().Commit(bg, sent.conds, sent.changes)
-	}, func() {
+	n.callOnce(func() {
+		revision, refused = n.storeView().Commit(context.Background(), sent.conditions, sent.changes)
+	}, func(answered bool) {
 		if answered {
-			return
-		}
-		answered = true
-		if err = refused; err == nil {
-			st.Version = rev
+			if err = refused; err == nil {
+				st.Version = revision
+			}
 		}
 		outcome()
 	})
-	incarnation := n.incarnation
-	n.w.after(callTimeout, func() {
-		n.run(incarnation, func() {
-			if !answered {
-				answered = true
-				outcome()
-			}
-		})
-	})
 }
--- a/internal/simulation/correlated_failures.go
+++ b/internal/simulation/correlated_failures.go
@@ -1,7 +1,6 @@
 package simulation
 
 import (
-	"math/rand/v2"
 	"time"
 )
 
@@ -10,12 +9,12 @@
 // while their clocks run on. It draws random numbers of its own, so that the other worlds of
 // the same seed stay what they are.
 type correlatedFailures struct {
-	w   *World
-	rng *rand.Rand
+	w *World
+	random
 }
 
 func (w *World) planCorrelatedFailures() {
-	f := &correlatedFailures{w: w, rng: rand.New(rand.NewPCG(w.options.Seed, 11))}
+	f := &correlatedFailures{w: w, random: newRandom(w.options.Seed, correlatedStream)}
 	w.correlated = f
 	for range 3 + f.rng.IntN(4) {
 		w.after(f.between(0, w.options.Length), f.failMachines)
@@ -25,10 +24,6 @@
 	}
 }
 
-func (f *correlatedFailures) between(lo, hi time.Duration) time.Duration {
-	return lo + time.Duration(f.rng.Int64N(int64(hi-lo)+1))
-}
-
 // failMachines has up to all machines fail in one way within a second, often
 // with the leader, or all controllers.
 func (f *correlatedFailures) failMachines() {
--- a/internal/simulation/digest.go
+++ b/internal/simulation/digest.go
@@ -41,14 +41,14 @@
 func (d *digest) summary() uint64 { return d.sum.Sum64() }
 
 // addStep takes in what an engine was brought and what it wanted done.
-func (d *digest) addStep(n *node, ev core.Event, eff core.Effects) {
+func (d *digest) addStep(n *node, ev core.Event, effects core.Effects) {
 	if d == nil {
 		return
 	}
 	if _, tick := ev.(core.Tick); !tick { // a tick brings nothing but the time
 		d.add(n.w, "step", n.name, ev)
 	}
-	d.add(n.w, "effects", n.name, encodableEffects(eff))
+	d.add(n.w, "effects", n.name, encodableEffects(effects))
 }
 
 // digestedEffects are an engine's effects in a form that can be encoded as JSON.
@@ -65,9 +65,9 @@
 	Page    string
 }
 
-func encodableEffects(eff core.Effects) digestedEffects {
-	digested := digestedEffects{Effects: eff}
-	for _, a := range eff.Preempted {
+func encodableEffects(effects core.Effects) digestedEffects {
+	digested := digestedEffects{Effects: effects}
+	for _, a := range effects.Preempted {
 		attempt := digestedAttempt{Attempt: a}
 		if a.Machine != nil {
 			attempt.Machine = a.Machine.Name
--- a/internal/simulation/drains.go
+++ b/internal/simulation/drains.go
@@ -1,8 +1,8 @@
 package simulation
 
 import (
+	"context"
 	"fmt"
-	"math/rand/v2"
 	"strings"
 	"time"
 
@@ -18,8 +18,8 @@
 // drained. It draws random numbers of its own, so that the other worlds of the same seed stay
 // what they are. A nil one does nothing.
 type drainOperators struct {
-	w      *World
-	rng    *rand.Rand
+	w *World
+	random
 	policy *drain.Policy
 	plans  []string
 	fault  deliberateDrainFault
@@ -49,15 +49,11 @@
 const drainSkew = 250 * time.Millisecond
 
 func newDrainWorld(w *World) *drainOperators {
-	d := &drainOperators{w: w, rng: rand.New(rand.NewPCG(w.options.Seed, 23)), counts: eventCounts{}, fault: w.options.DrainFault}
+	d := &drainOperators{w: w, random: newRandom(w.options.Seed, drainStream), counts: eventCounts{}, fault: w.options.DrainFault}
 	d.policy = d.randomPolicy()
 	return d
 }
 
-func (d *drainOperators) between(lo, hi time.Duration) time.Duration {
-	return lo + time.Duration(d.rng.Int64N(int64(hi-lo)+1))
-}
-
 func (d *drainOperators) count(what string) { d.counts[what]++ }
 
 // randomPolicy gives the teams budgets of every kind.
@@ -173,7 +169,7 @@
 	answered := false
 	if !n.down && !n.paused() {
 		n.call(func() {
-			if _, err := n.jobs.CreateDrainPlan(bg, p, n.local()); err == nil {
+			if _, err := n.jobs.CreateDrainPlan(context.Background(), p, n.local()); err == nil {
 				d.count("plans accepted")
 				answered = true
 			}
@@ -207,7 +203,7 @@
 		return
 	}
 	n.call(func() {
-		if _, err := n.jobs.ChangeDrainPlan(bg, id, to); err == nil {
+		if _, err := n.jobs.ChangeDrainPlan(context.Background(), id, to); err == nil {
 			d.count(to.String())
 		}
 	}, func() {})
@@ -217,7 +213,7 @@
 func (d *drainOperators) cancel(id string) {
 	d.change(id, drain.Cancelled)
 	d.w.after(5*time.Second, func() {
-		stored, err := d.w.nodes[0].jobs.DrainPlan(bg, id)
+		stored, err := d.w.nodes[0].jobs.DrainPlan(context.Background(), id)
 		if err != nil || stored.Plan.Phase != drain.Cancelled && stored.Plan.Phase != drain.Completed {
 			d.cancel(id)
 		}
@@ -235,7 +231,7 @@
 		return nil
 	}
 	var err error
-	snap.Drains, err = n.jobs.Drains(bg)
+	snap.Drains, err = n.jobs.Drains(context.Background())
 	if fault := n.w.drains.fault.stored; fault != nil {
 		fault(&snap.Drains)
 	}
@@ -244,16 +240,15 @@
 
 // writePlan writes a leader's change of a plan's record.
 func (n *node) writePlan(w drain.PlanWrite) {
-	eng, term, jobs, incarnation := n.engine, n.term, n.jobs, n.incarnation
-	answered, ok := false, false
-	done := func() {
-		if !answered && n.engine == eng && eng != nil {
-			answered = true
+	engine, term, jobs := n.engine, n.term, n.jobs
+	ok := false
+	n.callOnce(func() {
+		ok = jobs.WriteDrainPlan(context.Background(), term, w) == nil
+	}, func(bool) {
+		if n.engine == engine && engine != nil {
 			n.step(core.DrainPlanWritten{Write: w, OK: ok})
 		}
-	}
-	n.call(func() { ok = jobs.WriteDrainPlan(bg, term, w) == nil }, done)
-	n.w.after(callTimeout, func() { n.run(incarnation, done) })
+	})
 }
 
 // drainChanged lets watches see changes of drain plans.
@@ -284,7 +279,7 @@
 
 // loadDrainPlan brings a leader a plan as it is stored.
 func (n *node) loadDrainPlan(id string) {
-	if stored, err := n.jobs.DrainPlan(bg, id); err == nil {
+	if stored, err := n.jobs.DrainPlan(context.Background(), id); err == nil {
 		n.step(core.DrainPlanStored{Stored: stored})
 	}
 }
--- a/internal/simulation/drains_test.go
+++ b/internal/simulation/drains_test.go
@@ -1,6 +1,7 @@
 package simulation
 
 import (
+	"context"
 	"strings"
 	"testing"
 	"time"
@@ -92,7 +93,7 @@
 		term, jobs := n.term, n.jobs
 		n.step(core.WritesStarted{Batch: charges})
 		n.step(core.WritesFinished{Batch: charges, OK: true, Revision: term.Revision})
-		n.w.after(chargeDelay, func() { _, _, _ = jobs.Apply(bg, term, charges) })
+		n.w.after(chargeDelay, func() { _, _, _ = jobs.Apply(context.Background(), term, charges) })
 	}
 	return rest
 }
--- a/internal/simulation/election.go
+++ b/internal/simulation/election.go
@@ -1,6 +1,7 @@
 package simulation
 
 import (
+	"context"
 	"math/rand/v2"
 	"time"
 
@@ -11,6 +12,14 @@
 	"gingertally/internal/leadership"
 )
 
+// candidacy is a node's part in elections.
+type candidacy struct {
+	claimTried   bool
+	pendingClaim int       // which claim is under way, 0: none
+	claims       int       // so far
+	grantedUntil time.Time // end of the last lease extension that it granted to a leader
+}
+
 // claimOrRenew claims the leader lease, or renews it.
 func (n *node) claimOrRenew() {
 	if n.engine != nil {
@@ -18,11 +27,11 @@
 		n.renew()
 		return
 	}
-	if n.claimTried && n.w.chance(0.5) {
-		n.claimTried = false
+	if n.candidacy.claimTried && n.w.chance(0.5) {
+		n.candidacy.claimTried = false
 		return
 	}
-	n.claimTried = true
+	n.candidacy.claimTried = true
 	if n.mayClaim() && n.mayClaimNow() {
 		n.claim()
 	}
@@ -54,24 +63,24 @@
 // claim asks the state service for the next term.
 func (n *node) claim() {
 	sent := n.local()
-	n.claims++
-	claim := n.claims
-	n.pendingClaim = claim
+	n.candidacy.claims++
+	claim := n.candidacy.claims
+	n.candidacy.pendingClaim = claim
 	incarnation := n.incarnation
 	n.w.after(callTimeout, func() { // without an answer by then it is never acted on
 		n.run(incarnation, func() {
-			if n.pendingClaim == claim {
-				n.pendingClaim = 0
+			if n.candidacy.pendingClaim == claim {
+				n.candidacy.pendingClaim = 0
 			}
 		})
 	})
 	var t leadership.Term
 	var lease int
 	n.send(func() { t, lease = n.nextTerm() }, func() {
-		if n.pendingClaim != claim {
+		if n.candidacy.pendingClaim != claim {
 			return
 		}
-		n.pendingClaim = 0
+		n.candidacy.pendingClaim = 0
 		if t.Number != 0 && n.engine == nil {
 			n.elected(t, lease, sent)
 		}
@@ -87,17 +96,17 @@
 	var tv struct {
 		N uint64 `cbor:"n"`
 	}
-	it, found, _ := w.store.Get(bg, leadership.TermKey)
+	it, found, _ := w.store.Get(context.Background(), leadership.TermKey)
 	if found && codec.Unmarshal(it.Value, &tv) != nil {
 		return t, 0
 	}
-	seen, restored, _ := w.store.Get(bg, leadership.RestoredKey)
+	seen, restored, _ := w.store.Get(context.Background(), leadership.RestoredKey)
 	highest := tv
 	if restored && codec.Unmarshal(seen.Value, &highest) != nil {
 		return t, 0
 	}
 	tv.N = max(tv.N, highest.N) + 1
-	rev, err := w.store.Commit(bg, []statestore.Compare{{Key: leadership.TermKey, ModRevision: it.ModRevision}},
+	rev, err := w.store.Commit(context.Background(), []statestore.Compare{{Key: leadership.TermKey, ModRevision: it.ModRevision}},
 		[]statestore.Op{statestore.Put(leadership.TermKey, codec.MustMarshal(tv))})
 	if err != nil {
 		return t, 0
@@ -128,13 +137,13 @@
 }
 
 func (n *node) elected(t leadership.Term, lease int, sent time.Time) {
-	snap, revision, err := n.jobs.Snapshot(bg)
+	snap, revision, err := n.jobs.Snapshot(context.Background())
 	if err != nil || n.readDrains(&snap) != nil {
 		return
 	}
 	n.term, n.lease, n.writing, n.leaseUntil, n.extensions = t, lease, false, time.Time{}, map[*node]time.Time{}
 	snap.Restored = t.Restored
-	n.engine = core.New(n.local(), n.coreConfig(), t.Number, snap, rand.New(rand.NewPCG(t.Number, n.w.options.Seed)))
+	n.engine = core.New(n.local(), n.engineConfig(), t.Number, snap, rand.New(rand.NewPCG(t.Number, n.w.options.Seed)))
 	n.warmStart(t, revision)
 	n.leaseProven(sent)
 	n.step(core.CatalogUpdated{Types: n.w.catalog})
--- a/internal/simulation/fault_scenario_rows_test.go
+++ b/internal/simulation/fault_scenario_rows_test.go
@@ -411,7 +411,7 @@
 		s.every(15*time.Second, 4*time.Second, func() { s.grantWhileServed = s.chance(0.6) })
 		s.every(10*time.Second, time.Second, func() { // nodes that granted an extension end and are back at once
 			for _, n := range s.w.nodes {
-				if n.local().Before(n.grantedUntil) && s.chance(0.1) {
+				if n.local().Before(n.candidacy.grantedUntil) && s.chance(0.1) {
 					s.count("nodes that had granted an extension crashed")
 					s.crash(n, s.between(10*time.Millisecond, 300*time.Millisecond))
 				}
--- a/internal/simulation/fault_scenarios.go
+++ b/internal/simulation/fault_scenarios.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"math/rand/v2"
 	"time"
 
 	"gingertally/internal/core"
@@ -16,8 +15,8 @@
 // happens there. It draws random numbers of its own, so that worlds without a script stay what
 // they are. A nil script does nothing.
 type script struct {
-	w      *World
-	rng    *rand.Rand
+	w *World
+	random
 	counts eventCounts // what came about, and how often
 	jobs   int         // submitted by the script
 
@@ -56,7 +55,7 @@
 
 // newScript gives a world a script; its faults end with the world's length.
 func newScript(w *World) *script {
-	s := &script{w: w, rng: rand.New(rand.NewPCG(w.options.Seed, 17)), counts: eventCounts{}, termsSeen: map[uint64]bool{}}
+	s := &script{w: w, random: newRandom(w.options.Seed, scriptStream), counts: eventCounts{}, termsSeen: map[uint64]bool{}}
 	w.script = s
 	w.after(w.options.Length, s.endFaults)
 	return s
@@ -70,7 +69,7 @@
 	clear(w.partitionedZones)
 	s.storeDelay, s.lostAnswerShare, s.linkDelayMax, s.duplicateShare, s.heldShare, s.delayedAnswerShare, s.delayedCommandShare, s.grantWhileServed = 0, 0, 0, 0, 0, 0, 0, false
 	for _, n := range w.nodes {
-		n.storeUnreachable, n.workersUnreachable, n.peersUnreachable, n.refusedByStore = false, false, false, false
+		n.links.storeUnreachable, n.links.workersUnreachable, n.links.peersUnreachable, n.links.refusedByStore = false, false, false, false
 	}
 	for _, m := range w.sortedMachines() {
 		m.faulty, m.inboundLost, m.outboundLost = false, false, false
@@ -94,12 +93,6 @@
 	}
 }
 
-func (s *script) between(lo, hi time.Duration) time.Duration {
-	return lo + time.Duration(s.rng.Int64N(int64(hi-lo)+1))
-}
-
-func (s *script) chance(p float64) bool { return s.rng.Float64() < p }
-
 // at does something at a moment of the world, unless the faults are over.
 func (s *script) at(d time.Duration, fn func()) {
 	s.w.after(d, func() {
@@ -313,9 +306,6 @@
 	return s.between(time.Second, 20*time.Second)
 }
 
-// storeDown tells whether the state service, reached, refuses this node.
-func (n *node) storeDown() bool { return n.w.store.down || n.refusedByStore }
-
 // nodeView is the state service as a node meets it: it may refuse this node alone,
 // and leave transactions without an answer, carried out at once or later.
 type nodeView struct {
@@ -325,7 +315,7 @@
 
 // Get refuses the nodes that the state service refuses.
 func (v nodeView) Get(ctx context.Context, key string) (statestore.KeyValue, bool, error) {
-	if v.n.refusedByStore {
+	if v.n.links.refusedByStore {
 		v.n.w.script.count("refused calls")
 		return statestore.KeyValue{}, false, statestore.ErrUnavailable
 	}
@@ -334,7 +324,7 @@
 
 // List refuses the nodes that the state service refuses.
 func (v nodeView) List(ctx context.Context, prefix string) ([]statestore.KeyValue, uint64, error) {
-	if v.n.refusedByStore {
+	if v.n.links.refusedByStore {
 		v.n.w.script.count("refused calls")
 		return nil, 0, statestore.ErrUnavailable
 	}
@@ -344,22 +334,22 @@
 // Commit refuses the nodes that the state service refuses.
 func (v nodeView) Commit(ctx context.Context, conds []statestore.Compare, changes []statestore.Op) (uint64, error) {
 	s := v.n.w.script
-	if v.n.refusedByStore {
+	if v.n.links.refusedByStore {
 		s.count("refused commits")
 		return 0, statestore.ErrUnavailable
 	}
-	if v.n.commitDelay == 0 && (s == nil || s.lostAnswerShare == 0 || v.n.storeDown() || !s.chance(s.lostAnswerShare)) {
+	if v.n.request.commitDelay == 0 && (s == nil || s.lostAnswerShare == 0 || v.n.storeDown() || !s.chance(s.lostAnswerShare)) {
 		return v.Store.Commit(ctx, conds, changes)
 	}
-	v.n.answerLost = true
-	if s.commitBeforeLoss && v.n.commitDelay == 0 {
+	v.n.request.answerLost = true
+	if s.commitBeforeLoss && v.n.request.commitDelay == 0 {
 		if _, err := v.Store.Commit(ctx, conds, changes); err == nil {
 			s.count("answers of transactions lost")
 		}
 		return 0, statestore.ErrUnknownOutcome
 	}
 	sent := s.w.store.revision
-	late := v.n.commitDelay
+	late := v.n.request.commitDelay
 	if late == 0 {
 		late = s.between(2*time.Second, 12*time.Second)
 	}
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -13,12 +13,12 @@
 // refuse has the state service refuse one node alone: nothing that it asks is
 // executed, its leases run out, its watches wait and go on afterwards.
 func (s *script) refuse(n *node, d time.Duration) {
-	if n == nil || n.refusedByStore {
+	if n == nil || n.links.refusedByStore {
 		return
 	}
 	s.count("nodes refused by the state service")
-	n.refusedByStore = true
-	s.w.after(d, func() { n.refusedByStore = false })
+	n.links.refusedByStore = true
+	s.w.after(d, func() { n.links.refusedByStore = false })
 }
 
 // currentLeader is the node that may act now, nil if none does.
@@ -82,7 +82,7 @@
 	if n == nil {
 		return
 	}
-	if !s.w.store.down && !n.refusedByStore && !n.cutOff() && s.w.lease.id == n.lease {
+	if !s.w.store.down && !n.links.refusedByStore && !n.cutOff() && s.w.lease.id == n.lease {
 		s.w.lease.until = s.w.now
 	}
 	n.nameSuccessor()
@@ -102,8 +102,8 @@
 // and users reach it.
 func (s *script) partitionFromPeersAndStore(n *node, d time.Duration) {
 	s.count("nodes partitioned from peers and state service")
-	n.storeUnreachable, n.peersUnreachable = true, true
-	s.w.after(d, func() { n.storeUnreachable, n.peersUnreachable = false, false })
+	n.links.storeUnreachable, n.links.peersUnreachable = true, true
+	s.w.after(d, func() { n.links.storeUnreachable, n.links.peersUnreachable = false, false })
 }
 
 // cutZone cuts a zone off with all in it.
--- a/internal/simulation/lease_extension.go
+++ b/internal/simulation/lease_extension.go
@@ -30,11 +30,11 @@
 // mayClaim tells whether no extension granted by this node is in force, nor may one be
 // that it granted before its start.
 func (n *node) mayClaim() bool {
-	if n.local().Before(n.grantedUntil) {
+	if n.local().Before(n.candidacy.grantedUntil) {
 		return false
 	}
 	led := n.w.store.items[leadership.TermKey] != nil
-	return n.runsProduction || !led || n.local().Sub(n.booted) >= leadership.ExtensionFor
+	return n.runsProduction || !led || n.local().Sub(n.bootedAt) >= leadership.ExtensionFor
 }
 
 // requestExtensions asks all peers to extend the lease if it isn't renewed. Nodes of the
@@ -53,13 +53,13 @@
 // requestExtension asks one peer. The request may be delayed; the extension counts from
 // the time at which it was sent.
 func (n *node) requestExtension(peer *node) {
-	w, eng, incarnation, sent := n.w, n.engine, n.incarnation, n.local()
+	w, engine, incarnation, sent := n.w, n.engine, n.incarnation, n.local()
 	there, back := w.between(time.Millisecond, 30*time.Millisecond), w.between(time.Millisecond, 30*time.Millisecond)
-	if w.options.Faults && !w.networkReliable && w.chance(0.05) {
+	if w.unreliable() && w.chance(0.05) {
 		there += w.between(0, 5*time.Second) // delayed in the network
 	}
 	granted := func() {
-		if n.engine == eng {
+		if n.engine == engine {
 			n.extensionGranted(peer, sent.Add(leadership.ExtensionCounted))
 		}
 	}
@@ -75,12 +75,12 @@
 // grantExtension has this node agree not to claim for a while. Now and then it does so
 // although the state service serves it: safety doesn't depend on its refusal.
 func (n *node) grantExtension() bool {
-	if n.runsProduction || n.engine != nil || n.pendingClaim != 0 {
+	if n.runsProduction || n.engine != nil || n.candidacy.pendingClaim != 0 {
 		return false
 	}
 	if served := !n.storeDown() && !n.cutOff(); served && !n.w.script.grantsWhileServed() && !n.w.chance(0.2) {
 		return false
 	}
-	n.grantedUntil = n.local().Add(leadership.ExtensionFor)
+	n.candidacy.grantedUntil = n.local().Add(leadership.ExtensionFor)
 	return true
 }
--- a/internal/simulation/node_heartbeats.go
+++ b/internal/simulation/node_heartbeats.go
@@ -15,15 +15,15 @@
 
 func (n *node) respondToHeartbeat(r fleet.Heartbeat, relayed bool) (status int, reply core.HeartbeatResponse, leader *node) {
 	if n.holdsLease() {
-		eff := n.step(core.HeartbeatReceived{Heartbeat: r})
-		if eff.Response != nil && eff.Response.Held {
+		effects := n.step(core.HeartbeatReceived{Heartbeat: r})
+		if effects.Response != nil && effects.Response.Held {
 			return 0, reply, n
 		}
-		if eff.Response == nil || !eff.Response.OK || !n.holdsLease() {
+		if effects.Response == nil || !effects.Response.OK || !n.holdsLease() {
 			return 503, reply, nil
 		}
-		n.w.checker.observe(heartbeatAnswered{r.Machine, *eff.Response})
-		return 200, *eff.Response, nil
+		n.w.checker.observe(heartbeatAnswered{r.Machine, *effects.Response})
+		return 200, *effects.Response, nil
 	}
 	if relayed || !n.health.Serves(n.local()) {
 		return 503, reply, nil
@@ -37,23 +37,23 @@
 }
 
 // answerHeldHeartbeat completes an answer that was held; status 0: it is held once more.
-func (n *node) answerHeldHeartbeat(r fleet.Heartbeat, eng *core.Engine) (int, core.HeartbeatResponse) {
-	status, reply := n.completeResponse(r, eng)
+func (n *node) answerHeldHeartbeat(r fleet.Heartbeat, engine *core.Engine) (int, core.HeartbeatResponse) {
+	status, reply := n.completeResponse(r, engine)
 	n.w.output.workerAnswer(n, r.Machine, status, reply, nil)
 	return status, reply
 }
 
-func (n *node) completeResponse(r fleet.Heartbeat, eng *core.Engine) (int, core.HeartbeatResponse) {
-	if !n.holdsLease() || n.engine != eng {
+func (n *node) completeResponse(r fleet.Heartbeat, engine *core.Engine) (int, core.HeartbeatResponse) {
+	if !n.holdsLease() || n.engine != engine {
 		return 503, core.HeartbeatResponse{}
 	}
-	eff := n.step(core.HeldResponseDue{Heartbeat: r})
-	if eff.Response != nil && eff.Response.Held {
+	effects := n.step(core.HeldResponseDue{Heartbeat: r})
+	if effects.Response != nil && effects.Response.Held {
 		return 0, core.HeartbeatResponse{}
 	}
-	if eff.Response == nil || !eff.Response.OK || !n.holdsLease() {
+	if effects.Response == nil || !effects.Response.OK || !n.holdsLease() {
 		return 503, core.HeartbeatResponse{}
 	}
-	n.w.checker.observe(heartbeatAnswered{r.Machine, *eff.Response})
-	return 200, *eff.Response
+	n.w.checker.observe(heartbeatAnswered{r.Machine, *effects.Response})
+	return 200, *effects.Response
 }
--- a/internal/simulation/pipelines.go
+++ b/internal/simulation/pipelines.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"math/rand/v2"
 	"time"
 
 	"gingertally/internal/core/pipeline"
@@ -12,13 +11,13 @@
 // whatever the seed brings. It draws random numbers of its own, so that the other worlds of the
 // same seed stay what they are.
 type pipelinePlan struct {
-	w    *World
-	rng  *rand.Rand
+	w *World
+	random
 	jobs int // jobs so far
 }
 
 func newPipelinePlan(w *World) *pipelinePlan {
-	l := &pipelinePlan{w: w, rng: rand.New(rand.NewPCG(w.options.Seed, 13))}
+	l := &pipelinePlan{w: w, random: newRandom(w.options.Seed, pipelineStream)}
 	begin := time.Duration(0)
 	if w.options.RollingUpgrade {
 		begin = l.roll()
@@ -32,10 +31,6 @@
 	return l
 }
 
-func (l *pipelinePlan) between(lo, hi time.Duration) time.Duration {
-	return lo + time.Duration(l.rng.Int64N(int64(hi-lo)+1))
-}
-
 // roll replaces the version in production, node by node, and returns when nothing
 // of it is left. Whatever else crashes meanwhile comes back as it was, and half of
 // the time the leader fails too, so that the versions take turns at leading.
--- a/internal/simulation/short_lease.go
+++ b/internal/simulation/short_lease.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"math/rand/v2"
 	"time"
 
 	"gingertally/internal/core/pipeline"
@@ -16,8 +15,8 @@
 // its own, so that the other worlds of the same seed stay what they are. A nil shortLease
 // does nothing.
 type shortLease struct {
-	w      *World
-	rng    *rand.Rand
+	w *World
+	random
 	counts eventCounts // what came about, and how often
 	jobs   int         // submitted so far
 }
@@ -34,7 +33,7 @@
 const borrowed = "borrowed"
 
 func newShortLease(w *World) *shortLease {
-	s := &shortLease{w: w, rng: rand.New(rand.NewPCG(w.options.Seed, 19)), counts: eventCounts{}}
+	s := &shortLease{w: w, random: newRandom(w.options.Seed, shortLeaseStream), counts: eventCounts{}}
 	w.teams = map[string]placement.Quota{
 		"red":   {GuaranteedCPUs: 8, GuaranteedGPUs: 2, CPULimit: 24, GPULimit: 4},
 		"blue":  {GuaranteedCPUs: 12, CPULimit: 30},
@@ -60,10 +59,6 @@
 	}
 }
 
-func (s *shortLease) between(lo, hi time.Duration) time.Duration {
-	return lo + time.Duration(s.rng.Int64N(int64(hi-lo)+1))
-}
-
 func (s *shortLease) count(what string) { s.counts[what]++ }
 
 // clockRate is the rate of a steady clock: at its bound, in either direction.
--- a/internal/simulation/short_lease_faults.go
+++ b/internal/simulation/short_lease_faults.go
@@ -90,15 +90,15 @@
 		return
 	}
 	n := s.nodeOrLeader()
-	n.peersUnreachable = true
-	s.w.after(d, func() { n.peersUnreachable = false })
+	n.links.peersUnreachable = true
+	s.w.after(d, func() { n.links.peersUnreachable = false })
 }
 
 // refuse has the state service refuse one node alone.
 func (s *shortLease) refuse(n *node, d time.Duration) {
 	s.count("nodes refused by the state service")
-	n.refusedByStore = true
-	s.w.after(d, func() { n.refusedByStore = false })
+	n.links.refusedByStore = true
+	s.w.after(d, func() { n.links.refusedByStore = false })
 }
 
 // How long a slow node computes: a round of decisions, and anything else.
--- a/internal/simulation/standby.go
+++ b/internal/simulation/standby.go
@@ -1,7 +1,6 @@
 package simulation
 
 import (
-	"math/rand/v2"
 	"time"
 
 	"gingertally/internal/core"
@@ -13,8 +12,8 @@
 // keeps count of what it did. It draws random numbers of its own, so that worlds without it
 // stay what they are. A nil one carries nothing.
 type standbyNetwork struct {
-	w              *World
-	rng            *rand.Rand
+	w *World
+	random
 	counts         eventCounts
 	lostShare      float64 // share of frames lost
 	duplicateShare float64 // share of frames that come twice
@@ -25,7 +24,7 @@
 
 // stream is one connection from a leader to a follower.
 type stream struct {
-	eng                 *core.Engine // the leader's
+	engine              *core.Engine // the leader's
 	followerIncarnation int          // of the follower
 	lagUntil            time.Time    // the follower's disk or network is slow until then
 }
@@ -39,7 +38,7 @@
 )
 
 func newStandbyNetwork(w *World) *standbyNetwork {
-	s := &standbyNetwork{w: w, rng: rand.New(rand.NewPCG(w.options.Seed, 23)), counts: eventCounts{}, streams: map[*node]map[*node]*stream{}}
+	s := &standbyNetwork{w: w, random: newRandom(w.options.Seed, standbyStream), counts: eventCounts{}, streams: map[*node]map[*node]*stream{}}
 	if w.options.Faults {
 		s.lostShare, s.duplicateShare, s.extraDelay = 0.02, 0.05, 300*time.Millisecond
 	}
@@ -48,10 +47,6 @@
 
 func (s *standbyNetwork) count(what string, n int) { s.counts[what] += n }
 
-func (s *standbyNetwork) between(lo, hi time.Duration) time.Duration {
-	return lo + time.Duration(s.rng.Int64N(int64(hi-lo)+1))
-}
-
 // standbyTimeouts are a node's margins, derived as the daemon derives them.
 func (w *World) standbyTimeouts() standby.Timeouts {
 	return standby.TimeoutsFor(w.options.HeartbeatInterval, simulatedSnapshotPace)
@@ -60,9 +55,16 @@
 // standbyOn tells whether a node takes part: the version in production doesn't.
 func (n *node) standbyOn() bool { return n.w.standbys != nil && !n.runsProduction }
 
+// warmStandby is a node's part in the replication of the warm state. All of it is nil where that is off.
+type warmStandby struct {
+	standby     *standby.Standby   // its copy of the leader's warm state
+	publisher   *standby.Publisher // of the term that the node leads in
+	vacantSince time.Time          // since when nobody leads, as far as it knows
+}
+
 // bootStandby gives a process that has just started an empty copy.
 func (n *node) bootStandby() {
-	n.standby, n.publisher, n.vacantSince = nil, nil, time.Time{}
+	n.warmStandby = warmStandby{}
 	if n.standbyOn() {
 		n.standby = standby.New(n.name, n.w.standbyTimeouts())
 	}
@@ -117,7 +119,7 @@
 	s.count("attempts unstored", outcome.Unstored)
 }
 
-// cancelTerm ends the node's term.
+// endTerm ends the node's term.
 func (n *node) endTerm() {
 	n.engine, n.publisher = nil, nil
 	if n.standby != nil {
@@ -151,10 +153,10 @@
 // started anew.
 func (s *standbyNetwork) connect(leader, follower *node) *stream {
 	c := s.streams[leader][follower]
-	if c != nil && c.eng == leader.engine && c.followerIncarnation == follower.incarnation {
+	if c != nil && c.engine == leader.engine && c.followerIncarnation == follower.incarnation {
 		return c
 	}
-	c = &stream{eng: leader.engine, followerIncarnation: follower.incarnation}
+	c = &stream{engine: leader.engine, followerIncarnation: follower.incarnation}
 	if s.streams[leader] == nil {
 		s.streams[leader] = map[*node]*stream{}
 	}
@@ -170,7 +172,7 @@
 	if w.now.Before(c.lagUntil) || w.now.Before(s.laggingUntil) {
 		return
 	}
-	if w.options.Faults && !w.networkReliable && s.rng.IntN(60) == 0 {
+	if w.unreliable() && s.rng.IntN(60) == 0 {
 		c.lagUntil = w.now.Add(s.between(time.Second, 15*time.Second))
 		s.count("slow followers", 1)
 	}
@@ -188,7 +190,7 @@
 
 // deliver brings a frame to a follower, and its answer back.
 func (s *standbyNetwork) deliver(leader, follower *node, f standby.Frame) {
-	w, eng, leaderIncarnation, incarnation := s.w, leader.engine, leader.incarnation, follower.incarnation
+	w, engine, leaderIncarnation, incarnation := s.w, leader.engine, leader.incarnation, follower.incarnation
 	w.after(s.between(time.Millisecond, 20*time.Millisecond+s.extraDelay), func() {
 		follower.run(incarnation, func() {
 			verdict := follower.standby.Receive(follower.local(), f)
@@ -197,7 +199,7 @@
 			at := follower.standby.Position()
 			w.after(s.between(time.Millisecond, 20*time.Millisecond), func() {
 				leader.run(leaderIncarnation, func() {
-					if leader.engine != eng || leader.publisher == nil {
+					if leader.engine != engine || leader.publisher == nil {
 						return
 					}
 					leader.publisher.Acknowledge(follower.name, at)
--- a/internal/simulation/standby_scenarios_test.go
+++ b/internal/simulation/standby_scenarios_test.go
@@ -117,9 +117,9 @@
 		s.every(15*time.Second, 30*time.Second, func() {
 			s.onceLeader(func(n *node) {
 				s.count("leaders cut off from standbys")
-				n.peersUnreachable = true
+				n.links.peersUnreachable = true
 				s.at(s.between(3*time.Second, 20*time.Second), func() {
-					n.peersUnreachable = false
+					n.links.peersUnreachable = false
 					s.crash(n, s.between(time.Second, 5*time.Second))
 				})
 			})
@@ -128,9 +128,9 @@
 
 	{name: "clocks at their drift bound", alter: func(o *Options) { o.Nodes = 5 }, script: func(s *script) {
 		for i, n := range s.w.nodes {
-			n.rate = 1 - maxDrift
+			n.clockRate = 1 - maxDrift
 			if i%2 == 0 {
-				n.rate = 1 + maxDrift
+				n.clockRate = 1 + maxDrift
 			}
 		}
 		s.load()
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -1,6 +1,7 @@
 package simulation
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"net/http"
@@ -152,7 +153,9 @@
 	jobs := n.jobs
 	answered := false
 	create := func() {
-		n.call(func() { answered = j.submissionStored(jobs.Create(bg, j.spec, j.dependencyNames(), j.w.now)) }, func() {
+		n.call(func() {
+			answered = j.submissionStored(jobs.Create(context.Background(), j.spec, j.dependencyNames(), j.w.now))
+		}, func() {
 			if answered {
 				j.w.output.userAnswer(n, j.spec.Ref, userapi.Answer{Status: http.StatusCreated})
 			}
@@ -166,7 +169,7 @@
 		create()
 	} else { // the check and the write are two calls, between which anything may happen
 		err := statestore.ErrUnknownOutcome
-		n.call(func() { err = jobs.CheckDependencies(bg, j.spec.Ref, j.dependencyNames()) }, func() {
+		n.call(func() { err = jobs.CheckDependencies(context.Background(), j.spec.Ref, j.dependencyNames()) }, func() {
 			if j.submissionStored(err) {
 				create()
 			}
@@ -242,11 +245,11 @@
 	if n.cutOff() {
 		return v, false, false
 	}
-	st, err := n.jobs.Load(bg, ref)
+	st, err := n.jobs.Load(context.Background(), ref)
 	if err != nil {
 		return v, false, false
 	}
-	if cancelled, err := n.jobs.DependencyCancelled(bg, st, n.local()); err != nil || cancelled {
+	if cancelled, err := n.jobs.DependencyCancelled(context.Background(), st, n.local()); err != nil || cancelled {
 		return v, false, false
 	}
 	return core.JobView{Phase: st.Phase, Done: st.Done}, st.Found, true
@@ -347,9 +350,9 @@
 	clear(w.cutZones)
 	clear(w.partitionedZones)
 	for _, n := range w.nodes {
-		n.storeUnreachable, n.workersUnreachable, n.peersUnreachable = false, false, false
+		n.links.storeUnreachable, n.links.workersUnreachable, n.links.peersUnreachable = false, false, false
 		if w.shortLease != nil {
-			n.refusedByStore, n.slowUntil = false, time.Time{}
+			n.links.refusedByStore, n.slowUntil = false, time.Time{}
 		}
 	}
 	for _, m := range w.machines {
@@ -378,14 +381,14 @@
 			n.crash(w.between(10*time.Millisecond, back))
 		}
 	case 2:
-		n.storeUnreachable = true
-		w.after(long, func() { n.storeUnreachable = false })
+		n.links.storeUnreachable = true
+		w.after(long, func() { n.links.storeUnreachable = false })
 	case 3:
-		n.workersUnreachable = true
-		w.after(long, func() { n.workersUnreachable = false })
+		n.links.workersUnreachable = true
+		w.after(long, func() { n.links.workersUnreachable = false })
 	case 4:
-		n.storeUnreachable, n.workersUnreachable = true, true
-		w.after(long, func() { n.storeUnreachable, n.workersUnreachable = false, false })
+		n.links.storeUnreachable, n.links.workersUnreachable = true, true
+		w.after(long, func() { n.links.storeUnreachable, n.links.workersUnreachable = false, false })
 	case 5:
 		w.outage(w.between(time.Second, 20*time.Second))
 	case 6:
@@ -408,8 +411,8 @@
 			w.after(2*long, func() { m.inboundLost = false })
 		}
 	case 14: // it keeps its workers, and nothing else
-		n.storeUnreachable, n.peersUnreachable = true, true
-		w.after(long, func() { n.storeUnreachable, n.peersUnreachable = false, false })
+		n.links.storeUnreachable, n.links.peersUnreachable = true, true
+		w.after(long, func() { n.links.storeUnreachable, n.links.peersUnreachable = false, false })
 	default:
 		w.networkFault(long)
 	}
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -149,7 +149,7 @@
 }
 
 func (m *machine) blocked(n *node) bool {
-	return n.down || n.workersUnreachable || m.cut[n] || !m.w.reachable(m.zone, n.zone)
+	return n.down || n.links.workersUnreachable || m.cut[n] || !m.w.reachable(m.zone, n.zone)
 }
 
 func (m *machine) deliver(n *node, r fleet.Heartbeat, sent time.Time) {
@@ -168,10 +168,10 @@
 			return
 		}
 		delay = w.between(time.Second, 25*time.Second) // held back by the cut
-	} else if w.options.Faults && !w.networkReliable && w.chance(0.01) {
+	} else if w.unreliable() && w.chance(0.01) {
 		delay = w.between(0, 12*time.Second)
 	}
-	if w.options.Faults && !w.networkReliable && w.chance(0.05) {
+	if w.unreliable() && w.chance(0.05) {
 		w.sendDuplicate(r)
 	}
 	process := m.workerProcess
@@ -199,12 +199,12 @@
 
 // completeHeldResponse completes an answer a moment later, or when the leader says so.
 func (n *node) completeHeldResponse(r fleet.Heartbeat, answer func(int, core.HeartbeatResponse)) {
-	eng, incarnation := n.engine, n.incarnation
+	engine, incarnation := n.engine, n.incarnation
 	var again func()
 	again = func() {
 		n.w.after(n.w.between(50*time.Millisecond, 500*time.Millisecond), func() {
 			n.run(incarnation, func() {
-				if status, reply := n.answerHeldHeartbeat(r, eng); status == 0 {
+				if status, reply := n.answerHeldHeartbeat(r, engine); status == 0 {
 					again()
 				} else {
 					answer(status, reply)
@@ -218,7 +218,7 @@
 // sendResponse sends a node's response back, if it gets through.
 func (m *machine) sendResponse(n *node, r fleet.Heartbeat, process int, sent time.Time, status int, reply core.HeartbeatResponse, leader *node) {
 	w := m.w
-	if m.inboundLost || m.blocked(n) || (w.options.Faults && !w.networkReliable && w.chance(0.01)) {
+	if m.inboundLost || m.blocked(n) || (w.unreliable() && w.chance(0.01)) {
 		return
 	}
 	delay := w.between(time.Millisecond, 30*time.Millisecond)
@@ -290,7 +290,7 @@
 	if m.inboundLost {
 		return
 	}
-	if m.blocked(n) || (w.options.Faults && !w.networkReliable && w.chance(0.05)) {
+	if m.blocked(n) || (w.unreliable() && w.chance(0.05)) {
 		delay = w.between(0, 30*time.Second)
 	}
 	delay += w.script.linkDelay() + w.script.commandDelay(m) + n.busyFor()
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -7,7 +7,6 @@
 import (
 	"container/heap"
 	"fmt"
-	"math/rand/v2"
 	"time"
 
 	"gingertally/internal/core"
@@ -43,8 +42,8 @@
 
 // World is a simulated deployment.
 type World struct {
-	options  Options
-	rng      *rand.Rand
+	options Options
+	random
 	start    time.Time
 	now      time.Time
 	queue    events
@@ -109,7 +108,7 @@
 
 // NewWorld builds a deployment in which all is well so far.
 func NewWorld(o Options) *World {
-	w := &World{options: o, rng: rand.New(rand.NewPCG(o.Seed, 7)), start: time.Unix(1_800_000_000, 0), zones: []string{"east", "west", "north"}[:o.Zones],
+	w := &World{options: o, random: newRandom(o.Seed, worldStream), start: time.Unix(1_800_000_000, 0), zones: []string{"east", "west", "north"}[:o.Zones],
 		cutZones: map[string]bool{}, partitionedZones: map[[2]string]bool{}, machines: map[string]*machine{}, jobs: map[string]*userJob{}}
 	w.now = w.start
 	w.store = &Store{w: w, items: map[string]*item{}}
@@ -133,7 +132,7 @@
 	w.checker = newChecker(w)
 	w.cloud = &cloudSim{w: w, scaleOutAnswers: map[string][]string{}}
 	for i := range o.Nodes {
-		n := &node{w: w, runsProduction: o.RollingUpgrade, name: fmt.Sprintf("node-%d", i), zone: w.zones[i%len(w.zones)], rate: w.shortLease.clockRate(1 + (w.rng.Float64()-0.5)*0.001)}
+		n := &node{w: w, runsProduction: o.RollingUpgrade, name: fmt.Sprintf("node-%d", i), zone: w.zones[i%len(w.zones)], clockRate: w.shortLease.clockRate(1 + (w.rng.Float64()-0.5)*0.001)}
 		w.nodes = append(w.nodes, n)
 		n.boot()
 	}
@@ -156,6 +155,9 @@
 	return w
 }
 
+// unreliable tells whether the network loses and delays messages by chance.
+func (w *World) unreliable() bool { return w.options.Faults && !w.networkReliable }
+
 // after runs fn once some time has passed.
 func (w *World) after(d time.Duration, fn func()) {
 	w.seq++
@@ -171,12 +173,6 @@
 	return !w.cutZones[a] && !w.cutZones[b] && !w.partitionedZones[[2]string{a, b}] && !w.partitionedZones[[2]string{b, a}]
 }
 
-func (w *World) chance(p float64) bool { return w.rng.Float64() < p }
-
-func (w *World) between(lo, hi time.Duration) time.Duration {
-	return lo + time.Duration(w.rng.Int64N(int64(hi-lo)+1))
-}
-
 // Run plays the world to its end, or to the first broken rule.
 func (w *World) Run() error {
 	end := w.start.Add(w.options.Length + w.options.SettleTime)
@@ -231,15 +227,3 @@
 	}
 	return n
 }
-
-// coreConfig is the core's part of a node's settings.
-func (n *node) coreConfig() core.Config {
-	w := n.w
-	c := core.Config{Teams: w.teams, Debug: w.Trace != nil, HeartbeatInterval: w.options.HeartbeatInterval, Lease: w.options.Lease,
-		CancelWithin: w.options.CancelWithin, GangWait: gangWait, InstanceListLag: 2 * time.Second, RestartLimit: 3,
-		BatchInterval: 2 * time.Second, MaxValueBytes: n.limits().ValueBytes, RoundBudget: 200, Weights: core.DefaultWeights(), WarmState: n.standbyOn(), Pace: w.options.Pace, Admission: w.options.Admission}
-	if n.drainsOn() {
-		c.Drain = w.drains.nodePolicy()
-	}
-	return c
-}
