--- a/internal/simulation/admission.go
+++ b/internal/simulation/admission.go
@@ -37,7 +37,7 @@
 	simulatedFloor       = 0.05
 )
 
-func newAdmissionWorld(w *World) *admissionNetwork {
+func newAdmissionNetwork(w *World) *admissionNetwork {
 	return &admissionNetwork{w: w, random: newRandom(w.options.Seed, admissionStream), counts: eventCounts{}}
 }
 
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -29,7 +29,7 @@
 	name := fmt.Sprintf("m-%06d", c.made)
 	c.made++
 	m := &machine{w: c.w, name: name, typ: typ, zone: zone, spot: spot, createdAt: c.w.now,
-		rate: c.w.shortLease.clockRate(1 + (c.w.rng.Float64()-0.5)*0.001), images: map[string]bool{}, tasks: map[string]*task{}}
+		rate: c.w.randomClockRate(), images: map[string]bool{}, tasks: map[string]*task{}}
 	c.w.machines[name] = m
 	c.w.after(boot, m.up)
 	return name
--- a/internal/simulation/consistency_probes.go
+++ b/internal/simulation/consistency_probes.go
@@ -195,7 +195,7 @@
 	s.every(from, period, func() {
 		n := s.w.nodes[s.rng.IntN(len(s.w.nodes))]
 		var over, open []*userJob
-		for _, j := range s.sortedJobs() {
+		for _, j := range s.w.sortedJobs() {
 			switch {
 			case !j.accepted:
 			case j.reportedPhase == pipeline.Active:
--- a/internal/simulation/correlated_failures.go
+++ b/internal/simulation/correlated_failures.go
@@ -41,7 +41,7 @@
 				m.die()
 			case kind == 1:
 				m.reboot()
-			case kind == 2 && !w.networkReliable:
+			case kind == 2 && !w.network.reliable:
 				m.inboundLost = true
 				w.after(hang, func() { m.inboundLost = false })
 			default:
@@ -91,7 +91,7 @@
 // pauseBeforeAnswer is how long an answer lay in a process that stalled after it had
 // checked its lease: seldom any time.
 func (f *correlatedFailures) pauseBeforeAnswer() time.Duration {
-	if f.w.networkReliable || f.rng.IntN(100) > 0 {
+	if f.w.network.reliable || f.rng.IntN(100) > 0 {
 		return 0
 	}
 	return f.between(0, 6*time.Second)
--- a/internal/simulation/digest.go
+++ b/internal/simulation/digest.go
@@ -30,7 +30,7 @@
 		body = fmt.Append(nil, "no JSON: ", err)
 		w.checker.fail("the digest can't take in a %s: %v", kind, err)
 	}
-	text := fmt.Sprintf("%d %s %s %T %s\n", w.now.Sub(w.start), kind, who, what, body)
+	text := fmt.Sprintf("%d %s %s %T %s\n", w.elapsed(), kind, who, what, body)
 	d.sum.Write([]byte(text))
 	if d.line != nil {
 		d.line(text)
--- a/internal/simulation/drain_scenarios_test.go
+++ b/internal/simulation/drain_scenarios_test.go
@@ -41,7 +41,7 @@
 
 // crashLeader ends the leader; it is back soon.
 func (s *script) crashLeader() {
-	s.crash(s.currentLeader(), s.between(10*time.Millisecond, 6*time.Second))
+	s.crash(s.w.currentLeader(), s.between(10*time.Millisecond, 6*time.Second))
 }
 
 // pauseLeaderForDrain stops the leader for longer than its lease, its clocks running on.
@@ -73,7 +73,7 @@
 		s.drainLoad()
 		s.drainAll(15*time.Second, 2)
 		s.drainAll(100*time.Second, 3)
-		s.every(25*time.Second, 35*time.Second, func() { s.refuse(s.currentLeader(), s.between(5*time.Second, 25*time.Second)) })
+		s.every(25*time.Second, 35*time.Second, func() { s.refuse(s.w.currentLeader(), s.between(5*time.Second, 25*time.Second)) })
 	}, least: eventCounts{"nodes refused by the state service": 16, "machines released": 30}},
 
 	{name: "the state service is down in every stage, slow, and loses answers", length: 240 * time.Second, script: func(s *script) {
@@ -154,7 +154,7 @@
 		s.drainAll(15*time.Second, 2)
 		s.drainAll(100*time.Second, 3)
 		s.every(25*time.Second, 40*time.Second, func() {
-			if n := s.currentLeader(); n != nil {
+			if n := s.w.currentLeader(); n != nil {
 				s.partitionFromPeersAndStore(n, s.between(5*time.Second, 20*time.Second))
 			}
 		})
--- a/internal/simulation/drains.go
+++ b/internal/simulation/drains.go
@@ -48,7 +48,7 @@
 // drainSkew bounds how far the controllers' clocks are off in these worlds.
 const drainSkew = 250 * time.Millisecond
 
-func newDrainWorld(w *World) *drainOperators {
+func newDrainOperators(w *World) *drainOperators {
 	d := &drainOperators{w: w, random: newRandom(w.options.Seed, drainStream), counts: eventCounts{}, fault: w.options.DrainFault}
 	d.policy = d.randomPolicy()
 	return d
--- a/internal/simulation/election.go
+++ b/internal/simulation/election.go
@@ -44,8 +44,8 @@
 	n.send(func() {
 		switch {
 		case n.storeDown():
-		case w.lease.alive(w.now, lease):
-			w.lease.until, renewed = w.now.Add(w.options.LeaseTTL), true
+		case w.store.lease.alive(w.now, lease):
+			w.store.lease.until, renewed = w.now.Add(w.options.LeaseTTL), true
 		default:
 			over = true
 		}
@@ -90,7 +90,7 @@
 // nextTerm is the state service's part in a claim: a term of 0 is none.
 func (n *node) nextTerm() (t leadership.Term, lease int) {
 	w := n.w
-	if n.storeDown() || w.lease.held(w.now) {
+	if n.storeDown() || w.store.lease.held(w.now) {
 		return t, 0
 	}
 	var tv struct {
@@ -111,9 +111,9 @@
 	if err != nil {
 		return t, 0
 	}
-	w.lease.id++
-	w.lease.until = w.now.Add(w.options.LeaseTTL)
-	return leadership.Term{Number: tv.N, Revision: rev, Restored: restored}, w.lease.id
+	w.store.lease.id++
+	w.store.lease.until = w.now.Add(w.options.LeaseTTL)
+	return leadership.Term{Number: tv.N, Revision: rev, Restored: restored}, w.store.lease.id
 }
 
 // leaderLease is the lease under the leader's key.
--- a/internal/simulation/fault_scenario_rows_test.go
+++ b/internal/simulation/fault_scenario_rows_test.go
@@ -86,7 +86,7 @@
 				s.count("team at its limit")
 			}
 			s.cutMachines(s.sampleMachines(0.6, hasTask), s.between(5*time.Second, 30*time.Second))
-			s.crash(s.currentLeader(), s.between(time.Second, 5*time.Second))
+			s.crash(s.w.currentLeader(), s.between(time.Second, 5*time.Second))
 			s.at(s.between(0, 6*time.Second), func() { s.cancelNow(2, 0) })
 		})
 	}, least: eventCounts{"team at its limit": 6, "machines with tasks cut off": 5, "leaders crashed": 8, "cancellations confirmed": 12}},
@@ -96,13 +96,13 @@
 		s.probeConsistency()
 		s.every(25*time.Second, 20*time.Second, func() {
 			if s.chance(0.5) {
-				s.crash(s.currentLeader(), s.between(10*time.Millisecond, 3*time.Second))
+				s.crash(s.w.currentLeader(), s.between(10*time.Millisecond, 3*time.Second))
 			} else {
 				s.shutDownLeader(s.between(10*time.Millisecond, 3*time.Second))
 			}
 			for range 3 {
 				s.at(s.between(0, 4*time.Second), func() {
-					if s.currentLeader() == nil {
+					if s.w.currentLeader() == nil {
 						s.count("cancellations requested while nobody leads")
 					}
 					s.cancelNow(1, 0)
@@ -134,7 +134,7 @@
 			}
 			s.cutMachines(s.sampleMachines(0.4, hasTask), s.between(5*time.Second, 45*time.Second))
 			s.cancelNow(4, s.between(5*time.Second, 30*time.Second))
-			s.at(s.between(0, 3*time.Second), func() { s.crash(s.currentLeader(), s.between(10*time.Millisecond, 3*time.Second)) })
+			s.at(s.between(0, 3*time.Second), func() { s.crash(s.w.currentLeader(), s.between(10*time.Millisecond, 3*time.Second)) })
 		})
 	}, least: eventCounts{"all teams at their limits": 2, "machines with tasks cut off": 6, "machines with tasks hung": 6, "leaders crashed": 6, "cancellations confirmed": 16}},
 
@@ -146,7 +146,7 @@
 			n := len(s.w.machines)
 			s.add(0, pipeline.Spec{Tasks: 5, CPUs: 3, MemGB: 4, Team: "green"}, 8*time.Second)
 			s.when(func() bool { return len(s.w.machines) > n }, func() {
-				s.at(s.between(0, 4*time.Second), func() { s.crash(s.currentLeader(), s.between(10*time.Millisecond, 2*time.Second)) })
+				s.at(s.between(0, 4*time.Second), func() { s.crash(s.w.currentLeader(), s.between(10*time.Millisecond, 2*time.Second)) })
 			})
 		})
 	}, least: eventCounts{"quick machines": 8, "late transactions carried out": 4, "leaders crashed": 4}},
@@ -167,7 +167,7 @@
 		cancelShare(s, 0.2, 40*time.Second)
 		crashLeaderRepeatedly(s, 60*time.Second, 50*time.Second, 10*time.Millisecond, 3*time.Second)
 		s.every(30*time.Second, 10*time.Second, func() {
-			for _, j := range s.sortedJobs() {
+			for _, j := range s.w.sortedJobs() {
 				if j.accepted && j.reportedPhase == pipeline.Active && j.startedAt.IsZero() {
 					s.count("jobs without room")
 				}
@@ -183,7 +183,7 @@
 		s.onTaskDone = append(s.onTaskDone, func(t *task) {
 			if left := t.job.spec.Tasks - len(t.job.done); left > 0 && s.tasksOf(t.job) > 0 && s.chance(0.3) {
 				s.count("one task done, others running")
-				s.at(s.between(0, 3*time.Second), func() { s.crash(s.currentLeader(), s.between(10*time.Millisecond, 3*time.Second)) })
+				s.at(s.between(0, 3*time.Second), func() { s.crash(s.w.currentLeader(), s.between(10*time.Millisecond, 3*time.Second)) })
 			}
 		})
 		s.probeConsistency()
@@ -220,7 +220,7 @@
 		s.every(30*time.Second, 35*time.Second, func() {
 			s.cutMachines(s.sampleMachines(0.4, hasTask), s.between(3*time.Second, 40*time.Second))
 			s.loseInbound(s.sampleMachines(0.4, hasTask), s.between(3*time.Second, 40*time.Second))
-			s.crash(s.currentLeader(), s.between(10*time.Millisecond, 3*time.Second))
+			s.crash(s.w.currentLeader(), s.between(10*time.Millisecond, 3*time.Second))
 			s.at(s.between(0, 8*time.Second), func() { s.cancelNow(2, 0) })
 		})
 	}, least: eventCounts{"machines with tasks cut off": 8, "machines with inbound loss": 8, "leaders crashed": 12, "cancellations confirmed": 12}},
@@ -293,7 +293,7 @@
 			s.loseOutbound(s.sampleMachines(0.5, hasTask), s.between(5*time.Second, 40*time.Second))
 			s.at(s.between(0, 5*time.Second), func() { s.cancelNow(2, 0) })
 			if s.chance(0.5) {
-				s.at(s.between(0, 5*time.Second), func() { s.crash(s.currentLeader(), s.between(10*time.Millisecond, 3*time.Second)) })
+				s.at(s.between(0, 5*time.Second), func() { s.crash(s.w.currentLeader(), s.between(10*time.Millisecond, 3*time.Second)) })
 			}
 		})
 	}, least: eventCounts{"machines with outbound loss": 10, "heartbeats of machines with outbound loss": 80, "commands to machines with outbound loss": 5, "cancellations confirmed": 12}},
@@ -438,7 +438,7 @@
 			s.lateWrites(0.5, 8*time.Second, s.chance(0.3))
 		})
 		s.every(5*time.Second, 250*time.Millisecond, func() {
-			for _, j := range s.sortedJobs() {
+			for _, j := range s.w.sortedJobs() {
 				if j.cancelRequested && j.accepted && j.reportedPhase == pipeline.Active {
 					s.count("queries while a cancellation is open")
 					for _, n := range s.w.nodes {
--- a/internal/simulation/fault_scenarios_test.go
+++ b/internal/simulation/fault_scenarios_test.go
@@ -71,7 +71,7 @@
 // noteCancelledWithTasks counts the jobs that are cancelled, as their users know, and
 // still have tasks on machines.
 func (s *script) noteCancelledWithTasks() {
-	for _, j := range s.sortedJobs() {
+	for _, j := range s.w.sortedJobs() {
 		if j.reportedPhase == pipeline.Cancelled && s.tasksOf(j) > 0 {
 			s.count("cancelled jobs with tasks as the outage began")
 		}
@@ -109,7 +109,7 @@
 
 // crashLeaderRepeatedly ends the leader again and again.
 func crashLeaderRepeatedly(s *script, from, period time.Duration, lo, hi time.Duration) {
-	s.every(from, period, func() { s.crash(s.currentLeader(), s.between(lo, hi)) })
+	s.every(from, period, func() { s.crash(s.w.currentLeader(), s.between(lo, hi)) })
 }
 
 // cancelShare has a share of the users call off their jobs soon after they were accepted.
@@ -173,7 +173,7 @@
 		counts.addAll(w.drains.counts)
 	}
 	counts["starts after a confirmed cancellation"] += w.checker.ledger.startsAfterCancellation
-	for _, j := range s.sortedJobs() {
+	for _, j := range s.w.sortedJobs() {
 		switch {
 		case !j.accepted:
 			t.Errorf("seed %d: %s was never accepted", w.options.Seed, j.spec.Ref)
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -75,7 +75,7 @@
 
 // local is the time by the node's steady clock.
 func (n *node) local() time.Time {
-	return n.w.start.Add(time.Duration(float64(n.w.now.Sub(n.w.start)) * n.clockRate))
+	return n.w.start.Add(time.Duration(float64(n.w.elapsed()) * n.clockRate))
 }
 
 // holdsLease tells whether the node leads with a valid lease, by its own clock.
@@ -139,7 +139,7 @@
 }
 
 // cutOff tells whether the state service can't be reached from here.
-func (n *node) cutOff() bool { return n.links.storeUnreachable || !n.w.reachable("", n.zone) }
+func (n *node) cutOff() bool { return n.links.storeUnreachable || !n.w.network.reachable("", n.zone) }
 
 // storeDown tells whether the state service, if it is reached, refuses this node.
 func (n *node) storeDown() bool { return n.w.store.down || n.links.refusedByStore }
@@ -147,8 +147,8 @@
 // reaches tells whether another controller can be reached from here.
 func (n *node) reaches(o *node) bool {
 	running := !n.down && !o.down && !n.paused() && !o.paused()
-	connected := !n.links.peersUnreachable && !o.links.peersUnreachable && !n.w.peersRefuse
-	return running && connected && n.w.reachable(n.zone, o.zone)
+	connected := !n.links.peersUnreachable && !o.links.peersUnreachable && !n.w.network.peersRefuse
+	return running && connected && n.w.network.reachable(n.zone, o.zone)
 }
 
 // probeHealth notes whether this node reaches the state service and other controllers.
--- a/internal/simulation/node_cloud.go
+++ b/internal/simulation/node_cloud.go
@@ -12,7 +12,7 @@
 	}
 	engine := n.engine
 	list, ok := n.w.cloud.list()
-	ok = ok && n.w.reachable("", n.zone)
+	ok = ok && n.w.network.reachable("", n.zone)
 	incarnation := n.incarnation
 	n.w.after(n.w.between(50*time.Millisecond, 300*time.Millisecond), func() {
 		n.run(incarnation, func() {
@@ -26,7 +26,7 @@
 func (n *node) scaleOut(r core.ScaleOut) {
 	answer := n.cloudAnswer()
 	n.w.after(n.w.between(50*time.Millisecond, 300*time.Millisecond), func() {
-		if !n.w.reachable("", n.zone) {
+		if !n.w.network.reachable("", n.zone) {
 			n.w.after(4*time.Second, func() { answer(core.ScaleOutAnswered{Request: r, OutcomeUnknown: true}) })
 			return
 		}
@@ -39,7 +39,7 @@
 func (n *node) scaleIn(names []string) {
 	answer := n.cloudAnswer()
 	delay := n.w.between(50*time.Millisecond, 300*time.Millisecond)
-	if n.w.unreliable() && (n.w.chance(0.05) || !n.w.reachable("", n.zone)) {
+	if n.w.unreliable() && (n.w.chance(0.05) || !n.w.network.reachable("", n.zone)) {
 		// The answer is lost, and the deletion happens at some later time.
 		n.w.after(n.w.between(time.Second, 20*time.Second), func() { n.w.cloud.scaleIn(names) })
 		n.w.after(4*time.Second, func() { answer(core.ScaleInAnswered{Machines: names}) })
--- a/internal/simulation/node_engine.go
+++ b/internal/simulation/node_engine.go
@@ -44,7 +44,7 @@
 	n.compute(ev)
 	if n.w.Trace != nil {
 		for _, line := range effects.Log {
-			n.w.Trace(n.w.now.Sub(n.w.start), n.name, line)
+			n.w.Trace(n.w.elapsed(), n.name, line)
 		}
 	}
 	if effects.Deposed() {
--- a/internal/simulation/output_digest.go
+++ b/internal/simulation/output_digest.go
@@ -62,7 +62,7 @@
 		body = d.tamper(kind, body)
 	}
 	d.counts[kind]++
-	text := fmt.Sprintf("%d %s %s %x\n", w.now.Sub(w.start), kind, subject, body)
+	text := fmt.Sprintf("%d %s %s %x\n", w.elapsed(), kind, subject, body)
 	_, _ = d.sum.Write([]byte(text)) // a hash never fails
 	if d.line != nil {
 		d.line(text)
--- a/internal/simulation/pipelines.go
+++ b/internal/simulation/pipelines.go
@@ -157,7 +157,7 @@
 		}
 	}
 	for _, p := range others {
-		if late && p.reportedPhase == pipeline.Active && l.w.now.Sub(l.w.start) < l.w.options.Length {
+		if late && p.reportedPhase == pipeline.Active && l.w.elapsed() < l.w.options.Length {
 			l.w.after(time.Second, func() { l.submit(j, late, others) })
 			return
 		}
@@ -181,7 +181,7 @@
 // and often all controllers end too.
 func (l *pipelinePlan) outageOnceCancelReported(j *userJob) {
 	w := l.w
-	if w.now.Sub(w.start) > w.options.Length-w.options.CancelWithin {
+	if w.elapsed() > w.options.Length-w.options.CancelWithin {
 		return
 	}
 	if j.reportedPhase != pipeline.Cancelled {
--- /dev/null
+++ b/internal/simulation/random_faults.go
@@ -0,0 +1,146 @@
+package simulation
+
+import "time"
+
+// planFaults strews faults over the world, singly and together.
+func (w *World) planFaults() {
+	for range 4 + w.rng.IntN(10) {
+		w.after(w.between(0, w.options.Length), w.randomFault)
+	}
+	w.after(w.options.Length, w.endFaults)
+}
+
+// endFaults ends all faults that have no end of their own.
+func (w *World) endFaults() {
+	w.checker.waiting.checkRepeatedly()
+	w.heal()
+}
+
+// heal ends all faults of the world's parts. None comes by chance any more.
+func (w *World) heal() {
+	w.faultsEndedAt = w.now
+	w.network.heal()
+	w.store.down, w.cloud.down = false, false
+	for _, n := range w.nodes {
+		n.links, n.slowUntil = links{}, time.Time{}
+	}
+	for _, m := range w.machines {
+		m.faulty, m.inboundLost, m.outboundLost = false, false, false
+		clear(m.cut)
+	}
+}
+
+func (w *World) anyMachine() *machine {
+	ms := w.sortedMachines()
+	if len(ms) == 0 {
+		return nil
+	}
+	return ms[w.rng.IntN(len(ms))]
+}
+
+func (w *World) randomFault() {
+	n, m := w.nodes[w.rng.IntN(len(w.nodes))], w.anyMachine()
+	long := w.between(2*time.Second, 40*time.Second)
+	switch w.rng.IntN(18) {
+	case 0:
+		n.crash(w.between(10*time.Millisecond, 6*time.Second))
+	case 1:
+		back := w.between(10*time.Millisecond, 6*time.Second)
+		for _, n := range w.nodes {
+			n.crash(w.between(10*time.Millisecond, back))
+		}
+	case 2:
+		n.links.storeUnreachable = true
+		w.after(long, func() { n.links.storeUnreachable = false })
+	case 3:
+		n.links.workersUnreachable = true
+		w.after(long, func() { n.links.workersUnreachable = false })
+	case 4:
+		n.links.storeUnreachable, n.links.workersUnreachable = true, true
+		w.after(long, func() { n.links.storeUnreachable, n.links.workersUnreachable = false, false })
+	case 5:
+		w.outage(w.between(time.Second, 20*time.Second))
+	case 6:
+		w.cloud.down = true
+		w.after(long, func() { w.cloud.down = false })
+	case 7, 8:
+		if m != nil {
+			m.hungUntil = w.now.Add(long)
+		}
+	case 9:
+		if m != nil && m.isUp {
+			m.cut[n] = true
+			w.after(long, func() { m.cut[n] = false })
+		}
+	case 10, 11:
+		w.machineFault(m)
+	case 12, 13:
+		if m != nil {
+			m.inboundLost = true
+			w.after(2*long, func() { m.inboundLost = false })
+		}
+	case 14: // it keeps its workers, and nothing else
+		n.links.storeUnreachable, n.links.peersUnreachable = true, true
+		w.after(long, func() { n.links.storeUnreachable, n.links.peersUnreachable = false, false })
+	default:
+		w.networkFault(long)
+	}
+}
+
+// networkFault is a fault between zones, or between controllers.
+func (w *World) networkFault(long time.Duration) {
+	i := w.rng.IntN(len(w.zones))
+	zone, other := w.zones[i], w.zones[(i+1)%len(w.zones)]
+	switch w.rng.IntN(4) {
+	case 0:
+		w.network.cutZones[zone] = true
+		w.after(long, func() { delete(w.network.cutZones, zone) })
+	case 1:
+		w.network.partitionedZones[[2]string{zone, other}] = true
+		w.after(long, func() { delete(w.network.partitionedZones, [2]string{zone, other}) })
+	case 2:
+		w.network.peersRefuse = true
+		w.after(long, func() { w.network.peersRefuse = false })
+	case 3: // all restarted, one after the other
+		for i, n := range w.nodes {
+			w.after(time.Duration(i)*4*time.Second, func() { n.crash(w.between(10*time.Millisecond, 3*time.Second)) })
+		}
+	}
+}
+
+// machineFault takes a machine back, lets it die or fall sick.
+func (w *World) machineFault(m *machine) {
+	if m == nil {
+		return
+	}
+	switch w.rng.IntN(4) {
+	case 3:
+		if m.isUp {
+			m.reboot()
+		}
+	case 0:
+		m.die()
+	case 1:
+		m.faulty = true
+	case 2:
+		m.interruptionAt = w.now.Add(w.between(3*time.Second, 12*time.Second))
+		w.after(m.interruptionAt.Sub(w.now), m.die)
+		if m.isUp {
+			m.heartbeatSoon()
+		}
+	}
+}
+
+func (w *World) outage(d time.Duration) {
+	if w.store.down {
+		return
+	}
+	held := w.store.lease.held(w.now)
+	w.store.down = true
+	w.after(d, func() {
+		w.store.down = false
+		if held {
+			w.store.lease.until = w.now.Add(w.options.LeaseTTL) // all leases have their full time again
+		}
+	})
+}
--- a/internal/simulation/recovery_test.go
+++ b/internal/simulation/recovery_test.go
@@ -124,7 +124,7 @@
 		s.every(25*time.Second, 45*time.Second, func() {
 			s.crashAll(10*time.Millisecond, time.Second)
 			for k := range 3 {
-				s.at(time.Duration(5+k*5)*time.Second, func() { s.crash(s.currentLeader(), s.between(10*time.Millisecond, 2*time.Second)) })
+				s.at(time.Duration(5+k*5)*time.Second, func() { s.crash(s.w.currentLeader(), s.between(10*time.Millisecond, 2*time.Second)) })
 			}
 		})
 	}, least: eventCounts{"crashes of all controllers": 12, "leaders crashed": 24}},
--- a/internal/simulation/short_lease_faults.go
+++ b/internal/simulation/short_lease_faults.go
@@ -29,16 +29,6 @@
 	}
 }
 
-// currentLeader is the node that may act now, nil if none does.
-func (w *World) currentLeader() *node {
-	for _, n := range w.nodes {
-		if n.holdsLease() {
-			return n
-		}
-	}
-	return nil
-}
-
 // nodeOrLeader is mostly the leader, else any node.
 func (s *shortLease) nodeOrLeader() *node {
 	n := s.w.nodes[s.rng.IntN(len(s.w.nodes))]
@@ -77,16 +67,16 @@
 		}
 	}
 	s.count(what)
-	s.w.cutZones[zone] = true
-	s.w.after(d, func() { delete(s.w.cutZones, zone) })
+	s.w.network.cutZones[zone] = true
+	s.w.after(d, func() { delete(s.w.network.cutZones, zone) })
 }
 
 // refusePeers has all nodes refuse each other, or one and the others.
 func (s *shortLease) refusePeers(d time.Duration) {
 	s.count("refusals between nodes")
 	if s.rng.IntN(2) == 0 {
-		s.w.peersRefuse = true
-		s.w.after(d, func() { s.w.peersRefuse = false })
+		s.w.network.peersRefuse = true
+		s.w.after(d, func() { s.w.network.peersRefuse = false })
 		return
 	}
 	n := s.nodeOrLeader()
--- a/internal/simulation/standby.go
+++ b/internal/simulation/standby.go
@@ -76,7 +76,7 @@
 	if n.standby == nil {
 		return true
 	}
-	if n.w.lease.held(n.w.now) {
+	if n.w.store.lease.held(n.w.now) {
 		n.vacantSince = time.Time{}
 		return true // the state service refuses the claim
 	}
@@ -178,11 +178,11 @@
 	}
 	for f, ok := n.publisher.Next(n.local(), o.name); ok; f, ok = n.publisher.Next(n.local(), o.name) {
 		s.count("frames", 1)
-		if !w.networkReliable && s.rng.Float64() < s.lostShare {
+		if !w.network.reliable && s.rng.Float64() < s.lostShare {
 			continue
 		}
 		s.deliver(n, o, f)
-		if !w.networkReliable && s.rng.Float64() < s.duplicateShare {
+		if !w.network.reliable && s.rng.Float64() < s.duplicateShare {
 			s.deliver(n, o, f)
 		}
 	}
--- a/internal/simulation/standby_scenarios_test.go
+++ b/internal/simulation/standby_scenarios_test.go
@@ -7,7 +7,7 @@
 
 // pauseLeader stops the leader, its clocks running on, for longer than its lease.
 func (s *script) pauseLeader(what string) {
-	n := s.currentLeader()
+	n := s.w.currentLeader()
 	if n == nil {
 		return
 	}
@@ -41,7 +41,7 @@
 	{name: "leader pauses between a write and its answer", script: func(s *script) {
 		s.load()
 		s.every(15*time.Second, 22*time.Second, func() {
-			s.when(func() bool { n := s.currentLeader(); return n != nil && n.writing }, func() { s.pauseLeader("leaders paused while writing") })
+			s.when(func() bool { n := s.w.currentLeader(); return n != nil && n.writing }, func() { s.pauseLeader("leaders paused while writing") })
 		})
 	}, least: eventCounts{"leaders paused while writing": 16, "warm takeovers": 14}},
 
@@ -63,14 +63,14 @@
 		s.load()
 		s.every(15*time.Second, 25*time.Second, func() {
 			s.w.standbys.laggingUntil = s.w.now.Add(15 * time.Second)
-			s.at(s.between(8*time.Second, 14*time.Second), func() { s.crash(s.currentLeader(), s.between(time.Second, 5*time.Second)) })
+			s.at(s.between(8*time.Second, 14*time.Second), func() { s.crash(s.w.currentLeader(), s.between(time.Second, 5*time.Second)) })
 		})
 	}, least: eventCounts{"leaders crashed": 14, "leaders elected": 18, "attempts unstored": 1, "machines differing": 10}},
 
 	{name: "leader and a current standby end together", script: func(s *script) {
 		s.load()
 		s.every(15*time.Second, 20*time.Second, func() {
-			leader, standby := s.currentLeader(), s.currentStandby()
+			leader, standby := s.w.currentLeader(), s.currentStandby()
 			if leader == nil || standby == nil {
 				return
 			}
@@ -82,21 +82,21 @@
 
 	{name: "old leader is back within a fraction of a second", script: func(s *script) {
 		s.load()
-		s.every(12*time.Second, 11*time.Second, func() { s.crash(s.currentLeader(), s.between(10*time.Millisecond, 300*time.Millisecond)) })
+		s.every(12*time.Second, 11*time.Second, func() { s.crash(s.w.currentLeader(), s.between(10*time.Millisecond, 300*time.Millisecond)) })
 	}, least: eventCounts{"leaders crashed": 35, "warm takeovers": 25}},
 
 	{name: "takeover during an outage of the state service", script: func(s *script) {
 		s.load()
 		s.every(15*time.Second, 35*time.Second, func() {
 			s.outage(s.between(8*time.Second, 16*time.Second))
-			s.at(s.between(0, 3*time.Second), func() { s.crash(s.currentLeader(), s.between(time.Second, 10*time.Second)) })
+			s.at(s.between(0, 3*time.Second), func() { s.crash(s.w.currentLeader(), s.between(time.Second, 10*time.Second)) })
 		})
 	}, least: eventCounts{"leaders crashed": 8, "outages": 10, "leaders elected": 12}},
 
 	{name: "takeover during a takeover", script: func(s *script) {
 		s.load()
 		s.every(12*time.Second, 20*time.Second, func() {
-			old := s.currentLeader()
+			old := s.w.currentLeader()
 			s.crash(old, s.between(time.Second, 4*time.Second))
 			s.onceNextLeader(old, func(next *node) {
 				s.count("new leaders crashed at once")
@@ -109,7 +109,7 @@
 		s.load()
 		n := s.w.standbys
 		n.lostShare, n.duplicateShare, n.extraDelay = 0.2, 0.3, 3*time.Second
-		s.every(12*time.Second, 13*time.Second, func() { s.crash(s.currentLeader(), s.between(time.Second, 4*time.Second)) })
+		s.every(12*time.Second, 13*time.Second, func() { s.crash(s.w.currentLeader(), s.between(time.Second, 4*time.Second)) })
 	}, least: eventCounts{"frames gap": 100, "frames ignored": 500, "leaders crashed": 25}},
 
 	{name: "leader cut from the standbys but not from workers", script: func(s *script) {
@@ -135,12 +135,12 @@
 		}
 		s.load()
 		s.every(12*time.Second, 15*time.Second, func() { s.pauseLeader("leaders paused") })
-		s.every(20*time.Second, 15*time.Second, func() { s.crash(s.currentLeader(), s.between(10*time.Millisecond, 3*time.Second)) })
+		s.every(20*time.Second, 15*time.Second, func() { s.crash(s.w.currentLeader(), s.between(10*time.Millisecond, 3*time.Second)) })
 	}, least: eventCounts{"leaders paused": 20, "leaders elected": 40}},
 
 	{name: "rolling upgrade from the version in production", alter: func(o *Options) { o.RollingUpgrade, o.Pipelines = true, 4 }, script: func(s *script) {
 		s.load()
-		s.every(12*time.Second, 16*time.Second, func() { s.crash(s.currentLeader(), s.between(time.Second, 4*time.Second)) })
+		s.every(12*time.Second, 16*time.Second, func() { s.crash(s.w.currentLeader(), s.between(time.Second, 4*time.Second)) })
 	}, least: eventCounts{"leaders crashed": 20, "warm takeovers": 4}},
 
 	{name: "planned hand-over", script: func(s *script) {
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -15,6 +15,7 @@
 // leaders' lease is kept beside the keys.
 type Store struct {
 	w        *World
+	lease    leaderLease // under the leader's key
 	items    map[string]*item
 	revision uint64
 	down     bool
--- /dev/null
+++ b/internal/simulation/user_job.go
@@ -0,0 +1,213 @@
+package simulation
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"time"
+
+	"gingertally/internal/core"
+	"gingertally/internal/core/fleet"
+	"gingertally/internal/core/pipeline"
+	"gingertally/internal/jobstore"
+	"gingertally/internal/statestore"
+	"gingertally/internal/userapi"
+)
+
+// userJob is a job as its user knows it.
+type userJob struct {
+	w                *World
+	spec             pipeline.Spec
+	run              time.Duration
+	runs             []time.Duration // of each task, if they differ
+	failsAlways      bool
+	wantsCancel      bool
+	accepted         bool
+	reportedPhase    pipeline.Phase
+	reportedAt       time.Time // since when
+	failures         int       // how often a task of it failed
+	cancelReportedAt time.Time
+	done             map[int]bool
+	firstSubmittedAt time.Time // when it was first submitted
+	startedAt        time.Time // when a first task of it ran
+	lastAnsweredAt   time.Time // when a question was last answered
+	dependencies     []*userJob
+	acceptedAt       time.Time
+	cancelRequested  bool // its user has asked to cancel it
+}
+
+// mates are the tasks of one attempt of a gang that haven't exited.
+func (j *userJob) mates(attempt uint64) []*task {
+	var out []*task
+	for _, m := range j.w.sortedMachines() {
+		for _, t := range m.sorted() {
+			if t.job == j && t.attempt == attempt && t.state != fleet.Exited {
+				out = append(out, t)
+			}
+		}
+	}
+	return out
+}
+
+// runTime is how long a task of the job runs.
+func (j *userJob) runTime(index int) time.Duration {
+	if index < len(j.runs) {
+		return j.runs[index]
+	}
+	return j.run
+}
+
+// dependencyNames are the jobs that the job names as dependencies, the first one twice.
+func (j *userJob) dependencyNames() []string {
+	var out []string
+	for _, p := range j.dependencies {
+		out = append(out, p.spec.Ref)
+	}
+	if len(out) > 0 {
+		out = append(out, out[0])
+	}
+	return out
+}
+
+// mayBeCancelled tells whether somebody has asked to cancel a job or one that it depends on.
+func (j *userJob) mayBeCancelled() bool {
+	if j.cancelRequested {
+		return true
+	}
+	for _, dependency := range j.dependencies {
+		if dependency.mayBeCancelled() {
+			return true
+		}
+	}
+	return false
+}
+
+// loadBalancedNode is the node that the load balancer chooses: a healthy one, if any is.
+func (j *userJob) loadBalancedNode() *node {
+	var up []*node
+	for _, n := range j.w.nodes {
+		if !n.down && !n.paused() && j.w.network.reachable("", n.zone) && n.health.Serves(n.local()) {
+			up = append(up, n)
+		}
+	}
+	if len(up) == 0 {
+		up = j.w.nodes
+	}
+	return up[j.w.rng.IntN(len(up))]
+}
+
+func (j *userJob) submit() {
+	if j.firstSubmittedAt.IsZero() {
+		j.firstSubmittedAt = j.w.now
+	}
+	n := j.loadBalancedNode()
+	if n.down || n.paused() || n.cutOff() {
+		j.w.after(time.Second, j.submit)
+		return
+	}
+	if again, ok := n.admits(j); !ok {
+		j.w.after(again, j.submit)
+		return
+	}
+	jobs := n.jobs
+	answered := false
+	create := func() {
+		n.call(func() {
+			answered = j.submissionStored(jobs.Create(context.Background(), j.spec, j.dependencyNames(), j.w.now))
+		}, func() {
+			if answered {
+				j.w.output.userAnswer(n, j.spec.Ref, userapi.Answer{Status: http.StatusCreated})
+			}
+			if answered && !j.accepted {
+				j.accepted, j.acceptedAt = true, j.w.now
+				j.w.script.jobAccepted(j)
+			}
+		})
+	}
+	if len(j.dependencies) == 0 {
+		create()
+	} else { // the check and the write are two calls, between which anything may happen
+		err := statestore.ErrUnknownOutcome
+		n.call(func() { err = jobs.CheckDependencies(context.Background(), j.spec.Ref, j.dependencyNames()) }, func() {
+			if j.submissionStored(err) {
+				create()
+			}
+		})
+	}
+	j.w.after(j.w.between(time.Second, 3*time.Second), func() {
+		if !j.accepted {
+			j.submit()
+			return
+		}
+		j.poll()
+		if j.wantsCancel {
+			j.w.after(j.w.between(0, j.w.options.Length/3), j.cancel)
+		}
+	})
+}
+
+// submissionStored tells whether the outcome of a submission means that the job is accepted.
+func (j *userJob) submissionStored(err error) bool {
+	if errors.Is(err, jobstore.ErrBadDependency) || errors.Is(err, jobstore.ErrTooLarge) {
+		j.w.checker.fail("%s refused: %v", j.spec.Ref, err)
+	}
+	return err == nil || errors.Is(err, jobstore.ErrExists)
+}
+
+// learn has the job's user learn of it from a controller.
+func (j *userJob) learn(v core.JobView, known bool) {
+	j.w.checker.observe(jobReported{j, v, known})
+	if v.Phase == pipeline.Cancelled && j.reportedPhase != pipeline.Cancelled {
+		j.cancelReportedAt = j.w.now
+		j.w.script.cancellationConfirmed(j)
+		j.w.checker.observe(cancellationReported{j})
+	}
+	if j.reportedPhase != v.Phase {
+		j.reportedAt = j.w.now
+	}
+	j.reportedPhase = v.Phase
+}
+
+// learnLate has the job's user learn of it by an answer that took its time. Such an answer counts by when its
+// query was sent: an older answer may cross a newer one, and nothing else may.
+func (j *userJob) learnLate(askedAt time.Time, v core.JobView, known bool) {
+	if !known && (!j.accepted || !askedAt.After(j.acceptedAt)) {
+		return
+	}
+	if known && v.Phase == pipeline.Active && j.reportedPhase != pipeline.Active && !askedAt.After(j.reportedAt) {
+		return
+	}
+	j.learn(v, known)
+}
+
+func (j *userJob) poll() {
+	if v, known, ok := j.loadBalancedNode().answerQuery(j.spec.Ref); ok {
+		j.learn(v, known)
+		j.lastAnsweredAt = j.w.now
+	}
+	j.w.checker.observe(queryFinished{j})
+	j.w.after(j.w.between(2*time.Second, 5*time.Second), j.poll)
+}
+
+func (j *userJob) cancel() {
+	n := j.loadBalancedNode()
+	for _, o := range j.w.nodes {
+		if o.holdsLease() {
+			n = o // the leader serves cancellations
+		}
+	}
+	if n.down || n.paused() || n.cutOff() {
+		j.w.after(time.Second, j.cancel)
+		return
+	}
+	j.cancelRequested = true
+	n.cancel(j.spec.Ref, func(st jobstore.State) {
+		j.w.output.cancellation(n, j.spec.Ref, st.Phase)
+		j.learn(core.JobView{Phase: st.Phase, Done: len(j.done)}, true)
+	})
+	j.w.after(3*time.Second, func() {
+		if j.reportedPhase == pipeline.Active {
+			j.cancel()
+		}
+	})
+}
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -37,7 +37,7 @@
 }
 
 func (m *machine) local() time.Time {
-	return m.w.start.Add(time.Duration(float64(m.w.now.Sub(m.w.start)) * m.rate))
+	return m.w.start.Add(time.Duration(float64(m.w.elapsed()) * m.rate))
 }
 
 // later runs fn on the machine: not while it hangs, and not after its end.
@@ -149,7 +149,7 @@
 }
 
 func (m *machine) blocked(n *node) bool {
-	return n.down || n.links.workersUnreachable || m.cut[n] || !m.w.reachable(m.zone, n.zone)
+	return n.down || n.links.workersUnreachable || m.cut[n] || !m.w.network.reachable(m.zone, n.zone)
 }
 
 func (m *machine) deliver(n *node, r fleet.Heartbeat, sent time.Time) {
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -1,12 +1,10 @@
-// Package simulation plays the world around the service from its published
-// protocol: state service, cloud, workers and users in simulated time, with
-// faults, and a checker of PROTOCOL's rules that runs after every step. The
-// controllers in it run the real core and job store.
 package simulation
 
 import (
-	"container/heap"
 	"fmt"
+	"maps"
+	"slices"
+	"strings"
 	"time"
 
 	"gingertally/internal/core"
@@ -17,106 +15,78 @@
 
 // Options say what a world is like.
 type Options struct {
-	Seed               uint64
-	Length             time.Duration // faults and users' calls end here
-	SettleTime         time.Duration // how long the world then goes on in peace
-	Nodes              int
-	Zones              int
-	Jobs               int
-	Faults             bool
-	CorrelatedFailures bool // many machines fail together, and controllers stall
-	Pipelines          int  // pipelines of jobs that wait for each other
+	Seed       uint64
+	Length     time.Duration // faults and users' calls end here
+	SettleTime time.Duration // how long the world then goes on without faults
+
+	Nodes int // controllers
+	Zones int
+	Jobs  int // of ordinary users
+
+	HeartbeatInterval time.Duration
+	Lease             time.Duration // a worker's
+	LeaseTTL          time.Duration // of the lease under the leader key
+	CancelWithin      time.Duration
+	Pace              recovery.PaceOptions // of starts and stops at the beginning of a term
+
+	Faults             bool // random faults, singly and together
+	CorrelatedFailures bool // many machines fail together, and controllers pause
+	ShortLease         bool // the jobs and faults of a deployment with short leases
+	Pipelines          int  // pipelines of jobs that depend on each other
 	RollingUpgrade     bool // the version in production runs first, and is replaced node by node
 	LowerStoreLimits   bool // the state service lowers its limits at some moment after that
-	HeartbeatInterval  time.Duration
-	Lease              time.Duration
-	CancelWithin       time.Duration
-	LeaseTTL           time.Duration        // of the lease under the leader key
-	Pace               recovery.PaceOptions // of orders at the start of a term
-	Admission          bool                 // admission control, and a team that floods the deployment
-	Standby            bool                 // the leader's warm state is replicated
-	Drains             bool                 // operators drain machines, within budgets
-	DrainFault         deliberateDrainFault // a deliberate fault of drains
-	ShortLease         bool                 // the jobs and faults of a deployment with short leases
+
+	Standby    bool                 // the leader's warm state is replicated
+	Admission  bool                 // admission control, and a team that floods the deployment
+	Drains     bool                 // operators drain machines, within disruption budgets
+	DrainFault deliberateDrainFault // shows that a check of drains fails
 }
 
 // World is a simulated deployment.
 type World struct {
 	options Options
 	random
-	start    time.Time
-	now      time.Time
-	queue    events
-	seq      int
+	clock
+
+	// What it consists of.
+	network  network
 	store    *Store
+	cloud    *cloudSim
 	catalog  placement.Catalog
 	zones    []string
 	teams    map[string]placement.Quota
 	nodes    []*node
-	cloud    *cloudSim
 	machines map[string]*machine
 	jobs     map[string]*userJob
-	checker  *checker
-	lease    leaderLease
+
+	// What the options switch on; nil: off.
+	correlated *correlatedFailures
+	pipelines  *pipelinePlan
+	shortLease *shortLease
+	admission  *admissionNetwork
+	drains     *drainOperators
+	standbys   *standbyNetwork
+	script     *script
+
+	// What judges and records a run.
+	checker *checker
+	digest  *digest       // nil: none
+	output  *outputDigest // nil: none
 	// Trace, if set, gets what the controllers log.
 	Trace           func(at time.Duration, node string, line core.LogRecord)
-	networkReliable bool // peace: no losses and delays any more
-	faultsEndedAt   time.Time
-	// what the network between zones and nodes does
-	cutZones         map[string]bool     // cut off from everything
-	partitionedZones map[[2]string]bool  // two zones that can't reach each other
-	peersRefuse      bool                // connections between controllers are refused
-	leaseExtensions  int                 // how often peers have extended the lease of a leader
-	correlated       *correlatedFailures // nil: none
-	pipelines        *pipelinePlan
-	script           *script           // nil: none
-	shortLease       *shortLease       // nil: none
-	digest           *digest           // nil: none
-	output           *outputDigest     // nil: none
-	admission        *admissionNetwork // nil: everything is admitted
-	drains           *drainOperators   // nil: nobody drains machines
-	standbys         *standbyNetwork   // nil: the warm state isn't replicated
-}
-
-type event struct {
-	at  time.Time
-	seq int
-	fn  func()
-}
-
-type events []event
-
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, k int) bool {
-	if !e[i].at.Equal(e[k].at) {
-		return e[i].at.Before(e[k].at)
-	}
-	return e[i].seq < e[k].seq
+	faultsEndedAt   time.Time // zero: they haven't yet
+	leaseExtensions int       // how often peers have extended the lease of a leader
 }
-func (e events) Swap(i, k int) { e[i], e[k] = e[k], e[i] }
-
-// Push adds an event at the end.
-func (e *events) Push(x any) { *e = append(*e, x.(event)) }
 
-// Pop takes the last event out.
-func (e *events) Pop() any {
-	old := *e
-	x := old[len(old)-1]
-	*e = old[:len(old)-1]
-	return x
-}
-
-// NewWorld builds a deployment in which all is well so far.
+// NewWorld builds a deployment without faults so far. The parts draw their random numbers in the order in which
+// they are built and started here.
 func NewWorld(o Options) *World {
-	w := &World{options: o, random: newRandom(o.Seed, worldStream), start: time.Unix(1_800_000_000, 0), zones: []string{"east", "west", "north"}[:o.Zones],
-		cutZones: map[string]bool{}, partitionedZones: map[[2]string]bool{}, machines: map[string]*machine{}, jobs: map[string]*userJob{}}
-	w.now = w.start
-	w.store = &Store{w: w, items: map[string]*item{}}
-	w.catalog = placement.Catalog{
-		"small": {Name: "small", CPUs: 4, MemGB: 16, CacheGB: 10, FetchGBPerS: 0.5, Hourly: 1, SpotHour: 0.4, Boot: 8 * time.Second, Zones: w.zones},
-		"large": {Name: "large", CPUs: 16, GPUs: 4, MemGB: 64, CacheGB: 10, FetchGBPerS: 1, Hourly: 6, SpotHour: 2, Boot: 10 * time.Second, Zones: w.zones},
+	zones := []string{"east", "west", "north"}[:o.Zones]
+	w := &World{
+		options: o, random: newRandom(o.Seed, worldStream), clock: newClock(), network: newNetwork(), zones: zones,
+		catalog: newCatalog(zones), teams: ordinaryTeams(), machines: map[string]*machine{}, jobs: map[string]*userJob{},
 	}
-	w.teams = map[string]placement.Quota{"red": {CPULimit: 20, GuaranteedGPUs: 2, GPULimit: 4}, "blue": {GuaranteedCPUs: 8}, "green": {}}
+	w.store = &Store{w: w, items: map[string]*item{}}
 	if o.ShortLease {
 		w.shortLease = newShortLease(w)
 	}
@@ -124,21 +94,15 @@
 		w.standbys = newStandbyNetwork(w)
 	}
 	if o.Admission {
-		w.admission = newAdmissionWorld(w)
+		w.admission = newAdmissionNetwork(w)
 	}
 	if o.Drains {
-		w.drains = newDrainWorld(w)
+		w.drains = newDrainOperators(w)
 	}
 	w.checker = newChecker(w)
 	w.cloud = &cloudSim{w: w, scaleOutAnswers: map[string][]string{}}
-	for i := range o.Nodes {
-		n := &node{w: w, runsProduction: o.RollingUpgrade, name: fmt.Sprintf("node-%d", i), zone: w.zones[i%len(w.zones)], clockRate: w.shortLease.clockRate(1 + (w.rng.Float64()-0.5)*0.001)}
-		w.nodes = append(w.nodes, n)
-		n.boot()
-	}
-	for range 4 {
-		w.cloud.create([]string{"small", "large"}[w.rng.IntN(2)], w.zones[w.rng.IntN(len(w.zones))], false, 0)
-	}
+	w.bootNodes()
+	w.createFirstMachines()
 	w.planUsers()
 	if w.admission != nil {
 		w.floodUsers()
@@ -155,34 +119,61 @@
 	return w
 }
 
-// unreliable tells whether the network loses and delays messages by chance.
-func (w *World) unreliable() bool { return w.options.Faults && !w.networkReliable }
+// newCatalog are the machine types that the cloud offers.
+func newCatalog(zones []string) placement.Catalog {
+	return placement.Catalog{
+		"small": {Name: "small", CPUs: 4, MemGB: 16, CacheGB: 10, FetchGBPerS: 0.5,
+			Hourly: 1, SpotHour: 0.4, Boot: 8 * time.Second, Zones: zones},
+		"large": {Name: "large", CPUs: 16, GPUs: 4, MemGB: 64, CacheGB: 10, FetchGBPerS: 1,
+			Hourly: 6, SpotHour: 2, Boot: 10 * time.Second, Zones: zones},
+	}
+}
 
-// after runs fn once some time has passed.
-func (w *World) after(d time.Duration, fn func()) {
-	w.seq++
-	heap.Push(&w.queue, event{w.now.Add(max(d, 0)), w.seq, fn})
+// ordinaryTeams are the teams of all worlds but those with short leases.
+func ordinaryTeams() map[string]placement.Quota {
+	return map[string]placement.Quota{
+		"red":   {CPULimit: 20, GuaranteedGPUs: 2, GPULimit: 4},
+		"blue":  {GuaranteedCPUs: 8},
+		"green": {},
+	}
 }
 
-// reachable tells whether packets get from one zone to another; an empty name stands
-// for what belongs to no zone, as the state service.
-func (w *World) reachable(a, b string) bool {
-	if a == b {
-		return true
+// ordinaryDrift is how far the rates of ordinary steady clocks differ.
+const ordinaryDrift = 0.001
+
+func (w *World) bootNodes() {
+	for i := range w.options.Nodes {
+		n := &node{w: w, runsProduction: w.options.RollingUpgrade, name: fmt.Sprintf("node-%d", i), zone: w.zones[i%len(w.zones)],
+			clockRate: w.randomClockRate()}
+		w.nodes = append(w.nodes, n)
+		n.boot()
 	}
-	return !w.cutZones[a] && !w.cutZones[b] && !w.partitionedZones[[2]string{a, b}] && !w.partitionedZones[[2]string{b, a}]
 }
 
-// Run plays the world to its end, or to the first broken rule.
+// randomClockRate is the rate of a node's or machine's steady clock.
+func (w *World) randomClockRate() float64 {
+	return w.shortLease.clockRate(1 + (w.rng.Float64()-0.5)*ordinaryDrift)
+}
+
+// createFirstMachines creates the machines that are up as the world begins.
+func (w *World) createFirstMachines() {
+	for range 4 {
+		w.cloud.create([]string{"small", "large"}[w.rng.IntN(2)], w.zones[w.rng.IntN(len(w.zones))], false, 0)
+	}
+}
+
+// unreliable tells whether the network loses and delays messages by chance.
+func (w *World) unreliable() bool { return w.options.Faults && !w.network.reliable }
+
+// Run plays the world to its end, or to the first violation of an invariant.
 func (w *World) Run() error {
 	end := w.start.Add(w.options.Length + w.options.SettleTime)
-	for len(w.queue) > 0 {
-		e := heap.Pop(&w.queue).(event)
-		if e.at.After(end) {
+	for {
+		e, ok := w.next(end)
+		if !ok {
 			break
 		}
-		w.now = e.at
-		w.digest.add(w, "event", "world", e.seq)
+		w.digest.add(w, "event", "world", e.number)
 		e.fn()
 		w.checker.observe(eventHandled{})
 		w.script.observe()
@@ -199,10 +190,10 @@
 	if w.checker.violation == nil {
 		return nil
 	}
-	return fmt.Errorf("seed %d, %.3f s: %w", w.options.Seed, w.now.Sub(w.start).Seconds(), w.checker.violation)
+	return fmt.Errorf("seed %d, %.3f s: %w", w.options.Seed, w.elapsed().Seconds(), w.checker.violation)
 }
 
-// Started tells how many tasks were started, Done how many jobs were seen done.
+// Started counts the tasks that were started.
 func (w *World) Started() int { return w.checker.ledger.started }
 
 // Done counts the jobs whose users were told that they are done.
@@ -216,8 +207,8 @@
 	return n
 }
 
-// CancelledAsDependent counts the jobs whose users were told that they are cancelled although
-// they had only asked so for jobs before them.
+// CancelledAsDependent counts the jobs whose users were told that they are cancelled although they had asked for
+// that only of jobs that these depend on.
 func (w *World) CancelledAsDependent() int {
 	n := 0
 	for _, j := range w.jobs {
@@ -227,3 +218,25 @@
 	}
 	return n
 }
+
+// currentLeader is the node that may act now, nil if none does.
+func (w *World) currentLeader() *node {
+	for _, n := range w.nodes {
+		if n.holdsLease() {
+			return n
+		}
+	}
+	return nil
+}
+
+// sortedMachines are all machines in an order that doesn't depend on that of a map.
+func (w *World) sortedMachines() []*machine {
+	byName := func(a, b *machine) int { return strings.Compare(a.name, b.name) }
+	return slices.SortedFunc(maps.Values(w.machines), byName)
+}
+
+// sortedJobs are all jobs in an order that doesn't depend on that of a map.
+func (w *World) sortedJobs() []*userJob {
+	byRef := func(a, b *userJob) int { return strings.Compare(a.spec.Ref, b.spec.Ref) }
+	return slices.SortedFunc(maps.Values(w.jobs), byRef)
+}
