--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -2,7 +2,8 @@
 
 import (
 	"fmt"
-	"sort"
+	"slices"
+	"strings"
 	"time"
 
 	"gingertally/internal/core"
@@ -29,7 +30,7 @@
 	name := fmt.Sprintf("m-%06d", c.made)
 	c.made++
 	m := &machine{w: c.w, name: name, typ: typ, zone: zone, spot: spot, createdAt: c.w.now,
-		rate: c.w.randomClockRate(), images: map[string]bool{}, tasks: map[string]*task{}}
+		clockRate: c.w.randomClockRate(), images: map[string]bool{}, tasks: map[string]*task{}}
 	c.w.machines[name] = m
 	c.w.after(boot, m.up)
 	return name
@@ -90,7 +91,7 @@
 		s.list = append(s.list, core.Instance{Name: m.name, Addr: m.name, Type: m.typ, Zone: m.zone, Spot: m.spot,
 			Status: st, Age: c.w.now.Sub(m.createdAt)})
 	}
-	sort.Slice(s.list, func(i, k int) bool { return s.list[i].Name < s.list[k].Name })
+	slices.SortFunc(s.list, func(a, b core.Instance) int { return strings.Compare(a.Name, b.Name) })
 	c.history = append(c.history, s)
 	if len(c.history) > 20 {
 		c.history = c.history[1:]
--- a/internal/simulation/consistency_probes.go
+++ b/internal/simulation/consistency_probes.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"net/http"
 	"time"
 
 	"gingertally/internal/codec"
@@ -102,7 +103,10 @@
 	return &userapi.Service{Jobs: simulatedClock{n.jobs, n}, Leader: leaderView{n}, Teams: n.w.teams, Catalog: func() placement.Catalog { return n.w.catalog }}
 }
 
-// postSubmission sends a submission's body to a node; status 0: no answer.
+// noAnswer is the status of a call that gets no answer.
+const noAnswer = 0
+
+// postSubmission sends a submission's body to a node.
 func (*script) postSubmission(n *node, body any) userapi.Answer {
 	if n.down || n.paused() || n.cutOff() {
 		return userapi.Answer{}
@@ -141,10 +145,10 @@
 	a := n.service().Get(context.Background(), ref)
 	n.w.output.userAnswer(n, ref, a)
 	switch a.Status {
-	case 200:
+	case http.StatusOK:
 		v.Phase = phaseOf(a)
 		return v, true, true
-	case 404:
+	case http.StatusNotFound:
 		return v, false, true
 	}
 	return v, false, false
@@ -162,9 +166,9 @@
 			a := s.postSubmission(n, bodyOf(&j.spec))
 			var v core.JobView
 			switch a.Status {
-			case 0, 503:
+			case noAnswer, http.StatusServiceUnavailable:
 				return
-			case 200, 201:
+			case http.StatusOK, http.StatusCreated:
 				v.Phase = phaseOf(a)
 			default:
 				s.w.checker.fail("forgotten: a repeated submission of %s gets %d", j.spec.Ref, a.Status)
@@ -225,7 +229,7 @@
 	sp := pipeline.Spec{Class: "c", Team: "red", Image: "img-0", ImageGB: 1, Tasks: 2, CPUs: 1, MemGB: 1, Priority: pipeline.Normal, Estimate: time.Second}
 	sp.Ref = probeJobRefs.ref(s.jobs)
 	b := bodyOf(&sp)
-	want := 422
+	want := http.StatusUnprocessableEntity
 	switch s.rng.IntN(6) {
 	case 0:
 		b["owner"] = "nobody"
@@ -238,7 +242,7 @@
 	case 4:
 		b["yard"] = "nowhere"
 	case 5:
-		want = 400
+		want = http.StatusBadRequest
 		fields := []string{"ref", "lot_kind", "owner", "shape", "urgency", "lots", "vcpus", "cards", "mem_gb", "kit", "pull_gb", "one_zone", "apart",
 			"loaners", "guess_s", "mark_s", "stash_s"}
 		if f := fields[s.rng.IntN(len(fields))]; s.chance(0.5) {
@@ -249,7 +253,7 @@
 	}
 	a := s.postSubmission(n, b)
 	switch {
-	case a.Status == 0 || a.Status == 503:
+	case a.Status == noAnswer || a.Status == http.StatusServiceUnavailable:
 		return
 	case a.Status != want:
 		s.w.checker.fail("accepted: a submission that must get %d gets %d: %v", want, a.Status, b)
--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/http"
 	"testing"
 	"time"
 
@@ -86,7 +87,7 @@
 		n := w.nodes[0]
 		body := bodyOf(&w.sortedJobs()[len(w.jobs)-1].spec)
 		body["ref"] = probeJobRefs.ref(0)
-		submitted = s.postSubmission(n, body).Status == 201
+		submitted = s.postSubmission(n, body).Status == http.StatusCreated
 		st, err := n.jobs.Load(t.Context(), probeJobRefs.ref(0))
 		if at := time.UnixMilli(st.Record.SubmittedMS); err != nil || !at.Equal(w.now.Truncate(time.Millisecond)) {
 			t.Errorf("submitted at %s, stored as at %s (%v)", w.now, at, err)
--- a/internal/simulation/node_heartbeats.go
+++ b/internal/simulation/node_heartbeats.go
@@ -1,59 +1,91 @@
 package simulation
 
 import (
+	"net/http"
+	"time"
+
 	"gingertally/internal/core"
 	"gingertally/internal/core/fleet"
 )
 
-// answerHeartbeat serves a worker's heartbeat that has arrived; relayed ones come from
-// another node. Status 0: the leader holds the answer, see collect.
-func (n *node) answerHeartbeat(r fleet.Heartbeat, relayed bool) (status int, reply core.HeartbeatResponse, leader *node) {
-	status, reply, leader = n.respondToHeartbeat(r, relayed)
-	n.w.output.workerAnswer(n, r.Machine, status, reply, leader)
-	return status, reply, leader
+// heartbeatAnswer is a controller's answer to a heartbeat.
+type heartbeatAnswer struct {
+	status   int // of HTTP, or statusHeld
+	response core.HeartbeatResponse
+	leader   *node // that holds the answer, or that the worker is redirected to
+}
+
+// statusHeld stands for an answer that the leader holds until it has decided what the worker is to do.
+const statusHeld = 0
+
+var answerUnavailable = heartbeatAnswer{status: http.StatusServiceUnavailable}
+
+// held tells whether the leader holds the answer.
+func (a *heartbeatAnswer) held() bool { return a.status == statusHeld }
+
+// redirects tells whether the answer names another node as the leader.
+func (a *heartbeatAnswer) redirects() bool { return a.status == http.StatusMisdirectedRequest }
+
+// answerHeartbeat answers a worker's heartbeat that has arrived; relayed ones come from another node.
+func (n *node) answerHeartbeat(h fleet.Heartbeat, relayed bool) heartbeatAnswer {
+	answer := n.decideAnswer(h, relayed)
+	n.w.output.workerAnswer(n, h.Machine, answer)
+	return answer
 }
 
-func (n *node) respondToHeartbeat(r fleet.Heartbeat, relayed bool) (status int, reply core.HeartbeatResponse, leader *node) {
+func (n *node) decideAnswer(h fleet.Heartbeat, relayed bool) heartbeatAnswer {
 	if n.holdsLease() {
-		effects := n.step(core.HeartbeatReceived{Heartbeat: r})
-		if effects.Response != nil && effects.Response.Held {
-			return 0, reply, n
-		}
-		if effects.Response == nil || !effects.Response.OK || !n.holdsLease() {
-			return 503, reply, nil
-		}
-		n.w.checker.observe(heartbeatAnswered{r.Machine, *effects.Response})
-		return 200, *effects.Response, nil
+		return n.answerAsLeader(h.Machine, core.HeartbeatReceived{Heartbeat: h})
 	}
 	if relayed || !n.health.Serves(n.local()) {
-		return 503, reply, nil
+		return answerUnavailable
 	}
 	for _, o := range n.w.nodes {
 		if o != n && o.holdsLease() {
-			return 421, reply, o
+			return heartbeatAnswer{status: http.StatusMisdirectedRequest, leader: o}
 		}
 	}
-	return 503, reply, nil
+	return answerUnavailable
 }
 
-// answerHeldHeartbeat completes an answer that was held; status 0: it is held once more.
-func (n *node) answerHeldHeartbeat(r fleet.Heartbeat, engine *core.Engine) (int, core.HeartbeatResponse) {
-	status, reply := n.completeResponse(r, engine)
-	n.w.output.workerAnswer(n, r.Machine, status, reply, nil)
-	return status, reply
+// answerAsLeader is the answer that a leader's engine gives to an event of a machine, if the node still leads then.
+func (n *node) answerAsLeader(machine string, event core.Event) heartbeatAnswer {
+	response := n.step(event).Response
+	switch {
+	case response != nil && response.Held:
+		return heartbeatAnswer{status: statusHeld, leader: n}
+	case response == nil || !response.OK || !n.holdsLease():
+		return answerUnavailable
+	}
+	n.w.checker.observe(heartbeatAnswered{machine, *response})
+	return heartbeatAnswer{status: http.StatusOK, response: *response}
 }
 
-func (n *node) completeResponse(r fleet.Heartbeat, engine *core.Engine) (int, core.HeartbeatResponse) {
-	if !n.holdsLease() || n.engine != engine {
-		return 503, core.HeartbeatResponse{}
+// completeHeldAnswer completes an answer that is held a moment later, or when the leader says so.
+func (n *node) completeHeldAnswer(h fleet.Heartbeat, send func(heartbeatAnswer)) {
+	engine, incarnation := n.engine, n.incarnation
+	var tryAgain func()
+	tryAgain = func() {
+		n.w.after(n.w.between(50*time.Millisecond, 500*time.Millisecond), func() {
+			n.run(incarnation, func() {
+				answer := n.answerHeldHeartbeat(h, engine)
+				if answer.held() {
+					tryAgain()
+					return
+				}
+				send(answer)
+			})
+		})
 	}
-	effects := n.step(core.HeldResponseDue{Heartbeat: r})
-	if effects.Response != nil && effects.Response.Held {
-		return 0, core.HeartbeatResponse{}
-	}
-	if effects.Response == nil || !effects.Response.OK || !n.holdsLease() {
-		return 503, core.HeartbeatResponse{}
+	tryAgain()
+}
+
+// answerHeldHeartbeat answers a heartbeat whose answer an engine held. It may hold it once more.
+func (n *node) answerHeldHeartbeat(h fleet.Heartbeat, engine *core.Engine) heartbeatAnswer {
+	answer := answerUnavailable
+	if n.holdsLease() && n.engine == engine {
+		answer = n.answerAsLeader(h.Machine, core.HeldResponseDue{Heartbeat: h})
 	}
-	n.w.checker.observe(heartbeatAnswered{r.Machine, *effects.Response})
-	return 200, *effects.Response
+	n.w.output.workerAnswer(n, h.Machine, answer)
+	return answer
 }
--- a/internal/simulation/output_digest.go
+++ b/internal/simulation/output_digest.go
@@ -88,17 +88,17 @@
 	}
 }
 
-// workerAnswer takes in a controller's answer to a worker, status 0 being one that is held.
-func (d *outputDigest) workerAnswer(n *node, machine string, status int, reply core.HeartbeatResponse, leader *node) {
-	if d == nil || status == 0 {
+// workerAnswer takes in a controller's answer to a worker, unless it is held.
+func (d *outputDigest) workerAnswer(n *node, machine string, decided heartbeatAnswer) {
+	if d == nil || decided.held() {
 		return
 	}
-	answer := agentapi.Answer{Status: status}
+	answer := agentapi.Answer{Status: decided.status}
 	switch {
-	case status == http.StatusOK:
-		answer = agentapi.Accepted(reply)
-	case status == http.StatusMisdirectedRequest && leader != nil:
-		answer = agentapi.Redirected(leader.name)
+	case decided.status == http.StatusOK:
+		answer = agentapi.Accepted(decided.response)
+	case decided.redirects():
+		answer = agentapi.Redirected(decided.leader.name)
 	}
 	d.add(n.w, outputWorkerAnswer, fmt.Sprintf("%s from %s, %d", machine, n.name, answer.Status), answer.Body)
 }
--- a/internal/simulation/script_jobs.go
+++ b/internal/simulation/script_jobs.go
@@ -65,7 +65,7 @@
 	seen := map[*userJob]bool{}
 	var out []*userJob
 	for _, m := range s.w.sortedMachines() {
-		for _, t := range m.sorted() {
+		for _, t := range m.sortedTasks() {
 			j := t.job
 			if !seen[j] && t.state == fleet.Running && j.accepted && j.reportedPhase == pipeline.Active && !j.cancelRequested && (!long || j.run >= endless) {
 				seen[j] = true
@@ -80,7 +80,7 @@
 func (s *script) machinesOf(j *userJob) []*machine {
 	var out []*machine
 	for _, m := range s.w.sortedMachines() {
-		for _, t := range m.sorted() {
+		for _, t := range m.sortedTasks() {
 			if t.job == j && t.state != fleet.Exited {
 				out = append(out, m)
 				break
--- a/internal/simulation/script_messages.go
+++ b/internal/simulation/script_messages.go
@@ -1,9 +1,9 @@
 package simulation
 
 import (
+	"net/http"
 	"time"
 
-	"gingertally/internal/core"
 	"gingertally/internal/core/fleet"
 )
 
@@ -27,64 +27,71 @@
 	return s.between(0, s.linkDelayMax)
 }
 
-// interceptHeartbeat sees a heartbeat on its way: copies of it may arrive again, and it may itself be
-// held back until a new leader has acted.
-func (s *script) interceptHeartbeat(m *machine, _ *node, r fleet.Heartbeat, sent time.Time) bool {
+// interceptHeartbeat sees a heartbeat on its way. Copies of it may arrive again, and it may itself be held back until
+// a new leader has acted; then it returns true.
+func (s *script) interceptHeartbeat(m *machine, h sentHeartbeat) bool {
 	if s == nil || s.faultsOver() {
 		return false
 	}
 	if s.duplicateShare > 0 && s.chance(s.duplicateShare) {
-		if s.forNextLeader {
-			s.keptForNextLeader = append(s.keptForNextLeader, func() { s.copyToAll(r) })
-		} else {
-			s.w.after(s.between(2*time.Second, 3*s.w.options.Lease/2), func() { s.copyTo(s.w.nodes[s.rng.IntN(len(s.w.nodes))], r) })
-		}
+		s.duplicate(h.Heartbeat)
 	}
 	if s.heldShare == 0 || !s.chance(s.heldShare) {
 		return false
 	}
-	process := m.workerProcess
 	s.heldUntilLeaderActed = append(s.heldUntilLeaderActed, func() {
-		if l := s.newestLeader; l != nil {
+		if leader := s.newestLeader; leader != nil {
 			s.count("held heartbeats")
-			l.run(l.incarnation, func() { m.heartbeatArrived(l, r, process, sent) })
+			leader.run(leader.incarnation, func() { m.heartbeatArrived(leader, h) })
 		}
 	})
 	return true
 }
 
+// duplicate has a copy of a heartbeat arrive again, at all controllers when the next leader begins or at one of them
+// much later.
+func (s *script) duplicate(h fleet.Heartbeat) {
+	if s.forNextLeader {
+		s.keptForNextLeader = append(s.keptForNextLeader, func() { s.copyToAll(h) })
+		return
+	}
+	s.w.after(s.between(2*time.Second, 3*s.w.options.Lease/2), func() {
+		s.copyTo(s.w.nodes[s.rng.IntN(len(s.w.nodes))], h)
+	})
+}
+
 // copyToAll has a copy of a heartbeat reach every controller.
-func (s *script) copyToAll(r fleet.Heartbeat) {
+func (s *script) copyToAll(h fleet.Heartbeat) {
 	for _, n := range s.w.nodes {
-		s.copyTo(n, r)
+		s.copyTo(n, h)
 	}
 }
 
 // copyTo has a copy of a heartbeat reach a controller; nobody waits for its answer.
-func (s *script) copyTo(n *node, r fleet.Heartbeat) {
+func (s *script) copyTo(n *node, h fleet.Heartbeat) {
 	n.run(n.incarnation, func() {
 		s.count("duplicate heartbeats")
-		if m := s.w.machines[r.Machine]; m != nil && m.incarnation != r.Incarnation {
+		if m := s.w.machines[h.Machine]; m != nil && m.incarnation != h.Incarnation {
 			s.count("duplicate heartbeats of an earlier incarnation")
 		}
-		status, _, leader := n.answerHeartbeat(r, false)
-		if status == 421 && n.reaches(leader) {
-			status, _, leader = leader.answerHeartbeat(r, true)
+		answer := n.answerHeartbeat(h, false)
+		if answer.redirects() && n.reaches(answer.leader) {
+			answer = answer.leader.answerHeartbeat(h, true)
 		}
-		if status == 0 {
-			leader.completeHeldResponse(r, func(int, core.HeartbeatResponse) {})
+		if answer.held() {
+			answer.leader.completeHeldAnswer(h, func(heartbeatAnswer) {})
 		}
 	})
 }
 
 // answerDelay is how long an answer to a heartbeat is held up; if it has commands, the
 // machine often hangs meanwhile and then goes on.
-func (s *script) answerDelay(m *machine, status int, reply core.HeartbeatResponse) time.Duration {
-	if s == nil || s.delayedAnswerShare == 0 || status != 200 || !s.chance(s.delayedAnswerShare) {
+func (s *script) answerDelay(m *machine, answer heartbeatAnswer) time.Duration {
+	if s == nil || s.delayedAnswerShare == 0 || answer.status != http.StatusOK || !s.chance(s.delayedAnswerShare) {
 		return 0
 	}
 	d := s.between(500*time.Millisecond, answerWithin+time.Second)
-	if len(reply.Commands) > 0 {
+	if len(answer.response.Commands) > 0 {
 		s.count("answers with commands delayed")
 		if s.chance(0.5) {
 			s.hangMachine(m, d+s.between(0, s.w.options.Lease/2))
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -2,7 +2,7 @@
 
 import (
 	"context"
-	"sort"
+	"slices"
 	"strings"
 	"time"
 
@@ -93,7 +93,7 @@
 			out = append(out, statestore.KeyValue{Key: k, Value: it.value, ModRevision: it.modRevision})
 		}
 	}
-	sort.Slice(out, func(i, k int) bool { return out[i].Key < out[k].Key })
+	slices.SortFunc(out, func(a, b statestore.KeyValue) int { return strings.Compare(a.Key, b.Key) })
 	return out, s.revision, nil
 }
 
--- a/internal/simulation/user_job.go
+++ b/internal/simulation/user_job.go
@@ -40,7 +40,7 @@
 func (j *userJob) mates(attempt uint64) []*task {
 	var out []*task
 	for _, m := range j.w.sortedMachines() {
-		for _, t := range m.sorted() {
+		for _, t := range m.sortedTasks() {
 			if t.job == j && t.attempt == attempt && t.state != fleet.Exited {
 				out = append(out, t)
 			}
