--- a/internal/simulation/drains_test.go
+++ b/internal/simulation/drains_test.go
@@ -50,6 +50,7 @@
 		{"closed windows forgotten", deliberateDrainFault{policy: withoutClosedWindows}, "closed"},
 		{"budgets of tasks forgotten", deliberateDrainFault{policy: withoutTaskBudgets}, "task budget"},
 		{"budgets of windows forgotten", deliberateDrainFault{policy: withoutWindowBudgets}, "window budget"},
+		{"bounds on unavailable tasks forgotten", deliberateDrainFault{policy: withoutUnavailableBounds}, "unavailable"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -145,3 +146,7 @@
 func withoutWindowBudgets(p drain.Policy) drain.Policy {
 	return changeBudgets(p, func(b *drain.Budget) { b.WindowInterruptions, b.Window = drain.Unlimited, 0 })
 }
+
+func withoutUnavailableBounds(p drain.Policy) drain.Policy {
+	return changeBudgets(p, func(b *drain.Budget) { b.MaxUnavailable = drain.Unlimited })
+}
--- a/internal/simulation/invariant_admission.go
+++ b/internal/simulation/invariant_admission.go
@@ -16,6 +16,8 @@
 
 // admissionConsistent: no controller goes back to an older admission policy, a policy says the same at every
 // controller, and a refused submission is told to come back after a sensible time.
+//
+// Deliberate faults: "an older policy taken", "two policies of one number", "a user turned away for an hour".
 type admissionConsistent struct {
 	w        *World
 	policies map[[2]uint64]string // the encoded policies so far, by term and number
--- a/internal/simulation/invariant_budgets.go
+++ b/internal/simulation/invariant_budgets.go
@@ -15,7 +15,8 @@
 // the stops that reach tasks while nothing else asks for their end.
 //
 // Deliberate faults, in TestDrainChecksSeeFaults: "charges after the stop", "charges kept in memory", "a gang
-// charged as one task", "closed windows forgotten", "budgets of tasks forgotten", "budgets of windows forgotten".
+// charged as one task", "closed windows forgotten", "budgets of tasks forgotten", "budgets of windows forgotten",
+// "bounds on unavailable tasks forgotten".
 type disruptionBudgets struct {
 	w             *World
 	interruptions []interruption
--- a/internal/simulation/invariant_jobs.go
+++ b/internal/simulation/invariant_jobs.go
@@ -16,6 +16,9 @@
 
 // jobsRemembered holds forgotten and invented: an accepted job is known to every controller that answers about
 // it, queries about it don't fail for long, and a job that nobody submitted is never reported.
+//
+// Deliberate faults: "a record lost from the state service", "controllers that stay away", "a record that nobody
+// submitted".
 type jobsRemembered struct{ w *World }
 
 func (i *jobsRemembered) observe(o observation) {
@@ -46,6 +49,8 @@
 }
 
 // doneIsComplete holds not_done: a job is neither stored nor reported as done before all of its tasks are.
+//
+// Deliberate faults: "an end stored too early", "an end reported too early".
 type doneIsComplete struct{ w *World }
 
 func (i *doneIsComplete) observe(o observation) {
@@ -67,6 +72,8 @@
 // endsAreFinal holds went_back: a job reported as done or cancelled is never reported as anything else, and a
 // job is neither stored nor reported as cancelled unless its user has asked for that, or the user of a job
 // that it depends on.
+//
+// Deliberate faults: "a cancellation that nobody asked for", "an end taken back".
 type endsAreFinal struct{ w *World }
 
 func (i *endsAreFinal) observe(o observation) {
@@ -91,6 +98,8 @@
 
 // dependentsCancelled: a job whose dependency was reported as cancelled isn't reported as active for longer
 // than the time for cancellations.
+//
+// Deliberate fault: "a job that outlives its dependency".
 type dependentsCancelled struct{ w *World }
 
 func (i *dependentsCancelled) observe(o observation) {
@@ -127,6 +136,8 @@
 
 // everyJobEnds holds nothing_ran, and of a world that goes on without faults for long enough at its end: every
 // job that was accepted and can end has ended.
+//
+// Deliberate faults: "no jobs", "a task that never ends".
 type everyJobEnds struct{ w *World }
 
 func (i *everyJobEnds) observe(o observation) {
--- a/internal/simulation/invariant_leader.go
+++ b/internal/simulation/invariant_leader.go
@@ -3,6 +3,9 @@
 // singleLeader: no two controllers may act at once, none acts in an earlier term than one that could act
 // before, and none acts while its process is paused. Leaders' terms fence what reaches workers and the state
 // service, so the protocol's rules about tasks and jobs rest on this.
+//
+// Deliberate faults: "a second node with a valid lease", "a leader of an earlier term", "a paused leader that
+// acts".
 type singleLeader struct {
 	w          *World
 	newestTerm uint64 // of the leaders so far
--- a/internal/simulation/invariant_pace.go
+++ b/internal/simulation/invariant_pace.go
@@ -10,6 +10,8 @@
 
 // boundedPace: while a new leader's pace is bounded, the starts of bulk work in a second don't exceed it by more
 // than what may go at once.
+//
+// Deliberate fault: "a response with too many starts".
 type boundedPace struct {
 	w           *World
 	seconds     int       // in which a leader's pace was bounded
@@ -51,7 +53,7 @@
 
 // isBulk tells whether a job's starts are paced: those of urgent jobs aren't, nor those of jobs that others
 // depend on, since a job inherits the urgency of its dependents.
-func (i *boundedPace) isBulk(j *userJob) bool {
+func (*boundedPace) isBulk(j *userJob) bool {
 	return j != nil && j.spec.Priority > pipeline.High && !j.hasDependents()
 }
 
--- a/internal/simulation/invariant_replicas.go
+++ b/internal/simulation/invariant_replicas.go
@@ -4,6 +4,8 @@
 
 // replicasMoveInTurn: a service with several replicas never has all of them moved by choice at once. A replica
 // counts as moved from when it is told to stop until it runs again.
+//
+// Deliberate fault: "all replicas of a service stopped at once".
 type replicasMoveInTurn struct {
 	w     *World
 	moved map[*userJob]map[int]bool // replicas that are moved at present, by number
--- a/internal/simulation/invariant_tasks.go
+++ b/internal/simulation/invariant_tasks.go
@@ -6,6 +6,8 @@
 
 // runsOnce holds ran_twice: a task doesn't start on one machine while it is on another. A task is on its
 // machine from when it has its image until it exits, is killed or the machine is gone.
+//
+// Deliberate fault: "a second attempt beside the first".
 type runsOnce struct{ w *World }
 
 func (i *runsOnce) observe(o observation) {
@@ -23,6 +25,8 @@
 
 // attemptsUsedOnce: no two starts of a task have the same attempt number, or a late stop of one could end the
 // other.
+//
+// Deliberate fault: "an attempt number used again".
 type attemptsUsedOnce struct {
 	w    *World
 	used map[string]bool
@@ -42,6 +46,8 @@
 
 // allowedPlace holds wrong_place: a task starts only on a machine type, in a zone and on a kind of machine that
 // its job allows, given where the job's other tasks are at that moment.
+//
+// Deliberate fault: "a start in a zone that the job doesn't allow".
 type allowedPlace struct{ w *World }
 
 func (i *allowedPlace) observe(o observation) {
@@ -79,6 +85,8 @@
 }
 
 // withinQuota holds quota: a team's tasks that are on machines use no more than its limit.
+//
+// Deliberate fault: "controllers that don't know a lower limit".
 type withinQuota struct{ w *World }
 
 func (i *withinQuota) observe(o observation) {
@@ -94,6 +102,8 @@
 }
 
 // storedBeforeStart: a task starts only if the state service holds its job, so that the next leader knows of it.
+//
+// Deliberate fault: "a start before the job is stored".
 type storedBeforeStart struct{ w *World }
 
 func (i *storedBeforeStart) observe(o observation) {
@@ -108,6 +118,8 @@
 }
 
 // dependenciesFirst: a task starts only once all jobs that its job depends on are stored as done.
+//
+// Deliberate fault: "a start before a dependency is done".
 type dependenciesFirst struct{ w *World }
 
 func (i *dependenciesFirst) observe(o observation) {
@@ -125,6 +137,9 @@
 // cancelledTasksEnd holds ran_cancelled: once a user was told that a job is cancelled, none of its tasks is on a
 // machine after the time for cancellations. Nor does one start, run or complete then, not even on a machine
 // that hung meanwhile.
+//
+// Deliberate faults: "a start long after the cancellation", "stops that don't arrive, and leases that don't
+// end".
 type cancelledTasksEnd struct{ w *World }
 
 func (i *cancelledTasksEnd) observe(o observation) {
--- a/internal/simulation/invariant_waiting.go
+++ b/internal/simulation/invariant_waiting.go
@@ -10,6 +10,9 @@
 // nothingLeftWaiting: once all faults are over, no job is left with tasks that wait though machines have room
 // for them: arrays whether they have begun or not, whole gangs, and replicas of services, which are replaced
 // sooner.
+//
+// Deliberate faults: "controllers that don't know a higher limit", "controllers that don't know a higher limit,
+// services".
 type nothingLeftWaiting struct {
 	w     *World
 	since map[*userJob]time.Time // since when there has been room for tasks of a job that wait
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -16,8 +16,8 @@
 //
 // The rules that the protocol names begin their violations with its name for them: ran_twice, quota,
 // wrong_place, ran_cancelled, forgotten, invented, not_done, went_back, nothing_ran. The other rules are ours.
-// TestInvariantsSeeViolations and TestDrainChecksSeeFaults show of the invariants that they fail when a world
-// breaks them.
+// TestInvariantsSeeViolations and TestDrainChecksSeeFaults break each rule in a world, and expect its invariant to
+// fail; the comment on an invariant names these deliberate faults.
 type invariant interface {
 	observe(observation)
 }
--- /dev/null
+++ b/internal/simulation/invariants_test.go
@@ -0,0 +1,355 @@
+package simulation
+
+import (
+	"context"
+	"maps"
+	"strings"
+	"testing"
+	"time"
+
+	"gingertally/internal/admission"
+	"gingertally/internal/codec"
+	"gingertally/internal/core"
+	"gingertally/internal/core/fleet"
+	"gingertally/internal/core/pipeline"
+	"gingertally/internal/core/placement"
+	"gingertally/internal/statestore"
+)
+
+// deliberateFault breaks one rule in a world that otherwise has no faults.
+type deliberateFault struct {
+	name string
+	// plan prepares the fault before the world runs.
+	plan func(w *World)
+	// options, if set, changes the world's options.
+	options func(o *Options)
+	// says is part of the violation that the fault has to cause.
+	says string
+}
+
+// foreignAttempt is an attempt number that no controller gives out in these worlds.
+const foreignAttempt = 1 << 60
+
+// everySecond tries something each second from some time on until the world ends.
+func everySecond(w *World, from time.Duration, fn func()) {
+	w.after(from, func() {
+		fn()
+		everySecond(w, time.Second, fn)
+	})
+}
+
+// startForeign has a machine start a task that no controller has started, if it isn't on any machine yet.
+func startForeign(w *World, m *machine, j *userJob, index int) {
+	if len(w.checker.ledger.onMachines[taskName(&task{job: j, index: index})]) == 0 && m.isUp {
+		m.startTask(fleet.Command{Kind: fleet.Start, Ref: j.spec.Ref, Task: index, Attempt: foreignAttempt})
+	}
+}
+
+// startForeignTasks has tasks started each second, of jobs and on machines that are chosen.
+func startForeignTasks(w *World, chosen func(j *userJob, m *machine) bool) {
+	everySecond(w, 10*time.Second, func() {
+		for _, j := range w.sortedJobs() {
+			for _, m := range w.sortedMachines() {
+				if chosen(j, m) {
+					startForeign(w, m, j, 0)
+				}
+			}
+		}
+	})
+}
+
+// firstJob is a job that is accepted and active, and of which no task has completed.
+func firstJob(w *World) *userJob {
+	for _, j := range w.sortedJobs() {
+		running := j.accepted && j.reportedPhase == pipeline.Active && !j.startedAt.IsZero()
+		if running && len(j.done) == 0 && !j.mayBeCancelled() && !j.failsAlways {
+			return j
+		}
+	}
+	return nil
+}
+
+// storeFinal stores a job's end, whatever its controllers think of it.
+func storeFinal(w *World, j *userJob, phase pipeline.Phase) {
+	final := codec.MustMarshal(pipeline.Final{Phase: phase, Tasks: j.spec.Tasks})
+	_, _ = w.store.Commit(context.Background(), nil, []statestore.Op{statestore.Put(finalPrefix+j.spec.Ref, final)})
+}
+
+// faultsOfTasks break rules about where and when tasks run.
+var faultsOfTasks = []deliberateFault{
+	{name: "a second attempt beside the first", says: "ran_twice", plan: func(w *World) {
+		everySecond(w, 10*time.Second, func() {
+			w.checker.ledger.each(func(t *task) {
+				for _, m := range w.sortedMachines() {
+					if m != t.m && m.isUp {
+						w.after(0, func() {
+							m.startTask(fleet.Command{Kind: fleet.Start, Ref: t.job.spec.Ref, Task: t.index, Attempt: foreignAttempt})
+						})
+					}
+				}
+			})
+		})
+	}},
+	{name: "an attempt number used again", says: "used again", plan: func(w *World) {
+		var past []*task
+		everySecond(w, 10*time.Second, func() {
+			for _, t := range past {
+				if t.state == fleet.Exited && t.m.tasks[t.key()] == nil && !t.m.dead {
+					t.m.startTask(fleet.Command{Kind: fleet.Start, Ref: t.job.spec.Ref, Task: t.index, Attempt: t.attempt})
+				}
+			}
+			w.checker.ledger.each(func(t *task) { past = append(past, t) })
+		})
+	}},
+	{name: "a start in a zone that the job doesn't allow", says: "wrong_place", plan: func(w *World) {
+		startForeignTasks(w, func(j *userJob, m *machine) bool {
+			return j.accepted && j.spec.Zone != "" && j.spec.Zone != m.zone
+		})
+	}},
+	{name: "controllers that don't know a lower limit", says: "quota", plan: func(w *World) {
+		w.after(10*time.Second, func() {
+			w.teams = map[string]placement.Quota{"red": {CPULimit: 1}, "blue": {CPULimit: 1}}
+		})
+	}},
+	{name: "a start before the job is stored", says: "isn't stored", plan: func(w *World) {
+		startForeignTasks(w, func(j *userJob, _ *machine) bool {
+			return !j.accepted && !w.store.holdsJob(j.spec.Ref)
+		})
+	}},
+	{name: "a start before a dependency is done", says: "too_early",
+		options: func(o *Options) { o.Pipelines, o.Jobs = 12, 8 },
+		plan: func(w *World) {
+			startForeignTasks(w, func(j *userJob, _ *machine) bool {
+				return j.accepted && len(j.dependencies) > 0 && j.dependencies[0].reportedPhase == pipeline.Active
+			})
+		}},
+	{name: "a start long after the cancellation", says: "ran_cancelled", plan: func(w *World) {
+		startForeignTasks(w, func(j *userJob, _ *machine) bool {
+			return j.reportedPhase == pipeline.Cancelled && w.now.Sub(j.cancelReportedAt) > w.options.CancelWithin
+		})
+	}},
+	{name: "stops that don't arrive, and leases that don't end", says: "ran_cancelled", plan: func(w *World) {
+		w.script.submitEndless(6, 0)
+		w.after(40*time.Second, func() {
+			w.options.Lease = time.Hour
+			for _, m := range w.machines {
+				m.inboundLost = true
+			}
+			w.script.cancelNow(6, 0)
+		})
+	}},
+	{name: "all replicas of a service stopped at once", says: "all moved", plan: func(w *World) {
+		j := w.script.add(time.Second, pipeline.Spec{Team: "blue", Shape: pipeline.Service, Tasks: 2, CPUs: 1, MemGB: 1}, endless)
+		everySecond(w, 10*time.Second, func() {
+			if w.script.tasksOf(j) < j.spec.Tasks {
+				return
+			}
+			for _, m := range w.script.machinesOf(j) {
+				for _, t := range m.sortedTasks() {
+					if t.job == j {
+						m.execute([]fleet.Command{{Kind: fleet.Stop, Ref: j.spec.Ref, Task: t.index, Attempt: t.attempt}})
+					}
+				}
+			}
+		})
+	}},
+}
+
+// faultsOfControllers break rules about leaders, their pace and their admission policies.
+var faultsOfControllers = []deliberateFault{
+	{name: "a second node with a valid lease", says: "two leaders", plan: func(w *World) {
+		w.after(20*time.Second, func() {
+			leader := w.currentLeader()
+			for _, n := range w.nodes {
+				if n != leader {
+					n.leaderState = leader.leaderState
+				}
+			}
+		})
+	}},
+	{name: "a leader of an earlier term", says: "leader of the past", plan: func(w *World) {
+		w.after(20*time.Second, func() { w.currentLeader().term.Number-- })
+	}},
+	{name: "a paused leader that acts", says: "acts while it is paused", plan: func(w *World) {
+		w.after(20*time.Second, func() {
+			n := w.currentLeader()
+			n.pausedUntil = w.now.Add(time.Second)
+			n.step(core.Tick{})
+		})
+	}},
+	{name: "a response with too many starts", says: "pace:", options: func(o *Options) { o.Pace = pace },
+		plan: func(w *World) {
+			everySecond(w, time.Second, func() {
+				n, response := w.currentLeader(), &core.HeartbeatResponse{OK: true}
+				for _, j := range w.sortedJobs() {
+					if w.checker.pace.isBulk(j) {
+						start := fleet.Command{Kind: fleet.Start, Ref: j.spec.Ref}
+						response.Commands = append(response.Commands, start, start, start, start, start, start)
+					}
+				}
+				if n != nil {
+					w.checker.observe(engineStepped{n, core.Effects{Response: response}})
+				}
+			})
+		}},
+	{name: "an older policy taken", says: "goes back from policy", options: func(o *Options) { o.Admission = true },
+		plan: func(w *World) {
+			w.after(time.Second, func() {
+				newer := admission.Policy{Term: 1 << 40, Number: 1}
+				w.checker.observe(policyTaken{w.nodes[0], newer, admission.Policy{}})
+			})
+		}},
+	{name: "two policies of one number", says: "says two things", options: func(o *Options) { o.Admission = true },
+		plan: func(w *World) {
+			w.after(time.Second, func() {
+				policy := admission.Policy{Term: 1 << 40, Number: 1}
+				w.checker.observe(policyTaken{w.nodes[0], admission.Policy{}, policy})
+				policy.Interval = time.Second
+				w.checker.observe(policyTaken{w.nodes[0], admission.Policy{}, policy})
+			})
+		}},
+	{name: "a user turned away for an hour", says: "Retry-After", plan: func(w *World) {
+		w.after(time.Second, func() { w.checker.observe(submissionRefused{time.Hour}) })
+	}},
+}
+
+// faultsOfJobs break rules about what users are told of jobs.
+var faultsOfJobs = []deliberateFault{
+	{name: "a record lost from the state service", says: "forgotten: j-", plan: func(w *World) {
+		everySecond(w, 20*time.Second, func() {
+			if j := firstJob(w); j != nil {
+				delete(w.store.items, jobPrefix+j.spec.Ref)
+				for _, n := range w.nodes {
+					n.crash(time.Second)
+				}
+			}
+		})
+	}},
+	{name: "controllers that stay away", says: "no question about", plan: func(w *World) {
+		w.after(30*time.Second, func() {
+			w.faultsEndedAt = w.now
+			for _, n := range w.nodes {
+				n.crash(time.Hour)
+			}
+		})
+	}},
+	{name: "a record that nobody submitted", says: "invented", plan: func(w *World) {
+		everySecond(w, 20*time.Second, func() {
+			if j := firstJob(w); j != nil {
+				w.store.items[jobPrefix+unsubmittedRef] = w.store.items[jobPrefix+j.spec.Ref]
+			}
+		})
+	}},
+	{name: "an end stored too early", says: "is stored as done with", plan: func(w *World) {
+		everySecond(w, 20*time.Second, func() {
+			if j := firstJob(w); j != nil {
+				storeFinal(w, j, pipeline.Done)
+			}
+		})
+	}},
+	{name: "an end reported too early", says: "not_done", plan: func(w *World) {
+		everySecond(w, 20*time.Second, func() {
+			for _, j := range w.jobs {
+				delete(j.done, 0) // the user knows better than the controllers
+			}
+		})
+	}},
+	{name: "a cancellation that nobody asked for", says: "is stored as cancelled", plan: func(w *World) {
+		everySecond(w, 20*time.Second, func() {
+			if j := firstJob(w); j != nil {
+				storeFinal(w, j, pipeline.Cancelled)
+			}
+		})
+	}},
+	{name: "an end taken back", says: "went_back", plan: func(w *World) {
+		records := map[string]*item{}
+		everySecond(w, 5*time.Second, func() {
+			for _, j := range w.sortedJobs() {
+				ref := j.spec.Ref
+				if record := w.store.items[jobPrefix+ref]; record != nil {
+					records[ref] = record
+				} else if j.reportedPhase == pipeline.Done && records[ref] != nil {
+					w.store.items[jobPrefix+ref] = records[ref]
+					delete(w.store.items, finalPrefix+ref)
+				}
+			}
+		})
+	}},
+	{name: "a job that outlives its dependency", says: "orphaned",
+		options: func(o *Options) { o.Pipelines, o.Jobs = 12, 8 },
+		plan: func(w *World) {
+			everySecond(w, 60*time.Second, func() {
+				for _, j := range w.sortedJobs() {
+					waited := w.now.Sub(j.acceptedAt) > w.options.CancelWithin
+					if j.accepted && waited && len(j.dependencies) > 0 && j.reportedPhase == pipeline.Active {
+						j.dependencies[0].reportedPhase = pipeline.Cancelled
+						j.dependencies[0].cancelReportedAt = w.start
+						j.learn(core.JobView{Phase: pipeline.Active}, true)
+					}
+				}
+			})
+		}},
+	{name: "controllers that don't know a higher limit", says: "left waiting", plan: func(w *World) {
+		planOutdatedLimits(w, pipeline.Array)
+	}},
+	{name: "controllers that don't know a higher limit, services", says: "not replaced", plan: func(w *World) {
+		planOutdatedLimits(w, pipeline.Service)
+	}},
+	{name: "a task that never ends", says: "never came to an end", plan: func(w *World) {
+		for _, j := range w.jobs {
+			j.run = endless - time.Second // long jobs that are endless are cancelled
+		}
+	}},
+	{name: "no jobs", says: "nothing_ran", options: func(o *Options) { o.Jobs = 0 }, plan: func(*World) {}},
+}
+
+// planOutdatedLimits has controllers go by a limit that allows a team next to nothing, while the rules know of none,
+// and submits a job of that team. A service of another team keeps a machine with room up.
+func planOutdatedLimits(w *World, shape pipeline.Shape) {
+	high := w.teams
+	w.teams = maps.Clone(high)
+	w.teams["green"] = placement.Quota{CPULimit: 0.1}
+	w.script.add(0, pipeline.Spec{Team: "blue", Shape: pipeline.Service, Tasks: 1, CPUs: 1, MemGB: 1}, endless)
+	w.script.add(time.Second, pipeline.Spec{Team: "green", Shape: shape, Tasks: 2, CPUs: 1, MemGB: 1}, 20*time.Second)
+	w.after(20*time.Second, func() {
+		w.teams = high
+		w.endFaults()
+	})
+}
+
+// TestInvariantsSeeViolations breaks each rule by a deliberate fault, and expects the invariant that holds it to
+// fail. TestDrainChecksSeeFaults does the same for drains.
+func TestInvariantsSeeViolations(t *testing.T) {
+	for _, faults := range [][]deliberateFault{faultsOfTasks, faultsOfControllers, faultsOfJobs} {
+		for _, fault := range faults {
+			t.Run(fault.name, func(t *testing.T) {
+				t.Parallel()
+				fault.expectViolation(t)
+			})
+		}
+	}
+}
+
+// expectViolation plays worlds with the fault until one shows the violation. A fault that never came about, or
+// that caused another violation in each of them, is a failure.
+func (f *deliberateFault) expectViolation(t *testing.T) {
+	t.Helper()
+	var others []string
+	for seed := range uint64(5) {
+		o := randomOptions(1+seed, false)
+		if f.options != nil {
+			f.options(&o)
+		}
+		w := NewWorld(o)
+		newScript(w)
+		f.plan(w)
+		err := w.Run()
+		if err != nil && strings.Contains(err.Error(), f.says) {
+			return
+		}
+		if err != nil {
+			others = append(others, err.Error())
+		}
+	}
+	t.Errorf("no world says %q; others say %q", f.says, others)
+}
