--- a/internal/simulation/admission_test.go
+++ b/internal/simulation/admission_test.go
@@ -22,7 +22,10 @@
 			counts.addAll(w.admission.counts)
 		}
 	}
-	least := eventCounts{"admitted": 1500, "refused: backlog": 150, "policies stored": 1000, "policies taken": 1000, "policies not taken": 3000}
+	least := eventCounts{
+		"admitted": 1500, "refused: backlog": 150, "policies stored": 1000, "policies taken": 1000,
+		"policies not taken": 3000,
+	}
 	counts.requireAtLeast(t, least)
 	t.Log(counts)
 }
--- a/internal/simulation/drain_scenarios_test.go
+++ b/internal/simulation/drain_scenarios_test.go
@@ -41,7 +41,7 @@
 
 // crashLeader ends the leader; it is back soon.
 func (s *script) crashLeader() {
-	s.crash(s.w.currentLeader(), s.between(10*time.Millisecond, 6*time.Second))
+	s.crashLeaderFor(10*time.Millisecond, 6*time.Second)
 }
 
 // pauseLeaderForDrain stops the leader for longer than its lease, its clocks running on.
@@ -49,49 +49,53 @@
 
 // drainScenarios are the hard cases of drains in which controllers fail.
 var drainScenarios = []faultScenario{
-	{name: "the leader ends between charge and stop, cordon and eviction, release and its record", length: 200 * time.Second, script: func(s *script) {
-		s.drainLoad()
-		s.drainAll(15*time.Second, 2)
-		s.drainAll(90*time.Second, 3)
-		d := s.w.drains
-		d.onCharge = append(d.onCharge, s.sometimes(0.5, 6, s.crashLeader))
-		d.onCordon = append(d.onCordon, s.sometimes(0.3, 6, s.crashLeader))
-		d.onScaleIn = append(d.onScaleIn, s.sometimes(0.3, 6, s.crashLeader))
-	}, least: eventCounts{"leaders crashed": 40, "machines released": 30, "interruptions by choice": 10}},
-
-	{name: "the leader stalls just then, and wakes after the takeover", length: 200 * time.Second, script: func(s *script) {
-		s.drainLoad()
-		s.drainAll(15*time.Second, 2)
-		s.drainAll(90*time.Second, 3)
-		d := s.w.drains
-		d.onCharge = append(d.onCharge, s.sometimes(0.5, 6, s.pauseLeaderForDrain))
-		d.onCordon = append(d.onCordon, s.sometimes(0.3, 6, s.pauseLeaderForDrain))
-		d.onScaleIn = append(d.onScaleIn, s.sometimes(0.3, 6, s.pauseLeaderForDrain))
-	}, least: eventCounts{"leaders paused": 40, "machines released": 30, "interruptions by choice": 10}},
-
-	{name: "the leader is refused by the state service alone, and another drains on", length: 220 * time.Second, script: func(s *script) {
-		s.drainLoad()
-		s.drainAll(15*time.Second, 2)
-		s.drainAll(100*time.Second, 3)
-		s.every(25*time.Second, 35*time.Second, func() { s.refuse(s.w.currentLeader(), s.between(5*time.Second, 25*time.Second)) })
-	}, least: eventCounts{"nodes refused by the state service": 16, "machines released": 30}},
-
-	{name: "the state service is down in every stage, slow, and loses answers", length: 240 * time.Second, script: func(s *script) {
-		s.drainLoad()
-		s.storeDelay, s.lostAnswerShare = 200*time.Millisecond, 0.1
-		s.drainAll(15*time.Second, 2)
-		s.drainAll(110*time.Second, 3)
-		d := s.w.drains
-		out := func() {
-			s.outage(s.between(2*time.Second, 12*time.Second))
-			if s.chance(0.3) {
-				s.crashLeader()
+	{name: "the leader ends between charge and stop, cordon and eviction, release and its record", length: 200 * time.Second,
+		script: func(s *script) {
+			s.drainLoad()
+			s.drainAll(15*time.Second, 2)
+			s.drainAll(90*time.Second, 3)
+			d := s.w.drains
+			d.onCharge = append(d.onCharge, s.sometimes(0.5, 6, s.crashLeader))
+			d.onCordon = append(d.onCordon, s.sometimes(0.3, 6, s.crashLeader))
+			d.onScaleIn = append(d.onScaleIn, s.sometimes(0.3, 6, s.crashLeader))
+		}, least: eventCounts{"leaders crashed": 40, "machines released": 30, "interruptions by choice": 10}},
+
+	{name: "the leader stalls just then, and wakes after the takeover", length: 200 * time.Second,
+		script: func(s *script) {
+			s.drainLoad()
+			s.drainAll(15*time.Second, 2)
+			s.drainAll(90*time.Second, 3)
+			d := s.w.drains
+			d.onCharge = append(d.onCharge, s.sometimes(0.5, 6, s.pauseLeaderForDrain))
+			d.onCordon = append(d.onCordon, s.sometimes(0.3, 6, s.pauseLeaderForDrain))
+			d.onScaleIn = append(d.onScaleIn, s.sometimes(0.3, 6, s.pauseLeaderForDrain))
+		}, least: eventCounts{"leaders paused": 40, "machines released": 30, "interruptions by choice": 10}},
+
+	{name: "the leader is refused by the state service alone, and another drains on", length: 220 * time.Second,
+		script: func(s *script) {
+			s.drainLoad()
+			s.drainAll(15*time.Second, 2)
+			s.drainAll(100*time.Second, 3)
+			s.every(25*time.Second, 35*time.Second, func() { s.refuse(s.w.currentLeader(), s.between(5*time.Second, 25*time.Second)) })
+		}, least: eventCounts{"nodes refused by the state service": 16, "machines released": 30}},
+
+	{name: "the state service is down in every stage, slow, and loses answers", length: 240 * time.Second,
+		script: func(s *script) {
+			s.drainLoad()
+			s.storeDelay, s.lostAnswerShare = 200*time.Millisecond, 0.1
+			s.drainAll(15*time.Second, 2)
+			s.drainAll(110*time.Second, 3)
+			d := s.w.drains
+			out := func() {
+				s.outage(s.between(2*time.Second, 12*time.Second))
+				if s.chance(0.3) {
+					s.crashLeader()
+				}
 			}
-		}
-		d.onCharge = append(d.onCharge, s.sometimes(0.3, 3, out))
-		d.onCordon = append(d.onCordon, s.sometimes(0.2, 3, out))
-		d.onScaleIn = append(d.onScaleIn, s.sometimes(0.2, 3, out))
-	}, least: eventCounts{"outages": 16, "machines released": 25, "late transactions carried out": 1}},
+			d.onCharge = append(d.onCharge, s.sometimes(0.3, 3, out))
+			d.onCordon = append(d.onCordon, s.sometimes(0.2, 3, out))
+			d.onScaleIn = append(d.onScaleIn, s.sometimes(0.2, 3, out))
+		}, least: eventCounts{"outages": 16, "machines released": 25, "late transactions carried out": 1}},
 
 	{name: "all controllers end in the middle", length: 200 * time.Second, script: func(s *script) {
 		s.drainLoad()
@@ -116,20 +120,25 @@
 		s.every(45*time.Second, 40*time.Second, s.crashLeader)
 	}, least: eventCounts{"machines lost": 20, "machines released": 25}},
 
-	{name: "drained workers restart, hang and lose messages; old reports arrive", noise: true, length: 200 * time.Second, script: func(s *script) {
-		s.drainLoad()
-		s.duplicateShare, s.forNextLeader = 0.1, true
-		s.drainAll(15*time.Second, 2)
-		s.drainAll(90*time.Second, 3)
-		s.every(20*time.Second, 20*time.Second, func() {
-			for _, m := range s.sampleMachines(0.2, func(m *machine) bool { return s.w.checker.cordons.isCordoned(m) || s.chance(0.3) }) {
-				s.count("workers restarted")
-				m.reboot()
-			}
-			s.loseInbound(s.sampleMachines(0.2, nil), s.between(5*time.Second, 15*time.Second))
-		})
-		s.every(40*time.Second, 40*time.Second, s.crashLeader)
-	}, least: eventCounts{"workers restarted": 20, "duplicate heartbeats": 100, "machines released": 25}},
+	{
+		name:        "drained workers restart, hang and lose messages; old heartbeats arrive",
+		digestLabel: "drained workers restart, hang and lose messages; old reports arrive",
+		noise:       true,
+		length:      200 * time.Second,
+		script: func(s *script) {
+			s.drainLoad()
+			s.duplicateShare, s.forNextLeader = 0.1, true
+			s.drainAll(15*time.Second, 2)
+			s.drainAll(90*time.Second, 3)
+			s.every(20*time.Second, 20*time.Second, func() {
+				for _, m := range s.sampleMachines(0.2, func(m *machine) bool { return s.w.checker.cordons.isCordoned(m) || s.chance(0.3) }) {
+					s.count("workers restarted")
+					m.reboot()
+				}
+				s.loseInbound(s.sampleMachines(0.2, nil), s.between(5*time.Second, 15*time.Second))
+			})
+			s.every(40*time.Second, 40*time.Second, s.crashLeader)
+		}, least: eventCounts{"workers restarted": 20, "duplicate heartbeats": 100, "machines released": 25}},
 
 	{name: "replacements never boot, and the cloud is away", length: 220 * time.Second, script: func(s *script) {
 		s.drainLoad()
@@ -142,24 +151,28 @@
 		s.every(35*time.Second, 50*time.Second, s.crashLeader)
 	}, least: eventCounts{"cloud outages": 20, "leaders crashed": 8, "machines released": 15}},
 
-	{name: "the version in production leads amid the plan", length: 220 * time.Second, alter: func(o *Options) { o.RollingUpgrade, o.Pipelines = true, 4 }, script: func(s *script) {
-		s.drainLoad()
-		s.drainAll(60*time.Second, 2)
-		s.drainAll(110*time.Second, 3)
-		s.every(20*time.Second, 30*time.Second, s.crashLeader)
-	}, least: eventCounts{"leaders crashed": 16, "machines released": 20}},
-
-	{name: "controllers cut off from the state service and each other", length: 220 * time.Second, script: func(s *script) {
-		s.drainLoad()
-		s.drainAll(15*time.Second, 2)
-		s.drainAll(100*time.Second, 3)
-		s.every(25*time.Second, 40*time.Second, func() {
-			if n := s.w.currentLeader(); n != nil {
-				s.partitionFromPeersAndStore(n, s.between(5*time.Second, 20*time.Second))
-			}
-		})
-		s.every(45*time.Second, 60*time.Second, func() { s.cutZone(s.w.zones[s.rng.IntN(len(s.w.zones))], s.between(5*time.Second, 25*time.Second)) })
-	}, least: eventCounts{"nodes partitioned from peers and state service": 14, "zones cut off": 8, "machines released": 25}},
+	{name: "the version in production leads amid the plan", length: 220 * time.Second, alter: func(o *Options) { o.RollingUpgrade, o.Pipelines = true, 4 },
+		script: func(s *script) {
+			s.drainLoad()
+			s.drainAll(60*time.Second, 2)
+			s.drainAll(110*time.Second, 3)
+			s.every(20*time.Second, 30*time.Second, s.crashLeader)
+		}, least: eventCounts{"leaders crashed": 16, "machines released": 20}},
+
+	{name: "controllers cut off from the state service and each other", length: 220 * time.Second,
+		script: func(s *script) {
+			s.drainLoad()
+			s.drainAll(15*time.Second, 2)
+			s.drainAll(100*time.Second, 3)
+			s.every(25*time.Second, 40*time.Second, func() {
+				if n := s.w.currentLeader(); n != nil {
+					s.partitionFromPeersAndStore(n, s.between(5*time.Second, 20*time.Second))
+				}
+			})
+			s.every(45*time.Second, 60*time.Second, func() { s.cutZone(s.w.zones[s.rng.IntN(len(s.w.zones))], s.between(5*time.Second, 25*time.Second)) })
+		}, least: eventCounts{
+			"nodes partitioned from peers and state service": 14, "zones cut off": 8, "machines released": 25,
+		}},
 }
 
 // withDrains are scenarios in worlds with drains, with the warm standby on in every other one.
--- a/internal/simulation/drains_test.go
+++ b/internal/simulation/drains_test.go
@@ -32,7 +32,10 @@
 			counts.addAll(w.drains.counts)
 		}
 	}
-	counts.requireAtLeast(t, eventCounts{"plans accepted": 100, "machines cordoned": 100, "machines released": 50, "interruptions by choice": 40, "interruptions of gangs": 5})
+	counts.requireAtLeast(t, eventCounts{
+		"plans accepted": 100, "machines cordoned": 100, "machines released": 50, "interruptions by choice": 40,
+		"interruptions of gangs": 5,
+	})
 	t.Log(counts)
 }
 
--- a/internal/simulation/fault_scenarios_test.go
+++ b/internal/simulation/fault_scenarios_test.go
@@ -15,12 +15,14 @@
 // faultScenario is a row of TestFaultScenarios: faults that meet, and what must have come
 // about, over all its seeds, for the row to prove anything.
 type faultScenario struct {
-	name   string
-	noise  bool // every other seed has all other faults on top
-	length time.Duration
-	alter  func(o *Options)
-	script func(s *script)
-	least  eventCounts
+	name string
+	// digestLabel is the name in testdata/output_digests.txt, if the scenario was renamed since that file was written.
+	digestLabel string
+	noise       bool // every other seed has all other faults on top
+	length      time.Duration
+	alter       func(o *Options)
+	script      func(s *script)
+	least       eventCounts
 }
 
 // seedsPerScenario is how many worlds each fault scenario has.
@@ -109,7 +111,7 @@
 
 // crashLeaderRepeatedly ends the leader again and again.
 func crashLeaderRepeatedly(s *script, from, period time.Duration, lo, hi time.Duration) {
-	s.every(from, period, func() { s.crash(s.w.currentLeader(), s.between(lo, hi)) })
+	s.every(from, period, func() { s.crashLeaderFor(lo, hi) })
 }
 
 // cancelShare has a share of the users call off their jobs soon after they were accepted.
--- a/internal/simulation/output_digest_test.go
+++ b/internal/simulation/output_digest_test.go
@@ -1,6 +1,7 @@
 package simulation
 
 import (
+	"cmp"
 	"fmt"
 	"os"
 	"strconv"
@@ -49,7 +50,7 @@
 
 // scenarioWorld is one world of a scenario, with everything on but admission control.
 func scenarioWorld(scenario *faultScenario, seed uint64) outputWorld {
-	return outputWorld{name: scenario.name, build: func() *World {
+	return outputWorld{name: cmp.Or(scenario.digestLabel, scenario.name), build: func() *World {
 		o := scenario.options(seed)
 		o.Standby, o.Drains, o.Pace = true, true, pace
 		w := NewWorld(o)
--- a/internal/simulation/recovery_test.go
+++ b/internal/simulation/recovery_test.go
@@ -62,50 +62,54 @@
 
 // recoveryScenarios are the hard cases of a restart.
 var recoveryScenarios = []faultScenario{
-	{name: "all controllers end again and again, and come back in any order", length: 200 * time.Second, script: func(s *script) {
-		s.submitEndless(10, 0)
-		s.submitShort(30, 0, 160*time.Second)
-		s.every(20*time.Second, 25*time.Second, func() { s.crashAll(10*time.Millisecond, 15*time.Second) })
-		s.every(33*time.Second, 40*time.Second, func() { s.cancelNow(2, 0) })
-	}, least: eventCounts{"crashes of all controllers": 24, "leaders elected": 24, "cancellations confirmed": 12}},
-
-	{name: "all controllers and a third of the workers end together", length: 200 * time.Second, script: func(s *script) {
-		s.submitEndless(10, 0)
-		s.submitShort(30, 0, 160*time.Second)
-		s.every(20*time.Second, 45*time.Second, func() {
-			s.crashAll(100*time.Millisecond, 10*time.Second)
-			for _, m := range s.sampleMachines(0.33, nil) {
-				s.count("workers restarted")
-				m.reboot()
-			}
-		})
-	}, least: eventCounts{"crashes of all controllers": 12, "workers restarted": 15}},
-
-	{name: "outages longer and shorter than the lease, workers minutes late", length: 240 * time.Second, script: func(s *script) {
-		s.submitEndless(10, 0)
-		s.submitShort(30, 0, 160*time.Second)
-		s.every(25*time.Second, 60*time.Second, func() {
-			long := s.w.options.Lease * 3 / 2
-			if s.chance(0.5) {
-				long = s.w.options.Lease / 2
-			}
-			for _, n := range s.w.nodes {
-				s.crash(n, long+s.between(0, 3*time.Second))
-			}
-			s.count("all controllers down")
-			s.cutMachines(s.sampleMachines(0.3, nil), long+s.between(0, 2*s.w.options.Lease))
-		})
-	}, least: eventCounts{"all controllers down": 12}},
-
-	{name: "the state service is back last, slow, and loses answers", length: 220 * time.Second, script: func(s *script) {
-		s.submitEndless(8, 0)
-		s.submitShort(30, 0, 160*time.Second)
-		s.storeDelay, s.lostAnswerShare = 300*time.Millisecond, 0.1
-		s.every(25*time.Second, 50*time.Second, func() {
-			s.outage(s.between(6*time.Second, 15*time.Second))
-			s.crashAll(10*time.Millisecond, 3*time.Second)
-		})
-	}, least: eventCounts{"crashes of all controllers": 12, "outages": 12}},
+	{name: "all controllers end again and again, and come back in any order", length: 200 * time.Second,
+		script: func(s *script) {
+			s.submitEndless(10, 0)
+			s.submitShort(30, 0, 160*time.Second)
+			s.every(20*time.Second, 25*time.Second, func() { s.crashAll(10*time.Millisecond, 15*time.Second) })
+			s.every(33*time.Second, 40*time.Second, func() { s.cancelNow(2, 0) })
+		}, least: eventCounts{"crashes of all controllers": 24, "leaders elected": 24, "cancellations confirmed": 12}},
+
+	{name: "all controllers and a third of the workers end together", length: 200 * time.Second,
+		script: func(s *script) {
+			s.submitEndless(10, 0)
+			s.submitShort(30, 0, 160*time.Second)
+			s.every(20*time.Second, 45*time.Second, func() {
+				s.crashAll(100*time.Millisecond, 10*time.Second)
+				for _, m := range s.sampleMachines(0.33, nil) {
+					s.count("workers restarted")
+					m.reboot()
+				}
+			})
+		}, least: eventCounts{"crashes of all controllers": 12, "workers restarted": 15}},
+
+	{name: "outages longer and shorter than the lease, workers minutes late", length: 240 * time.Second,
+		script: func(s *script) {
+			s.submitEndless(10, 0)
+			s.submitShort(30, 0, 160*time.Second)
+			s.every(25*time.Second, 60*time.Second, func() {
+				long := s.w.options.Lease * 3 / 2
+				if s.chance(0.5) {
+					long = s.w.options.Lease / 2
+				}
+				for _, n := range s.w.nodes {
+					s.crash(n, long+s.between(0, 3*time.Second))
+				}
+				s.count("all controllers down")
+				s.cutMachines(s.sampleMachines(0.3, nil), long+s.between(0, 2*s.w.options.Lease))
+			})
+		}, least: eventCounts{"all controllers down": 12}},
+
+	{name: "the state service is back last, slow, and loses answers", length: 220 * time.Second,
+		script: func(s *script) {
+			s.submitEndless(8, 0)
+			s.submitShort(30, 0, 160*time.Second)
+			s.storeDelay, s.lostAnswerShare = 300*time.Millisecond, 0.1
+			s.every(25*time.Second, 50*time.Second, func() {
+				s.outage(s.between(6*time.Second, 15*time.Second))
+				s.crashAll(10*time.Millisecond, 3*time.Second)
+			})
+		}, least: eventCounts{"crashes of all controllers": 12, "outages": 12}},
 
 	{name: "the start log and the last terms are forgotten", length: 220 * time.Second, script: func(s *script) {
 		s.submitEndless(10, 0)
@@ -124,36 +128,43 @@
 		s.every(25*time.Second, 45*time.Second, func() {
 			s.crashAll(10*time.Millisecond, time.Second)
 			for k := range 3 {
-				s.at(time.Duration(5+k*5)*time.Second, func() { s.crash(s.w.currentLeader(), s.between(10*time.Millisecond, 2*time.Second)) })
+				s.at(time.Duration(5+k*5)*time.Second, func() { s.crashLeaderFor(10*time.Millisecond, 2*time.Second) })
 			}
 		})
 	}, least: eventCounts{"crashes of all controllers": 12, "leaders crashed": 24}},
 
-	{name: "the version in production restarts beside the new one", length: 200 * time.Second, alter: func(o *Options) { o.RollingUpgrade, o.Pipelines = true, 4 }, script: func(s *script) {
-		s.submitEndless(6, 0)
-		s.submitShort(30, 0, 160*time.Second)
-		s.every(20*time.Second, 30*time.Second, func() { s.crashAll(10*time.Millisecond, 8*time.Second) })
-	}, least: eventCounts{"crashes of all controllers": 20}},
-
-	{name: "one controller is refused by the state service, services and gangs", length: 200 * time.Second, script: func(s *script) {
-		s.submitEndless(6, 0)
-		s.submitShort(20, 0, 160*time.Second)
-		for i := range 4 {
-			s.add(time.Duration(i)*5*time.Second, pipeline.Spec{Team: "blue", Shape: pipeline.Service, Tasks: 2, CPUs: 1, MemGB: 2, Spot: true}, endless)
-			s.add(time.Duration(i)*30*time.Second, pipeline.Spec{Team: "red", Shape: pipeline.Gang, Tasks: 3, CPUs: 2, MemGB: 4, Spot: true}, 20*time.Second)
-		}
-		s.every(20*time.Second, 40*time.Second, func() {
-			s.crashAll(10*time.Millisecond, 8*time.Second)
-			s.refuse(s.w.nodes[s.rng.IntN(len(s.w.nodes))], s.between(10*time.Second, 25*time.Second))
-		})
-	}, least: eventCounts{"crashes of all controllers": 12, "nodes refused by the state service": 12}},
-
-	{name: "old reports arrive in the middle", noise: true, length: 200 * time.Second, script: func(s *script) {
-		s.submitEndless(10, 0)
-		s.submitShort(30, 0, 160*time.Second)
-		s.duplicateShare, s.forNextLeader = 0.2, true
-		s.every(25*time.Second, 35*time.Second, func() { s.crashAll(10*time.Millisecond, 5*time.Second) })
-	}, least: eventCounts{"crashes of all controllers": 16}},
+	{name: "the version in production restarts beside the new one", length: 200 * time.Second, alter: func(o *Options) { o.RollingUpgrade, o.Pipelines = true, 4 },
+		script: func(s *script) {
+			s.submitEndless(6, 0)
+			s.submitShort(30, 0, 160*time.Second)
+			s.every(20*time.Second, 30*time.Second, func() { s.crashAll(10*time.Millisecond, 8*time.Second) })
+		}, least: eventCounts{"crashes of all controllers": 20}},
+
+	{name: "one controller is refused by the state service, services and gangs", length: 200 * time.Second,
+		script: func(s *script) {
+			s.submitEndless(6, 0)
+			s.submitShort(20, 0, 160*time.Second)
+			for i := range 4 {
+				s.add(time.Duration(i)*5*time.Second, pipeline.Spec{Team: "blue", Shape: pipeline.Service, Tasks: 2, CPUs: 1, MemGB: 2, Spot: true}, endless)
+				s.add(time.Duration(i)*30*time.Second, pipeline.Spec{Team: "red", Shape: pipeline.Gang, Tasks: 3, CPUs: 2, MemGB: 4, Spot: true}, 20*time.Second)
+			}
+			s.every(20*time.Second, 40*time.Second, func() {
+				s.crashAll(10*time.Millisecond, 8*time.Second)
+				s.refuse(s.w.nodes[s.rng.IntN(len(s.w.nodes))], s.between(10*time.Second, 25*time.Second))
+			})
+		}, least: eventCounts{"crashes of all controllers": 12, "nodes refused by the state service": 12}},
+
+	{
+		name:        "old heartbeats arrive in the middle",
+		digestLabel: "old reports arrive in the middle",
+		noise:       true,
+		length:      200 * time.Second,
+		script: func(s *script) {
+			s.submitEndless(10, 0)
+			s.submitShort(30, 0, 160*time.Second)
+			s.duplicateShare, s.forNextLeader = 0.2, true
+			s.every(25*time.Second, 35*time.Second, func() { s.crashAll(10*time.Millisecond, 5*time.Second) })
+		}, least: eventCounts{"crashes of all controllers": 16}},
 }
 
 // TestRecoveryScenarios brings the hard cases of a restart about, with the pace bounded, and
--- a/internal/simulation/standby_scenarios_test.go
+++ b/internal/simulation/standby_scenarios_test.go
@@ -63,9 +63,11 @@
 		s.load()
 		s.every(15*time.Second, 25*time.Second, func() {
 			s.w.standbys.laggingUntil = s.w.now.Add(15 * time.Second)
-			s.at(s.between(8*time.Second, 14*time.Second), func() { s.crash(s.w.currentLeader(), s.between(time.Second, 5*time.Second)) })
+			s.at(s.between(8*time.Second, 14*time.Second), func() { s.crashLeaderFor(time.Second, 5*time.Second) })
 		})
-	}, least: eventCounts{"leaders crashed": 14, "leaders elected": 18, "attempts unstored": 1, "machines differing": 10}},
+	}, least: eventCounts{
+		"leaders crashed": 14, "leaders elected": 18, "attempts unstored": 1, "machines differing": 10,
+	}},
 
 	{name: "leader and a current standby end together", script: func(s *script) {
 		s.load()
@@ -82,14 +84,14 @@
 
 	{name: "old leader is back within a fraction of a second", script: func(s *script) {
 		s.load()
-		s.every(12*time.Second, 11*time.Second, func() { s.crash(s.w.currentLeader(), s.between(10*time.Millisecond, 300*time.Millisecond)) })
+		s.every(12*time.Second, 11*time.Second, func() { s.crashLeaderFor(10*time.Millisecond, 300*time.Millisecond) })
 	}, least: eventCounts{"leaders crashed": 35, "warm takeovers": 25}},
 
 	{name: "takeover during an outage of the state service", script: func(s *script) {
 		s.load()
 		s.every(15*time.Second, 35*time.Second, func() {
 			s.outage(s.between(8*time.Second, 16*time.Second))
-			s.at(s.between(0, 3*time.Second), func() { s.crash(s.w.currentLeader(), s.between(time.Second, 10*time.Second)) })
+			s.at(s.between(0, 3*time.Second), func() { s.crashLeaderFor(time.Second, 10*time.Second) })
 		})
 	}, least: eventCounts{"leaders crashed": 8, "outages": 10, "leaders elected": 12}},
 
@@ -109,7 +111,7 @@
 		s.load()
 		n := s.w.standbys
 		n.lostShare, n.duplicateShare, n.extraDelay = 0.2, 0.3, 3*time.Second
-		s.every(12*time.Second, 13*time.Second, func() { s.crash(s.w.currentLeader(), s.between(time.Second, 4*time.Second)) })
+		s.every(12*time.Second, 13*time.Second, func() { s.crashLeaderFor(time.Second, 4*time.Second) })
 	}, least: eventCounts{"frames gap": 100, "frames ignored": 500, "leaders crashed": 25}},
 
 	{name: "leader cut from the standbys but not from workers", script: func(s *script) {
@@ -135,13 +137,14 @@
 		}
 		s.load()
 		s.every(12*time.Second, 15*time.Second, func() { s.pauseLeader("leaders paused") })
-		s.every(20*time.Second, 15*time.Second, func() { s.crash(s.w.currentLeader(), s.between(10*time.Millisecond, 3*time.Second)) })
+		s.every(20*time.Second, 15*time.Second, func() { s.crashLeaderFor(10*time.Millisecond, 3*time.Second) })
 	}, least: eventCounts{"leaders paused": 20, "leaders elected": 40}},
 
-	{name: "rolling upgrade from the version in production", alter: func(o *Options) { o.RollingUpgrade, o.Pipelines = true, 4 }, script: func(s *script) {
-		s.load()
-		s.every(12*time.Second, 16*time.Second, func() { s.crash(s.w.currentLeader(), s.between(time.Second, 4*time.Second)) })
-	}, least: eventCounts{"leaders crashed": 20, "warm takeovers": 4}},
+	{name: "rolling upgrade from the version in production", alter: func(o *Options) { o.RollingUpgrade, o.Pipelines = true, 4 },
+		script: func(s *script) {
+			s.load()
+			s.every(12*time.Second, 16*time.Second, func() { s.crashLeaderFor(time.Second, 4*time.Second) })
+		}, least: eventCounts{"leaders crashed": 20, "warm takeovers": 4}},
 
 	{name: "planned hand-over", script: func(s *script) {
 		s.load()
