--- a/internal/simulation/admission.go
+++ b/internal/simulation/admission.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"gingertally/internal/codec"
+	"gingertally/internal/core/pipeline"
 	"gingertally/internal/statestore"
 
 	"gingertally/internal/admission"
@@ -16,9 +17,8 @@
 	"gingertally/internal/userapi"
 )
 
-// admissionNetwork is admission control in a world: the nodes' gates and the leader's planner
-// are the real ones. It draws random numbers of its own, so that worlds without it stay what
-// they are. A nil one admits everything.
+// admissionNetwork is admission control in a world. The nodes' gates and the leader's planner are the real ones;
+// the network carries policies between them. A nil one admits everything.
 type admissionNetwork struct {
 	w *World
 	random
@@ -55,13 +55,15 @@
 	if n.w.admission == nil || n.runsProduction {
 		return
 	}
-	n.gate = admission.NewGate(n.local(), admission.GateOptions{Teams: slices.Sorted(maps.Keys(n.w.teams)), Jobs: 4, PolicyAge: simulatedPolicyAge})
+	n.gate = admission.NewGate(n.local(), admission.GateOptions{
+		Teams: slices.Sorted(maps.Keys(n.w.teams)), Jobs: 4, PolicyAge: simulatedPolicyAge,
+	})
 	n.loop(n.incarnation, simulatedPolicyEvery, n.planAdmission)
 	n.loop(n.incarnation, simulatedPolicyAge/3, n.keepPolicy)
 }
 
-// admits tells whether a node takes a job now, or when its user is to come again. A known job
-// is never refused.
+// admits tells whether a node takes a job now, or after which time its user may come again. A known job is never
+// refused.
 func (n *node) admits(j *userJob) (again time.Duration, ok bool) {
 	if n.gate == nil || n.w.store.holdsJob(j.spec.Ref) {
 		return 0, true
@@ -72,13 +74,14 @@
 		return 0, true
 	}
 	n.w.admission.counts["refused: "+d.Reason.String()]++
-	n.w.output.userAnswer(n, j.spec.Ref, userapi.Answer{Status: http.StatusTooManyRequests, Body: d.Reason.String(), RetryAfter: d.RetryAfter})
+	n.w.output.userAnswer(n, j.spec.Ref, userapi.Answer{
+		Status: http.StatusTooManyRequests, Body: d.Reason.String(), RetryAfter: d.RetryAfter,
+	})
 	n.w.checker.observe(submissionRefused{d.RetryAfter})
 	return d.RetryAfter, false
 }
 
-// takePolicy has a node take a policy, and checks that it never goes back, and that a policy says
-// the same wherever it comes from.
+// takePolicy offers a node a policy, which it takes if the policy is newer than its own.
 func (n *node) takePolicy(p admission.Policy) {
 	a, before := n.w.admission, *n.gate.Policy()
 	if n.gate.Take(n.local(), p) {
@@ -114,7 +117,8 @@
 	}
 }
 
-// planAdmission is the leader's round: gather, plan, store, send.
+// planAdmission is the leader's round: it gathers what the gates have counted, plans a policy, stores it and sends it
+// to all nodes.
 func (n *node) planAdmission() {
 	if !n.holdsLease() || n.cutOff() {
 		return
@@ -124,8 +128,10 @@
 		if !ok {
 			return
 		}
-		n.planner = admission.NewPlanner(n.local(), admission.PlannerOptions{Teams: n.w.teams, Floor: simulatedFloor, EnterBacklog: simulatedEnter,
-			ExitBacklog: simulatedExit, Interval: simulatedPolicyEvery}, n.term.Number, stored)
+		n.planner = admission.NewPlanner(n.local(), admission.PlannerOptions{
+			Teams: n.w.teams, Floor: simulatedFloor, EnterBacklog: simulatedEnter, ExitBacklog: simulatedExit,
+			Interval: simulatedPolicyEvery,
+		}, n.term.Number, stored)
 		n.plannerTerm, n.latestPolicy = n.term.Number, stored
 	}
 	load := n.engine.Load(n.local())
@@ -147,7 +153,8 @@
 	engine, term, view := n.engine, n.term, n.storeView()
 	stored := false
 	n.call(func() {
-		_, err := view.Commit(context.Background(), []statestore.Compare{jobstore.UnderTerm(term)}, []statestore.Op{statestore.Put(policyKey, codec.MustMarshal(policy))})
+		_, err := view.Commit(context.Background(), []statestore.Compare{jobstore.UnderTerm(term)},
+			[]statestore.Op{statestore.Put(policyKey, codec.MustMarshal(policy))})
 		stored = err == nil
 	}, func() {
 		if stored && n.engine == engine && n.holdsLease() {
@@ -181,19 +188,18 @@
 // jobsPerFlood is how many jobs a flood consists of.
 const jobsPerFlood = 15
 
-// floodUsers has one team submit bulk work again and again, all at once, at one node or at
-// all.
+// floodUsers has one team submit bulk work several times, many jobs at once.
 func (w *World) floodUsers() {
 	a := w.admission
 	for flood := range 3 {
 		at := a.between(0, w.options.Length*2/3)
 		for i := range jobsPerFlood {
-			j := &userJob{w: w, done: map[int]bool{}, run: a.between(4*time.Second, 12*time.Second)}
-			s := &j.spec
-			s.Ref, s.Class, s.Team, s.Image, s.ImageGB = floodJobRefs.ref(flood*jobsPerFlood+i), "bulk", "green", "img-0", 1
-			s.Tasks, s.CPUs, s.MemGB, s.Priority, s.Spot, s.Estimate = 4+a.rng.IntN(8), 2, 4, 2, true, j.run
-			w.jobs[s.Ref] = j
-			w.after(at+a.between(0, time.Second), j.submit)
+			run := a.between(4*time.Second, 12*time.Second)
+			spec := pipeline.Spec{
+				Ref: floodJobRefs.ref(flood*jobsPerFlood + i), Class: "bulk", Team: "green", Image: "img-0", ImageGB: 1,
+				Tasks: 4 + a.rng.IntN(8), CPUs: 2, MemGB: 4, Priority: pipeline.Normal, Spot: true, Estimate: run,
+			}
+			w.submitAfter(at+a.between(0, time.Second), spec, run)
 		}
 	}
 }
--- a/internal/simulation/cancel.go
+++ b/internal/simulation/cancel.go
@@ -9,21 +9,24 @@
 	"gingertally/internal/statestore"
 )
 
-// recordedCommit reads at once, and keeps the one transaction that it is given, to be sent.
+// recordedCommit is a view of the state service that reads at once, and only records the one transaction that it is
+// given, so that the transaction can be sent through the simulated network.
 type recordedCommit struct {
 	jobstore.Store
 	conditions []statestore.Compare
 	changes    []statestore.Op
 }
 
-// Commit keeps the transaction; nobody knows yet what becomes of it.
-func (c *recordedCommit) Commit(_ context.Context, conditions []statestore.Compare, changes []statestore.Op) (uint64, error) {
+// Commit records the transaction, of which nobody knows yet what becomes of it.
+func (c *recordedCommit) Commit(
+	_ context.Context, conditions []statestore.Compare, changes []statestore.Op,
+) (uint64, error) {
 	c.conditions, c.changes = conditions, changes
 	return 0, statestore.ErrUnknownOutcome
 }
 
-// cancel is a node's part in a cancellation, as the daemon's: confirmed hears of one that
-// its user may be told of. The transaction may be lost, late, or its answer lost.
+// cancel is a node's part in a cancellation, like the daemon's. It calls confirmed once the user may be told. The
+// transaction may be lost or late, and its answer may be lost.
 func (n *node) cancel(ref string, confirmed func(jobstore.State)) {
 	if !n.holdsLease() {
 		return // only the leader cancels
--- a/internal/simulation/consistency_probes.go
+++ b/internal/simulation/consistency_probes.go
@@ -14,7 +14,7 @@
 	"gingertally/internal/wire"
 )
 
-// probeConsistency has users ask right after a job was accepted, ended or cancelled.
+// probeConsistency has users query right after a job was accepted, ended or cancelled.
 func (s *script) probeConsistency() {
 	s.onAccepted = append(s.onAccepted, s.probeJob)
 	s.onConfirmed = append(s.onConfirmed, s.probeJob)
@@ -25,8 +25,7 @@
 	})
 }
 
-// probeJob asks all nodes about a job within milliseconds, several times, and repeats
-// its submission.
+// probeJob queries all nodes about a job within milliseconds, several times, and repeats its submission.
 func (s *script) probeJob(j *userJob) {
 	for range 3 {
 		for _, n := range s.w.nodes {
@@ -37,9 +36,8 @@
 	s.at(s.between(1, 10*time.Millisecond), func() { s.resubmit(n, j) })
 }
 
-// queryJob asks a node about a job: the answer is found some milliseconds after the
-// question, and arrives some later. Half of the questions meet a moment at which the
-// leader can't be asked, and are answered from the store.
+// queryJob queries a node about a job. The answer is found some milliseconds after the query was sent, and arrives
+// some milliseconds later.
 func (s *script) queryJob(n *node, j *userJob) {
 	asked, incarnation := s.w.now, n.incarnation
 	s.at(s.between(0, 4*time.Millisecond), func() {
@@ -56,7 +54,7 @@
 	})
 }
 
-// leaderView is the leader as a node's users' calls see it.
+// leaderView is the leader as a node's user service sees it.
 type leaderView struct{ n *node }
 
 // View is what this node, leading with a valid lease, knows of a job.
@@ -67,7 +65,7 @@
 	return l.n.engine.Lookup(ref)
 }
 
-// Ask asks the other nodes that this one reaches.
+// Ask queries the other nodes that this one reaches.
 func (l leaderView) Ask(_ context.Context, ref string) (v core.JobView, ok bool) {
 	for _, o := range l.n.w.nodes {
 		if o != l.n && l.n.reaches(o) && o.holdsLease() {
@@ -77,13 +75,13 @@
 	return v, false
 }
 
-// Cancel isn't called here: cancellations have their own way.
+// Cancel isn't called here: cancellations go through node.cancel.
 func (leaderView) Cancel(context.Context, string) (pipeline.Phase, error) {
 	return pipeline.Active, context.Canceled
 }
 
-// simulatedClock is a node's job store for its users' calls, which pass the time of the
-// machine that the simulation runs on: it goes by the world's time instead.
+// simulatedClock is a node's job store for its user service, which passes the time of the machine that the simulation
+// runs on. It goes by the world's time instead.
 type simulatedClock struct {
 	*jobstore.Jobs
 	n *node
@@ -99,8 +97,12 @@
 	return c.Jobs.DependencyCancelled(ctx, st, c.n.local())
 }
 
+// service is the node's real user service.
 func (n *node) service() *userapi.Service {
-	return &userapi.Service{Jobs: simulatedClock{n.jobs, n}, Leader: leaderView{n}, Teams: n.w.teams, Catalog: func() placement.Catalog { return n.w.catalog }}
+	return &userapi.Service{
+		Jobs: simulatedClock{n.jobs, n}, Leader: leaderView{n}, Teams: n.w.teams,
+		Catalog: func() placement.Catalog { return n.w.catalog },
+	}
 }
 
 // noAnswer is the status of a call that gets no answer.
@@ -116,7 +118,10 @@
 	return answer
 }
 
-var shapeNames = map[pipeline.Shape]string{pipeline.Array: "sweep", pipeline.Gang: "ensemble", pipeline.Service: "service"}
+// The protocol's names of shapes and priorities.
+var shapeNames = map[pipeline.Shape]string{
+	pipeline.Array: "sweep", pipeline.Gang: "ensemble", pipeline.Service: "service",
+}
 
 var urgencyNames = map[pipeline.Priority]string{
 	pipeline.Production: "production", pipeline.High: "urgent", pipeline.Normal: "normal", pipeline.Low: "idle",
@@ -124,10 +129,13 @@
 
 // bodyOf is the submission of a job as its user sends it.
 func bodyOf(s *pipeline.Spec) map[string]any {
-	b := map[string]any{"ref": s.Ref, "lot_kind": s.Class, "owner": s.Team, "shape": shapeNames[s.Shape], "urgency": urgencyNames[s.Priority],
-		"lots": s.Tasks, "vcpus": s.CPUs, "cards": s.GPUs, "mem_gb": s.MemGB, "kit": s.Image, "pull_gb": s.ImageGB, "builds": nil, "yard": nil,
-		"one_zone": s.OneZone, "apart": s.Spread, "loaners": s.Spot, "guess_s": s.Estimate.Seconds(), "mark_s": s.CheckpointInterval.Seconds(),
-		"stash_s": s.CheckpointTime.Seconds(), "due_s": nil}
+	b := map[string]any{
+		"ref": s.Ref, "lot_kind": s.Class, "owner": s.Team, "shape": shapeNames[s.Shape],
+		"urgency": urgencyNames[s.Priority], "lots": s.Tasks, "vcpus": s.CPUs, "cards": s.GPUs, "mem_gb": s.MemGB,
+		"kit": s.Image, "pull_gb": s.ImageGB, "builds": nil, "yard": nil, "one_zone": s.OneZone, "apart": s.Spread,
+		"loaners": s.Spot, "guess_s": s.Estimate.Seconds(), "mark_s": s.CheckpointInterval.Seconds(),
+		"stash_s": s.CheckpointTime.Seconds(), "due_s": nil,
+	}
 	if s.Types != nil {
 		b["builds"] = s.Types
 	}
@@ -137,7 +145,8 @@
 	return b
 }
 
-// queryAtRandom is what a node's users' calls answer to a question.
+// queryAtRandom is a node's answer to a query: half of the time as the simulated controller gives it, and else as the
+// real user service does.
 func (s *script) queryAtRandom(n *node, ref string) (v core.JobView, known, ok bool) {
 	if s.chance(0.5) {
 		return n.answerQuery(ref)
@@ -154,8 +163,8 @@
 	return v, false, false
 }
 
-// resubmit repeats the submission of an accepted job: it is never refused, and its
-// answer is never older than what its user knew.
+// resubmit repeats the submission of an accepted job. It must never be refused, and its answer must never be older than
+// what its user knew.
 func (s *script) resubmit(n *node, j *userJob) {
 	if !j.accepted {
 		return
@@ -182,6 +191,7 @@
 	})
 }
 
+// phaseOf is the phase that an answer of the user service reports.
 func phaseOf(a userapi.Answer) pipeline.Phase {
 	st, _ := a.Body.(wire.RunState)
 	switch st.Status {
@@ -193,8 +203,8 @@
 	return pipeline.Active
 }
 
-// oddRequests has users, every so often, repeat submissions, cancel jobs that are
-// done, and submit what can't run or lacks a field.
+// oddRequests has users repeat submissions, cancel jobs that are done, and submit what can't run or lacks a field, at
+// regular intervals.
 func (s *script) oddRequests(from, period time.Duration) {
 	s.every(from, period, func() {
 		n := s.w.nodes[s.rng.IntN(len(s.w.nodes))]
@@ -226,8 +236,10 @@
 // submitInvalid submits a job that can't run or lacks a field; it must be refused.
 func (s *script) submitInvalid(n *node) {
 	s.jobs++
-	sp := pipeline.Spec{Class: "c", Team: "red", Image: "img-0", ImageGB: 1, Tasks: 2, CPUs: 1, MemGB: 1, Priority: pipeline.Normal, Estimate: time.Second}
-	sp.Ref = probeJobRefs.ref(s.jobs)
+	sp := pipeline.Spec{
+		Ref: probeJobRefs.ref(s.jobs), Class: "c", Team: "red", Image: "img-0", ImageGB: 1, Tasks: 2, CPUs: 1, MemGB: 1,
+		Priority: pipeline.Normal, Estimate: time.Second,
+	}
 	b := bodyOf(&sp)
 	want := http.StatusUnprocessableEntity
 	switch s.rng.IntN(6) {
@@ -243,8 +255,8 @@
 		b["yard"] = "nowhere"
 	case 5:
 		want = http.StatusBadRequest
-		fields := []string{"ref", "lot_kind", "owner", "shape", "urgency", "lots", "vcpus", "cards", "mem_gb", "kit", "pull_gb", "one_zone", "apart",
-			"loaners", "guess_s", "mark_s", "stash_s"}
+		fields := []string{"ref", "lot_kind", "owner", "shape", "urgency", "lots", "vcpus", "cards", "mem_gb", "kit",
+			"pull_gb", "one_zone", "apart", "loaners", "guess_s", "mark_s", "stash_s"}
 		if f := fields[s.rng.IntN(len(fields))]; s.chance(0.5) {
 			delete(b, f)
 		} else {
--- a/internal/simulation/drains.go
+++ b/internal/simulation/drains.go
@@ -14,9 +14,8 @@
 	"gingertally/internal/jobstore"
 )
 
-// drainOperators adds to a world teams with disruption budgets and operators that have machines
-// drained. It draws random numbers of its own, so that the other worlds of the same seed stay
-// what they are. A nil one does nothing.
+// drainOperators are the operators of a world, who have machines drained while teams have disruption budgets. Nil
+// ones do nothing.
 type drainOperators struct {
 	w *World
 	random
@@ -29,15 +28,15 @@
 	onCordon, onCharge, onScaleIn []func()
 }
 
-// call calls what waits for something.
+// call calls what scripts have waiting for an event.
 func (d *drainOperators) call(waiting []func()) {
 	for _, fn := range waiting {
 		d.w.after(0, fn)
 	}
 }
 
-// deliberateDrainFault is a deliberate fault by which tests see a check fail. What isn't set is as it
-// should be.
+// deliberateDrainFault breaks a rule of drains, so that tests see its invariant fail. What isn't set works as it
+// should.
 type deliberateDrainFault struct {
 	policy func(drain.Policy) drain.Policy                // that the controllers go by
 	stored func(*drain.Stored)                            // that a new leader reads
@@ -49,7 +48,9 @@
 const drainSkew = 250 * time.Millisecond
 
 func newDrainOperators(w *World) *drainOperators {
-	d := &drainOperators{w: w, random: newRandom(w.options.Seed, drainStream), counts: eventCounts{}, fault: w.options.DrainFault}
+	d := &drainOperators{
+		w: w, random: newRandom(w.options.Seed, drainStream), counts: eventCounts{}, fault: w.options.DrainFault,
+	}
 	d.policy = d.randomPolicy()
 	return d
 }
@@ -58,7 +59,11 @@
 
 // randomPolicy gives the teams budgets of every kind.
 func (d *drainOperators) randomPolicy() *drain.Policy {
-	p := &drain.Policy{Budgets: map[drain.Scope]drain.Budget{}, FinishWait: d.between(2*time.Second, 20*time.Second), Skew: drainSkew}
+	p := &drain.Policy{
+		Budgets:    map[drain.Scope]drain.Budget{},
+		FinishWait: d.between(2*time.Second, 20*time.Second),
+		Skew:       drainSkew,
+	}
 	for _, team := range []string{"red", "blue", "amber"} {
 		b := drain.NewBudget()
 		switch d.rng.IntN(4) {
@@ -89,7 +94,8 @@
 		from := d.w.start.Add(at).In(time.UTC)
 		day := time.Date(from.Year(), from.Month(), from.Day(), 0, 0, 0, 0, time.UTC)
 		begin := from.Sub(day).Truncate(time.Second)
-		w := drain.ClosedWindow{From: begin, To: begin + d.between(10*time.Second, 25*time.Second).Truncate(time.Second), Location: time.UTC}
+		length := d.between(10*time.Second, 25*time.Second).Truncate(time.Second)
+		w := drain.ClosedWindow{From: begin, To: begin + length, Location: time.UTC}
 		for i := range w.Days {
 			w.Days[i] = true
 		}
@@ -98,7 +104,7 @@
 	return out
 }
 
-// nodePolicy are the budgets that the controllers go by.
+// nodePolicy is the policy that the controllers go by.
 func (d *drainOperators) nodePolicy() *drain.Policy {
 	if d.fault.policy == nil {
 		return d.policy
@@ -107,7 +113,7 @@
 	return &p
 }
 
-// start plans what operators ask for.
+// start plans the operators' requests.
 func (d *drainOperators) start() {
 	if d == nil {
 		return
@@ -126,25 +132,29 @@
 	})
 }
 
-// planJobs submits long work of the teams with budgets: what doesn't end while drains go on.
-// It is cancelled when the faults are over.
+// planJobs submits work of the teams with budgets that doesn't end while drains go on. It is cancelled when the faults
+// are over.
 func (d *drainOperators) planJobs() {
 	for i, shape := range []pipeline.Shape{pipeline.Array, pipeline.Service, pipeline.Array, pipeline.Gang} {
-		s := pipeline.Spec{Ref: drainJobRefs.ref(i), Class: []string{"c", "long"}[d.rng.IntN(2)], Team: []string{"red", "blue"}[i%2], Shape: shape,
-			Tasks: 2 + d.rng.IntN(2), CPUs: 1, MemGB: 1, Image: "img-0", ImageGB: 1, Estimate: endless, Priority: pipeline.High}
+		s := pipeline.Spec{
+			Ref: drainJobRefs.ref(i), Class: []string{"c", "long"}[d.rng.IntN(2)], Team: []string{"red", "blue"}[i%2],
+			Shape: shape, Tasks: 2 + d.rng.IntN(2), CPUs: 1, MemGB: 1, Image: "img-0", ImageGB: 1, Estimate: endless,
+			Priority: pipeline.High,
+		}
 		if d.rng.IntN(3) > 0 {
 			s.CheckpointInterval, s.CheckpointTime = 3*time.Second, 2*time.Second
 		}
-		j := &userJob{w: d.w, spec: s, run: endless, done: map[int]bool{}}
-		d.w.jobs[s.Ref] = j
-		d.w.after(d.between(0, 15*time.Second), j.submit)
+		j := d.w.submitAfter(d.between(0, 15*time.Second), s, endless)
 		d.w.after(d.w.options.Length+d.between(0, 20*time.Second), j.cancel)
 	}
 }
 
-// request has an operator ask for a new drain, some of them at two controllers at once.
+// request has an operator request a new drain, half of the time at two controllers at once.
 func (d *drainOperators) request() {
-	p := drain.Plan{ID: fmt.Sprintf("plan-%d", len(d.plans)), MaxAtOnce: 1 + d.rng.IntN(3), Surge: d.rng.IntN(3), KeepCordoned: d.rng.IntN(3) == 0}
+	p := drain.Plan{
+		ID: fmt.Sprintf("plan-%d", len(d.plans)), MaxAtOnce: 1 + d.rng.IntN(3), Surge: d.rng.IntN(3),
+		KeepCordoned: d.rng.IntN(3) == 0,
+	}
 	switch d.rng.IntN(4) {
 	case 0:
 		p.Selector.Zone = d.w.zones[d.rng.IntN(len(d.w.zones))]
@@ -196,7 +206,7 @@
 	d.w.after(d.between(2*time.Second, 20*time.Second), func() { d.change(id, drain.Running) })
 }
 
-// change has a plan's phase changed at some controller, as far as it can be reached.
+// change has an operator change a plan's phase at some controller, if that can be reached.
 func (d *drainOperators) change(id string, to drain.Phase) {
 	n := d.anyNode()
 	if n.down || n.paused() {
@@ -209,7 +219,7 @@
 	}, func() {})
 }
 
-// cancel has a plan cancelled, again and again until it is over.
+// cancel has an operator cancel a plan, again and again until it is over.
 func (d *drainOperators) cancel(id string) {
 	d.change(id, drain.Cancelled)
 	d.w.after(5*time.Second, func() {
@@ -251,7 +261,7 @@
 	})
 }
 
-// drainChanged lets watches see changes of drain plans.
+// drainChanged has the leader's watch see changes of drain plans, each after a while.
 func (w *World) drainChanged(changes []statestore.Op) {
 	if w.drains == nil {
 		return
@@ -284,7 +294,7 @@
 	}
 }
 
-// spoilCommit carries a deliberate fault out on what the state service is sent.
+// spoilCommit applies a deliberate fault to what the state service is sent.
 func (d *drainOperators) spoilCommit(changes []statestore.Op) []statestore.Op {
 	if d == nil || d.fault.commit == nil {
 		return changes
@@ -292,7 +302,7 @@
 	return d.fault.commit(changes)
 }
 
-// spoilBatch carries a deliberate fault out on what a leader writes.
+// spoilBatch applies a deliberate fault to what a leader writes.
 func (n *node) spoilBatch(batch []core.Write) []core.Write {
 	if n.w.drains == nil || n.w.drains.fault.batch == nil {
 		return batch
--- a/internal/simulation/script_faults.go
+++ b/internal/simulation/script_faults.go
@@ -65,7 +65,9 @@
 }
 
 // crashLeaderFor ends the leader for a time between two bounds.
-func (s *script) crashLeaderFor(lo, hi time.Duration) { s.crash(s.w.currentLeader(), s.between(lo, hi)) }
+func (s *script) crashLeaderFor(lo, hi time.Duration) {
+	s.crash(s.w.currentLeader(), s.between(lo, hi))
+}
 
 // shutDownLeader ends the leader, which gives its lease up.
 func (s *script) shutDownLeader(back time.Duration) {
--- a/internal/simulation/script_jobs.go
+++ b/internal/simulation/script_jobs.go
@@ -8,10 +8,10 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// endless is a run time that no task comes to the end of.
+// endless is a run time longer than any world.
 const endless = 20 * time.Minute
 
-// add submits a job at some moment.
+// add has a user submit a job after some time. What the specification leaves open is chosen for it.
 func (s *script) add(at time.Duration, sp pipeline.Spec, run time.Duration) *userJob {
 	s.jobs++
 	sp.Ref, sp.Image = scriptJobRefs.ref(s.jobs), fmt.Sprintf("img-%d", s.rng.IntN(3))
@@ -29,10 +29,7 @@
 		sp.Priority = pipeline.Normal
 	}
 	sp.Spot = true
-	j := &userJob{w: s.w, spec: sp, run: run, done: map[int]bool{}}
-	s.w.jobs[sp.Ref] = j
-	s.w.after(at, j.submit)
-	return j
+	return s.w.submitAfter(at, sp, run)
 }
 
 // submitEndless submits arrays and gangs that only a cancellation ends.
@@ -60,14 +57,15 @@
 	}
 }
 
-// runningJobs are jobs of which a task runs, those with long to go only if so asked.
+// runningJobs are the open jobs of which a task runs, only the endless ones if so asked.
 func (s *script) runningJobs(long bool) []*userJob {
 	seen := map[*userJob]bool{}
 	var out []*userJob
 	for _, m := range s.w.sortedMachines() {
 		for _, t := range m.sortedTasks() {
 			j := t.job
-			if !seen[j] && t.state == fleet.Running && j.accepted && j.reportedPhase == pipeline.Active && !j.cancelRequested && (!long || j.run >= endless) {
+			open := j.accepted && j.reportedPhase == pipeline.Active && !j.cancelRequested
+			if open && t.state == fleet.Running && !seen[j] && (!long || j.run >= endless) {
 				seen[j] = true
 				out = append(out, j)
 			}
@@ -90,8 +88,8 @@
 	return out
 }
 
-// cancelNow has users call off some running jobs with long to go within a fifth of a
-// second; up to eight of their machines hang.
+// cancelNow has users cancel some running endless jobs within a fifth of a second. If it is given a time, up to eight of
+// the jobs' machines hang for so long.
 func (s *script) cancelNow(count int, hang time.Duration) {
 	js := s.runningJobs(true)
 	s.rng.Shuffle(len(js), func(i, k int) { js[i], js[k] = js[k], js[i] })
--- a/internal/simulation/short_lease.go
+++ b/internal/simulation/short_lease.go
@@ -8,12 +8,10 @@
 	"gingertally/internal/core/placement"
 )
 
-// shortLease adds to a world what a deployment with short leases meets: nodes that
-// compute slowly, stall, refuse each other or are refused by the state service alone,
-// zones cut off for longer than a worker's lease, and clocks at the bound of their drift;
-// in a small cloud that several teams with guarantees and limits share. It draws random numbers of
-// its own, so that the other worlds of the same seed stay what they are. A nil shortLease
-// does nothing.
+// shortLease adds to a world what a deployment with short leases meets: nodes that compute slowly, pause, refuse each
+// other or are refused by the state service alone, zones cut off for longer than a worker's lease, and clocks at the
+// bound of their drift, in a small cloud that several teams with guarantees and limits share. A nil shortLease does
+// nothing.
 type shortLease struct {
 	w *World
 	random
@@ -82,25 +80,24 @@
 	return shortLeaseOffer
 }
 
-// add submits a job at some moment.
+// add has a user submit a job after some time.
 func (s *shortLease) add(at time.Duration, sp pipeline.Spec, run time.Duration) *userJob {
 	s.jobs++
 	sp.Ref, sp.Image, sp.ImageGB, sp.Estimate = shortLeaseJobRefs.ref(s.jobs), fmt.Sprintf("img-%d", s.rng.IntN(3)), 1, run
 	if sp.Class == "" {
 		sp.Class = "c"
 	}
-	j := &userJob{w: s.w, spec: sp, run: run, done: map[int]bool{}}
-	s.w.jobs[sp.Ref] = j
-	s.w.after(at, j.submit)
-	return j
+	return s.w.submitAfter(at, sp, run)
 }
 
-// planServices submits services, most of them spread over zones, some that can save and so
-// be moved; they go on long into the peace.
+// planServices submits services, most of them spread over zones, and some with checkpoints, which can be moved. They go
+// on for long after the faults.
 func (s *shortLease) planServices() {
 	for _, team := range []string{"red", "blue", "amber"} {
-		sp := pipeline.Spec{Shape: pipeline.Service, Team: team, Tasks: 2 + s.rng.IntN(3), CPUs: 1, MemGB: 2,
-			Priority: pipeline.High, Spread: s.rng.IntN(4) > 0, Spot: s.rng.IntN(2) == 0}
+		sp := pipeline.Spec{
+			Shape: pipeline.Service, Team: team, Tasks: 2 + s.rng.IntN(3), CPUs: 1, MemGB: 2,
+			Priority: pipeline.High, Spread: s.rng.IntN(4) > 0, Spot: s.rng.IntN(2) == 0,
+		}
 		if s.rng.IntN(2) == 0 {
 			sp.CheckpointInterval, sp.CheckpointTime = 3*time.Second, 2*time.Second
 		}
@@ -109,21 +106,26 @@
 	}
 }
 
-// planBorrowing has a team without a guarantee take whatever is free, while those with
-// one come and go.
+// planBorrowing has a team without a guarantee use whatever quota is free, while the jobs of the teams with guarantees
+// come and go.
 func (s *shortLease) planBorrowing() {
 	for i := range 4 {
 		at := time.Duration(i) * s.w.options.Length / 5
-		s.add(at+s.between(0, 5*time.Second), pipeline.Spec{Class: borrowed, Team: "green", Tasks: 14, CPUs: 2, MemGB: 4,
-			Priority: pipeline.Production, Spot: true, CheckpointInterval: 3 * time.Second, CheckpointTime: 2 * time.Second}, s.between(40*time.Second, 60*time.Second))
+		spec := pipeline.Spec{
+			Class: borrowed, Team: "green", Tasks: 14, CPUs: 2, MemGB: 4, Priority: pipeline.Production, Spot: true,
+			CheckpointInterval: 3 * time.Second, CheckpointTime: 2 * time.Second,
+		}
+		s.add(at+s.between(0, 5*time.Second), spec, s.between(40*time.Second, 60*time.Second))
 	}
 }
 
 // planOrdinary submits arrays and gangs of the teams with guarantees.
 func (s *shortLease) planOrdinary() {
 	for i := range 18 {
-		sp := pipeline.Spec{Team: []string{"red", "blue", "amber"}[s.rng.IntN(3)], Tasks: 1 + s.rng.IntN(4), CPUs: 2, MemGB: 4,
-			Priority: pipeline.Normal, Spot: s.rng.IntN(3) > 0}
+		sp := pipeline.Spec{
+			Team: []string{"red", "blue", "amber"}[s.rng.IntN(3)], Tasks: 1 + s.rng.IntN(4), CPUs: 2, MemGB: 4,
+			Priority: pipeline.Normal, Spot: s.rng.IntN(3) > 0,
+		}
 		if s.rng.IntN(3) == 0 {
 			sp.Shape, sp.Tasks = pipeline.Gang, 2+s.rng.IntN(2)
 		}
--- a/internal/simulation/starve_test.go
+++ b/internal/simulation/starve_test.go
@@ -20,9 +20,7 @@
 		n++
 		s.Ref, s.Image, s.ImageGB, s.MemGB, s.Spot = fmt.Sprintf("j-%06d", n), "img-0", 1, 4, true
 		s.Estimate, s.CheckpointInterval, s.CheckpointTime = run, 3*time.Second, time.Second
-		j := &userJob{w: w, spec: s, run: run, done: map[int]bool{}}
-		w.jobs[s.Ref] = j
-		w.after(at, j.submit)
+		w.submitAfter(at, s, run)
 	}
 	for at := time.Duration(0); at < w.options.Length; at += 2 * time.Second {
 		jitter := w.between(0, 2*time.Second)
--- a/internal/simulation/user_job.go
+++ b/internal/simulation/user_job.go
@@ -16,24 +16,44 @@
 
 // userJob is a job as its user knows it.
 type userJob struct {
-	w                *World
-	spec             pipeline.Spec
-	run              time.Duration
-	runs             []time.Duration // of each task, if they differ
-	failsAlways      bool
-	wantsCancel      bool
+	w *World
+
+	// What the user submits and intends.
+	spec         pipeline.Spec
+	dependencies []*userJob
+	run          time.Duration   // of each task
+	runs         []time.Duration // of the first tasks, if they differ
+	failsAlways  bool
+	wantsCancel  bool
+
+	// What the user has done and learnt.
+	firstSubmittedAt time.Time
 	accepted         bool
+	acceptedAt       time.Time
+	cancelRequested  bool
 	reportedPhase    pipeline.Phase
-	reportedAt       time.Time // since when
-	failures         int       // how often a task of it failed
+	reportedAt       time.Time // when that phase was first reported
 	cancelReportedAt time.Time
-	done             map[int]bool
-	firstSubmittedAt time.Time // when it was first submitted
-	startedAt        time.Time // when a first task of it ran
-	lastAnsweredAt   time.Time // when a question was last answered
-	dependencies     []*userJob
-	acceptedAt       time.Time
-	cancelRequested  bool // its user has asked to cancel it
+	lastAnsweredAt   time.Time // when a query was last answered
+
+	// What has become of its tasks.
+	startedAt time.Time // when a first one ran
+	failures  int       // how often one failed
+	done      map[int]bool
+}
+
+// newJob adds a job to the world that its user hasn't submitted yet.
+func (w *World) newJob(spec pipeline.Spec, run time.Duration) *userJob {
+	j := &userJob{w: w, spec: spec, run: run, done: map[int]bool{}}
+	w.jobs[spec.Ref] = j
+	return j
+}
+
+// submitAfter adds a job to the world that its user submits after some time.
+func (w *World) submitAfter(delay time.Duration, spec pipeline.Spec, run time.Duration) *userJob {
+	j := w.newJob(spec, run)
+	w.after(delay, j.submit)
+	return j
 }
 
 // mates are the tasks of one attempt of a gang that haven't exited.
@@ -82,7 +102,7 @@
 	return false
 }
 
-// loadBalancedNode is the node that the load balancer chooses: a healthy one, if any is.
+// loadBalancedNode is a node that the load balancer may choose: a healthy one, if any is.
 func (j *userJob) loadBalancedNode() *node {
 	var up []*node
 	for _, n := range j.w.nodes {
@@ -96,6 +116,7 @@
 	return up[j.w.rng.IntN(len(up))]
 }
 
+// submit submits the job until it is accepted. From then on the user polls for it, and cancels it if that is intended.
 func (j *userJob) submit() {
 	if j.firstSubmittedAt.IsZero() {
 		j.firstSubmittedAt = j.w.now
@@ -154,7 +175,7 @@
 	return err == nil || errors.Is(err, jobstore.ErrExists)
 }
 
-// learn has the job's user learn of it from a controller.
+// learn has the job's user learn of its state from a controller.
 func (j *userJob) learn(v core.JobView, known bool) {
 	j.w.checker.observe(jobReported{j, v, known})
 	if v.Phase == pipeline.Cancelled && j.reportedPhase != pipeline.Cancelled {
@@ -180,6 +201,7 @@
 	j.learn(v, known)
 }
 
+// poll queries the job's state, again and again.
 func (j *userJob) poll() {
 	if v, known, ok := j.loadBalancedNode().answerQuery(j.spec.Ref); ok {
 		j.learn(v, known)
@@ -189,12 +211,11 @@
 	j.w.after(j.w.between(2*time.Second, 5*time.Second), j.poll)
 }
 
+// cancel asks the leader to cancel the job, until the user is told that it has ended.
 func (j *userJob) cancel() {
 	n := j.loadBalancedNode()
-	for _, o := range j.w.nodes {
-		if o.holdsLease() {
-			n = o // the leader serves cancellations
-		}
+	if leader := j.w.currentLeader(); leader != nil {
+		n = leader // other nodes pass cancellations on to it
 	}
 	if n.down || n.paused() || n.cutOff() {
 		j.w.after(time.Second, j.cancel)
