--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -9,7 +9,8 @@
 	"gingertally/internal/core"
 )
 
-// cloudSim is the cloud: machines, a capacity for each offer, and a list that lags.
+// cloudSim is the cloud: it creates machines within the capacity of each offer, deletes them, and lists them as they
+// were some time ago.
 type cloudSim struct {
 	w               *World
 	made            int
@@ -23,9 +24,10 @@
 	list []core.Instance
 }
 
-// maxOffer is the capacity of each type, zone and kind.
+// maxOffer is how many machines of each type, zone and kind there can be.
 const maxOffer = 3
 
+// create creates a machine that is up after some time.
 func (c *cloudSim) create(typ, zone string, spot bool, boot time.Duration) string {
 	name := fmt.Sprintf("m-%06d", c.made)
 	c.made++
@@ -36,6 +38,8 @@
 	return name
 }
 
+// scaleOut creates the machines of a request, once however often it is repeated. It tells whether the request was
+// refused for want of capacity, and whether the cloud answers at all.
 func (c *cloudSim) scaleOut(r core.ScaleOut) (names []string, refused, ok bool) {
 	if c.down {
 		return nil, false, false
@@ -65,7 +69,7 @@
 	return names, false, true
 }
 
-// scaleIn deletes machines; they and all on them are gone at once.
+// scaleIn deletes machines. They and all tasks on them are gone at once.
 func (c *cloudSim) scaleIn(names []string) bool {
 	if c.down {
 		return false
@@ -81,6 +85,7 @@
 	return true
 }
 
+// snapshot records the present list.
 func (c *cloudSim) snapshot() {
 	s := snapshot{at: c.w.now}
 	for _, m := range c.w.machines {
--- a/internal/simulation/correlated_failures.go
+++ b/internal/simulation/correlated_failures.go
@@ -4,10 +4,8 @@
 	"time"
 )
 
-// correlatedFailures adds to a world what large fleets see: many machines that stop, hang,
-// restart or lose inbound messages together, and controllers that stall for seconds
-// while their clocks run on. It draws random numbers of its own, so that the other worlds of
-// the same seed stay what they are.
+// correlatedFailures adds to a world what large fleets see: many machines that die, hang, restart or lose inbound
+// messages together, and controllers that pause for seconds while their clocks run on.
 type correlatedFailures struct {
 	w *World
 	random
@@ -24,8 +22,8 @@
 	}
 }
 
-// failMachines has up to all machines fail in one way within a second, often
-// with the leader, or all controllers.
+// failMachines has up to all machines fail in one way within a second. Often the leader crashes with them, or all
+// controllers do.
 func (f *correlatedFailures) failMachines() {
 	w := f.w
 	share, kind := 0.2+0.8*f.rng.Float64(), f.rng.IntN(5)
@@ -61,8 +59,7 @@
 	}
 }
 
-// pauseNode has a controller stall, mostly the leader; some end before
-// they go on.
+// pauseNode has a controller pause, mostly the leader. Some crash before they go on.
 func (f *correlatedFailures) pauseNode() {
 	w := f.w
 	n := w.nodes[f.rng.IntN(len(w.nodes))]
@@ -88,8 +85,7 @@
 	}
 }
 
-// pauseBeforeAnswer is how long an answer lay in a process that stalled after it had
-// checked its lease: seldom any time.
+// pauseBeforeAnswer is how long a process paused between the check of its lease and an answer. Seldom is that any time.
 func (f *correlatedFailures) pauseBeforeAnswer() time.Duration {
 	if f.w.network.reliable || f.rng.IntN(100) > 0 {
 		return 0
--- a/internal/simulation/digest.go
+++ b/internal/simulation/digest.go
@@ -10,9 +10,9 @@
 	"gingertally/internal/core/fleet"
 )
 
-// digest sums up a run: every event of the world, every event and effect of the
-// controllers' engines, and every message to and from workers. Runs of one seed have
-// the same digest, else the world or the engine depends on something besides the seed.
+// digest sums up a run: every event of the world, every event and effect of the controllers' engines, and every message
+// to and from workers. Runs of one seed have the same digest, or else the world or the engine depends on something
+// besides the seed.
 type digest struct {
 	sum  hash.Hash64
 	line func(text string) // if set, gets what is summed up, to find where two runs part
--- a/internal/simulation/drain_scenarios_test.go
+++ b/internal/simulation/drain_scenarios_test.go
@@ -24,8 +24,14 @@
 	s.submitEndless(6, 0)
 	s.submitShort(30, 0, 160*time.Second)
 	for i, team := range []string{"red", "blue", "green"} {
-		s.add(time.Duration(i)*time.Second, pipeline.Spec{Team: team, Shape: pipeline.Service, Tasks: 3, CPUs: 1, MemGB: 1, Priority: pipeline.High}, endless)
-		s.add(time.Duration(i)*time.Second, pipeline.Spec{Team: team, Shape: pipeline.Gang, Tasks: 3, CPUs: 1, MemGB: 1, CheckpointInterval: 3 * time.Second, CheckpointTime: 2 * time.Second}, endless)
+		at := time.Duration(i) * time.Second
+		s.add(at, pipeline.Spec{
+			Team: team, Shape: pipeline.Service, Tasks: 3, CPUs: 1, MemGB: 1, Priority: pipeline.High,
+		}, endless)
+		s.add(at, pipeline.Spec{
+			Team: team, Shape: pipeline.Gang, Tasks: 3, CPUs: 1, MemGB: 1,
+			CheckpointInterval: 3 * time.Second, CheckpointTime: 2 * time.Second,
+		}, endless)
 	}
 }
 
@@ -49,7 +55,8 @@
 
 // drainScenarios are the hard cases of drains in which controllers fail.
 var drainScenarios = []faultScenario{
-	{name: "the leader ends between charge and stop, cordon and eviction, release and its record", length: 200 * time.Second,
+	{name: "the leader ends between charge and stop, cordon and eviction, release and its record",
+		length: 200 * time.Second,
 		script: func(s *script) {
 			s.drainLoad()
 			s.drainAll(15*time.Second, 2)
@@ -76,7 +83,9 @@
 			s.drainLoad()
 			s.drainAll(15*time.Second, 2)
 			s.drainAll(100*time.Second, 3)
-			s.every(25*time.Second, 35*time.Second, func() { s.refuse(s.w.currentLeader(), s.between(5*time.Second, 25*time.Second)) })
+			s.every(25*time.Second, 35*time.Second, func() {
+				s.refuse(s.w.currentLeader(), s.between(5*time.Second, 25*time.Second))
+			})
 		}, least: eventCounts{"nodes refused by the state service": 16, "machines released": 30}},
 
 	{name: "the state service is down in every stage, slow, and loses answers", length: 240 * time.Second,
@@ -131,7 +140,8 @@
 			s.drainAll(15*time.Second, 2)
 			s.drainAll(90*time.Second, 3)
 			s.every(20*time.Second, 20*time.Second, func() {
-				for _, m := range s.sampleMachines(0.2, func(m *machine) bool { return s.w.checker.cordons.isCordoned(m) || s.chance(0.3) }) {
+				cordonedOrSome := func(m *machine) bool { return s.w.checker.cordons.isCordoned(m) || s.chance(0.3) }
+				for _, m := range s.sampleMachines(0.2, cordonedOrSome) {
 					s.count("workers restarted")
 					m.reboot()
 				}
@@ -151,7 +161,8 @@
 		s.every(35*time.Second, 50*time.Second, s.crashLeader)
 	}, least: eventCounts{"cloud outages": 20, "leaders crashed": 8, "machines released": 15}},
 
-	{name: "the version in production leads amid the plan", length: 220 * time.Second, alter: func(o *Options) { o.RollingUpgrade, o.Pipelines = true, 4 },
+	{name: "the version in production leads amid the plan", length: 220 * time.Second,
+		alter: func(o *Options) { o.RollingUpgrade, o.Pipelines = true, 4 },
 		script: func(s *script) {
 			s.drainLoad()
 			s.drainAll(60*time.Second, 2)
@@ -169,7 +180,9 @@
 					s.partitionFromPeersAndStore(n, s.between(5*time.Second, 20*time.Second))
 				}
 			})
-			s.every(45*time.Second, 60*time.Second, func() { s.cutZone(s.w.zones[s.rng.IntN(len(s.w.zones))], s.between(5*time.Second, 25*time.Second)) })
+			s.every(45*time.Second, 60*time.Second, func() {
+				s.cutZone(s.w.zones[s.rng.IntN(len(s.w.zones))], s.between(5*time.Second, 25*time.Second))
+			})
 		}, least: eventCounts{
 			"nodes partitioned from peers and state service": 14, "zones cut off": 8, "machines released": 25,
 		}},
--- a/internal/simulation/drains_test.go
+++ b/internal/simulation/drains_test.go
@@ -48,7 +48,7 @@
 	}{
 		{"charges after the stop", deliberateDrainFault{batch: chargeAfterTheStop}, "uncharged"},
 		{"charges kept in memory", deliberateDrainFault{commit: dropCharges}, "uncharged"},
-		{"cordons forgotten at a takeover", deliberateDrainFault{stored: func(s *drain.Stored) { s.Machines = nil }}, "cordoned"},
+		{"cordons forgotten at a takeover", deliberateDrainFault{stored: forgetCordons}, "cordoned"},
 		{"a gang charged as one task", deliberateDrainFault{commit: chargeOneTask}, "uncharged"},
 		{"closed windows forgotten", deliberateDrainFault{policy: withoutClosedWindows}, "closed"},
 		{"budgets of tasks forgotten", deliberateDrainFault{policy: withoutTaskBudgets}, "task budget"},
@@ -138,6 +138,8 @@
 	return p
 }
 
+func forgetCordons(stored *drain.Stored) { stored.Machines = nil }
+
 func withoutClosedWindows(p drain.Policy) drain.Policy {
 	return changeBudgets(p, func(b *drain.Budget) { b.Closed = nil })
 }
--- a/internal/simulation/election.go
+++ b/internal/simulation/election.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// renew asks the state service to carry the lease on.
+// renew asks the state service to renew the leader lease.
 func (n *node) renew() {
 	w, sent := n.w, n.local()
 	lease, renewed, over := n.lease, false, false
@@ -87,7 +87,7 @@
 	}, true)
 }
 
-// nextTerm is the state service's part in a claim: a term of 0 is none.
+// nextTerm is the state service's part in a claim. Term 0 means that the claim has failed.
 func (n *node) nextTerm() (t leadership.Term, lease int) {
 	w := n.w
 	if n.storeDown() || w.store.lease.held(w.now) {
@@ -106,7 +106,8 @@
 		return t, 0
 	}
 	tv.N = max(tv.N, highest.N) + 1
-	rev, err := w.store.Commit(context.Background(), []statestore.Compare{{Key: leadership.TermKey, ModRevision: it.ModRevision}},
+	rev, err := w.store.Commit(context.Background(),
+		[]statestore.Compare{{Key: leadership.TermKey, ModRevision: it.ModRevision}},
 		[]statestore.Op{statestore.Put(leadership.TermKey, codec.MustMarshal(tv))})
 	if err != nil {
 		return t, 0
@@ -126,6 +127,8 @@
 
 func (l *leaderLease) alive(now time.Time, id int) bool { return l.id == id && l.held(now) }
 
+// leaseProven notes that a request which was sent at some time has renewed the lease. The lease counts from then, less
+// the drift of clocks and a margin.
 func (n *node) leaseProven(sent time.Time) {
 	if u := sent.Add(n.w.options.LeaseTTL - n.w.options.LeaseTTL/500 - 100*time.Millisecond); u.After(n.leaseUntil) {
 		lapsed := !n.holdsLease()
@@ -136,6 +139,7 @@
 	}
 }
 
+// elected begins a term with what the state service holds.
 func (n *node) elected(t leadership.Term, lease int, sent time.Time) {
 	snap, revision, err := n.jobs.Snapshot(context.Background())
 	if err != nil || n.readDrains(&snap) != nil {
--- a/internal/simulation/families_test.go
+++ b/internal/simulation/families_test.go
@@ -34,7 +34,8 @@
 	return Options{
 		Seed: seed, Length: 150 * time.Second, SettleTime: 250 * time.Second,
 		Nodes: 3 + 2*int(seed%3), Zones: 2 + int(seed%2), Jobs: 14, Faults: faults,
-		HeartbeatInterval: 3 * time.Second, Lease: 20 * time.Second, CancelWithin: 40 * time.Second, LeaseTTL: 3 * time.Second,
+		HeartbeatInterval: 3 * time.Second, Lease: 20 * time.Second, CancelWithin: 40 * time.Second,
+		LeaseTTL: 3 * time.Second,
 	}
 }
 
@@ -62,7 +63,8 @@
 	return Options{
 		Seed: seed, Length: 150 * time.Second, SettleTime: 350 * time.Second, Nodes: 3 + 2*int(seed%2), Zones: 3,
 		ShortLease: true, Faults: seed%2 == 0, CorrelatedFailures: seed%5 == 0,
-		HeartbeatInterval: 1500 * time.Millisecond, Lease: 12 * time.Second, CancelWithin: 37 * time.Second, LeaseTTL: 3 * time.Second,
+		HeartbeatInterval: 1500 * time.Millisecond, Lease: 12 * time.Second, CancelWithin: 37 * time.Second,
+		LeaseTTL: 3 * time.Second,
 	}
 }
 
--- a/internal/simulation/fault_scenario_message_rows_test.go
+++ b/internal/simulation/fault_scenario_message_rows_test.go
@@ -131,7 +131,9 @@
 			s.at(s.between(60*time.Second, 80*time.Second), func() {
 				s.onceLeader(func(n *node) {
 					s.refuse(n, 30*time.Second)
-					s.at(s.between(time.Second, 10*time.Second), func() { s.outage(s.w.options.CancelWithin + s.between(time.Second, 10*time.Second)) })
+					s.at(s.between(time.Second, 10*time.Second), func() {
+						s.outage(s.w.options.CancelWithin + s.between(time.Second, 10*time.Second))
+					})
 				})
 			})
 		}, least: eventCounts{
--- a/internal/simulation/fault_scenario_rows_test.go
+++ b/internal/simulation/fault_scenario_rows_test.go
@@ -39,8 +39,12 @@
 			s.submitShort(30, 0, 200*time.Second)
 			s.submitEndless(8, 130*time.Second)
 			s.probeConsistency()
-			refusedLeaderThenOutage(s, s.between(25*time.Second, 35*time.Second), func(s *script) { s.outage(s.w.options.CancelWithin + s.between(2*time.Second, 12*time.Second)) })
-			refusedLeaderThenOutage(s, s.between(155*time.Second, 175*time.Second), func(s *script) { s.outages(4, s.w.options.Lease*8/10, time.Second) })
+			refusedLeaderThenOutage(s, s.between(25*time.Second, 35*time.Second), func(s *script) {
+				s.outage(s.w.options.CancelWithin + s.between(2*time.Second, 12*time.Second))
+			})
+			refusedLeaderThenOutage(s, s.between(155*time.Second, 175*time.Second), func(s *script) {
+				s.outages(4, s.w.options.Lease*8/10, time.Second)
+			})
 		}, least: eventCounts{
 			"outage after confirmation by the next leader": 5, "cancellations confirmed": 20,
 			"consistency probes": 1000,
--- a/internal/simulation/fault_scenarios_test.go
+++ b/internal/simulation/fault_scenarios_test.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// teamAtLimit counts whether a team is at its limit: no further task of two GuaranteedCPUs is allowed.
+// teamAtLimit tells whether a team is at its limit, so that no further task of two CPUs is allowed.
 func (s *script) teamAtLimit(team string) bool {
 	cpus, _ := s.w.checker.ledger.teamUse(team)
 	return !s.w.teams[team].Within(cpus+2, 0)
--- a/internal/simulation/invariant_budgets.go
+++ b/internal/simulation/invariant_budgets.go
@@ -194,7 +194,8 @@
 		fail("task budget: %s is stopped for the %d. time on %s, %d allowed", taskName(t), n, t.m.name, b.TaskInterruptions)
 	}
 	if n := i.countWithin(scope, b.Window); b.WindowInterruptions != drain.Unlimited && n > b.WindowInterruptions {
-		fail("window budget: %s is number %d of %s within %s, %d allowed", taskName(t), n, scope, b.Window, b.WindowInterruptions)
+		fail("window budget: %s is number %d of %s within %s, %d allowed",
+			taskName(t), n, scope, b.Window, b.WindowInterruptions)
 	}
 	if n := len(i.unavailable[t.job]); b.MaxUnavailable != drain.Unlimited && n > b.MaxUnavailable {
 		fail("unavailable: with %s, %d tasks are down by choice, %d allowed", taskName(t), n, b.MaxUnavailable)
--- a/internal/simulation/invariant_leader.go
+++ b/internal/simulation/invariant_leader.go
@@ -28,7 +28,8 @@
 		switch {
 		case !n.holdsLease():
 		case leader != nil:
-			i.w.checker.fail("two leaders: %s of term %d and %s of term %d", leader.name, leader.term.Number, n.name, n.term.Number)
+			i.w.checker.fail("two leaders: %s of term %d and %s of term %d",
+				leader.name, leader.term.Number, n.name, n.term.Number)
 		case n.term.Number < i.newestTerm:
 			i.w.checker.fail("leader of the past: %s acts in term %d after term %d", n.name, n.term.Number, i.newestTerm)
 		default:
--- a/internal/simulation/invariant_waiting.go
+++ b/internal/simulation/invariant_waiting.go
@@ -88,7 +88,8 @@
 // couldStart tells whether tasks of a job wait, all of a gang or some of any other, and there is room for them.
 func (i *nothingLeftWaiting) couldStart(j *userJob) bool {
 	s := &j.spec
-	if !j.accepted || j.failsAlways || j.failures > failuresTolerated || j.cancelRequested || j.reportedPhase != pipeline.Active {
+	open := j.accepted && !j.cancelRequested && j.reportedPhase == pipeline.Active
+	if !open || j.failsAlways || j.failures > failuresTolerated {
 		return false
 	}
 	for _, dependency := range j.dependencies {
@@ -166,7 +167,8 @@
 
 // usable tells whether a machine is healthy, isn't cordoned, and is one that a job may use.
 func (i *nothingLeftWaiting) usable(m *machine, s *pipeline.Spec) bool {
-	if i.w.checker.cordons.isCordoned(m) || i.w.now.Before(m.hungUntil) || !m.isUp || m.faulty || !m.interruptionAt.IsZero() {
+	healthy := m.isUp && !m.faulty && !i.w.now.Before(m.hungUntil) && m.interruptionAt.IsZero()
+	if !healthy || i.w.checker.cordons.isCordoned(m) {
 		return false
 	}
 	if m.failures >= quarantinedAfter || m.failures > 0 && i.w.now.Sub(m.failedAt) <= failureForgotten {
--- a/internal/simulation/invariants_test.go
+++ b/internal/simulation/invariants_test.go
@@ -139,7 +139,9 @@
 		})
 	}},
 	{name: "all replicas of a service stopped at once", says: "all moved", plan: func(w *World) {
-		j := w.script.add(time.Second, pipeline.Spec{Team: "blue", Shape: pipeline.Service, Tasks: 2, CPUs: 1, MemGB: 1}, endless)
+		j := w.script.add(time.Second, pipeline.Spec{
+			Team: "blue", Shape: pipeline.Service, Tasks: 2, CPUs: 1, MemGB: 1,
+		}, endless)
 		everySecond(w, 10*time.Second, func() {
 			if w.script.tasksOf(j) < j.spec.Tasks {
 				return
--- a/internal/simulation/lease_extension.go
+++ b/internal/simulation/lease_extension.go
@@ -6,11 +6,11 @@
 	"gingertally/internal/leadership"
 )
 
-// Lease extension as in package leadership: while the state service doesn't renew the
-// leader's lease, the lease lasts as long as all peers have agreed not to claim.
+// Lease extension as in package leadership: while the state service doesn't renew the leader's lease, the lease lasts
+// for as long as all peers have agreed not to claim.
 
-// extensionGranted records a peer's extension. A lease that is still valid is prolonged to
-// the earliest time that all peers have granted; one that has lapsed stays so.
+// extensionGranted records a peer's extension. A lease that is still valid is extended to the earliest time that all
+// peers have granted. One that has lapsed stays lapsed.
 func (n *node) extensionGranted(peer *node, until time.Time) {
 	if !n.holdsLease() {
 		return
@@ -27,8 +27,8 @@
 	}
 }
 
-// mayClaim tells whether no extension granted by this node is in force, nor may one be
-// that it granted before its start.
+// mayClaim tells whether no extension that this node has granted can be in force any more, not even one from before it
+// booted, of which it knows nothing.
 func (n *node) mayClaim() bool {
 	if n.local().Before(n.candidacy.grantedUntil) {
 		return false
@@ -37,8 +37,8 @@
 	return n.runsProduction || !led || n.local().Sub(n.bootedAt) >= leadership.ExtensionFor
 }
 
-// requestExtensions asks all peers to extend the lease if it isn't renewed. Nodes of the
-// version in production don't know lease extensions.
+// requestExtensions asks all peers to extend the lease if the state service doesn't renew it. Nodes of the version in
+// production know of no lease extensions.
 func (n *node) requestExtensions() {
 	if n.runsProduction || n.leaseUntil.Sub(n.local()) >= n.w.options.LeaseTTL*5/8 {
 		return
@@ -50,8 +50,8 @@
 	}
 }
 
-// requestExtension asks one peer. The request may be delayed; the extension counts from
-// the time at which it was sent.
+// requestExtension asks one peer. The request may be delayed, so the extension counts from the time at which it was
+// sent.
 func (n *node) requestExtension(peer *node) {
 	w, engine, incarnation, sent := n.w, n.engine, n.incarnation, n.local()
 	there, back := w.between(time.Millisecond, 30*time.Millisecond), w.between(time.Millisecond, 30*time.Millisecond)
@@ -72,8 +72,8 @@
 	})
 }
 
-// grantExtension has this node agree not to claim for a while. Now and then it does so
-// although the state service serves it: safety doesn't depend on its refusal.
+// grantExtension has this node agree not to claim for a while. Now and then it does so although the state service
+// serves it, since safety doesn't depend on its refusal.
 func (n *node) grantExtension() bool {
 	if n.runsProduction || n.engine != nil || n.candidacy.pendingClaim != 0 {
 		return false
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -62,7 +62,8 @@
 	commitDelay time.Duration // how much later its transaction is carried out
 }
 
-// notCancelledParts is which part of a cancellation's time it counts that a job was seen not to be cancelled.
+// notCancelledParts is the part of the time for cancellations for which a node relies on having seen that a job wasn't
+// cancelled.
 const notCancelledParts = 4
 
 // How often a node does what it does again and again.
--- a/internal/simulation/node_cloud.go
+++ b/internal/simulation/node_cloud.go
@@ -6,6 +6,7 @@
 	"gingertally/internal/core"
 )
 
+// listInstances has the leader list the cloud's machines.
 func (n *node) listInstances() {
 	if !n.holdsLease() {
 		return
@@ -23,6 +24,7 @@
 	})
 }
 
+// scaleOut sends a request for machines to the cloud. Its answer may be lost.
 func (n *node) scaleOut(r core.ScaleOut) {
 	answer := n.cloudAnswer()
 	n.w.after(n.w.between(50*time.Millisecond, 300*time.Millisecond), func() {
@@ -36,6 +38,7 @@
 	})
 }
 
+// scaleIn has the cloud delete machines.
 func (n *node) scaleIn(names []string) {
 	answer := n.cloudAnswer()
 	delay := n.w.between(50*time.Millisecond, 300*time.Millisecond)
@@ -48,8 +51,7 @@
 	n.w.after(delay, func() { answer(core.ScaleInAnswered{Machines: names, OK: n.w.cloud.scaleIn(names)}) })
 }
 
-// cloudAnswer is how an answer of the cloud reaches the engine that asked, if that
-// still leads.
+// cloudAnswer returns a function that brings an answer of the cloud to the engine that has asked, if that still leads.
 func (n *node) cloudAnswer() func(core.Event) {
 	engine, incarnation := n.engine, n.incarnation
 	return func(ev core.Event) {
--- a/internal/simulation/node_queries.go
+++ b/internal/simulation/node_queries.go
@@ -6,7 +6,8 @@
 	"gingertally/internal/core"
 )
 
-// answerQuery is what a node tells of a job: itself, or by asking another.
+// answerQuery is a node's answer to a query about a job: what it knows itself, or what another node knows. ok is false
+// if it can't tell.
 func (n *node) answerQuery(ref string) (v core.JobView, known, ok bool) {
 	v, known, ok = n.queryAnyNode(ref)
 	n.w.output.jobView(n, ref, v, known, ok)
@@ -30,8 +31,8 @@
 	return v, false, false
 }
 
-// queryLocally is what a node tells by itself: from its engine if it may, else from
-// the store. ok is false when it can't tell.
+// queryLocally is what a node knows of a job by itself: from its engine if it leads, and else from the state service.
+// ok is false if it can't tell.
 func (n *node) queryLocally(ref string) (v core.JobView, known, ok bool) {
 	if n.down {
 		return v, false, false
--- a/internal/simulation/output_digest.go
+++ b/internal/simulation/output_digest.go
@@ -47,7 +47,9 @@
 )
 
 // outputKinds are all kinds of output.
-var outputKinds = []outputKind{outputPut, outputDelete, outputWorkerAnswer, outputDirectCommand, outputScaleOut, outputScaleIn, outputUserAnswer}
+var outputKinds = []outputKind{
+	outputPut, outputDelete, outputWorkerAnswer, outputDirectCommand, outputScaleOut, outputScaleIn, outputUserAnswer,
+}
 
 func newOutputDigest() *outputDigest {
 	return &outputDigest{sum: sha256.New(), counts: map[outputKind]int{}}
--- a/internal/simulation/pipelines.go
+++ b/internal/simulation/pipelines.go
@@ -7,9 +7,8 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// pipelinePlan submits pipelines of jobs that wait for each other: chains, diamonds, fans and
-// whatever the seed brings. It draws random numbers of its own, so that the other worlds of the
-// same seed stay what they are.
+// pipelinePlan submits pipelines, whose jobs depend on each other: chains, diamonds, fans and random graphs. It also
+// rolls the version in production over to the new one.
 type pipelinePlan struct {
 	w *World
 	random
@@ -31,9 +30,9 @@
 	return l
 }
 
-// roll replaces the version in production, node by node, and returns when nothing
-// of it is left. Whatever else crashes meanwhile comes back as it was, and half of
-// the time the leader fails too, so that the versions take turns at leading.
+// roll replaces the version in production node by node, and returns the time at which nothing of it is left. A node that
+// crashes before its turn boots with the version in production again. Half of the time the leader crashes too, so that
+// the versions take turns at leading.
 func (l *pipelinePlan) roll() time.Duration {
 	at := l.between(5*time.Second, 30*time.Second)
 	for _, i := range l.rng.Perm(len(l.w.nodes)) {
@@ -85,8 +84,8 @@
 	return some
 }
 
-// start has a user submit a pipeline, each job as soon as those that it needs are
-// accepted, and some the last only when all others are over.
+// start has a user submit a pipeline, each job as soon as its dependencies are accepted. In some pipelines the last job
+// is submitted only when all others have ended.
 func (l *pipelinePlan) start() {
 	shape, n := l.rng.IntN(4), 2+l.rng.IntN(6)
 	if shape == 2 && l.rng.IntN(4) == 0 {
@@ -117,7 +116,9 @@
 // job is one job of a pipeline, most of them small.
 func (l *pipelinePlan) job(last bool) *userJob {
 	l.jobs++
-	j := &userJob{w: l.w, done: map[int]bool{}, run: l.between(time.Second, 8*time.Second), failsAlways: l.rng.IntN(40) == 0}
+	j := &userJob{
+		w: l.w, done: map[int]bool{}, run: l.between(time.Second, 8*time.Second), failsAlways: l.rng.IntN(40) == 0,
+	}
 	s := &j.spec
 	s.Ref, s.Class, s.Team = pipelineJobRefs.ref(l.jobs), "c", "green"
 	if l.rng.IntN(3) == 0 {
@@ -137,7 +138,8 @@
 	return j
 }
 
-// acceptedUserJob is a job outside the pipeline that one of it may need too.
+// acceptedUserJob is an accepted job outside the pipeline, if one is found, on which a job of the pipeline may depend
+// too.
 func (l *pipelinePlan) acceptedUserJob() []*userJob {
 	for range 5 {
 		ref := userJobRefs.ref(userJobNumber(l.rng.IntN(max(1, l.w.options.Jobs))))
@@ -148,7 +150,7 @@
 	return nil
 }
 
-// submit submits a job once those that it needs are accepted, or over if it is late.
+// submit submits a job once its dependencies are accepted. A late one waits until all others have ended.
 func (l *pipelinePlan) submit(j *userJob, late bool, others []*userJob) {
 	for _, p := range j.dependencies {
 		if !p.accepted {
@@ -176,9 +178,8 @@
 	}
 }
 
-// outageOnceCancelReported has the state service fail as soon as a user knows that a job is
-// cancelled, mostly for longer than those that need it may still be called queued,
-// and often all controllers end too.
+// outageOnceCancelReported has the state service fail as soon as a user knows that a job is cancelled, mostly for longer
+// than the job's dependents may still be reported as active. Half of the time all controllers crash too.
 func (l *pipelinePlan) outageOnceCancelReported(j *userJob) {
 	w := l.w
 	if w.elapsed() > w.options.Length-w.options.CancelWithin {
--- a/internal/simulation/production.go
+++ b/internal/simulation/production.go
@@ -11,10 +11,9 @@
 	"gingertally/internal/statestore"
 )
 
-// What the version in production (deploy/service.toml) reads of jobs, and so writes
-// back; anything else in their records is lost to it. Its rules of leading, placing
-// and answering are those of the present version for jobs that wait for nothing,
-// and it keeps the present limits of the state service, not the coming ones.
+// The version in production (deploy/service.toml) reads only these fields of jobs, and so writes back only these; what
+// else their records hold is lost to it. It leads, places and answers like the present version as far as jobs without
+// dependencies go, and keeps to the present limits of the state service rather than the coming ones.
 
 type productionSpec struct {
 	Ref        string            `cbor:"ref"`
--- a/internal/simulation/random_faults.go
+++ b/internal/simulation/random_faults.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// planFaults strews faults over the world, singly and together.
+// planFaults plans random faults, some of which overlap.
 func (w *World) planFaults() {
 	for range 4 + w.rng.IntN(10) {
 		w.after(w.between(0, w.options.Length), w.randomFault)
@@ -30,6 +30,7 @@
 	}
 }
 
+// anyMachine is a random machine, nil if there is none.
 func (w *World) anyMachine() *machine {
 	ms := w.sortedMachines()
 	if len(ms) == 0 {
@@ -38,6 +39,7 @@
 	return ms[w.rng.IntN(len(ms))]
 }
 
+// randomFault brings about one fault of a random kind.
 func (w *World) randomFault() {
 	n, m := w.nodes[w.rng.IntN(len(w.nodes))], w.anyMachine()
 	long := w.between(2*time.Second, 40*time.Second)
@@ -87,7 +89,7 @@
 	}
 }
 
-// networkFault is a fault between zones, or between controllers.
+// networkFault brings about a fault between zones or between controllers.
 func (w *World) networkFault(long time.Duration) {
 	i := w.rng.IntN(len(w.zones))
 	zone, other := w.zones[i], w.zones[(i+1)%len(w.zones)]
@@ -108,7 +110,7 @@
 	}
 }
 
-// machineFault takes a machine back, lets it die or fall sick.
+// machineFault has a machine die, restart, fail all its tasks, or be taken back by the cloud.
 func (w *World) machineFault(m *machine) {
 	if m == nil {
 		return
@@ -131,6 +133,7 @@
 	}
 }
 
+// outage has the state service refuse everybody for a while. A lease that was valid then has its full time again.
 func (w *World) outage(d time.Duration) {
 	if w.store.down {
 		return
--- a/internal/simulation/random_test.go
+++ b/internal/simulation/random_test.go
@@ -34,7 +34,8 @@
 		started, done, extensions = started+w.Started(), done+w.Done(), extensions+w.leaseExtensions
 	}
 	if started < 5000 || done < 1000 || extensions < 300 {
-		t.Errorf("the worlds did too little to prove anything: %d starts, %d jobs done, %d lease extensions", started, done, extensions)
+		t.Errorf("the worlds did too little to prove anything: %d starts, %d jobs done, %d lease extensions",
+			started, done, extensions)
 	}
 }
 
@@ -68,7 +69,8 @@
 		started, done, dependents = started+w.Started(), done+w.Done(), dependents+w.CancelledAsDependent()
 	}
 	if started < 8000 || done < 3000 || dependents < 300 {
-		t.Errorf("the worlds did too little to prove anything: %d starts, %d jobs done, %d cancelled with others", started, done, dependents)
+		t.Errorf("the worlds did too little to prove anything: %d starts, %d jobs done, %d cancelled with others",
+			started, done, dependents)
 	}
 }
 
--- a/internal/simulation/recovery_test.go
+++ b/internal/simulation/recovery_test.go
@@ -133,7 +133,8 @@
 		})
 	}, least: eventCounts{"crashes of all controllers": 12, "leaders crashed": 24}},
 
-	{name: "the version in production restarts beside the new one", length: 200 * time.Second, alter: func(o *Options) { o.RollingUpgrade, o.Pipelines = true, 4 },
+	{name: "the version in production restarts beside the new one", length: 200 * time.Second,
+		alter: func(o *Options) { o.RollingUpgrade, o.Pipelines = true, 4 },
 		script: func(s *script) {
 			s.submitEndless(6, 0)
 			s.submitShort(30, 0, 160*time.Second)
@@ -145,8 +146,12 @@
 			s.submitEndless(6, 0)
 			s.submitShort(20, 0, 160*time.Second)
 			for i := range 4 {
-				s.add(time.Duration(i)*5*time.Second, pipeline.Spec{Team: "blue", Shape: pipeline.Service, Tasks: 2, CPUs: 1, MemGB: 2, Spot: true}, endless)
-				s.add(time.Duration(i)*30*time.Second, pipeline.Spec{Team: "red", Shape: pipeline.Gang, Tasks: 3, CPUs: 2, MemGB: 4, Spot: true}, 20*time.Second)
+				s.add(time.Duration(i)*5*time.Second, pipeline.Spec{
+					Team: "blue", Shape: pipeline.Service, Tasks: 2, CPUs: 1, MemGB: 2, Spot: true,
+				}, endless)
+				s.add(time.Duration(i)*30*time.Second, pipeline.Spec{
+					Team: "red", Shape: pipeline.Gang, Tasks: 3, CPUs: 2, MemGB: 4, Spot: true,
+				}, 20*time.Second)
 			}
 			s.every(20*time.Second, 40*time.Second, func() {
 				s.crashAll(10*time.Millisecond, 8*time.Second)
--- a/internal/simulation/script.go
+++ b/internal/simulation/script.go
@@ -48,7 +48,7 @@
 	return s
 }
 
-// endFaults ends all faults, and whatever has no end of its own.
+// endFaults ends all faults of the world and the script, and has users cancel the jobs that don't end by themselves.
 func (s *script) endFaults() {
 	w := s.w
 	w.heal()
@@ -66,15 +66,17 @@
 	}
 }
 
+// faultsOver tells whether the faults of the world have ended.
 func (s *script) faultsOver() bool { return !s.w.faultsEndedAt.IsZero() }
 
+// count notes that something came about.
 func (s *script) count(what string) {
 	if s != nil {
 		s.counts[what]++
 	}
 }
 
-// at does something at a moment of the world, unless the faults are over.
+// at does something after some time, unless the faults are over by then.
 func (s *script) at(d time.Duration, fn func()) {
 	s.w.after(d, func() {
 		if !s.faultsOver() {
@@ -83,7 +85,7 @@
 	})
 }
 
-// every does something again and again.
+// every does something at regular intervals, until the faults are over.
 func (s *script) every(from, period time.Duration, fn func()) {
 	s.at(from, func() {
 		fn()
@@ -127,8 +129,8 @@
 	}
 }
 
-// leaderElected lets what was kept for a new leader reach every controller just as it
-// begins or right after, and what waited for its first acts arrive after those.
+// leaderElected lets what was kept for a new leader reach the controllers just as its term begins or right after, and
+// what waited for its first acts arrive after those.
 func (s *script) leaderElected(n *node) {
 	kept, held := s.keptForNextLeader, s.heldUntilLeaderActed
 	s.keptForNextLeader, s.heldUntilLeaderActed = nil, nil
@@ -143,6 +145,7 @@
 	}
 }
 
+// cancellationConfirmed triggers what waits for a user to be told of a cancellation.
 func (s *script) cancellationConfirmed(j *userJob) {
 	if s == nil {
 		return
@@ -153,6 +156,7 @@
 	}
 }
 
+// jobAccepted triggers what waits for a job to be accepted.
 func (s *script) jobAccepted(j *userJob) {
 	if s == nil {
 		return
@@ -162,6 +166,7 @@
 	}
 }
 
+// taskDone triggers what waits for a task to complete, and for the last task of a job.
 func (s *script) taskDone(t *task) {
 	if s == nil {
 		return
@@ -180,7 +185,7 @@
 // grantsWhileServed tells whether nodes extend a lease although the state service serves them.
 func (s *script) grantsWhileServed() bool { return s != nil && s.grantWhileServed }
 
-// bootDelay is how long a rented machine takes to be up.
+// bootDelay is how long a new machine takes to be up.
 func (s *script) bootDelay(d time.Duration) time.Duration {
 	if s == nil || !s.quickMachines {
 		return d
--- a/internal/simulation/script_faults.go
+++ b/internal/simulation/script_faults.go
@@ -8,8 +8,8 @@
 
 // The faults that scripts are made of. Each counts that it came about.
 
-// refuse has the state service refuse one node alone: nothing that it asks is
-// executed, its leases run out, its watches wait and go on afterwards.
+// refuse has the state service refuse one node alone: none of its requests is carried out, its leases expire, and its
+// watches go on afterwards.
 func (s *script) refuse(n *node, d time.Duration) {
 	if n == nil || n.links.refusedByStore {
 		return
@@ -28,7 +28,7 @@
 	})
 }
 
-// onceNextLeader does something once another leader than this one rules.
+// onceNextLeader does something once another node than this one leads.
 func (s *script) onceNextLeader(old *node, fn func(n *node)) {
 	s.when(func() bool { n := s.w.currentLeader(); return n != nil && n != old }, func() {
 		if n := s.w.currentLeader(); n != nil {
@@ -46,14 +46,14 @@
 	s.w.outage(d)
 }
 
-// outages are outages in a row, with a little peace between them.
-func (s *script) outages(times int, d, peace time.Duration) {
+// outages are several outages with pauses between them.
+func (s *script) outages(times int, d, pause time.Duration) {
 	for i := range times {
-		s.at(time.Duration(i)*(d+peace), func() { s.outage(d) })
+		s.at(time.Duration(i)*(d+pause), func() { s.outage(d) })
 	}
 }
 
-// crash ends a node; it is back after a while.
+// crash ends a node, which boots again after a while.
 func (s *script) crash(n *node, back time.Duration) {
 	if n == nil || n.down {
 		return
@@ -69,7 +69,7 @@
 	s.crash(s.w.currentLeader(), s.between(lo, hi))
 }
 
-// shutDownLeader ends the leader, which gives its lease up.
+// shutDownLeader ends the leader, which names a successor and gives its lease up before.
 func (s *script) shutDownLeader(back time.Duration) {
 	n := s.w.currentLeader()
 	if n == nil {
@@ -83,7 +83,7 @@
 	s.crash(n, back)
 }
 
-// crashAll ends all nodes within a second; each is back after a while.
+// crashAll ends all nodes within a second. Each boots again after a time between two bounds.
 func (s *script) crashAll(lo, hi time.Duration) {
 	s.count("crashes of all controllers")
 	for _, n := range s.w.nodes {
@@ -91,8 +91,8 @@
 	}
 }
 
-// partitionFromPeersAndStore cuts a node off from the state service and the other nodes, while workers
-// and users reach it.
+// partitionFromPeersAndStore cuts a node off from the state service and the other nodes, while workers and users still
+// reach it.
 func (s *script) partitionFromPeersAndStore(n *node, d time.Duration) {
 	s.count("nodes partitioned from peers and state service")
 	n.links.storeUnreachable, n.links.peersUnreachable = true, true
@@ -106,7 +106,7 @@
 	s.w.after(d, func() { delete(s.w.network.cutZones, zone) })
 }
 
-// sampleMachines are the machines that are up, each with some chance.
+// sampleMachines are a random share of the machines that are up and meet a condition, if one is given.
 func (s *script) sampleMachines(share float64, only func(m *machine) bool) []*machine {
 	var out []*machine
 	for _, m := range s.w.sortedMachines() {
@@ -127,6 +127,7 @@
 	return false
 }
 
+// hangMachine has a machine hang for some time.
 func (s *script) hangMachine(m *machine, d time.Duration) {
 	if hasTask(m) {
 		s.count("machines with tasks hung")
--- a/internal/simulation/script_messages.go
+++ b/internal/simulation/script_messages.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// copyTo has a copy of a heartbeat reach a controller; nobody waits for its answer.
+// copyTo has a copy of a heartbeat reach a controller. Nobody waits for its answer.
 func (s *script) copyTo(n *node, h fleet.Heartbeat) {
 	n.run(n.incarnation, func() {
 		s.count("duplicate heartbeats")
@@ -84,8 +84,8 @@
 	})
 }
 
-// answerDelay is how long an answer to a heartbeat is held up; if it has commands, the
-// machine often hangs meanwhile and then goes on.
+// answerDelay is how long an answer to a heartbeat is delayed. If the answer has commands, the machine often hangs
+// meanwhile and then goes on.
 func (s *script) answerDelay(m *machine, answer heartbeatAnswer) time.Duration {
 	if s == nil || s.delayedAnswerShare == 0 || answer.status != http.StatusOK || !s.chance(s.delayedAnswerShare) {
 		return 0
@@ -115,8 +115,7 @@
 	return s.between(time.Second, 20*time.Second)
 }
 
-// lateHeartbeats has copies of a share of the heartbeats arrive again, much later or just
-// when a new leader begins.
+// lateHeartbeats has copies of a share of the heartbeats arrive again, much later or just when a new leader begins.
 func (s *script) lateHeartbeats(share float64, d time.Duration, forNext bool) {
 	s.duplicateShare, s.forNextLeader = share, forNext
 	s.at(d, func() { s.duplicateShare = 0 })
--- a/internal/simulation/script_store.go
+++ b/internal/simulation/script_store.go
@@ -24,14 +24,14 @@
 	return s.between(0, s.storeDelay)
 }
 
-// lateWrites leaves a share of the transactions without an answer.
+// lateWrites loses the answers of a share of the transactions for a while. They are carried out at once or later.
 func (s *script) lateWrites(share float64, d time.Duration, atOnce bool) {
 	s.lostAnswerShare, s.commitBeforeLoss = share, atOnce
 	s.at(d, func() { s.lostAnswerShare = 0 })
 }
 
-// nodeView is the state service as a node meets it: it may refuse this node alone,
-// and leave transactions without an answer, carried out at once or later.
+// nodeView is the state service as a node meets it. It may refuse this node alone, and lose the answers of transactions
+// that it carries out at once or later.
 type nodeView struct {
 	jobstore.Store
 	n *node
@@ -55,31 +55,34 @@
 	return v.Store.List(ctx, prefix)
 }
 
-// Commit refuses the nodes that the state service refuses.
-func (v nodeView) Commit(ctx context.Context, conds []statestore.Compare, changes []statestore.Op) (uint64, error) {
+// Commit refuses the nodes that the state service refuses. It carries a transaction whose answer is lost out at once or
+// later, or hands it on.
+func (v nodeView) Commit(
+	ctx context.Context, conditions []statestore.Compare, changes []statestore.Op,
+) (uint64, error) {
 	s := v.n.w.script
 	if v.n.links.refusedByStore {
 		s.count("refused commits")
 		return 0, statestore.ErrUnavailable
 	}
-	if v.n.request.commitDelay == 0 && (s == nil || s.lostAnswerShare == 0 || v.n.storeDown() || !s.chance(s.lostAnswerShare)) {
-		return v.Store.Commit(ctx, conds, changes)
+	delay := v.n.request.commitDelay
+	if delay == 0 && (s == nil || s.lostAnswerShare == 0 || v.n.storeDown() || !s.chance(s.lostAnswerShare)) {
+		return v.Store.Commit(ctx, conditions, changes)
 	}
 	v.n.request.answerLost = true
-	if s.commitBeforeLoss && v.n.request.commitDelay == 0 {
-		if _, err := v.Store.Commit(ctx, conds, changes); err == nil {
+	if s.commitBeforeLoss && delay == 0 {
+		if _, err := v.Store.Commit(ctx, conditions, changes); err == nil {
 			s.count("answers of transactions lost")
 		}
 		return 0, statestore.ErrUnknownOutcome
 	}
 	sent := s.w.store.revision
-	late := v.n.request.commitDelay
-	if late == 0 {
-		late = s.between(2*time.Second, 12*time.Second)
+	if delay == 0 {
+		delay = s.between(2*time.Second, 12*time.Second)
 	}
-	s.w.after(late, func() {
+	s.w.after(delay, func() {
 		newer := s.w.store.revision > sent
-		if _, err := v.Store.Commit(ctx, conds, changes); err == nil && newer {
+		if _, err := v.Store.Commit(ctx, conditions, changes); err == nil && newer {
 			s.count("late transactions carried out")
 		} else if err != nil {
 			s.count("late transactions refused")
--- a/internal/simulation/short_lease_faults.go
+++ b/internal/simulation/short_lease_faults.go
@@ -6,8 +6,8 @@
 	"gingertally/internal/core"
 )
 
-// fault brings one fault about; those of a world begin with a kind that its seed chooses
-// and go on from there, so that each kind gets its share.
+// fault brings one fault about. The faults of a world begin with a kind that its seed chooses and go on from there, so
+// that each kind gets its share.
 func (s *shortLease) fault(kind int) {
 	lease := s.w.options.Lease
 	switch kind % 7 {
@@ -29,7 +29,7 @@
 	}
 }
 
-// nodeOrLeader is mostly the leader, else any node.
+// nodeOrLeader is the leader most of the time, and else any node.
 func (s *shortLease) nodeOrLeader() *node {
 	n := s.w.nodes[s.rng.IntN(len(s.w.nodes))]
 	if l := s.w.currentLeader(); l != nil && s.rng.IntN(4) > 0 {
@@ -44,7 +44,7 @@
 	n.slowUntil = s.w.now.Add(d)
 }
 
-// pauseNode stops a node for longer than its lease, and then go on.
+// pauseNode pauses a node for longer than its lease.
 func (s *shortLease) pauseNode(n *node, d time.Duration) {
 	if n.down {
 		return
@@ -55,7 +55,7 @@
 	n.pausedUntil = s.w.now.Add(d)
 }
 
-// cutZone cuts a zone off with all in it, the leader's or another.
+// cutZone cuts the leader's zone or another one off, with all in it.
 func (s *shortLease) cutZone(leaders bool, d time.Duration) {
 	zone, what := s.w.zones[s.rng.IntN(len(s.w.zones))], "zones cut off without a leader"
 	if l := s.w.currentLeader(); l != nil {
@@ -71,7 +71,7 @@
 	s.w.after(d, func() { delete(s.w.network.cutZones, zone) })
 }
 
-// refusePeers has all nodes refuse each other, or one and the others.
+// refusePeers has all nodes refuse each other's connections, or one node and the others.
 func (s *shortLease) refusePeers(d time.Duration) {
 	s.count("refusals between nodes")
 	if s.rng.IntN(2) == 0 {
@@ -97,7 +97,7 @@
 	slowStep  = 50 * time.Millisecond
 )
 
-// compute lets a slow node be busy with a step for a while.
+// compute keeps a slow node busy with a step for a while.
 func (n *node) compute(ev core.Event) {
 	s := n.w.shortLease
 	if s == nil || !n.w.now.Before(n.slowUntil) {
--- a/internal/simulation/short_lease_test.go
+++ b/internal/simulation/short_lease_test.go
@@ -21,9 +21,13 @@
 		counts["starts"] += w.Started()
 		counts["jobs done"] += w.Done()
 	}
-	least := eventCounts{"starts": 9000, "jobs done": 900, "tasks on borrowed quota preempted": 60, "slow clocks": 400, "fast clocks": 400,
-		"replicas moved": 120, "slow nodes": 60, "slow steps": 5000, "leaders paused beyond their lease": 35, "zones cut off with the leader": 50,
-		"zones cut off without a leader": 70, "refusals between nodes": 60, "nodes refused by the state service": 60, "outages": 60}
+	least := eventCounts{
+		"starts": 9000, "jobs done": 900, "tasks on borrowed quota preempted": 60, "slow clocks": 400,
+		"fast clocks": 400, "replicas moved": 120, "slow nodes": 60, "slow steps": 5000,
+		"leaders paused beyond their lease": 35, "zones cut off with the leader": 50,
+		"zones cut off without a leader": 70, "refusals between nodes": 60,
+		"nodes refused by the state service": 60, "outages": 60,
+	}
 	counts.requireAtLeast(t, least)
 	t.Log(counts)
 }
--- a/internal/simulation/standby.go
+++ b/internal/simulation/standby.go
@@ -8,9 +8,7 @@
 	"gingertally/internal/standby"
 )
 
-// standbyNetwork carries the stream of the warm state between the nodes of a world, and
-// keeps count of what it did. It draws random numbers of its own, so that worlds without it
-// stay what they are. A nil one carries nothing.
+// standbyNetwork carries the stream of the warm state between the nodes of a world. A nil one carries nothing.
 type standbyNetwork struct {
 	w *World
 	random
@@ -29,7 +27,7 @@
 	lagUntil            time.Time    // the follower's disk or network is slow until then
 }
 
-// Bounds of the stream in simulated worlds: small ones, so that they are met.
+// Bounds of the stream in simulated worlds. They are small, so that they are met.
 const (
 	simulatedQueueBound   = 60
 	simulatedHeartbeat    = 500 * time.Millisecond
@@ -38,7 +36,10 @@
 )
 
 func newStandbyNetwork(w *World) *standbyNetwork {
-	s := &standbyNetwork{w: w, random: newRandom(w.options.Seed, standbyStream), counts: eventCounts{}, streams: map[*node]map[*node]*stream{}}
+	s := &standbyNetwork{
+		w: w, random: newRandom(w.options.Seed, standbyStream), counts: eventCounts{},
+		streams: map[*node]map[*node]*stream{},
+	}
 	if w.options.Faults {
 		s.lostShare, s.duplicateShare, s.extraDelay = 0.02, 0.05, 300*time.Millisecond
 	}
@@ -47,12 +48,12 @@
 
 func (s *standbyNetwork) count(what string, n int) { s.counts[what] += n }
 
-// standbyTimeouts are a node's margins, derived as the daemon derives them.
+// standbyTimeouts are a standby's timeouts, derived as the daemon derives them.
 func (w *World) standbyTimeouts() standby.Timeouts {
 	return standby.TimeoutsFor(w.options.HeartbeatInterval, simulatedSnapshotPace)
 }
 
-// standbyOn tells whether a node takes part: the version in production doesn't.
+// standbyOn tells whether a node takes part in the replication. The version in production doesn't.
 func (n *node) standbyOn() bool { return n.w.standbys != nil && !n.runsProduction }
 
 // warmStandby is a node's part in the replication of the warm state. All of it is nil where that is off.
@@ -70,8 +71,8 @@
 	}
 }
 
-// mayClaimNow tells whether the node lets no other claim first any more. It learns that the
-// place is vacant as it tries to claim it.
+// mayClaimNow tells whether the node may claim leadership, or lets a standby with a more current copy claim first. It
+// learns that nobody leads as it tries to claim.
 func (n *node) mayClaimNow() bool {
 	if n.standby == nil {
 		return true
@@ -91,7 +92,7 @@
 	return true
 }
 
-// warmStart begins a term from the copy, if it is confirmed by what the state service held.
+// warmStart begins a term from the standby's copy of the warm state, if what the state service held confirms the copy.
 func (n *node) warmStart(t leadership.Term, revision uint64) {
 	if n.standby == nil {
 		return
@@ -127,7 +128,7 @@
 	}
 }
 
-// replicate sends the changes of the leader's warm state on their way.
+// replicate sends the changes of the leader's warm state to its followers.
 func (n *node) replicate() {
 	if n.publisher == nil || n.engine == nil {
 		return
@@ -149,8 +150,7 @@
 	}
 }
 
-// connect returns the stream between a leader and a follower, a new one where either has
-// started anew.
+// connect returns the stream between a leader and a follower. It is a new one if either process or term is new.
 func (s *standbyNetwork) connect(leader, follower *node) *stream {
 	c := s.streams[leader][follower]
 	if c != nil && c.engine == leader.engine && c.followerIncarnation == follower.incarnation {
@@ -165,8 +165,8 @@
 	return c
 }
 
-// sendFrames sends what a follower lacks. One whose disk or network is slow gets nothing for
-// a while, so that the leader's bound is met.
+// sendFrames sends what a follower lacks. A follower whose disk or network is slow gets nothing for a while, so that the
+// bound of the leader's queue is met.
 func (n *node) sendFrames(c *stream, o *node) {
 	s, w := n.w.standbys, n.w
 	if w.now.Before(c.lagUntil) || w.now.Before(s.laggingUntil) {
@@ -188,7 +188,7 @@
 	}
 }
 
-// deliver brings a frame to a follower, and its answer back.
+// deliver brings a frame to a follower, and its acknowledgement back.
 func (s *standbyNetwork) deliver(leader, follower *node, f standby.Frame) {
 	w, engine, leaderIncarnation, incarnation := s.w, leader.engine, leader.incarnation, follower.incarnation
 	w.after(s.between(time.Millisecond, 20*time.Millisecond+s.extraDelay), func() {
@@ -212,7 +212,7 @@
 	})
 }
 
-// nameSuccessor has a leader that is about to end tell its followers who is to go on.
+// nameSuccessor has a leader that is shutting down tell its followers which of them is to lead next.
 func (n *node) nameSuccessor() {
 	if n.publisher == nil {
 		return
--- a/internal/simulation/standby_scenarios_test.go
+++ b/internal/simulation/standby_scenarios_test.go
@@ -41,7 +41,8 @@
 	{name: "leader pauses between a write and its answer", script: func(s *script) {
 		s.load()
 		s.every(15*time.Second, 22*time.Second, func() {
-			s.when(func() bool { n := s.w.currentLeader(); return n != nil && n.writing }, func() { s.pauseLeader("leaders paused while writing") })
+			leaderWrites := func() bool { n := s.w.currentLeader(); return n != nil && n.writing }
+			s.when(leaderWrites, func() { s.pauseLeader("leaders paused while writing") })
 		})
 	}, least: eventCounts{"leaders paused while writing": 16, "warm takeovers": 14}},
 
@@ -140,7 +141,8 @@
 		s.every(20*time.Second, 15*time.Second, func() { s.crashLeaderFor(10*time.Millisecond, 3*time.Second) })
 	}, least: eventCounts{"leaders paused": 20, "leaders elected": 40}},
 
-	{name: "rolling upgrade from the version in production", alter: func(o *Options) { o.RollingUpgrade, o.Pipelines = true, 4 },
+	{name: "rolling upgrade from the version in production",
+		alter: func(o *Options) { o.RollingUpgrade, o.Pipelines = true, 4 },
 		script: func(s *script) {
 			s.load()
 			s.every(12*time.Second, 16*time.Second, func() { s.crashLeaderFor(time.Second, 4*time.Second) })
--- a/internal/simulation/standby_test.go
+++ b/internal/simulation/standby_test.go
@@ -22,8 +22,10 @@
 			counts.addAll(w.standbys.counts)
 		}
 	}
-	least := eventCounts{"warm takeovers": 150, "machines expected": 600, "machines differing": 60, "frames applied": 20_000,
-		"frames ignored": 500, "frames gap": 30, "slow followers": 300, "claims delayed": 20}
+	least := eventCounts{
+		"warm takeovers": 150, "machines expected": 600, "machines differing": 60, "frames applied": 20_000,
+		"frames ignored": 500, "frames gap": 30, "slow followers": 300, "claims delayed": 20,
+	}
 	counts.requireAtLeast(t, least)
 	t.Log(counts)
 }
--- a/internal/simulation/starve_test.go
+++ b/internal/simulation/starvation_test.go
@@ -24,10 +24,14 @@
 	}
 	for at := time.Duration(0); at < w.options.Length; at += 2 * time.Second {
 		jitter := w.between(0, 2*time.Second)
-		add(at+jitter, pipeline.Spec{Class: "small", Team: "blue", Tasks: 6, CPUs: 4, Priority: pipeline.High}, 12*time.Second)
-		add(at+jitter, pipeline.Spec{Class: "plain", Team: "green", Tasks: 4, CPUs: 4, Priority: pipeline.Normal}, 12*time.Second)
+		small := pipeline.Spec{Class: "small", Team: "blue", Tasks: 6, CPUs: 4, Priority: pipeline.High}
+		plain := pipeline.Spec{Class: "plain", Team: "green", Tasks: 4, CPUs: 4, Priority: pipeline.Normal}
+		add(at+jitter, small, 12*time.Second)
+		add(at+jitter, plain, 12*time.Second)
 		if at%(60*time.Second) == 20*time.Second {
-			add(at, pipeline.Spec{Class: "gang", Team: "green", Tasks: 4, CPUs: 14, Priority: pipeline.Normal, Shape: pipeline.Gang, OneZone: true}, 20*time.Second)
+			add(at, pipeline.Spec{
+				Class: "gang", Team: "green", Tasks: 4, CPUs: 14, Priority: pipeline.Normal, Shape: pipeline.Gang, OneZone: true,
+			}, 20*time.Second)
 			add(at, pipeline.Spec{Class: "wide", Team: "green", Tasks: 40, CPUs: 4, Priority: pipeline.Normal}, 12*time.Second)
 			add(at, pipeline.Spec{Class: "low", Team: "blue", Tasks: 8, CPUs: 4, Priority: pipeline.Low}, 12*time.Second)
 		}
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -11,8 +11,8 @@
 	"gingertally/internal/statestore"
 )
 
-// Store is the state service: keys with versions and atomic transactions. The
-// leaders' lease is kept beside the keys.
+// Store is the state service: keys with modification revisions, and atomic transactions. The leader lease is kept
+// beside the keys.
 type Store struct {
 	w        *World
 	lease    leaderLease // under the leader's key
@@ -20,7 +20,7 @@
 	revision uint64
 	down     bool
 	lowered  bool // the lower limits hold
-	// what is left of the writes that it takes, and as of when
+	// How many changes it still takes at once with the lower limits, and as of when.
 	writesLeft   float64
 	writesLeftAt time.Time
 }
@@ -34,9 +34,10 @@
 // loweredWriteRate is how many changes a second the state service then takes.
 const loweredWriteRate = 12
 
+// lower has the lower limits hold from now on.
 func (s *Store) lower() { s.lowered = true }
 
-// checkLimits tells whether the changes are within the limits.
+// checkLimits refuses changes beyond the limits.
 func (s *Store) checkLimits(changes []statestore.Op) error {
 	limits := highLimits
 	if s.lowered {
@@ -65,6 +66,7 @@
 	return nil
 }
 
+// item is the value of a key.
 type item struct {
 	value       []byte
 	modRevision uint64
--- a/internal/simulation/task.go
+++ b/internal/simulation/task.go
@@ -8,7 +8,7 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// task is an attempt of a job's task on a machine.
+// task is an attempt of a job's task on a machine, as its worker sees it.
 type task struct {
 	m               *machine
 	job             *userJob
@@ -17,10 +17,11 @@
 	state           fleet.TaskState
 	cause           fleet.ExitCause
 	checkpointed    bool
-	onMachine       bool // counts as being on the machine
-	timerGeneration int  // outdates timers
+	onMachine       bool // it counts as being on the machine
+	timerGeneration int  // rises with each timer, which outdates earlier ones
 }
 
+// taskKey names an attempt of a task.
 func taskKey(ref string, index int, attempt uint64) string {
 	return fmt.Sprintf("%s/%05d/%d", ref, index, attempt)
 }
@@ -31,7 +32,7 @@
 // completed tells whether the task has exited since it was done.
 func (t *task) completed() bool { return t.state == fleet.Exited && t.cause == fleet.CauseDone }
 
-// timer runs fn unless the task changed meanwhile.
+// timer runs fn after some time, unless the task gets another timer or exits meanwhile.
 func (t *task) timer(d time.Duration, fn func()) {
 	t.timerGeneration++
 	gen := t.timerGeneration
@@ -42,10 +43,10 @@
 	})
 }
 
-// gangWait is how long a gang's task waits for the others.
+// gangWait is how long a gang's task waits for the others before it gives up.
 const gangWait = 15 * time.Second
 
-// occupyMachine puts the task on its machine: its image is there.
+// occupyMachine puts the task on its machine, now that its image is there. A gang's tasks run once all of them wait.
 func (t *task) occupyMachine() {
 	t.onMachine = true
 	t.m.w.checker.observe(taskStarted{t})
@@ -69,6 +70,7 @@
 	}
 }
 
+// run begins the task's work, and plans its end.
 func (t *task) run() {
 	t.m.w.checker.observe(taskRunning{t})
 	t.state = fleet.Running
@@ -91,6 +93,7 @@
 	}
 }
 
+// stop carries out a command to stop. The task saves a checkpoint if it can and if the grace period suffices.
 func (t *task) stop(grace time.Duration) {
 	switch {
 	case t.state == fleet.Running && t.job.spec.CheckpointInterval > 0 && grace >= t.job.spec.CheckpointTime:
@@ -102,6 +105,7 @@
 	}
 }
 
+// exit ends the task. Its status stays on the machine until the leader has the worker forget it.
 func (t *task) exit(c fleet.ExitCause, saved bool) {
 	if t.state == fleet.Exited {
 		return
@@ -120,7 +124,7 @@
 	}
 }
 
-// leaveMachine counts that the task is no longer on its machine; its gang notices.
+// leaveMachine takes the task off its machine. The rest of its gang notices, and ends.
 func (t *task) leaveMachine() {
 	if t.onMachine {
 		t.onMachine = false
--- a/internal/simulation/user_plan.go
+++ b/internal/simulation/user_plan.go
@@ -7,12 +7,15 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// userJobNumber scatters the numbers of users' jobs: ids come in no order.
+// userJobNumber scatters the numbers of users' jobs, since ids come in no order.
 func userJobNumber(i int) int { return i * 7919 % 100_003 }
 
+// planUsers plans the jobs of ordinary users.
 func (w *World) planUsers() {
 	for i := range w.options.Jobs {
-		j := &userJob{w: w, done: map[int]bool{}, run: w.between(2*time.Second, 25*time.Second), failsAlways: w.chance(0.05)}
+		j := &userJob{
+			w: w, done: map[int]bool{}, run: w.between(2*time.Second, 25*time.Second), failsAlways: w.chance(0.05),
+		}
 		s := &j.spec
 		s.Ref = userJobRefs.ref(userJobNumber(i))
 		s.Class, s.Team, s.Image, s.ImageGB = "c", "red", fmt.Sprintf("img-%d", w.rng.IntN(3)), 2
@@ -52,7 +55,7 @@
 	w.after(w.between(0, 5*time.Second), w.queryUnknownJob)
 }
 
-// queryUnknownJob asks about a job that nobody submitted.
+// queryUnknownJob queries a job that nobody submitted, again and again.
 func (w *World) queryUnknownJob() {
 	n := w.nodes[w.rng.IntN(len(w.nodes))]
 	if v, known, ok := n.answerQuery(unsubmittedRef); ok && known {
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -143,8 +143,10 @@
 
 func (w *World) bootNodes() {
 	for i := range w.options.Nodes {
-		n := &node{w: w, runsProduction: w.options.RollingUpgrade, name: fmt.Sprintf("node-%d", i), zone: w.zones[i%len(w.zones)],
-			clockRate: w.randomClockRate()}
+		n := &node{
+			w: w, name: fmt.Sprintf("node-%d", i), zone: w.zones[i%len(w.zones)], clockRate: w.randomClockRate(),
+			runsProduction: w.options.RollingUpgrade,
+		}
 		w.nodes = append(w.nodes, n)
 		n.boot()
 	}
