--- a/internal/simulation/drains_test.go
+++ b/internal/simulation/drains_test.go
@@ -7,10 +7,9 @@
 	"time"
 
 	"gingertally/internal/codec"
-	"gingertally/internal/statestore"
-
 	"gingertally/internal/core"
 	"gingertally/internal/drain"
+	"gingertally/internal/statestore"
 )
 
 // drainSeeds is how many worlds of each family TestDrainWorlds plays.
--- /dev/null
+++ b/internal/simulation/node_drains.go
@@ -0,0 +1,74 @@
+package simulation
+
+import (
+	"context"
+	"strings"
+	"time"
+
+	"gingertally/internal/core"
+	"gingertally/internal/drain"
+	"gingertally/internal/jobstore"
+	"gingertally/internal/statestore"
+)
+
+// drainsOn tells whether a node runs a version that knows of drains.
+func (n *node) drainsOn() bool { return n.w.drains != nil && !n.runsProduction }
+
+// readDrains reads what is stored of drains for a new leader.
+func (n *node) readDrains(snap *core.Snapshot) error {
+	if !n.drainsOn() {
+		return nil
+	}
+	var err error
+	snap.Drains, err = n.jobs.Drains(context.Background())
+	if fault := n.w.drains.fault.stored; fault != nil {
+		fault(&snap.Drains)
+	}
+	return err
+}
+
+// writePlan writes a leader's change of a plan's record.
+func (n *node) writePlan(w drain.PlanWrite) {
+	engine, term, jobs := n.engine, n.term, n.jobs
+	ok := false
+	n.callOnce(func() {
+		ok = jobs.WriteDrainPlan(context.Background(), term, w) == nil
+	}, func(bool) {
+		if n.engine == engine && engine != nil {
+			n.step(core.DrainPlanWritten{Write: w, OK: ok})
+		}
+	})
+}
+
+// drainChanged has the leader's watch see changes of drain plans, each after a while.
+func (w *World) drainChanged(changes []statestore.Op) {
+	if w.drains == nil {
+		return
+	}
+	for _, c := range changes {
+		switch {
+		case c.Delete:
+			continue
+		case strings.HasPrefix(c.Key, cordonPrefix):
+			w.drains.call(w.drains.onCordon)
+		case strings.HasPrefix(c.Key, chargePrefix):
+			w.drains.call(w.drains.onCharge)
+		}
+		id, ok := strings.CutPrefix(c.Key, jobstore.DrainPlanPrefix)
+		if !ok {
+			continue
+		}
+		for _, n := range w.nodes {
+			if n.engine != nil && n.drainsOn() {
+				w.deliverWatch(n, n.engine, w.between(time.Millisecond, 200*time.Millisecond), func() { n.loadDrainPlan(id) })
+			}
+		}
+	}
+}
+
+// loadDrainPlan brings a leader a plan as it is stored.
+func (n *node) loadDrainPlan(id string) {
+	if stored, err := n.jobs.DrainPlan(context.Background(), id); err == nil {
+		n.step(core.DrainPlanStored{Stored: stored})
+	}
+}
--- a/internal/simulation/election.go
+++ b/internal/simulation/node_election.go
@@ -6,10 +6,9 @@
 	"time"
 
 	"gingertally/internal/codec"
-	"gingertally/internal/statestore"
-
 	"gingertally/internal/core"
 	"gingertally/internal/leadership"
+	"gingertally/internal/statestore"
 )
 
 // candidacy is a node's part in elections.
--- a/internal/simulation/output_digest.go
+++ b/internal/simulation/output_digest.go
@@ -7,15 +7,14 @@
 	"hash"
 	"net/http"
 
+	"gingertally/internal/agentapi"
 	"gingertally/internal/cloud"
 	"gingertally/internal/codec"
-	"gingertally/internal/statestore"
-	"gingertally/internal/wire"
-
-	"gingertally/internal/agentapi"
 	"gingertally/internal/core"
 	"gingertally/internal/core/pipeline"
+	"gingertally/internal/statestore"
 	"gingertally/internal/userapi"
+	"gingertally/internal/wire"
 )
 
 // outputDigest sums up everything that the controllers of a world store and send to the outside,
