--- a/internal/simulation/doc.go
+++ b/internal/simulation/doc.go
@@ -48,7 +48,7 @@
 //
 // # Adding to it
 //
-// A fault that comes by chance is a case of World.randomFault. It changes the draws of all worlds with random faults,
+// A fault that comes by chance is an entry of randomFaultKinds. It changes the draws of all worlds with random faults,
 // and with them the golden file; one that needs to leave them alone gets a part with a stream of its own, as
 // correlatedFailures has. A fault for scripts is a method of script in script_faults.go, script_store.go or
 // script_messages.go; it counts that it came about, and World.heal or script.endFaults ends it.
--- a/internal/simulation/random_faults.go
+++ b/internal/simulation/random_faults.go
@@ -42,67 +42,105 @@
 // randomFault brings about one fault of a random kind.
 func (w *World) randomFault() {
 	n, m := w.nodes[w.rng.IntN(len(w.nodes))], w.anyMachine()
-	long := w.between(2*time.Second, 40*time.Second)
-	switch w.rng.IntN(18) {
-	case 0:
-		n.crash(w.between(10*time.Millisecond, 6*time.Second))
-	case 1:
-		back := w.between(10*time.Millisecond, 6*time.Second)
-		for _, n := range w.nodes {
-			n.crash(w.between(10*time.Millisecond, back))
-		}
-	case 2:
-		n.links.storeUnreachable = true
-		w.after(long, func() { n.links.storeUnreachable = false })
-	case 3:
-		n.links.workersUnreachable = true
-		w.after(long, func() { n.links.workersUnreachable = false })
-	case 4:
-		n.links.storeUnreachable, n.links.workersUnreachable = true, true
-		w.after(long, func() { n.links.storeUnreachable, n.links.workersUnreachable = false, false })
-	case 5:
-		w.outage(w.between(time.Second, 20*time.Second))
-	case 6:
-		w.cloud.down = true
-		w.after(long, func() { w.cloud.down = false })
-	case 7, 8:
-		if m != nil {
-			m.hungUntil = w.now.Add(long)
-		}
-	case 9:
-		if m != nil && m.isUp {
-			m.cut[n] = true
-			w.after(long, func() { m.cut[n] = false })
-		}
-	case 10, 11:
-		w.machineFault(m)
-	case 12, 13:
-		if m != nil {
-			m.inboundLost = true
-			w.after(2*long, func() { m.inboundLost = false })
-		}
-	case 14: // it keeps its workers, and nothing else
-		n.links.storeUnreachable, n.links.peersUnreachable = true, true
-		w.after(long, func() { n.links.storeUnreachable, n.links.peersUnreachable = false, false })
-	default:
-		w.networkFault(long)
+	duration := w.between(2*time.Second, 40*time.Second)
+	kind := randomFaultKinds[w.rng.IntN(len(randomFaultKinds))]
+	kind(w, n, m, duration)
+}
+
+// randomFaultKinds are the kinds of random faults. A kind that is listed twice is twice as frequent. Each gets a random
+// node, a random machine, or nil if there is none, and a duration that it may use.
+var randomFaultKinds = []func(w *World, n *node, m *machine, d time.Duration){
+	(*World).crashNode,
+	(*World).crashAllNodes,
+	(*World).cutNodeFromStore,
+	(*World).cutNodeFromWorkers,
+	(*World).cutNodeFromStoreAndWorkers,
+	(*World).shortOutage,
+	(*World).cloudOutage,
+	(*World).hangMachine, (*World).hangMachine,
+	(*World).cutMachineFromNode,
+	(*World).machineFault, (*World).machineFault,
+	(*World).loseInbound, (*World).loseInbound,
+	(*World).cutNodeFromStoreAndPeers,
+	(*World).networkFault, (*World).networkFault, (*World).networkFault,
+}
+
+// randomDowntime is how long a crashed node is down.
+func (w *World) randomDowntime() time.Duration { return w.between(10*time.Millisecond, 6*time.Second) }
+
+func (w *World) crashNode(n *node, _ *machine, _ time.Duration) { n.crash(w.randomDowntime()) }
+
+func (w *World) crashAllNodes(*node, *machine, time.Duration) {
+	longest := w.randomDowntime()
+	for _, n := range w.nodes {
+		n.crash(w.between(10*time.Millisecond, longest))
+	}
+}
+
+func (w *World) cutNodeFromStore(n *node, _ *machine, d time.Duration) {
+	n.links.storeUnreachable = true
+	w.after(d, func() { n.links.storeUnreachable = false })
+}
+
+func (w *World) cutNodeFromWorkers(n *node, _ *machine, d time.Duration) {
+	n.links.workersUnreachable = true
+	w.after(d, func() { n.links.workersUnreachable = false })
+}
+
+func (w *World) cutNodeFromStoreAndWorkers(n *node, _ *machine, d time.Duration) {
+	n.links.storeUnreachable, n.links.workersUnreachable = true, true
+	w.after(d, func() { n.links.storeUnreachable, n.links.workersUnreachable = false, false })
+}
+
+// cutNodeFromStoreAndPeers leaves a node nothing but its workers and users.
+func (w *World) cutNodeFromStoreAndPeers(n *node, _ *machine, d time.Duration) {
+	n.links.storeUnreachable, n.links.peersUnreachable = true, true
+	w.after(d, func() { n.links.storeUnreachable, n.links.peersUnreachable = false, false })
+}
+
+func (w *World) shortOutage(*node, *machine, time.Duration) {
+	w.outage(w.between(time.Second, 20*time.Second))
+}
+
+func (w *World) cloudOutage(_ *node, _ *machine, d time.Duration) {
+	w.cloud.down = true
+	w.after(d, func() { w.cloud.down = false })
+}
+
+func (w *World) hangMachine(_ *node, m *machine, d time.Duration) {
+	if m != nil {
+		m.hungUntil = w.now.Add(d)
+	}
+}
+
+func (w *World) cutMachineFromNode(n *node, m *machine, d time.Duration) {
+	if m != nil && m.isUp {
+		m.cut[n] = true
+		w.after(d, func() { m.cut[n] = false })
+	}
+}
+
+func (w *World) loseInbound(_ *node, m *machine, d time.Duration) {
+	if m != nil {
+		m.inboundLost = true
+		w.after(2*d, func() { m.inboundLost = false })
 	}
 }
 
 // networkFault brings about a fault between zones or between controllers.
-func (w *World) networkFault(long time.Duration) {
+func (w *World) networkFault(_ *node, _ *machine, d time.Duration) {
 	i := w.rng.IntN(len(w.zones))
 	zone, other := w.zones[i], w.zones[(i+1)%len(w.zones)]
 	switch w.rng.IntN(4) {
 	case 0:
 		w.network.cutZones[zone] = true
-		w.after(long, func() { delete(w.network.cutZones, zone) })
+		w.after(d, func() { delete(w.network.cutZones, zone) })
 	case 1:
 		w.network.partitionedZones[[2]string{zone, other}] = true
-		w.after(long, func() { delete(w.network.partitionedZones, [2]string{zone, other}) })
+		w.after(d, func() { delete(w.network.partitionedZones, [2]string{zone, other}) })
 	case 2:
 		w.network.peersRefuse = true
-		w.after(long, func() { w.network.peersRefuse = false })
+		w.after(d, func() { w.network.peersRefuse = false })
 	case 3: // all restarted, one after the other
 		for i, n := range w.nodes {
 			w.after(time.Duration(i)*4*time.Second, func() { n.crash(w.between(10*time.Millisecond, 3*time.Second)) })
@@ -111,7 +149,7 @@
 }
 
 // machineFault has a machine die, restart, fail all its tasks, or be taken back by the cloud.
-func (w *World) machineFault(m *machine) {
+func (w *World) machineFault(_ *node, m *machine, _ time.Duration) {
 	if m == nil {
 		return
 	}
