--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -2,19 +2,21 @@
 
 import (
 	"fmt"
-	"sort"
+	"slices"
+	"strings"
 	"time"
 
 	"gingertally/internal/core"
 )
 
-// cloudSim is the cloud: machines, a capacity for each offer, and a list that lags.
+// cloudSim is the cloud: it creates machines within the capacity of each offer, deletes them, and lists them as they
+// were some time ago.
 type cloudSim struct {
-	w        *World
-	made     int
-	answered map[string][]string
-	down     bool
-	history  []snapshot
+	w               *World
+	made            int
+	scaleOutAnswers map[string][]string
+	down            bool
+	history         []snapshot
 }
 
 type snapshot struct {
@@ -22,24 +24,27 @@
 	list []core.Instance
 }
 
-// maxOffer is the capacity of each type, zone and kind.
+// maxOffer is how many machines of each type, zone and kind there can be.
 const maxOffer = 3
 
+// create creates a machine that is up after some time.
 func (c *cloudSim) create(typ, zone string, spot bool, boot time.Duration) string {
 	name := fmt.Sprintf("m-%06d", c.made)
 	c.made++
-	m := &machine{w: c.w, name: name, typ: typ, zone: zone, spot: spot, born: c.w.now,
-		rate: c.w.shortLease.clockRate(1 + (c.w.rng.Float64()-0.5)*0.001), images: map[string]bool{}, tasks: map[string]*task{}}
+	m := &machine{w: c.w, name: name, typ: typ, zone: zone, spot: spot, createdAt: c.w.now,
+		clockRate: c.w.randomClockRate(), images: map[string]bool{}, tasks: map[string]*task{}}
 	c.w.machines[name] = m
 	c.w.after(boot, m.up)
 	return name
 }
 
+// scaleOut creates the machines of a request, once however often it is repeated. It tells whether the request was
+// refused for want of capacity, and whether the cloud answers at all.
 func (c *cloudSim) scaleOut(r core.ScaleOut) (names []string, refused, ok bool) {
 	if c.down {
 		return nil, false, false
 	}
-	if got, known := c.answered[r.Name]; known {
+	if got, known := c.scaleOutAnswers[r.Name]; known {
 		return got, false, true
 	}
 	have := 0
@@ -58,13 +63,13 @@
 		if c.w.chance(0.05) {
 			d = time.Hour // never comes up
 		}
-		names = append(names, c.create(r.Type, r.Zone, r.Spot, c.w.script.boot(d)))
+		names = append(names, c.create(r.Type, r.Zone, r.Spot, c.w.script.bootDelay(d)))
 	}
-	c.answered[r.Name] = names
+	c.scaleOutAnswers[r.Name] = names
 	return names, false, true
 }
 
-// scaleIn deletes machines; they and all on them are gone at once.
+// scaleIn deletes machines. They and all tasks on them are gone at once.
 func (c *cloudSim) scaleIn(names []string) bool {
 	if c.down {
 		return false
@@ -80,6 +85,7 @@
 	return true
 }
 
+// snapshot records the present list.
 func (c *cloudSim) snapshot() {
 	s := snapshot{at: c.w.now}
 	for _, m := range c.w.machines {
@@ -88,9 +94,9 @@
 			st = core.InstanceStarting
 		}
 		s.list = append(s.list, core.Instance{Name: m.name, Addr: m.name, Type: m.typ, Zone: m.zone, Spot: m.spot,
-			Status: st, Age: c.w.now.Sub(m.born)})
+			Status: st, Age: c.w.now.Sub(m.createdAt)})
 	}
-	sort.Slice(s.list, func(i, k int) bool { return s.list[i].Name < s.list[k].Name })
+	slices.SortFunc(s.list, func(a, b core.Instance) int { return strings.Compare(a.Name, b.Name) })
 	c.history = append(c.history, s)
 	if len(c.history) > 20 {
 		c.history = c.history[1:]
--- a/internal/simulation/correlated_failures.go
+++ b/internal/simulation/correlated_failures.go
@@ -1,40 +1,33 @@
 package simulation
 
 import (
-	"math/rand/v2"
 	"time"
 )
 
-// correlatedFailures adds to a world what large fleets see: many machines that stop, hang,
-// restart or lose inbound messages together, and controllers that stall for seconds
-// while their clocks run on. It draws random numbers of its own, so that the other worlds of
-// the same seed stay what they are.
+// correlatedFailures adds to a world what large fleets see: many machines that die, hang, restart or lose inbound
+// messages together, and controllers that pause for seconds while their clocks run on.
 type correlatedFailures struct {
-	w   *World
-	rng *rand.Rand
+	w *World
+	random
 }
 
 func (w *World) planCorrelatedFailures() {
-	f := &correlatedFailures{w: w, rng: rand.New(rand.NewPCG(w.o.Seed, 11))}
+	f := &correlatedFailures{w: w, random: newRandom(w.options.Seed, correlatedStream)}
 	w.correlated = f
 	for range 3 + f.rng.IntN(4) {
-		w.after(f.between(0, w.o.Length), f.failMachines)
+		w.after(f.between(0, w.options.Length), f.failMachines)
 	}
 	for range 3 + f.rng.IntN(6) {
-		w.after(f.between(0, w.o.Length), f.stallNode)
+		w.after(f.between(0, w.options.Length), f.pauseNode)
 	}
 }
 
-func (f *correlatedFailures) between(lo, hi time.Duration) time.Duration {
-	return lo + time.Duration(f.rng.Int64N(int64(hi-lo)+1))
-}
-
-// failMachines has up to all machines fail in one way within a second, often
-// with the leader, or all controllers.
+// failMachines has up to all machines fail in one way within a second. Often the leader crashes with them, or all
+// controllers do.
 func (f *correlatedFailures) failMachines() {
 	w := f.w
 	share, kind := 0.2+0.8*f.rng.Float64(), f.rng.IntN(5)
-	hang := f.between(time.Second, 3*w.o.Lease)
+	hang := f.between(time.Second, 3*w.options.Lease)
 	for _, m := range w.sortedMachines() {
 		if f.rng.Float64() > share {
 			continue
@@ -46,7 +39,7 @@
 				m.die()
 			case kind == 1:
 				m.reboot()
-			case kind == 2 && !w.noNet:
+			case kind == 2 && !w.network.reliable:
 				m.inboundLost = true
 				w.after(hang, func() { m.inboundLost = false })
 			default:
@@ -66,9 +59,8 @@
 	}
 }
 
-// stallNode has a controller stall, mostly the leader; some end before
-// they go on.
-func (f *correlatedFailures) stallNode() {
+// pauseNode has a controller pause, mostly the leader. Some crash before they go on.
+func (f *correlatedFailures) pauseNode() {
 	w := f.w
 	n := w.nodes[f.rng.IntN(len(w.nodes))]
 	for _, o := range w.nodes {
@@ -83,20 +75,19 @@
 	if f.rng.IntN(3) == 0 {
 		d = f.between(6*time.Second, 60*time.Second)
 	}
-	n.stalledUntil = w.now.Add(d)
-	if life := n.incarnation; f.rng.IntN(5) == 0 {
+	n.pausedUntil = w.now.Add(d)
+	if incarnation := n.incarnation; f.rng.IntN(5) == 0 {
 		w.after(f.between(0, d), func() {
-			if n.incarnation == life && !n.down {
+			if n.incarnation == incarnation && !n.down {
 				n.crash(f.between(10*time.Millisecond, 4*time.Second))
 			}
 		})
 	}
 }
 
-// stallBeforeAnswer is how long an answer lay in a process that stalled after it had
-// checked its lease: seldom any time.
-func (f *correlatedFailures) stallBeforeAnswer() time.Duration {
-	if f.w.noNet || f.rng.IntN(100) > 0 {
+// pauseBeforeAnswer is how long a process paused between the check of its lease and an answer. Seldom is that any time.
+func (f *correlatedFailures) pauseBeforeAnswer() time.Duration {
+	if f.w.network.reliable || f.rng.IntN(100) > 0 {
 		return 0
 	}
 	return f.between(0, 6*time.Second)
--- a/internal/simulation/drains_test.go
+++ b/internal/simulation/drains_test.go
@@ -1,61 +1,52 @@
 package simulation
 
 import (
+	"context"
 	"strings"
 	"testing"
 	"time"
 
 	"gingertally/internal/codec"
-	"gingertally/internal/statestore"
-
 	"gingertally/internal/core"
 	"gingertally/internal/drain"
+	"gingertally/internal/statestore"
 )
 
 // drainSeeds is how many worlds of each family TestDrainWorlds plays.
 const drainSeeds = 12
 
 // TestDrainWorlds plays worlds of every family in which operators drain machines while teams
-// have budgets of every kind, with all troubles, and the warm standby on in every other one.
+// have budgets of every kind, with all faults, and the warm standby on in every other one.
 // Besides all rules, the budgets and cordons hold after every step.
 func TestDrainWorlds(t *testing.T) {
-	from := map[string]uint64{"peace": 1, "troubles": 1000, "many fall together": 3000, "pipelines": 5000, "short leases": 7000}
-	notes := map[string]int{}
-	for _, f := range families {
-		for seed := range uint64(drainSeeds) {
-			o := f.options(from[f.name] + seed)
-			o.Draining, o.Standby = true, seed%2 == 0
-			w := NewWorld(o)
-			if err := w.Run(); err != nil {
-				t.Errorf("%s: %v", f.name, err)
-			}
-			for what, n := range w.drains.notes {
-				notes[what] += n
-			}
-		}
+	counts := eventCounts{}
+	change := func(o Options, number int) Options {
+		o.Drains, o.Standby = true, number%2 == 0
+		return o
 	}
-	for what, least := range map[string]int{"plans accepted": 100, "machines cordoned": 100, "machines released": 50, "interruptions by choice": 40, "interruptions of gangs": 5} {
-		if notes[what] < least {
-			t.Errorf("%s: %d, at least %d expected", what, notes[what], least)
-		}
-	}
-	t.Log(notes)
+	playFamilies(t, drainSeeds, change, func(w *World) { counts.addAll(w.drains.counts) })
+	counts.requireAtLeast(t, eventCounts{
+		"plans accepted": 100, "machines cordoned": 100, "machines released": 50, "interruptions by choice": 40,
+		"interruptions of gangs": 5,
+	})
+	t.Log(counts)
 }
 
 // Each check of drains is seen to fail under a deliberate fault.
 func TestDrainChecksSeeFaults(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		fault drainFault
+		fault deliberateDrainFault
 		says  string
 	}{
-		{"charges after the stop", drainFault{batch: chargeAfterTheStop}, "uncharged"},
-		{"charges kept in memory", drainFault{commit: dropCharges}, "uncharged"},
-		{"cordons forgotten at a takeover", drainFault{stored: func(s *drain.Stored) { s.Machines = nil }}, "cordoned"},
-		{"a gang charged as one task", drainFault{commit: chargeOneTask}, "uncharged"},
-		{"closed windows forgotten", drainFault{policy: withoutClosedWindows}, "closed"},
-		{"budgets of tasks forgotten", drainFault{policy: withoutTaskBudgets}, "task budget"},
-		{"budgets of windows forgotten", drainFault{policy: withoutWindowBudgets}, "window budget"},
+		{"charges after the stop", deliberateDrainFault{batch: chargeAfterTheStop}, "uncharged"},
+		{"charges kept in memory", deliberateDrainFault{commit: dropCharges}, "uncharged"},
+		{"cordons forgotten at a takeover", deliberateDrainFault{stored: forgetCordons}, "cordoned"},
+		{"a gang charged as one task", deliberateDrainFault{commit: chargeOneTask}, "uncharged"},
+		{"closed windows forgotten", deliberateDrainFault{policy: withoutClosedWindows}, "closed"},
+		{"budgets of tasks forgotten", deliberateDrainFault{policy: withoutTaskBudgets}, "task budget"},
+		{"budgets of windows forgotten", deliberateDrainFault{policy: withoutWindowBudgets}, "window budget"},
+		{"bounds on unavailable tasks forgotten", deliberateDrainFault{policy: withoutUnavailableBounds}, "unavailable"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -67,13 +58,13 @@
 }
 
 // faultSeen tells whether a world with a deliberate fault breaks a rule.
-func faultSeen(fault drainFault, says string) bool {
+func faultSeen(fault deliberateDrainFault, says string) bool {
 	for seed := range uint64(150) {
-		o := options(1000+seed, true)
+		o := randomOptions(1000+seed, true)
 		if seed%2 == 0 {
-			o = shortLeases(7000 + seed)
+			o = shortLeaseOptions(7000 + seed)
 		}
-		o.Draining, o.DrainFault = true, fault
+		o.Drains, o.DrainFault = true, fault
 		if err := NewWorld(o).Run(); err != nil && strings.Contains(err.Error(), says) {
 			return true
 		}
@@ -99,7 +90,7 @@
 		term, jobs := n.term, n.jobs
 		n.step(core.WritesStarted{Batch: charges})
 		n.step(core.WritesFinished{Batch: charges, OK: true, Revision: term.Revision})
-		n.w.after(chargeDelay, func() { _, _, _ = jobs.Apply(bg, term, charges) })
+		n.w.after(chargeDelay, func() { _, _, _ = jobs.Apply(context.Background(), term, charges) })
 	}
 	return rest
 }
@@ -140,6 +131,8 @@
 	return p
 }
 
+func forgetCordons(stored *drain.Stored) { stored.Machines = nil }
+
 func withoutClosedWindows(p drain.Policy) drain.Policy {
 	return changeBudgets(p, func(b *drain.Budget) { b.Closed = nil })
 }
@@ -151,3 +144,7 @@
 func withoutWindowBudgets(p drain.Policy) drain.Policy {
 	return changeBudgets(p, func(b *drain.Budget) { b.WindowInterruptions, b.Window = drain.Unlimited, 0 })
 }
+
+func withoutUnavailableBounds(p drain.Policy) drain.Policy {
+	return changeBudgets(p, func(b *drain.Budget) { b.MaxUnavailable = drain.Unlimited })
+}
--- a/internal/simulation/fault_scenarios_test.go
+++ b/internal/simulation/fault_scenarios_test.go
@@ -12,22 +12,27 @@
 	"gingertally/internal/core/placement"
 )
 
-// faultScenario is a row of TestFaultScenarios: troubles that meet, and what must have come
-// about, over all its seeds, for the row to prove anything.
+// faultScenario is a row of a table of scenarios: faults that meet in a world.
 type faultScenario struct {
-	name   string
-	noise  bool // every other seed has all other troubles on top
-	length time.Duration
-	alter  func(o *Options)
-	script func(s *script)
-	least  map[string]int
+	name string
+	// digestLabel is the name in testdata/output_digests.txt, if the scenario was renamed since that file was written.
+	digestLabel  string
+	randomFaults bool             // every other seed has random faults besides
+	length       time.Duration    // of the world, if it isn't the usual one
+	alter        func(o *Options) // changes the world's options, if set
+	script       func(s *script)
+	// least is how often events have to come about over all seeds for the row to prove anything.
+	least eventCounts
 }
 
-// seedsOf is how many worlds each fault scenario has.
-const seedsOf = 4
+// seedsPerScenario is how many worlds each scenario has.
+const seedsPerScenario = 4
 
-func (m *faultScenario) options(i uint64) Options {
-	o := options(9000+i, m.noise && i%2 == 1)
+// firstScenarioSeed is where the seeds of scenarios begin.
+const firstScenarioSeed = 9000
+
+func (m *faultScenario) options(seed uint64) Options {
+	o := randomOptions(firstScenarioSeed+seed, m.randomFaults && seed%2 == 1)
 	o.Jobs = 0
 	if m.length > 0 {
 		o.Length = m.length
@@ -38,127 +43,116 @@
 	return o
 }
 
-// refusedThenOut has the state service refuse the leader alone; the next one confirms
-// cancellations to users; then the state service is out for all, while the workers
-// keep reporting to the old leader.
-func refusedThenOut(s *script, at time.Duration, out func(s *script)) {
+// refusedLeaderThenOutage has the state service refuse the leader alone, and the next leader confirm cancellations to
+// users. Then the state service is out for all, while the workers keep sending their heartbeats to the old leader.
+func refusedLeaderThenOutage(s *script, at time.Duration, out func(s *script)) {
 	outage := func(old *node) {
-		s.note("outage after confirmation by the next leader")
-		s.noteCancelledWithTasks()
+		s.count("outage after confirmation by the next leader")
+		s.countCancelledWithTasks()
 		out(s)
-		s.sendHeartbeatsTo(old, 2*s.w.o.Cancel)
+		s.sendHeartbeatsTo(old, 2*s.w.options.CancelWithin)
 	}
 	s.at(at, func() {
-		s.withLeader(func(old *node) {
+		s.onceLeader(func(old *node) {
 			s.refuse(old, s.between(20*time.Second, 70*time.Second))
-			s.afterLeader(old, func(*node) {
+			s.onceNextLeader(old, func(*node) {
 				s.at(s.between(0, 3*time.Second), func() { s.afterNextConfirmation(func() { outage(old) }) })
 			})
 		})
 	})
 }
 
-// afterNextConfirmation cancels jobs, and does something within a second of the first
-// confirmation that a user gets.
+// afterNextConfirmation has jobs cancelled, and does something within a second of the first confirmation that a user
+// gets.
 func (s *script) afterNextConfirmation(fn func()) {
-	before := s.notes["confirmed"]
+	before := s.counts["cancellations confirmed"]
 	s.cancelNow(3, 0)
-	s.when(func() bool { return s.notes["confirmed"] > before }, func() {
+	s.when(func() bool { return s.counts["cancellations confirmed"] > before }, func() {
 		s.at(s.between(0, time.Second), fn)
 	})
 }
 
-// noteCancelledWithTasks counts the jobs that are cancelled, as their users know, and
-// still have tasks on machines.
-func (s *script) noteCancelledWithTasks() {
-	for _, j := range s.sortedJobs() {
-		if j.told == pipeline.Cancelled && s.tasksOf(j) > 0 {
-			s.note("cancelled jobs with tasks as the outage began")
+// countCancelledWithTasks counts the jobs that are cancelled, as their users know, and still have tasks on machines.
+func (s *script) countCancelledWithTasks() {
+	for _, j := range s.w.sortedJobs() {
+		if j.reportedPhase == pipeline.Cancelled && s.tasksOf(j) > 0 {
+			s.count("cancelled jobs with tasks as the outage began")
 		}
 	}
 }
 
-// sendHeartbeatsTo has all workers report to one node, again and again.
+// sendHeartbeatsTo has all workers send their heartbeats to one node for some time.
 func (s *script) sendHeartbeatsTo(n *node, d time.Duration) {
 	for at := time.Duration(0); at < d; at += time.Second {
 		s.at(at, func() {
 			for _, m := range s.w.sortedMachines() {
-				for i, o := range s.w.nodes {
-					if o == n {
-						m.target = i
-						s.note("workers aimed at the old leader")
-					}
-				}
+				m.target = slices.Index(s.w.nodes, n)
+				s.count("workers directed to the old leader")
 			}
 		})
 	}
 }
 
-// limitAll gives each team a limit that long jobs fill.
-func limitAll(s *script) {
+// limitTeams gives each team a limit that long jobs fill.
+func limitTeams(s *script) {
 	for _, t := range []string{"red", "blue", "green"} {
 		s.w.teams[t] = placement.Quota{CPULimit: 10, GPULimit: 4}
 	}
 }
 
-// full notes whether a team is at its limit: no further task of two GuaranteedCPUs is allowed.
-func (s *script) full(team string) bool {
-	var cpus float64
-	s.w.check.each(func(t *task) {
-		if t.job.spec.Team == team {
-			cpus += t.job.spec.CPUs
-		}
-	})
+// teamAtLimit tells whether a team is at its limit, so that no further task of two CPUs is allowed.
+func (s *script) teamAtLimit(team string) bool {
+	cpus, _ := s.w.checker.ledger.teamUse(team)
 	return !s.w.teams[team].Within(cpus+2, 0)
 }
 
-// changes ends the leader again and again.
-func changes(s *script, from, period time.Duration, lo, hi time.Duration) {
-	s.every(from, period, func() { s.crash(s.ruling(), s.between(lo, hi)) })
+// crashLeaderRepeatedly ends the leader again and again.
+func crashLeaderRepeatedly(s *script, from, period time.Duration, lo, hi time.Duration) {
+	s.every(from, period, func() { s.crashLeaderFor(lo, hi) })
 }
 
-// someCancel has a share of the users call off their jobs soon after they were accepted.
-func someCancel(s *script, share float64, within time.Duration) {
+// cancelShare has a share of the users call off their jobs soon after they were accepted.
+func cancelShare(s *script, share float64, within time.Duration) {
 	s.onAccepted = append(s.onAccepted, func(j *userJob) {
 		if s.chance(share) {
-			s.note("called off")
+			s.count("cancellations requested")
 			s.at(s.between(0, within), j.cancel)
 		}
 	})
 }
 
-// atEndOf does something at the very moment at which a job's last task ends.
-func atEndOf(s *script, share float64, fn func(j *userJob)) {
+// whenJobEnds does something at the very moment at which a job's last task ends.
+func whenJobEnds(s *script, share float64, fn func(j *userJob)) {
 	s.onEnded = append(s.onEnded, func(j *userJob) {
 		if j.accepted && s.chance(share) {
-			s.note("ends met")
+			s.count("job ends met")
 			fn(j)
 		}
 	})
 }
 
-// TestFaultScenarios plays worlds in which troubles meet at just the wrong moments, and
-// holds every rule against each step. A row whose scenario didn't come about proves
-// nothing, and fails.
+// TestFaultScenarios plays worlds in which faults meet at just the wrong moments.
 func TestFaultScenarios(t *testing.T) {
 	for i := range faultScenarios {
 		m := &faultScenarios[i]
-		t.Run(m.name, func(t *testing.T) {
-			notes := map[string]int{}
-			for k := range uint64(seedsOf) {
-				m.play(t, uint64(i)*100+k, notes, false)
-			}
-			for what, least := range m.least {
-				if notes[what] < least {
-					t.Errorf("%s: %d, at least %d expected", what, notes[what], least)
-				}
-			}
-			t.Log(notes)
-		})
+		t.Run(m.name, func(t *testing.T) { m.playAll(t, uint64(i)*100) })
 	}
 }
 
-func (m *faultScenario) play(t *testing.T, seed uint64, notes map[string]int, trace bool) {
+// playAll plays all worlds of a scenario. A scenario that didn't come about proves nothing, and fails.
+func (m *faultScenario) playAll(t *testing.T, firstSeed uint64) {
+	t.Helper()
+	counts := eventCounts{}
+	for seed := range uint64(seedsPerScenario) {
+		m.play(t, firstSeed+seed, counts, false)
+	}
+	counts.requireAtLeast(t, m.least)
+	t.Log(counts)
+}
+
+// play plays one world of a scenario, holds every invariant against each step, and expects all jobs to end. It adds what
+// came about to the counts.
+func (m *faultScenario) play(t *testing.T, seed uint64, counts eventCounts, trace bool) {
 	t.Helper()
 	o := m.options(seed)
 	o.Standby = o.Standby || os.Getenv("SIMULATION_STANDBY") != ""
@@ -174,32 +168,26 @@
 		t.Error(err)
 		return
 	}
-	for what, n := range s.notes {
-		notes[what] += n
-	}
+	counts.addAll(s.counts)
 	if w.standbys != nil {
-		for what, n := range w.standbys.notes {
-			notes[what] += n
-		}
+		counts.addAll(w.standbys.counts)
 	}
 	if w.drains != nil {
-		for what, n := range w.drains.notes {
-			notes[what] += n
-		}
+		counts.addAll(w.drains.counts)
 	}
-	notes["starts after a confirmed cancellation"] += w.check.startsCancelled
-	for _, j := range s.sortedJobs() {
+	counts["starts after a confirmed cancellation"] += w.checker.ledger.startsAfterCancellation
+	for _, j := range s.w.sortedJobs() {
 		switch {
 		case !j.accepted:
-			t.Errorf("seed %d: %s was never accepted", w.o.Seed, j.spec.Ref)
-		case j.told == pipeline.Active:
-			t.Errorf("seed %d: %s never came to an end: %+v", w.o.Seed, j.spec.Ref, j.spec)
+			t.Errorf("seed %d: %s was never accepted", w.options.Seed, j.spec.Ref)
+		case j.reportedPhase == pipeline.Active:
+			t.Errorf("seed %d: %s never came to an end: %+v", w.options.Seed, j.spec.Ref, j.spec)
 		}
 	}
 }
 
-// TestFaultScenarioSeeds plays as many worlds of each fault scenario as SIMULATION_FAULT_SCENARIOS says,
-// from SIMULATION_FROM on: a longer hunt than the tests have time for.
+// TestFaultScenarioSeeds plays as many worlds of each fault scenario and drain scenario as SIMULATION_FAULT_SCENARIOS
+// says, from SIMULATION_FROM on: a longer hunt than the tests have time for.
 func TestFaultScenarioSeeds(t *testing.T) {
 	n, err := strconv.ParseUint(os.Getenv("SIMULATION_FAULT_SCENARIOS"), 10, 64)
 	if err != nil {
@@ -211,7 +199,7 @@
 		t.Run(all[i].name, func(t *testing.T) {
 			t.Parallel()
 			for k := range n {
-				all[i].play(t, from+k, map[string]int{}, os.Getenv("SIMULATION_TRACE") != "")
+				all[i].play(t, from+k, eventCounts{}, os.Getenv("SIMULATION_TRACE") != "")
 			}
 		})
 	}
--- a/internal/simulation/lease_extension.go
+++ b/internal/simulation/node_lease_extension.go
@@ -6,11 +6,11 @@
 	"gingertally/internal/leadership"
 )
 
-// Lease extension as in package leadership: while the state service doesn't renew the
-// leader's lease, the lease lasts as long as all peers have agreed not to claim.
+// Lease extension as in package leadership: while the state service doesn't renew the leader's lease, the lease lasts
+// for as long as all peers have agreed not to claim.
 
-// extensionGranted records a peer's extension. A lease that is still valid is prolonged to
-// the earliest time that all peers have granted; one that has lapsed stays so.
+// extensionGranted records a peer's extension. A lease that is still valid is extended to the earliest time that all
+// peers have granted. One that has lapsed stays lapsed.
 func (n *node) extensionGranted(peer *node, until time.Time) {
 	if !n.holdsLease() {
 		return
@@ -27,20 +27,20 @@
 	}
 }
 
-// mayClaim tells whether no extension granted by this node is in force, nor may one be
-// that it granted before its start.
+// mayClaim tells whether no extension that this node has granted can be in force any more, not even one from before it
+// booted, of which it knows nothing.
 func (n *node) mayClaim() bool {
-	if n.local().Before(n.grantedUntil) {
+	if n.local().Before(n.candidacy.grantedUntil) {
 		return false
 	}
 	led := n.w.store.items[leadership.TermKey] != nil
-	return n.old || !led || n.local().Sub(n.booted) >= leadership.ExtensionFor
+	return n.runsProduction || !led || n.local().Sub(n.bootedAt) >= leadership.ExtensionFor
 }
 
-// requestExtensions asks all peers to extend the lease if it isn't renewed. Nodes of the
-// version in production don't know lease extensions.
+// requestExtensions asks all peers to extend the lease if the state service doesn't renew it. Nodes of the version in
+// production know of no lease extensions.
 func (n *node) requestExtensions() {
-	if n.old || n.leaseUntil.Sub(n.local()) >= n.w.o.LeaseTTL*5/8 {
+	if n.runsProduction || n.leaseUntil.Sub(n.local()) >= n.w.options.LeaseTTL*5/8 {
 		return
 	}
 	for _, peer := range n.w.nodes {
@@ -50,37 +50,37 @@
 	}
 }
 
-// requestExtension asks one peer. The request may be delayed; the extension counts from
-// the time at which it was sent.
+// requestExtension asks one peer. The request may be delayed, so the extension counts from the time at which it was
+// sent.
 func (n *node) requestExtension(peer *node) {
-	w, eng, life, sent := n.w, n.eng, n.incarnation, n.local()
+	w, engine, incarnation, sent := n.w, n.engine, n.incarnation, n.local()
 	there, back := w.between(time.Millisecond, 30*time.Millisecond), w.between(time.Millisecond, 30*time.Millisecond)
-	if w.o.Faults && !w.noNet && w.chance(0.05) {
+	if w.unreliable() && w.chance(0.05) {
 		there += w.between(0, 5*time.Second) // delayed in the network
 	}
 	granted := func() {
-		if n.eng == eng {
+		if n.engine == engine {
 			n.extensionGranted(peer, sent.Add(leadership.ExtensionCounted))
 		}
 	}
 	w.after(there, func() {
 		peer.run(peer.incarnation, func() {
 			if peer.grantExtension() && n.reaches(peer) {
-				w.after(back, func() { n.run(life, granted) })
+				w.after(back, func() { n.run(incarnation, granted) })
 			}
 		})
 	})
 }
 
-// grantExtension has this node agree not to claim for a while. Now and then it does so
-// although the state service serves it: safety doesn't depend on its refusal.
+// grantExtension has this node agree not to claim for a while. Now and then it does so although the state service
+// serves it, since safety doesn't depend on its refusal.
 func (n *node) grantExtension() bool {
-	if n.old || n.eng != nil || n.claiming != 0 {
+	if n.runsProduction || n.engine != nil || n.candidacy.pendingClaim != 0 {
 		return false
 	}
 	if served := !n.storeDown() && !n.cutOff(); served && !n.w.script.grantsWhileServed() && !n.w.chance(0.2) {
 		return false
 	}
-	n.grantedUntil = n.local().Add(leadership.ExtensionFor)
+	n.candidacy.grantedUntil = n.local().Add(leadership.ExtensionFor)
 	return true
 }
--- a/internal/simulation/output_digest.go
+++ b/internal/simulation/output_digest.go
@@ -7,15 +7,14 @@
 	"hash"
 	"net/http"
 
+	"gingertally/internal/agentapi"
 	"gingertally/internal/cloud"
 	"gingertally/internal/codec"
-	"gingertally/internal/statestore"
-	"gingertally/internal/wire"
-
-	"gingertally/internal/agentapi"
 	"gingertally/internal/core"
 	"gingertally/internal/core/pipeline"
+	"gingertally/internal/statestore"
 	"gingertally/internal/userapi"
+	"gingertally/internal/wire"
 )
 
 // outputDigest sums up everything that the controllers of a world store and send to the outside,
@@ -47,7 +46,9 @@
 )
 
 // outputKinds are all kinds of output.
-var outputKinds = []outputKind{outputPut, outputDelete, outputWorkerAnswer, outputDirectCommand, outputScaleOut, outputScaleIn, outputUserAnswer}
+var outputKinds = []outputKind{
+	outputPut, outputDelete, outputWorkerAnswer, outputDirectCommand, outputScaleOut, outputScaleIn, outputUserAnswer,
+}
 
 func newOutputDigest() *outputDigest {
 	return &outputDigest{sum: sha256.New(), counts: map[outputKind]int{}}
@@ -62,7 +63,7 @@
 		body = d.tamper(kind, body)
 	}
 	d.counts[kind]++
-	text := fmt.Sprintf("%d %s %s %x\n", w.now.Sub(w.start), kind, subject, body)
+	text := fmt.Sprintf("%d %s %s %x\n", w.elapsed(), kind, subject, body)
 	_, _ = d.sum.Write([]byte(text)) // a hash never fails
 	if d.line != nil {
 		d.line(text)
@@ -88,17 +89,17 @@
 	}
 }
 
-// workerAnswer takes in a controller's answer to a worker, status 0 being one that is held.
-func (d *outputDigest) workerAnswer(n *node, machine string, status int, reply core.HeartbeatResponse, leader *node) {
-	if d == nil || status == 0 {
+// workerAnswer takes in a controller's answer to a worker, unless it is held.
+func (d *outputDigest) workerAnswer(n *node, machine string, decided heartbeatAnswer) {
+	if d == nil || decided.held() {
 		return
 	}
-	answer := agentapi.Answer{Status: status}
+	answer := agentapi.Answer{Status: decided.status}
 	switch {
-	case status == http.StatusOK:
-		answer = agentapi.Accepted(reply)
-	case status == http.StatusMisdirectedRequest && leader != nil:
-		answer = agentapi.Redirected(leader.name)
+	case decided.status == http.StatusOK:
+		answer = agentapi.Accepted(decided.response)
+	case decided.redirects():
+		answer = agentapi.Redirected(decided.leader.name)
 	}
 	d.add(n.w, outputWorkerAnswer, fmt.Sprintf("%s from %s, %d", machine, n.name, answer.Status), answer.Body)
 }
--- a/internal/simulation/production.go
+++ b/internal/simulation/production.go
@@ -11,10 +11,9 @@
 	"gingertally/internal/statestore"
 )
 
-// What the version in production (deploy/service.toml) reads of jobs, and so writes
-// back; anything else in their records is lost to it. Its rules of leading, placing
-// and answering are those of the present version for jobs that wait for nothing,
-// and it keeps the present limits of the state service, not the coming ones.
+// The version in production (deploy/service.toml) reads only these fields of jobs, and so writes back only these; what
+// else their records hold is lost to it. It leads, places and answers like the present version as far as jobs without
+// dependencies go, and keeps to the present limits of the state service rather than the coming ones.
 
 type productionSpec struct {
 	Ref        string            `cbor:"ref"`
@@ -59,15 +58,15 @@
 func (v productionView) read(it statestore.KeyValue) statestore.KeyValue {
 	var as any
 	switch {
-	case strings.HasPrefix(it.Key, "j/"):
+	case strings.HasPrefix(it.Key, jobPrefix):
 		as = &productionRecord{}
-	case strings.HasPrefix(it.Key, "f/"):
+	case strings.HasPrefix(it.Key, finalPrefix):
 		as = &productionFinal{}
 	default:
 		return it
 	}
 	if err := codec.Unmarshal(it.Value, as); err != nil {
-		v.w.check.fail("the version in production can't read %s: %v", it.Key, err)
+		v.w.checker.fail("the version in production can't read %s: %v", it.Key, err)
 	}
 	it.Value = codec.MustMarshal(as)
 	return it
@@ -93,7 +92,7 @@
 
 // storeView is the state service as the node's version sees it.
 func (n *node) storeView() jobstore.Store {
-	if n.old {
+	if n.runsProduction {
 		return nodeView{productionView{n.w.store}, n}
 	}
 	return nodeView{n.w.store, n}
@@ -101,7 +100,7 @@
 
 // limits are those of the state service that the node's version obeys.
 func (n *node) limits() jobstore.Limits {
-	if n.w.o.Lower && !n.old {
+	if n.w.options.LowerStoreLimits && !n.runsProduction {
 		return lowLimits
 	}
 	return highLimits
--- a/internal/simulation/short_lease.go
+++ b/internal/simulation/short_lease.go
@@ -2,24 +2,21 @@
 
 import (
 	"fmt"
-	"math/rand/v2"
 	"time"
 
 	"gingertally/internal/core/pipeline"
 	"gingertally/internal/core/placement"
 )
 
-// shortLease adds to a world what a deployment with short leases meets: nodes that
-// compute slowly, stall, refuse each other or are refused by the state service alone,
-// zones cut off for longer than a worker's lease, and clocks at the bound of their drift;
-// in a small cloud that several teams with guarantees and limits share. It draws random numbers of
-// its own, so that the other worlds of the same seed stay what they are. A nil shortLease
-// does nothing.
+// shortLease adds to a world what a deployment with short leases meets: nodes that compute slowly, pause, refuse each
+// other or are refused by the state service alone, zones cut off for longer than a worker's lease, and clocks at the
+// bound of their drift, in a small cloud that several teams with guarantees and limits share. A nil shortLease does
+// nothing.
 type shortLease struct {
-	w     *World
-	rng   *rand.Rand
-	notes map[string]int // what came about, and how often
-	jobs  int            // submitted so far
+	w *World
+	random
+	counts eventCounts // what came about, and how often
+	jobs   int         // submitted so far
 }
 
 // maxDrift is the most that a steady clock gains or loses, as a share of the time.
@@ -34,7 +31,7 @@
 const borrowed = "borrowed"
 
 func newShortLease(w *World) *shortLease {
-	s := &shortLease{w: w, rng: rand.New(rand.NewPCG(w.o.Seed, 19)), notes: map[string]int{}}
+	s := &shortLease{w: w, random: newRandom(w.options.Seed, shortLeaseStream), counts: eventCounts{}}
 	w.teams = map[string]placement.Quota{
 		"red":   {GuaranteedCPUs: 8, GuaranteedGPUs: 2, CPULimit: 24, GPULimit: 4},
 		"blue":  {GuaranteedCPUs: 12, CPULimit: 30},
@@ -53,18 +50,14 @@
 	s.planBorrowing()
 	s.planOrdinary()
 	for i := range 7 + s.rng.IntN(5) {
-		s.w.after(s.between(8*time.Second, s.w.o.Length-5*time.Second), func() { s.fault(i + int(s.w.o.Seed)) })
+		s.w.after(s.between(8*time.Second, s.w.options.Length-5*time.Second), func() { s.fault(i + int(s.w.options.Seed)) })
 	}
-	if !s.w.o.Faults {
-		s.w.after(s.w.o.Length, s.w.endTroubles)
+	if !s.w.options.Faults {
+		s.w.after(s.w.options.Length, s.w.endFaults)
 	}
 }
 
-func (s *shortLease) between(lo, hi time.Duration) time.Duration {
-	return lo + time.Duration(s.rng.Int64N(int64(hi-lo)+1))
-}
-
-func (s *shortLease) note(what string) { s.notes[what]++ }
+func (s *shortLease) count(what string) { s.counts[what]++ }
 
 // clockRate is the rate of a steady clock: at its bound, in either direction.
 func (s *shortLease) clockRate(otherwise float64) float64 {
@@ -72,10 +65,10 @@
 	case s == nil:
 		return otherwise
 	case s.rng.IntN(2) == 0:
-		s.note("slow clocks")
+		s.count("slow clocks")
 		return 1 - maxDrift
 	}
-	s.note("fast clocks")
+	s.count("fast clocks")
 	return 1 + maxDrift
 }
 
@@ -87,48 +80,52 @@
 	return shortLeaseOffer
 }
 
-// add submits a job at some moment.
+// add has a user submit a job after some time.
 func (s *shortLease) add(at time.Duration, sp pipeline.Spec, run time.Duration) *userJob {
 	s.jobs++
 	sp.Ref, sp.Image, sp.ImageGB, sp.Estimate = shortLeaseJobRefs.ref(s.jobs), fmt.Sprintf("img-%d", s.rng.IntN(3)), 1, run
 	if sp.Class == "" {
 		sp.Class = "c"
 	}
-	j := &userJob{w: s.w, spec: sp, run: run, done: map[int]bool{}}
-	s.w.jobs[sp.Ref] = j
-	s.w.after(at, j.submit)
-	return j
+	return s.w.submitAfter(at, sp, run)
 }
 
-// planServices submits services, most of them spread over zones, some that can save and so
-// be moved; they go on long into the peace.
+// planServices submits services, most of them spread over zones, and some with checkpoints, which can be moved. They go
+// on for long after the faults.
 func (s *shortLease) planServices() {
 	for _, team := range []string{"red", "blue", "amber"} {
-		sp := pipeline.Spec{Shape: pipeline.Service, Team: team, Tasks: 2 + s.rng.IntN(3), CPUs: 1, MemGB: 2,
-			Priority: pipeline.High, Spread: s.rng.IntN(4) > 0, Spot: s.rng.IntN(2) == 0}
+		sp := pipeline.Spec{
+			Shape: pipeline.Service, Team: team, Tasks: 2 + s.rng.IntN(3), CPUs: 1, MemGB: 2,
+			Priority: pipeline.High, Spread: s.rng.IntN(4) > 0, Spot: s.rng.IntN(2) == 0,
+		}
 		if s.rng.IntN(2) == 0 {
 			sp.CheckpointInterval, sp.CheckpointTime = 3*time.Second, 2*time.Second
 		}
 		j := s.add(s.between(0, 20*time.Second), sp, endless)
-		s.w.after(s.w.o.Length+s.w.o.Drain*3/5, j.cancel)
+		s.w.after(s.w.options.Length+s.w.options.SettleTime*3/5, j.cancel)
 	}
 }
 
-// planBorrowing has a team without a guarantee take whatever is free, while those with
-// one come and go.
+// planBorrowing has a team without a guarantee use whatever quota is free, while the jobs of the teams with guarantees
+// come and go.
 func (s *shortLease) planBorrowing() {
 	for i := range 4 {
-		at := time.Duration(i) * s.w.o.Length / 5
-		s.add(at+s.between(0, 5*time.Second), pipeline.Spec{Class: borrowed, Team: "green", Tasks: 14, CPUs: 2, MemGB: 4,
-			Priority: pipeline.Production, Spot: true, CheckpointInterval: 3 * time.Second, CheckpointTime: 2 * time.Second}, s.between(40*time.Second, 60*time.Second))
+		at := time.Duration(i) * s.w.options.Length / 5
+		spec := pipeline.Spec{
+			Class: borrowed, Team: "green", Tasks: 14, CPUs: 2, MemGB: 4, Priority: pipeline.Production, Spot: true,
+			CheckpointInterval: 3 * time.Second, CheckpointTime: 2 * time.Second,
+		}
+		s.add(at+s.between(0, 5*time.Second), spec, s.between(40*time.Second, 60*time.Second))
 	}
 }
 
 // planOrdinary submits arrays and gangs of the teams with guarantees.
 func (s *shortLease) planOrdinary() {
 	for i := range 18 {
-		sp := pipeline.Spec{Team: []string{"red", "blue", "amber"}[s.rng.IntN(3)], Tasks: 1 + s.rng.IntN(4), CPUs: 2, MemGB: 4,
-			Priority: pipeline.Normal, Spot: s.rng.IntN(3) > 0}
+		sp := pipeline.Spec{
+			Team: []string{"red", "blue", "amber"}[s.rng.IntN(3)], Tasks: 1 + s.rng.IntN(4), CPUs: 2, MemGB: 4,
+			Priority: pipeline.Normal, Spot: s.rng.IntN(3) > 0,
+		}
 		if s.rng.IntN(3) == 0 {
 			sp.Shape, sp.Tasks = pipeline.Gang, 2+s.rng.IntN(2)
 		}
@@ -138,7 +135,7 @@
 		if s.rng.IntN(2) == 0 {
 			sp.CheckpointInterval, sp.CheckpointTime = 3*time.Second, 2*time.Second
 		}
-		j := s.add(s.between(0, s.w.o.Length*4/5), sp, s.between(3*time.Second, 30*time.Second))
+		j := s.add(s.between(0, s.w.options.Length*4/5), sp, s.between(3*time.Second, 30*time.Second))
 		j.wantsCancel = i%4 == 0
 	}
 }
--- a/internal/simulation/task.go
+++ b/internal/simulation/task.go
@@ -8,41 +8,48 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// task is an attempt of a job's task on a machine.
+// task is an attempt of a job's task on a machine, as its worker sees it.
 type task struct {
-	m            *machine
-	job          *userJob
-	index        int
-	attempt      uint64
-	state        fleet.TaskState
-	cause        fleet.ExitCause
-	checkpointed bool
-	onIt         bool // counts as being on the machine
-	gen          int  // outdates timers
+	m               *machine
+	job             *userJob
+	index           int
+	attempt         uint64
+	state           fleet.TaskState
+	cause           fleet.ExitCause
+	checkpointed    bool
+	onMachine       bool // it counts as being on the machine
+	timerGeneration int  // rises with each timer, which outdates earlier ones
 }
 
+// taskKey names an attempt of a task.
 func taskKey(ref string, index int, attempt uint64) string {
 	return fmt.Sprintf("%s/%05d/%d", ref, index, attempt)
 }
 
-// timer runs fn unless the task changed meanwhile.
+// key names the attempt.
+func (t *task) key() string { return taskKey(t.job.spec.Ref, t.index, t.attempt) }
+
+// completed tells whether the task has exited since it was done.
+func (t *task) completed() bool { return t.state == fleet.Exited && t.cause == fleet.CauseDone }
+
+// timer runs fn after some time, unless the task gets another timer or exits meanwhile.
 func (t *task) timer(d time.Duration, fn func()) {
-	t.gen++
-	gen := t.gen
+	t.timerGeneration++
+	gen := t.timerGeneration
 	t.m.later(d, func() {
-		if t.gen == gen && t.state != fleet.Exited {
+		if t.timerGeneration == gen && t.state != fleet.Exited {
 			fn()
 		}
 	})
 }
 
-// gangWait is how long a gang's task waits for the others.
+// gangWait is how long a gang's task waits for the others before it gives up.
 const gangWait = 15 * time.Second
 
-// occupyMachine puts the task on its machine: its image is there.
+// occupyMachine puts the task on its machine, now that its image is there. A gang's tasks run once all of them wait.
 func (t *task) occupyMachine() {
-	t.onIt = true
-	t.m.w.check.taskStarted(t)
+	t.onMachine = true
+	t.m.w.checker.observe(taskStarted{t})
 	if t.job.spec.Shape != pipeline.Gang {
 		t.run()
 		return
@@ -63,20 +70,19 @@
 	}
 }
 
+// run begins the task's work, and plans its end.
 func (t *task) run() {
-	t.m.w.check.goesOn(t, "runs")
+	t.m.w.checker.observe(taskRunning{t})
 	t.state = fleet.Running
-	t.m.w.drainRuns(t)
-	delete(t.m.w.check.moved[t.job], t.index)
-	if t.job.began.IsZero() {
-		t.job.began = t.m.w.now
+	if t.job.startedAt.IsZero() {
+		t.job.startedAt = t.m.w.now
 	}
-	t.m.changed()
+	t.m.heartbeatSoon()
 	switch {
-	case t.m.faulty || t.job.mistake:
+	case t.m.faulty || t.job.failsAlways:
 		t.timer(time.Second, func() { t.exit(fleet.CauseError, false) })
 	case t.job.spec.Shape == pipeline.Array:
-		t.timer(t.job.runOf(t.index), func() { t.job.done[t.index] = true; t.exit(fleet.CauseDone, false) })
+		t.timer(t.job.runTime(t.index), func() { t.job.done[t.index] = true; t.exit(fleet.CauseDone, false) })
 	case t.job.spec.Shape == pipeline.Gang:
 		t.timer(t.job.run, func() {
 			for _, o := range t.job.mates(t.attempt) {
@@ -87,6 +93,7 @@
 	}
 }
 
+// stop carries out a command to stop. The task saves a checkpoint if it can and if the grace period suffices.
 func (t *task) stop(grace time.Duration) {
 	switch {
 	case t.state == fleet.Running && t.job.spec.CheckpointInterval > 0 && grace >= t.job.spec.CheckpointTime:
@@ -98,30 +105,30 @@
 	}
 }
 
+// exit ends the task. Its status stays on the machine until the leader has the worker forget it.
 func (t *task) exit(c fleet.ExitCause, saved bool) {
 	if t.state == fleet.Exited {
 		return
 	}
 	t.state, t.cause, t.checkpointed = fleet.Exited, c, saved
-	t.m.w.drainLeft(t)
+	t.m.w.checker.observe(taskExited{t})
 	t.leaveMachine()
-	t.m.changed()
+	t.m.heartbeatSoon()
 	switch c {
 	case fleet.CauseError:
 		t.m.failures++
 		t.m.failedAt = t.m.w.now
-		t.job.errors++
+		t.job.failures++
 	case fleet.CauseDone:
-		t.m.w.check.goesOn(t, "completes")
 		t.m.w.script.taskDone(t)
 	}
 }
 
-// leaveMachine notes that the task is no longer on its machine; its gang notices.
+// leaveMachine takes the task off its machine. The rest of its gang notices, and ends.
 func (t *task) leaveMachine() {
-	if t.onIt {
-		t.onIt = false
-		t.m.w.check.left(t)
+	if t.onMachine {
+		t.onMachine = false
+		t.m.w.checker.ledger.taskLeft(t)
 	}
 	if t.job.spec.Shape == pipeline.Gang && t.cause != fleet.CauseDone {
 		for _, o := range t.job.mates(t.attempt) {
