--- a/cmd/gingertally/admission.go
+++ b/cmd/gingertally/admission.go
@@ -8,7 +8,8 @@
 	"strings"
 	"time"
 
-	"gingertally/internal/daemon"
+	"gingertally/internal/controller/operatorapi"
+	"gingertally/internal/controller/overload"
 )
 
 type admissionCmd struct {
@@ -27,7 +28,7 @@
 
 // admissionText is the policy and each class of a team, with cells separated by tabs. An empty name stands for all
 // teams.
-func admissionText(status *daemon.Status, team string) string {
+func admissionText(status *operatorapi.Status, team string) string {
 	policy := status.Admission
 	if policy == nil {
 		return "admission control is off\n"
@@ -52,7 +53,7 @@
 }
 
 // classText is the line of a class.
-func classText(class daemon.ClassDecision) string {
+func classText(class overload.ClassStatus) string {
 	fraction := "all"
 	if class.Fraction < 1 {
 		fraction = fmt.Sprintf("%.2f%%", 100*class.Fraction)
--- a/cmd/gingertally/commands_test.go
+++ b/cmd/gingertally/commands_test.go
@@ -9,8 +9,8 @@
 	"github.com/valyala/fasthttp"
 
 	"gingertally/internal/client"
+	"gingertally/internal/controller/operatorapi"
 	"gingertally/internal/core"
-	"gingertally/internal/daemon"
 	"gingertally/internal/drain"
 	"gingertally/internal/goldentest"
 	"gingertally/internal/recovery"
@@ -76,17 +76,17 @@
 
 // Each text has a line for what an operator looks for at night, and none fails on a part that is missing.
 func TestTexts(t *testing.T) {
-	status := goldentest.Filled[daemon.Status]()
+	status := goldentest.Filled[operatorapi.Status]()
 	team := status.Admission.Classes[0].Team
 	drains := goldentest.Filled[drain.Status]()
 	differences := goldentest.Filled[recovery.Status]()
 	for _, c := range []struct{ name, text, want string }{
 		{"status", statusText(status), "\nJOB\tCLASS\tTEAM\tWAITING\tFOR\tREASON\n" + status.Leading.Waiting[0].Ref},
-		{"status without a leader", statusText(daemon.Status{}), "leader\tunknown\n"},
-		{"leader unreachable", statusText(daemon.Status{}), "The leader can't be asked."},
+		{"status without a leader", statusText(operatorapi.Status{}), "leader\tunknown\n"},
+		{"leader unreachable", statusText(operatorapi.Status{}), "The leader can't be asked."},
 		{"admission", admissionText(&status, ""), "\n" + team + "\t"},
 		{"admission of a team", admissionText(&status, team), "\n" + team + "\t"},
-		{"admission off", admissionText(&daemon.Status{}, ""), "admission control is off"},
+		{"admission off", admissionText(&operatorapi.Status{}, ""), "admission control is off"},
 		{"drains", drainText(&drains), "\n" + drains.Plans[0].Waiting[0].Name + "\t" + drains.Plans[0].ID},
 		{"drains off", drainText((&core.Status{}).Drains), "drains are off"},
 		{"differences", differencesText(7, &differences), "\nMACHINE\tSTATE\tLAST DIFFERENCE\n" + differences.Unsettled[0].Machine},
--- a/cmd/gingertally/main.go
+++ b/cmd/gingertally/main.go
@@ -17,7 +17,7 @@
 	"github.com/alecthomas/kong"
 
 	"gingertally/internal/config"
-	"gingertally/internal/daemon"
+	"gingertally/internal/controller"
 	"gingertally/internal/operator"
 )
 
@@ -63,7 +63,7 @@
 	if err != nil {
 		return err
 	}
-	controller, err := daemon.New(settings, operatorSettings)
+	controller, err := controller.New(settings, operatorSettings)
 	if err != nil {
 		return err
 	}
@@ -90,7 +90,7 @@
 
 // Run prints the version.
 func (versionCmd) Run() error {
-	fmt.Println("gingertally", daemon.Version)
+	fmt.Println("gingertally", controller.Version)
 	return nil
 }
 
--- a/cmd/gingertally/server.go
+++ b/cmd/gingertally/server.go
@@ -8,8 +8,8 @@
 	"github.com/valyala/fasthttp"
 
 	"gingertally/internal/client"
+	"gingertally/internal/controller/operatorapi"
 	"gingertally/internal/core"
-	"gingertally/internal/daemon"
 )
 
 // serverFlag names the controller that a command asks.
@@ -30,7 +30,7 @@
 
 // statusBody asks the controller for its status, in JSON as the controller sends it.
 func (f *serverFlag) statusBody() ([]byte, error) {
-	code, body, err := fasthttp.GetTimeout(nil, "http://"+f.Server+daemon.StatusPath, statusTimeout)
+	code, body, err := fasthttp.GetTimeout(nil, "http://"+f.Server+operatorapi.StatusPath, statusTimeout)
 	switch {
 	case err != nil:
 		return nil, f.callError(fmt.Errorf("%w: %w", client.ErrGaveUp, err))
@@ -41,14 +41,14 @@
 }
 
 // status asks the controller for its status.
-func (f *serverFlag) status() (daemon.Status, error) {
+func (f *serverFlag) status() (operatorapi.Status, error) {
 	body, err := f.statusBody()
 	if err != nil {
-		return daemon.Status{}, err
+		return operatorapi.Status{}, err
 	}
-	var status daemon.Status
+	var status operatorapi.Status
 	if err := json.Unmarshal(body, &status); err != nil {
-		return daemon.Status{}, f.callError(err)
+		return operatorapi.Status{}, f.callError(err)
 	}
 	return status, nil
 }
--- a/cmd/gingertally/status.go
+++ b/cmd/gingertally/status.go
@@ -8,8 +8,9 @@
 	"strings"
 	"time"
 
+	"gingertally/internal/controller/operatorapi"
+	"gingertally/internal/controller/replication"
 	"gingertally/internal/core"
-	"gingertally/internal/daemon"
 	"gingertally/internal/standby"
 )
 
@@ -36,7 +37,7 @@
 }
 
 // statusText is the status with its cells separated by tabs.
-func statusText(status daemon.Status) string {
+func statusText(status operatorapi.Status) string {
 	var text strings.Builder
 	writeNodes(&text, status)
 	if status.Leading == nil {
@@ -49,7 +50,7 @@
 }
 
 // writeNodes writes who leads, and the versions and standbys of the controllers.
-func writeNodes(text *strings.Builder, status daemon.Status) {
+func writeNodes(text *strings.Builder, status operatorapi.Status) {
 	leader := status.Leader
 	if leader == "" {
 		leader = "unknown"
@@ -65,7 +66,7 @@
 }
 
 // standbyText is a controller's part in the warm standby.
-func standbyText(s *daemon.StandbyStatus) string {
+func standbyText(s *replication.Status) string {
 	text := fmt.Sprintf("%s, term %d, change %d", s.State, s.Term, s.Sequence)
 	if s.Followers == nil {
 		text += fmt.Sprintf(", lacks %d, heard %s ago, %d snapshots, dropped %d times", s.LagChanges,
--- a/internal/emulator/cluster.go
+++ b/internal/emulator/cluster.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"gingertally/internal/config"
-	"gingertally/internal/daemon"
+	"gingertally/internal/controller/operatorapi"
 )
 
 // ClusterOptions say what a cluster on loopback is like.
@@ -146,14 +146,14 @@
 }
 
 // Leader is the controller that says of itself that it leads, with its status; nil if none does.
-func (c *Cluster) Leader() (*Controller, daemon.Status) {
+func (c *Cluster) Leader() (*Controller, operatorapi.Status) {
 	for _, controller := range c.Controllers {
 		status, err := controller.Status()
 		if err == nil && status.Node == controller.Name && status.Leading != nil {
 			return controller, status
 		}
 	}
-	return nil, daemon.Status{}
+	return nil, operatorapi.Status{}
 }
 
 // controllerTimings are the workers' timings as controllers are told them.
--- a/internal/emulator/cluster_test.go
+++ b/internal/emulator/cluster_test.go
@@ -12,7 +12,8 @@
 	"time"
 
 	"gingertally/internal/config"
-	"gingertally/internal/daemon"
+	"gingertally/internal/controller"
+	"gingertally/internal/controller/operatorapi"
 	"gingertally/internal/operator"
 )
 
@@ -47,7 +48,7 @@
 	if err != nil {
 		return err
 	}
-	controller, err := daemon.New(settings, operatorSettings)
+	controller, err := controller.New(settings, operatorSettings)
 	if err != nil {
 		return err
 	}
@@ -86,7 +87,7 @@
 }
 
 // leaderOf waits until a controller leads in whose term a task was started, and returns it with its status.
-func leaderOf(t *testing.T, cluster *Cluster) (*Controller, daemon.Status) {
+func leaderOf(t *testing.T, cluster *Cluster) (*Controller, operatorapi.Status) {
 	t.Helper()
 	for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		leader, status := cluster.Leader()
@@ -98,7 +99,7 @@
 		}
 	}
 	t.Fatal("no controller leads and gives starts")
-	return nil, daemon.Status{}
+	return nil, operatorapi.Status{}
 }
 
 // Real controllers on loopback, with the warm standby on: under load, the leader is killed, paused until another
--- a/internal/emulator/controller.go
+++ b/internal/emulator/controller.go
@@ -10,10 +10,10 @@
 	"syscall"
 	"time"
 
+	"gingertally/internal/controller/operatorapi"
+
 	"github.com/valyala/fasthttp"
 	"golang.org/x/sys/unix"
-
-	"gingertally/internal/daemon"
 )
 
 // Controller is one controller process. Its methods may be called from any goroutine, but Start only while
@@ -106,9 +106,9 @@
 }
 
 // Status is the controller's status, with the leader's part if the leader can be asked.
-func (c *Controller) Status() (daemon.Status, error) {
-	var status daemon.Status
-	body, err := c.Get(daemon.StatusPath, statusTimeout)
+func (c *Controller) Status() (operatorapi.Status, error) {
+	var status operatorapi.Status
+	body, err := c.Get(operatorapi.StatusPath, statusTimeout)
 	if err != nil {
 		return status, err
 	}
--- a/tools/failover/takeover.go
+++ b/tools/failover/takeover.go
@@ -4,7 +4,8 @@
 	"syscall"
 	"time"
 
-	"gingertally/internal/daemon"
+	"gingertally/internal/controller"
+	"gingertally/internal/controller/operatorapi"
 	"gingertally/internal/emulator"
 	"gingertally/internal/loadtest"
 )
@@ -127,7 +128,7 @@
 }
 
 // isSettled reports whether a status is that of a settled cluster.
-func (t *takeoverTest) isSettled(status *daemon.Status) bool {
+func (t *takeoverTest) isSettled(status *operatorapi.Status) bool {
 	if status.Leading == nil || status.Leading.Term != t.cluster.History.Term() {
 		return false
 	}
@@ -138,9 +139,9 @@
 }
 
 // allUp reports whether all controllers are up.
-func (t *takeoverTest) allUp(status *daemon.Status) bool {
-	for _, controller := range t.cluster.Controllers {
-		if status.Versions[controller.Name] != daemon.Version {
+func (t *takeoverTest) allUp(status *operatorapi.Status) bool {
+	for _, node := range t.cluster.Controllers {
+		if status.Versions[node.Name] != controller.Version {
 			return false
 		}
 	}
@@ -148,7 +149,7 @@
 }
 
 // followersCurrent reports whether all followers have the leader's warm state.
-func followersCurrent(status *daemon.Status) bool {
+func followersCurrent(status *operatorapi.Status) bool {
 	if len(status.Standbys) < len(status.Versions) {
 		return false
 	}
--- a/tools/outage/outage.go
+++ b/tools/outage/outage.go
@@ -4,7 +4,7 @@
 	"errors"
 	"time"
 
-	"gingertally/internal/daemon"
+	"gingertally/internal/controller/operatorapi"
 	"gingertally/internal/emulator"
 	"gingertally/internal/loadtest"
 )
@@ -92,7 +92,7 @@
 var errNotSettled = errors.New("no settled leader")
 
 // waitSettled waits until a leader's recovery is over, and returns its status.
-func (t *outageTest) waitSettled() (daemon.Status, error) {
+func (t *outageTest) waitSettled() (operatorapi.Status, error) {
 	for end := time.Now().Add(settleTimeout); time.Now().Before(end); time.Sleep(pollInterval) {
 		for _, controller := range t.cluster.Controllers {
 			status, err := controller.Status()
@@ -101,5 +101,5 @@
 			}
 		}
 	}
-	return daemon.Status{}, errNotSettled
+	return operatorapi.Status{}, errNotSettled
 }
