--- a/internal/agentapi/agentapi.go
+++ b/internal/agentapi/agentapi.go
@@ -80,7 +80,7 @@
 	if s.redirects.shouldRelay(heartbeat.Machine, leader, time.Now()) {
 		return s.relay(ctx, body)
 	}
-	return Redirected(leader)
+	return RedirectAnswer(leader)
 }
 
 // Relayed answers a heartbeat that another node relayed to this one. It is never relayed again,
@@ -105,7 +105,7 @@
 	if !response.OK {
 		return tryAnotherNodeAnswer(), true
 	}
-	return Accepted(response), true
+	return AcceptedAnswer(response), true
 }
 
 // relay sends a heartbeat on to the leader, and returns the leader's answer.
--- a/internal/agentapi/answers.go
+++ b/internal/agentapi/answers.go
@@ -14,15 +14,15 @@
 	Body   []byte
 }
 
-// Accepted is the leader's answer to a heartbeat: the fencing token and the commands to the worker.
+// AcceptedAnswer is the leader's answer to a heartbeat: the fencing token and the commands to the worker.
 // Only this answer renews the worker's lease.
-func Accepted(response core.HeartbeatResponse) Answer {
+func AcceptedAnswer(response core.HeartbeatResponse) Answer {
 	orders := wire.Orders{Gavel: response.FencingToken, Orders: wire.OrdersOf(response.Commands)}
 	return Answer{Status: http.StatusOK, Body: codec.MustMarshal(orders)}
 }
 
-// Redirected tells a worker to send its heartbeats to the leader instead.
-func Redirected(leader string) Answer {
+// RedirectAnswer tells a worker to send its heartbeats to the leader instead.
+func RedirectAnswer(leader string) Answer {
 	return Answer{Status: http.StatusMisdirectedRequest, Body: codec.MustMarshal(wire.Redirect{Clerk: leader})}
 }
 
@@ -33,11 +33,15 @@
 // malformedAnswer says that the heartbeat couldn't be read.
 func malformedAnswer() Answer { return Answer{Status: http.StatusBadRequest} }
 
-// OrdersPath is the path at which a worker accepts direct commands.
-const OrdersPath = wire.OrdersPath
+const (
+	// HeartbeatPath is the path at which a controller accepts heartbeats.
+	HeartbeatPath = wire.HeartbeatPath
+	// DirectCommandsPath is the path at which a worker accepts direct commands.
+	DirectCommandsPath = wire.OrdersPath
+)
 
-// DirectCommands is the encoded body of a request to OrdersPath of a worker.
-func DirectCommands(direct core.Direct) []byte {
+// DirectCommandsBody is the encoded body of a request to DirectCommandsPath of a worker.
+func DirectCommandsBody(direct core.Direct) []byte {
 	return codec.MustMarshal(wire.Orders{
 		Gavel: direct.FencingToken, Shift: direct.Incarnation, Orders: wire.OrdersOf(direct.Commands),
 	})
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -108,7 +108,7 @@
 	)
 	c.core.WarmState = c.replicator.Enabled()
 	whole := c.limits.Whole() // claims wait for nobody's part of the rates
-	c.elector = leadership.New(c.store.Part(whole.Requests, whole.Writes), electionNode{c}, leadership.Options{
+	c.elector = leadership.New(c.store.WithRates(whole.Requests, whole.Writes), electionNode{c}, leadership.Options{
 		Member: settings.Member, Others: c.peerNames(), TTL: leaseTTL, PeerExtensions: true,
 	})
 	users := &userapi.Service{Jobs: c.jobs, Leader: userLeader{c}, Catalog: c.machineTypes.Types, Teams: c.core.Teams}
@@ -139,7 +139,7 @@
 	}
 	leaderRate := c.limits.Leader()
 	c.jobs = jobstore.New(c.store, jobLimits)
-	c.records = jobstore.New(c.store.Part(leaderRate.Requests, leaderRate.Writes), jobLimits)
+	c.records = jobstore.New(c.store.WithRates(leaderRate.Requests, leaderRate.Writes), jobLimits)
 }
 
 // connectPeers makes the client of the other controllers.
@@ -162,7 +162,7 @@
 	known := c.limits.KnownJobs()
 	node := overload.New(overload.Options{
 		Settings: settings, Teams: c.settings.TeamNames(), Quotas: c.core.Teams, Limits: c.limits, Store: c.store,
-		Jobs: jobstore.New(c.store.Part(known.Requests, known.Writes),
+		Jobs: jobstore.New(c.store.WithRates(known.Requests, known.Writes),
 			jobstore.Limits{ValueBytes: c.core.MaxValueBytes, TxnOps: c.limits.TxnOps()}),
 		Peers: c.peers, Members: c.peerNames(), Metrics: c.metrics.Admission,
 	})
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -14,6 +14,7 @@
 	"github.com/valyala/fasthttp"
 	"golang.org/x/sync/errgroup"
 
+	"gingertally/internal/agentapi"
 	"gingertally/internal/client"
 	"gingertally/internal/codec"
 	"gingertally/internal/config"
@@ -148,7 +149,7 @@
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
-	request.SetRequestURI("http://" + w.addrs[w.at] + heartbeatPath)
+	request.SetRequestURI("http://" + w.addrs[w.at] + agentapi.HeartbeatPath)
 	request.Header.SetMethod(fasthttp.MethodPost)
 	request.SetBody(body)
 	if err := fasthttp.DoTimeout(request, response, 4*time.Second); err != nil {
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -9,7 +9,6 @@
 	"gingertally/internal/controller/machinetypes"
 	"gingertally/internal/controller/operatorapi"
 	"gingertally/internal/controller/overload"
-	"gingertally/internal/controller/usercalls"
 	"gingertally/internal/core"
 	"gingertally/internal/core/fleet"
 	"gingertally/internal/drain"
@@ -30,9 +29,9 @@
 	lines.Add("%s %x", machinetypes.Key, codec.MustMarshal(goldentest.Filled[wire.Flavors]()))
 	lines.Add("refusal %x", codec.MustMarshal(goldentest.Filled[userapi.Refusal]()))
 	for _, path := range []string{
-		heartbeatPath, pingPath, extensionPath, overload.ExchangePath, operatorapi.DrainPreviewPath,
-		operatorapi.StatusPath, viewPath, operatorapi.DrainsPath, usercalls.RunsPath, usercalls.CancelVerb,
-		healthPath, metricsPath, agentapi.OrdersPath,
+		agentapi.HeartbeatPath, pingPath, extensionPath, overload.ExchangePath, operatorapi.DrainPreviewPath,
+		operatorapi.StatusPath, viewPath, operatorapi.DrainsPath, userapi.RunsPath, userapi.CancelSuffix,
+		healthPath, metricsPath, agentapi.DirectCommandsPath,
 	} {
 		lines.Add("path %s", path)
 	}
--- a/internal/controller/http.go
+++ b/internal/controller/http.go
@@ -9,17 +9,16 @@
 
 	"github.com/valyala/fasthttp"
 
+	"gingertally/internal/agentapi"
 	"gingertally/internal/controller/limits"
 	"gingertally/internal/controller/operatorapi"
-	"gingertally/internal/controller/usercalls"
 	"gingertally/internal/userapi"
 )
 
-// Paths of the interfaces to workers, to the load balancer and to operators.
+// Paths of the interfaces to the load balancer and to operators.
 const (
-	heartbeatPath = "/agent/beat"
-	healthPath    = "/healthz"
-	metricsPath   = "/metrics"
+	healthPath  = "/healthz"
+	metricsPath = "/metrics"
 )
 
 const contentTypeCBOR = "application/cbor"
@@ -44,7 +43,7 @@
 		Handler: func(request *fasthttp.RequestCtx) {
 			c.handle(ctx, request)
 			open := int(server.GetOpenConnectionsCount())
-			isHeartbeat := string(request.Path()) == heartbeatPath
+			isHeartbeat := string(request.Path()) == agentapi.HeartbeatPath
 			if limits.Full(open, server.Concurrency) || limits.Crowded(open, server.Concurrency) && !isHeartbeat {
 				request.SetConnectionClose()
 			}
@@ -90,9 +89,9 @@
 		c.operators.HandleStatus(ctx, request)
 	case path == operatorapi.DrainsPath || strings.HasPrefix(path, operatorapi.DrainsPath+"/"):
 		c.operators.HandleDrain(ctx, request, method, path)
-	case path == heartbeatPath && method == fasthttp.MethodPost:
+	case path == agentapi.HeartbeatPath && method == fasthttp.MethodPost:
 		c.handleHeartbeat(ctx, request)
-	case strings.HasPrefix(path, usercalls.RunsPath):
+	case strings.HasPrefix(path, userapi.RunsPath):
 		began := time.Now()
 		c.users.Handle(ctx, request, method, path)
 		c.metrics.CountCall(knownMethod(method), request.Response.StatusCode(), time.Since(began))
--- a/internal/controller/leader_view.go
+++ b/internal/controller/leader_view.go
@@ -6,6 +6,7 @@
 	"net/http"
 	"time"
 
+	"gingertally/internal/agentapi"
 	"gingertally/internal/codec"
 	"gingertally/internal/controller/operatorapi"
 	"gingertally/internal/core"
@@ -111,7 +112,7 @@
 
 // RelayHeartbeat passes a worker's heartbeat on to the leader.
 func (l agentLeader) RelayHeartbeat(ctx context.Context, body []byte) (status int, reply []byte, err error) {
-	request := peer.Request{Method: http.MethodPost, Path: heartbeatPath, Body: bytes.Clone(body)}
+	request := peer.Request{Method: http.MethodPost, Path: agentapi.HeartbeatPath, Body: bytes.Clone(body)}
 	response, err := l.c.peers.Relay(ctx, l.c.elector.Leader(), request)
 	return response.Status, response.Body, err
 }
--- a/internal/controller/more_workers_test.go
+++ b/internal/controller/more_workers_test.go
@@ -78,7 +78,7 @@
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
-	request.SetRequestURI("http://node" + heartbeatPath)
+	request.SetRequestURI("http://node" + agentapi.HeartbeatPath)
 	request.Header.SetMethod(fasthttp.MethodPost)
 	request.SetBodyString("x")
 	if err := connection.SetDeadline(time.Now().Add(5 * time.Second)); err != nil {
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -5,6 +5,7 @@
 	"net/http"
 	"strings"
 
+	"gingertally/internal/agentapi"
 	"gingertally/internal/controller/operatorapi"
 	"gingertally/internal/controller/overload"
 	"gingertally/internal/peer"
@@ -16,7 +17,7 @@
 // servePeer serves what another controller forwarded or asks.
 func (c *Controller) servePeer(ctx context.Context, request peer.Request) peer.Response {
 	switch request.Path {
-	case heartbeatPath:
+	case agentapi.HeartbeatPath:
 		answer := c.agents.Relayed(request.Body)
 		return peer.Response{Status: answer.Status, Body: answer.Body}
 	case pingPath:
--- a/internal/controller/term/direct.go
+++ b/internal/controller/term/direct.go
@@ -64,9 +64,9 @@
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
 	request.Header.SetMethod(fasthttp.MethodPost)
-	request.SetRequestURI("http://" + commands.Addr + agentapi.OrdersPath)
+	request.SetRequestURI("http://" + commands.Addr + agentapi.DirectCommandsPath)
 	request.Header.SetContentType("application/cbor")
-	request.SetBodyRaw(agentapi.DirectCommands(commands))
+	request.SetBodyRaw(agentapi.DirectCommandsBody(commands))
 	err := s.http.DoTimeout(request, response, directTimeout)
 	log.Debug("direct commands sent", "machine", commands.Machine, "status", response.StatusCode(), "error", err)
 }
--- a/internal/controller/term/step.go
+++ b/internal/controller/term/step.go
@@ -93,7 +93,7 @@
 	if !settled {
 		return
 	}
-	if err := t.deps.Records.Drop(ctx, t.claimed, leadership.RestoredKey); err != nil {
+	if err := t.deps.Records.Delete(ctx, t.claimed, leadership.RestoredKey); err != nil {
 		t.log.Debug("note of the restore not removed", "error", err)
 		return
 	}
--- a/internal/controller/term/write.go
+++ b/internal/controller/term/write.go
@@ -73,12 +73,13 @@
 	if len(batch) == 0 {
 		return false, nil
 	}
-	sent, revision, err := t.deps.Records.Apply(ctx, t.claimed, batch)
+	applied, err := t.deps.Records.Apply(ctx, t.claimed, batch)
+	sent := applied.Sent
 	if unsent := batch[len(sent):]; len(unsent) > 0 {
 		t.step(core.WritesFinished{Batch: unsent})
 	}
 	if err == nil {
-		t.step(core.WritesFinished{Batch: sent, OK: true, Revision: revision})
+		t.step(core.WritesFinished{Batch: sent, OK: true, Revision: applied.Revision})
 		return true, nil
 	}
 	if errors.Is(err, statestore.ErrRejected) {
@@ -115,7 +116,7 @@
 			t.refreshJob(ctx, ref)
 			continue
 		}
-		if version, checked, err := t.deps.Records.PageVersion(ctx, write); checked && err == nil {
+		if version, err := t.deps.Records.PageVersion(ctx, write); err == nil {
 			versions[write.Target()] = version
 		}
 	}
--- a/internal/controller/usercalls/forward_test.go
+++ b/internal/controller/usercalls/forward_test.go
@@ -10,6 +10,7 @@
 
 	"gingertally/internal/codec"
 	"gingertally/internal/peer"
+	"gingertally/internal/userapi"
 )
 
 // nodes answers for the other nodes by name; one that isn't named hangs.
@@ -54,7 +55,7 @@
 			ctx, cancel := context.WithTimeout(context.Background(), pollTimeout)
 			defer cancel()
 			begun := time.Now()
-			answer, ok := f.forward(ctx, names, peer.Request{Method: "GET", Path: RunsPath + "/j-1"})
+			answer, ok := f.forward(ctx, names, peer.Request{Method: "GET", Path: userapi.RunsPath + "/j-1"})
 			if ok != (c.want != 0) || answer.Status != c.want || time.Since(begun) > c.within ||
 				n.asked.Load() != c.asked {
 				t.Errorf("%s: %d, %v after %s, %d asked", c.name, answer.Status, ok, time.Since(begun), n.asked.Load())
@@ -70,7 +71,7 @@
 		n := &nodes{status: map[string]int{"n-1": 503}}
 		f := NewForwarder(n, func() {})
 		forward := func() {
-			f.forward(context.Background(), []string{"n-1"}, peer.Request{Method: "GET", Path: RunsPath + "/j-1"})
+			f.forward(context.Background(), []string{"n-1"}, peer.Request{Method: "GET", Path: userapi.RunsPath + "/j-1"})
 		}
 		forward()
 		forward()
--- a/internal/controller/usercalls/usercalls.go
+++ b/internal/controller/usercalls/usercalls.go
@@ -19,12 +19,6 @@
 	"gingertally/internal/userapi"
 )
 
-// Paths of the users' interface.
-const (
-	RunsPath   = "/v2/runs"
-	CancelVerb = "/withdraw" // after a job's reference
-)
-
 // How long a call is worked on in all: a user waits 5 s for a submission and 2 s
 // for a poll. Of that, ownPart of it is this controller's own try, or, while the state
 // service doesn't serve it, no more than ownTryInOutage.
@@ -100,15 +94,15 @@
 
 // serve serves a user's call at this controller.
 func (s *Service) serve(ctx context.Context, method, path string, body []byte) userapi.Answer {
-	rest := strings.TrimPrefix(path, RunsPath)
+	rest := strings.TrimPrefix(path, userapi.RunsPath)
 	job, named := strings.CutPrefix(rest, "/")
 	switch {
 	case method == fasthttp.MethodPost && rest == "":
 		return s.Users.Submit(ctx, body)
 	case method == fasthttp.MethodGet && named:
 		return s.Users.Get(ctx, job)
-	case method == fasthttp.MethodPost && named && strings.HasSuffix(rest, CancelVerb):
-		return s.Users.Cancel(ctx, strings.TrimSuffix(job, CancelVerb))
+	case method == fasthttp.MethodPost && named && strings.HasSuffix(rest, userapi.CancelSuffix):
+		return s.Users.Cancel(ctx, strings.TrimSuffix(job, userapi.CancelSuffix))
 	}
 	return userapi.Answer{Status: fasthttp.StatusNotFound}
 }
--- a/internal/jobstore/cancel_test.go
+++ b/internal/jobstore/cancel_test.go
@@ -56,7 +56,7 @@
 		t.Fatal(err)
 	}
 	final := core.PutFinal{Ref: "j-1", Version: state.Version, Final: pipeline.Final{Phase: pipeline.Done, Tasks: 2}}
-	if _, _, err := jobs.Apply(t.Context(), term, []core.Write{final}); err == nil {
+	if _, err := jobs.Apply(t.Context(), term, []core.Write{final}); err == nil {
 		t.Fatal("a result was written over a cancellation")
 	}
 	store.items[leadership.HolderKey] = statestore.KeyValue{ModRevision: 7}
--- a/internal/jobstore/dependencies_test.go
+++ b/internal/jobstore/dependencies_test.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := jobs.Apply(t.Context(), term, []core.Write{cancelledFinal("j-2", state.Version)}); err != nil {
+	if _, err := jobs.Apply(t.Context(), term, []core.Write{cancelledFinal("j-2", state.Version)}); err != nil {
 		t.Fatal(err)
 	}
 	many := []string{"j-1", "j-2", "j-1", "j-1", "j-1", "j-1", "j-1", "j-1", "j-2"}
@@ -108,7 +108,7 @@
 	now = now.Add(10 * time.Second)
 	checkCancelled()
 	now = now.Add(time.Minute)
-	if _, _, err := jobs.Apply(t.Context(), term, []core.Write{cancelledFinal("j-1", state.Version)}); err != nil {
+	if _, err := jobs.Apply(t.Context(), term, []core.Write{cancelledFinal("j-1", state.Version)}); err != nil {
 		t.Fatal(err)
 	}
 	checkCancelled()
@@ -186,7 +186,7 @@
 	for i := range job.Record.DependencyPages {
 		writes = append(writes, core.DeleteDependencyPage{Ref: "j-9", ListSum: job.Record.DependencyListSum, Page: i})
 	}
-	if sent, _, err := jobs.Apply(t.Context(), term, writes); err != nil || len(sent) != len(writes) {
+	if applied, err := jobs.Apply(t.Context(), term, writes); err != nil || len(applied.Sent) != len(writes) {
 		t.Fatal(err)
 	}
 	_, err = jobs.ReadJob(t.Context(), late)
--- a/internal/jobstore/encode.go
+++ b/internal/jobstore/encode.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 
 	"gingertally/internal/codec"
@@ -132,14 +133,19 @@
 // delete deletes a key, whatever it holds.
 func (e *encodedWrite) delete(key string) { e.changes = append(e.changes, statestore.Delete(key)) }
 
+// ErrNoPageVersion says that a write has no page, or that its page is written whatever its version.
+var ErrNoPageVersion = errors.New("the write doesn't depend on a page's version")
+
 // PageVersion reads the current version of the page that a write puts or deletes; 0 if the page
-// doesn't exist. Checked is false for a write that has no page, or whose page is written without
-// regard to its version.
-func (j *Jobs) PageVersion(ctx context.Context, write core.Write) (version uint64, checked bool, err error) {
+// doesn't exist. The error is ErrNoPageVersion for a write that depends on no page's version.
+func (j *Jobs) PageVersion(ctx context.Context, write core.Write) (uint64, error) {
 	encoded, err := encode(write)
-	if err != nil || encoded.pageKey == "" {
-		return 0, false, err
+	if err != nil {
+		return 0, err
+	}
+	if encoded.pageKey == "" {
+		return 0, ErrNoPageVersion
 	}
 	page, _, err := j.store.Get(ctx, encoded.pageKey)
-	return page.ModRevision, true, err
+	return page.ModRevision, err
 }
--- a/internal/jobstore/golden_test.go
+++ b/internal/jobstore/golden_test.go
@@ -50,7 +50,7 @@
 	term.Revision = putTerm(t, store, 1)
 	at := time.UnixMilli(1_800_000_000_123)
 	for _, w := range leaderWrites() {
-		if _, _, err := jobs.Apply(t.Context(), term, []core.Write{w}); err != nil {
+		if _, err := jobs.Apply(t.Context(), term, []core.Write{w}); err != nil {
 			t.Fatalf("%+v: %v", w, err)
 		}
 	}
--- a/internal/jobstore/records_test.go
+++ b/internal/jobstore/records_test.go
@@ -58,7 +58,7 @@
 		t.Fatal("a list of no types has become any type")
 	}
 	final := core.PutFinal{Ref: "j-1", Version: state.Version, Final: pipeline.Final{Phase: pipeline.Done, Tasks: 2}}
-	if _, _, err := jobs.Apply(t.Context(), term, []core.Write{final}); err != nil {
+	if _, err := jobs.Apply(t.Context(), term, []core.Write{final}); err != nil {
 		t.Fatal(err)
 	}
 	if err := jobs.Create(t.Context(), pipeline.Spec{Ref: "j-1", Tasks: 2}, nil, time.Now()); !errors.Is(err, ErrExists) {
--- a/internal/jobstore/snapshot_test.go
+++ b/internal/jobstore/snapshot_test.go
@@ -78,7 +78,7 @@
 	page := fleet.StartLogRecord{Placed: []fleet.MachineStarts{{
 		Machine: "m-000500", Type: "g8", Zone: "b", Entries: []fleet.StartLogEntry{{Ref: "j-2", Attempt: 5}},
 	}}}
-	if _, _, err := jobs.Apply(t.Context(), term, []core.Write{core.PutStartLogPage{Name: "2-1", Record: page}}); err != nil {
+	if _, err := jobs.Apply(t.Context(), term, []core.Write{core.PutStartLogPage{Name: "2-1", Record: page}}); err != nil {
 		t.Fatal(err)
 	}
 	snapshot, _, err := jobs.Snapshot(t.Context())
@@ -98,7 +98,7 @@
 				t.Errorf("old record %+v", p)
 			}
 			deletion := core.DeleteStartLogPage{Name: p.Name, Version: p.Version}
-			if _, _, err := jobs.Apply(t.Context(), term, []core.Write{deletion}); err != nil {
+			if _, err := jobs.Apply(t.Context(), term, []core.Write{deletion}); err != nil {
 				t.Errorf("delete: %v", err)
 			}
 		default:
@@ -118,7 +118,7 @@
 		"m-1": {{Name: "a", GB: 2.5}, {Name: "b", GB: 1}},
 		"m-2": {{Name: "b", GB: 1}},
 	}, 4000)
-	if _, _, err := jobs.Apply(t.Context(), term, []core.Write{core.PutImagePage{Name: "2-9", Record: record}}); err != nil {
+	if _, err := jobs.Apply(t.Context(), term, []core.Write{core.PutImagePage{Name: "2-9", Record: record}}); err != nil {
 		t.Fatal(err)
 	}
 	snapshot, _, err := jobs.Snapshot(t.Context())
@@ -131,7 +131,7 @@
 	if len(got) != 2 || len(got["m-1"]) != 2 || got["m-1"][0] != first || got["m-2"][0].Name != "b" {
 		t.Errorf("%+v", got)
 	}
-	if _, _, err := jobs.Apply(t.Context(), term, []core.Write{core.DeleteImagePage{Name: "2-9"}}); err != nil {
+	if _, err := jobs.Apply(t.Context(), term, []core.Write{core.DeleteImagePage{Name: "2-9"}}); err != nil {
 		t.Fatal(err)
 	}
 	if snapshot, _, err := jobs.Snapshot(t.Context()); err != nil || len(snapshot.Images) != 0 {
--- a/internal/jobstore/writes.go
+++ b/internal/jobstore/writes.go
@@ -36,24 +36,29 @@
 	t.changes = append(t.changes, other.changes...)
 }
 
+// Applied is what a transaction of the leader's writes covered.
+type Applied struct {
+	Sent     []core.Write // the writes that were sent, the first ones of those that were given
+	Revision uint64       // of the transaction; 0 unless it was carried out
+}
+
 // Apply carries out as many of the leader's writes as one transaction takes, in their order,
-// under the condition of the leader's term. It returns those that the transaction covered, and
-// its revision. The caller sends the others again.
+// under the condition of the leader's term. The caller applies the others again. What was sent
+// is told also with an error.
 //
 // If the term is over, the error is ErrDeposed and nothing was written (docs/design.md, "Safety
 // arguments" 2; TestDeposedLeaderCannotWrite). On statestore.ErrRejected the covered writes are
 // a single one, which can't ever be written.
-func (j *Jobs) Apply(ctx context.Context, term leadership.Term, writes []core.Write) ([]core.Write, uint64, error) {
+func (j *Jobs) Apply(ctx context.Context, term leadership.Term, writes []core.Write) (Applied, error) {
 	txn, count, err := joinWrites(writes)
 	if err != nil {
-		return nil, 0, err
+		return Applied{}, err
 	}
-	sent := writes[:count]
 	revision, err := j.commitUnderTerm(ctx, term, txn)
 	if errors.Is(err, statestore.ErrRejected) && count > 1 {
 		return j.Apply(ctx, term, writes[:1]) // a write that is rejected mustn't hold up the others
 	}
-	return sent, revision, err
+	return Applied{Sent: writes[:count], Revision: revision}, err
 }
 
 // joinWrites encodes as many writes as one transaction takes, one at least, and returns how
@@ -82,9 +87,9 @@
 	return err
 }
 
-// Drop deletes a key of the leader's own, whatever it held. The error is ErrDeposed if the
+// Delete deletes a key of the leader's own, whatever it held. The error is ErrDeposed if the
 // leader's term is over.
-func (j *Jobs) Drop(ctx context.Context, term leadership.Term, key string) error {
+func (j *Jobs) Delete(ctx context.Context, term leadership.Term, key string) error {
 	_, err := j.commitUnderTerm(ctx, term, transaction{changes: []statestore.Op{statestore.Delete(key)}})
 	return err
 }
--- a/internal/jobstore/writes_test.go
+++ b/internal/jobstore/writes_test.go
@@ -22,12 +22,12 @@
 	store, jobs, term := setup(t)
 	rejecting := &rejectingStore{store}
 	batch := []core.Write{core.PutImagePage{Name: "bad"}, core.PutImagePage{Name: "good"}}
-	sent, _, err := New(rejecting, jobs.limits).Apply(t.Context(), term, batch)
-	if !errors.Is(err, statestore.ErrRejected) || len(sent) != 1 || sent[0].Target() != "bad" {
-		t.Fatalf("sent %v, %v", sent, err)
+	applied, err := New(rejecting, jobs.limits).Apply(t.Context(), term, batch)
+	if !errors.Is(err, statestore.ErrRejected) || len(applied.Sent) != 1 || applied.Sent[0].Target() != "bad" {
+		t.Fatalf("sent %v, %v", applied.Sent, err)
 	}
-	if sent, _, err = New(rejecting, jobs.limits).Apply(t.Context(), term, batch[1:]); err != nil || len(sent) != 1 {
-		t.Fatalf("sent %v, %v", sent, err)
+	if applied, err = New(rejecting, jobs.limits).Apply(t.Context(), term, batch[1:]); err != nil || len(applied.Sent) != 1 {
+		t.Fatalf("sent %v, %v", applied.Sent, err)
 	}
 }
 
@@ -53,7 +53,7 @@
 	putTerm(t, store, 2)
 	before := maps.Clone(store.items)
 	write := core.PutJob{Ref: "j-1", Version: state.Version, Record: state.Record}
-	if _, _, err := jobs.Apply(t.Context(), term, []core.Write{write}); !errors.Is(err, ErrDeposed) {
+	if _, err := jobs.Apply(t.Context(), term, []core.Write{write}); !errors.Is(err, ErrDeposed) {
 		t.Fatalf("write under an old term: %v", err)
 	}
 	if _, err := jobs.Cancel(t.Context(), "j-1", time.Now(), UnderTerm(term)); !errors.Is(err, ErrNotLeader) {
@@ -62,7 +62,7 @@
 	if err := jobs.Put(t.Context(), term, leadership.RestoredKey, []byte{1}); !errors.Is(err, ErrDeposed) {
 		t.Fatalf("put under an old term: %v", err)
 	}
-	if err := jobs.Drop(t.Context(), term, JobPrefix+"j-1"); !errors.Is(err, ErrDeposed) {
+	if err := jobs.Delete(t.Context(), term, JobPrefix+"j-1"); !errors.Is(err, ErrDeposed) {
 		t.Fatalf("delete under an old term: %v", err)
 	}
 	if !reflect.DeepEqual(store.items, before) {
@@ -79,8 +79,8 @@
 		spec := pipeline.Spec{Class: strings.Repeat("x", 3000), Tasks: 1}
 		writes = append(writes, core.PutJob{Ref: fmt.Sprintf("j-%d", 100+i), Record: pipeline.Record{Spec: spec}})
 	}
-	sent, _, err := jobs.Apply(t.Context(), term, writes)
-	if err != nil || len(sent) == 0 || len(sent) == len(writes) {
-		t.Fatalf("%d of %d, %v", len(sent), len(writes), err)
+	applied, err := jobs.Apply(t.Context(), term, writes)
+	if err != nil || len(applied.Sent) == 0 || len(applied.Sent) == len(writes) {
+		t.Fatalf("%d of %d, %v", len(applied.Sent), len(writes), err)
 	}
 }
--- a/internal/simulation/drains_test.go
+++ b/internal/simulation/drains_test.go
@@ -90,7 +90,7 @@
 		term, jobs := n.term, n.jobs
 		n.step(core.WritesStarted{Batch: charges})
 		n.step(core.WritesFinished{Batch: charges, OK: true, Revision: term.Revision})
-		n.w.after(chargeDelay, func() { _, _, _ = jobs.Apply(context.Background(), term, charges) })
+		n.w.after(chargeDelay, func() { _, _ = jobs.Apply(context.Background(), term, charges) })
 	}
 	return rest
 }
--- a/internal/simulation/node_engine.go
+++ b/internal/simulation/node_engine.go
@@ -95,7 +95,7 @@
 	}
 	n.step(core.Tick{})
 	if n.restoreSettled() {
-		_ = n.jobs.Drop(context.Background(), n.term, leadership.RestoredKey) // else with the next tick
+		_ = n.jobs.Delete(context.Background(), n.term, leadership.RestoredKey) // else with the next tick
 	}
 	n.write()
 	n.replicate()
--- a/internal/simulation/node_store.go
+++ b/internal/simulation/node_store.go
@@ -82,25 +82,25 @@
 	n.w.digest.add(n.w, "batch", n.name, batch)
 	engine, term, jobs := n.engine, n.term, n.jobs
 	n.step(core.WritesStarted{Batch: batch})
-	var sent []core.Write
-	var revision uint64
+	var applied jobstore.Applied
 	err := statestore.ErrUnknownOutcome
 	n.callOnce(func() {
-		sent, revision, err = jobs.Apply(context.Background(), term, batch)
+		applied, err = jobs.Apply(context.Background(), term, batch)
 	}, func(answered bool) {
 		switch {
 		case n.engine != engine:
 		case answered:
-			n.batchFinished(batch, sent, revision, err)
+			n.batchFinished(batch, applied, err)
 		default:
-			n.batchFinished(batch, batch, 0, statestore.ErrUnknownOutcome)
+			n.batchFinished(batch, jobstore.Applied{Sent: batch}, statestore.ErrUnknownOutcome)
 		}
 	})
 }
 
 // batchFinished brings the engine the outcome of a batch, of which a first part was sent.
-func (n *node) batchFinished(batch, sent []core.Write, revision uint64, err error) {
+func (n *node) batchFinished(batch []core.Write, applied jobstore.Applied, err error) {
 	n.writing = false
+	sent := applied.Sent
 	if rest := batch[len(sent):]; len(rest) > 0 {
 		n.step(core.WritesFinished{Batch: rest})
 	}
@@ -109,7 +109,7 @@
 		return
 	}
 	if err == nil {
-		n.step(core.WritesFinished{Batch: sent, OK: true, Revision: revision})
+		n.step(core.WritesFinished{Batch: sent, OK: true, Revision: applied.Revision})
 		n.write()
 		return
 	}
@@ -128,7 +128,7 @@
 			n.refresh(ref)
 			continue
 		}
-		if version, versioned, err := n.jobs.PageVersion(context.Background(), write); versioned && err == nil {
+		if version, err := n.jobs.PageVersion(context.Background(), write); err == nil {
 			current[write.Target()] = version
 		}
 	}
--- a/internal/simulation/output_digest.go
+++ b/internal/simulation/output_digest.go
@@ -97,9 +97,9 @@
 	answer := agentapi.Answer{Status: decided.status}
 	switch {
 	case decided.status == http.StatusOK:
-		answer = agentapi.Accepted(decided.response)
+		answer = agentapi.AcceptedAnswer(decided.response)
 	case decided.redirects():
-		answer = agentapi.Redirected(decided.leader.name)
+		answer = agentapi.RedirectAnswer(decided.leader.name)
 	}
 	d.add(n.w, outputWorkerAnswer, fmt.Sprintf("%s from %s, %d", machine, n.name, answer.Status), answer.Body)
 }
@@ -109,7 +109,7 @@
 	if d == nil {
 		return
 	}
-	d.add(n.w, outputDirectCommand, direct.Machine, agentapi.DirectCommands(direct))
+	d.add(n.w, outputDirectCommand, direct.Machine, agentapi.DirectCommandsBody(direct))
 }
 
 // scaleOut takes in a request to the cloud for machines.
@@ -133,7 +133,7 @@
 	if d == nil {
 		return
 	}
-	answer := userapi.JobState(ref, view)
+	answer := userapi.JobStateAnswer(ref, view)
 	switch {
 	case !ok:
 		answer = userapi.Answer{Status: http.StatusServiceUnavailable}
--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -105,9 +105,9 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(minBurst, int(perSecond/2)))
 }
 
-// Part returns a client that shares the connections of this one and has rates of its own, so that
+// WithRates returns a client that shares the connections of this one and has rates of its own, so that
 // the users of neither wait for those of the other.
-func (c *Client) Part(requests, writes float64) *Client {
+func (c *Client) WithRates(requests, writes float64) *Client {
 	part := *c
 	part.requests = requestLimiter(requests)
 	part.writes = rate.NewLimiter(rate.Limit(writes), max(minBurst, int(writes)))
--- a/internal/statestore/commit.go
+++ b/internal/statestore/commit.go
@@ -46,7 +46,7 @@
 		return 0, fmt.Errorf("encode: %w", err)
 	}
 	response, err := c.do(ctx, request{
-		client: c.http, method: fasthttp.MethodPost, uri: "/commit", body: body, timeout: callTimeout,
+		client: c.http, method: fasthttp.MethodPost, uri: wire.CommitPath, body: body, timeout: callTimeout,
 	})
 	if err != nil {
 		return 0, err
--- a/internal/statestore/leases.go
+++ b/internal/statestore/leases.go
@@ -27,7 +27,7 @@
 func (c *Client) grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	body := codec.MustMarshal(wire.LeaseRequest{LifeMS: ttl.Milliseconds()})
 	response, err := c.do(ctx, request{
-		client: c.http, method: fasthttp.MethodPost, uri: "/leases", body: body, timeout: callTimeout,
+		client: c.http, method: fasthttp.MethodPost, uri: wire.LeasesPath, body: body, timeout: callTimeout,
 	})
 	if err != nil {
 		return 0, err
@@ -42,7 +42,7 @@
 
 // KeepAlive renews a lease for its whole length. The error is ErrLeaseExpired if it has ended.
 func (c *Client) KeepAlive(ctx context.Context, lease LeaseID) error {
-	uri := fmt.Sprintf("/leases/%d/touch", lease)
+	uri := leasePath(lease) + wire.KeepAliveSuffix
 	response, err := c.do(ctx, request{client: c.http, method: fasthttp.MethodPost, uri: uri, timeout: keepAliveTimeout})
 	switch {
 	case err != nil:
@@ -54,10 +54,13 @@
 	return leaseError("keep lease alive", lease, err)
 }
 
+// leasePath is a lease's own path.
+func leasePath(lease LeaseID) string { return fmt.Sprintf("%s/%d", wire.LeasesPath, lease) }
+
 // Revoke ends a lease, by which the keys that are attached to it are deleted. It is no error if the
 // lease has ended already.
 func (c *Client) Revoke(ctx context.Context, lease LeaseID) error {
-	uri := fmt.Sprintf("/leases/%d", lease)
+	uri := leasePath(lease)
 	response, err := c.do(ctx, request{client: c.http, method: fasthttp.MethodDelete, uri: uri, timeout: callTimeout})
 	if err == nil && response.status != fasthttp.StatusOK && response.status != fasthttp.StatusNotFound {
 		err = unexpectedStatus(response)
--- a/internal/statestore/read.go
+++ b/internal/statestore/read.go
@@ -38,7 +38,7 @@
 }
 
 func (c *Client) getRequest(key string) request {
-	return request{client: c.http, method: fasthttp.MethodGet, uri: "/store/" + key, timeout: callTimeout}
+	return request{client: c.http, method: fasthttp.MethodGet, uri: wire.StorePath + "/" + key, timeout: callTimeout}
 }
 
 // Serves returns whether the state service serves this controller at present; it reads a key to find
@@ -77,7 +77,7 @@
 	if err := waitForRate(ctx, c.requests, 1); err != nil {
 		return page, err
 	}
-	uri := fmt.Sprintf("/store?starts=%s&most=%d", url.QueryEscape(prefix), pageSize)
+	uri := fmt.Sprintf("%s?starts=%s&most=%d", wire.StorePath, url.QueryEscape(prefix), pageSize)
 	if after != "" {
 		uri += "&since=" + url.QueryEscape(after)
 	}
--- a/internal/statestore/watch.go
+++ b/internal/statestore/watch.go
@@ -27,7 +27,8 @@
 	if err := waitForRate(ctx, c.requests, 1); err != nil {
 		return news, err
 	}
-	uri := fmt.Sprintf("/follow?starts=%s&since=%d&block_ms=%d", url.QueryEscape(prefix), after, watchBlock.Milliseconds())
+	uri := fmt.Sprintf("%s?starts=%s&since=%d&block_ms=%d",
+		wire.WatchPath, url.QueryEscape(prefix), after, watchBlock.Milliseconds())
 	response, err := c.do(ctx, request{client: c.watches, method: fasthttp.MethodGet, uri: uri, timeout: watchTimeout})
 	switch {
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
--- a/internal/userapi/answers.go
+++ b/internal/userapi/answers.go
@@ -10,6 +10,13 @@
 	"gingertally/internal/wire"
 )
 
+// Paths of the users' interface. A job's own path is RunsPath, a slash and the job's name;
+// CancelSuffix follows it in a cancellation.
+const (
+	RunsPath     = wire.RunsPath
+	CancelSuffix = wire.CancelSuffix
+)
+
 // Answer is the answer to a call of a user.
 type Answer struct {
 	// Status is the HTTP status.
@@ -25,17 +32,17 @@
 
 // acceptedAnswer says that a new job is stored.
 func acceptedAnswer(ref string) Answer {
-	return Answer{Status: http.StatusCreated, Body: wire.State(ref, pipeline.Active, 0, 0)}
+	return Answer{Status: http.StatusCreated, Body: wire.RunStateOf(ref, pipeline.Active, 0, 0)}
 }
 
-// JobState tells the state of a job that exists.
-func JobState(ref string, view core.JobView) Answer {
-	return Answer{Status: http.StatusOK, Body: wire.State(ref, view.Phase, view.Done, view.Running)}
+// JobStateAnswer tells the state of a job that exists.
+func JobStateAnswer(ref string, view core.JobView) Answer {
+	return Answer{Status: http.StatusOK, Body: wire.RunStateOf(ref, view.Phase, view.Done, view.Running)}
 }
 
-// Cancelled answers a cancellation with the phase that the job now has: it is cancelled, or was done
+// CancelledAnswer answers a cancellation with the phase that the job now has: it is cancelled, or was done
 // before.
-func Cancelled(ref string, phase pipeline.Phase) Answer {
+func CancelledAnswer(ref string, phase pipeline.Phase) Answer {
 	return Answer{Status: http.StatusOK, Body: wire.CancelResult{Ref: ref, Status: wire.StatusOf(phase, 0)}}
 }
 
--- a/internal/userapi/userapi.go
+++ b/internal/userapi/userapi.go
@@ -172,10 +172,10 @@
 // (docs/design.md, "Safety arguments" 9; TestNoAnswerInDoubt).
 func (s *Service) answerState(ctx context.Context, ref string) Answer {
 	if view, ok := s.Leader.View(ref); ok {
-		return JobState(ref, view)
+		return JobStateAnswer(ref, view)
 	}
 	if view, ok := s.Leader.Ask(ctx, ref); ok {
-		return JobState(ref, view)
+		return JobStateAnswer(ref, view)
 	}
 	state, err := s.Jobs.Load(ctx, ref)
 	if err != nil {
@@ -187,7 +187,7 @@
 	if cancelled, err := s.Jobs.DependencyCancelled(ctx, state, time.Now()); err != nil || cancelled {
 		return tryAgainAnswer()
 	}
-	return JobState(ref, core.JobView{Phase: state.Phase, Done: state.Done})
+	return JobStateAnswer(ref, core.JobView{Phase: state.Phase, Done: state.Done})
 }
 
 // Cancel cancels a job, unless it is done.
@@ -202,5 +202,5 @@
 	case err != nil:
 		return tryAgainAnswer()
 	}
-	return Cancelled(ref, phase)
+	return CancelledAnswer(ref, phase)
 }
--- a/internal/wire/users.go
+++ b/internal/wire/users.go
@@ -237,8 +237,8 @@
 	return StatusQueued
 }
 
-// State is the RunState of a job, of whose tasks so many are done and running.
-func State(ref string, phase pipeline.Phase, done, running int) RunState {
+// RunStateOf is the RunState of a job, of whose tasks so many are done and running.
+func RunStateOf(ref string, phase pipeline.Phase, done, running int) RunState {
 	return RunState{Ref: ref, Status: StatusOf(phase, running), Done: done, Running: running}
 }
 
