--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"gingertally/internal/controller/limits"
 	"gingertally/internal/core"
 	"gingertally/internal/health"
 	"gingertally/internal/jobstore"
@@ -62,10 +63,6 @@
 	commitDelay time.Duration // how much later its transaction is carried out
 }
 
-// notCancelledParts is the part of the time for cancellations for which a node relies on having seen that a job wasn't
-// cancelled.
-const notCancelledParts = 4
-
 // How often a node does what it does again and again.
 const (
 	dependencyLookupInterval = 500 * time.Millisecond
@@ -93,9 +90,9 @@
 	n.health = health.New(n.local())
 	n.bootStandby()
 	n.bootAdmission()
-	limits := n.limits()
-	limits.NotCancelledFor = n.w.options.CancelWithin / notCancelledParts
-	n.jobs = jobstore.New(n.storeView(), limits)
+	jobLimits := n.limits()
+	jobLimits.NotCancelledFor = limits.NotCancelledFor(n.w.options.CancelWithin)
+	n.jobs = jobstore.New(n.storeView(), jobLimits)
 	n.loop(n.incarnation, dependencyLookupInterval, n.lookUpDependencies)
 	n.loop(n.incarnation, healthProbeInterval, n.probeHealth)
 	n.loop(n.incarnation, n.w.options.LeaseTTL/4, n.claimOrRenew)
