--- a/cmd/gingertally/main.go
+++ b/cmd/gingertally/main.go
@@ -63,13 +63,13 @@
 	if err != nil {
 		return err
 	}
-	controller, err := controller.New(settings, operatorSettings)
+	node, err := controller.New(settings, operatorSettings)
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	if err := controller.Run(ctx); !errors.Is(err, context.Canceled) {
+	if err := node.Run(ctx); !errors.Is(err, context.Canceled) {
 		return err
 	}
 	return nil
--- a/internal/emulator/cluster_test.go
+++ b/internal/emulator/cluster_test.go
@@ -48,13 +48,13 @@
 	if err != nil {
 		return err
 	}
-	controller, err := controller.New(settings, operatorSettings)
+	node, err := controller.New(settings, operatorSettings)
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
-	return controller.Run(ctx)
+	return node.Run(ctx)
 }
 
 // startTestCluster starts three real controllers of this program, and machines that stay.
--- a/tools/failover/takeover.go
+++ b/tools/failover/takeover.go
@@ -118,9 +118,9 @@
 		if err != nil || !t.isSettled(&status) {
 			continue
 		}
-		for _, controller := range controllers {
-			if controller.Name == status.Node {
-				return controller, status.Leading.Term
+		for _, node := range controllers {
+			if node.Name == status.Node {
+				return node, status.Leading.Term
 			}
 		}
 	}
@@ -192,8 +192,8 @@
 
 // recordPhases records the phases of the last takeover, as the new leader tells them.
 func (t *takeoverTest) recordPhases() {
-	for _, controller := range t.cluster.Controllers {
-		status, err := controller.Status()
+	for _, node := range t.cluster.Controllers {
+		status, err := node.Status()
 		if err != nil || status.Leading == nil || status.Standby == nil || status.Standby.LastTakeover == nil {
 			continue
 		}
