--- a/internal/core/drain_moves.go
+++ b/internal/core/drain_moves.go
@@ -30,9 +30,14 @@
 	if len(t) == 0 {
 		return nil
 	}
-	return slices.SortedFunc(maps.Values(t), func(a, b *movingTask) int {
-		return cmp.Or(cmp.Compare(a.job.Ref, b.job.Ref), cmp.Compare(a.task, b.task))
+	out := slices.AppendSeq(make([]*movingTask, 0, len(t)), maps.Values(t)) // there may be thousands
+	slices.SortFunc(out, func(a, b *movingTask) int {
+		if c := cmp.Compare(a.job.Ref, b.job.Ref); c != 0 {
+			return c
+		}
+		return cmp.Compare(a.task, b.task)
 	})
+	return out
 }
 
 // forgetPlaced forgets tasks that have been placed elsewhere, or are over.
--- a/internal/core/fleet/attempt.go
+++ b/internal/core/fleet/attempt.go
@@ -44,7 +44,10 @@
 
 // Compare orders tasks by job, and within it by number.
 func (t TaskID) Compare(o TaskID) int {
-	return cmp.Or(cmp.Compare(t.Ref, o.Ref), cmp.Compare(t.Task, o.Task))
+	if c := cmp.Compare(t.Ref, o.Ref); c != 0 {
+		return c
+	}
+	return cmp.Compare(t.Task, o.Task)
 }
 
 // Attempt is one attempt that is, or may be, on a machine.
