--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -258,7 +258,7 @@
 		{Policy{Term: 3, Number: 2}, false},
 		{Policy{Term: 4, Number: 4}, true},
 	} {
-		if taken := g.Take(at(time.Duration(i)), c.policy); taken != c.taken {
+		if taken := g.Apply(at(time.Duration(i)), c.policy); taken != c.taken {
 			t.Errorf("policy %d.%d: taken %v", c.policy.Term, c.policy.Number, taken)
 		}
 	}
@@ -271,7 +271,7 @@
 // it is confirmed again. It guards against jobs that a controller refuses for good while it is cut off.
 func TestFallback(t *testing.T) {
 	g := gate(10 * time.Second)
-	g.Take(start, overloaded(1, 0.02, 0))
+	g.Apply(start, overloaded(1, 0.02, 0))
 	spec := &pipeline.Spec{Team: "a", Class: "c", Priority: pipeline.Normal, Tasks: 1, CPUs: 1}
 	if g.Fallback(at(9 * time.Second)) {
 		t.Fatal("too early")
@@ -289,7 +289,7 @@
 	if turns < windowSpan {
 		t.Fatalf("the job had %d turns within 70 s at 2%% each second", turns)
 	}
-	if g.Take(at(90*time.Second), overloaded(1, 0.02, 0)); g.Fallback(at(91 * time.Second)) {
+	if g.Apply(at(90*time.Second), overloaded(1, 0.02, 0)); g.Fallback(at(91 * time.Second)) {
 		t.Fatal("news of the same policy doesn't end the fallback")
 	}
 }
@@ -302,7 +302,7 @@
 	submit := func(now time.Time, team string, n int) {
 		for i := range n {
 			spec := &pipeline.Spec{Team: team, Class: "c", Tasks: 1, CPUs: 1}
-			if g.Decide(now, Offer{Job: fmt.Sprint("j-", team, now.Sub(start), i), Spec: spec}).Admitted {
+			if g.Decide(now, Submission{Job: fmt.Sprint("j-", team, now.Sub(start), i), Spec: spec}).Admitted {
 				admitted[team]++
 			}
 		}
@@ -321,7 +321,7 @@
 	if limit := 20*5 + 2*20; admitted["a"] < 20 || admitted["a"] > limit {
 		t.Errorf("the flood got %d jobs in, in 20 s at 5 a second", admitted["a"])
 	}
-	if n := len(g.TakeCounts(at(time.Minute)).Counts); n != 3 {
+	if n := len(g.CollectCounts(at(time.Minute)).Counts); n != 3 {
 		t.Errorf("%d counts", n)
 	}
 }
@@ -332,9 +332,9 @@
 	g := gate(time.Minute)
 	for i := range 5000 {
 		spec := &pipeline.Spec{Team: []string{"a", "b"}[i%2], Class: fmt.Sprint("class-", i), Tasks: 1}
-		g.Decide(start, Offer{Job: fmt.Sprint("j-", i), Spec: spec})
+		g.Decide(start, Submission{Job: fmt.Sprint("j-", i), Spec: spec})
 	}
-	counts := g.TakeCounts(at(time.Second)).Counts
+	counts := g.CollectCounts(at(time.Second)).Counts
 	offered := 0
 	for _, c := range counts {
 		offered += c.Offered
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -38,12 +38,12 @@
 // Policy returns the policy that is applied.
 func (g *Gate) Policy() *Policy { return &g.policy }
 
-// HeardAt returns when the policy was last confirmed or taken over.
-func (g *Gate) HeardAt() time.Time { return g.confirmedAt }
+// ConfirmedAt returns when the policy was last confirmed or taken over.
+func (g *Gate) ConfirmedAt() time.Time { return g.confirmedAt }
 
-// Take takes a policy over if it is newer than the present one, and returns whether it did. The
+// Apply takes a policy over if it is newer than the present one, and returns whether it did. The
 // present one, if it comes again, is confirmed.
-func (g *Gate) Take(now time.Time, p Policy) bool {
+func (g *Gate) Apply(now time.Time, p Policy) bool {
 	switch {
 	case p.Newer(&g.policy):
 		g.policy, g.confirmedAt, g.appliedAt = p, now, now
@@ -76,15 +76,15 @@
 	return &p
 }
 
-// Offer is a submission that the gate decides about.
-type Offer struct {
+// Submission is a submission that the gate decides about.
+type Submission struct {
 	Job  string
 	Spec *pipeline.Spec
 }
 
 // Decide decides about a submission and counts it. The policy decides first, as at every controller,
 // and then the local bound, for a surge that the policy doesn't know of yet.
-func (g *Gate) Decide(now time.Time, o Offer) Decision {
+func (g *Gate) Decide(now time.Time, o Submission) Decision {
 	k := Key{Team: o.Spec.Team, Class: o.Spec.Class, Priority: o.Spec.Priority}
 	cost := JobCost(o.Spec, o.Spec.Estimate, g.policy.Rate)
 	count := g.counter.countOf(k)
@@ -103,8 +103,8 @@
 	return d
 }
 
-// TakeCounts returns what was counted since the last call.
-func (g *Gate) TakeCounts(now time.Time) Batch {
+// CollectCounts returns what was counted since the last call.
+func (g *Gate) CollectCounts(now time.Time) Batch {
 	batch := Batch{Period: now.Sub(g.collectedAt), Counts: g.counter.collect()}
 	g.collectedAt = now
 	return batch
--- a/internal/admission/key_control.go
+++ b/internal/admission/key_control.go
@@ -59,13 +59,13 @@
 	c.due = due
 	if due >= c.offered-negligible {
 		c.reset()
-		c.share = Share{Key: c.share.Key, Fraction: 1, Due: due}
+		c.share = Share{Key: c.share.Key, Fraction: 1, FairShare: due}
 		return c.share
 	}
 	fraction := c.nextFraction(c.targetRate(due, elapsed))
 	// The next window begins where the present one ends, so that no job is passed over.
 	offset := wrap(c.share.Offset + min(c.share.Fraction, 1))
-	c.share = Share{Key: c.share.Key, Fraction: fraction, Offset: offset, Due: due}
+	c.share = Share{Key: c.share.Key, Fraction: fraction, Offset: offset, FairShare: due}
 	return c.share
 }
 
--- a/internal/admission/planner.go
+++ b/internal/admission/planner.go
@@ -60,7 +60,7 @@
 func NewPlanner(now time.Time, options PlannerOptions, term uint64, stored Policy) *Planner {
 	p := &Planner{options: options, term: term, policy: stored, keys: map[Key]*keyControl{}, plannedAt: now}
 	for _, s := range stored.Shares {
-		p.keys[s.Key] = &keyControl{share: s, due: s.Due, offered: s.Due, offeredAt: now}
+		p.keys[s.Key] = &keyControl{share: s, due: s.FairShare, offered: s.FairShare, offeredAt: now}
 	}
 	return p
 }
@@ -71,8 +71,8 @@
 // Measured is what the planner has measured of a key, in parts of the capacity.
 type Measured struct {
 	Key
-	Offered, Due float64
-	Got          float64 // what was admitted; 0 without overload, or where nothing is refused
+	Offered, FairShare float64
+	Admitted           float64 // what was admitted; 0 without overload, or where nothing is refused
 }
 
 // Measured lists what was measured, by key.
@@ -80,7 +80,7 @@
 	var out []Measured
 	for _, k := range p.sortedKeys() {
 		control := p.keys[k]
-		out = append(out, Measured{Key: k, Offered: control.offered, Due: control.due, Got: control.admitted})
+		out = append(out, Measured{Key: k, Offered: control.offered, FairShare: control.due, Admitted: control.admitted})
 	}
 	return out
 }
--- a/internal/admission/policy.go
+++ b/internal/admission/policy.go
@@ -43,9 +43,9 @@
 type Share struct {
 	Key
 	// Fraction is by how much each policy moves the window on; at 1 all jobs are admitted.
-	Fraction float64 `cbor:"f"`
-	Offset   float64 `cbor:"o"` // where the window begins
-	Due      float64 `cbor:"d"` // the key's fair share, as a part of the capacity
+	Fraction  float64 `cbor:"f"`
+	Offset    float64 `cbor:"o"` // where the window begins
+	FairShare float64 `cbor:"d"` // the key's fair share, as a part of the capacity
 }
 
 // Policy is what all gates decide by, until a newer one replaces it. It is never changed.
@@ -77,8 +77,8 @@
 	return p.Number > o.Number
 }
 
-// WithoutWidest returns the shares without the one that refuses the smallest part of its jobs.
-func (p *Policy) WithoutWidest() []Share {
+// SharesWithoutWidest returns the shares without the one that refuses the smallest part of its jobs.
+func (p *Policy) SharesWithoutWidest() []Share {
 	widest := 0
 	for i := range p.Shares {
 		if p.Shares[i].Fraction > p.Shares[widest].Fraction {
--- a/internal/controller/metrics/parts.go
+++ b/internal/controller/metrics/parts.go
@@ -32,7 +32,7 @@
 }
 
 // ObservePhase notes how long after it saw that nobody led a node reached a phase of a takeover.
-func (m *Standby) ObservePhase(warm bool, phase standby.Phase, since time.Duration) {
+func (m *Standby) ObservePhase(warm bool, phase standby.TakeoverPhase, since time.Duration) {
 	m.phases.WithLabelValues(phase.String(), strconv.FormatBool(warm)).Observe(since.Seconds())
 }
 
--- a/internal/controller/overload/leader.go
+++ b/internal/controller/overload/leader.go
@@ -115,7 +115,7 @@
 		if err == nil && size <= n.options.Limits.MaxValueBytes() {
 			break
 		}
-		policy.Shares = policy.WithoutWidest()
+		policy.Shares = policy.SharesWithoutWidest()
 	}
 	return policy
 }
--- a/internal/controller/overload/node.go
+++ b/internal/controller/overload/node.go
@@ -76,7 +76,7 @@
 func (n *Node) Decide(spec *pipeline.Spec) admission.Decision {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	decision := n.gate.Decide(time.Now(), admission.Offer{Job: spec.Ref, Spec: spec})
+	decision := n.gate.Decide(time.Now(), admission.Submission{Job: spec.Ref, Spec: spec})
 	n.options.Metrics.CountDecision(spec.Team, decision)
 	return decision
 }
@@ -95,7 +95,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	before := n.gate.Policy().Reason
-	if n.gate.Take(time.Now(), policy) && policy.Reason != before {
+	if n.gate.Apply(time.Now(), policy) && policy.Reason != before {
 		n.log.Info("admission policy changed",
 			"term", policy.Term, "number", policy.Number, "reason", policy.Reason.String(),
 			"previous_reason", before.String())
@@ -107,7 +107,7 @@
 func (n *Node) takeCounts() admission.Batch {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	batch := n.gate.TakeCounts(time.Now())
+	batch := n.gate.CollectCounts(time.Now())
 	for _, count := range batch.Counts {
 		n.addToTotals(count)
 	}
@@ -167,7 +167,7 @@
 func (n *Node) policyAge() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return time.Since(n.gate.HeardAt())
+	return time.Since(n.gate.ConfirmedAt())
 }
 
 // pause waits for some time; false if ctx ends before.
--- a/internal/controller/overload/node_test.go
+++ b/internal/controller/overload/node_test.go
@@ -42,7 +42,7 @@
 		Number:   7,
 		Reason:   admission.Backlog,
 		Interval: time.Second,
-		Shares:   []admission.Share{{Key: key, Fraction: 0.0005, Due: 0.25}},
+		Shares:   []admission.Share{{Key: key, Fraction: 0.0005, FairShare: 0.25}},
 	}
 	exchange(newest)
 	refused := 0
--- a/internal/controller/overload/status.go
+++ b/internal/controller/overload/status.go
@@ -44,7 +44,7 @@
 	defer n.mu.Unlock()
 	policy := n.gate.Policy()
 	status := &Status{Term: policy.Term, Number: policy.Number, Reason: policy.Reason.String(),
-		Age: now.Sub(n.gate.HeardAt()), Fallback: n.gate.Fallback(now)}
+		Age: now.Sub(n.gate.ConfirmedAt()), Fallback: n.gate.Fallback(now)}
 	for _, class := range n.classes(policy) {
 		status.Classes = append(status.Classes, *class)
 	}
@@ -63,11 +63,11 @@
 	}
 	for _, share := range policy.Shares {
 		class := of(share.Key)
-		class.Due, class.Fraction = share.Due, share.Fraction
+		class.Due, class.Fraction = share.FairShare, share.Fraction
 	}
 	for _, measured := range n.measured {
 		class := of(measured.Key)
-		class.Asked, class.Got = measured.Offered, measured.Got
+		class.Asked, class.Got = measured.Offered, measured.Admitted
 	}
 	for key, total := range n.totals {
 		class := of(key)
--- a/internal/controller/replication/follow.go
+++ b/internal/controller/replication/follow.go
@@ -85,12 +85,12 @@
 }
 
 // receive takes a frame in, and tells what to answer.
-func (n *Node) receive(frame standby.Frame) standbyrpc.Received {
+func (n *Node) receive(frame standby.Frame) standbyrpc.Acknowledgement {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
 	verdict := n.standby.Receive(now, frame)
-	if verdict.Lost() {
+	if verdict.NeedsSnapshot() {
 		n.logger.Info("warm state copy dropped",
 			"reason", verdict.String(), "term", frame.Term, "sequence", frame.Sequence)
 	}
@@ -98,8 +98,8 @@
 		n.log.offer(frame)
 	}
 	empty := n.standby.State() == standby.CatchingUp && n.standby.Position() == (standby.Position{})
-	resync := verdict.Lost() || empty && frame.Kind == standby.Heartbeat
-	return standbyrpc.Received{At: n.standby.Position(), Resync: resync && n.standby.MayResync(now)}
+	resync := verdict.NeedsSnapshot() || empty && frame.Kind == standby.Heartbeat
+	return standbyrpc.Acknowledgement{At: n.standby.Position(), Resync: resync && n.standby.MayResync(now)}
 }
 
 // pause waits for some time, or until ctx ends.
--- a/internal/controller/replication/node.go
+++ b/internal/controller/replication/node.go
@@ -36,7 +36,7 @@
 	term      uint64                   // that the publisher is of
 	streams   map[string]chan struct{} // wakes the stream to each follower
 	takeover  standby.Takeover         // the last one, or the one under way
-	nextPhase standby.Phase            // of the takeover, that is to be noted
+	nextPhase standby.TakeoverPhase    // of the takeover, that is to be noted
 }
 
 // New makes a controller's part in the warm standby, with what its decision log holds.
@@ -134,7 +134,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
-	view, err := n.standby.Confirm(now, revision)
+	view, err := n.standby.ConfirmCopy(now, revision)
 	if errors.Is(err, standby.ErrBehindClaim) {
 		return nil, err
 	}
@@ -186,14 +186,14 @@
 }
 
 // PhaseReached implements Replicator.
-func (n *Node) PhaseReached(phase standby.Phase) {
+func (n *Node) PhaseReached(phase standby.TakeoverPhase) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.phaseReached(phase, time.Now())
 }
 
 // phaseReached notes that a phase of the takeover is reached; n.mu is held.
-func (n *Node) phaseReached(phase standby.Phase, at time.Time) {
+func (n *Node) phaseReached(phase standby.TakeoverPhase, at time.Time) {
 	if phase < n.nextPhase || !n.takeover.Reached(phase, at) {
 		return
 	}
--- a/internal/controller/replication/replication.go
+++ b/internal/controller/replication/replication.go
@@ -40,7 +40,7 @@
 	// Publish streams changes of the engine's warm state.
 	Publish(term uint64, records []core.WarmRecord)
 	// PhaseReached notes that a phase of the takeover is reached.
-	PhaseReached(phase standby.Phase)
+	PhaseReached(phase standby.TakeoverPhase)
 	// NameSuccessor has the followers told who is to lead next, and returns its name; empty if
 	// none of the candidates has the state.
 	NameSuccessor(candidates []string) string
@@ -90,7 +90,7 @@
 func (Disabled) Publish(uint64, []core.WarmRecord) {}
 
 // PhaseReached implements Replicator.
-func (Disabled) PhaseReached(standby.Phase) {}
+func (Disabled) PhaseReached(standby.TakeoverPhase) {}
 
 // NameSuccessor implements Replicator.
 func (Disabled) NameSuccessor([]string) string { return "" }
--- a/internal/controller/replication/status.go
+++ b/internal/controller/replication/status.go
@@ -80,7 +80,7 @@
 
 func takeoverStatus(t *standby.Takeover) *TakeoverStatus {
 	s := &TakeoverStatus{Term: t.Term, Warm: t.Warm, Phases: map[string]time.Duration{}}
-	for _, phase := range standby.Phases() {
+	for _, phase := range standby.TakeoverPhases() {
 		if since, known := t.Since(phase); known {
 			s.Phases[phase.String()] = since
 		}
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -13,7 +13,7 @@
 
 // attach notes an attempt that is, or may be, on a machine. Together with moveAttempt and
 // detach it keeps the counts that quotas, zones and gangs are checked against.
-func (e *Engine) attach(now time.Time, m *fleet.Machine, a *fleet.Attempt, st fleet.TaskState) {
+func (e *Engine) attach(now time.Time, m *fleet.Machine, a *fleet.Attempt, st fleet.AttemptState) {
 	team := ""
 	if j := e.jobs.get(a.Ref); j != nil {
 		team = j.Team
@@ -26,7 +26,7 @@
 }
 
 // moveAttempt is the one place where an attempt that is attached changes state.
-func (e *Engine) moveAttempt(now time.Time, m *fleet.Machine, a *fleet.Attempt, to fleet.TaskState) {
+func (e *Engine) moveAttempt(now time.Time, m *fleet.Machine, a *fleet.Attempt, to fleet.AttemptState) {
 	was := a.State()
 	if !m.MoveAttempt(now, a, to) {
 		return
@@ -44,7 +44,7 @@
 
 // settleExit takes an attempt that has exited out of all counts, and off its page of the
 // start log.
-func (e *Engine) settleExit(now time.Time, m *fleet.Machine, a *fleet.Attempt, was fleet.TaskState) {
+func (e *Engine) settleExit(now time.Time, m *fleet.Machine, a *fleet.Attempt, was fleet.AttemptState) {
 	if was == fleet.Sent || was == fleet.Fetching {
 		if m.FetchGivenUp(now, a.Image, was) {
 			e.imagesChanged(m)
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -39,7 +39,7 @@
 			c.Kind, c.Grace = fleet.Stop, a.Grace()
 			a.CommandSent()
 			stops = append(stops, c)
-		case state == fleet.Recorded && e.startDue(now, m, a) && e.recovery.Pacer().Take(e.urgent(a)):
+		case state == fleet.Recorded && e.startDue(now, m, a) && e.recovery.Pacer().Allow(e.urgent(a)):
 			c.Kind = fleet.Start
 			e.startSent(now, m, a)
 			starts = append(starts, c)
--- a/internal/core/drain_eviction.go
+++ b/internal/core/drain_eviction.go
@@ -87,7 +87,7 @@
 	g := &evictionGroup{job: j, attempts: attempts}
 	g.candidate = drain.Candidate{
 		Team: j.Team, Class: j.Class, Job: j.Ref,
-		Checkpoints: j.CheckpointInterval > 0, Takes: evictionTime(j), Since: now,
+		Checkpoints: j.CheckpointInterval > 0, EvictionTime: evictionTime(j), CordonedAt: now,
 	}
 	if j.Shape == pipeline.Service {
 		g.candidate.Replicas = len(j.Tasks)
@@ -259,7 +259,7 @@
 		m := a.Machine
 		confirmed := m.State() == fleet.Live && m.TermConfirmed() && m.FencingToken() == e.numbers.term
 		if confirmed && !m.Cordoned() && !m.Draining() {
-			ledger.Void(c.TaskKey, c.Attempt)
+			ledger.Withdraw(c.TaskKey, c.Attempt)
 		}
 	}
 }
--- a/internal/core/drain_preview.go
+++ b/internal/core/drain_preview.go
@@ -28,7 +28,7 @@
 		stage := preview.Machines / plan.MaxAtOnce
 		preview.Machines++
 		preview.Stages = stage + 1
-		listed := drain.PreviewMachine{Name: m.Name, Stage: stage + 1, Blocked: e.mayCordon(now, m, plan.End()).String()}
+		listed := drain.PreviewMachine{Name: m.Name, Stage: stage + 1, Blocked: e.mayCordon(now, m, plan.DeadlineAt()).String()}
 		for _, group := range e.workOn(now, m).groups {
 			scope := drain.Scope{Team: group.job.Team, Class: group.job.Class}
 			interrupted[scope] += len(group.attempts)
--- a/internal/core/drain_round.go
+++ b/internal/core/drain_round.go
@@ -67,7 +67,7 @@
 func (e *Engine) cordonNext(now time.Time) {
 	c := e.drains.coordinator
 	for range proposalsPerRound {
-		name, plan := c.Next(now)
+		name, plan := c.NextToCordon(now)
 		if name == "" {
 			return
 		}
@@ -77,7 +77,7 @@
 			continue
 		}
 		if why := e.mayCordon(now, m, c.PlanDeadline(plan)); why.Kind != drain.Allowed {
-			c.Defer(now, name, plan, why)
+			c.DeferMachine(now, name, plan, why)
 			continue
 		}
 		c.Cordon(now, name, plan)
@@ -150,12 +150,12 @@
 	}
 	work := e.workOn(now, m)
 	for _, group := range work.groups {
-		group.candidate.Since = dm.Since
+		group.candidate.CordonedAt = dm.CordonedAt
 	}
 	verdict := e.judgeAll(now, work, c.PlanDeadline(dm.Plan))
 	if verdict.Kind == drain.Never {
 		e.log(LogMachineDrainBlocked, logMachine(m), logReason(verdict.String()))
-		c.Defer(now, m.Name, dm.Plan, verdict)
+		c.DeferMachine(now, m.Name, dm.Plan, verdict)
 		e.revokeEvictions(m.Name)
 		e.applyCordon(m)
 		return verdict
@@ -172,7 +172,7 @@
 // machineEmptied starts the release of a machine on which nothing is left.
 func (e *Engine) machineEmptied(now time.Time, dm *drain.Machine, m *fleet.Machine) {
 	if e.drains.coordinator.Move(dm, drain.Empty) {
-		e.log(LogMachineDrained, logMachine(m), slog.String(logKeyPlan, dm.Plan), logSince("took", now, dm.Since))
+		e.log(LogMachineDrained, logMachine(m), slog.String(logKeyPlan, dm.Plan), logSince("took", now, dm.CordonedAt))
 		e.startDraining(now, m)
 	}
 }
--- a/internal/core/drain_writes.go
+++ b/internal/core/drain_writes.go
@@ -32,14 +32,16 @@
 }
 
 func (w PutChargePage) succeeded(e *Engine, _ time.Time, revision uint64) {
-	e.chargePageWritten(w.Name, false, drain.Outcome{OK: true, Version: revision})
+	e.chargePageWritten(w.Name, false, drain.PageWriteOutcome{OK: true, Version: revision})
 }
 
 func (w PutChargePage) failed(e *Engine, versions map[string]uint64) {
 	e.chargePageWritten(w.Name, false, failedOutcome(w.Name, versions))
 }
 
-func (w PutChargePage) rejected(e *Engine, _ time.Time) { e.drains.coordinator.Ledger.Refused(w.Name) }
+func (w PutChargePage) rejected(e *Engine, _ time.Time) {
+	e.drains.coordinator.Ledger.PageRejected(w.Name)
+}
 
 // DeleteChargePage deletes a page of the ledger that counts nowhere any more.
 type DeleteChargePage struct {
@@ -66,7 +68,7 @@
 }
 
 func (w DeleteChargePage) succeeded(e *Engine, _ time.Time, _ uint64) {
-	e.chargePageWritten(w.Name, true, drain.Outcome{OK: true})
+	e.chargePageWritten(w.Name, true, drain.PageWriteOutcome{OK: true})
 }
 
 func (w DeleteChargePage) failed(e *Engine, versions map[string]uint64) {
@@ -74,7 +76,7 @@
 }
 
 func (w DeleteChargePage) rejected(e *Engine, _ time.Time) {
-	e.drains.coordinator.Ledger.Refused(w.Name)
+	e.drains.coordinator.Ledger.PageRejected(w.Name)
 }
 
 // PutCordonPage writes a page with the states of machines in drains.
@@ -98,17 +100,21 @@
 
 func (PutCordonPage) ops() int { return 1 }
 
-func (w PutCordonPage) started(e *Engine, _ time.Time) { e.drains.coordinator.WriteStarted(w.Name) }
+func (w PutCordonPage) started(e *Engine, _ time.Time) {
+	e.drains.coordinator.MachinePageWriteStarted(w.Name)
+}
 
 func (w PutCordonPage) succeeded(e *Engine, _ time.Time, revision uint64) {
-	e.cordonPageWritten(w.Name, drain.Outcome{OK: true, Version: revision})
+	e.cordonPageWritten(w.Name, drain.PageWriteOutcome{OK: true, Version: revision})
 }
 
 func (w PutCordonPage) failed(e *Engine, versions map[string]uint64) {
 	e.cordonPageWritten(w.Name, failedOutcome(w.Name, versions))
 }
 
-func (w PutCordonPage) rejected(e *Engine, _ time.Time) { e.drains.coordinator.Refused(w.Name) }
+func (w PutCordonPage) rejected(e *Engine, _ time.Time) {
+	e.drains.coordinator.MachinePageRejected(w.Name)
+}
 
 // DeleteCordonPage deletes a page that names no machine any more.
 type DeleteCordonPage struct {
@@ -130,33 +136,37 @@
 
 func (DeleteCordonPage) ops() int { return 1 }
 
-func (w DeleteCordonPage) started(e *Engine, _ time.Time) { e.drains.coordinator.WriteStarted(w.Name) }
+func (w DeleteCordonPage) started(e *Engine, _ time.Time) {
+	e.drains.coordinator.MachinePageWriteStarted(w.Name)
+}
 
 func (w DeleteCordonPage) succeeded(e *Engine, _ time.Time, _ uint64) {
-	e.cordonPageWritten(w.Name, drain.Outcome{OK: true})
+	e.cordonPageWritten(w.Name, drain.PageWriteOutcome{OK: true})
 }
 
 func (w DeleteCordonPage) failed(e *Engine, versions map[string]uint64) {
 	e.cordonPageWritten(w.Name, failedOutcome(w.Name, versions))
 }
 
-func (w DeleteCordonPage) rejected(e *Engine, _ time.Time) { e.drains.coordinator.Refused(w.Name) }
+func (w DeleteCordonPage) rejected(e *Engine, _ time.Time) {
+	e.drains.coordinator.MachinePageRejected(w.Name)
+}
 
 // failedOutcome is the outcome of a write that isn't known to have happened, with the version of
 // its page if that was read afterwards.
-func failedOutcome(name string, versions map[string]uint64) drain.Outcome {
+func failedOutcome(name string, versions map[string]uint64) drain.PageWriteOutcome {
 	version, known := versions[name]
-	return drain.Outcome{Version: version, Known: known}
+	return drain.PageWriteOutcome{Version: version, Known: known}
 }
 
 // chargePageWritten brings the ledger the outcome of the write of a page.
-func (e *Engine) chargePageWritten(name string, deleted bool, outcome drain.Outcome) {
-	e.drains.coordinator.Ledger.Written(drain.PageWrite{Name: name, Drop: deleted}, outcome)
+func (e *Engine) chargePageWritten(name string, deleted bool, outcome drain.PageWriteOutcome) {
+	e.drains.coordinator.Ledger.Written(drain.ChargePageWrite{Name: name, Delete: deleted}, outcome)
 }
 
 // cordonPageWritten brings the outcome of the write of a page of cordons, which hold from then on.
-func (e *Engine) cordonPageWritten(name string, outcome drain.Outcome) {
-	for _, machine := range e.drains.coordinator.Written(name, outcome) {
+func (e *Engine) cordonPageWritten(name string, outcome drain.PageWriteOutcome) {
+	for _, machine := range e.drains.coordinator.MachinePageWritten(name, outcome) {
 		if m := e.machines.get(machine); m != nil {
 			e.applyCordon(m)
 		}
--- a/internal/core/draining.go
+++ b/internal/core/draining.go
@@ -46,7 +46,7 @@
 	}
 	for _, job := range ledger.ChargedJobs() {
 		if e.jobs.get(job) == nil {
-			ledger.JobOver(job)
+			ledger.JobFinished(job)
 		}
 	}
 }
@@ -58,9 +58,9 @@
 		return
 	}
 	d.newest = max(d.newest, m.Name)
-	d.coordinator.Add(drain.MachineID{Name: m.Name, Type: m.Type, Zone: m.Zone})
+	d.coordinator.MachineAdded(drain.MachineID{Name: m.Name, Type: m.Type, Zone: m.Zone})
 	e.applyCordon(m)
-	if d.coordinator.Finished(m.Name) {
+	if d.coordinator.Emptied(m.Name) {
 		e.startDraining(now, m) // it was emptied, and its release may not have been carried out
 	}
 }
@@ -68,7 +68,7 @@
 // applyCordon brings a machine's flags in line with the plans.
 func (e *Engine) applyCordon(m *fleet.Machine) {
 	c := e.drains.coordinator
-	cordoned, planned := c.Cordoned(m.Name), c.Planned(m.Name)
+	cordoned, planned := c.Cordoned(m.Name), c.Queued(m.Name)
 	if !m.SetCordon(cordoned, planned) {
 		return
 	}
@@ -92,7 +92,7 @@
 // drainJobOver takes in that a job is over.
 func (e *Engine) drainJobOver(ref string) {
 	if e.drains != nil {
-		e.drains.coordinator.Ledger.JobOver(ref)
+		e.drains.coordinator.Ledger.JobFinished(ref)
 	}
 }
 
@@ -104,13 +104,13 @@
 	if d == nil {
 		return
 	}
-	uncordoned, fresh := d.coordinator.SetPlan(now, s.Stored)
+	uncordoned, fresh := d.coordinator.PlanStored(now, s.Stored)
 	for _, name := range uncordoned {
 		e.revokeEvictions(name)
 	}
 	if fresh {
 		for m := range e.machines.all() {
-			d.coordinator.Add(drain.MachineID{Name: m.Name, Type: m.Type, Zone: m.Zone})
+			d.coordinator.MachineAdded(drain.MachineID{Name: m.Name, Type: m.Type, Zone: m.Zone})
 		}
 	}
 	for m := range e.machines.all() {
@@ -152,8 +152,8 @@
 		return
 	}
 	most := max(1, b.remaining/2)
-	for _, w := range d.coordinator.Writes(most) {
-		if w.Drop {
+	for _, w := range d.coordinator.MachinePageWrites(most) {
+		if w.Delete {
 			b.add(DeleteCordonPage{Name: w.Name, Version: w.Version})
 		} else {
 			b.add(PutCordonPage{Name: w.Name, Version: w.Version, Record: w.Record})
@@ -161,7 +161,7 @@
 		most--
 	}
 	for _, w := range d.coordinator.Ledger.Writes(now, most) {
-		if w.Drop {
+		if w.Delete {
 			b.add(DeleteChargePage{Name: w.Name, Version: w.Version})
 		} else {
 			b.add(PutChargePage{Name: w.Name, Version: w.Version, Record: w.Record})
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -88,7 +88,7 @@
 		Pace:              cfg.Pace,
 	})
 	if snap.Restored {
-		e.recovery.Restored()
+		e.recovery.StateServiceRestored()
 		e.log(LogRestoreDetected)
 	}
 	if cfg.WarmState {
@@ -156,7 +156,7 @@
 
 func (t Tick) apply(e *Engine, now time.Time) {
 	e.ticks.tick(now)
-	e.recovery.Pacer().Pass(now, !e.ticks.answersLate(now, e.cfg.HeartbeatInterval) && !e.batches.failing)
+	e.recovery.Pacer().Advance(now, !e.ticks.answersLate(now, e.cfg.HeartbeatInterval) && !e.batches.failing)
 	e.recovery.Advance(now, e.machines.everListed())
 	e.checkMachines(now)
 	e.enforceCancellations(now)
--- a/internal/core/fleet/attempt.go
+++ b/internal/core/fleet/attempt.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// TaskState is the state of an attempt on its machine.
-type TaskState uint8
+// AttemptState is the state of an attempt on its machine.
+type AttemptState uint8
 
 // States of an attempt. The first three are known only here; the rest are what
 // the machine reports.
 const (
-	Intended TaskState = iota // decided; the store doesn't hold it yet
-	Recorded                  // the store holds that it may be on the machine
-	Sent                      // the start went out in a heartbeat's response
+	Intended AttemptState = iota // decided; the store doesn't hold it yet
+	Recorded                     // the store holds that it may be on the machine
+	Sent                         // the start went out in a heartbeat's response
 	Fetching
 	WaitingForGang
 	Running
@@ -64,7 +64,7 @@
 	Unrecorded     bool // not wanted here; stopped and never counted as a result of ours
 	ServiceReplica bool // a service's: stays until the service is cancelled
 
-	state      TaskState
+	state      AttemptState
 	StateSince time.Time // when it entered its state
 	RunStart   time.Time // when it was first seen to run; zero: it hasn't been
 
@@ -92,11 +92,11 @@
 }
 
 // State returns the attempt's state.
-func (a *Attempt) State() TaskState { return a.state }
+func (a *Attempt) State() AttemptState { return a.state }
 
 // move is the one place where an attempt changes state. It returns false if
 // nothing changes; an exit is final.
-func (a *Attempt) move(now time.Time, to TaskState) bool {
+func (a *Attempt) move(now time.Time, to AttemptState) bool {
 	if a.state == to || a.state == Exited {
 		return false
 	}
--- a/internal/core/fleet/images.go
+++ b/internal/core/fleet/images.go
@@ -72,7 +72,7 @@
 // machine gives a fetch up that no task waits for any more. A task that was reported as
 // fetching shows that the image wasn't there. It reports whether the image was believed
 // there.
-func (m *Machine) FetchGivenUp(now time.Time, name string, was TaskState) bool {
+func (m *Machine) FetchGivenUp(now time.Time, name string, was AttemptState) bool {
 	for _, a := range m.attempts {
 		if a.Image == name && (a.state == Sent || a.state == Fetching) {
 			return false
--- a/internal/core/fleet/machine.go
+++ b/internal/core/fleet/machine.go
@@ -212,7 +212,7 @@
 }
 
 // AddAttempt notes an attempt that is, or may be, on the machine.
-func (m *Machine) AddAttempt(now time.Time, a *Attempt, st TaskState) {
+func (m *Machine) AddAttempt(now time.Time, a *Attempt, st AttemptState) {
 	a.Machine, a.state, a.StateSince = m, st, now
 	if st == Running {
 		a.RunStart = now
@@ -228,7 +228,7 @@
 }
 
 // MoveAttempt takes an attempt to another state; it returns false if nothing changes.
-func (m *Machine) MoveAttempt(now time.Time, a *Attempt, to TaskState) bool {
+func (m *Machine) MoveAttempt(now time.Time, a *Attempt, to AttemptState) bool {
 	if !a.move(now, to) {
 		return false
 	}
--- a/internal/core/fleet/messages.go
+++ b/internal/core/fleet/messages.go
@@ -48,7 +48,7 @@
 	Ref          string
 	Task         int
 	Attempt      uint64
-	State        TaskState
+	State        AttemptState
 	Cause        ExitCause
 	Checkpointed bool
 }
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -140,7 +140,7 @@
 // incarnationEnded takes in that a worker's incarnation has ended: it killed and forgot all that
 // earlier incarnations held, also what earlier terms had started. Whatever is there now is in
 // the heartbeat's list; of earlier terms' late starts only a confirmed heartbeat can speak
-// (docs/design.md, safety argument 5; TestInheritedAttemptNeedsConfirmedReport).
+// (docs/design.md, safety argument 5; TestInheritedAttemptNeedsConfirmedHeartbeat).
 func (e *Engine) incarnationEnded(now time.Time, m *fleet.Machine, r *fleet.Heartbeat) {
 	for _, a := range m.SortedAttempts() {
 		if a.State() <= fleet.Recorded && !a.Inherited {
@@ -163,7 +163,7 @@
 }
 
 // applyUnlisted deals with attempts that a heartbeat doesn't list (docs/design.md, safety
-// argument 5; TestDroppedStart, TestOldReportProvesNothing).
+// argument 5; TestDroppedStart, TestOldHeartbeatProvesNothing).
 func (e *Engine) applyUnlisted(now time.Time, m *fleet.Machine, r *fleet.Heartbeat) {
 	for _, a := range m.SortedAttempts() {
 		if listsAttempt(r, a) {
@@ -182,7 +182,7 @@
 			Seen:     a.State() >= fleet.Fetching,
 		})
 		if finding.Action == recovery.MarkLost {
-			e.recovery.Found(m.Name, finding)
+			e.recovery.AddFinding(m.Name, finding)
 			e.attemptLost(now, m, a, lostReason(finding.Reason.String()))
 		}
 	}
@@ -201,7 +201,7 @@
 func (e *Engine) applyTaskStatus(now time.Time, m *fleet.Machine, token uint64, t fleet.TaskStatus) {
 	k := fleet.TaskID{Ref: t.Ref, Task: t.Task}
 	finding := recovery.Classify(e.observe(m, m.Attempt(k), token, t))
-	e.recovery.Found(m.Name, finding)
+	e.recovery.AddFinding(m.Name, finding)
 	switch finding.Action {
 	case recovery.Ignore:
 		return
--- a/internal/core/job_writes.go
+++ b/internal/core/job_writes.go
@@ -139,11 +139,11 @@
 	switch {
 	case e.over(j):
 		return needsEnd
-	case j.Over() || !j.Dirty():
+	case j.Over() || !j.NeedsWrite():
 		return needsNothing
 	case e.cancellations.inTransaction(j.Ref):
 		return needsLater // a new version of the record would only be in the cancellation's way
-	case !j.Fits(e.cfg.MaxValueBytes):
+	case !j.RecordFits(e.cfg.MaxValueBytes):
 		return needsLater // only its end is written; until then its workers keep its results
 	}
 	return needsProgress
@@ -188,7 +188,7 @@
 		slices.Sort(chunks)
 		for _, c := range chunks {
 			if c > 0 && b.remaining > 0 {
-				b.add(PutDoneRanges{Ref: j.Ref, Chunk: c, Runs: pipeline.FitRuns(j.Chunk(c), limit)})
+				b.add(PutDoneRanges{Ref: j.Ref, Chunk: c, Runs: pipeline.TruncateRuns(j.DoneRuns(c), limit)})
 			}
 		}
 	}
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -10,7 +10,7 @@
 func (e *Engine) addMachine(now time.Time, m *fleet.Machine) {
 	e.machines.add(now, m)
 	m.SetImages(e.images.takeInherited(m.Name))
-	e.recovery.Discover(m.Name)
+	e.recovery.AddUnrecordedMachine(m.Name)
 	e.capacityChanged(m)
 	e.drainMachineKnown(now, m)
 }
@@ -22,7 +22,7 @@
 		return false
 	}
 	if to == fleet.Unresponsive || to == fleet.ScalingIn {
-		e.recovery.GivenUp(m.Name)
+		e.recovery.MachineGivenUp(m.Name)
 	}
 	e.capacityChanged(m)
 	return true
--- a/internal/core/one_way_loss_test.go
+++ b/internal/core/one_way_loss_test.go
@@ -20,7 +20,7 @@
 
 // Heartbeats that a cut has held back come together, and none of them can show what the first
 // was answered with. 27 machines of a zone were once released for that.
-func TestReportsDeliveredTogether(t *testing.T) {
+func TestHeartbeatsDeliveredTogether(t *testing.T) {
 	b, task := hearNothing(t)
 	for range 4 {
 		b.heartbeat("m-1", 2, task)
--- a/internal/core/pipeline/done_ranges.go
+++ b/internal/core/pipeline/done_ranges.go
@@ -7,7 +7,7 @@
 // of the job's record; the others have keys of their own.
 
 // ChunkTasks is how many tasks a chunk of done ranges covers. Runs that would make the value too large
-// are left out, see FitRuns.
+// are left out, see TruncateRuns.
 const ChunkTasks = 1024
 
 // doneRanges says which chunks of a job's done ranges the state service doesn't hold.
@@ -31,9 +31,9 @@
 	d.truncatedAt[chunk] = firstLeftOut
 }
 
-// Dirty reports whether the job's record, or any chunk of its done ranges, has changed since it was
+// NeedsWrite reports whether the job's record, or any chunk of its done ranges, has changed since it was
 // last written.
-func (j *Job) Dirty() bool { return len(j.done.dirty) > 0 }
+func (j *Job) NeedsWrite() bool { return len(j.done.dirty) > 0 }
 
 // DirtyChunks lists the chunks that have to be written, in no particular order.
 func (j *Job) DirtyChunks() []int {
@@ -49,7 +49,7 @@
 func (j *Job) MarkWriting(chunk int, runs []int) {
 	delete(j.done.dirty, chunk)
 	delete(j.done.truncatedAt, chunk)
-	if len(runs) == len(j.Chunk(chunk)) {
+	if len(runs) == len(j.DoneRuns(chunk)) {
 		return
 	}
 	firstLeftOut := chunk * ChunkTasks
@@ -62,10 +62,10 @@
 // MarkDirty notes that a chunk has to be written.
 func (j *Job) MarkDirty(chunk int) { j.done.dirty[chunk] = true }
 
-// FitRuns returns as many pairs of runs as fit a limit in the JSON form that the state service counts
+// TruncateRuns returns as many pairs of runs as fit a limit in the JSON form that the state service counts
 // in. Tasks past the last pair aren't finished as far as the state service knows; a leader that takes
 // over has them run again if it doesn't learn of their results otherwise.
-func FitRuns(runs []int, maxBytes int) []int {
+func TruncateRuns(runs []int, maxBytes int) []int {
 	bytes := len("[]")
 	for i, length := range runs {
 		if bytes += runBytes(length); bytes > maxBytes {
@@ -92,8 +92,8 @@
 	delete(j.done.dirty, chunk)
 }
 
-// Chunk returns the run lengths of a chunk. The last run is of finished tasks.
-func (j *Job) Chunk(chunk int) []int {
+// DoneRuns returns the run lengths of a chunk. The last run is of finished tasks.
+func (j *Job) DoneRuns(chunk int) []int {
 	var runs []int
 	inFinishedRun, length := false, 0
 	for i := chunk * ChunkTasks; i < min((chunk+1)*ChunkTasks, len(j.Tasks)); i++ {
--- a/internal/core/pipeline/job.go
+++ b/internal/core/pipeline/job.go
@@ -154,6 +154,6 @@
 	return true
 }
 
-// Fits reports whether the job's record fits a limit at all. One that was written when the limit was
+// RecordFits reports whether the job's record fits a limit at all. One that was written when the limit was
 // higher may not.
-func (j *Job) Fits(maxBytes int) bool { return j.minRecordBytes <= maxBytes }
+func (j *Job) RecordFits(maxBytes int) bool { return j.minRecordBytes <= maxBytes }
--- a/internal/core/pipeline/pipeline_test.go
+++ b/internal/core/pipeline/pipeline_test.go
@@ -50,7 +50,7 @@
 		j.Finish(i)
 	}
 	for maxBytes := range 300 {
-		runs := FitRuns(j.Chunk(0), maxBytes)
+		runs := TruncateRuns(j.DoneRuns(0), maxBytes)
 		encoded, err := json.Marshal(runs)
 		if err != nil {
 			t.Fatal(err)
@@ -91,7 +91,7 @@
 	n := len(j.Tasks)
 	chunks := map[int][]int{}
 	for c := 0; c*ChunkTasks < n; c++ {
-		chunks[c] = j.Chunk(c)
+		chunks[c] = j.DoneRuns(c)
 		if len(chunks[c]) > ChunkTasks+1 {
 			t.Fatalf("chunk of %d runs", len(chunks[c]))
 		}
@@ -107,7 +107,7 @@
 			t.Fatalf("%d tasks: task %d differs", n, i)
 		}
 	}
-	if k.Dirty() || !reflect.DeepEqual(rec.Done, k.Record(1<<20).Done) {
+	if k.NeedsWrite() || !reflect.DeepEqual(rec.Done, k.Record(1<<20).Done) {
 		t.Fatalf("%d tasks: reading changes the record", n)
 	}
 }
--- a/internal/core/pipeline/record.go
+++ b/internal/core/pipeline/record.go
@@ -96,7 +96,7 @@
 		r.CancelledMS = j.CancelAt.UnixMilli()
 	}
 	bytesLeft := maxBytes - r.Bytes()
-	r.Done = FitRuns(j.Chunk(0), bytesLeft)
+	r.Done = TruncateRuns(j.DoneRuns(0), bytesLeft)
 	for _, length := range r.Done {
 		bytesLeft -= runBytes(length)
 	}
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -251,7 +251,7 @@
 // A start waits for the machine's next heartbeat: of places that are alike, that one is
 // taken whose heartbeat is due first, or whose answer is being held. Stages of pipelines
 // once began half a heartbeat interval late each.
-func TestNearestReportFirst(t *testing.T) {
+func TestNearestHeartbeatFirst(t *testing.T) {
 	now := time.Unix(100, 0)
 	var machines []*fleet.Machine
 	for i, ago := range []time.Duration{time.Second, 7 * time.Second, 4 * time.Second} {
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -20,8 +20,8 @@
 		Confirmed: token == e.numbers.term,
 	}
 	if j := e.jobs.get(t.Ref); j != nil && t.Task < len(j.Tasks) {
-		o.JobOpen, o.Wanted = !j.Over(), j.Tasks[t.Task].State() != pipeline.Finished
-		o.Whole = j.Shape == pipeline.Gang && len(j.Tasks) > 1
+		o.JobOpen, o.ResultWanted = !j.Over(), j.Tasks[t.Task].State() != pipeline.Finished
+		o.Gang = j.Shape == pipeline.Gang && len(j.Tasks) > 1
 	}
 	if a != nil {
 		o.Inherited = a.Inherited
@@ -29,9 +29,9 @@
 		return o
 	}
 	if other := e.holderElsewhere(m, fleet.TaskID{Ref: t.Ref, Task: t.Task}); other != nil {
-		o.Holder = recovery.Elsewhere
+		o.Holder = recovery.HolderElsewhere
 		if unsent(other) {
-			o.Holder = recovery.UnsentElsewhere
+			o.Holder = recovery.HolderUnsentElsewhere
 		}
 	}
 	return o
@@ -44,13 +44,13 @@
 func holderHere(a *fleet.Attempt, reported uint64) recovery.Holder {
 	switch {
 	case a.Number == reported:
-		return recovery.ThisAttempt
+		return recovery.HolderThisAttempt
 	case unsent(a):
-		return recovery.UnsentHere
+		return recovery.HolderUnsentHere
 	case reported > a.Number:
-		return recovery.OlderHere
+		return recovery.HolderOlderHere
 	}
-	return recovery.NewerHere
+	return recovery.HolderNewerHere
 }
 
 // holderElsewhere is the attempt of a task that another machine holds, or may; nil if none.
--- a/internal/core/safety_test.go
+++ b/internal/core/safety_test.go
@@ -25,7 +25,7 @@
 
 // A heartbeat without this term's fencing token may have been sent before an earlier
 // leader's last start arrived, so it can't prove an inherited attempt absent.
-func TestInheritedAttemptNeedsConfirmedReport(t *testing.T) {
+func TestInheritedAttemptNeedsConfirmedHeartbeat(t *testing.T) {
 	b := newHarness(t, 2, inherited())
 	b.up("m-2")
 	b.heartbeat("m-1", 1) // lists nothing, but was sent under term 1
@@ -75,7 +75,7 @@
 
 // A start still in flight isn't absent: an older heartbeat that arrives late, or a
 // copy of the one that was answered with the start, proves nothing.
-func TestOldReportProvesNothing(t *testing.T) {
+func TestOldHeartbeatProvesNothing(t *testing.T) {
 	b, c := started(t)
 	seq := b.sequences["m-1"]
 	for _, old := range []uint64{seq - 1, seq} {
@@ -177,7 +177,7 @@
 
 // A machine on which several jobs fail is blamed, not the jobs; what waits there
 // unsent goes elsewhere.
-func TestSickMachine(t *testing.T) {
+func TestFaultyMachineIsQuarantined(t *testing.T) {
 	b := newHarness(t, 2, Snapshot{Jobs: []StoredJob{job("j-1", 1), job("j-2", 1)}})
 	b.up("m-1")
 	b.pass(6*time.Second, true)
--- a/internal/core/scale_in.go
+++ b/internal/core/scale_in.go
@@ -44,7 +44,7 @@
 
 // scaleInIdle releases machines that have been idle too long.
 func (e *Engine) scaleInIdle(now time.Time, demand []capacity.Demand) {
-	if len(e.classes) == 0 || now.Sub(e.started) < 3*e.cfg.HeartbeatInterval || !e.recovery.Pacer().AtHighest() {
+	if len(e.classes) == 0 || now.Sub(e.started) < 3*e.cfg.HeartbeatInterval || !e.recovery.Pacer().Unlimited() {
 		return
 	}
 	for _, p := range e.capacity.free.Pools {
--- a/internal/core/scale_out.go
+++ b/internal/core/scale_out.go
@@ -13,7 +13,7 @@
 	if now.Sub(e.started) < e.cfg.HeartbeatInterval*5/4 {
 		return // machines may be there that haven't been heard of yet
 	}
-	e.recovery.Pacer().Take(true) // bulk starts wait for it, not the other way round
+	e.recovery.Pacer().Allow(true) // bulk starts wait for it, not the other way round
 	for _, o := range e.plan.Choose(now, demand, &e.capacity.free, e.catalog) {
 		e.plan.Requested(o.Offer, o.Count)
 		e.out.ScaleOut = append(e.out.ScaleOut, ScaleOut{
--- a/internal/core/silence_test.go
+++ b/internal/core/silence_test.go
@@ -9,7 +9,7 @@
 // released seconds before they came back, and then their boots and images. Their
 // work goes on elsewhere, but they are kept for about as long as others would
 // take, and when they are back they count as idle from then.
-func TestSilentMachinesAreKept(t *testing.T) {
+func TestUnresponsiveMachinesAreKept(t *testing.T) {
 	b, c := started(t)
 	b.heartbeat("m-1", 2, running(c))
 	unresponsiveSince := b.now
--- a/internal/core/takeover.go
+++ b/internal/core/takeover.go
@@ -61,6 +61,6 @@
 func (e *Engine) addAwaitingHeartbeat(now time.Time, p fleet.MachineStarts) *fleet.Machine {
 	m := fleet.NewInheritedMachine(now, p.Machine, fleet.PoolKey{Type: p.Type, Zone: p.Zone, Spot: p.Spot})
 	e.addMachine(now, m)
-	e.recovery.Expect(m.Name)
+	e.recovery.AddRecordedMachine(m.Name)
 	return m
 }
--- a/internal/core/tick_clock.go
+++ b/internal/core/tick_clock.go
@@ -29,7 +29,7 @@
 
 // answersLate reports whether this node has been slow of late: answers that workers drop for
 // being late, or that meet heartbeats held back and delivered together, are no sign that a
-// machine receives nothing (TestSlowLeaderReleasesNone, TestReportsDeliveredTogether).
+// machine receives nothing (TestSlowLeaderReleasesNone, TestHeartbeatsDeliveredTogether).
 func (c *tickClock) answersLate(now time.Time, heartbeatInterval time.Duration) bool {
 	return now.Sub(c.last) > lateTick || now.Sub(c.laggedAt) < answerTimeout+heartbeatInterval
 }
--- a/internal/core/usage.go
+++ b/internal/core/usage.go
@@ -74,7 +74,7 @@
 }
 
 // moved counts that an attempt has changed its state.
-func (u *usage) moved(a *fleet.Attempt, was fleet.TaskState) {
+func (u *usage) moved(a *fleet.Attempt, was fleet.AttemptState) {
 	j := u.track(a.Ref)
 	if was == fleet.Running {
 		j.running--
--- a/internal/core/warm_start.go
+++ b/internal/core/warm_start.go
@@ -189,7 +189,7 @@
 // for all other machines.
 func (e *Engine) expect(m *fleet.Machine) {
 	if m.ExpectHeartbeat() {
-		e.recovery.ExpectByWarmState(m.Name, true)
+		e.recovery.SetConfirmedByWarmState(m.Name, true)
 		e.capacityChanged(m)
 	}
 }
@@ -198,7 +198,7 @@
 // as makes any machine unresponsive: what was placed there goes elsewhere.
 func (e *Engine) expectNoLonger(now time.Time, m *fleet.Machine) {
 	m.HeartbeatOverdue()
-	e.recovery.ExpectByWarmState(m.Name, false)
+	e.recovery.SetConfirmedByWarmState(m.Name, false)
 	e.capacityChanged(m)
 	e.withdrawUnsentStarts(now, m)
 	e.log(LogExpectedHeartbeatLate, logMachine(m))
--- a/internal/core/warm_start_test.go
+++ b/internal/core/warm_start_test.go
@@ -137,7 +137,7 @@
 
 // What was placed on an expected machine that is never heard of goes elsewhere, and nothing has
 // been started twice: the start hasn't left.
-func TestExpectedMachineNeverReports(t *testing.T) {
+func TestExpectedMachineNeverHeardOf(t *testing.T) {
 	b, _ := takenOver(t, []StoredJob{job("j-1", 1), job("j-2", 14)}, nil)
 	b.pass(time.Second, true)
 	b.heartbeat("m-1", 2)
--- a/internal/drain/charge.go
+++ b/internal/drain/charge.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Kind says who chose that a task is interrupted.
-type Kind uint8
+// InterruptionKind says who chose that a task is interrupted.
+type InterruptionKind uint8
 
 // Kinds of interruptions.
 const (
-	Voluntary   Kind = iota // by a drain, or by a move that the scheduler chose
-	Involuntary             // by preemption, the cloud's notice, or a machine that was lost
+	Voluntary   InterruptionKind = iota // by a drain, or by a move that the scheduler chose
+	Involuntary                         // by preemption, the cloud's notice, or a machine that was lost
 )
 
 var kindNames = [...]string{"voluntary", "involuntary"}
 
 // String returns the kind's name, as operators see it.
-func (k Kind) String() string { return kindNames[k] }
+func (k InterruptionKind) String() string { return kindNames[k] }
 
 // TaskKey names a task.
 type TaskKey struct {
@@ -29,7 +29,7 @@
 	Team, Class string
 	TaskKey
 	Attempt uint64
-	Kind    Kind
+	Kind    InterruptionKind
 	AtMS    int64 // when the charge was made, in Unix milliseconds by its leader's clock
 	EndMS   int64 // when the attempt was known to be gone, likewise; 0 while the charge is open
 
--- a/internal/drain/charge_page.go
+++ b/internal/drain/charge_page.go
@@ -7,7 +7,7 @@
 	_       struct{} `cbor:",toarray"`
 	Task    int
 	Attempt uint64
-	Kind    Kind
+	Kind    InterruptionKind
 	AtMS    int64
 	EndMS   int64
 }
--- a/internal/drain/charge_pages.go
+++ b/internal/drain/charge_pages.go
@@ -50,7 +50,7 @@
 func (s *chargePages) changed(c *Charge) { s.dirty[c.page] = true }
 
 // dirtyWrites lists writes of pages that have changed, by name and no more than the limit.
-func (s *chargePages) dirtyWrites(limit int) []PageWrite {
+func (s *chargePages) dirtyWrites(limit int) []ChargePageWrite {
 	var due []*chargePage
 	for p := range s.dirty {
 		if !p.writing && p.writtenAfter == nil {
@@ -58,9 +58,9 @@
 		}
 	}
 	slices.SortFunc(due, func(a, b *chargePage) int { return cmp.Compare(a.name, b.name) })
-	var out []PageWrite
+	var out []ChargePageWrite
 	for _, p := range due[:max(0, min(limit, len(due)))] {
-		out = append(out, PageWrite{Name: p.name, Version: p.version, Record: p.record()})
+		out = append(out, ChargePageWrite{Name: p.name, Version: p.version, Record: p.record()})
 	}
 	return out
 }
--- a/internal/drain/coordinator.go
+++ b/internal/drain/coordinator.go
@@ -64,10 +64,10 @@
 	}
 }
 
-// SetPlan takes in a plan's record as the state service holds it. It returns the machines that are
+// PlanStored takes in a plan's record as the state service holds it. It returns the machines that are
 // uncordoned thereby. If needsMachines is true, the caller has to Add all machines: the plan can
 // now say which of them it applies to.
-func (c *Coordinator) SetPlan(now time.Time, stored StoredPlan) (uncordoned []string, needsMachines bool) {
+func (c *Coordinator) PlanStored(now time.Time, stored StoredPlan) (uncordoned []string, needsMachines bool) {
 	p := c.plans.byID[stored.Plan.ID]
 	if p != nil && stored.Version <= p.version {
 		return nil, false
@@ -103,8 +103,8 @@
 // Move changes a machine's state; false if its present state doesn't allow that.
 func (c *Coordinator) Move(m *Machine, to MachineState) bool { return c.machines.move(m, to) }
 
-// Add tells of a machine that exists: it is queued for all plans that select it.
-func (c *Coordinator) Add(id MachineID) {
+// MachineAdded tells of a machine that exists: it is queued for all plans that select it.
+func (c *Coordinator) MachineAdded(id MachineID) {
 	for _, p := range c.plans.byAge {
 		if p.takesMachines() && !p.queue.queued[id.Name] && p.Selects(id) && !c.machines.claimed(id.Name, p.ID) {
 			p.queue.insert(id.Name)
@@ -129,14 +129,14 @@
 	return m != nil && m.state.cordoned() || c.machines.pages.mayBeStored(name)
 }
 
-// Finished reports whether a machine was emptied: if it still exists, it has to be scaled in.
-func (c *Coordinator) Finished(name string) bool {
+// Emptied reports whether a machine was emptied: if it still exists, it has to be scaled in.
+func (c *Coordinator) Emptied(name string) bool {
 	m := c.machines.byName[name]
 	return m != nil && (m.state == Empty || m.state == Released)
 }
 
-// Planned reports whether a machine is in the queue of a plan.
-func (c *Coordinator) Planned(name string) bool { return c.plans.queued(name) }
+// Queued reports whether a machine is in the queue of a plan.
+func (c *Coordinator) Queued(name string) bool { return c.plans.queued(name) }
 
 // Machine returns the machine of a name if a plan has claimed it, and else nil.
 func (c *Coordinator) Machine(name string) *Machine { return c.machines.byName[name] }
@@ -148,15 +148,15 @@
 func (c *Coordinator) Surge(m *Machine) int { return c.plans.byID[m.Plan].Surge }
 
 // PlanDeadline returns the deadline of a plan; zero if it has none.
-func (c *Coordinator) PlanDeadline(plan string) time.Time { return c.plans.byID[plan].End() }
+func (c *Coordinator) PlanDeadline(plan string) time.Time { return c.plans.byID[plan].DeadlineAt() }
 
 // NextActive lists machines that are being drained, no more than the limit. Successive calls go
 // through all of them in turn.
 func (c *Coordinator) NextActive(limit int) []*Machine { return c.machines.nextActive(limit) }
 
-// Next proposes a machine to be cordoned, and the plan that it is for; both are empty if no plan
+// NextToCordon proposes a machine to be cordoned, and the plan that it is for; both are empty if no plan
 // can take another machine now. The caller answers each proposal by Cordon or Defer.
-func (c *Coordinator) Next(now time.Time) (name, plan string) {
+func (c *Coordinator) NextToCordon(now time.Time) (name, plan string) {
 	for _, p := range c.plans.byAge {
 		hasRoom := c.machines.activeByPlan[p.ID] < p.MaxAtOnce
 		if p.Phase != Running || p.Through == "" || !hasRoom || now.Before(p.queue.retryAt) {
@@ -180,30 +180,32 @@
 	return c.machines.cordon(now, name, plan)
 }
 
-// Defer puts a machine behind all others of its plan, since it can't be emptied now. It may be one
+// DeferMachine puts a machine behind all others of its plan, since it can't be emptied now. It may be one
 // that was proposed, or one that the plan has cordoned already.
-func (c *Coordinator) Defer(now time.Time, name, plan string, reason Verdict) {
+func (c *Coordinator) DeferMachine(now time.Time, name, plan string, reason Verdict) {
 	if m := c.machines.byName[name]; m != nil {
 		c.machines.move(m, Planned)
 	}
 	c.plans.byID[plan].queue.deferMachine(now, name, reason)
 }
 
-// Writes lists writes of pages of machines that are due now, no more than the limit.
-func (c *Coordinator) Writes(limit int) []MachineWrite { return c.machines.pages.writes(limit) }
+// MachinePageWrites lists writes of pages of machines that are due now, no more than the limit.
+func (c *Coordinator) MachinePageWrites(limit int) []MachinePageWrite {
+	return c.machines.pages.writes(limit)
+}
 
 // Pending reports whether any page of machines or charges has changed since it was last written.
 func (c *Coordinator) Pending() bool { return len(c.machines.pages.dirty) > 0 || c.Ledger.Pending() }
 
-// WriteStarted notes that a write of a page of machines is under way.
-func (c *Coordinator) WriteStarted(name string) { c.machines.pages.writeStarted(name) }
+// MachinePageWriteStarted notes that a write of a page of machines is under way.
+func (c *Coordinator) MachinePageWriteStarted(name string) { c.machines.pages.writeStarted(name) }
 
-// Refused takes in that the state service rejects a page of machines whatever its version: it is
+// MachinePageRejected takes in that the state service rejects a page of machines whatever its version: it is
 // too large and is split in two.
-func (c *Coordinator) Refused(name string) { c.machines.pages.split(name) }
+func (c *Coordinator) MachinePageRejected(name string) { c.machines.pages.split(name) }
 
-// Written takes in the outcome of a write of a page of machines, and returns the machines that the
+// MachinePageWritten takes in the outcome of a write of a page of machines, and returns the machines that the
 // stored page no longer names.
-func (c *Coordinator) Written(name string, outcome Outcome) []string {
+func (c *Coordinator) MachinePageWritten(name string, outcome PageWriteOutcome) []string {
 	return c.machines.pages.writeEnded(name, outcome)
 }
--- a/internal/drain/coordinator_test.go
+++ b/internal/drain/coordinator_test.go
@@ -24,7 +24,7 @@
 func (s *testStore) writeAll(t *testing.T, now time.Time, c *Coordinator) {
 	t.Helper()
 	for range 50 {
-		charges, machines := c.Ledger.Writes(now, 3), c.Writes(3)
+		charges, machines := c.Ledger.Writes(now, 3), c.MachinePageWrites(3)
 		if len(charges)+len(machines) == 0 {
 			return
 		}
@@ -38,7 +38,7 @@
 	t.Fatal("writes are proposed without end")
 }
 
-func (s *testStore) writeCharges(t *testing.T, c *Coordinator, w PageWrite) {
+func (s *testStore) writeCharges(t *testing.T, c *Coordinator, w ChargePageWrite) {
 	t.Helper()
 	if s.charges[w.Name].Version != w.Version {
 		t.Fatalf("page %s has version %d, written over %d", w.Name, s.charges[w.Name].Version, w.Version)
@@ -46,28 +46,28 @@
 	c.Ledger.WriteStarted(w.Name)
 	s.revision++
 	s.charges[w.Name] = StoredCharges{Name: w.Name, Version: s.revision, Record: w.Record}
-	outcome := Outcome{OK: true, Version: s.revision}
-	if w.Drop {
+	outcome := PageWriteOutcome{OK: true, Version: s.revision}
+	if w.Delete {
 		delete(s.charges, w.Name)
 		outcome.Version = 0
 	}
 	c.Ledger.Written(w, outcome)
 }
 
-func (s *testStore) writeMachines(t *testing.T, c *Coordinator, w MachineWrite) {
+func (s *testStore) writeMachines(t *testing.T, c *Coordinator, w MachinePageWrite) {
 	t.Helper()
 	if s.machines[w.Name].Version != w.Version {
 		t.Fatalf("page %s has version %d, written over %d", w.Name, s.machines[w.Name].Version, w.Version)
 	}
-	c.WriteStarted(w.Name)
+	c.MachinePageWriteStarted(w.Name)
 	s.revision++
 	s.machines[w.Name] = StoredMachines{Name: w.Name, Version: s.revision, Record: w.Record}
-	outcome := Outcome{OK: true, Version: s.revision}
-	if w.Drop {
+	outcome := PageWriteOutcome{OK: true, Version: s.revision}
+	if w.Delete {
 		delete(s.machines, w.Name)
 		outcome.Version = 0
 	}
-	c.Written(w.Name, outcome)
+	c.MachinePageWritten(w.Name, outcome)
 }
 
 // stored returns what a leader that takes over reads.
@@ -111,7 +111,7 @@
 		c = newTestCoordinator(now, store.stored(plan), term, limit)
 		for i := range machines {
 			if id := machineID(i); !gone[id.Name] {
-				c.Add(id)
+				c.MachineAdded(id)
 			}
 		}
 	}
@@ -119,7 +119,7 @@
 	for released := 0; released < machines; {
 		now = now.Add(queueRetryInterval)
 		for {
-			name, id := c.Next(now)
+			name, id := c.NextToCordon(now)
 			if name == "" {
 				break
 			}
@@ -151,7 +151,7 @@
 		t.Fatalf("not completed: %+v", writes)
 	}
 	c.PlanWritten(now, writes[0], true)
-	c.SetPlan(now, StoredPlan{Plan: writes[0].Plan, Version: 2})
+	c.PlanStored(now, StoredPlan{Plan: writes[0].Plan, Version: 2})
 	store.writeAll(t, now, c)
 	if len(store.machines) != 0 {
 		t.Errorf("%d pages of machines are left", len(store.machines))
@@ -163,8 +163,8 @@
 func TestCordonOutlivesItsLeader(t *testing.T) {
 	store, plan := newTestStore(), planOf("p", 1, 1)
 	c := newTestCoordinator(testStart, store.stored(plan), 1, 4000)
-	c.Add(machineID(1))
-	name, id := c.Next(testStart)
+	c.MachineAdded(machineID(1))
+	name, id := c.NextToCordon(testStart)
 	m := c.Cordon(testStart, name, id)
 	if m.CordonStored() {
 		t.Error("stored before it was written")
@@ -178,7 +178,7 @@
 		t.Error("forgotten by the next leader")
 	}
 	plan.Version, plan.Plan.Phase = 2, Cancelled
-	if uncordoned, _ := next.SetPlan(testStart, plan); !slices.Equal(uncordoned, []string{name}) {
+	if uncordoned, _ := next.PlanStored(testStart, plan); !slices.Equal(uncordoned, []string{name}) {
 		t.Errorf("uncordoned: %v", uncordoned)
 	}
 	if !next.Cordoned(name) {
@@ -199,18 +199,18 @@
 	store := newTestStore()
 	first, second := planOf("a", 1, 1), planOf("b", 1, 2)
 	c := newTestCoordinator(testStart, store.stored(first, second), 1, 4000)
-	c.Add(machineID(1))
-	name, id := c.Next(testStart)
+	c.MachineAdded(machineID(1))
+	name, id := c.NextToCordon(testStart)
 	if id != "a" {
 		t.Fatalf("%s goes to %q", name, id)
 	}
 	c.Cordon(testStart, name, id)
-	if name, id := c.Next(testStart); name != "" {
+	if name, id := c.NextToCordon(testStart); name != "" {
 		t.Fatalf("%s goes to %q as well", name, id)
 	}
 	first.Version, first.Plan.Phase = 3, Cancelled
-	c.SetPlan(testStart, first)
-	if name, id := c.Next(testStart.Add(queueRetryInterval)); name == "" || id != "b" {
+	c.PlanStored(testStart, first)
+	if name, id := c.NextToCordon(testStart.Add(queueRetryInterval)); name == "" || id != "b" {
 		t.Fatalf("%q goes to %q", name, id)
 	}
 }
@@ -220,22 +220,22 @@
 func TestBlockedMachinesAreBypassed(t *testing.T) {
 	c := newTestCoordinator(testStart, newTestStore().stored(planOf("p", 1, 1)), 1, 4000)
 	for i := range 5 {
-		c.Add(machineID(i))
+		c.MachineAdded(machineID(i))
 	}
 	why := Verdict{Kind: Never, Cause: CauseTaskBudget}
 	for i := range 4 {
-		name, id := c.Next(testStart)
+		name, id := c.NextToCordon(testStart)
 		if name != machineID(i).Name {
 			t.Fatalf("%q comes after %d that are blocked", name, i)
 		}
-		c.Defer(testStart, name, id, why)
+		c.DeferMachine(testStart, name, id, why)
 	}
-	last, id := c.Next(testStart)
-	c.Defer(testStart, last, id, why)
-	if name, _ := c.Next(testStart); last != machineID(4).Name || name != "" {
+	last, id := c.NextToCordon(testStart)
+	c.DeferMachine(testStart, last, id, why)
+	if name, _ := c.NextToCordon(testStart); last != machineID(4).Name || name != "" {
 		t.Fatalf("%q, then %q", last, name)
 	}
-	if name, _ := c.Next(testStart.Add(queueRetryInterval)); name != machineID(0).Name {
+	if name, _ := c.NextToCordon(testStart.Add(queueRetryInterval)); name != machineID(0).Name {
 		t.Errorf("%q after the pause", name)
 	}
 }
@@ -247,9 +247,9 @@
 		store, plan := newTestStore(), planOf("p", 1, 1)
 		plan.Plan.Deadline, plan.Plan.KeepCordoned = time.Minute, keep
 		c := newTestCoordinator(testStart, store.stored(plan), 1, 4000)
-		c.Add(machineID(1))
-		c.Add(machineID(2))
-		name, id := c.Next(testStart)
+		c.MachineAdded(machineID(1))
+		c.MachineAdded(machineID(2))
+		name, id := c.NextToCordon(testStart)
 		c.Cordon(testStart, name, id)
 		if w := c.PlanWrites(testStart.Add(59*time.Second), "", true); len(w) != 0 {
 			t.Fatalf("before the deadline: %+v", w)
@@ -258,16 +258,16 @@
 		if len(writes) != 1 || writes[0].Plan.Phase != Expired {
 			t.Fatalf("at the deadline: %+v", writes)
 		}
-		c.SetPlan(testStart, StoredPlan{Plan: writes[0].Plan, Version: 2})
+		c.PlanStored(testStart, StoredPlan{Plan: writes[0].Plan, Version: 2})
 		store.writeAll(t, testStart, c)
-		if c.Cordoned(name) != keep || c.Planned(machineID(2).Name) {
-			t.Errorf("keep %v: cordoned %v, planned %v", keep, c.Cordoned(name), c.Planned(machineID(2).Name))
+		if c.Cordoned(name) != keep || c.Queued(machineID(2).Name) {
+			t.Errorf("keep %v: cordoned %v, planned %v", keep, c.Cordoned(name), c.Queued(machineID(2).Name))
 		}
 		cancelled := writes[0].Plan
 		if cancelled.MoveTo(Running) || !cancelled.MoveTo(Cancelled) {
 			t.Error("an expired plan can be cancelled, and nothing else")
 		}
-		c.SetPlan(testStart, StoredPlan{Plan: cancelled, Version: 3})
+		c.PlanStored(testStart, StoredPlan{Plan: cancelled, Version: 3})
 		store.writeAll(t, testStart, c)
 		if c.Cordoned(name) {
 			t.Error("cordoned after the plan was cancelled")
@@ -282,12 +282,12 @@
 	for i := range keptPlans + 2 {
 		p := planOf(fmt.Sprintf("p-%02d", i), 1, 1)
 		p.Plan.Phase, p.Plan.CreatedMS = Completed, int64(i)
-		c.SetPlan(testStart, p)
+		c.PlanStored(testStart, p)
 	}
 	for i := range 2 {
 		now := testStart.Add(time.Duration(i) * time.Minute)
 		w := c.PlanWrites(now, "", true)
-		if len(w) != 1 || !w[0].Drop || w[0].Plan.ID != fmt.Sprintf("p-%02d", i) {
+		if len(w) != 1 || !w[0].Delete || w[0].Plan.ID != fmt.Sprintf("p-%02d", i) {
 			t.Fatalf("%+v", w)
 		}
 		c.PlanWritten(now, w[0], true)
@@ -331,7 +331,7 @@
 func (c *chargingLeaders) refuse() {
 	for _, w := range c.leader.Ledger.Writes(c.now, 1) {
 		c.leader.Ledger.WriteStarted(w.Name)
-		c.leader.Ledger.Refused(w.Name)
+		c.leader.Ledger.PageRejected(w.Name)
 	}
 }
 
@@ -399,12 +399,12 @@
 	c.Ledger.Charge(testStart, "red", "c", task, 1, Voluntary)
 	w := c.Ledger.Writes(testStart, 1)
 	c.Ledger.WriteStarted(w[0].Name)
-	if c.Ledger.Void(task, 1); c.Ledger.Find(task, 1) == nil {
+	if c.Ledger.Withdraw(task, 1); c.Ledger.Find(task, 1) == nil {
 		t.Fatal("void while it is written")
 	}
-	c.Ledger.Written(w[0], Outcome{OK: true, Version: 1})
+	c.Ledger.Written(w[0], PageWriteOutcome{OK: true, Version: 1})
 	store.charges[w[0].Name], store.revision = StoredCharges{Name: w[0].Name, Version: 1, Record: w[0].Record}, 1
-	if c.Ledger.Void(task, 1); c.Ledger.Find(task, 1) != nil {
+	if c.Ledger.Withdraw(task, 1); c.Ledger.Find(task, 1) != nil {
 		t.Fatal("not void")
 	}
 	store.writeAll(t, testStart, c)
--- a/internal/drain/ledger.go
+++ b/internal/drain/ledger.go
@@ -75,7 +75,7 @@
 
 // Charge charges an interruption of an attempt. An attempt is interrupted once: if it has a charge
 // already, that one is used.
-func (l *Ledger) Charge(now time.Time, team, class string, task TaskKey, attempt uint64, kind Kind) *Charge {
+func (l *Ledger) Charge(now time.Time, team, class string, task TaskKey, attempt uint64, kind InterruptionKind) *Charge {
 	if c := l.Find(task, attempt); c != nil {
 		l.reopen(now, c)
 		return c
@@ -106,9 +106,9 @@
 	}
 }
 
-// Void withdraws a voluntary charge that certainly won't be used: no leader can stop the attempt
+// Withdraw withdraws a voluntary charge that certainly won't be used: no leader can stop the attempt
 // on its account any more. While its page is being written it can't be withdrawn.
-func (l *Ledger) Void(task TaskKey, attempt uint64) {
+func (l *Ledger) Withdraw(task TaskKey, attempt uint64) {
 	c := l.Find(task, attempt)
 	if c == nil || !c.Open() || c.Kind != Voluntary || c.page.writing {
 		return
@@ -129,19 +129,19 @@
 // ChargedJobs lists the jobs that have charges.
 func (l *Ledger) ChargedJobs() []string { return l.index.jobs() }
 
-// JobOver notes that a job is over: its tasks can't be interrupted again.
-func (l *Ledger) JobOver(job string) { l.index.jobFinished(job) }
+// JobFinished notes that a job is over: its tasks can't be interrupted again.
+func (l *Ledger) JobFinished(job string) { l.index.jobFinished(job) }
 
 // Writes lists writes of pages that are due now, no more than the limit. Once in a while, if
 // nothing else is to be written, a page is deleted that is no longer needed.
-func (l *Ledger) Writes(now time.Time, limit int) []PageWrite {
+func (l *Ledger) Writes(now time.Time, limit int) []ChargePageWrite {
 	out := l.pages.dirtyWrites(limit)
 	if len(out) > 0 || limit <= 0 || now.Sub(l.pages.prunedAt) < prunePause {
 		return out
 	}
 	l.pages.prunedAt = now
 	if p := l.pages.obsolete(func(c *Charge) bool { return l.isNeeded(now, c) }); p != nil {
-		out = append(out, PageWrite{Name: p.name, Version: p.version, Drop: true})
+		out = append(out, ChargePageWrite{Name: p.name, Version: p.version, Delete: true})
 	}
 	return out
 }
@@ -155,20 +155,20 @@
 // Pending reports whether any page has changed since it was last written.
 func (l *Ledger) Pending() bool { return len(l.pages.dirty) > 0 }
 
-// WriteStarted notes that a write of a page is under way.
+// MachinePageWriteStarted notes that a write of a page is under way.
 func (l *Ledger) WriteStarted(name string) { l.pages.writeStarted(name) }
 
 // Written takes in the outcome of a write of a page.
-func (l *Ledger) Written(w PageWrite, outcome Outcome) {
+func (l *Ledger) Written(w ChargePageWrite, outcome PageWriteOutcome) {
 	p := l.pages.byName[w.Name]
 	if p == nil {
 		return
 	}
 	p.writeEnded(outcome)
 	switch {
-	case w.Drop && outcome.OK:
+	case w.Delete && outcome.OK:
 		l.forget(p)
-	case w.Drop: // the next search for pages that are no longer needed finds it again
+	case w.Delete: // the next search for pages that are no longer needed finds it again
 	case outcome.OK:
 		l.pages.written(p)
 	default:
@@ -176,9 +176,9 @@
 	}
 }
 
-// Refused takes in that the state service rejects a page whatever its version: it is too large and
+// PageRejected takes in that the state service rejects a page whatever its version: it is too large and
 // is split in two.
-func (l *Ledger) Refused(name string) { l.pages.split(name) }
+func (l *Ledger) PageRejected(name string) { l.pages.split(name) }
 
 // forget removes a page that the state service no longer holds.
 func (l *Ledger) forget(p *chargePage) {
--- a/internal/drain/machine.go
+++ b/internal/drain/machine.go
@@ -40,7 +40,7 @@
 // Machine is a machine that a plan has claimed.
 type Machine struct {
 	Name, Plan string
-	Since      time.Time // when it was cordoned
+	CordonedAt time.Time // when it was cordoned
 	Verdict    Verdict   // why it isn't empty yet
 	Checked    time.Time // when it was last looked at
 
--- a/internal/drain/machine_page.go
+++ b/internal/drain/machine_page.go
@@ -74,7 +74,7 @@
 func (p *machinePage) record() MachinePage {
 	out := MachinePage{}
 	for _, m := range p.sorted() {
-		entry := MachineEntry{Name: m.Name, Plan: m.Plan, State: m.state, SinceMS: m.Since.UnixMilli()}
+		entry := MachineEntry{Name: m.Name, Plan: m.Plan, State: m.state, SinceMS: m.CordonedAt.UnixMilli()}
 		out.Machines = append(out.Machines, entry)
 	}
 	return out
--- a/internal/drain/machine_pages.go
+++ b/internal/drain/machine_pages.go
@@ -33,7 +33,7 @@
 	p.mayExist, p.version = true, stored.Version
 	var out []*Machine
 	for _, e := range stored.Record.Machines {
-		m := &Machine{Name: e.Name, Plan: e.Plan, Since: timeOf(e.SinceMS), state: e.State, stored: e.State}
+		m := &Machine{Name: e.Name, Plan: e.Plan, CordonedAt: timeOf(e.SinceMS), state: e.State, stored: e.State}
 		p.add(m)
 		out = append(out, m)
 	}
@@ -71,7 +71,7 @@
 func (s *machinePages) mayBeStored(machine string) bool { return s.removed[machine] > 0 }
 
 // writes lists writes of pages that have changed, by name and no more than the limit.
-func (s *machinePages) writes(limit int) []MachineWrite {
+func (s *machinePages) writes(limit int) []MachinePageWrite {
 	var names []string
 	for p := range s.dirty {
 		switch {
@@ -83,10 +83,10 @@
 		}
 	}
 	slices.Sort(names)
-	var out []MachineWrite
+	var out []MachinePageWrite
 	for _, name := range names[:min(limit, len(names))] {
 		p := s.byName[name]
-		out = append(out, MachineWrite{Name: name, Version: p.version, Record: p.record(), Drop: len(p.machines) == 0})
+		out = append(out, MachinePageWrite{Name: name, Version: p.version, Record: p.record(), Delete: len(p.machines) == 0})
 	}
 	return out
 }
@@ -107,7 +107,7 @@
 // writeEnded takes in the outcome of a write of a page, and returns the machines that the stored
 // page no longer names. After a write that isn't known to be carried out, the state service may
 // hold what was sent all the same.
-func (s *machinePages) writeEnded(name string, outcome Outcome) []string {
+func (s *machinePages) writeEnded(name string, outcome PageWriteOutcome) []string {
 	p := s.byName[name]
 	if p == nil {
 		return nil
--- a/internal/drain/machine_set.go
+++ b/internal/drain/machine_set.go
@@ -43,7 +43,7 @@
 
 // cordon has a plan claim a machine.
 func (s *machineSet) cordon(now time.Time, name, plan string) *Machine {
-	m := &Machine{Name: name, Plan: plan, Since: now}
+	m := &Machine{Name: name, Plan: plan, CordonedAt: now}
 	s.byName[name] = m
 	m.move(Cordoned)
 	s.activate(m)
--- a/internal/drain/page_write.go
+++ b/internal/drain/page_write.go
@@ -1,26 +1,26 @@
 package drain
 
-// PageWrite is a page of charges that has to be written in place of a version of it; with Drop,
+// ChargePageWrite is a page of charges that has to be written in place of a version of it; with Drop,
 // it has to be deleted. The version is a condition of the write: one that is carried out late must
 // not replace a newer page.
-type PageWrite struct {
+type ChargePageWrite struct {
 	Name    string
 	Version uint64
 	Record  ChargePage
-	Drop    bool
+	Delete  bool
 }
 
-// MachineWrite is a page of machines that has to be written in place of a version of it; with
+// MachinePageWrite is a page of machines that has to be written in place of a version of it; with
 // Drop, it has to be deleted.
-type MachineWrite struct {
+type MachinePageWrite struct {
 	Name    string
 	Version uint64
 	Record  MachinePage
-	Drop    bool
+	Delete  bool
 }
 
-// Outcome is what is known after a write of a page has ended.
-type Outcome struct {
+// PageWriteOutcome is what is known after a write of a page has ended.
+type PageWriteOutcome struct {
 	OK      bool   // the write is known to be carried out
 	Version uint64 // of the page in the state service, if the write is OK or the version is Known
 	Known   bool   // after a write that isn't known to be carried out: Version was read since
@@ -36,7 +36,7 @@
 }
 
 // writeEnded takes in the outcome of the write that was under way.
-func (p *pageState) writeEnded(outcome Outcome) {
+func (p *pageState) writeEnded(outcome PageWriteOutcome) {
 	p.writing = false
 	if outcome.OK || outcome.Known {
 		p.version = outcome.Version
--- a/internal/drain/plan.go
+++ b/internal/drain/plan.go
@@ -111,8 +111,8 @@
 	return true
 }
 
-// Same reports whether two plans request the same. A repeated request with the same ID has to.
-func (p *Plan) Same(o *Plan) bool {
+// SameRequest reports whether two plans request the same. A repeated request with the same ID has to.
+func (p *Plan) SameRequest(o *Plan) bool {
 	return p.Selector.same(&o.Selector) && p.MaxAtOnce == o.MaxAtOnce && p.Surge == o.Surge &&
 		p.Deadline == o.Deadline && p.KeepCordoned == o.KeepCordoned
 }
@@ -121,8 +121,8 @@
 	return slices.Equal(s.Machines, o.Machines) && s.Type == o.Type && s.Zone == o.Zone && s.All == o.All
 }
 
-// End returns the moment of the plan's deadline; zero if it has none.
-func (p *Plan) End() time.Time {
+// DeadlineAt returns the moment of the plan's deadline; zero if it has none.
+func (p *Plan) DeadlineAt() time.Time {
 	if p.Deadline == 0 {
 		return time.Time{}
 	}
--- a/internal/drain/plan_writes.go
+++ b/internal/drain/plan_writes.go
@@ -20,7 +20,7 @@
 type PlanWrite struct {
 	Plan    Plan
 	Version uint64
-	Drop    bool
+	Delete  bool
 }
 
 // PlanWrites lists writes of plans' records that follow from what this leader knows: the last
@@ -46,9 +46,9 @@
 	now time.Time, p *planProgress, newest string, complete bool,
 ) (write PlanWrite, due bool) {
 	write = PlanWrite{Plan: p.Plan, Version: p.version}
-	switch end := p.End(); {
+	switch end := p.DeadlineAt(); {
 	case p.Phase.Final():
-		write.Drop = true
+		write.Delete = true
 		return write, c.isNextForgotten(p)
 	case !end.IsZero() && now.After(end):
 		return write, write.Plan.MoveTo(Expired)
@@ -79,7 +79,7 @@
 	return oldest >= 0 && finished[oldest] == p
 }
 
-// PlanWritten notes that a write of a plan's record has ended. The new record arrives by SetPlan;
+// PlanWritten notes that a write of a plan's record has ended. The new record arrives by PlanStored;
 // a plan whose record was deleted is forgotten here.
 func (c *Coordinator) PlanWritten(now time.Time, w PlanWrite, ok bool) {
 	p := c.plans.byID[w.Plan.ID]
@@ -87,7 +87,7 @@
 		return
 	}
 	p.recordWriting, p.recordRetryAt = false, now.Add(planRetryInterval)
-	if w.Drop && ok {
+	if w.Delete && ok {
 		c.plans.remove(p)
 	}
 }
--- a/internal/drain/verdict.go
+++ b/internal/drain/verdict.go
@@ -13,14 +13,14 @@
 
 // Candidate is what would be evicted together to empty a machine: one task, or all tasks of a gang.
 type Candidate struct {
-	Team, Class string
-	Job         string
-	Tasks       []TaskAttempt
-	Down        int           // other tasks of the job that don't run
-	Replicas    int           // of a service; 0: the job isn't one, and its tasks finish by themselves
-	Checkpoints bool          // tasks save their progress when they are stopped
-	Takes       time.Duration // at most, from the decision until the last task is gone
-	Since       time.Time     // when its machine was cordoned
+	Team, Class  string
+	Job          string
+	Tasks        []TaskAttempt
+	Down         int           // other tasks of the job that don't run
+	Replicas     int           // of a service; 0: the job isn't one, and its tasks finish by themselves
+	Checkpoints  bool          // tasks save their progress when they are stopped
+	EvictionTime time.Duration // at most, from the decision until the last task is gone
+	CordonedAt   time.Time     // when its machine was cordoned
 }
 
 // isService reports whether the candidate runs until its job is cancelled.
@@ -122,7 +122,7 @@
 	if c.Replicas > 1 && c.Down+len(c.Tasks) > p.maxReplicasDown(c) {
 		worst = worse(worst, Verdict{Kind: NotYet, Cause: CauseUnavailable, Job: c.Job})
 	}
-	if until := c.Since.Add(p.finishWait(budgets)); !c.Checkpoints && !c.isService() && now.Before(until) {
+	if until := c.CordonedAt.Add(p.finishWait(budgets)); !c.Checkpoints && !c.isService() && now.Before(until) {
 		worst = worse(worst, Verdict{Kind: NotYet, Cause: CauseFinishing, Job: c.Job, Until: until})
 	}
 	return worst
@@ -220,7 +220,7 @@
 
 // judgeClosed judges by whether a candidate would be gone before any closed window of a budget begins.
 func (p *Policy) judgeClosed(now time.Time, c *Candidate, b scopedBudget) Verdict {
-	open, ok := openFrom(b.budget.Closed, now, c.Takes, p.Skew)
+	open, ok := openFrom(b.budget.Closed, now, c.EvictionTime, p.Skew)
 	switch {
 	case !ok:
 		return c.exhausted(b.scope, CauseClosed)
--- a/internal/drain/verdict_test.go
+++ b/internal/drain/verdict_test.go
@@ -26,7 +26,7 @@
 
 // candidate returns a task, with checkpoints, of a job of team red.
 func candidate(job string, task int, attempt uint64) *Candidate {
-	return &Candidate{Team: "red", Class: "c", Job: job, Checkpoints: true, Takes: 5 * time.Second, Since: testStart,
+	return &Candidate{Team: "red", Class: "c", Job: job, Checkpoints: true, EvictionTime: 5 * time.Second, CordonedAt: testStart,
 		Tasks: []TaskAttempt{{TaskKey{job, task}, attempt}}}
 }
 
--- a/internal/jobstore/drains.go
+++ b/internal/jobstore/drains.go
@@ -92,7 +92,7 @@
 		return drain.StoredPlan{Plan: plan, Version: version}, err
 	}
 	stored, err := j.DrainPlan(ctx, plan.ID)
-	if err == nil && !stored.Plan.Same(&plan) {
+	if err == nil && !stored.Plan.SameRequest(&plan) {
 		err = ErrOtherPlan
 	}
 	return stored, err
@@ -130,7 +130,7 @@
 func (j *Jobs) putDrainPlan(ctx context.Context, conditions []statestore.Compare, w drain.PlanWrite) (uint64, error) {
 	key := DrainPlanPrefix + w.Plan.ID
 	conditions = append(conditions, statestore.Compare{Key: key, ModRevision: w.Version})
-	if w.Drop {
+	if w.Delete {
 		return j.store.Commit(ctx, conditions, []statestore.Op{statestore.Delete(key)})
 	}
 	value, err := codec.Marshal(w.Plan)
--- a/internal/jobstore/limits_test.go
+++ b/internal/jobstore/limits_test.go
@@ -51,7 +51,7 @@
 	values := []any{record}
 	chunks := map[int][]int{}
 	for chunk := 1; chunk*pipeline.ChunkTasks < job.Spec.Tasks; chunk++ {
-		chunks[chunk] = pipeline.FitRuns(job.Chunk(chunk), limit)
+		chunks[chunk] = pipeline.TruncateRuns(job.DoneRuns(chunk), limit)
 		values = append(values, chunks[chunk])
 		job.MarkWriting(chunk, chunks[chunk])
 	}
--- a/internal/recovery/findings.go
+++ b/internal/recovery/findings.go
@@ -107,40 +107,40 @@
 
 // Holders.
 const (
-	Nobody          Holder = iota // no attempt of the task is recorded
-	ThisAttempt                   // the reported attempt, here
-	OlderHere                     // an earlier attempt, here
-	NewerHere                     // a later attempt, here; its start was sent
-	UnsentHere                    // a later attempt, here; its start hasn't been sent
-	UnsentElsewhere               // another attempt, elsewhere; its start hasn't been sent
-	Elsewhere                     // another attempt, elsewhere
+	HolderNone            Holder = iota // no attempt of the task is recorded
+	HolderThisAttempt                   // the reported attempt, here
+	HolderOlderHere                     // an earlier attempt, here
+	HolderNewerHere                     // a later attempt, here; its start was sent
+	HolderUnsentHere                    // a later attempt, here; its start hasn't been sent
+	HolderUnsentElsewhere               // another attempt, elsewhere; its start hasn't been sent
+	HolderElsewhere                     // another attempt, elsewhere
 )
 
 // ObservedTask is a task as a heartbeat reports it, and what is recorded of it.
 type ObservedTask struct {
-	Holder    Holder
-	Inherited bool // the holder's attempt is from an earlier term, and no heartbeat has confirmed it
-	Exited    bool // the attempt has ended
-	Done      bool // the attempt has ended with a result
-	JobOpen   bool // the job is known and is neither over nor cancelled
-	Wanted    bool // the task isn't done yet
-	Confirmed bool // the heartbeat carries this term's fencing token
-	Whole     bool // the task belongs to a gang of several, which runs whole or not at all
+	Holder       Holder
+	Inherited    bool // the holder's attempt is from an earlier term, and no heartbeat has confirmed it
+	Exited       bool // the attempt has ended
+	Done         bool // the attempt has ended with a result
+	JobOpen      bool // the job is known and is neither over nor cancelled
+	ResultWanted bool // the task isn't done yet
+	Confirmed    bool // the heartbeat carries this term's fencing token
+	Gang         bool // the task belongs to a gang of several, which runs whole or not at all
 }
 
 // Classify decides what a reported task is and what is done about it.
 func Classify(r ObservedTask) Finding {
 	switch r.Holder {
-	case ThisAttempt:
+	case HolderThisAttempt:
 		return classifyRecorded(r)
-	case OlderHere:
+	case HolderOlderHere:
 		if r.Inherited {
 			return Finding{NewerAttemptReported, MarkLost} // proven gone, or the later one wouldn't have been placed
 		}
 		return Finding{OlderAttemptReported, Ignore}
-	case UnsentHere:
+	case HolderUnsentHere:
 		return Finding{OlderAttemptReported, WithdrawFirst}
-	case NewerHere:
+	case HolderNewerHere:
 		return Finding{OlderAttemptReported, Ignore}
 	}
 	return classifyUnrecorded(r)
@@ -151,7 +151,7 @@
 	switch {
 	case !r.Exited:
 		return Finding{RunningRecorded, Keep}
-	case r.Done && r.JobOpen && r.Wanted:
+	case r.Done && r.JobOpen && r.ResultWanted:
 		return Finding{DoneUnrecorded, TakeResult}
 	case r.Done:
 		return Finding{DoneJobOver, Forget}
@@ -162,7 +162,7 @@
 // classifyUnrecorded classifies an attempt that isn't recorded on the machine that reports it.
 func classifyUnrecorded(r ObservedTask) Finding {
 	switch {
-	case r.Done && r.JobOpen && r.Wanted:
+	case r.Done && r.JobOpen && r.ResultWanted:
 		return Finding{DoneUnrecorded, TakeResult}
 	case r.Done:
 		return Finding{DoneJobOver, Forget}
@@ -170,13 +170,13 @@
 		return Finding{Failed, Forget}
 	case !r.Confirmed:
 		return Finding{OlderHeartbeat, Ignore}
-	case !r.JobOpen || !r.Wanted:
+	case !r.JobOpen || !r.ResultWanted:
 		return Finding{RunningJobOver, Stop}
-	case r.Holder == Elsewhere:
+	case r.Holder == HolderElsewhere:
 		return Finding{HeldElsewhere, Stop}
-	case r.Whole:
+	case r.Gang:
 		return Finding{RunningUnrecorded, Stop}
-	case r.Holder == UnsentElsewhere:
+	case r.Holder == HolderUnsentElsewhere:
 		return Finding{HeldElsewhere, WithdrawFirst}
 	}
 	return Finding{RunningUnrecorded, Adopt}
--- a/internal/recovery/findings_test.go
+++ b/internal/recovery/findings_test.go
@@ -5,7 +5,7 @@
 // taskWith returns a running task of an open job that isn't recorded and is reported under this term,
 // with a change.
 func taskWith(change func(*ObservedTask)) ObservedTask {
-	task := ObservedTask{JobOpen: true, Wanted: true, Confirmed: true}
+	task := ObservedTask{JobOpen: true, ResultWanted: true, Confirmed: true}
 	if change != nil {
 		change(&task)
 	}
@@ -20,12 +20,12 @@
 }{
 	{
 		"running and recorded",
-		taskWith(func(r *ObservedTask) { r.Holder = ThisAttempt }),
+		taskWith(func(r *ObservedTask) { r.Holder = HolderThisAttempt }),
 		Finding{RunningRecorded, Keep},
 	},
 	{
 		"running and recorded, by a late copy",
-		taskWith(func(r *ObservedTask) { r.Holder, r.Confirmed, r.Inherited = ThisAttempt, false, true }),
+		taskWith(func(r *ObservedTask) { r.Holder, r.Confirmed, r.Inherited = HolderThisAttempt, false, true }),
 		Finding{RunningRecorded, Keep},
 	},
 	{
@@ -35,7 +35,7 @@
 	},
 	{
 		"running and never recorded, a gang's",
-		taskWith(func(r *ObservedTask) { r.Whole = true }),
+		taskWith(func(r *ObservedTask) { r.Gang = true }),
 		Finding{RunningUnrecorded, Stop},
 	},
 	{
@@ -45,17 +45,17 @@
 	},
 	{
 		"running, another machine holds it",
-		taskWith(func(r *ObservedTask) { r.Holder = Elsewhere }),
+		taskWith(func(r *ObservedTask) { r.Holder = HolderElsewhere }),
 		Finding{HeldElsewhere, Stop},
 	},
 	{
 		"running, another machine's start hasn't been sent",
-		taskWith(func(r *ObservedTask) { r.Holder = UnsentElsewhere }),
+		taskWith(func(r *ObservedTask) { r.Holder = HolderUnsentElsewhere }),
 		Finding{HeldElsewhere, WithdrawFirst},
 	},
 	{
 		"running, another machine's start hasn't been sent, a gang's",
-		taskWith(func(r *ObservedTask) { r.Holder, r.Whole = UnsentElsewhere, true }),
+		taskWith(func(r *ObservedTask) { r.Holder, r.Gang = HolderUnsentElsewhere, true }),
 		Finding{RunningUnrecorded, Stop},
 	},
 	{
@@ -65,32 +65,32 @@
 	},
 	{
 		"running, the task is done",
-		taskWith(func(r *ObservedTask) { r.Wanted = false }),
+		taskWith(func(r *ObservedTask) { r.ResultWanted = false }),
 		Finding{RunningJobOver, Stop},
 	},
 	{
 		"a newer attempt than its record",
-		taskWith(func(r *ObservedTask) { r.Holder, r.Inherited = OlderHere, true }),
+		taskWith(func(r *ObservedTask) { r.Holder, r.Inherited = HolderOlderHere, true }),
 		Finding{NewerAttemptReported, MarkLost},
 	},
 	{
 		"a newer attempt than one that this term started",
-		taskWith(func(r *ObservedTask) { r.Holder = OlderHere }),
+		taskWith(func(r *ObservedTask) { r.Holder = HolderOlderHere }),
 		Finding{OlderAttemptReported, Ignore},
 	},
 	{
 		"an older attempt than its record",
-		taskWith(func(r *ObservedTask) { r.Holder, r.Inherited = NewerHere, true }),
+		taskWith(func(r *ObservedTask) { r.Holder, r.Inherited = HolderNewerHere, true }),
 		Finding{OlderAttemptReported, Ignore},
 	},
 	{
 		"an older attempt than one whose start hasn't been sent",
-		taskWith(func(r *ObservedTask) { r.Holder = UnsentHere }),
+		taskWith(func(r *ObservedTask) { r.Holder = HolderUnsentHere }),
 		Finding{OlderAttemptReported, WithdrawFirst},
 	},
 	{
 		"done, and the record isn't",
-		taskWith(func(r *ObservedTask) { r.Holder, r.Exited, r.Done = ThisAttempt, true, true }),
+		taskWith(func(r *ObservedTask) { r.Holder, r.Exited, r.Done = HolderThisAttempt, true, true }),
 		Finding{DoneUnrecorded, TakeResult},
 	},
 	{
@@ -100,7 +100,7 @@
 	},
 	{
 		"done minutes late, another machine holds it",
-		taskWith(func(r *ObservedTask) { r.Holder, r.Exited, r.Done = Elsewhere, true, true }),
+		taskWith(func(r *ObservedTask) { r.Holder, r.Exited, r.Done = HolderElsewhere, true, true }),
 		Finding{DoneUnrecorded, TakeResult},
 	},
 	{
@@ -110,12 +110,14 @@
 	},
 	{
 		"done, the task is done already",
-		taskWith(func(r *ObservedTask) { r.Holder, r.Exited, r.Done, r.Wanted = ThisAttempt, true, true, false }),
+		taskWith(func(r *ObservedTask) {
+			r.Holder, r.Exited, r.Done, r.ResultWanted = HolderThisAttempt, true, true, false
+		}),
 		Finding{DoneJobOver, Forget},
 	},
 	{
 		"exited without a result",
-		taskWith(func(r *ObservedTask) { r.Holder, r.Exited = ThisAttempt, true }),
+		taskWith(func(r *ObservedTask) { r.Holder, r.Exited = HolderThisAttempt, true }),
 		Finding{Failed, Requeue},
 	},
 	{
@@ -161,27 +163,27 @@
 // table that overlap would show only here.
 func TestEveryCombination(t *testing.T) {
 	seen := map[Reason]bool{RecordedUnreported: true} // that of ClassifyUnreported
-	for holder := Nobody; holder <= Elsewhere; holder++ {
+	for holder := HolderNone; holder <= HolderElsewhere; holder++ {
 		for bits := range 128 {
 			bit := func(i int) bool { return bits>>i&1 == 1 }
 			r := ObservedTask{
 				Holder: holder, Inherited: bit(0), Exited: bit(1) || bit(2), Done: bit(2),
-				JobOpen: bit(3), Wanted: bit(4), Confirmed: bit(5), Whole: bit(6),
+				JobOpen: bit(3), ResultWanted: bit(4), Confirmed: bit(5), Gang: bit(6),
 			}
 			f := Classify(r)
 			seen[f.Reason] = true
 			switch {
-			case f.Action == Adopt && (r.Exited || !r.JobOpen || !r.Wanted || !r.Confirmed || r.Whole || holder != Nobody):
+			case f.Action == Adopt && (r.Exited || !r.JobOpen || !r.ResultWanted || !r.Confirmed || r.Gang || holder != HolderNone):
 				t.Errorf("adopted: %+v", r)
 			case f.Action == Stop && (r.Exited || !r.Confirmed):
 				t.Errorf("stopped: %+v", r)
-			case f.Action == MarkLost && (holder != OlderHere || !r.Inherited):
+			case f.Action == MarkLost && (holder != HolderOlderHere || !r.Inherited):
 				t.Errorf("taken for gone: %+v", r)
-			case f.Action == WithdrawFirst && holder != UnsentHere && holder != UnsentElsewhere:
+			case f.Action == WithdrawFirst && holder != HolderUnsentHere && holder != HolderUnsentElsewhere:
 				t.Errorf("withdrawn: %+v", r)
-			case f.Action == TakeResult && (!r.Done || !r.JobOpen || !r.Wanted):
+			case f.Action == TakeResult && (!r.Done || !r.JobOpen || !r.ResultWanted):
 				t.Errorf("taken as a result: %+v", r)
-			case f.Action == Forget && r.Done && r.JobOpen && r.Wanted:
+			case f.Action == Forget && r.Done && r.JobOpen && r.ResultWanted:
 				t.Errorf("a result is forgotten: %+v", r)
 			}
 		}
--- a/internal/recovery/pacer.go
+++ b/internal/recovery/pacer.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// AtHighest returns whether starts aren't limited, or not any more.
-func (p *Pacer) AtHighest() bool { return p.unlimited }
+// Unlimited returns whether starts aren't limited, or not any more.
+func (p *Pacer) Unlimited() bool { return p.unlimited }
 
 // Rate returns how many starts per second are sent; 0 if they aren't limited.
 func (p *Pacer) Rate() float64 {
@@ -55,8 +55,8 @@
 	return p.rate
 }
 
-// Pass lets time pass up to now. Healthy says that workers and state service keep up.
-func (p *Pacer) Pass(now time.Time, healthy bool) {
+// Advance lets time pass up to now. Healthy says that workers and state service keep up.
+func (p *Pacer) Advance(now time.Time, healthy bool) {
 	if p.unlimited {
 		return
 	}
@@ -73,8 +73,8 @@
 	}
 }
 
-// Take returns whether a start may be sent now, and counts it if so. An urgent one always may.
-func (p *Pacer) Take(urgent bool) bool {
+// Allow returns whether a start may be sent now, and counts it if so. An urgent one always may.
+func (p *Pacer) Allow(urgent bool) bool {
 	switch {
 	case p.unlimited:
 		return true
--- a/internal/recovery/pacer_test.go
+++ b/internal/recovery/pacer_test.go
@@ -14,8 +14,8 @@
 	second := func(from int, healthy bool) int {
 		n := 0
 		for step := range 10 {
-			p.Pass(at(time.Duration(from)*time.Second+time.Duration(step+1)*100*time.Millisecond), healthy)
-			for p.Take(false) && n < 1000 {
+			p.Advance(at(time.Duration(from)*time.Second+time.Duration(step+1)*100*time.Millisecond), healthy)
+			for p.Allow(false) && n < 1000 {
 				n++
 			}
 		}
@@ -30,22 +30,22 @@
 	}
 	rate := p.Rate()
 	for range 2 {
-		if !p.Take(true) {
+		if !p.Allow(true) {
 			t.Fatal("an urgent start is held back")
 		}
 	}
 	for i := range 8 {
 		second(3+i, true)
 	}
-	if !p.AtHighest() || p.Rate() != 0 || rate >= 30 {
-		t.Fatalf("%v at %g, was %g", p.AtHighest(), p.Rate(), rate)
+	if !p.Unlimited() || p.Rate() != 0 || rate >= 30 {
+		t.Fatalf("%v at %g, was %g", p.Unlimited(), p.Rate(), rate)
 	}
 	for range 10_000 {
-		if !p.Take(false) {
+		if !p.Allow(false) {
 			t.Fatal("limited after the highest rate was reached")
 		}
 	}
-	if off := NewPacer(start, PaceOptions{}); !off.Take(false) || !off.AtHighest() {
+	if off := NewPacer(start, PaceOptions{}); !off.Allow(false) || !off.Unlimited() {
 		t.Fatal("holds a start back though it is switched off")
 	}
 }
--- a/internal/recovery/reconciler.go
+++ b/internal/recovery/reconciler.go
@@ -102,23 +102,23 @@
 	}
 }
 
-// Expect adds a machine that is recorded.
-func (r *Reconciler) Expect(name string) {
+// AddRecordedMachine adds a machine that is recorded.
+func (r *Reconciler) AddRecordedMachine(name string) {
 	r.recorded = true
 	r.moveMachine(name, Expected)
 }
 
-// ExpectByWarmState sets whether the warm state of the leader before, which the state service has
+// SetConfirmedByWarmState sets whether the warm state of the leader before, which the state service has
 // confirmed, says the same of an expected machine as the records. Such a machine needn't be
 // awaited.
-func (r *Reconciler) ExpectByWarmState(name string, confirmed bool) {
+func (r *Reconciler) SetConfirmedByWarmState(name string, confirmed bool) {
 	if m := r.machines[name]; m != nil && m.state == Expected {
 		r.setExpectedByWarmState(m, confirmed)
 	}
 }
 
-// Discover adds a machine that isn't recorded, unless it is known.
-func (r *Reconciler) Discover(name string) {
+// AddUnrecordedMachine adds a machine that isn't recorded, unless it is known.
+func (r *Reconciler) AddUnrecordedMachine(name string) {
 	if r.machines[name] == nil {
 		r.moveMachine(name, Unknown)
 	}
@@ -142,8 +142,8 @@
 	}
 }
 
-// GivenUp takes in that the lease of a machine has expired or that the machine is being deleted.
-func (r *Reconciler) GivenUp(name string) {
+// MachineGivenUp takes in that the lease of a machine has expired or that the machine is being deleted.
+func (r *Reconciler) MachineGivenUp(name string) {
 	if r.machines[name] != nil {
 		r.moveMachine(name, Missing)
 	}
@@ -160,8 +160,8 @@
 	delete(r.machines, name)
 }
 
-// Found counts a finding, and remembers it as the machine's last difference.
-func (r *Reconciler) Found(name string, f Finding) {
+// AddFinding counts a finding, and remembers it as the machine's last difference.
+func (r *Reconciler) AddFinding(name string, f Finding) {
 	r.findings[f.Reason]++
 	if f.Action == Keep || r.state == Normal {
 		return // the common case
@@ -171,9 +171,9 @@
 	}
 }
 
-// Restored takes in that the state service was restored from an older copy: workers have seen
+// StateServiceRestored takes in that the state service was restored from an older copy: workers have seen
 // higher terms than the state service has.
-func (r *Reconciler) Restored() { r.restored = true }
+func (r *Reconciler) StateServiceRestored() { r.restored = true }
 
 // awaitingHeartbeat returns how many recorded machines have neither sent a heartbeat nor are
 // confirmed by the warm state.
@@ -231,7 +231,7 @@
 	if r.state == Settling && r.counts[Expected]+r.counts[Reported]+r.counts[Differing] == 0 {
 		r.move(now, Paced)
 	}
-	if r.state == Paced && r.pacer.AtHighest() {
+	if r.state == Paced && r.pacer.Unlimited() {
 		r.move(now, Normal)
 	}
 }
--- a/internal/recovery/reconciler_test.go
+++ b/internal/recovery/reconciler_test.go
@@ -23,7 +23,7 @@
 	fleet := func(n int) *Reconciler {
 		r := New(start, options(PaceOptions{}))
 		for i := range n {
-			r.Expect(fmt.Sprint("m-", i))
+			r.AddRecordedMachine(fmt.Sprint("m-", i))
 		}
 		return r
 	}
@@ -45,17 +45,17 @@
 	}
 	r = fleet(10)
 	for i := range 5 {
-		r.ExpectByWarmState(fmt.Sprint("m-", i), true)
+		r.SetConfirmedByWarmState(fmt.Sprint("m-", i), true)
 	}
 	if !r.MayPlace(at(0), false) {
 		t.Fatal("may not place with half of the machines confirmed")
 	}
-	r.ExpectByWarmState("m-0", false)
+	r.SetConfirmedByWarmState("m-0", false)
 	if r.MayPlace(at(0), false) {
 		t.Fatal("may place with less than half of them confirmed")
 	}
-	r.ExpectByWarmState("m-0", true)
-	r.GivenUp("m-1")
+	r.SetConfirmedByWarmState("m-0", true)
+	r.MachineGivenUp("m-1")
 	r.MachineRemoved("m-2")
 	if s := r.Status(at(0)); s.Machines["expected"] != 8 || s.Machines["missing"] != 1 || r.expectedByWarmState != 3 {
 		t.Fatalf("%+v, %d confirmed", s.Machines, r.expectedByWarmState)
@@ -67,8 +67,8 @@
 // any of them, and would run twice.
 func TestRestored(t *testing.T) {
 	r := New(start, options(PaceOptions{}))
-	r.Restored()
-	r.Discover("m-1")
+	r.StateServiceRestored()
+	r.AddUnrecordedMachine("m-1")
 	r.HeartbeatReceived("m-1", true, false)
 	if r.MayPlace(at(29*time.Second), true) || r.RestoreSettled(at(29*time.Second)) {
 		t.Fatal("may place while a machine that isn't listed may run something")
@@ -83,7 +83,7 @@
 // records of a restored state service may lack machines on which tasks run.
 func TestNoMachineOnRecord(t *testing.T) {
 	r := New(start, options(PaceOptions{}))
-	r.Discover("m-1")
+	r.AddUnrecordedMachine("m-1")
 	r.HeartbeatReceived("m-1", false, false)
 	if r.MayPlace(at(time.Second), true) {
 		t.Fatal("may place, and no worker has confirmed the records")
@@ -98,7 +98,7 @@
 	first := options(PaceOptions{})
 	first.FirstTerm = true
 	r = New(start, first)
-	r.Discover("m-1")
+	r.AddUnrecordedMachine("m-1")
 	if !r.MayPlace(at(time.Second), true) {
 		t.Fatal("may not place in the first term")
 	}
@@ -116,7 +116,7 @@
 			now := at(time.Duration(step) * 100 * time.Millisecond)
 			name := fmt.Sprint("m-", rng.IntN(12))
 			observeAtRandom(rng, r, name, step < 20)
-			r.Pacer().Pass(now, true)
+			r.Pacer().Advance(now, true)
 			r.Advance(now, true)
 			if r.State() < last {
 				t.Fatalf("seed %d: from %v back to %v", seed, last, r.State())
@@ -135,20 +135,20 @@
 	switch rng.IntN(7) {
 	case 0:
 		if early {
-			r.Expect(name)
+			r.AddRecordedMachine(name)
 		}
 	case 1:
-		r.Discover(name)
+		r.AddUnrecordedMachine(name)
 	case 2:
 		r.HeartbeatReceived(name, rng.IntN(2) == 0, rng.IntN(5) == 0)
 	case 3:
-		r.GivenUp(name)
+		r.MachineGivenUp(name)
 	case 4:
 		r.MachineRemoved(name)
 	case 5:
-		r.ExpectByWarmState(name, rng.IntN(2) == 0)
+		r.SetConfirmedByWarmState(name, rng.IntN(2) == 0)
 	case 6:
-		r.Found(name, Finding{Reason(rng.IntN(int(reasons))), Stop})
+		r.AddFinding(name, Finding{Reason(rng.IntN(int(reasons))), Stop})
 	}
 }
 
--- a/internal/simulation/node_admission.go
+++ b/internal/simulation/node_admission.go
@@ -42,7 +42,7 @@
 	if n.gate == nil || n.w.store.holdsJob(j.spec.Ref) {
 		return 0, true
 	}
-	d := n.gate.Decide(n.local(), admission.Offer{Job: j.spec.Ref, Spec: &j.spec})
+	d := n.gate.Decide(n.local(), admission.Submission{Job: j.spec.Ref, Spec: &j.spec})
 	if d.Admitted {
 		n.w.admission.counts["admitted"]++
 		return 0, true
@@ -58,7 +58,7 @@
 // takePolicy offers a node a policy, which it takes if the policy is newer than its own.
 func (n *node) takePolicy(p admission.Policy) {
 	a, before := n.w.admission, *n.gate.Policy()
-	if n.gate.Take(n.local(), p) {
+	if n.gate.Apply(n.local(), p) {
 		a.counts["policies taken"]++
 	} else {
 		a.counts["policies not taken"]++
@@ -83,7 +83,7 @@
 
 // keepPolicy has a node that hears no leader read the policy from the state service.
 func (n *node) keepPolicy() {
-	if n.holdsLease() || n.cutOff() || n.local().Sub(n.gate.HeardAt()) < simulatedPolicyAge/2 {
+	if n.holdsLease() || n.cutOff() || n.local().Sub(n.gate.ConfirmedAt()) < simulatedPolicyAge/2 {
 		return
 	}
 	if p, ok := n.storedPolicy(); ok {
@@ -109,10 +109,10 @@
 		n.plannerTerm, n.latestPolicy = n.term.Number, stored
 	}
 	load := n.engine.Load(n.local())
-	batches := []admission.Batch{n.gate.TakeCounts(n.local())}
+	batches := []admission.Batch{n.gate.CollectCounts(n.local())}
 	for _, o := range n.w.nodes {
 		if o != n && o.gate != nil && n.reaches(o) {
-			batches = append(batches, o.gate.TakeCounts(o.local()))
+			batches = append(batches, o.gate.CollectCounts(o.local()))
 		}
 	}
 	if !load.Settled {
--- a/internal/simulation/node_standby.go
+++ b/internal/simulation/node_standby.go
@@ -54,7 +54,7 @@
 	}
 	s := n.w.standbys
 	n.standby.Claimed(standby.Claim{Term: t.Number, Revision: t.Revision})
-	view, err := n.standby.Confirm(n.local(), revision)
+	view, err := n.standby.ConfirmCopy(n.local(), revision)
 	n.publisher = standby.NewPublisher(t.Number, standby.Options{
 		QueueBound: simulatedQueueBound, SnapshotInterval: simulatedSnapshotPace, Heartbeat: simulatedHeartbeat,
 	})
--- a/internal/simulation/standby.go
+++ b/internal/simulation/standby.go
@@ -74,7 +74,7 @@
 		follower.run(incarnation, func() {
 			verdict := follower.standby.Receive(follower.local(), f)
 			s.count("frames "+verdict.String(), 1)
-			resync := verdict.Lost() && follower.standby.MayResync(follower.local())
+			resync := verdict.NeedsSnapshot() && follower.standby.MayResync(follower.local())
 			at := follower.standby.Position()
 			w.after(s.between(time.Millisecond, 20*time.Millisecond), func() {
 				leader.run(leaderIncarnation, func() {
--- a/internal/simulation/task.go
+++ b/internal/simulation/task.go
@@ -14,7 +14,7 @@
 	job             *userJob
 	index           int
 	attempt         uint64
-	state           fleet.TaskState
+	state           fleet.AttemptState
 	cause           fleet.ExitCause
 	checkpointed    bool
 	onMachine       bool // it counts as being on the machine
--- a/internal/standby/pair_test.go
+++ b/internal/standby/pair_test.go
@@ -119,7 +119,7 @@
 			}
 		}
 		p.publisher.Acknowledge("b", p.follower.Position())
-		if outcome.Lost() && p.follower.MayResync(p.now) {
+		if outcome.NeedsSnapshot() && p.follower.MayResync(p.now) {
 			p.publisher.Follow("b", p.follower.Position())
 		}
 	}
--- a/internal/standby/replica.go
+++ b/internal/standby/replica.go
@@ -21,9 +21,9 @@
 // String returns the outcome's name.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Lost returns whether the copy was dropped, or a snapshot on its way to it was, so that another
+// NeedsSnapshot returns whether the copy was dropped, or a snapshot on its way to it was, so that another
 // snapshot has to be requested.
-func (o Outcome) Lost() bool { return o == Gap || o == Mismatch }
+func (o Outcome) NeedsSnapshot() bool { return o == Gap || o == Mismatch }
 
 // Replica is a follower's copy of a leader's warm state. It isn't safe for concurrent use.
 type Replica struct {
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -48,7 +48,7 @@
 			c.prepare(p)
 		}
 		p.follower.Claimed(c.claim)
-		view, err := p.follower.Confirm(p.now, c.read)
+		view, err := p.follower.ConfirmCopy(p.now, c.read)
 		if !errors.Is(err, c.want) || view.Recent != c.recent {
 			t.Errorf("%s: recent %v, %v", c.name, view.Recent, err)
 		}
@@ -78,7 +78,7 @@
 	if p.follower.State() != Confirming {
 		t.Fatalf("%v after an earlier leader's frames, want confirming", p.follower.State())
 	}
-	if _, err := p.follower.Confirm(p.now, 70); err != nil {
+	if _, err := p.follower.ConfirmCopy(p.now, 70); err != nil {
 		t.Fatal(err)
 	}
 	p.follower.TermEnded(2)
--- a/internal/standby/stream_test.go
+++ b/internal/standby/stream_test.go
@@ -105,7 +105,7 @@
 	if p.follower.Position() != (Position{}) || p.follower.State() == Following {
 		t.Fatal("half a snapshot counts as a copy")
 	}
-	if outcome := p.follower.Receive(p.now, parts[4]); !outcome.Lost() {
+	if outcome := p.follower.Receive(p.now, parts[4]); !outcome.NeedsSnapshot() {
 		t.Fatalf("a missing part isn't noticed: %v", outcome)
 	}
 	for _, f := range parts {
--- a/internal/standby/takeover.go
+++ b/internal/standby/takeover.go
@@ -26,8 +26,8 @@
 	Revision uint64 // of the state service, at which the claim was stored
 }
 
-// View is the confirmed copy, from which a new leader starts besides the records.
-type View struct {
+// ConfirmedCopy is the confirmed copy, from which a new leader starts besides the records.
+type ConfirmedCopy struct {
 	Entries []Entry
 	// Recent says that the earlier leader's last frame came so shortly before that what it knew of
 	// machines still holds.
@@ -57,18 +57,18 @@
 	s.move(Confirming)
 }
 
-// Confirm decides whether the takeover may use the copy, after the records were read as of a
+// ConfirmCopy decides whether the takeover may use the copy, after the records were read as of a
 // revision. That the earlier leader can't act any more is proven by the claim; that the records are
 // the newest follows from the revision, and that the copy is the earlier leader's from its term.
 //
 // On ErrBehindClaim the records have to be read again, and nothing is decided. With any other error
 // the takeover is decided: it uses the records alone.
-func (s *Standby) Confirm(now time.Time, readRevision uint64) (View, error) {
+func (s *Standby) ConfirmCopy(now time.Time, readRevision uint64) (ConfirmedCopy, error) {
 	if s.state != Confirming {
-		return View{}, ErrNotConfirming
+		return ConfirmedCopy{}, ErrNotConfirming
 	}
 	if readRevision < s.claim.Revision {
-		return View{}, ErrBehindClaim
+		return ConfirmedCopy{}, ErrBehindClaim
 	}
 	view, err := s.view(now)
 	if err == nil {
@@ -81,16 +81,16 @@
 }
 
 // view returns the copy if it is the last state of the leader before the claimed term.
-func (s *Standby) view(now time.Time) (View, error) {
+func (s *Standby) view(now time.Time) (ConfirmedCopy, error) {
 	if !s.replicaIsCurrent() {
-		return View{}, ErrIncomplete
+		return ConfirmedCopy{}, ErrIncomplete
 	}
 	if s.replica.Term()+1 != s.claim.Term {
-		return View{}, ErrOtherTerm
+		return ConfirmedCopy{}, ErrOtherTerm
 	}
 	age := now.Sub(s.heardAt)
 	recent := !s.heardAt.IsZero() && age <= s.timeouts.Recent
-	return View{Entries: s.replica.Entries(), Recent: recent, Age: age}, nil
+	return ConfirmedCopy{Entries: s.replica.Entries(), Recent: recent, Age: age}, nil
 }
 
 // TermEnded takes in that a term of this controller is over; a term other than the last claimed one
--- a/internal/standby/takeover_phases.go
+++ b/internal/standby/takeover_phases.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Phase is a step of a takeover that is timed.
-type Phase uint8
+// TakeoverPhase is a step of a takeover that is timed.
+type TakeoverPhase uint8
 
 // Phases of a takeover, in their order.
 const (
-	LastHeard   Phase = iota // the last frame of the earlier leader came
-	Vacant                   // the leader's lease was seen to have expired or been given up
-	ClaimStored              // the state service has stored the claim
-	ViewCurrent              // the records were read, and the copy confirmed or given up
-	FirstAnswer              // the first heartbeat of a worker was answered
-	FirstStart               // the first start was sent
+	LastHeard   TakeoverPhase = iota // the last frame of the earlier leader came
+	Vacant                           // the leader's lease was seen to have expired or been given up
+	ClaimStored                      // the state service has stored the claim
+	ViewCurrent                      // the records were read, and the copy confirmed or given up
+	FirstAnswer                      // the first heartbeat of a worker was answered
+	FirstStart                       // the first start was sent
 	phases
 )
 
@@ -20,11 +20,11 @@
 var phaseNames = [...]string{"last heard", "vacant", "claimed", "view current", "first answer", "first start"}
 
 // String returns the phase's name.
-func (p Phase) String() string { return phaseNames[p] }
+func (p TakeoverPhase) String() string { return phaseNames[p] }
 
-// Phases returns all phases in their order.
-func Phases() []Phase {
-	all := make([]Phase, 0, phases)
+// TakeoverPhases returns all phases in their order.
+func TakeoverPhases() []TakeoverPhase {
+	all := make([]TakeoverPhase, 0, phases)
 	for p := LastHeard; p < phases; p++ {
 		all = append(all, p)
 	}
@@ -40,7 +40,7 @@
 
 // Reached records that a phase was reached, and returns whether this is the first time; later times
 // aren't recorded.
-func (t *Takeover) Reached(p Phase, at time.Time) bool {
+func (t *Takeover) Reached(p TakeoverPhase, at time.Time) bool {
 	if !t.at[p].IsZero() {
 		return false
 	}
@@ -49,10 +49,10 @@
 }
 
 // At returns when a phase was reached; zero if it wasn't.
-func (t *Takeover) At(p Phase) time.Time { return t.at[p] }
+func (t *Takeover) At(p TakeoverPhase) time.Time { return t.at[p] }
 
 // Since returns the time from Vacant to a phase; false if either wasn't reached.
-func (t *Takeover) Since(p Phase) (elapsed time.Duration, reached bool) {
+func (t *Takeover) Since(p TakeoverPhase) (elapsed time.Duration, reached bool) {
 	if t.at[Vacant].IsZero() || t.at[p].IsZero() {
 		return 0, false
 	}
--- a/internal/standbyrpc/client.go
+++ b/internal/standbyrpc/client.go
@@ -16,8 +16,8 @@
 // ErrUnsupported says that the leader's version doesn't have the stream.
 var ErrUnsupported = errors.New("the leader has no warm state to follow")
 
-// Received is what a follower answers to a frame.
-type Received struct {
+// Acknowledgement is what a follower answers to a frame.
+type Acknowledgement struct {
 	At     standby.Position // what its copy has
 	Resync bool             // it has dropped its copy and requests a snapshot
 }
@@ -27,7 +27,7 @@
 // or one that says how the stream ended.
 func Follow(
 	ctx context.Context, connection grpc.ClientConnInterface, self string, from standby.Position,
-	receive func(standby.Frame) Received,
+	receive func(standby.Frame) Acknowledgement,
 ) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -35,7 +35,7 @@
 	if err != nil {
 		return followError(err)
 	}
-	last := Received{At: from}
+	last := Acknowledgement{At: from}
 	if err := stream.Send(followRequest(self, last)); err != nil {
 		return followError(err)
 	}
@@ -56,7 +56,7 @@
 }
 
 // followRequest returns the message that tells the leader what a follower has.
-func followRequest(self string, received Received) *standbypb.FollowRequest {
+func followRequest(self string, received Acknowledgement) *standbypb.FollowRequest {
 	return &standbypb.FollowRequest{
 		From: self, Term: received.At.Term, Sequence: received.At.Sequence, Resync: received.Resync,
 	}
--- a/internal/standbyrpc/standbyrpc_test.go
+++ b/internal/standbyrpc/standbyrpc_test.go
@@ -127,13 +127,13 @@
 	frames := 0
 	ended := make(chan error, 1)
 	go func() {
-		ended <- Follow(ctx, connection, "b", replica.Position(), func(f standby.Frame) Received {
+		ended <- Follow(ctx, connection, "b", replica.Position(), func(f standby.Frame) Acknowledgement {
 			if frames++; frames == 4 {
 				replica.Reset() // as if it had been found to differ
-				return Received{Resync: true}
+				return Acknowledgement{Resync: true}
 			}
 			outcome := replica.Apply(f)
-			return Received{At: replica.Position(), Resync: outcome.Lost()}
+			return Acknowledgement{At: replica.Position(), Resync: outcome.NeedsSnapshot()}
 		})
 	}()
 	for i := range 20 {
@@ -162,7 +162,7 @@
 // A controller that doesn't lead refuses followers, and one whose version doesn't have the stream is
 // told apart by ErrUnsupported: it would otherwise be asked again all the time.
 func TestNobodyToFollow(t *testing.T) {
-	receive := func(standby.Frame) Received { return Received{} }
+	receive := func(standby.Frame) Acknowledgement { return Acknowledgement{} }
 	err := Follow(t.Context(), serve(t, &source{}), "b", standby.Position{}, receive)
 	if err == nil || errors.Is(err, ErrUnsupported) {
 		t.Fatalf("from a controller that doesn't lead: %v", err)
@@ -208,10 +208,10 @@
 	received := make(chan struct{}, 1000)
 	replica := standby.NewReplica()
 	go func() {
-		ended <- Follow(t.Context(), connection, "b", standby.Position{}, func(f standby.Frame) Received {
+		ended <- Follow(t.Context(), connection, "b", standby.Position{}, func(f standby.Frame) Acknowledgement {
 			replica.Apply(f)
 			received <- struct{}{}
-			return Received{At: replica.Position()}
+			return Acknowledgement{At: replica.Position()}
 		})
 	}()
 	<-received
--- a/internal/surge/leader.go
+++ b/internal/surge/leader.go
@@ -73,7 +73,7 @@
 	}
 	for i, g := range w.gates {
 		if !slices.Contains(cutOff, i) {
-			load.Batches = append(load.Batches, g.TakeCounts(w.clock(i)))
+			load.Batches = append(load.Batches, g.CollectCounts(w.clock(i)))
 		}
 	}
 	policy, changed := w.leader.planner.Plan(start.Add(w.now), load)
@@ -113,7 +113,7 @@
 		}
 		gate := w.gates[message.controller]
 		before := *gate.Policy()
-		gate.Take(w.clock(message.controller), message.policy)
+		gate.Apply(w.clock(message.controller), message.policy)
 		if after := gate.Policy(); before.Newer(after) {
 			w.result.violated("controller %d went back from policy %d.%d to %d.%d",
 				message.controller, before.Term, before.Number, after.Term, after.Number)
--- a/internal/surge/samples.go
+++ b/internal/surge/samples.go
@@ -38,7 +38,7 @@
 		c := &w.options.Classes[i]
 		for _, share := range policy.Shares {
 			if share.Team == c.Team && share.Class == c.Name && share.Priority == c.Priority {
-				s.Due[i] = share.Due
+				s.Due[i] = share.FairShare
 			}
 		}
 	}
--- a/internal/surge/users.go
+++ b/internal/surge/users.go
@@ -108,7 +108,7 @@
 	case !w.options.Admission:
 		return admission.Admit
 	}
-	decision := w.gates[controller].Decide(w.clock(controller), admission.Offer{Job: j.spec.Ref, Spec: &j.spec})
+	decision := w.gates[controller].Decide(w.clock(controller), admission.Submission{Job: j.spec.Ref, Spec: &j.spec})
 	w.result.checkDecision(w, j, decision)
 	return decision
 }
--- a/internal/wire/workers.go
+++ b/internal/wire/workers.go
@@ -70,7 +70,7 @@
 	Kept   *bool   `cbor:"kept"`
 }
 
-var taskStates = map[string]fleet.TaskState{
+var taskStates = map[string]fleet.AttemptState{
 	TaskFetching:       fleet.Fetching,
 	TaskWaitingForGang: fleet.WaitingForGang,
 	TaskRunning:        fleet.Running,
