--- a/internal/controller/term/takeover.go
+++ b/internal/controller/term/takeover.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"math/rand/v2"
 	"time"
 
 	"gingertally/internal/core"
@@ -58,7 +57,7 @@
 	// (docs/design.md, "Safety arguments" 1; TestOneLeader).
 	now := time.Now()
 	snapshot.Restored = t.claimed.Restored
-	engine := core.New(now, t.deps.Config, t.claimed.Number, snapshot, newRand())
+	engine := core.New(now, t.deps.Config, t.claimed.Number, snapshot)
 	if warm != nil {
 		t.logRecords(engine.Step(now, *warm).Log)
 	}
@@ -68,6 +67,3 @@
 	t.engine = engine
 	return nil
 }
-
-// newRand is a generator with a seed of its own.
-func newRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"math/rand/v2"
 	"testing"
 	"time"
 
@@ -17,7 +16,7 @@
 
 func busyFleetWith(cfg Config, machines int) (*Engine, time.Time, []fleet.Heartbeat) {
 	now := time.Unix(5000, 0)
-	e := New(now, cfg, 2, Snapshot{}, rand.New(rand.NewPCG(1, 1)))
+	e := New(now, cfg, 2, Snapshot{})
 	e.Step(now, testCatalog())
 	reports := make([]fleet.Heartbeat, machines)
 	for i := range reports {
--- a/internal/core/dependents_test.go
+++ b/internal/core/dependents_test.go
@@ -1,7 +1,6 @@
 package core
 
 import (
-	"math/rand/v2"
 	"slices"
 	"testing"
 	"time"
@@ -196,7 +195,7 @@
 // Starts and jobs' ends take turns at the store: neither waits for the other for
 // long when it takes few changes at a time.
 func TestStartsAndEndsTakeTurns(t *testing.T) {
-	e := New(time.Unix(0, 0), testConfig(), 1, Snapshot{}, rand.New(rand.NewPCG(1, 1)))
+	e := New(time.Unix(0, 0), testConfig(), 1, Snapshot{})
 	for i := range 20 {
 		ref := "j-" + string(rune('a'+i))
 		e.addJob(time.Unix(0, 0), job(ref, 1))
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -1,7 +1,6 @@
 package core
 
 import (
-	"math/rand/v2"
 	"reflect"
 	"time"
 
@@ -65,7 +64,7 @@
 // New makes the engine of a term claimed at `now`. All earlier leaders' leases have ended
 // by then, so none of them has answered a worker after it (docs/design.md, safety arguments
 // 1 and 4).
-func New(now time.Time, cfg Config, term uint64, snap Snapshot, _ *rand.Rand) *Engine {
+func New(now time.Time, cfg Config, term uint64, snap Snapshot) *Engine {
 	e := &Engine{
 		cfg:           cfg,
 		numbers:       numbering{term: term},
--- a/internal/core/fleet_size_test.go
+++ b/internal/core/fleet_size_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"math/rand/v2"
 	"testing"
 	"time"
 
@@ -77,7 +76,7 @@
 	for _, p := range pages {
 		next.Pages = append(next.Pages, p)
 	}
-	b.e = New(b.now, testConfig(), 3, next, rand.New(rand.NewPCG(1, 2)))
+	b.e = New(b.now, testConfig(), 3, next)
 	if b.e.machines.count() != largeFleet || b.e.recovery.Status(b.now).Machines["expected"] != largeFleet {
 		t.Fatalf("the next leader knows %d machines", b.e.machines.count())
 	}
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -1,7 +1,6 @@
 package core
 
 import (
-	"math/rand/v2"
 	"testing"
 	"time"
 
@@ -88,7 +87,7 @@
 // lead makes the leader of a term.
 func (h *harness) lead(term uint64, snap Snapshot) {
 	begin := time.Unix(5000, 0)
-	h.e = New(begin, h.cfg, term, snap, rand.New(rand.NewPCG(1, 1)))
+	h.e = New(begin, h.cfg, term, snap)
 	h.e.Step(begin, testCatalog())
 }
 
--- a/internal/core/warm_start_test.go
+++ b/internal/core/warm_start_test.go
@@ -70,7 +70,7 @@
 	cfg := testConfig()
 	cfg.WarmState = true
 	next = &harness{t: t, cfg: cfg, now: b.now.Add(4 * time.Second), sequences: b.sequences}
-	next.e = New(next.now, cfg, 3, snap, rand.New(rand.NewPCG(1, 1)))
+	next.e = New(next.now, cfg, 3, snap)
 	next.e.Step(next.now, WarmStart{Records: state.records(), Confirmed: true})
 	next.e.Step(next.now, CatalogUpdated{b.e.catalog})
 	return next, s[0]
--- a/internal/simulation/node_election.go
+++ b/internal/simulation/node_election.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"math/rand/v2"
 	"time"
 
 	"gingertally/internal/codec"
@@ -146,7 +145,7 @@
 	}
 	n.term, n.lease, n.writing, n.leaseUntil, n.extensions = t, lease, false, time.Time{}, map[*node]time.Time{}
 	snap.Restored = t.Restored
-	n.engine = core.New(n.local(), n.engineConfig(), t.Number, snap, rand.New(rand.NewPCG(t.Number, n.w.options.Seed)))
+	n.engine = core.New(n.local(), n.engineConfig(), t.Number, snap)
 	n.warmStart(t, revision)
 	n.leaseProven(sent)
 	n.step(core.CatalogUpdated{Types: n.w.catalog})
