--- a/cmd/gingertally/commands_test.go
+++ b/cmd/gingertally/commands_test.go
@@ -24,10 +24,16 @@
 		want int
 	}{
 		{errors.New("disk full"), exitFailed},
-		{&client.CallError{Operation: "submit job j-1", Err: fmt.Errorf("%w (422): no team", client.ErrRefused)}, exitRefused},
+		{
+			&client.CallError{Operation: "submit job j-1", Err: fmt.Errorf("%w (422): no team", client.ErrRefused)},
+			exitRefused,
+		},
 		{&client.CallError{Operation: "pause drain plan p", Err: client.ErrConflict}, exitRefused},
 		{&client.CallError{Operation: "get job j-1", Err: client.ErrNotFound}, exitNotFound},
-		{&client.CallError{Operation: "get job j-1", Err: fmt.Errorf("%w: status 503", client.ErrGaveUp)}, exitGaveUp},
+		{
+			&client.CallError{Operation: "get job j-1", Err: fmt.Errorf("%w: status 503", client.ErrGaveUp)},
+			exitGaveUp,
+		},
 		{fmt.Errorf("j-1: %w", errJobCancelled), exitCancelled},
 	} {
 		if got := exitCode(c.err); got != c.want {
@@ -89,7 +95,10 @@
 		{"admission off", admissionText(&operatorapi.Status{}, ""), "admission control is off"},
 		{"drains", drainText(&drains), "\n" + drains.Plans[0].Waiting[0].Name + "\t" + drains.Plans[0].ID},
 		{"drains off", drainText((&core.Status{}).Drains), "drains are off"},
-		{"differences", differencesText(7, &differences), "\nMACHINE\tSTATE\tLAST DIFFERENCE\n" + differences.Unsettled[0].Machine},
+		{
+			"differences", differencesText(7, &differences),
+			"\nMACHINE\tSTATE\tLAST DIFFERENCE\n" + differences.Unsettled[0].Machine,
+		},
 	} {
 		if !strings.Contains(c.text, c.want) {
 			t.Errorf("%s: %q isn't in\n%s", c.name, c.want, c.text)
--- a/cmd/gingertally/drain.go
+++ b/cmd/gingertally/drain.go
@@ -166,7 +166,8 @@
 		if scope.Limit != drain.Unlimited {
 			allowed = fmt.Sprintf("%d in %s", scope.Limit, scope.Window)
 		}
-		fmt.Fprintf(text, "%s\t%d\t%d\t%d\t%s\n", scope.Scope, scope.Voluntary, scope.Involuntary, scope.InWindow, allowed)
+		fmt.Fprintf(text, "%s\t%d\t%d\t%d\t%s\n",
+			scope.Scope, scope.Voluntary, scope.Involuntary, scope.InWindow, allowed)
 	}
 }
 
--- a/cmd/gingertally/golden_test.go
+++ b/cmd/gingertally/golden_test.go
@@ -27,7 +27,10 @@
 		lines.Add("  %s required=%v", argument.Summary(), argument.Required)
 	}
 	for _, flag := range node.Flags {
-		lines.Add("  --%s required=%v default=%q env=%s", flag.Name, flag.Required, flag.Default, strings.Join(flag.Envs, ","))
+		lines.Add(
+			"  --%s required=%v default=%q env=%s", flag.Name, flag.Required, flag.Default,
+			strings.Join(flag.Envs, ","),
+		)
 	}
 	for _, child := range node.Children {
 		addCommand(lines, child)
--- a/cmd/gingertally/main.go
+++ b/cmd/gingertally/main.go
@@ -111,7 +111,10 @@
 func main() {
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: logLevel()})))
 	var commands cli
-	ctx := kong.Parse(&commands, kong.Name("gingertally"), kong.Description("A cluster scheduler: pipelines of jobs on rented machines."))
+	ctx := kong.Parse(
+		&commands, kong.Name("gingertally"),
+		kong.Description("A cluster scheduler: pipelines of jobs on rented machines."),
+	)
 	if err := ctx.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "gingertally:", err)
 		os.Exit(exitCode(err))
--- a/internal/client/jobs_test.go
+++ b/internal/client/jobs_test.go
@@ -105,10 +105,23 @@
 		call func(*Client) error
 		want string
 	}{
-		{"submit", func(c *Client) error { _, err := c.Submit(t.Context(), []byte(job)); return err }, "submit job j-000412: %s: not found"},
-		{"get", func(c *Client) error { _, err := c.Get(t.Context(), submittedRef); return err }, "get job j-000412: %s: not found"},
-		{"cancel", func(c *Client) error { _, err := c.Cancel(t.Context(), submittedRef); return err }, "cancel job j-000412: %s: not found"},
-		{"pause", func(c *Client) error { _, err := c.ChangeDrain(t.Context(), "p", "pause"); return err }, "pause drain plan p: %s: not found: "},
+		{
+			"submit", func(c *Client) error { _, err := c.Submit(t.Context(), []byte(job)); return err },
+			"submit job j-000412: %s: not found",
+		},
+		{
+			"get", func(c *Client) error { _, err := c.Get(t.Context(), submittedRef); return err },
+			"get job j-000412: %s: not found",
+		},
+		{
+			"cancel", func(c *Client) error { _, err := c.Cancel(t.Context(), submittedRef); return err },
+			"cancel job j-000412: %s: not found",
+		},
+		{
+			"pause",
+			func(c *Client) error { _, err := c.ChangeDrain(t.Context(), "p", "pause"); return err },
+			"pause drain plan p: %s: not found: ",
+		},
 	} {
 		client, _ := serveStatuses(t, 404)
 		err := c.call(client)
--- a/internal/controller/overload/node_test.go
+++ b/internal/controller/overload/node_test.go
@@ -20,8 +20,13 @@
 func testNode() *Node {
 	settings := &config.Settings{Peers: []config.Peer{{Member: "n-2", Zone: "a", Addr: "127.0.0.1:1"}}}
 	settings.Params.State = config.State{RPS: 500, WriteRPS: 200, ValueKB: 4, TxnOps: 12}
-	return New(Options{Settings: operator.Default().Admission, Teams: []string{"t"}, Quotas: map[string]placement.Quota{"t": {}}, Limits: limits.Of(settings),
-		Metrics: metrics.New().Admission})
+	return New(Options{
+		Settings: operator.Default().Admission,
+		Teams:    []string{"t"},
+		Quotas:   map[string]placement.Quota{"t": {}},
+		Limits:   limits.Of(settings),
+		Metrics:  metrics.New().Admission,
+	})
 }
 
 // A controller takes the leader's policy and answers with what it has counted since the last time;
--- a/internal/core/fleet/start_log.go
+++ b/internal/core/fleet/start_log.go
@@ -153,7 +153,7 @@
 	return r
 }
 
-// MachinePageWriteStarted notes that the page's present content is on its way to the store.
+// WriteStarted notes that the page's present content is on its way to the store.
 func (p *StartLogPage) WriteStarted() { p.Sending, p.Dirty, p.stale = true, false, 0 }
 
 // Stored notes that the store holds a record: attempts in it that were only
--- a/internal/core/pipeline/task.go
+++ b/internal/core/pipeline/task.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// AttemptState is the state of a task as far as its job is concerned.
+// TaskState is the state of a task as far as its job is concerned.
 type TaskState uint8
 
 // States of a task.
--- a/internal/drain/coordinator.go
+++ b/internal/drain/coordinator.go
@@ -27,7 +27,9 @@
 
 // NewCoordinator goes on from what the state service holds. The function newName returns a name
 // that no page has had; pageLimit returns how many bytes a page may have.
-func NewCoordinator(now time.Time, policy *Policy, stored Stored, newName func() string, pageLimit func() int) *Coordinator {
+func NewCoordinator(
+	now time.Time, policy *Policy, stored Stored, newName func() string, pageLimit func() int,
+) *Coordinator {
 	c := &Coordinator{
 		Policy:   policy,
 		Ledger:   NewLedger(policy, newName, pageLimit),
--- a/internal/drain/doc.go
+++ b/internal/drain/doc.go
@@ -9,7 +9,7 @@
 //
 // The package does no input or output, starts no goroutines and reads no clock: every method is
 // given the time. It may assume that only the leader of the current term changes the pages, and
-// that MachinePageWriteStarted and the outcome are reported for every write that it proposes. Coordinator and
+// that a write's start and the outcome are reported for every write that it proposes. Coordinator and
 // Ledger aren't safe for concurrent use: package core calls them from the goroutine that steps its
 // engine and carries out what they decide. Plan, Budget and the stored forms are plain values that
 // any package may use (docs/draining.md).
--- a/internal/drain/ledger.go
+++ b/internal/drain/ledger.go
@@ -155,7 +155,7 @@
 // Pending reports whether any page has changed since it was last written.
 func (l *Ledger) Pending() bool { return len(l.pages.dirty) > 0 }
 
-// MachinePageWriteStarted notes that a write of a page is under way.
+// WriteStarted notes that a write of a page is under way.
 func (l *Ledger) WriteStarted(name string) { l.pages.writeStarted(name) }
 
 // Written takes in the outcome of a write of a page.
--- a/internal/drain/page_write.go
+++ b/internal/drain/page_write.go
@@ -1,6 +1,6 @@
 package drain
 
-// ChargePageWrite is a page of charges that has to be written in place of a version of it; with Drop,
+// ChargePageWrite is a page of charges that has to be written in place of a version of it; with Delete,
 // it has to be deleted. The version is a condition of the write: one that is carried out late must
 // not replace a newer page.
 type ChargePageWrite struct {
@@ -11,7 +11,7 @@
 }
 
 // MachinePageWrite is a page of machines that has to be written in place of a version of it; with
-// Drop, it has to be deleted.
+// Delete, it has to be deleted.
 type MachinePageWrite struct {
 	Name    string
 	Version uint64
--- a/internal/operator/draining_test.go
+++ b/internal/operator/draining_test.go
@@ -22,7 +22,8 @@
 	}
 	red := s.Draining.Budgets[drain.Scope{Team: "red"}]
 	desk := s.Draining.Budgets[drain.Scope{Team: "red", Class: "desk"}]
-	if red.TaskInterruptions != 1 || red.WindowInterruptions != drain.Unlimited || red.MaxUnavailable != drain.Unlimited {
+	if red.TaskInterruptions != 1 || red.WindowInterruptions != drain.Unlimited ||
+		red.MaxUnavailable != drain.Unlimited {
 		t.Errorf("%+v", red)
 	}
 	if desk.TaskInterruptions != drain.Unlimited || desk.WindowInterruptions != 3 || desk.Window != time.Hour ||
@@ -53,15 +54,42 @@
 	checkRefused(t, []refusal{
 		{"draining {\n budgets { team: \"green\" }\n}", "op.txt:2: budgets: unknown team \"green\""},
 		{"draining {\n budgets { class: \"c\" }\n}", "op.txt:2: budgets: unknown team"},
-		{"draining {\n budgets { team: \"red\" }\n budgets { team: \"red\" }\n}", "op.txt:3: budgets: two budgets of red"},
-		{"draining {\n budgets { team: \"red\"\n  max_unavailable: 0 }\n}", "op.txt:3: max_unavailable: must be from 1"},
-		{"draining {\n budgets { team: \"red\" window_interruptions: 2 }\n}", "op.txt:2: window: of red: window_interruptions and window go together"},
-		{"draining {\n budgets { team: \"red\" window_interruptions: 2\n window { seconds: 0 } }\n}", "op.txt:3: window: must be from 1s"},
-		{"draining {\n budgets { team: \"red\" closed {\n from: \"8\" to: \"9:00\" } }\n}", "op.txt:3: from: must be a time of day"},
-		{"draining {\n budgets { team: \"red\" closed { from: \"08:00\"\n to: \"24:30\" } }\n}", "op.txt:3: to: must be a time of day"},
-		{"draining {\n budgets { team: \"red\" closed { from: \"08:00\" to: \"09:61\" } }\n}", "op.txt:2: to: must be a time of day"},
-		{"draining {\n budgets { team: \"red\" closed { days: \"mon\"\n days: \"funday\" from: \"08:00\" to: \"09:00\" } }\n}", "op.txt:3: days: unknown day \"funday\""},
-		{"draining {\n budgets { team: \"red\" closed { from: \"08:00\" to: \"09:00\"\n time_zone: \"Mars/Olympus\" } }\n}", "op.txt:3: time_zone: unknown time zone"},
+		{
+			"draining {\n budgets { team: \"red\" }\n budgets { team: \"red\" }\n}",
+			"op.txt:3: budgets: two budgets of red",
+		},
+		{
+			"draining {\n budgets { team: \"red\"\n  max_unavailable: 0 }\n}",
+			"op.txt:3: max_unavailable: must be from 1",
+		},
+		{
+			"draining {\n budgets { team: \"red\" window_interruptions: 2 }\n}",
+			"op.txt:2: window: of red: window_interruptions and window go together",
+		},
+		{
+			"draining {\n budgets { team: \"red\" window_interruptions: 2\n window { seconds: 0 } }\n}",
+			"op.txt:3: window: must be from 1s",
+		},
+		{
+			"draining {\n budgets { team: \"red\" closed {\n from: \"8\" to: \"9:00\" } }\n}",
+			"op.txt:3: from: must be a time of day",
+		},
+		{
+			"draining {\n budgets { team: \"red\" closed { from: \"08:00\"\n to: \"24:30\" } }\n}",
+			"op.txt:3: to: must be a time of day",
+		},
+		{
+			"draining {\n budgets { team: \"red\" closed { from: \"08:00\" to: \"09:61\" } }\n}",
+			"op.txt:2: to: must be a time of day",
+		},
+		{
+			"draining {\n budgets { team: \"red\" closed { days: \"mon\"\n days: \"funday\" from: \"08:00\" to: \"09:00\" } }\n}",
+			"op.txt:3: days: unknown day \"funday\"",
+		},
+		{
+			"draining {\n budgets { team: \"red\" closed { from: \"08:00\" to: \"09:00\"\n time_zone: \"Mars/Olympus\" } }\n}",
+			"op.txt:3: time_zone: unknown time zone",
+		},
 		{"draining { finish_wait { seconds: -1 } }", "op.txt:1: finish_wait"},
 		{"draining { budget { team: \"red\" } }", "budget"},
 		{"draining {\n budgets { team: \"red\" task_interruptions: -1 }\n}", "task_interruptions"},
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -124,7 +124,10 @@
 		{"admission {\n\n policy_age { seconds: 1 }\n}", "op.txt:3: policy_age"},
 		{"admission {\n weights { team: \"green\" weight: 1 }\n}", "op.txt:2: weights: unknown team \"green\""},
 		{"admission {\n weights { team: \"red\" weight: 0 }\n}", "op.txt:2: weight: of team \"red\""},
-		{"admission {\n weights { team: \"red\" weight: 1 }\n weights { team: \"red\" weight: 2 }\n}", "op.txt:3: weights: team \"red\" twice"},
+		{
+			"admission {\n weights { team: \"red\" weight: 1 }\n weights { team: \"red\" weight: 2 }\n}",
+			"op.txt:3: weights: team \"red\" twice",
+		},
 		{"admission { weight: 1 }", "weight"},
 	})
 }
--- a/internal/pagecheck/names_test.go
+++ b/internal/pagecheck/names_test.go
@@ -154,8 +154,10 @@
 // that show the code exists.
 func TestNamesOnPagesExist(t *testing.T) {
 	d := readDeclared(t)
-	for page, least := range map[string]int{"docs/architecture.md": 60, "docs/glossary.md": 40, "docs/design.md": 80, "docs/fault-scenarios.md": 1,
-		"docs/standby.md": 3, "docs/recovery.md": 3, "docs/admission.md": 3, "docs/draining.md": 3, "README.md": 10} {
+	for page, least := range map[string]int{
+		"docs/architecture.md": 60, "docs/glossary.md": 40, "docs/design.md": 80, "docs/fault-scenarios.md": 1,
+		"docs/standby.md": 3, "docs/recovery.md": 3, "docs/admission.md": 3, "docs/draining.md": 3, "README.md": 10,
+	} {
 		if checked := checkNames(t, page, d); checked < least {
 			t.Errorf("%s: only %d names were found to check", page, checked)
 		}
