--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -129,23 +129,23 @@
 // worker reports for the one machine, and does at once what it is told. When its node
 // doesn't serve it, it goes to the next.
 type worker struct {
-	addrs []string
-	at    int // which of them it reports to
-	seq   uint64
-	token uint64
-	lots  map[string]map[string]any // by name
-	stops int
+	addrs        []string
+	at           int // which of them it reports to
+	seq          uint64
+	fencingToken uint64
+	tasks        map[string]map[string]any // by name
+	stops        int
 }
 
-func (w *worker) report(t *testing.T) int {
+func (w *worker) sendHeartbeat(t *testing.T) int {
 	t.Helper()
 	w.seq++
 	lots := []any{}
-	for _, lot := range w.lots {
+	for _, lot := range w.tasks {
 		lots = append(lots, lot)
 	}
 	body := codec.MustMarshal(map[string]any{"stall": machine, "endpoint": "127.0.0.1:1", "build": "c8", "yard": "a", "loaners": false,
-		"shift": 1, "tick": w.seq, "gavel": w.token, "lots": lots})
+		"shift": 1, "tick": w.seq, "gavel": w.fencingToken, "lots": lots})
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
@@ -163,7 +163,7 @@
 	if err := codec.Unmarshal(response.Body(), &orders); err != nil {
 		t.Fatal(err)
 	}
-	w.token = orders.Gavel
+	w.fencingToken = orders.Gavel
 	for _, order := range orders.Orders {
 		w.obey(order)
 	}
@@ -173,10 +173,10 @@
 func (w *worker) obey(order wire.Order) {
 	switch order.Verb {
 	case "start":
-		w.lots[order.Lot] = map[string]any{"lot": order.Lot, "try": order.Try, "status": "running"}
+		w.tasks[order.Lot] = map[string]any{"lot": order.Lot, "try": order.Try, "status": "running"}
 	case "halt":
 		w.stops++
-		w.lots[order.Lot] = map[string]any{
+		w.tasks[order.Lot] = map[string]any{
 			"lot":    order.Lot,
 			"try":    order.Try,
 			"status": "ended",
@@ -184,12 +184,12 @@
 			"kept":   false,
 		}
 	case "clear":
-		delete(w.lots, order.Lot)
+		delete(w.tasks, order.Lot)
 	}
 }
 
 func (w *worker) finish(lot string) {
-	w.lots[lot]["status"], w.lots[lot]["cause"], w.lots[lot]["kept"] = "ended", "done", true
+	w.tasks[lot]["status"], w.tasks[lot]["cause"], w.tasks[lot]["kept"] = "ended", "done", true
 }
 
 // TestControllers runs two controllers against outside services in memory: jobs are
@@ -210,9 +210,9 @@
 			t.Fatalf("submit %s: %+v, %v", ref, run, err)
 		}
 	}
-	work := &worker{addrs: []string{leader.addr, follower.addr}, lots: map[string]map[string]any{}}
+	work := &worker{addrs: []string{leader.addr, follower.addr}, tasks: map[string]map[string]any{}}
 	status := func(ref string) string {
-		work.report(t)
+		work.sendHeartbeat(t)
 		run, err := user.Get(t.Context(), ref)
 		if err != nil {
 			t.Fatal(err)
@@ -224,8 +224,8 @@
 	})
 	eventually(t, "a redirect", func() bool {
 		atLeader, atFollower := &worker{addrs: []string{leader.addr}}, &worker{addrs: []string{follower.addr}}
-		return atFollower.report(t) == fasthttp.StatusMisdirectedRequest ||
-			atLeader.report(t) == fasthttp.StatusMisdirectedRequest
+		return atFollower.sendHeartbeat(t) == fasthttp.StatusMisdirectedRequest ||
+			atLeader.sendHeartbeat(t) == fasthttp.StatusMisdirectedRequest
 	})
 	work.finish("j-1/0")
 	eventually(t, "the first job is done", func() bool { return status("j-1") == wire.StatusDone })
@@ -235,17 +235,17 @@
 	eventually(t, "the second job's task stops", func() bool {
 		return status("j-2") == wire.StatusCancelled && work.stops > 0
 	})
-	eventually(t, "a status of the whole", func() bool { work.report(t); return showsWhole(t, follower) })
+	eventually(t, "a status of the whole", func() bool { work.sendHeartbeat(t); return showsWhole(t, follower) })
 	checkExtension(t, store, nodes)
-	before := work.token
+	before := work.fencingToken
 	eventually(t, "another term after a resignation", func() bool {
 		for _, node := range nodes {
 			if s := node.term.Load(); s != nil && s.Number() == before {
 				node.elector.Resign("test")
 			}
 		}
-		work.report(t)
-		return work.token > before
+		work.sendHeartbeat(t)
+		return work.fencingToken > before
 	})
 	if run, err := user.Get(t.Context(), "j-1"); err != nil || run.Status != wire.StatusDone {
 		t.Errorf("after the change of leader: %+v, %v", run, err)
--- a/internal/controller/fake_services_test.go
+++ b/internal/controller/fake_services_test.go
@@ -63,7 +63,7 @@
 		request.SetStatusCode(503)
 		return
 	case path == "/follow":
-		f.follow(request)
+		f.watch(request)
 		return
 	}
 	f.mu.Lock()
@@ -141,8 +141,8 @@
 	}
 }
 
-// follow waits for news for a fifth of a second, or until the service is down.
-func (f *fakeStore) follow(request *fasthttp.RequestCtx) {
+// watch waits for news for a fifth of a second, or until the service is down.
+func (f *fakeStore) watch(request *fasthttp.RequestCtx) {
 	prefix := string(request.QueryArgs().Peek("starts"))
 	since, err := strconv.ParseUint(string(request.QueryArgs().Peek("since")), 10, 64)
 	if err != nil {
@@ -152,12 +152,12 @@
 	var news wire.News
 	for try := 0; try < 20 && len(news.News) == 0 && !f.isDown(); try++ {
 		time.Sleep(10 * time.Millisecond)
-		news = f.newsSince(prefix, since)
+		news = f.eventsSince(prefix, since)
 	}
 	answer(request, 200, news)
 }
 
-func (f *fakeStore) newsSince(prefix string, since uint64) wire.News {
+func (f *fakeStore) eventsSince(prefix string, since uint64) wire.News {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	news := wire.News{Ledger: f.revision}
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -66,7 +66,7 @@
 	}
 	for _, reason := range []string{
 		core.ReasonTakeover, core.ReasonPause, core.ReasonFails, core.ReasonQuota, core.ReasonOldGang,
-		core.ReasonAsking, core.ReasonRefused, core.ReasonRoom,
+		core.ReasonRequested, core.ReasonRefused, core.ReasonNoCapacity,
 	} {
 		lines.Add("waiting: %s", reason)
 	}
--- a/internal/controller/leader_view.go
+++ b/internal/controller/leader_view.go
@@ -36,8 +36,8 @@
 	return view, ok && t.HoldsLease()
 }
 
-// Ask asks the leading controller about a job.
-func (l userLeader) Ask(ctx context.Context, ref string) (core.JobView, bool) {
+// ViewFromLeader asks the leading controller about a job.
+func (l userLeader) ViewFromLeader(ctx context.Context, ref string) (core.JobView, bool) {
 	leader := l.c.elector.Leader()
 	if leader == "" || leader == l.c.settings.Member {
 		return core.JobView{}, false
--- a/internal/controller/term/cancel.go
+++ b/internal/controller/term/cancel.go
@@ -10,9 +10,9 @@
 	"gingertally/internal/jobstore"
 )
 
-// ErrTasksNotGone says that it isn't certain that a job's tasks are gone in time, so that its
+// ErrTasksMayRun says that it isn't certain that a job's tasks are gone in time, so that its
 // cancellation can't be confirmed yet.
-var ErrTasksNotGone = errors.New("the job's tasks aren't proven gone")
+var ErrTasksMayRun = errors.New("the job's tasks aren't proven gone")
 
 // Cancel cancels a job. The engine knows of it before the store does, so that nobody is told of an older
 // state from memory (docs/design.md, "The bound of a cancellation"; TestCancelAskedStopsFirst).
@@ -21,7 +21,7 @@
 	t.step(core.CancelRequested{Ref: ref})
 	if !t.deps.Config.CancelKept() && t.mayBeOnMachines(ref) {
 		t.step(core.CancelUndecided{Ref: ref, Deferred: true})
-		return 0, ErrTasksNotGone
+		return 0, ErrTasksMayRun
 	}
 	state, err := jobs.Cancel(ctx, ref, time.Now(), jobstore.UnderTerm(t.claimed))
 	t.step(jobstore.CancelEvent(ref, state, err))
--- a/internal/controller/term/heartbeats.go
+++ b/internal/controller/term/heartbeats.go
@@ -8,10 +8,10 @@
 	"gingertally/internal/standby"
 )
 
-// holdInterval is for how long at a time the answer to a heartbeat of a machine with free capacity
+// responseHold is for how long at a time the answer to a heartbeat of a machine with free capacity
 // is held, for the next round to place something there and the store to take that. Workers wait 4 s
 // for an answer.
-const holdInterval = 250 * time.Millisecond
+const responseHold = 250 * time.Millisecond
 
 // Heartbeat hands a worker's heartbeat to the engine, if this controller holds the leader's lease,
 // and checks the lease once more at the moment of answering (docs/design.md, "Who may
@@ -40,7 +40,7 @@
 
 // hold waits before a held answer is looked at again; false if the term has ended.
 func (t *Term) hold() bool {
-	timer := time.NewTimer(holdInterval)
+	timer := time.NewTimer(responseHold)
 	defer timer.Stop()
 	select {
 	case <-t.over:
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -113,7 +113,7 @@
 // stops go this way: they name their attempt and are harmless late (docs/design.md, safety
 // argument 7).
 func (e *Engine) direct(m *fleet.Machine, c fleet.Command) {
-	m.TokenSent()
+	m.NoteFencingTokenSent()
 	for i := range e.out.Direct {
 		if d := &e.out.Direct[i]; d.Machine == m.Name {
 			d.Commands = append(d.Commands, c)
--- a/internal/core/capacity/capacity.go
+++ b/internal/core/capacity/capacity.go
@@ -225,7 +225,7 @@
 	for _, z := range slices.Sorted(maps.Keys(names)) {
 		left := d.Tasks
 		g.eachSlot(d.Job, z, func(s *placement.Slot) bool {
-			left = max(0, left-s.RoomFor(&d.Job.Spec))
+			left = max(0, left-s.CapacityFor(&d.Job.Spec))
 			return left > 0
 		})
 		if left > 0 {
@@ -244,7 +244,7 @@
 // where they have to be.
 func (g *planner) book(j *pipeline.Job, left int, zones map[string]int, zone string) int {
 	g.eachSlot(j, zone, func(s *placement.Slot) bool {
-		for left > 0 && s.RoomFor(&j.Spec) > 0 && placement.ZoneCapacity(j, s.Zone, zones) > 0 {
+		for left > 0 && s.CapacityFor(&j.Spec) > 0 && placement.ZoneCapacity(j, s.Zone, zones) > 0 {
 			s.Take(&j.Spec)
 			zones[s.Zone]++
 			left--
--- a/internal/core/capacity/capacity_test.go
+++ b/internal/core/capacity/capacity_test.go
@@ -73,7 +73,7 @@
 }
 
 // Room on a machine where the job failed is none: the plan once waited for it.
-func TestRoomOnBadMachineIsNone(t *testing.T) {
+func TestCapacityOfBadMachineIsNone(t *testing.T) {
 	m := fleet.NewMachine(now, "m-1", fleet.PoolKey{Type: "cpu", Zone: "a"})
 	m.Move(now, fleet.Live)
 	freeCapacity := &placement.FreeCapacity{}
--- a/internal/core/consolidate.go
+++ b/internal/core/consolidate.go
@@ -246,7 +246,7 @@
 			o.Machine.FetchLeft(v.now, j.Image, j.ImageGB, o.Type.FetchGBPerS) > moveOverhead {
 			return
 		}
-		if c := v.copyOf(o); c.RoomFor(&j.Spec) > 0 {
+		if c := v.copyOf(o); c.CapacityFor(&j.Spec) > 0 {
 			if sc := v.scorer.Score(c, j, time.Time{}); sc < low {
 				best, low = c, sc
 			}
@@ -268,7 +268,7 @@
 				if o := v.copies[s]; o != nil {
 					s = o
 				}
-				need -= float64(s.RoomFor(c.spec))
+				need -= float64(s.CapacityFor(c.spec))
 			}
 		})
 		if need > 0 {
--- a/internal/core/drain_capacity.go
+++ b/internal/core/drain_capacity.go
@@ -83,7 +83,7 @@
 		if ahead && s.Machine.CordonPlanned() || j.Avoids(b.now, s.Machine.Name) {
 			return false
 		}
-		return placement.ZoneCapacity(j, s.Zone, zones) > 0 && b.copyOf(s).RoomFor(&j.Spec) > 0
+		return placement.ZoneCapacity(j, s.Zone, zones) > 0 && b.copyOf(s).CapacityFor(&j.Spec) > 0
 	})
 	if found == nil {
 		b.without[j.Ref] = true
--- a/internal/core/fleet/machine_heartbeats.go
+++ b/internal/core/fleet/machine_heartbeats.go
@@ -65,9 +65,9 @@
 // RenewLease notes that the worker's lease may last from now.
 func (m *Machine) RenewLease(now time.Time) { m.leaseRenewedAt = now }
 
-// TokenSent notes that a command was sent to the worker outside the answers to its heartbeats,
+// NoteFencingTokenSent notes that a command was sent to the worker outside the answers to its heartbeats,
 // and this term's fencing token with it.
-func (m *Machine) TokenSent() { m.fencingTokenSent = true }
+func (m *Machine) NoteFencingTokenSent() { m.fencingTokenSent = true }
 
 // FencingTokenSent reports whether the worker may know this term's fencing token from this leader.
 func (m *Machine) FencingTokenSent() bool { return m.fencingTokenSent }
--- a/internal/core/fleet/stale_heartbeats.go
+++ b/internal/core/fleet/stale_heartbeats.go
@@ -15,7 +15,7 @@
 
 // After reports whether a version is later than another. The fencing token comes first: it alone
 // tells the heartbeats of a restarted worker from late copies of its former ones
-// (docs/design.md, safety argument 5; TestCopyFromFormerLife).
+// (docs/design.md, safety argument 5; TestCopyFromFormerIncarnation).
 func (p HeartbeatVersion) After(o HeartbeatVersion) bool {
 	if p.FencingToken != o.FencingToken {
 		return p.FencingToken > o.FencingToken
--- a/internal/core/pipeline/graph_test.go
+++ b/internal/core/pipeline/graph_test.go
@@ -170,7 +170,7 @@
 
 // Dependencies of which nothing is known are looked up once each, and again only if the look-up has
 // failed. It guards against dependents that wait for good, and against requests without end.
-func TestAskOnce(t *testing.T) {
+func TestLookUpOnce(t *testing.T) {
 	g := NewGraph(estimate)
 	for i, refs := range [][]string{nil, {"j-0", "j-8"}, {"j-8", "j-9"}} {
 		j, err := NewJob(Record{Spec: Spec{Ref: fmt.Sprintf("j-%d", i), Tasks: 1}, Dependencies: refs}, 1, nil)
--- a/internal/core/placement/array.go
+++ b/internal/core/placement/array.go
@@ -30,7 +30,7 @@
 		if entry.ImageCachedOnly && s.Machine.FetchLeft(b.Now, j.Image, j.ImageGB, s.Type.FetchGBPerS) > cachedWithin {
 			continue
 		}
-		for task >= 0 && placed < want && s.RoomFor(&j.Spec) > 0 && ZoneCapacity(j, s.Zone, b.Cluster.Zones(j.Ref)) > 0 &&
+		for task >= 0 && placed < want && s.CapacityFor(&j.Spec) > 0 && ZoneCapacity(j, s.Zone, b.Cluster.Zones(j.Ref)) > 0 &&
 			s.Machine.Attempt(fleet.TaskID{Ref: j.Ref, Task: task}) == nil {
 			s.Take(&j.Spec)
 			b.Executor.Commit(Decision{Job: j, Task: task, Slot: s.Slot})
--- a/internal/core/placement/free_capacity.go
+++ b/internal/core/placement/free_capacity.go
@@ -107,7 +107,7 @@
 			continue
 		}
 		for _, s := range p.Slots {
-			if !s.Future && s.RoomFor(sp) > 0 && accept(s) {
+			if !s.Future && s.CapacityFor(sp) > 0 && accept(s) {
 				return s
 			}
 		}
@@ -122,7 +122,7 @@
 			continue
 		}
 		for _, s := range p.Slots {
-			if !s.Future && s.RoomFor(sp) > 0 {
+			if !s.Future && s.CapacityFor(sp) > 0 {
 				fn(s)
 			}
 		}
--- a/internal/core/placement/gang.go
+++ b/internal/core/placement/gang.go
@@ -67,7 +67,7 @@
 	zones := map[string]int{}
 	worst, sum := 0.0, 0.0
 	for _, s := range b.open(j, zone) {
-		for range s.RoomFor(&j.Spec) {
+		for range s.CapacityFor(&j.Spec) {
 			i := len(chosen)
 			if i == len(j.Tasks) || ZoneCapacity(j, s.Zone, zones) < 1 ||
 				s.Machine.Attempt(fleet.TaskID{Ref: j.Ref, Task: i}) != nil {
--- a/internal/core/placement/replicas.go
+++ b/internal/core/placement/replicas.go
@@ -81,7 +81,7 @@
 func (c *replicaChoices) skipFull(j *pipeline.Job, zone string, task int) {
 	slots := c.byZone[zone]
 	id := fleet.TaskID{Ref: j.Ref, Task: task}
-	for len(slots) > 0 && (slots[0].RoomFor(&j.Spec) < 1 || slots[0].Machine.Attempt(id) != nil) {
+	for len(slots) > 0 && (slots[0].CapacityFor(&j.Spec) < 1 || slots[0].Machine.Attempt(id) != nil) {
 		slots = slots[1:]
 	}
 	c.byZone[zone] = slots
--- a/internal/core/placement/slot.go
+++ b/internal/core/placement/slot.go
@@ -49,8 +49,8 @@
 	return sp.AllowsType(s.Type.Name) && (sp.Zone == "" || sp.Zone == s.Zone) && (sp.Spot || !s.Spot)
 }
 
-// RoomFor is how many tasks of the job the slot still takes.
-func (s *Slot) RoomFor(sp *pipeline.Spec) int {
+// CapacityFor is how many tasks of the job the slot still takes.
+func (s *Slot) CapacityFor(sp *pipeline.Spec) int {
 	n := tasksWithin(s.free, sp)
 	if r := s.reserved; r != nil && r.ref != sp.Ref && n > 0 {
 		n = min(n, tasksWithin(r.left, sp))
--- a/internal/core/safety_test.go
+++ b/internal/core/safety_test.go
@@ -252,7 +252,7 @@
 // A new leader may hear a late copy from before a machine's worker restarted,
 // with a higher count than the worker has now. It once believed the copy that an
 // attempt was gone, and the task ran twice; nor may the worker be ignored.
-func TestCopyFromFormerLife(t *testing.T) {
+func TestCopyFromFormerIncarnation(t *testing.T) {
 	b := newHarness(t, 3, inherited())
 	here := running(fleet.Command{Ref: "j-1", Attempt: 1 << attemptBits})
 	b.heartbeatOf("m-1", 2, 1, 4, here)
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -49,14 +49,14 @@
 
 // Reasons for which tasks wait.
 const (
-	ReasonTakeover = "a new leader is still hearing the machines"
-	ReasonPause    = "a pause after bad exits"
-	ReasonFails    = "it fails on machine after machine and goes last"
-	ReasonQuota    = "its team's limit"
-	ReasonOldGang  = "an earlier attempt of the gang isn't proven gone"
-	ReasonAsking   = "no room; machines are asked for or boot"
-	ReasonRefused  = "no room; the cloud has no more machines for it"
-	ReasonRoom     = "no room"
+	ReasonTakeover   = "a new leader is still hearing the machines"
+	ReasonPause      = "a pause after bad exits"
+	ReasonFails      = "it fails on machine after machine and goes last"
+	ReasonQuota      = "its team's limit"
+	ReasonOldGang    = "an earlier attempt of the gang isn't proven gone"
+	ReasonRequested  = "no room; machines are asked for or boot"
+	ReasonRefused    = "no room; the cloud has no more machines for it"
+	ReasonNoCapacity = "no room"
 )
 
 // Status tells of machines and of jobs that wait.
@@ -156,14 +156,14 @@
 	for m := range e.machines.all() {
 		t := e.catalog[m.Type]
 		if m.State() == fleet.Booting && t != nil && t.Fits(&j.Spec) && j.AllowsType(m.Type) {
-			return ReasonAsking
+			return ReasonRequested
 		}
 	}
 	switch outlook := e.plan.Outlook(now, &j.Spec, e.catalog); {
 	case outlook.Requested:
-		return ReasonAsking
+		return ReasonRequested
 	case outlook.AllRefused:
 		return ReasonRefused
 	}
-	return ReasonRoom
+	return ReasonNoCapacity
 }
--- a/internal/core/status_test.go
+++ b/internal/core/status_test.go
@@ -36,7 +36,7 @@
 	if r := waiting(t, b, "j-1"); r != ReasonQuota {
 		t.Errorf("at its team's limit: %s", r)
 	}
-	if r := waiting(t, b, "j-3"); r != ReasonAsking && r != ReasonRoom {
+	if r := waiting(t, b, "j-3"); r != ReasonRequested && r != ReasonNoCapacity {
 		t.Errorf("without room: %s", r)
 	}
 	for _, c := range started {
--- a/internal/drain/coordinator.go
+++ b/internal/drain/coordinator.go
@@ -49,7 +49,7 @@
 		c.adopt(m)
 	}
 	for _, p := range c.plans.finished() {
-		c.releaseMachines(p)
+		c.scaleInMachines(p)
 	}
 	return c
 }
@@ -77,15 +77,15 @@
 	needsMachines = stored.Plan.Through != "" && (p == nil || p.Through == "")
 	p = c.plans.put(now, stored)
 	if p.Phase.Final() {
-		uncordoned = c.releaseMachines(p)
+		uncordoned = c.scaleInMachines(p)
 	}
 	return uncordoned, needsMachines
 }
 
-// releaseMachines ends the work of a plan that is over. Its queue is cleared and its machines are
+// scaleInMachines ends the work of a plan that is over. Its queue is cleared and its machines are
 // uncordoned; if it has expired and says so, they stay cordoned instead. Machines that are empty
 // already go on to be scaled in.
-func (c *Coordinator) releaseMachines(p *planProgress) (uncordoned []string) {
+func (c *Coordinator) scaleInMachines(p *planProgress) (uncordoned []string) {
 	p.queue.clear()
 	end := Uncordoned
 	if p.Phase == Expired && p.KeepCordoned {
--- a/internal/emulator/state_service_http.go
+++ b/internal/emulator/state_service_http.go
@@ -150,7 +150,7 @@
 			return
 		}
 		if len(since.events) > 0 || !waiting {
-			reply(request, fasthttp.StatusOK, newsOf(since))
+			reply(request, fasthttp.StatusOK, eventsOf(since))
 			return
 		}
 		select {
@@ -161,8 +161,8 @@
 	}
 }
 
-// newsOf is the answer to a watch.
-func newsOf(since changes) wire.News {
+// eventsOf is the answer to a watch.
+func eventsOf(since changes) wire.News {
 	news := wire.News{Ledger: since.revision}
 	for _, event := range since.events {
 		message := wire.NewsEvent{Put: event.key, V: event.value, Stamp: event.revision}
--- a/internal/emulator/users.go
+++ b/internal/emulator/users.go
@@ -60,7 +60,7 @@
 	for n := 0; ctx.Err() == nil; n++ {
 		ref := fmt.Sprintf("j-%d%06d", firstRef+u.First+user, n)
 		if u.submit(querying, ref, 1+rand.IntN(u.MaxTasks)) {
-			u.follow(querying, ref)
+			u.pollUntilEnd(querying, ref)
 		}
 	}
 }
@@ -101,8 +101,8 @@
 		ref, u.Class, u.Team, u.Urgency, tasks, u.RunTime.Seconds(), interval, save)
 }
 
-// follow queries a job until it is over.
-func (u *Users) follow(ctx context.Context, ref string) {
+// pollUntilEnd queries a job until it is over.
+func (u *Users) pollUntilEnd(ctx context.Context, ref string) {
 	for ctx.Err() == nil {
 		run, err := u.anyController(callBudget).Get(ctx, ref)
 		switch {
--- a/internal/leadership/campaign.go
+++ b/internal/leadership/campaign.go
@@ -45,7 +45,7 @@
 		}
 		if held {
 			vacantSince = time.Time{}
-			e.follow(ctx, holder)
+			e.watchHolder(ctx, holder)
 			continue
 		}
 		e.setLeader("")
@@ -91,8 +91,8 @@
 	return e.node.ClaimDelay()
 }
 
-// follow waits while another node leads.
-func (e *Elector) follow(ctx context.Context, holder statestore.KeyValue) {
+// watchHolder waits while another node leads.
+func (e *Elector) watchHolder(ctx context.Context, holder statestore.KeyValue) {
 	var record holderRecord
 	if err := decodeRecord(HolderKey, holder.Value, &record); err != nil {
 		e.log.Error("leader record unreadable", "error", err)
--- a/internal/simulation/invariant_tasks.go
+++ b/internal/simulation/invariant_tasks.go
@@ -154,7 +154,7 @@
 			i.checkTask(o.task, "completes")
 		}
 	case cancellationReported:
-		i.w.after(i.w.options.CancelWithin, func() { i.checkGone(o.job) })
+		i.w.after(i.w.options.CancelWithin, func() { i.checkEnded(o.job) })
 	}
 }
 
@@ -166,8 +166,8 @@
 	}
 }
 
-// checkGone checks that no task of a job is on a machine.
-func (i *cancelledTasksEnd) checkGone(j *userJob) {
+// checkEnded checks that no task of a job is on a machine.
+func (i *cancelledTasksEnd) checkEnded(j *userJob) {
 	i.w.checker.ledger.each(func(t *task) {
 		if t.job == j {
 			i.w.checker.fail("ran_cancelled: %s is on %s", taskName(t), t.m.name)
--- a/internal/simulation/invariant_waiting.go
+++ b/internal/simulation/invariant_waiting.go
@@ -126,7 +126,7 @@
 		here := 0
 		for _, m := range i.w.sortedMachines() {
 			if m.zone == zone && i.usable(m, s) {
-				here += m.roomFor(s)
+				here += m.tasksThatFit(s)
 			}
 		}
 		if s.Spread {
@@ -177,8 +177,8 @@
 	return s.AllowsType(m.typ) && (s.Zone == "" || s.Zone == m.zone) && (!m.spot || s.Spot)
 }
 
-// roomFor is how many more tasks of a job a machine has room for.
-func (m *machine) roomFor(s *pipeline.Spec) int {
+// tasksThatFit is how many more tasks of a job a machine has room for.
+func (m *machine) tasksThatFit(s *pipeline.Spec) int {
 	typ := m.w.catalog[m.typ]
 	cpus, gpus, mem := typ.CPUs, typ.GPUs, typ.MemGB
 	for _, t := range m.tasks {
--- a/internal/simulation/invariants_test.go
+++ b/internal/simulation/invariants_test.go
@@ -27,8 +27,8 @@
 	says string
 }
 
-// foreignAttempt is an attempt number that no controller gives out in these worlds.
-const foreignAttempt = 1 << 60
+// unrecordedAttempt is an attempt number that no controller gives out in these worlds.
+const unrecordedAttempt = 1 << 60
 
 // everySecond tries something each second from some time on until the world ends.
 func everySecond(w *World, from time.Duration, fn func()) {
@@ -38,23 +38,23 @@
 	})
 }
 
-// startForeign has a machine start a task of a job that no controller has started there, and that isn't on any machine.
-func startForeign(w *World, m *machine, j *userJob) {
+// startUnrecorded has a machine start a task of a job that no controller has started there, and that isn't on any machine.
+func startUnrecorded(w *World, m *machine, j *userJob) {
 	for index := range j.spec.Tasks {
 		if len(w.checker.ledger.onMachines[taskName(&task{job: j, index: index})]) == 0 && m.isUp {
-			m.startTask(fleet.Command{Kind: fleet.Start, Ref: j.spec.Ref, Task: index, Attempt: foreignAttempt})
+			m.startTask(fleet.Command{Kind: fleet.Start, Ref: j.spec.Ref, Task: index, Attempt: unrecordedAttempt})
 			return
 		}
 	}
 }
 
-// startForeignTasks has tasks started each second, of jobs and on machines that are chosen.
-func startForeignTasks(w *World, chosen func(j *userJob, m *machine) bool) {
+// startUnrecordedTasks has tasks started each second, of jobs and on machines that are chosen.
+func startUnrecordedTasks(w *World, chosen func(j *userJob, m *machine) bool) {
 	everySecond(w, 10*time.Second, func() {
 		for _, j := range w.sortedJobs() {
 			for _, m := range w.sortedMachines() {
 				if chosen(j, m) {
-					startForeign(w, m, j)
+					startUnrecorded(w, m, j)
 				}
 			}
 		}
@@ -82,7 +82,7 @@
 				t.exit(fleet.CauseStopped, false)
 				for _, other := range w.script.machinesOf(j) {
 					if other.zone == w.zones[0] {
-						startForeign(w, other, j)
+						startUnrecorded(w, other, j)
 					}
 				}
 				return
@@ -115,7 +115,7 @@
 			for _, t := range tasksOnMachines(w) {
 				for _, m := range w.sortedMachines() {
 					if m != t.m && m.isUp {
-						m.startTask(fleet.Command{Kind: fleet.Start, Ref: t.job.spec.Ref, Task: t.index, Attempt: foreignAttempt})
+						m.startTask(fleet.Command{Kind: fleet.Start, Ref: t.job.spec.Ref, Task: t.index, Attempt: unrecordedAttempt})
 					}
 				}
 			}
@@ -133,12 +133,12 @@
 		})
 	}},
 	{name: "a start in a zone that the job doesn't allow", says: "wrong_place", plan: func(w *World) {
-		startForeignTasks(w, func(j *userJob, m *machine) bool {
+		startUnrecordedTasks(w, func(j *userJob, m *machine) bool {
 			return j.accepted && j.spec.Zone != "" && j.spec.Zone != m.zone
 		})
 	}},
 	{name: "a start apart from tasks that share a zone", says: "while others are elsewhere", plan: func(w *World) {
-		startForeignTasks(w, func(j *userJob, m *machine) bool {
+		startUnrecordedTasks(w, func(j *userJob, m *machine) bool {
 			tasks := w.script.machinesOf(j)
 			return j.spec.OneZone && j.spec.Zone == "" && len(tasks) > 0 && tasks[0].zone != m.zone
 		})
@@ -157,19 +157,19 @@
 		})
 	}},
 	{name: "a start before the job is stored", says: "isn't stored", plan: func(w *World) {
-		startForeignTasks(w, func(j *userJob, _ *machine) bool {
+		startUnrecordedTasks(w, func(j *userJob, _ *machine) bool {
 			return !j.accepted && !w.store.holdsJob(j.spec.Ref)
 		})
 	}},
 	{name: "a start before a dependency is done", says: "too_early",
 		options: func(o *Options) { o.Pipelines, o.Jobs = 12, 8 },
 		plan: func(w *World) {
-			startForeignTasks(w, func(j *userJob, _ *machine) bool {
+			startUnrecordedTasks(w, func(j *userJob, _ *machine) bool {
 				return j.accepted && len(j.dependencies) > 0 && j.dependencies[0].reportedPhase == pipeline.Active
 			})
 		}},
 	{name: "a start long after the cancellation", says: "ran_cancelled", plan: func(w *World) {
-		startForeignTasks(w, func(j *userJob, _ *machine) bool {
+		startUnrecordedTasks(w, func(j *userJob, _ *machine) bool {
 			return j.reportedPhase == pipeline.Cancelled && w.now.Sub(j.cancelReportedAt) > w.options.CancelWithin
 		})
 	}},
--- a/internal/simulation/user_service.go
+++ b/internal/simulation/user_service.go
@@ -22,8 +22,8 @@
 	return l.n.engine.Lookup(ref)
 }
 
-// Ask queries the other nodes that this one reaches.
-func (l leaderView) Ask(_ context.Context, ref string) (v core.JobView, ok bool) {
+// ViewFromLeader queries the other nodes that this one reaches.
+func (l leaderView) ViewFromLeader(_ context.Context, ref string) (v core.JobView, ok bool) {
 	for _, o := range l.n.w.nodes {
 		if o != l.n && l.n.reaches(o) && o.holdsLease() {
 			return o.engine.Lookup(ref)
--- a/internal/userapi/userapi.go
+++ b/internal/userapi/userapi.go
@@ -44,8 +44,8 @@
 	// View is what this node knows of a job; ok is false if this node doesn't hold the leader's
 	// lease, or doesn't know the job.
 	View(ref string) (view core.JobView, ok bool)
-	// Ask asks the leading node; ok is false if that can't be asked or doesn't know the job.
-	Ask(ctx context.Context, ref string) (view core.JobView, ok bool)
+	// ViewFromLeader asks the leading node; ok is false if that can't be asked or doesn't know the job.
+	ViewFromLeader(ctx context.Context, ref string) (view core.JobView, ok bool)
 	// Cancel cancels a job and returns the phase that the job then has, which is pipeline.Done if it
 	// was done already. Only the leader may: after another node's cancellation, the leader would go
 	// on telling users the older state (docs/design.md, "The bound of a cancellation"). The error is
@@ -124,7 +124,7 @@
 	if decision.Admitted {
 		return Answer{}, false
 	}
-	if _, known := s.Leader.Ask(ctx, spec.Ref); known || s.Admission.Known(ctx, spec.Ref) {
+	if _, known := s.Leader.ViewFromLeader(ctx, spec.Ref); known || s.Admission.Known(ctx, spec.Ref) {
 		return s.answerState(ctx, spec.Ref), true
 	}
 	return overloadedAnswer(decision), true
@@ -174,7 +174,7 @@
 	if view, ok := s.Leader.View(ref); ok {
 		return JobStateAnswer(ref, view)
 	}
-	if view, ok := s.Leader.Ask(ctx, ref); ok {
+	if view, ok := s.Leader.ViewFromLeader(ctx, ref); ok {
 		return JobStateAnswer(ref, view)
 	}
 	state, err := s.Jobs.Load(ctx, ref)
--- a/internal/userapi/userapi_test.go
+++ b/internal/userapi/userapi_test.go
@@ -65,7 +65,9 @@
 
 func (b *fakeBackend) View(ref string) (core.JobView, bool) { v, ok := b.view[ref]; return v, ok }
 
-func (*fakeBackend) Ask(context.Context, string) (core.JobView, bool) { return core.JobView{}, false }
+func (*fakeBackend) ViewFromLeader(context.Context, string) (core.JobView, bool) {
+	return core.JobView{}, false
+}
 
 func (b *fakeBackend) Cancel(context.Context, string) (pipeline.Phase, error) {
 	return pipeline.Cancelled, b.cancelErr
