--- a/internal/controller/machinetypes/machinetypes.go
+++ b/internal/controller/machinetypes/machinetypes.go
@@ -16,6 +16,7 @@
 	"gingertally/internal/core/placement"
 	"gingertally/internal/leadership"
 	"gingertally/internal/statestore"
+	"gingertally/internal/wait"
 )
 
 // Key holds the machine types for controllers that start while the cloud's interface is down.
@@ -75,14 +76,14 @@
 	for ctx.Err() == nil {
 		err := c.Fetch(ctx)
 		if err == nil {
-			pause(ctx, refreshEvery)
+			wait.Sleep(ctx, refreshEvery)
 			continue
 		}
 		c.log.Debug("machine types not fetched", "error", err)
 		if len(c.Types()) == 0 {
 			c.readShared(ctx)
 		}
-		pause(ctx, refreshRetry)
+		wait.Sleep(ctx, refreshRetry)
 	}
 	return ctx.Err()
 }
@@ -120,13 +121,3 @@
 		c.log.Debug("machine types not shared", "error", err)
 	}
 }
-
-// pause waits for some time, or until ctx ends.
-func pause(ctx context.Context, d time.Duration) {
-	timer := time.NewTimer(d)
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-	case <-timer.C:
-	}
-}
--- a/internal/controller/overload/leader.go
+++ b/internal/controller/overload/leader.go
@@ -9,6 +9,7 @@
 	"gingertally/internal/admission"
 	"gingertally/internal/codec"
 	"gingertally/internal/peer"
+	"gingertally/internal/wait"
 )
 
 const (
@@ -27,7 +28,7 @@
 	planner := admission.NewPlanner(time.Now(), n.planner, term.Number(), latest)
 	n.apply(latest)
 	defer n.setMeasured(nil)
-	for pause(ctx, n.planner.Interval) {
+	for wait.Sleep(ctx, n.planner.Interval) {
 		if term.HoldsLease() {
 			latest = n.planRound(ctx, term, planner, latest)
 		}
@@ -76,7 +77,7 @@
 			return policy, nil
 		}
 		n.log.Debug("admission policy not read", "error", err)
-		if !pause(ctx, readRetry) {
+		if !wait.Sleep(ctx, readRetry) {
 			return policy, ctx.Err()
 		}
 	}
--- a/internal/controller/overload/node.go
+++ b/internal/controller/overload/node.go
@@ -17,6 +17,7 @@
 	"gingertally/internal/operator"
 	"gingertally/internal/peer"
 	"gingertally/internal/statestore"
+	"gingertally/internal/wait"
 )
 
 const (
@@ -152,7 +153,7 @@
 // Run implements Controller: where no leader is heard, the policy is read from the state service.
 func (n *Node) Run(ctx context.Context) error {
 	maxAge := n.options.Settings.PolicyAge
-	for pause(ctx, maxAge/3) {
+	for wait.Sleep(ctx, maxAge/3) {
 		if n.policyAge() < maxAge/2 {
 			continue
 		}
@@ -169,15 +170,3 @@
 	defer n.mu.Unlock()
 	return time.Since(n.gate.ConfirmedAt())
 }
-
-// pause waits for some time; false if ctx ends before.
-func pause(ctx context.Context, d time.Duration) bool {
-	timer := time.NewTimer(d)
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-		return false
-	case <-timer.C:
-		return true
-	}
-}
--- a/internal/controller/replication/follow.go
+++ b/internal/controller/replication/follow.go
@@ -10,6 +10,7 @@
 
 	"gingertally/internal/standby"
 	"gingertally/internal/standbyrpc"
+	"gingertally/internal/wait"
 )
 
 const (
@@ -34,16 +35,16 @@
 	for ctx.Err() == nil {
 		leader := peers.Leader()
 		if leader == "" || leader == n.self {
-			pause(ctx, followRetry)
+			wait.Sleep(ctx, followRetry)
 			continue
 		}
 		err := n.follow(ctx, peers, leader)
 		n.logger.Debug("stream ended", "leader", leader, "error", err)
 		if errors.Is(err, standbyrpc.ErrUnsupported) {
-			pause(ctx, unsupportedRetry)
+			wait.Sleep(ctx, unsupportedRetry)
 			continue
 		}
-		pause(ctx, followRetry)
+		wait.Sleep(ctx, followRetry)
 	}
 	return ctx.Err()
 }
@@ -57,7 +58,7 @@
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error {
 		for ctx.Err() == nil {
-			pause(ctx, followRetry)
+			wait.Sleep(ctx, followRetry)
 			if peers.Leader() != leader {
 				return errLeaderChanged
 			}
@@ -101,13 +102,3 @@
 	resync := verdict.NeedsSnapshot() || empty && frame.Kind == standby.Heartbeat
 	return standbyrpc.Acknowledgement{At: n.standby.Position(), Resync: resync && n.standby.MayResync(now)}
 }
-
-// pause waits for some time, or until ctx ends.
-func pause(ctx context.Context, d time.Duration) {
-	timer := time.NewTimer(d)
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-	case <-timer.C:
-	}
-}
--- a/internal/controller/term/drains.go
+++ b/internal/controller/term/drains.go
@@ -8,6 +8,7 @@
 	"gingertally/internal/drain"
 	"gingertally/internal/jobstore"
 	"gingertally/internal/statestore"
+	"gingertally/internal/wait"
 )
 
 // Operators' drains: their plans are watched, the leader's changes of plans are written, and the metrics
@@ -77,7 +78,7 @@
 		return nil
 	}
 	defer t.deps.Metrics.Drains.Reset()
-	for pause(ctx, drainMetricsEvery) {
+	for wait.Sleep(ctx, drainMetricsEvery) {
 		t.mu.Lock()
 		status := t.engine.DrainStatus(time.Now())
 		t.mu.Unlock()
--- a/internal/controller/term/instances.go
+++ b/internal/controller/term/instances.go
@@ -7,6 +7,7 @@
 
 	"gingertally/internal/cloud"
 	"gingertally/internal/core"
+	"gingertally/internal/wait"
 )
 
 const (
@@ -29,7 +30,7 @@
 			break
 		}
 		t.log.Debug("scale-out failed", "request", request.Name, "error", err)
-		if !pause(ctx, scaleOutRetry) {
+		if !wait.Sleep(ctx, scaleOutRetry) {
 			break
 		}
 	}
@@ -61,7 +62,7 @@
 			}
 			t.readInstances(ctx)
 		}
-		if !pause(ctx, every) {
+		if !wait.Sleep(ctx, every) {
 			return ctx.Err()
 		}
 	}
--- a/internal/controller/term/takeover.go
+++ b/internal/controller/term/takeover.go
@@ -6,6 +6,7 @@
 
 	"gingertally/internal/core"
 	"gingertally/internal/drain"
+	"gingertally/internal/wait"
 )
 
 // snapshotRetry is the pause after records that couldn't be read.
@@ -19,7 +20,7 @@
 			return nil
 		}
 		t.log.Warn("records not read", "error", err)
-		if !pause(ctx, snapshotRetry) {
+		if !wait.Sleep(ctx, snapshotRetry) {
 			return ctx.Err()
 		}
 	}
--- a/internal/controller/term/term.go
+++ b/internal/controller/term/term.go
@@ -141,18 +141,6 @@
 	return time.Since(t.lastContact)
 }
 
-// pause waits for some time; false if ctx ends before.
-func pause(ctx context.Context, d time.Duration) bool {
-	timer := time.NewTimer(d)
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-		return false
-	case <-timer.C:
-		return true
-	}
-}
-
 // background is the work that a term's effects ask for. Each piece has a goroutine of its own, which
 // ends with the term.
 type background struct {
--- a/internal/controller/term/tick.go
+++ b/internal/controller/term/tick.go
@@ -6,6 +6,7 @@
 
 	"gingertally/internal/core"
 	"gingertally/internal/leadership"
+	"gingertally/internal/wait"
 )
 
 const (
@@ -23,7 +24,7 @@
 // tickLoop has the engine decide, or resigns if no worker reaches this controller.
 func (t *Term) tickLoop(ctx context.Context) error {
 	unreachedAfter := MissedHeartbeats * t.deps.Config.HeartbeatInterval
-	for pause(ctx, tickEvery) {
+	for wait.Sleep(ctx, tickEvery) {
 		if !t.HoldsLease() {
 			continue
 		}
--- a/internal/controller/term/watch.go
+++ b/internal/controller/term/watch.go
@@ -10,6 +10,7 @@
 	"gingertally/internal/core"
 	"gingertally/internal/jobstore"
 	"gingertally/internal/statestore"
+	"gingertally/internal/wait"
 )
 
 // Pauses after reads that failed.
@@ -40,10 +41,10 @@
 			if newer, err := w.readAll(ctx); err == nil {
 				revision = newer
 			} else {
-				pause(ctx, w.readAllRetry)
+				wait.Sleep(ctx, w.readAllRetry)
 			}
 		case err != nil:
-			pause(ctx, watchRetry)
+			wait.Sleep(ctx, watchRetry)
 		default:
 			for _, event := range response.Events {
 				if err := w.changed(ctx, event); err != nil {
@@ -97,7 +98,7 @@
 			return nil
 		}
 		t.log.Warn("job record not read", "key", event.Key, "error", err)
-		if !pause(ctx, recordRetry) {
+		if !wait.Sleep(ctx, recordRetry) {
 			return ctx.Err()
 		}
 	}
@@ -135,15 +136,15 @@
 // lookUpDependencies finds out what became of jobs that others depend on and that were over
 // before this term.
 func (t *Term) lookUpDependencies(ctx context.Context) error {
-	for wait := lookUpEvery; pause(ctx, wait); {
+	for interval := lookUpEvery; wait.Sleep(ctx, interval); {
 		t.mu.Lock()
 		refs := t.engine.DependenciesToLookUp(maxLookUps)
 		t.mu.Unlock()
-		wait = lookUpEvery
+		interval = lookUpEvery
 		for _, ref := range refs {
 			if !t.loadJob(ctx, ref, t.deps.Records.LoadFinished) {
 				t.step(core.DependencyLookupFailed{Ref: ref})
-				wait = lookUpRetry
+				interval = lookUpRetry
 			}
 		}
 	}
--- a/internal/controller/term/write.go
+++ b/internal/controller/term/write.go
@@ -8,6 +8,7 @@
 	"gingertally/internal/core"
 	"gingertally/internal/jobstore"
 	"gingertally/internal/statestore"
+	"gingertally/internal/wait"
 )
 
 // Pauses after a failed write; in an outage of the state service, in which this controller
@@ -57,7 +58,7 @@
 			if errors.Is(err, statestore.ErrUnavailable) {
 				retry = writeRetryOutage
 			}
-			if !pause(ctx, retry) {
+			if !wait.Sleep(ctx, retry) {
 				return ctx.Err()
 			}
 		}
--- a/internal/emulator/users.go
+++ b/internal/emulator/users.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"gingertally/internal/client"
+	"gingertally/internal/wait"
 )
 
 // Users keep a number of jobs open: as soon as one is over, its user submits the next (PROTOCOL: Users ->
@@ -42,21 +43,21 @@
 	firstRef = 100_000
 )
 
-// Run submits and queries until ctx ends, and then queries until all jobs are over or the wait has passed. It
+// Run submits and queries until ctx ends, and then queries until all jobs are over or the grace time has passed. It
 // returns when no user is left.
-func (u *Users) Run(ctx context.Context, wait time.Duration) {
+func (u *Users) Run(ctx context.Context, grace time.Duration) {
 	var users sync.WaitGroup
 	for i := range u.OpenJobs {
-		users.Go(func() { u.runUser(ctx, i, wait) })
+		users.Go(func() { u.runUser(ctx, i, grace) })
 	}
 	users.Wait()
 }
 
 // runUser is one user, whose jobs follow each other.
-func (u *Users) runUser(ctx context.Context, user int, wait time.Duration) {
+func (u *Users) runUser(ctx context.Context, user int, grace time.Duration) {
 	querying, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	context.AfterFunc(ctx, func() { time.AfterFunc(wait, stop) })
+	context.AfterFunc(ctx, func() { time.AfterFunc(grace, stop) })
 	for n := 0; ctx.Err() == nil; n++ {
 		ref := fmt.Sprintf("j-%d%06d", firstRef+u.First+user, n)
 		if u.submit(querying, ref, 1+rand.IntN(u.MaxTasks)) {
@@ -84,7 +85,7 @@
 			u.History.forgotten(ref)
 			return false
 		}
-		pause(ctx, resubmitPause)
+		wait.Sleep(ctx, resubmitPause)
 	}
 	return false
 }
@@ -115,16 +116,6 @@
 				return
 			}
 		}
-		pause(ctx, queryPause)
-	}
-}
-
-// pause waits for a while, or until ctx ends.
-func pause(ctx context.Context, d time.Duration) {
-	timer := time.NewTimer(d)
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-	case <-timer.C:
+		wait.Sleep(ctx, queryPause)
 	}
 }
--- a/internal/leadership/campaign.go
+++ b/internal/leadership/campaign.go
@@ -9,6 +9,7 @@
 
 	"gingertally/internal/codec"
 	"gingertally/internal/statestore"
+	"gingertally/internal/wait"
 )
 
 // A node that has just resigned, or that no worker reaches, lets others claim first. The
@@ -40,7 +41,7 @@
 		holder, held, err := e.store.Get(ctx, HolderKey)
 		if err != nil {
 			e.log.Debug("leader lookup failed", "error", err)
-			pause(ctx, holderRetry+rand.N(holderRetryJitter))
+			wait.Sleep(ctx, holderRetry+rand.N(holderRetryJitter))
 			continue
 		}
 		if held {
@@ -54,7 +55,7 @@
 			e.node.LeaderLost()
 		}
 		if left := e.claimDelay() - time.Since(vacantSince); left > 0 {
-			pause(ctx, min(left, claimDelayPoll))
+			wait.Sleep(ctx, min(left, claimDelayPoll))
 			continue
 		}
 		if e.campaign(ctx) {
@@ -101,7 +102,7 @@
 		// This node before its restart, or a claim whose answer was lost: nobody
 		// acts under that lease, so it needn't expire first.
 		if err := e.store.Revoke(ctx, holder.Lease); err != nil {
-			pause(ctx, revokeRetry)
+			wait.Sleep(ctx, revokeRetry)
 		}
 		return
 	}
@@ -109,7 +110,7 @@
 	e.setLeader(record.Member)
 	_, err := e.store.Watch(ctx, HolderKey, holder.ModRevision)
 	if err != nil && !errors.Is(err, statestore.ErrCompacted) {
-		pause(ctx, watchRetry)
+		wait.Sleep(ctx, watchRetry)
 	}
 }
 
@@ -117,7 +118,7 @@
 // term. It tells whether this node has led.
 func (e *Elector) campaign(ctx context.Context) bool {
 	if !e.mayClaim(ctx) {
-		pause(ctx, claimPermissionPoll)
+		wait.Sleep(ctx, claimPermissionPoll)
 		return false
 	}
 	defer func() { // a claim that failed is never acted on
@@ -128,14 +129,14 @@
 	requested := time.Now()
 	lease, err := e.store.Grant(ctx, e.options.TTL)
 	if err != nil {
-		pause(ctx, grantRetry+rand.N(grantRetryJitter))
+		wait.Sleep(ctx, grantRetry+rand.N(grantRetryJitter))
 		return false
 	}
 	term, err := e.commitClaim(ctx, lease)
 	if err != nil {
 		e.log.Info("leadership claim failed", "error", err)
 		e.revoke(ctx, lease)
-		pause(ctx, rand.N(claimRetryJitter))
+		wait.Sleep(ctx, rand.N(claimRetryJitter))
 		return false
 	}
 	e.lead(ctx, term, lease, requested)
@@ -219,7 +220,7 @@
 			e.revoke(ctx, lease)
 			return Resting
 		}
-		pause(ctx, e.options.TTL/renewalsPerTTL)
+		wait.Sleep(ctx, e.options.TTL/renewalsPerTTL)
 		if !e.renew(ctx, lease) {
 			return Follower
 		}
--- a/internal/leadership/elector.go
+++ b/internal/leadership/elector.go
@@ -158,13 +158,3 @@
 	defer e.mu.Unlock()
 	return e.resigning
 }
-
-// pause waits for some time, or until ctx ends.
-func pause(ctx context.Context, d time.Duration) {
-	timer := time.NewTimer(d)
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-	case <-timer.C:
-	}
-}
--- a/internal/leadership/extension.go
+++ b/internal/leadership/extension.go
@@ -4,6 +4,8 @@
 	"context"
 	"sync"
 	"time"
+
+	"gingertally/internal/wait"
 )
 
 // Extension of the leader's lease by all peers.
@@ -44,7 +46,7 @@
 		return
 	}
 	for ctx.Err() == nil {
-		pause(ctx, extensionEvery)
+		wait.Sleep(ctx, extensionEvery)
 		if e.needsExtension() {
 			e.requestExtensions(ctx)
 		}
--- a/internal/statestore/errors_test.go
+++ b/internal/statestore/errors_test.go
@@ -97,10 +97,12 @@
 	var conflict *ConflictError
 	var unexpected *UnexpectedStatusError
 	isWanted := errors.Is(err, want)
-	switch want.(type) {
-	case *ConflictError:
+	if errors.As(want, &conflict) {
+		conflict = nil
 		isWanted = errors.As(err, &conflict) && len(conflict.Keys) == 1 && conflict.Keys[0] == "k"
-	case *UnexpectedStatusError:
+	}
+	if errors.As(want, &unexpected) {
+		unexpected = nil
 		isWanted = errors.As(err, &unexpected) && unexpected.Status == status
 	}
 	if !isWanted {
