--- a/internal/loadtest/loadtest.go
+++ b/internal/loadtest/loadtest.go
@@ -46,7 +46,7 @@
 	}
 	directory, err := os.MkdirTemp("", name)
 	if err != nil {
-		return err
+		return fmt.Errorf("make a directory for the clusters: %w", err)
 	}
 	defer func() { _ = os.RemoveAll(directory) }()
 	return run(directory)
--- a/tools/surge/loopback.go
+++ b/tools/surge/loopback.go
@@ -4,15 +4,13 @@
 	"context"
 	"errors"
 	"fmt"
-	"os"
 	"sync"
 	"syscall"
 	"time"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
-
 	"gingertally/internal/config"
 	"gingertally/internal/emulator"
+	"gingertally/internal/loadtest"
 	"gingertally/tools/plots"
 )
 
@@ -25,12 +23,6 @@
 	loopbackEndWait = 4 * time.Minute
 )
 
-// Bounds, in milliseconds, and precision of the histograms of waits.
-const (
-	lowestMS, highestMS = 1, 3_600_000
-	digits              = 3
-)
-
 // loopbackTeam is a team with its users, who each submit one job after the other.
 type loopbackTeam struct {
 	config.Team
@@ -57,25 +49,34 @@
 // runLoopback runs real controllers under overload, ends the leader twice, and prints what each team
 // got.
 func runLoopback(o options) error {
-	directory, err := os.MkdirTemp("", "surge")
-	if err != nil {
-		return fmt.Errorf("make a directory for the cluster: %w", err)
-	}
-	defer func() { _ = os.RemoveAll(directory) }()
+	return loadtest.InDirectory("", "surge", func(directory string) error {
+		cluster, err := startLoopback(o, directory)
+		if err != nil {
+			return fmt.Errorf("start the cluster: %w", err)
+		}
+		defer cluster.Stop()
+		loadLoopback(o, cluster)
+		return reportLoopback(o, cluster)
+	})
+}
+
+// startLoopback starts the controllers and the stand-ins.
+func startLoopback(o options, directory string) (*emulator.Cluster, error) {
 	var teams []config.Team
 	for _, t := range loopbackTeams {
 		teams = append(teams, t.Team)
 	}
-	cluster, err := emulator.StartCluster(emulator.ClusterOptions{
+	return emulator.StartCluster(emulator.ClusterOptions{
 		Directory: directory, Controllers: 3, Machines: loopbackMachines, Teams: teams,
 		Timings:          emulator.Timings{Heartbeat: time.Second, Lease: 15 * time.Second, RunTime: loopbackRunTime},
 		OperatorSettings: fmt.Sprintf(loopbackSettings, !o.Without),
 		Command:          emulator.Program(o.Binary),
 	})
-	if err != nil {
-		return fmt.Errorf("start the cluster: %w", err)
-	}
-	defer cluster.Stop()
+}
+
+// loadLoopback has the teams' users submit jobs for the length of the load, ends the leader twice
+// meanwhile, and waits for the jobs' ends.
+func loadLoopback(o options, cluster *emulator.Cluster) {
 	load, stop := context.WithTimeout(context.Background(), o.Length)
 	defer stop()
 	var running sync.WaitGroup
@@ -94,7 +95,6 @@
 		running.Go(func() { users.Run(load, loopbackEndWait) })
 	}
 	running.Wait()
-	return reportLoopback(o, cluster)
 }
 
 // runActions does each action when its time has come. Those that are left when the load ends aren't done.
@@ -146,16 +146,13 @@
 // teamResult is what was measured of a team.
 type teamResult struct {
 	jobs, accepted, tasks int
-	waits                 *hdrhistogram.Histogram // from the first submission to the first start
-	admissions            *hdrhistogram.Histogram // from the first submission to the acceptance
+	waits                 loadtest.Histogram // from the first submission to the first start
+	admissions            loadtest.Histogram // from the first submission to the acceptance
 }
 
 // measureTeam sums the history of a team's jobs up.
 func measureTeam(cluster *emulator.Cluster, team string) teamResult {
-	r := teamResult{
-		waits:      hdrhistogram.New(lowestMS, highestMS, digits),
-		admissions: hdrhistogram.New(lowestMS, highestMS, digits),
-	}
+	r := teamResult{waits: loadtest.NewHistogram(), admissions: loadtest.NewHistogram()}
 	for _, j := range cluster.History.Jobs() {
 		if j.Team != team {
 			continue
@@ -163,11 +160,11 @@
 		r.jobs++
 		if j.Admission >= 0 {
 			r.accepted++
-			record(r.admissions, j.Admission)
+			r.admissions.Observe(j.Admission)
 		}
 		if j.Started >= 0 {
 			r.tasks += j.Tasks
-			record(r.waits, j.Started)
+			r.waits.Observe(j.Started)
 		}
 	}
 	return r
@@ -187,9 +184,9 @@
 	for _, t := range loopbackTeams {
 		r := measureTeam(cluster, t.Name)
 		fmt.Printf("%-10s %8d %8d %8d  %9s %9s %9s  %9s %9s\n", t.Name, r.jobs, r.accepted, r.tasks,
-			quantile(r.waits, 50), quantile(r.waits, 90), quantile(r.waits, 100),
-			quantile(r.admissions, 90), quantile(r.admissions, 100))
-		chart.Lines[t.Name] = plots.Percentiles(r.waits)
+			r.waits.Quantile(50), r.waits.Quantile(90), r.waits.Quantile(100),
+			r.admissions.Quantile(90), r.admissions.Quantile(100))
+		chart.Lines[t.Name] = plots.Percentiles(r.waits.Histogram)
 	}
 	violations, open := cluster.History.Broken(), cluster.History.Open()
 	fmt.Printf("rules broken: %d, accepted jobs that never came to an end: %d\n", len(violations), len(open))
@@ -206,12 +203,3 @@
 	}
 	return nil
 }
-
-func record(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d.Milliseconds(), lowestMS), highestMS)) // it can't fail within the bounds
-}
-
-// quantile returns a quantile of the waits, in percent, rounded to hundredths of a second.
-func quantile(h *hdrhistogram.Histogram, q float64) time.Duration {
-	return (time.Duration(h.ValueAtQuantile(q)) * time.Millisecond).Round(10 * time.Millisecond)
-}
