--- a/internal/leadership/elector_test.go
+++ b/internal/leadership/elector_test.go
@@ -328,6 +328,7 @@
 		time.Sleep(5 * time.Second)
 		cancel()
 		time.Sleep(5 * time.Second)
+		synctest.Wait()
 		if after < claimDelayWithoutHeartbeats || after > time.Second {
 			t.Fatalf("claimed %s after the place became free", after)
 		}
--- a/internal/leadership/golden_test.go
+++ b/internal/leadership/golden_test.go
@@ -19,6 +19,7 @@
 		node := handOverNode(store, "node-1", nil, 0, nil)
 		go func() { _ = node.Run(ctx) }() // ends with ctx
 		time.Sleep(2 * time.Second)
+		synctest.Wait()
 		var lines goldentest.Lines
 		for _, key := range slices.Sorted(maps.Keys(store.items)) {
 			lines.Add("%s %x", key, store.items[key].Value)
