--- a/internal/agentapi/agentapi.go
+++ b/internal/agentapi/agentapi.go
@@ -28,9 +28,8 @@
 	Heartbeat(heartbeat fleet.Heartbeat) (response core.HeartbeatResponse, ok bool)
 	// Name is the name of the node that is believed to lead; it is empty if none is known.
 	Name() string
-	// RelayHeartbeat sends an encoded heartbeat on to the leader, and returns the status and the
-	// body of the leader's answer.
-	RelayHeartbeat(ctx context.Context, body []byte) (status int, reply []byte, err error)
+	// RelayHeartbeat sends an encoded heartbeat on to the leader, and returns the leader's answer.
+	RelayHeartbeat(ctx context.Context, body []byte) (Answer, error)
 }
 
 // Service answers workers. Self and Leader are set before its first use and not changed later.
@@ -112,9 +111,9 @@
 func (s *Service) relay(ctx context.Context, body []byte) Answer {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
-	status, reply, err := s.Leader.RelayHeartbeat(ctx, body)
-	if err != nil || status != http.StatusOK {
+	answer, err := s.Leader.RelayHeartbeat(ctx, body)
+	if err != nil || answer.Status != http.StatusOK {
 		return tryAnotherNodeAnswer()
 	}
-	return Answer{Status: http.StatusOK, Body: reply}
+	return answer
 }
--- a/internal/agentapi/agentapi_test.go
+++ b/internal/agentapi/agentapi_test.go
@@ -30,12 +30,12 @@
 
 func (l *fakeLeader) Name() string { return l.name }
 
-func (l *fakeLeader) RelayHeartbeat(context.Context, []byte) (int, []byte, error) {
+func (l *fakeLeader) RelayHeartbeat(context.Context, []byte) (Answer, error) {
 	l.relayed++
 	if l.unreachable {
-		return 0, nil, errors.New("cut off")
+		return Answer{}, errors.New("cut off")
 	}
-	return 200, []byte{1}, nil
+	return Answer{Status: 200, Body: []byte{1}}, nil
 }
 
 // encodedHeartbeat is a heartbeat of a machine without tasks.
--- a/internal/controller/leader_view.go
+++ b/internal/controller/leader_view.go
@@ -111,10 +111,10 @@
 }
 
 // RelayHeartbeat passes a worker's heartbeat on to the leader.
-func (l agentLeader) RelayHeartbeat(ctx context.Context, body []byte) (status int, reply []byte, err error) {
+func (l agentLeader) RelayHeartbeat(ctx context.Context, body []byte) (agentapi.Answer, error) {
 	request := peer.Request{Method: http.MethodPost, Path: agentapi.HeartbeatPath, Body: bytes.Clone(body)}
 	response, err := l.c.peers.Relay(ctx, l.c.elector.Leader(), request)
-	return response.Status, response.Body, err
+	return agentapi.Answer{Status: response.Status, Body: response.Body}, err
 }
 
 // operatorTerm is this controller's term as operators' calls see it.
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -133,7 +133,10 @@
 	if r.FencingToken > 0 {
 		e.recovery.ConfirmPreviousTerm()
 	}
-	e.recovery.HeartbeatReceived(m.Name, r.FencingToken == e.numbers.term, m.HasUnrecorded())
+	e.recovery.HeartbeatReceived(m.Name, recovery.ObservedHeartbeat{
+		TermConfirmed: r.FencingToken == e.numbers.term,
+		HasUnrecorded: m.HasUnrecorded(),
+	})
 	e.interruptionAnnounced(now, m, r.InterruptionIn)
 }
 
--- a/internal/recovery/reconciler.go
+++ b/internal/recovery/reconciler.go
@@ -124,17 +124,22 @@
 	}
 }
 
-// HeartbeatReceived takes in a heartbeat of a machine. Confirmed says that it carries this term's
-// fencing token, open that an attempt on the machine still has to be ended.
-func (r *Reconciler) HeartbeatReceived(name string, confirmed, open bool) {
+// ObservedHeartbeat is what a heartbeat says of its machine as a whole.
+type ObservedHeartbeat struct {
+	TermConfirmed bool // it carries this term's fencing token
+	HasUnrecorded bool // an attempt that nobody recorded still has to be ended there
+}
+
+// HeartbeatReceived moves a machine on after a heartbeat.
+func (r *Reconciler) HeartbeatReceived(name string, heartbeat ObservedHeartbeat) {
 	m := r.machines[name]
-	if m != nil && m.state == Settled && !open {
+	if m != nil && m.state == Settled && !heartbeat.HasUnrecorded {
 		return // the common case
 	}
 	switch {
-	case confirmed && open:
+	case heartbeat.TermConfirmed && heartbeat.HasUnrecorded:
 		r.moveMachine(name, Differing)
-	case confirmed:
+	case heartbeat.TermConfirmed:
 		r.moveMachine(name, Settled)
 	case m != nil && m.state == Unknown: // it stays unknown until a heartbeat carries the token
 	default:
--- a/internal/recovery/reconciler_test.go
+++ b/internal/recovery/reconciler_test.go
@@ -32,7 +32,7 @@
 		if r.MayPlace(at(time.Second), true) {
 			t.Fatalf("may place after heartbeats of %d of 10 machines", i)
 		}
-		r.HeartbeatReceived(fmt.Sprint("m-", i), false, false)
+		r.HeartbeatReceived(fmt.Sprint("m-", i), ObservedHeartbeat{})
 	}
 	if !r.MayPlace(at(time.Second), true) {
 		t.Fatal("may not place after heartbeats of 8 of 10 machines")
@@ -69,7 +69,7 @@
 	r := New(start, options(PaceOptions{}))
 	r.StateServiceRestored()
 	r.AddUnrecordedMachine("m-1")
-	r.HeartbeatReceived("m-1", true, false)
+	r.HeartbeatReceived("m-1", ObservedHeartbeat{TermConfirmed: true})
 	if r.MayPlace(at(29*time.Second), true) || r.RestoreSettled(at(29*time.Second)) {
 		t.Fatal("may place while a machine that isn't listed may run something")
 	}
@@ -84,7 +84,7 @@
 func TestNoMachineOnRecord(t *testing.T) {
 	r := New(start, options(PaceOptions{}))
 	r.AddUnrecordedMachine("m-1")
-	r.HeartbeatReceived("m-1", false, false)
+	r.HeartbeatReceived("m-1", ObservedHeartbeat{})
 	if r.MayPlace(at(time.Second), true) {
 		t.Fatal("may place, and no worker has confirmed the records")
 	}
@@ -140,7 +140,7 @@
 	case 1:
 		r.AddUnrecordedMachine(name)
 	case 2:
-		r.HeartbeatReceived(name, rng.IntN(2) == 0, rng.IntN(5) == 0)
+		r.HeartbeatReceived(name, ObservedHeartbeat{TermConfirmed: rng.IntN(2) == 0, HasUnrecorded: rng.IntN(5) == 0})
 	case 3:
 		r.MachineGivenUp(name)
 	case 4:
