--- a/internal/leadership/campaign.go
+++ b/internal/leadership/campaign.go
@@ -12,28 +12,29 @@
 	"gingertally/internal/wait"
 )
 
-// A node that has just resigned, or that no worker reaches, lets others claim first. The
-// others learn that nobody leads at the same moment and claim within a tenth of a
-// second. After a leader's end its workers reach none of the others for seconds, so a node
-// that none reaches mustn't wait for longer than that takes: the leases of all tasks on
-// machines that are lost count from the next leader's claim.
+// A node that has just resigned, or that receives no heartbeats from workers, delays its claim so
+// that other nodes can claim first. All nodes learn at about the same time that there is no leader,
+// and the others claim within 100 ms. The delay without heartbeats must not be much longer than
+// that: after a leader fails, its workers reach none of the other nodes for seconds, and the leases
+// of all tasks on lost machines count from the next leader's claim.
 const (
 	claimDelayAfterResigning    = 2500 * time.Millisecond
 	claimDelayWithoutHeartbeats = 500 * time.Millisecond
-	claimDelayPoll              = 300 * time.Millisecond // another node may have claimed
-	holderRetry                 = 150 * time.Millisecond // the leader's key couldn't be read
-	holderRetryJitter           = 150 * time.Millisecond // keeps nodes from trying in step
+	claimDelayPoll              = 300 * time.Millisecond // checks whether another node has claimed
+	holderRetry                 = 150 * time.Millisecond // after HolderKey couldn't be read
+	holderRetryJitter           = 150 * time.Millisecond // keeps nodes from retrying in step
 	watchRetry                  = 200 * time.Millisecond
 	revokeRetry                 = 100 * time.Millisecond
-	claimPermissionPoll         = 50 * time.Millisecond // this node may not claim yet
+	claimPermissionPoll         = 50 * time.Millisecond // while mayClaim returns false
 	grantRetry                  = 100 * time.Millisecond
 	grantRetryJitter            = 100 * time.Millisecond
 	claimRetryJitter            = 100 * time.Millisecond
-	termEndTimeout              = 2 * time.Second // a term's work is waited for that long at the end of Run
+	termEndTimeout              = 2 * time.Second // how long Run waits for RunTerm to return
 )
 
-// Run follows other leaders, claims and leads, until ctx ends. It then waits for the work of its
-// terms to end, but not for long.
+// Run takes part in leader election until ctx ends: it follows other leaders, claims leadership when
+// there is none, and leads. Before it returns it waits up to termEndTimeout for the work of its own
+// terms to end. It returns the error of ctx.
 func (e *Elector) Run(ctx context.Context) error {
 	defer e.awaitTerms()
 	var vacantSince time.Time
@@ -65,7 +66,7 @@
 	return ctx.Err()
 }
 
-// awaitTerms waits for the work of this node's terms to end.
+// awaitTerms waits up to termEndTimeout for the work of this node's terms to end.
 func (e *Elector) awaitTerms() {
 	ended := make(chan struct{})
 	go func() {
@@ -77,11 +78,11 @@
 	select {
 	case <-ended:
 	case <-timer.C:
-		e.log.Warn("term still running at the end", "term", e.term.Number)
+		e.log.Warn("term still running at shutdown", "term", e.term.Number)
 	}
 }
 
-// claimDelay is for how long this node lets others claim first.
+// claimDelay returns how long after the loss of the leader this node lets others claim first.
 func (e *Elector) claimDelay() time.Duration {
 	switch {
 	case e.Role() == Resting:
@@ -92,21 +93,22 @@
 	return e.node.ClaimDelay()
 }
 
-// watchHolder waits while another node leads.
+// watchHolder waits until HolderKey changes, or for a few seconds, while another node leads. If the
+// holder is this node, it revokes that lease instead.
 func (e *Elector) watchHolder(ctx context.Context, holder statestore.KeyValue) {
 	var record holderRecord
 	if err := decodeRecord(HolderKey, holder.Value, &record); err != nil {
 		e.log.Error("leader record unreadable", "error", err)
 	}
 	if record.Member == e.options.Member {
-		// This node before its restart, or a claim whose answer was lost: nobody
-		// acts under that lease, so it needn't expire first.
+		// The lease is from before this node's restart, or from a claim whose response was
+		// lost. Nobody acts under it, so revoke it rather than wait until it expires.
 		if err := e.store.Revoke(ctx, holder.Lease); err != nil {
 			wait.Sleep(ctx, revokeRetry)
 		}
 		return
 	}
-	e.move(Follower)
+	e.setRole(Follower)
 	e.setLeader(record.Member)
 	_, err := e.store.Watch(ctx, HolderKey, holder.ModRevision)
 	if err != nil && !errors.Is(err, statestore.ErrCompacted) {
@@ -114,16 +116,16 @@
 	}
 }
 
-// campaign tries to become the leader, and if it succeeds, leads to the end of the
-// term. It tells whether this node has led.
+// campaign tries to become the leader and, if it succeeds, leads until the end of the term. It
+// returns whether this node has led.
 func (e *Elector) campaign(ctx context.Context) bool {
 	if !e.mayClaim(ctx) {
 		wait.Sleep(ctx, claimPermissionPoll)
 		return false
 	}
-	defer func() { // a claim that failed is never acted on
+	defer func() { // a claim that failed is never acted on: the node follows again
 		if e.Role() == Claiming {
-			e.move(Follower)
+			e.setRole(Follower)
 		}
 	}()
 	requested := time.Now()
@@ -143,7 +145,8 @@
 	return true
 }
 
-// commitClaim takes the leader's key and the next term in one transaction.
+// commitClaim claims leadership: one transaction sets HolderKey, which must not exist, and stores the
+// number of the next term in TermKey, which must not have changed since it was read.
 func (e *Elector) commitClaim(ctx context.Context, lease statestore.LeaseID) (Term, error) {
 	last, err := e.readTerm(ctx, TermKey)
 	if err != nil {
@@ -163,9 +166,11 @@
 	return Term{Number: number, Revision: claimed, Restored: highestSeen.revision != 0}, err
 }
 
-// storedTerm is what a key says that holds the number of a term; zero if the key doesn't exist.
+// storedTerm is the term number that is stored under a key, and the key's modification revision. Both
+// are 0 if the key doesn't exist.
 type storedTerm struct{ number, revision uint64 }
 
+// readTerm reads the term number that is stored under a key.
 func (e *Elector) readTerm(ctx context.Context, key string) (storedTerm, error) {
 	item, found, err := e.store.Get(ctx, key)
 	if err != nil || !found {
@@ -176,44 +181,45 @@
 	return storedTerm{number: record.Number, revision: item.ModRevision}, err
 }
 
+// revoke ends a lease. If that fails, the lease expires on its own.
 func (e *Elector) revoke(ctx context.Context, lease statestore.LeaseID) {
 	if err := e.store.Revoke(ctx, lease); err != nil {
 		e.log.Debug("lease revocation failed", "error", err)
 	}
 }
 
-// renewalsPerTTL is how often a lease is renewed within its length.
+// renewalsPerTTL is how many times a lease is renewed within its TTL.
 const renewalsPerTTL = 4
 
-// lead does the work of a term, and keeps its lease, until the term is over. The lease was asked for at
-// the time requested.
+// lead runs a term and keeps its lease until the term is over. Requested is when the lease was asked
+// for.
 func (e *Elector) lead(ctx context.Context, term Term, lease statestore.LeaseID, requested time.Time) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	e.begin(term, cancel)
-	e.renewed(requested)
+	e.beginTerm(term, cancel)
+	e.recordRenewal(requested)
 	e.terms.Go(func() { e.node.RunTerm(ctx, term) })
 	var extending sync.WaitGroup
 	extending.Go(func() { e.extendLease(ctx) })
 	next := e.keepLease(ctx, lease)
-	e.move(next)
+	e.setRole(next)
 	e.setLeader("")
 	cancel()
 	extending.Wait()
 }
 
-// begin notes a claimed term.
-func (e *Elector) begin(term Term, cancel context.CancelFunc) {
+// beginTerm records a claimed term and makes this node Leading.
+func (e *Elector) beginTerm(term Term, cancel context.CancelFunc) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.term, e.cancelTerm = term, cancel
 	e.leader, e.successor = e.options.Member, ""
 	e.resigning = false
-	e.moveLocked(Leading)
+	e.setRoleLocked(Leading)
 }
 
-// keepLease renews the lease until it is lost or given up, or ctx ends, and returns the
-// role that follows.
+// keepLease renews the lease until it is lost, this node resigns, or ctx ends. It returns the node's
+// next role.
 func (e *Elector) keepLease(ctx context.Context, lease statestore.LeaseID) Role {
 	for ctx.Err() == nil {
 		if e.isResigning() {
@@ -228,7 +234,8 @@
 	return Follower
 }
 
-// renew asks for one renewal; false if the lease is lost.
+// renew tries once to renew the lease. It returns false only if the lease has expired; after any
+// other error the renewal may be retried.
 func (e *Elector) renew(ctx context.Context, lease statestore.LeaseID) bool {
 	requested := time.Now()
 	lapsed := !e.HoldsLease(requested)
@@ -241,7 +248,7 @@
 		e.log.Debug("lease renewal failed", "error", err)
 		return true
 	}
-	e.renewed(requested)
+	e.recordRenewal(requested)
 	if lapsed && e.HoldsLease(time.Now()) {
 		e.log.Info("leader lease valid again", "term", e.term.Number)
 		e.node.LeaseResumed()
@@ -249,11 +256,12 @@
 	return true
 }
 
-// renewed notes that the lease was granted or renewed, as asked for at a time.
-func (e *Elector) renewed(requested time.Time) {
+// recordRenewal records that the lease was granted or renewed. Requested is when that was asked
+// for. A node that is resigning ignores it.
+func (e *Elector) recordRenewal(requested time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !e.resigning {
-		e.lease.Renewed(requested)
+		e.lease.RecordRenewal(requested)
 	}
 }
--- a/internal/leadership/elector.go
+++ b/internal/leadership/elector.go
@@ -1,14 +1,16 @@
-// Package leadership elects the leading node, and tells at any moment whether this
-// node holds a valid leader's lease.
+// Package leadership elects the leader among the controller nodes, and tells at any time whether this
+// node holds a valid leader lease.
 //
-// The leader's key is attached to a lease of the state service. A node claims it by compare-and-swap,
-// together with a term whose number only rises. While the state service can't renew the lease, all
-// peers together may extend it. The package owns the keys lead/...; it assumes that steady clocks drift
-// by at most 0.05%, and that the members it is given are all that may ever claim.
+// The key that names the leader (HolderKey) is attached to a lease of the state service. A node
+// claims leadership with one compare-and-swap transaction, which sets that key and the number of a
+// new term; term numbers only increase. While the state service can't renew the lease, the leader's
+// peers may extend it, if all of them agree. The package owns the keys that begin with lead/. It
+// assumes that monotonic clocks drift by at most 0.05%, and that no node claims other than the
+// members it is configured with.
 //
-// Elector.Run is called once, from one goroutine; all other methods of an Elector may be called from
-// any. The safety argument is in docs/design.md, "Who may act" and "Safety arguments" 1; TestOneLeader,
-// TestOutage, lease_test.go and extension_test.go hold it.
+// Elector.Run is called once; all other methods of an Elector are safe for concurrent use. The
+// safety argument is in docs/design.md, "Who may act" and "Safety arguments" 1; it is tested by
+// TestOneLeader, TestOutage, lease_test.go and extension_test.go.
 package leadership
 
 import (
@@ -18,36 +20,37 @@
 	"time"
 )
 
-// Options are a node's place in the deployment and the lease's length.
+// Options configure an Elector.
 type Options struct {
-	Member string
-	Others []string // all other nodes that may ever claim
-	TTL    time.Duration
-	// PeerExtensions has the other nodes extend the lease while the state service doesn't renew
-	// it. All nodes of a deployment have the same value.
+	Member string        // this node's name
+	Others []string      // names of all other nodes that may ever claim
+	TTL    time.Duration // of the leader lease
+	// PeerExtensions lets the other nodes extend the lease while the state service doesn't renew
+	// it. It must have the same value on all nodes of a deployment.
 	PeerExtensions bool
 }
 
-// Elector is a node's part in leader election.
+// Elector takes part in leader election for one node: it claims and keeps the leader lease, and knows
+// which node leads.
 type Elector struct {
 	options Options
 	store   Store
 	node    Node
 	log     *slog.Logger
-	terms   sync.WaitGroup // of the terms of this node that are running or winding down
+	terms   sync.WaitGroup // calls of RunTerm that haven't returned yet
 
 	mu         sync.Mutex
 	role       Role
 	leader     string // the node that holds the leader's key; empty if unknown
-	successor  string // named as the leader until the next one is known
-	term       Term   // the last one that this node has claimed
+	successor  string // given to HandOver; Leader returns it until the next leader is known
+	term       Term   // the last term that this node has claimed
 	lease      *Lease
 	cancelTerm context.CancelFunc // nil unless this node has claimed a term
 	resigning  bool
 	grants     extensionGrants
 }
 
-// New makes a node's part in leader election.
+// New returns an Elector, which takes part in elections once Run is called.
 func New(store Store, node Node, options Options) *Elector {
 	return &Elector{
 		options: options, store: store, node: node, log: slog.With("component", "leadership"),
@@ -56,14 +59,15 @@
 	}
 }
 
-// move is the one place where the role changes.
-func (e *Elector) move(to Role) {
+// setRole changes the role and logs the change. In any role but Leading the lease is invalid.
+func (e *Elector) setRole(to Role) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.moveLocked(to)
+	e.setRoleLocked(to)
 }
 
-func (e *Elector) moveLocked(to Role) {
+// setRoleLocked is setRole for callers that hold e.mu. No other code changes the role.
+func (e *Elector) setRoleLocked(to Role) {
 	if e.role == to {
 		return
 	}
@@ -74,14 +78,15 @@
 	}
 }
 
-// HoldsLease tells whether this node holds a valid leader's lease, and so may act.
+// HoldsLease returns whether this node holds a valid leader lease, and so may act as the leader.
 func (e *Elector) HoldsLease(now time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.role == Leading && e.lease.Valid(now)
 }
 
-// Leader names the node believed to lead, or about to; empty if unknown.
+// Leader returns the name of the node that is believed to lead or, after a handover, is expected to
+// lead next. It is empty if neither is known.
 func (e *Elector) Leader() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -91,7 +96,7 @@
 	return e.leader
 }
 
-// FollowsAnother tells whether another node is known to lead.
+// FollowsAnother returns whether another node is known to lead.
 func (e *Elector) FollowsAnother() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -105,8 +110,8 @@
 	return e.role
 }
 
-// HandOver has a leader give up its lease to a successor, which it names as the leader
-// from now on. It proves nothing about the successor, which claims like any other.
+// HandOver makes a leader give up its lease in favor of a successor, which Leader returns from then
+// on. The successor is only a hint: it has to claim like any other node.
 func (e *Elector) HandOver(successor string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -116,13 +121,14 @@
 	e.resignLocked(ResignHandingOver)
 }
 
-// Resign has a leader give up its lease and let others claim first.
+// Resign makes a leader give up its lease and let other nodes claim first.
 func (e *Elector) Resign(reason ResignReason) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.resignLocked(reason)
 }
 
+// resignLocked is Resign for callers that hold e.mu.
 func (e *Elector) resignLocked(reason ResignReason) {
 	if e.role == Leading && !e.resigning {
 		e.log.Warn("leader resigning", "term", e.term.Number, "reason", string(reason))
@@ -131,7 +137,7 @@
 	}
 }
 
-// EndTerm ends this node's term at once: another node has claimed a higher one.
+// EndTerm ends this node's term at once. It is called when another node has claimed a higher term.
 func (e *Elector) EndTerm() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -141,6 +147,7 @@
 	}
 }
 
+// setLeader records which node holds HolderKey; name is empty if none is known to.
 func (e *Elector) setLeader(name string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/leadership/elector_test.go
+++ b/internal/leadership/elector_test.go
@@ -11,8 +11,8 @@
 	"gingertally/internal/statestore"
 )
 
-// fakeStore is a state service with one lease kind and faults, in the test's
-// fake time.
+// fakeStore is a state service in memory that runs on the test's fake time. All its leases have the
+// TTL of the last one granted. It can refuse all nodes or single ones.
 type fakeStore struct {
 	mu     sync.Mutex
 	items  map[string]statestore.KeyValue
@@ -21,39 +21,42 @@
 	next   statestore.LeaseID
 	ttl    time.Duration
 	down   bool
-	cut    map[string]bool
+	cutOff map[string]bool
 }
 
-func newFake() *fakeStore {
+func newFakeStore() *fakeStore {
 	return &fakeStore{
 		items:  map[string]statestore.KeyValue{},
 		leases: map[statestore.LeaseID]time.Time{},
-		cut:    map[string]bool{},
+		cutOff: map[string]bool{},
 	}
 }
 
-// client is one node's view of the store.
+// client is the client of one node (Store).
 type client struct {
 	*fakeStore
 	node string
 }
 
-func (c client) enter() error {
+// beginRequest takes the time of a request, locks the store and ends expired leases. If the store
+// refuses the node, it returns an error and leaves the store unlocked.
+func (c client) beginRequest() error {
 	time.Sleep(5 * time.Millisecond)
 	c.mu.Lock()
-	if c.down || c.cut[c.node] {
+	if c.down || c.cutOff[c.node] {
 		c.mu.Unlock()
 		return statestore.ErrUnavailable
 	}
 	for id, until := range c.leases {
 		if time.Now().After(until) {
-			c.end(id)
+			c.endLease(id)
 		}
 	}
 	return nil
 }
 
-func (f *fakeStore) end(id statestore.LeaseID) {
+// endLease ends a lease and deletes its keys.
+func (f *fakeStore) endLease(id statestore.LeaseID) {
 	delete(f.leases, id)
 	for k, it := range f.items {
 		if it.Lease == id {
@@ -64,7 +67,7 @@
 }
 
 func (c client) Get(_ context.Context, key string) (statestore.KeyValue, bool, error) {
-	if err := c.enter(); err != nil {
+	if err := c.beginRequest(); err != nil {
 		return statestore.KeyValue{}, false, err
 	}
 	defer c.mu.Unlock()
@@ -73,7 +76,7 @@
 }
 
 func (c client) Commit(_ context.Context, conds []statestore.Compare, changes []statestore.Op) (uint64, error) {
-	if err := c.enter(); err != nil {
+	if err := c.beginRequest(); err != nil {
 		return 0, err
 	}
 	defer c.mu.Unlock()
@@ -93,7 +96,7 @@
 }
 
 func (c client) Grant(_ context.Context, ttl time.Duration) (statestore.LeaseID, error) {
-	if err := c.enter(); err != nil {
+	if err := c.beginRequest(); err != nil {
 		return 0, err
 	}
 	defer c.mu.Unlock()
@@ -104,7 +107,7 @@
 }
 
 func (c client) KeepAlive(_ context.Context, id statestore.LeaseID) error {
-	if err := c.enter(); err != nil {
+	if err := c.beginRequest(); err != nil {
 		return err
 	}
 	defer c.mu.Unlock()
@@ -116,17 +119,17 @@
 }
 
 func (c client) Revoke(_ context.Context, id statestore.LeaseID) error {
-	if err := c.enter(); err != nil {
+	if err := c.beginRequest(); err != nil {
 		return err
 	}
 	defer c.mu.Unlock()
-	c.end(id)
+	c.endLease(id)
 	return nil
 }
 
 func (c client) Watch(ctx context.Context, _ string, since uint64) (statestore.WatchResponse, error) {
 	for range 50 {
-		if err := c.enter(); err != nil {
+		if err := c.beginRequest(); err != nil {
 			return statestore.WatchResponse{}, err
 		}
 		rev := c.rev
@@ -139,8 +142,8 @@
 	return statestore.WatchResponse{}, nil
 }
 
-// outage makes the store refuse everybody; afterwards all leases have their full
-// time again.
+// outage makes the store refuse all nodes for some time. Afterwards all leases have their full TTL
+// again.
 func (f *fakeStore) outage(d time.Duration) {
 	f.mu.Lock()
 	f.down = true
@@ -154,7 +157,7 @@
 	f.mu.Unlock()
 }
 
-// fakeNode is a node that takes part in an election and does nothing as the leader.
+// fakeNode is a Node that does no work as the leader.
 type fakeNode struct {
 	termStarted      func(t Term)
 	leaderLost       func()
@@ -186,49 +189,56 @@
 	return n.requestExtension(ctx, member)
 }
 
-// trio is three nodes over one state service.
-type trio struct {
+// cluster is three nodes that share a state service. terms holds the numbers of the terms that were
+// started, in order.
+type cluster struct {
 	store    *fakeStore
 	electors []*Elector
 	terms    []uint64
 	mu       sync.Mutex
 }
 
-func start(ctx context.Context, ttl time.Duration) *trio { return startWithPeers(ctx, ttl, nil) }
+// startCluster starts three nodes that don't extend each other's leases.
+func startCluster(ctx context.Context, ttl time.Duration) *cluster {
+	return startClusterWithPeers(ctx, ttl, nil)
+}
 
-func startWithPeers(
-	ctx context.Context, ttl time.Duration, ask func(ctx context.Context, tr *trio, from, to string) bool,
-) *trio {
-	tr := &trio{store: newFake()}
+// startClusterWithPeers starts three nodes. They ask each other for lease extensions by ask, unless
+// it is nil.
+func startClusterWithPeers(
+	ctx context.Context, ttl time.Duration, ask func(ctx context.Context, c *cluster, from, to string) bool,
+) *cluster {
+	c := &cluster{store: newFakeStore()}
 	names := []string{"a", "b", "c"}
 	for i, name := range names {
 		node := &fakeNode{
 			termStarted: func(t Term) {
-				tr.mu.Lock()
-				defer tr.mu.Unlock()
-				tr.terms = append(tr.terms, t.Number)
+				c.mu.Lock()
+				defer c.mu.Unlock()
+				c.terms = append(c.terms, t.Number)
 			},
-			requestExtension: func(ctx context.Context, to string) bool { return ask(ctx, tr, name, to) },
+			requestExtension: func(ctx context.Context, to string) bool { return ask(ctx, c, name, to) },
 		}
 		others := append(append([]string{}, names[:i]...), names[i+1:]...)
-		l := New(client{tr.store, name}, node, Options{
+		elector := New(client{c.store, name}, node, Options{
 			Member:         name,
 			Others:         others,
 			TTL:            ttl,
 			PeerExtensions: ask != nil,
 		})
-		tr.electors = append(tr.electors, l)
-		go func() { _ = l.Run(ctx) }() // ends with ctx
+		c.electors = append(c.electors, elector)
+		go func() { _ = elector.Run(ctx) }() // ends with ctx
 	}
-	return tr
+	return c
 }
 
-// holder is the node that holds a valid lease, -1 if none; more than one is never allowed.
-func (tr *trio) holder(t *testing.T) (who int) {
+// leaseHolder returns the index of the node that holds a valid lease, or -1 if none does. It fails
+// the test if more than one does.
+func (c *cluster) leaseHolder(t *testing.T) (who int) {
 	t.Helper()
 	who = -1
-	for i, l := range tr.electors {
-		if l.HoldsLease(time.Now()) {
+	for i, elector := range c.electors {
+		if elector.HoldsLease(time.Now()) {
 			if who >= 0 {
 				t.Fatalf("nodes %d and %d hold a valid lease at once", who, i)
 			}
@@ -238,46 +248,48 @@
 	return who
 }
 
-func (tr *trio) watch(t *testing.T, d time.Duration) {
+// checkOneLeaderFor fails the test if two nodes hold a valid lease at any time within d.
+func (c *cluster) checkOneLeaderFor(t *testing.T, d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		tr.holder(t)
+		c.leaseHolder(t)
 	}
 }
 
-// TestOneLeader: never two at once, terms only rise, and a leader cut off from
-// the store loses its lease before anybody else gets it.
+// Two nodes must never hold a valid lease at the same time, and term numbers must only increase: a
+// leader that is cut off from the state service, or resigns, must lose its lease before another
+// node gets one.
 func TestOneLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		const ttl = 3 * time.Second
-		tr := start(ctx, ttl)
-		tr.watch(t, 2*time.Second)
-		first := tr.holder(t)
+		c := startCluster(ctx, ttl)
+		c.checkOneLeaderFor(t, 2*time.Second)
+		first := c.leaseHolder(t)
 		if first < 0 {
 			t.Fatal("nobody leads")
 		}
-		tr.store.mu.Lock()
-		tr.store.cut["abc"[first:first+1]] = true
-		tr.store.mu.Unlock()
-		tr.watch(t, 2*ttl)
-		second := tr.holder(t)
+		c.store.mu.Lock()
+		c.store.cutOff["abc"[first:first+1]] = true
+		c.store.mu.Unlock()
+		c.checkOneLeaderFor(t, 2*ttl)
+		second := c.leaseHolder(t)
 		if second < 0 || second == first {
 			t.Fatalf("node %d leads after node %d was cut off", second, first)
 		}
-		tr.electors[second].Resign("test")
-		if tr.electors[second].HoldsLease(time.Now()) {
+		c.electors[second].Resign("test")
+		if c.electors[second].HoldsLease(time.Now()) {
 			t.Fatal("holds the lease after resigning")
 		}
-		tr.watch(t, ttl)
-		if third := tr.holder(t); third < 0 || third == second {
+		c.checkOneLeaderFor(t, ttl)
+		if third := c.leaseHolder(t); third < 0 || third == second {
 			t.Fatalf("node %d leads after node %d resigned", third, second)
 		}
-		tr.mu.Lock()
-		defer tr.mu.Unlock()
-		for i := 1; i < len(tr.terms); i++ {
-			if tr.terms[i] <= tr.terms[i-1] {
-				t.Fatalf("terms %v", tr.terms)
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		for i := 1; i < len(c.terms); i++ {
+			if c.terms[i] <= c.terms[i-1] {
+				t.Fatalf("terms %v", c.terms)
 			}
 		}
 		cancel()
@@ -285,37 +297,37 @@
 	})
 }
 
-// TestOutage: in an outage nobody may act, and afterwards the leader that kept
-// its lease goes on in the same term.
+// During an outage of the state service no node may act once the lease has lapsed. Afterwards the
+// leader, whose lease the state service has kept, continues in the same term.
 func TestOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		tr := start(ctx, 3*time.Second)
-		tr.watch(t, 2*time.Second)
-		before := tr.holder(t)
-		go tr.store.outage(10 * time.Second)
+		c := startCluster(ctx, 3*time.Second)
+		c.checkOneLeaderFor(t, 2*time.Second)
+		before := c.leaseHolder(t)
+		go c.store.outage(10 * time.Second)
 		time.Sleep(4 * time.Second)
-		if who := tr.holder(t); who >= 0 {
-			t.Fatalf("node %d holds a valid lease in an outage", who)
+		if who := c.leaseHolder(t); who >= 0 {
+			t.Fatalf("node %d holds a valid lease during an outage", who)
 		}
-		tr.watch(t, 8*time.Second)
-		if after := tr.holder(t); after != before {
+		c.checkOneLeaderFor(t, 8*time.Second)
+		if after := c.leaseHolder(t); after != before {
 			t.Fatalf("node %d leads after the outage, %d before", after, before)
 		}
-		tr.mu.Lock()
-		defer tr.mu.Unlock()
-		if len(tr.terms) != 1 {
-			t.Fatalf("terms %v", tr.terms)
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		if len(c.terms) != 1 {
+			t.Fatalf("terms %v", c.terms)
 		}
 		cancel()
 		time.Sleep(10 * time.Second) // for all nodes to end
 	})
 }
 
-// After a leader's end its workers reach no other node for seconds: a node that none reaches
-// lets others claim first, but once waited for so long that replicas in a lost zone were
-// replaced 2.5 s later than they could have been.
+// A node that receives no heartbeats lets others claim first, but only briefly: after a leader
+// fails, its workers reach no other node for seconds. With a longer delay, replicas in a lost zone
+// were once replaced 2.5 s later than possible.
 func TestUnreachedNodeYieldsBriefly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -323,14 +335,14 @@
 		began := time.Now()
 		var after time.Duration
 		node := &fakeNode{termStarted: func(Term) { after = time.Since(began) }, withoutHeartbeat: true}
-		e := New(client{newFake(), "a"}, node, Options{Member: "a", TTL: 3 * time.Second})
+		e := New(client{newFakeStore(), "a"}, node, Options{Member: "a", TTL: 3 * time.Second})
 		go func() { _ = e.Run(ctx) }() // ends with ctx
 		time.Sleep(5 * time.Second)
 		cancel()
 		time.Sleep(5 * time.Second)
 		synctest.Wait()
 		if after < claimDelayWithoutHeartbeats || after > time.Second {
-			t.Fatalf("claimed %s after the place became free", after)
+			t.Fatalf("claimed %s after the start, without a leader", after)
 		}
 	})
 }
--- a/internal/leadership/extension.go
+++ b/internal/leadership/extension.go
@@ -8,58 +8,59 @@
 	"gingertally/internal/wait"
 )
 
-// Extension of the leader's lease by all peers.
+// This file implements the extension of the leader lease by all peers.
 //
-// While the state service is out for all, a leader can't renew its lease, and a node
-// can't tell an outage from a refusal that it alone gets. So a leader whose lease isn't
-// renewed asks every peer to extend it: a peer that does claims nothing itself for
-// ExtensionFor. While every one of them does, nobody else can claim, whether or not the
-// lease still stands in the state service. An extension only prolongs a valid lease:
-// once that has lapsed, another node may have led meanwhile, and only the state service
-// can tell. A node extends only while the state service doesn't serve it either (its caller
-// sees to that; safety doesn't rest on it), and a node that can't be reached
-// extends nothing, so a leader that is cut off alone loses its lease all the same.
+// During an outage of the state service a leader can't renew its lease, and no node can tell
+// whether the outage affects all nodes or only itself. So a leader whose lease isn't renewed asks
+// every peer to extend it. A peer that grants an extension doesn't claim for ExtensionFor. While
+// the extensions of all peers are in force, no other node can claim, whether or not the lease still
+// exists in the state service. An extension only prolongs a lease that is still valid: once the
+// lease has lapsed, another node may have led in the meantime, and only the state service can tell.
 //
-// The argument is in docs/design.md, "Lease extension"; TestPeersExtendLease,
-// TestExtensionBindsItsGrantors, TestNoExtensionWhileClaiming and TestStartedNodeWaits
-// hold it.
+// A node grants an extension only while the state service doesn't serve it either; the caller of
+// GrantExtension checks that, and safety doesn't depend on it. A peer that can't be reached grants
+// nothing. So a leader that alone is cut off still loses its lease.
+//
+// The safety argument is in docs/design.md, "Lease extension"; it is tested by TestPeersExtendLease,
+// TestExtensionBindsItsGrantors, TestNoExtensionWhileClaiming and TestStartedNodeWaits.
 
 const (
-	// ExtensionFor is how long a peer extends the leader's lease, and how long a node
-	// that has just started claims nothing, since it may have extended one before its
-	// end.
+	// ExtensionFor is how long an extension lasts from when a peer grants it. A node that has just
+	// started must not claim for the same time, since it may have granted one before its restart.
 	ExtensionFor = 1500 * time.Millisecond
-	// extensionEvery is how often extensions are asked for anew, extensionTimeout how
-	// long an answer is waited for.
-	extensionEvery   = 300 * time.Millisecond
-	extensionTimeout = 700 * time.Millisecond
+	// extensionInterval is how often the leader asks for extensions while it needs them, and
+	// extensionTimeout how long it waits for the answers.
+	extensionInterval = 300 * time.Millisecond
+	extensionTimeout  = 700 * time.Millisecond
 )
 
-// ExtensionCounted is how long the leader counts on an extension, from before it asked
-// for it: what two clocks may drift is taken off.
+// ExtensionCounted is how long an extension counts for the leader, from the time just before it sent
+// the request. It is ExtensionFor less the drift between two clocks and the granularity of timers.
 const ExtensionCounted = ExtensionFor - ExtensionFor/driftDivisor - timerStep
 
-// extendLease has the peers extend the lease while this node leads and the state
-// service doesn't renew it.
+// extendLease asks the peers for extensions, until ctx ends, whenever this node leads and the state
+// service doesn't renew its lease. It returns at once if extensions are disabled.
 func (e *Elector) extendLease(ctx context.Context) {
 	if !e.options.PeerExtensions {
 		return
 	}
 	for ctx.Err() == nil {
-		wait.Sleep(ctx, extensionEvery)
+		wait.Sleep(ctx, extensionInterval)
 		if e.needsExtension() {
 			e.requestExtensions(ctx)
 		}
 	}
 }
 
+// needsExtension returns whether this node leads, isn't resigning, and its lease needs an extension.
 func (e *Elector) needsExtension() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.role == Leading && !e.resigning && e.lease.NeedsExtension(time.Now())
 }
 
-// requestExtensions asks all peers at once.
+// requestExtensions asks all peers in parallel to extend the lease, and records the extensions
+// granted.
 func (e *Elector) requestExtensions(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, extensionTimeout)
 	defer cancel()
@@ -68,45 +69,46 @@
 	for _, peer := range e.options.Others {
 		requests.Go(func() {
 			if e.node.RequestExtension(ctx, peer) {
-				e.extended(peer, requested.Add(ExtensionCounted))
+				e.recordExtension(peer, requested.Add(ExtensionCounted))
 			}
 		})
 	}
 	requests.Wait()
 }
 
-// extended notes one peer's extension of the lease.
-func (e *Elector) extended(peer string, until time.Time) {
+// recordExtension records that a peer extends the lease until a given time.
+func (e *Elector) recordExtension(peer string, until time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.role != Leading || e.resigning {
 		return
 	}
-	if first := e.lease.Extended(peer, time.Now(), until); first {
+	if first := e.lease.RecordExtension(peer, time.Now(), until); first {
 		e.log.Warn("leader lease extended by peers", "term", e.term.Number)
 	}
 }
 
-// extensionGrants is until when a node has agreed to claim nothing.
+// extensionGrants holds the lease extensions that this node has granted to leaders, during which it
+// must not claim.
 type extensionGrants struct {
-	grantedUntil time.Time // it has extended the leader's lease until then
-	startedAt    time.Time // it may have extended one before its process started
+	grantedUntil time.Time // end of the last extension that this process has granted
+	startedAt    time.Time // start of this process; an earlier one may have granted an extension
 }
 
-// grant extends the leader's lease.
+// grant records an extension that begins now.
 func (g *extensionGrants) grant(now time.Time) { g.grantedUntil = now.Add(ExtensionFor) }
 
-// inForce tells whether an extension that this process has granted still holds.
+// inForce returns whether an extension that this process has granted is still in force.
 func (g *extensionGrants) inForce(now time.Time) bool { return now.Before(g.grantedUntil) }
 
-// maybeBeforeStart tells whether an extension that was granted before the process started may still
-// hold.
-func (g *extensionGrants) maybeBeforeStart(now time.Time) bool {
+// earlierMayBeInForce returns whether an extension that this node granted before its process started
+// may still be in force.
+func (g *extensionGrants) earlierMayBeInForce(now time.Time) bool {
 	return now.Sub(g.startedAt) < ExtensionFor
 }
 
-// GrantExtension has this node extend the leader's lease: it claims nothing for
-// ExtensionFor. False if it leads itself or is about to.
+// GrantExtension extends the leader's lease: this node doesn't claim for ExtensionFor. It returns
+// false, and grants nothing, if this node itself leads or is claiming.
 func (e *Elector) GrantExtension() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -117,9 +119,9 @@
 	return true
 }
 
-// mayClaim tells whether this node may claim now, and makes it Claiming if so: from
-// then on it extends nobody's lease. One that has just started waits, unless nobody
-// has ever led.
+// mayClaim returns whether this node may claim now. If so, it makes the node Claiming, so that the
+// node grants no extension from then on. A node that has just started may not claim until any
+// extension from before its start has ended, unless there has never been a leader.
 func (e *Elector) mayClaim(ctx context.Context) bool {
 	if e.mayHaveExtendedBeforeStart() {
 		if _, found, err := e.store.Get(ctx, TermKey); err != nil || found {
@@ -131,14 +133,14 @@
 	if e.grants.inForce(time.Now()) {
 		return false
 	}
-	e.moveLocked(Claiming)
+	e.setRoleLocked(Claiming)
 	return true
 }
 
-// mayHaveExtendedBeforeStart tells whether an extension that this node granted before
-// its process started may still hold.
+// mayHaveExtendedBeforeStart returns whether peers extend leases in this deployment and an extension
+// that this node granted before its process started may still be in force.
 func (e *Elector) mayHaveExtendedBeforeStart() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.options.PeerExtensions && len(e.options.Others) > 0 && e.grants.maybeBeforeStart(time.Now())
+	return e.options.PeerExtensions && len(e.options.Others) > 0 && e.grants.earlierMayBeInForce(time.Now())
 }
--- a/internal/leadership/extension_test.go
+++ b/internal/leadership/extension_test.go
@@ -9,48 +9,48 @@
 	"time"
 )
 
-// served tells whether the state service serves a node.
+// served returns whether the state service serves a node.
 func (f *fakeStore) served(node string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.down && !f.cut[node]
+	return !f.down && !f.cutOff[node]
 }
 
-// extended asks a node as the daemon does: one that the state service serves
-// extends nothing.
-func extended(_ context.Context, tr *trio, _, to string) bool {
+// requestExtension asks a node for a lease extension, as controllers do: a node that the state
+// service serves refuses.
+func requestExtension(_ context.Context, c *cluster, _, to string) bool {
 	time.Sleep(10 * time.Millisecond)
-	return !tr.store.served(to) && tr.electors[strings.Index("abc", to)].GrantExtension()
+	return !c.store.served(to) && c.electors[strings.Index("abc", to)].GrantExtension()
 }
 
-// TestPeersExtendLease: in an outage that all see the leader goes on, in its term, for as
-// long as all others answer it, and loses its lease soon after one doesn't any more.
+// In an outage that affects all nodes, the leader keeps its lease for as long as all peers extend
+// it. Once they stop for long enough, the lease lapses and later extensions don't revive it.
 func TestPeersExtendLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		var silent atomic.Bool
-		tr := startWithPeers(ctx, 3*time.Second, func(ctx context.Context, tr *trio, from, to string) bool {
-			return !silent.Load() && extended(ctx, tr, from, to)
+		c := startClusterWithPeers(ctx, 3*time.Second, func(ctx context.Context, c *cluster, from, to string) bool {
+			return !silent.Load() && requestExtension(ctx, c, from, to)
 		})
-		tr.watch(t, 3*time.Second)
-		first := tr.holder(t)
-		go tr.store.outage(40 * time.Second)
+		c.checkOneLeaderFor(t, 3*time.Second)
+		first := c.leaseHolder(t)
+		go c.store.outage(40 * time.Second)
 		for range 20 {
 			time.Sleep(time.Second)
-			if who := tr.holder(t); who != first {
-				t.Fatalf("node %d leads in an outage that all see, %d before", who, first)
+			if who := c.leaseHolder(t); who != first {
+				t.Fatalf("node %d leads during an outage that affects all nodes, node %d led before", who, first)
 			}
 		}
 		silent.Store(true)
 		time.Sleep(ExtensionFor)
 		silent.Store(false) // too late: the lease has lapsed
-		tr.watch(t, 5*time.Second)
-		if who := tr.holder(t); who >= 0 {
-			t.Fatalf("node %d holds a lease that had lapsed", who)
+		c.checkOneLeaderFor(t, 5*time.Second)
+		if who := c.leaseHolder(t); who >= 0 {
+			t.Fatalf("node %d holds a valid lease after it had lapsed", who)
 		}
-		tr.watch(t, 20*time.Second)
-		if who := tr.holder(t); who < 0 {
+		c.checkOneLeaderFor(t, 20*time.Second)
+		if who := c.leaseHolder(t); who < 0 {
 			t.Fatal("nobody leads after the outage")
 		}
 		cancel()
@@ -58,42 +58,42 @@
 	})
 }
 
-// TestExtensionBindsItsGrantors: all nodes extend the lease whatever they see, the state service
-// refuses the leader alone, then another, then all, and processes end just after they
-// have extended it: never do two hold a valid lease at once, and none becomes valid again
-// once somebody else may have led.
+// A node that has extended the leader's lease must not claim while the extension is in force, not
+// even after a restart that made it forget the extension; otherwise two nodes could hold a valid
+// lease at once. In each round the state service refuses only the leader, all peers extend its
+// lease although the state service serves them, and then they restart.
 func TestExtensionBindsItsGrantors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		tr := startWithPeers(ctx, 3*time.Second, func(_ context.Context, tr *trio, _, to string) bool {
+		c := startClusterWithPeers(ctx, 3*time.Second, func(_ context.Context, c *cluster, _, to string) bool {
 			time.Sleep(200 * time.Millisecond)
-			return tr.electors[strings.Index("abc", to)].GrantExtension()
+			return c.electors[strings.Index("abc", to)].GrantExtension()
 		})
-		tr.watch(t, 3*time.Second)
-		old := tr.holder(t)
+		c.checkOneLeaderFor(t, 3*time.Second)
+		old := c.leaseHolder(t)
 		for round := range 6 {
-			tr.store.mu.Lock()
-			tr.store.cut["abc"[old:old+1]] = true
-			tr.store.mu.Unlock()
-			tr.watch(t, 4*time.Second)
-			if who := tr.holder(t); who != old {
-				t.Fatalf("round %d: node %d leads although all have extended the lease of another", round, who)
+			c.store.mu.Lock()
+			c.store.cutOff["abc"[old:old+1]] = true
+			c.store.mu.Unlock()
+			c.checkOneLeaderFor(t, 4*time.Second)
+			if who := c.leaseHolder(t); who != old {
+				t.Fatalf("round %d: node %d leads although all have extended another node's lease", round, who)
 			}
-			// The others forget that they extended it, as when their processes end.
-			for i, l := range tr.electors {
+			// The others forget that they have extended the lease, as after a restart.
+			for i, elector := range c.electors {
 				if i != old {
-					l.mu.Lock()
-					l.grants = extensionGrants{startedAt: time.Now()}
-					l.mu.Unlock()
+					elector.mu.Lock()
+					elector.grants = extensionGrants{startedAt: time.Now()}
+					elector.mu.Unlock()
 				}
 			}
-			tr.watch(t, 3*time.Second)
-			tr.store.mu.Lock()
-			tr.store.cut["abc"[old:old+1]] = false
-			tr.store.mu.Unlock()
-			tr.watch(t, 8*time.Second)
-			if old = tr.holder(t); old < 0 {
+			c.checkOneLeaderFor(t, 3*time.Second)
+			c.store.mu.Lock()
+			c.store.cutOff["abc"[old:old+1]] = false
+			c.store.mu.Unlock()
+			c.checkOneLeaderFor(t, 8*time.Second)
+			if old = c.leaseHolder(t); old < 0 {
 				t.Fatal("nobody leads")
 			}
 		}
@@ -102,51 +102,51 @@
 	})
 }
 
-// TestNoExtensionWhileClaiming: a node that leads or is about to extends nobody's
-// lease, and one that has extended one claims nothing meanwhile.
+// A node that is claiming must not extend another node's lease, and a node that has extended one
+// must not claim while the extension is in force.
 func TestNoExtensionWhileClaiming(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := New(client{newFake(), "a"}, &fakeNode{}, Options{Member: "a", TTL: 3 * time.Second})
-		if !l.GrantExtension() {
+		elector := New(client{newFakeStore(), "a"}, &fakeNode{}, Options{Member: "a", TTL: 3 * time.Second})
+		if !elector.GrantExtension() {
 			t.Fatal("a follower doesn't extend the lease")
 		}
-		if l.mayClaim(t.Context()) {
-			t.Fatal("claims although it has extended another's lease")
+		if elector.mayClaim(t.Context()) {
+			t.Fatal("claims although it has extended another node's lease")
 		}
 		time.Sleep(ExtensionFor)
-		if !l.mayClaim(t.Context()) {
+		if !elector.mayClaim(t.Context()) {
 			t.Fatal("never claims again")
 		}
-		if l.GrantExtension() {
+		if elector.GrantExtension() {
 			t.Fatal("extends a lease while it claims")
 		}
 	})
 }
 
-// TestStartedNodeWaits: a process that has just started may have extended the lease before its end,
-// unless nobody has ever led.
+// A node that has just started must not claim before any extension from before its start has ended,
+// since it may have forgotten one. It need not wait if there has never been a leader.
 func TestStartedNodeWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := newFake()
+		store := newFakeStore()
 		node := &fakeNode{requestExtension: func(context.Context, string) bool { return false }}
 		options := Options{Member: "a", Others: []string{"b"}, TTL: 3 * time.Second, PeerExtensions: true}
-		l := New(client{store, "a"}, node, options)
-		if !l.mayClaim(t.Context()) {
+		elector := New(client{store, "a"}, node, options)
+		if !elector.mayClaim(t.Context()) {
 			t.Fatal("waits although nobody has ever led")
 		}
 		ctx, cancel := context.WithCancel(t.Context())
-		tr := &trio{store: store}
-		first := New(client{tr.store, "b"}, &fakeNode{}, Options{Member: "b", TTL: 3 * time.Second})
+		c := &cluster{store: store}
+		first := New(client{c.store, "b"}, &fakeNode{}, Options{Member: "b", TTL: 3 * time.Second})
 		go func() { _ = first.Run(ctx) }() // ends with ctx
 		time.Sleep(time.Second)
 		cancel()
 		time.Sleep(10 * time.Second)
-		l = New(client{store, "a"}, node, options)
-		if l.mayClaim(t.Context()) {
+		elector = New(client{store, "a"}, node, options)
+		if elector.mayClaim(t.Context()) {
 			t.Fatal("claims at once after its start")
 		}
 		time.Sleep(ExtensionFor)
-		if !l.mayClaim(t.Context()) {
+		if !elector.mayClaim(t.Context()) {
 			t.Fatal("never claims")
 		}
 	})
--- a/internal/leadership/golden_test.go
+++ b/internal/leadership/golden_test.go
@@ -11,12 +11,12 @@
 	"gingertally/internal/goldentest"
 )
 
-// The keys and values of a claimed term, and of the note of a restore.
+// Checks the stored form of a claimed term and of the record of a restore (RestoredKey).
 func TestStoredTermGolden(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := newFake()
+		store := newFakeStore()
 		ctx, cancel := context.WithCancel(t.Context())
-		node := handOverNode(store, "node-1", nil, 0, nil)
+		node := newTestElector(store, "node-1", nil, 0, nil)
 		go func() { _ = node.Run(ctx) }() // ends with ctx
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
--- a/internal/leadership/lease.go
+++ b/internal/leadership/lease.go
@@ -2,55 +2,57 @@
 
 import "time"
 
-// Two steady clocks drift by 0.05% each, rounded up to 0.2% together, and timers have coarse steps.
+// Two monotonic clocks drift by at most 0.05% each; 1/driftDivisor, 0.2%, is more than both together.
+// timerStep allows for the coarse granularity of timers.
 const (
 	driftDivisor = 500
 	timerStep    = 100 * time.Millisecond
 )
 
-// clockMargin is how much shorter than its length the holder of a lease counts it.
+// clockMargin returns how much earlier than the state service the holder treats a lease as expired.
 func clockMargin(length time.Duration) time.Duration { return length/driftDivisor + timerStep }
 
-// Lease is the leader's lease as its holder sees it: until when it may act. The state service renews
-// it; while the state service renews nothing, all peers together may extend it. All times are those
-// of the holder's own steady clock, and are passed in: a Lease reads no clock and does no input or
-// output. It isn't safe for concurrent use.
+// Lease is the leader lease as its holder sees it: the time until which the holder may act. The
+// state service renews the lease; while it doesn't, all peers together may extend it. All times are
+// passed in and come from the holder's own monotonic clock: a Lease reads no clock and does no I/O.
+// It isn't safe for concurrent use.
 //
 // The safety argument is in docs/design.md, "Who may act", "Lease extension" and safety argument 1.
 type Lease struct {
 	length     time.Duration
-	peers      []string // all of them have to extend the lease for an extension to count
+	peers      []string // an extension counts only if all of them have granted one
 	validUntil time.Time
-	extensions map[string]time.Time // until when each peer extends it
-	extended   bool                 // by the peers, since it was last renewed
+	extensions map[string]time.Time // end of each peer's extension
+	extended   bool                 // whether the peers have extended the lease since its last renewal
 }
 
-// NewLease makes a lease that isn't valid yet.
+// NewLease returns a lease that isn't valid until RecordRenewal is called.
 func NewLease(length time.Duration, peers []string) *Lease {
 	return &Lease{length: length, peers: peers, extensions: map[string]time.Time{}}
 }
 
-// Valid tells whether the holder may act.
+// Valid returns whether the lease is valid at a time, so that the holder may act.
 func (l *Lease) Valid(now time.Time) bool { return now.Before(l.validUntil) }
 
-// Renewed notes that the state service has renewed the lease. Requested is when the holder asked for
-// that: the lease is valid for its full length from then on at the least.
-func (l *Lease) Renewed(requested time.Time) {
+// RecordRenewal records that the state service has granted or renewed the lease. Requested is when
+// the holder asked for that; the state service keeps the lease for at least its full length from
+// then on. A renewal that would shorten the lease has no effect.
+func (l *Lease) RecordRenewal(requested time.Time) {
 	until := requested.Add(l.length - clockMargin(l.length))
 	if until.After(l.validUntil) {
 		l.validUntil, l.extended = until, false
 	}
 }
 
-// NeedsExtension tells whether so little is left that renewals must have failed: less than 5/8 of
-// the length, while the lease is renewed every quarter of it.
+// NeedsExtension returns whether the time left shows that renewals have failed: it is less than 5/8
+// of the length, although the lease is renewed every quarter of its length.
 func (l *Lease) NeedsExtension(now time.Time) bool { return l.validUntil.Sub(now) < l.length*5/8 }
 
-// Extended notes that a peer extends the lease until some time, and prolongs it to where all peers
-// extend it. A lease that isn't valid any more stays so: another node may have led meanwhile, and
-// only the state service can tell. First says that the peers have now extended the lease for the first
-// time since it was last renewed.
-func (l *Lease) Extended(peer string, now, until time.Time) (first bool) {
+// RecordExtension records that a peer extends the lease until a given time, and prolongs the lease to
+// the earliest end of all peers' extensions. A lease that has lapsed stays invalid: another node may
+// have led in the meantime, and only the state service can tell. First is true if this is the first
+// time since the last renewal that the peers' extensions prolong the lease.
+func (l *Lease) RecordExtension(peer string, now, until time.Time) (first bool) {
 	if !l.Valid(now) {
 		return false
 	}
@@ -69,7 +71,7 @@
 	return first
 }
 
-// Invalidate ends the lease at once.
+// Invalidate ends the lease at once and drops the peers' extensions.
 func (l *Lease) Invalidate() {
 	l.validUntil = time.Time{}
 	clear(l.extensions)
--- a/internal/leadership/lease_test.go
+++ b/internal/leadership/lease_test.go
@@ -7,65 +7,67 @@
 
 var leaseStart = time.Unix(1000, 0)
 
-func second(s float64) time.Time {
+// at returns the time s seconds after leaseStart.
+func at(s float64) time.Time {
 	return leaseStart.Add(time.Duration(s * float64(time.Second)))
 }
 
-// The holder counts its lease from when it asked for it, and shorter than the state service does:
-// with clocks that drift it must never act after another node may have claimed.
+// The holder's lease must end before the state service ends it, even if clocks drift: otherwise the
+// holder could act after another node has claimed. So the holder counts it from when it sent the
+// request, less clockMargin.
 func TestLeaseEndsBeforeTheStateServiceEndsIt(t *testing.T) {
 	const length = 3 * time.Second
 	lease := NewLease(length, nil)
 	if lease.Valid(leaseStart) {
 		t.Fatal("valid before it was granted")
 	}
-	lease.Renewed(second(0))
-	if !lease.Valid(second(2.8)) {
+	lease.RecordRenewal(at(0))
+	if !lease.Valid(at(2.8)) {
 		t.Error("not valid for most of its length")
 	}
-	latest := time.Duration(float64(length) * (1 - 2*0.0005)) // by a clock that runs slow, against one that runs fast
+	latest := time.Duration(float64(length) * (1 - 2*0.0005)) // on a slow clock, while the state service's runs fast
 	if lease.Valid(leaseStart.Add(latest)) {
 		t.Error("valid when the state service may have ended it")
 	}
-	lease.Renewed(second(2))
-	lease.Renewed(second(1)) // an answer that comes late
-	if !lease.Valid(second(4.5)) {
-		t.Error("a late answer to an earlier renewal has shortened it")
+	lease.RecordRenewal(at(2))
+	lease.RecordRenewal(at(1)) // a response that arrives late
+	if !lease.Valid(at(4.5)) {
+		t.Error("shortened by a late response to an earlier renewal")
 	}
 	lease.Invalidate()
-	if lease.Valid(second(2)) {
-		t.Error("valid after it was given up")
+	if lease.Valid(at(2)) {
+		t.Error("valid after it was invalidated")
 	}
 }
 
-// An extension counts only if every peer has granted one, only as far as the shortest of them, and
-// only while the lease is valid: a peer that grants nothing may be claiming.
+// The lease is extended only if every peer has granted an extension, only to the earliest end of
+// them, and only while it is valid: a peer that hasn't granted one may be claiming.
 func TestLeaseIsExtendedByAllPeersOnly(t *testing.T) {
 	lease := NewLease(3*time.Second, []string{"b", "c"})
-	lease.Renewed(second(0))
-	if lease.NeedsExtension(second(0.75)) || !lease.NeedsExtension(second(2)) {
-		t.Error("an extension is asked for at the wrong time")
+	lease.RecordRenewal(at(0))
+	if lease.NeedsExtension(at(0.75)) || !lease.NeedsExtension(at(2)) {
+		t.Error("needs an extension at the wrong time")
 	}
-	if lease.Extended("b", second(2), second(5)) || lease.Valid(second(3)) {
+	if lease.RecordExtension("b", at(2), at(5)) || lease.Valid(at(3)) {
 		t.Error("extended by one of two peers")
 	}
-	if !lease.Extended("c", second(2), second(4)) {
-		t.Error("the first extension by all isn't told")
+	if !lease.RecordExtension("c", at(2), at(4)) {
+		t.Error("the first extension by all peers isn't reported as the first")
 	}
-	if !lease.Valid(second(3.9)) || lease.Valid(second(4)) {
-		t.Error("not extended as far as the shorter of the two")
+	if !lease.Valid(at(3.9)) || lease.Valid(at(4)) {
+		t.Error("not extended to the earlier end of the two extensions")
 	}
-	if lease.Extended("c", second(3), second(4.5)) || !lease.Valid(second(4.4)) {
-		t.Error("a further extension is told as the first, or doesn't count")
+	if lease.RecordExtension("c", at(3), at(4.5)) || !lease.Valid(at(4.4)) {
+		t.Error("a further extension is reported as the first, or doesn't count")
 	}
-	if lease.Extended("c", second(5), second(8)) || lease.Valid(second(5)) {
+	if lease.RecordExtension("c", at(5), at(8)) || lease.Valid(at(5)) {
 		t.Error("a lease that had lapsed is valid again")
 	}
-	lease.Renewed(second(6))
-	lease.Extended("b", second(6), second(10))
+	lease.RecordRenewal(at(6))
+	lease.RecordExtension("b", at(6), at(10))
 	lease.Invalidate()
-	lease.Renewed(second(7))
-	if lease.Extended("c", second(7), second(10)) {
-		t.Error("an extension from before the lease was given up still counts")
+	lease.RecordRenewal(at(7))
+	if lease.RecordExtension("c", at(7), at(10)) {
+		t.Error("an extension from before the lease was invalidated still counts")
 	}
 }
--- a/internal/leadership/node.go
+++ b/internal/leadership/node.go
@@ -7,62 +7,64 @@
 	"gingertally/internal/statestore"
 )
 
-// Store is what leader election needs of the state service. *statestore.Client implements it.
+// Store is the part of the state service's client that leader election uses. *statestore.Client
+// implements it.
 type Store interface {
-	// Get reads a key; false if it doesn't exist.
+	// Get reads a key. It returns false if the key doesn't exist.
 	Get(ctx context.Context, key string) (statestore.KeyValue, bool, error)
-	// Commit carries a transaction out if all its conditions hold.
+	// Commit executes a transaction if all its conditions hold, and returns its revision.
 	Commit(ctx context.Context, compares []statestore.Compare, ops []statestore.Op) (uint64, error)
-	// Grant makes a lease.
+	// Grant creates a lease, which expires after ttl unless it is renewed.
 	Grant(ctx context.Context, ttl time.Duration) (statestore.LeaseID, error)
-	// KeepAlive renews a lease.
+	// KeepAlive renews a lease. The error is statestore.ErrLeaseExpired if the lease has ended.
 	KeepAlive(ctx context.Context, lease statestore.LeaseID) error
-	// Revoke ends a lease.
+	// Revoke ends a lease, which deletes the keys attached to it.
 	Revoke(ctx context.Context, lease statestore.LeaseID) error
-	// Watch waits for changes of keys with a prefix after a revision.
+	// Watch waits for changes, after a revision, of keys with a prefix.
 	Watch(ctx context.Context, prefix string, after uint64) (statestore.WatchResponse, error)
 }
 
-// Node is the node that takes part in an election, as the Elector needs it. All methods but RunTerm
-// and RequestExtension have to return quickly. They are called from the Elector's goroutines, several
-// at a time, and never with its lock held.
+// Node is the controller node on whose behalf an Elector takes part in elections. All methods but
+// RunTerm and RequestExtension must return quickly. They are called concurrently from the Elector's
+// goroutines, and never with its lock held.
 type Node interface {
-	// RunTerm does the leader's work. The context ends with the term; RunTerm returns once
-	// nothing of the term is running any more.
+	// RunTerm does the leader's work for a term. The context ends with the term. RunTerm returns
+	// once none of the term's work is running any more.
 	RunTerm(ctx context.Context, term Term)
-	// LeaseResumed tells that the lease had lapsed and is valid again, in the same term.
+	// LeaseResumed is called when the lease had lapsed and is valid again in the same term.
 	LeaseResumed()
-	// LeaderLost tells that nobody leads any more.
+	// LeaderLost is called when there is no leader any more.
 	LeaderLost()
-	// HeartbeatsMissing tells whether no worker has reached this node for longer than is normal.
+	// HeartbeatsMissing returns whether this node has received no heartbeat from any worker for
+	// longer than is normal.
 	HeartbeatsMissing() bool
-	// ClaimDelay is for how long this node lets others claim first.
+	// ClaimDelay returns how long after the loss of the leader this node lets others claim first.
 	ClaimDelay() time.Duration
-	// RequestExtension asks a peer to extend this node's lease by ExtensionFor from now on. It
-	// tells whether the peer has agreed.
+	// RequestExtension asks a peer to extend this node's lease for ExtensionFor. It returns whether
+	// the peer has agreed.
 	RequestExtension(ctx context.Context, member string) bool
 }
 
-// Role is the part of a node in leader election.
+// Role is a node's role in leader election.
 type Role uint8
 
 // Roles of a node.
 const (
-	Follower Role = iota // another node leads, or none is known to
-	Claiming             // nobody leads, and this node tries to
+	Follower Role = iota // another node leads, or no leader is known
+	Claiming             // there is no leader, and this node is claiming leadership
 	Leading              // this node has claimed a term; HoldsLease tells whether its lease is valid
-	Resting              // this node has resigned, and lets others claim first
+	Resting              // this node has resigned and lets others claim first
 )
 
 var roleNames = [...]string{"follower", "claiming", "leading", "resting"}
 
-// String returns the role's name, as operators see it.
+// String returns the role's name as status and logs show it.
 func (r Role) String() string { return roleNames[r] }
 
-// ResignReason is why a leader gives its lease up.
+// ResignReason says why a leader gives up its lease.
 type ResignReason string
 
-// Reasons for giving the lease up.
+// Reasons for giving up the lease.
 const (
 	ResignHandingOver             ResignReason = "handing over"
 	ResignNoHeartbeats            ResignReason = "no heartbeats"
