--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -15,11 +15,11 @@
 
 // Kinds of contact.
 const (
-	Served  Contact = iota // it serves this controller
-	Refused                // it responds, but only that it can't serve
+	Served  Contact = iota // the state service serves this controller
+	Refused                // it responds, but only that it can't serve the request
 )
 
-// contactOf returns what a status shows about the state service.
+// contactOf returns the kind of contact that an HTTP status shows.
 func contactOf(status int) Contact {
 	if status == fasthttp.StatusServiceUnavailable {
 		return Refused
@@ -31,17 +31,17 @@
 type Client struct {
 	http     *fasthttp.HostClient // for all requests but watches
 	watches  *fasthttp.HostClient
-	requests *rate.Limiter // of all requests but those about leases
-	writes   *rate.Limiter // of the changes in transactions
-	contact  func(Contact)
+	requests *rate.Limiter // limits all requests but those about leases and those of Serves
+	writes   *rate.Limiter // limits the changes in transactions
+	contact  func(Contact) // called with each response
 }
 
 // Options are the settings of a client.
 type Options struct {
 	Addr             string
-	Requests, Writes float64 // this controller's part of the rates, per second
-	Burst            int     // writes that may be sent at once
-	MaxConns         int     // connections, besides those of watches
+	Requests, Writes float64 // this controller's share of the rate limits, per second
+	Burst            int     // how many writes may be sent at once; at least minBurst are
+	MaxConns         int     // maximum number of connections, not counting those for watches
 	// Contact is called with each response, from the goroutine of the request. It may be nil.
 	Contact func(Contact)
 }
@@ -49,35 +49,35 @@
 const (
 	dialTimeout  = time.Second
 	writeTimeout = 2 * time.Second
-	// callTimeout leaves room for responses that take a few hundred milliseconds now and then.
+	// callTimeout allows for occasional responses that take a few hundred milliseconds.
 	callTimeout = 1500 * time.Millisecond
-	// keepAliveTimeout is short: rather than waited for, a keep-alive is sent again.
+	// keepAliveTimeout is short, since it is better to send a keep-alive again than to wait for it.
 	keepAliveTimeout = 800 * time.Millisecond
 	listTimeout      = 2 * callTimeout
-	// watchBlock is how long the state service waits for changes, watchTimeout for how long the
-	// client waits for the response, and watchReadTimeout how long it may take to read it.
+	// watchBlock is how long the state service waits for changes before it responds. watchTimeout is
+	// the client's timeout for the whole request, watchReadTimeout the one for reading the response.
 	watchBlock       = 5 * time.Second
 	watchTimeout     = watchBlock + 2*time.Second
 	watchReadTimeout = watchBlock + 3*time.Second
-	// maxRateWait is how long a request waits for this controller's part of the rates.
+	// maxRateWait is how long a request waits at most until it is within the rate limit.
 	maxRateWait     = time.Second
 	idleConnTimeout = time.Minute
 )
 
 const (
-	// maxWatchConns bounds the connections of watches.
+	// maxWatchConns bounds the number of connections for watches.
 	maxWatchConns = 4
-	// maxResponseBytes bounds the body of a response.
+	// maxResponseBytes bounds the size of a response's body.
 	maxResponseBytes = 8 << 20
-	// minBurst is how many requests or writes may be sent at once, however low the rate is.
+	// minBurst is how many requests or writes may be sent at once at least, however low the rate is.
 	minBurst = 4
-	// pageSize is how many keys one request of a list asks for.
+	// pageSize is the number of keys that List asks for per request.
 	pageSize = 500
-	// maxShownBytes is how much of the body of an unexpected response its error has.
-	maxShownBytes = 200
+	// maxErrorBodyBytes is how much of the body of an unexpected response its error contains.
+	maxErrorBodyBytes = 200
 )
 
-// New returns a client. It connects with the first request.
+// New returns a client. It connects when the first request is sent.
 func New(options Options) *Client {
 	if options.Contact == nil {
 		options.Contact = func(Contact) {}
@@ -91,6 +91,8 @@
 	}
 }
 
+// newHostClient returns an HTTP client for one address. It doesn't retry, and leaves paths as they
+// are.
 func newHostClient(addr string, readTimeout time.Duration, conns int) *fasthttp.HostClient {
 	return &fasthttp.HostClient{
 		Addr: addr, MaxConns: conns, ReadTimeout: readTimeout, WriteTimeout: writeTimeout,
@@ -100,18 +102,19 @@
 	}
 }
 
-// requestLimiter returns a limiter that lets half a second's requests be sent at once.
+// requestLimiter returns a rate limiter whose burst is half a second's requests, or minBurst if
+// that is more.
 func requestLimiter(perSecond float64) *rate.Limiter {
 	return rate.NewLimiter(rate.Limit(perSecond), max(minBurst, int(perSecond/2)))
 }
 
-// WithRates returns a client that shares the connections of this one and has rates of its own, so that
-// the users of neither wait for those of the other.
+// WithRates returns a client that shares this one's connections but has rate limits of its own, so
+// that users of one client don't wait for users of the other.
 func (c *Client) WithRates(requests, writes float64) *Client {
-	part := *c
-	part.requests = requestLimiter(requests)
-	part.writes = rate.NewLimiter(rate.Limit(writes), max(minBurst, int(writes)))
-	return &part
+	derived := *c
+	derived.requests = requestLimiter(requests)
+	derived.writes = rate.NewLimiter(rate.Limit(writes), max(minBurst, int(writes)))
+	return &derived
 }
 
 // request is a request to the state service.
@@ -119,7 +122,7 @@
 	client  *fasthttp.HostClient
 	method  string
 	uri     string
-	body    []byte // nil: none
+	body    []byte // nil if there is none
 	timeout time.Duration
 }
 
@@ -129,7 +132,7 @@
 	body   []byte
 }
 
-// do sends a request, whatever has been used of the rates. The error is ErrUnknownOutcome without a
+// do sends a request without regard to the rate limits. The error is ErrUnknownOutcome if there is no
 // response, and ErrUnavailable if the response says that the request wasn't executed.
 func (c *Client) do(ctx context.Context, r request) (response, error) {
 	httpRequest, httpResponse := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
@@ -146,7 +149,7 @@
 		deadline = earlier
 	}
 	if err := r.client.DoDeadline(httpRequest, httpResponse, deadline); err != nil {
-		return response{}, fmt.Errorf("%w: no answer: %w", ErrUnknownOutcome, err)
+		return response{}, fmt.Errorf("%w: no response: %w", ErrUnknownOutcome, err)
 	}
 	status := httpResponse.StatusCode()
 	c.contact(contactOf(status))
@@ -156,8 +159,8 @@
 	return response{status, append([]byte(nil), httpResponse.Body()...)}, nil
 }
 
-// waitForRate waits until n more requests or writes are within a rate, or fails with ErrUnavailable
-// if that takes too long.
+// waitForRate waits until n more requests or writes are within the limiter's rate. It fails with
+// ErrUnavailable if that would take longer than maxRateWait or the context ends.
 func waitForRate(ctx context.Context, limiter *rate.Limiter, n int) error {
 	ctx, cancel := context.WithTimeout(ctx, maxRateWait)
 	defer cancel()
--- a/internal/statestore/client_test.go
+++ b/internal/statestore/client_test.go
@@ -8,10 +8,11 @@
 	"time"
 )
 
-// Serves asks the state service now, and takes a used-up rate for service. A controller that had been
-// served within the last second once took that for service: leaders that were refused shortly before
-// an outage lost their lease in it, and with it every task. And a busy one whose rate was used up took
-// itself for one in an outage.
+// Serves must ask the state service now, and count a reached rate limit as service. Controllers
+// once counted it as service that they had been served within the last second, and so refused to
+// extend leases just after an outage had begun: leaders that were refused shortly before the outage
+// lost their lease, and with it every task. And a busy controller that had reached its rate limit
+// once concluded that there was an outage.
 func TestServes(t *testing.T) {
 	status := http.StatusOK
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) }))
@@ -37,7 +38,7 @@
 			t.Errorf("status %d: serves %v", c.status, got)
 		}
 		if d := time.Since(began); d > maxRateWait/2 {
-			t.Errorf("status %d: took %s with the rate used up", c.status, d)
+			t.Errorf("status %d: took %s with no requests left in the rate limit", c.status, d)
 		}
 	}
 }
--- a/internal/statestore/commit.go
+++ b/internal/statestore/commit.go
@@ -10,9 +10,10 @@
 	"gingertally/internal/wire"
 )
 
-// Commit carries out all changes of a transaction if all its conditions hold, and returns their
-// revision. Else nothing is changed, and a *ConflictError has the keys whose conditions failed. The
-// other errors tell by NotExecuted and ErrUnknownOutcome whether the changes may have been made.
+// Commit executes all changes of a transaction if all its conditions hold, and returns their
+// revision. Otherwise it changes nothing, and the error is a *ConflictError with the keys whose
+// conditions failed. After any other error, NotExecuted and ErrUnknownOutcome tell whether the
+// changes may have been made.
 func (c *Client) Commit(ctx context.Context, compares []Compare, ops []Op) (uint64, error) {
 	revision, err := c.commit(ctx, compares, ops)
 	if err != nil {
@@ -21,7 +22,7 @@
 	return revision, nil
 }
 
-// firstKey returns a key by which a transaction can be recognized.
+// firstKey returns the key that identifies a transaction in errors; it is empty if there is none.
 func firstKey(compares []Compare, ops []Op) string {
 	switch {
 	case len(ops) > 0:
@@ -43,7 +44,7 @@
 	}
 	body, err := codec.Marshal(commitMessage(compares, ops))
 	if err != nil {
-		return 0, fmt.Errorf("encode: %w", err)
+		return 0, fmt.Errorf("encode transaction: %w", err)
 	}
 	response, err := c.do(ctx, request{
 		client: c.http, method: fasthttp.MethodPost, uri: wire.CommitPath, body: body, timeout: callTimeout,
@@ -54,8 +55,8 @@
 	return commitResult(response)
 }
 
-// commitResult returns the revision of a transaction, or why there is none. Responses that can't be
-// understood leave the outcome unknown.
+// commitResult returns the revision of a transaction, or the error that the response stands for.
+// After a response that can't be decoded or has an unexpected status, the outcome is unknown.
 func commitResult(r response) (uint64, error) {
 	var result wire.CommitResult
 	switch r.status {
@@ -64,7 +65,7 @@
 			return 0, fmt.Errorf("%w: %w", ErrUnknownOutcome, err)
 		}
 	case fasthttp.StatusBadRequest:
-		return 0, fmt.Errorf("%w: %.*s", ErrRejected, maxShownBytes, r.body)
+		return 0, fmt.Errorf("%w: %.*s", ErrRejected, maxErrorBodyBytes, r.body)
 	default:
 		return 0, fmt.Errorf("%w: %w", ErrUnknownOutcome, unexpectedStatus(r))
 	}
--- a/internal/statestore/convert.go
+++ b/internal/statestore/convert.go
@@ -31,7 +31,8 @@
 	return response
 }
 
-// eventOf converts an event, which names the key either as put or as dropped.
+// eventOf converts a watch event, in which Put names a key that was put and Drop one that was
+// deleted.
 func eventOf(event wire.NewsEvent) Event {
 	if event.Put == "" {
 		return Event{Delete: true, KeyValue: KeyValue{Key: event.Drop, ModRevision: event.Stamp}}
--- a/internal/statestore/doc.go
+++ b/internal/statestore/doc.go
@@ -1,15 +1,16 @@
 // Package statestore is the client of the state service, a consensus-backed key-value store with
-// transactions by compare-and-swap, leases and watches.
+// compare-and-swap transactions, leases and watches.
 //
-// The package owns the mapping between the protocol's messages (package wire) and the field's terms,
-// which nothing above it knows; the connections to the state service; and this controller's part of
-// the state service's rates, within which it keeps requests and writes. It doesn't retry: a caller
-// learns from the error whether a request may have been executed, and decides.
+// The package owns the connections to the state service; the conversion between the protocol's
+// messages (package wire) and the usual terms for such a store, so that no other package depends on
+// the protocol's names; and this controller's share of the state service's rate limits, within
+// which it keeps requests and writes. It doesn't retry: the error tells the caller whether a
+// request may have been executed, and the caller decides.
 //
-// It assumes that the state service carries each transaction out entirely or not at all, and that
-// every change has a higher revision than the one before.
+// It assumes that the state service executes each transaction entirely or not at all, and that every
+// change has a higher revision than the one before.
 //
-// A Client is safe for concurrent use; all goroutines of a controller share one, or several that are
-// made from it by Part. Every call returns within its timeout, and earlier if the context's deadline
-// is earlier.
+// A Client is safe for concurrent use. All goroutines of a controller share one, or several that are
+// made from it by WithRates. Every call returns within its timeout, or by the context's deadline if
+// that is earlier.
 package statestore
--- a/internal/statestore/errors_test.go
+++ b/internal/statestore/errors_test.go
@@ -14,7 +14,8 @@
 	"gingertally/internal/wire"
 )
 
-// clientOf returns a client of a state service that responds to every request with a status and body.
+// clientOf returns the client of a state service that responds to every request with this status
+// and body.
 func clientOf(t *testing.T, status int, body []byte) *Client {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -25,7 +26,7 @@
 	return New(Options{Addr: strings.TrimPrefix(server.URL, "http://"), Requests: 100, Writes: 100, MaxConns: 2})
 }
 
-// The calls of a client, by which tests cover all of them.
+// calls holds one call of each method of a client that sends a request, by name, except Serves.
 var calls = map[string]func(context.Context, *Client) error{
 	"get":    func(ctx context.Context, c *Client) error { _, _, err := c.Get(ctx, "k"); return err },
 	"list":   func(ctx context.Context, c *Client) error { _, _, err := c.List(ctx, "k"); return err },
@@ -43,15 +44,16 @@
 	},
 }
 
-// Every failed call says whether it may have been executed, and names operation and key. A write that
-// is taken for not executed, and was, is done twice; one the other way round holds its job up.
+// The error of a failed call must tell whether the request may have been executed, and name the
+// operation and the key. A write that was executed but is reported as not executed would be
+// repeated; the reverse error would delay its job.
 func TestErrorOfEachResponse(t *testing.T) {
 	conflict := codec.MustMarshal(wire.CommitResult{Failed: []string{"k"}})
 	for _, c := range []struct {
 		call   string
 		status int
 		body   []byte
-		want   error // nil: none is wanted
+		want   error // nil if the call succeeds
 	}{
 		{"get", http.StatusNotFound, nil, nil},
 		{"get", http.StatusOK, []byte{0xff}, codec.ErrMalformed},
@@ -85,7 +87,7 @@
 	}
 }
 
-// checkError checks the error of a call: its cause, its operation and key, and NotExecuted.
+// checkError checks the cause, operation and key of a call's error, and the result of NotExecuted.
 func checkError(t *testing.T, call string, status int, err, want error) {
 	t.Helper()
 	if want == nil {
@@ -110,7 +112,7 @@
 	}
 	var failed *RequestError
 	if !errors.As(err, &failed) || failed.Operation == "" || failed.Key == "" && call != "grant" {
-		t.Errorf("%s, status %d: %v doesn't name operation and key", call, status, err)
+		t.Errorf("%s, status %d: %v doesn't name the operation and key", call, status, err)
 	}
 	notExecuted := conflict != nil || errors.Is(want, ErrUnavailable) || errors.Is(want, ErrRejected)
 	if NotExecuted(err) != notExecuted {
@@ -118,7 +120,7 @@
 	}
 }
 
-// Without a response the outcome of every call is unknown.
+// If there is no response, the outcome of every call must be reported as unknown.
 func TestNoResponseIsUnknownOutcome(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/statestore/leases.go
+++ b/internal/statestore/leases.go
@@ -12,10 +12,10 @@
 	"gingertally/internal/wire"
 )
 
-// Requests about leases don't wait for this controller's part of the rates: a keep-alive that waits
-// would lose the lease.
+// Requests about leases aren't subject to this controller's rate limits: a lease could expire while
+// its keep-alive waits.
 
-// Grant makes a lease that ends after a time unless it is kept alive.
+// Grant creates a lease, which expires after ttl unless it is kept alive.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	lease, err := c.grant(ctx, ttl)
 	if err != nil {
@@ -40,7 +40,7 @@
 	return LeaseID(grant.Hold), err
 }
 
-// KeepAlive renews a lease for its whole length. The error is ErrLeaseExpired if it has ended.
+// KeepAlive renews a lease for its full TTL. The error is ErrLeaseExpired if the lease has ended.
 func (c *Client) KeepAlive(ctx context.Context, lease LeaseID) error {
 	uri := leasePath(lease) + wire.KeepAliveSuffix
 	response, err := c.do(ctx, request{client: c.http, method: fasthttp.MethodPost, uri: uri, timeout: keepAliveTimeout})
@@ -54,11 +54,11 @@
 	return leaseError("keep lease alive", lease, err)
 }
 
-// leasePath is a lease's own path.
+// leasePath returns the path of a lease.
 func leasePath(lease LeaseID) string { return fmt.Sprintf("%s/%d", wire.LeasesPath, lease) }
 
-// Revoke ends a lease, by which the keys that are attached to it are deleted. It is no error if the
-// lease has ended already.
+// Revoke ends a lease, which deletes the keys attached to it. It is not an error if the lease has
+// already ended.
 func (c *Client) Revoke(ctx context.Context, lease LeaseID) error {
 	uri := leasePath(lease)
 	response, err := c.do(ctx, request{client: c.http, method: fasthttp.MethodDelete, uri: uri, timeout: callTimeout})
@@ -68,7 +68,7 @@
 	return leaseError("revoke lease", lease, err)
 }
 
-// leaseError returns the error of a request about a lease; nil if err is.
+// leaseError wraps the error of a request about a lease. It returns nil if err is nil.
 func leaseError(operation string, lease LeaseID, err error) error {
 	if err == nil {
 		return nil
--- a/internal/statestore/read.go
+++ b/internal/statestore/read.go
@@ -11,7 +11,7 @@
 	"gingertally/internal/wire"
 )
 
-// Get reads a key; false if it doesn't exist.
+// Get reads a key. Found is false if the key doesn't exist.
 func (c *Client) Get(ctx context.Context, key string) (keyValue KeyValue, found bool, err error) {
 	item, found, err := c.get(ctx, key)
 	if err != nil {
@@ -41,17 +41,17 @@
 	return request{client: c.http, method: fasthttp.MethodGet, uri: wire.StorePath + "/" + key, timeout: callTimeout}
 }
 
-// Serves returns whether the state service serves this controller at present; it reads a key to find
-// out. It doesn't wait for the rates, and a response that a rate is used up counts as service, since
-// otherwise a busy controller would take itself for one in an outage.
+// Serves reads a key to find out whether the state service serves this controller at present. It
+// doesn't wait for the rate limits, and a response that a rate limit is reached counts as service:
+// otherwise a busy controller would conclude that there is an outage.
 func (c *Client) Serves(ctx context.Context, key string) bool {
 	response, err := c.do(ctx, c.getRequest(key))
 	return err == nil || response.status == fasthttp.StatusTooManyRequests
 }
 
-// List reads all keys with a prefix, in their order. The revision is the one from which a watch misses
-// no change: it is that of the first page, and what changes while the others are read may be seen
-// twice.
+// List reads all keys with a prefix, in the order of the keys. A watch that starts after the
+// returned revision misses no change: it is the revision of the first page. Changes that are made
+// while further pages are read may be seen in both.
 func (c *Client) List(ctx context.Context, prefix string) (keyValues []KeyValue, revision uint64, err error) {
 	after := ""
 	for {
@@ -72,7 +72,8 @@
 	}
 }
 
-// listPage reads one page of a list, from the first key after a given one; empty: from the beginning.
+// listPage reads one page of keys with a prefix: those that follow the key after, or the first ones
+// if after is empty.
 func (c *Client) listPage(ctx context.Context, prefix, after string) (page wire.StorePage, err error) {
 	if err := waitForRate(ctx, c.requests, 1); err != nil {
 		return page, err
--- a/internal/statestore/watch.go
+++ b/internal/statestore/watch.go
@@ -12,9 +12,9 @@
 	"gingertally/internal/wire"
 )
 
-// Watch waits until keys with a prefix change after a revision, or a few seconds have passed; the
-// response then has no events. The error is ErrCompacted if the changes aren't kept any more, so that
-// the keys have to be read again.
+// Watch waits for changes, after a revision, of keys with a prefix. If there are none within a few
+// seconds, the response has no events. The error is ErrCompacted if the changes are no longer kept,
+// or are too large for one response; the keys then have to be listed again.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64) (WatchResponse, error) {
 	news, err := c.watch(ctx, prefix, after)
 	if err != nil {
@@ -32,7 +32,7 @@
 	response, err := c.do(ctx, request{client: c.watches, method: fasthttp.MethodGet, uri: uri, timeout: watchTimeout})
 	switch {
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
-		return news, ErrCompacted // the response to the same watch would be as large again
+		return news, ErrCompacted // a retry would get a response that is too large again
 	case err != nil:
 		return news, err
 	case response.status == fasthttp.StatusGone:
