--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -1,6 +1,7 @@
-// Package health judges whether a controller can serve users: itself, or by forwarding their
-// calls. It owns the times of the last contacts with the state service and with the other
-// controllers; its callers are the clients of both, from any goroutine, and the health endpoint.
+// Package health decides whether a controller can serve users, either itself or by forwarding their
+// calls. It tracks when the controller last had contact with the state service and with the other
+// controllers. The clients of both record contacts, and the health endpoint reads the result; a
+// Tracker is safe for concurrent use.
 package health
 
 import (
@@ -9,15 +10,16 @@
 )
 
 const (
-	// contactTimeout is how long a contact counts.
+	// contactTimeout is how long a contact counts as recent.
 	contactTimeout = 4 * time.Second
-	// outageTimeout is for how long a controller to which the state service answers only that
-	// it can't serve, and that reaches no peer, still counts as one of many in an outage
-	// rather than one that is cut off alone.
+	// outageTimeout is how long after the state service last served it a controller still counts
+	// as healthy if the state service answers only that it can't serve, and no peer answers. Until
+	// then this is taken for an outage that affects all controllers, after it for a fault of this
+	// controller alone.
 	outageTimeout = 30 * time.Second
 )
 
-// Tracker keeps the times of the last contacts.
+// Tracker holds the times of the last contacts.
 type Tracker struct {
 	mu           sync.Mutex
 	storeServed  time.Time // when the state service last served a request
@@ -25,11 +27,12 @@
 	peerAnswered time.Time // when another controller last answered
 }
 
-// New makes the tracker of a controller that starts now: it has contactTimeout to make contact.
+// New returns the tracker of a controller that starts at now, which counts as a contact with the
+// state service: the controller has contactTimeout to make a real one.
 func New(now time.Time) *Tracker { return &Tracker{storeServed: now} }
 
-// note moves the time of a last contact on, never back.
-func (t *Tracker) note(last *time.Time, now time.Time) {
+// advance moves the time of a last contact forward to now. It never moves it back.
+func (t *Tracker) advance(last *time.Time, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if now.After(*last) {
@@ -37,26 +40,26 @@
 	}
 }
 
-// StoreServed notes that the state service served a request.
-func (t *Tracker) StoreServed(now time.Time) { t.note(&t.storeServed, now) }
+// StoreServed records that the state service served a request.
+func (t *Tracker) StoreServed(now time.Time) { t.advance(&t.storeServed, now) }
 
-// StoreRefused notes that the state service answered, but only that it can't serve.
-func (t *Tracker) StoreRefused(now time.Time) { t.note(&t.storeRefused, now) }
+// StoreRefused records that the state service answered, but only that it can't serve.
+func (t *Tracker) StoreRefused(now time.Time) { t.advance(&t.storeRefused, now) }
 
-// PeerAnswered notes that another controller answered.
-func (t *Tracker) PeerAnswered(now time.Time) { t.note(&t.peerAnswered, now) }
+// PeerAnswered records that another controller answered.
+func (t *Tracker) PeerAnswered(now time.Time) { t.advance(&t.peerAnswered, now) }
 
-// StoreFresh tells whether the state service has served this controller within the time.
+// StoreFresh returns whether the state service has served this controller less than within ago.
 func (t *Tracker) StoreFresh(now time.Time, within time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return now.Sub(t.storeServed) < within
 }
 
-// Serves tells whether users are well served here. An outage of the state service, which all
-// controllers see, doesn't take one out of service: it reaches its peers, or is refused rather
-// than left without an answer. A controller that reaches nobody is out (docs/design.md, "Safety
-// arguments" 13; TestServes).
+// Serves returns whether this controller can serve users. An outage of the state service, which
+// affects all controllers, takes none of them out of service: a controller then still reaches its
+// peers, or at least gets refusals from the state service rather than no answers. A controller that
+// reaches neither is out of service (docs/design.md, "Safety arguments" 13; TestServes).
 func (t *Tracker) Serves(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,7 +1,6 @@
 // Package peer carries calls between the controllers over gRPC: a controller that can't serve a
-// call itself relays it to one that can. It owns one connection to each other controller; gRPC
-// makes it when it is first used and again when it is lost. Client and handlers may be used from
-// any goroutine.
+// call itself relays it to one that can. A Client owns one connection to each other controller, which
+// gRPC opens when it is first used and reopens when it is lost. A Client is safe for concurrent use.
 package peer
 
 import (
@@ -21,21 +20,22 @@
 )
 
 const (
-	// maxMessageBytes bounds a message between controllers: a user's or worker's body and a little.
+	// maxMessageBytes bounds the size of a message that a controller receives from another: the body
+	// of a user's or worker's request and some overhead.
 	maxMessageBytes = 128 << 10
-	// maxStreams bounds the calls of one controller at once. One that relays the heartbeats of
-	// a zone with more than a thousand machines has about one of them under way for each,
-	// since the leader may hold an answer for 2 s.
+	// maxStreams bounds the concurrent calls on one connection. A controller that relays the
+	// heartbeats of a zone with more than a thousand machines has about one call in flight for
+	// each machine, since the leader may delay its response by up to 2 s.
 	maxStreams = 2048
-	// bufferBytes keeps the mostly idle connections small.
+	// bufferBytes is small, since the connections are mostly idle.
 	bufferBytes = 8 << 10
 )
 
-// Keepalives, and the backoff with which a lost connection is made again.
+// Settings for keepalives, and for the backoff between attempts to connect.
 const (
 	keepaliveInterval    = 10 * time.Second
 	keepaliveTimeout     = 4 * time.Second
-	keepaliveMinInterval = 4 * time.Second // a client that pings more often is cut off
+	keepaliveMinInterval = 4 * time.Second // the server disconnects clients that ping more often
 	connectTimeout       = 2 * time.Second
 	backoffBase          = 200 * time.Millisecond
 	backoffMax           = 2 * time.Second
@@ -59,20 +59,21 @@
 // Handler serves a relayed request. It is called from many goroutines at once.
 type Handler func(ctx context.Context, request Request) Response
 
+// server implements the gRPC service Peer with a Handler.
 type server struct {
 	peerpb.UnimplementedPeerServer
 	handle Handler
 }
 
-// Relay serves a request that another controller relayed.
+// Relay serves a request that another controller has relayed.
 func (s *server) Relay(ctx context.Context, message *peerpb.Request) (*peerpb.Reply, error) {
 	request := Request{Method: message.Method, Path: message.Path, Body: message.Body}
 	response := s.handle(ctx, request)
 	return &peerpb.Reply{Status: int32(response.Status), Body: response.Body}, nil
 }
 
-// Serve answers the other controllers until ctx ends. Further services between the controllers
-// may be registered beside the relay.
+// Serve serves the other controllers' calls on listener until ctx ends. The functions in register may
+// add further services to the same server.
 func Serve(ctx context.Context, listener net.Listener, handle Handler, register ...func(grpc.ServiceRegistrar)) error {
 	s := grpc.NewServer(
 		grpc.MaxRecvMsgSize(maxMessageBytes), grpc.MaxConcurrentStreams(maxStreams),
@@ -101,8 +102,8 @@
 	connections map[string]*grpc.ClientConn
 }
 
-// NewClient makes the client of the controller named self; addrs are the others' addresses by
-// name.
+// NewClient returns the client of the controller named self. Addrs holds the addresses of the other
+// controllers by name.
 func NewClient(self string, addrs map[string]string) (*Client, error) {
 	c := &Client{self: self, connections: map[string]*grpc.ClientConn{}}
 	for name, addr := range addrs {
@@ -115,7 +116,7 @@
 	return c, nil
 }
 
-// dial prepares a connection, which is made when it is first used.
+// dial prepares a connection, which gRPC opens when it is first used.
 func dial(addr string) (*grpc.ClientConn, error) {
 	retry := backoff.Config{
 		BaseDelay:  backoffBase,
@@ -131,12 +132,12 @@
 	)
 }
 
-// ErrUnknownPeer says that no other controller has the name. It is also the answer while no
-// leader is known, whose name is then empty.
+// ErrUnknownPeer says that no other controller has the given name. Calls to the leader also fail
+// with it while no leader is known, since its name is then empty.
 var ErrUnknownPeer = errors.New("no such peer")
 
-// Relay sends a request to the controller named to and returns its response. The error says
-// which call to which peer failed; whether the peer has served it is then unknown.
+// Relay sends a request to the controller named to and returns its response. An error names the call
+// and the peer. Unless it is ErrUnknownPeer, the peer may have served the request nevertheless.
 func (c *Client) Relay(ctx context.Context, to string, request Request) (Response, error) {
 	connection, err := c.Connection(to)
 	if err != nil {
@@ -150,7 +151,7 @@
 	return Response{Status: int(reply.Status), Body: reply.Body}, nil
 }
 
-// Connection is the connection to a controller, for services other than the relay.
+// Connection returns the connection to the controller named to, for services other than the relay.
 func (c *Client) Connection(to string) (grpc.ClientConnInterface, error) {
 	connection := c.connections[to]
 	if connection == nil {
@@ -159,11 +160,11 @@
 	return connection, nil
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (c *Client) Close() {
 	for name, connection := range c.connections {
 		if err := connection.Close(); err != nil {
-			slog.Debug("close connection to peer failed", "peer", name, "error", err)
+			slog.Debug("closing connection to peer failed", "peer", name, "error", err)
 		}
 	}
 }
