--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -58,8 +58,9 @@
 
 // Serves returns whether this controller can serve users. An outage of the state service, which
 // affects all controllers, takes none of them out of service: a controller then still reaches its
-// peers, or at least gets refusals from the state service rather than no answers. A controller that
-// reaches neither is out of service (docs/design.md, "Safety arguments" 13; TestServes).
+// peers, or at least gets refusals from the state service rather than no answers, which counts for
+// up to outageTimeout. A controller that reaches neither is out of service (docs/design.md, "Safety
+// arguments" 13; TestServes).
 func (t *Tracker) Serves(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/leadership/lease.go
+++ b/internal/leadership/lease.go
@@ -31,7 +31,7 @@
 	return &Lease{length: length, peers: peers, extensions: map[string]time.Time{}}
 }
 
-// Valid returns whether the lease is valid at a time, so that the holder may act.
+// Valid returns whether the lease is valid at now, so that the holder may act.
 func (l *Lease) Valid(now time.Time) bool { return now.Before(l.validUntil) }
 
 // RecordRenewal records that the state service has granted or renewed the lease. Requested is when
--- a/internal/statestore/read.go
+++ b/internal/statestore/read.go
@@ -51,7 +51,7 @@
 
 // List reads all keys with a prefix, in the order of the keys. A watch that starts after the
 // returned revision misses no change: it is the revision of the first page. Changes that are made
-// while further pages are read may be seen in both.
+// while further pages are read may be seen both in the list and by the watch.
 func (c *Client) List(ctx context.Context, prefix string) (keyValues []KeyValue, revision uint64, err error) {
 	after := ""
 	for {
