--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -1,9 +1,9 @@
-// Package codec encodes and decodes CBOR (RFC 8949), the form of stored records and of the messages of
-// the outside interfaces.
+// Package codec encodes and decodes CBOR (RFC 8949), the encoding of stored records and of messages
+// to and from users, workers, the cloud and the state service.
 //
-// Structs are encoded field by field in the order of their declaration. Maps aren't sorted: the same map
-// may have different bytes each time. Fields that a decoded struct doesn't have are ignored: they are
-// those of a later version. The functions are safe for concurrent use.
+// Struct fields are encoded in the order of their declaration. Map keys aren't sorted, so encoding the
+// same map twice may give different bytes. When a struct is decoded, unknown fields are ignored: they
+// come from a later version. All functions are safe for concurrent use.
 package codec
 
 import (
@@ -15,11 +15,11 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ErrMalformed says that bytes can't be decoded as the value that is wanted.
+// ErrMalformed reports input that can't be decoded into the requested type.
 var ErrMalformed = errors.New("malformed message")
 
-// Bounds of a decoded value. Lists from the cloud and the state service are long; bodies from users and
-// workers are bounded by their size before they are decoded.
+// Limits of a decoded value. They leave room for the long lists that the cloud and the state service
+// return; the size of messages from users and workers is limited before they are decoded.
 const (
 	maxArrayElements = 1 << 20
 	maxMapPairs      = 1 << 16
@@ -28,7 +28,7 @@
 var (
 	encMode = mustEncMode(cbor.EncOptions{Sort: cbor.SortNone})
 	decMode = mustDecMode(cbor.DecOptions{MaxArrayElements: maxArrayElements, MaxMapPairs: maxMapPairs})
-	// jsonMode decodes maps to the type that package json can encode.
+	// jsonMode decodes maps into map[string]any, which encoding/json can encode.
 	jsonMode = mustDecMode(cbor.DecOptions{
 		MaxArrayElements: maxArrayElements, DefaultMapType: reflect.TypeFor[map[string]any](),
 	})
@@ -37,7 +37,7 @@
 func mustEncMode(options cbor.EncOptions) cbor.EncMode {
 	mode, err := options.EncMode()
 	if err != nil {
-		panic(fmt.Sprintf("options of the encoder: %v", err))
+		panic(fmt.Sprintf("invalid CBOR encoder options: %v", err))
 	}
 	return mode
 }
@@ -45,19 +45,19 @@
 func mustDecMode(options cbor.DecOptions) cbor.DecMode {
 	mode, err := options.DecMode()
 	if err != nil {
-		panic(fmt.Sprintf("options of the decoder: %v", err))
+		panic(fmt.Sprintf("invalid CBOR decoder options: %v", err))
 	}
 	return mode
 }
 
-// RawMessage is an encoded value that is passed on as it is.
+// RawMessage is an encoded value that is passed on without being decoded or encoded again.
 type RawMessage = cbor.RawMessage
 
 // Marshal returns the encoded form of v.
 func Marshal(v any) ([]byte, error) { return encMode.Marshal(v) }
 
-// MustMarshal returns the encoded form of v, whose type must be one that can always be encoded; it
-// panics otherwise.
+// MustMarshal returns the encoded form of v. It panics if v can't be encoded, so it is only for types
+// that always can.
 func MustMarshal(v any) []byte {
 	encoded, err := encMode.Marshal(v)
 	if err != nil {
@@ -66,8 +66,8 @@
 	return encoded
 }
 
-// Unmarshal decodes exactly one value into the variable to which v points. Its error wraps
-// ErrMalformed.
+// Unmarshal decodes input that consists of exactly one value, and stores the value in what v points
+// to. Its errors wrap ErrMalformed.
 func Unmarshal(encoded []byte, v any) error {
 	if err := decMode.Unmarshal(encoded, v); err != nil {
 		return fmt.Errorf("%w: %w", ErrMalformed, err)
@@ -75,20 +75,21 @@
 	return nil
 }
 
-// majorTypeMap is the major type of maps, which the upper three bits of a value's first byte hold.
+// The three most significant bits of a value's first byte hold its CBOR major type; majorTypeMap is
+// that of maps.
 const (
 	majorTypeMap   = 5
 	majorTypeShift = 5
 )
 
-// IsMap returns whether an encoded value is a map. Unmarshal alone doesn't show that: it also decodes
-// null into a struct, and leaves that as it was.
+// IsMap reports whether an encoded value is a map. Unmarshal can't be used to check this: it accepts
+// null for a struct, too, and leaves the struct unchanged.
 func IsMap(encoded []byte) bool {
 	return len(encoded) > 0 && encoded[0]>>majorTypeShift == majorTypeMap
 }
 
-// JSONSize returns the length of an encoded value's JSON form, in which the protocol's limits are
-// counted. Its error wraps ErrMalformed if the value can't be decoded.
+// JSONSize returns the size in bytes that an encoded value has as JSON. The protocol's size limits
+// apply to the JSON form. The error wraps ErrMalformed if the value can't be decoded.
 func JSONSize(encoded []byte) (int, error) {
 	var value any
 	if err := jsonMode.Unmarshal(encoded, &value); err != nil {
--- a/internal/codec/codec_test.go
+++ b/internal/codec/codec_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// record is a value as they are stored.
+// record stands for a stored record.
 type record struct {
 	Name string            `cbor:"n"`
 	Sum  []byte            `cbor:"s,omitempty"`
@@ -15,8 +15,8 @@
 	Raw  RawMessage        `cbor:"r"`
 }
 
-// A struct is the same after it was encoded and decoded, and encoding it again gives the same bytes: a
-// record that changes by being read would lose what is stored.
+// A struct is unchanged after being encoded and decoded, and encoding it again gives the same bytes.
+// Otherwise, reading a record and writing it back would lose stored data.
 func TestRoundTrip(t *testing.T) {
 	want := record{Name: "j-1", Sum: []byte{0xff}, More: map[string]uint64{"a": 1}, Raw: MustMarshal(7)}
 	encoded := MustMarshal(want)
@@ -29,8 +29,8 @@
 	}
 }
 
-// A field that only a later version has is ignored, so that versions can run side by side during an
-// upgrade.
+// A field that only a later version has is ignored. Otherwise, two versions couldn't run side by side
+// during an upgrade.
 func TestUnknownFieldIsIgnored(t *testing.T) {
 	var got record
 	if err := Unmarshal(MustMarshal(map[string]any{"n": "j-1", "later": []int{1}}), &got); err != nil || got.Name != "j-1" {
@@ -38,13 +38,13 @@
 	}
 }
 
-// Bytes that aren't exactly one value of the wanted type are malformed: a record that is cut off, or
-// followed by another, would be taken for whole.
+// Input that isn't exactly one value of the requested type is malformed. Otherwise, a record that is
+// truncated, or followed by another one, would be accepted.
 func TestMalformed(t *testing.T) {
 	whole := MustMarshal(record{Name: "j-1"})
 	for name, encoded := range map[string][]byte{
-		"nothing":       nil,
-		"cut off":       whole[:len(whole)-1],
+		"empty input":   nil,
+		"truncated":     whole[:len(whole)-1],
 		"two values":    append(bytes.Clone(whole), whole...),
 		"another type":  MustMarshal([]int{1}),
 		"field's type":  MustMarshal(map[string]any{"n": 1}),
@@ -60,24 +60,24 @@
 	}
 }
 
-// Only maps count as maps: null decodes into any struct, and an empty message would be taken for one
-// in which nothing is set.
+// IsMap accepts maps only. It must reject null, which decodes into any struct and would be accepted as
+// a message without fields.
 func TestIsMap(t *testing.T) {
 	for _, c := range []struct {
 		value any
 		want  bool
 	}{{record{}, true}, {map[string]int{}, true}, {nil, false}, {[]int{1}, false}, {"text", false}, {7, false}} {
 		if got := IsMap(MustMarshal(c.value)); got != c.want {
-			t.Errorf("%#v: %v", c.value, got)
+			t.Errorf("IsMap of %#v: %v", c.value, got)
 		}
 	}
 	if IsMap(nil) {
-		t.Error("nothing counts as a map")
+		t.Error("empty input counts as a map")
 	}
 }
 
-// The size in JSON is that of the value's JSON text, with bytes in base64 and escapes: a value whose
-// size is underestimated is rejected by the state service.
+// JSONSize counts the JSON text with its escapes and with byte strings in base64. If it returned too
+// little, values would be sent that the state service rejects as too large.
 func TestJSONSize(t *testing.T) {
 	for _, c := range []struct {
 		value any
@@ -95,12 +95,12 @@
 	}
 }
 
-// A value of a type that can't be encoded is a mistake in the program, which must not be stored as
-// nothing.
+// MustMarshal panics for a type that can't be encoded. That is a programming error; without the panic,
+// an empty value would be stored.
 func TestMustMarshalPanics(t *testing.T) {
 	defer func() {
 		if recover() == nil {
-			t.Error("no panic for a function")
+			t.Error("no panic for a value of a function type")
 		}
 	}()
 	MustMarshal(func() {})
--- a/internal/decisionlog/decisionlog.go
+++ b/internal/decisionlog/decisionlog.go
@@ -1,17 +1,17 @@
-// Package decisionlog keeps a controller's copy of the warm state on disk, where it has one, so that
-// the controller goes on from it after a restart.
+// Package decisionlog stores a controller's copy of the warm state (package standby) in a log on disk,
+// from which the controller restores the copy after a restart.
 //
-// The log consists of segments, which are files of bounded size. A segment begins with a snapshot of
-// the whole state, followed by the frames that change it, each in a record with a checksum. With each
-// new segment the earlier ones are deleted. What can't be read, such as the end of a record that was
-// being written during a crash, is cut off when the log is opened.
+// The log consists of segments, one file each. A segment begins with a snapshot of the whole state,
+// followed by the frames that change it; each frame is in a record with a checksum. Once a segment has
+// its share of the log's size, a new one is begun and the earlier ones are deleted. When the log is
+// opened, each segment is truncated at the first record that can't be read, such as one that was being
+// written during a crash.
 //
-// What the log holds is a copy that may be old. Nothing in it is trusted that the state service
-// doesn't confirm (docs/standby.md), so a log that is lost or damaged costs only time.
+// The log may be out of date. Nothing in it is relied on unless the state service confirms it
+// (docs/standby.md), so a lost or damaged log costs only time.
 //
-// A Log isn't safe for concurrent use. The daemon opens it while it starts and then writes it from
-// one goroutine, so that a slow disk holds nothing else up; it must be the only process that uses the
-// directory.
+// A Log isn't safe for concurrent use. The daemon opens it during startup and then writes it from a
+// single goroutine, so that a slow disk delays nothing else. Only one process may use the directory.
 package decisionlog
 
 import (
@@ -31,16 +31,17 @@
 const (
 	segmentPrefix = "decisions-"
 	segmentSuffix = ".log"
-	// segments is how many segments share the log's size: the one that is written, and the one
-	// before until the next has its snapshot.
-	segments = 2
-	fileMode = 0o600
+	// maxSegments is the number of segments that share the log's size: when a segment is begun, the
+	// one before it is kept until the new one's snapshot is on disk.
+	maxSegments = 2
+	fileMode    = 0o600
 )
 
-// ErrNoSegment says that no segment has been begun since the log was opened or the last one failed.
+// ErrNoSegment reports that there is no segment to append to: none has been begun since the log was
+// opened or closed, or the last one couldn't be created.
 var ErrNoSegment = errors.New("no segment is open")
 
-// File is what the log needs of a segment that is written.
+// File is a segment that is open for writing; *os.File implements it.
 type File interface {
 	io.Writer
 	Sync() error
@@ -52,20 +53,21 @@
 	directory string
 	maxBytes  int64
 	create    func(path string) (File, error)
-	file      File   // the segment that is written; nil: none is
-	number    uint64 // of the newest segment
-	size      int64  // of the segment that is written
+	file      File   // the segment that is open for writing; nil if there is none
+	number    uint64 // number of the newest segment
+	size      int64  // bytes written to the open segment
 }
 
-// Recovered is what a log held when it was opened.
+// Recovered is what was read from a log when it was opened.
 type Recovered struct {
 	Replica   *standby.Replica // the copy, which may be incomplete
-	Records   int              // records that were read
-	TornBytes int64            // bytes that couldn't be read and were cut off
+	Records   int              // number of records read
+	TornBytes int64            // unreadable bytes that were truncated
 }
 
-// Open reads the log in a directory and cuts off what can't be read. The first write has to begin a
-// segment (Full, Begin).
+// Open reads the log in a directory, which must exist, and truncates each segment at the first record
+// that can't be read. The segments share maxBytes on disk (maxSegments). The first write has to be
+// Begin, as Full reports.
 func Open(directory string, maxBytes int64) (*Log, Recovered, error) {
 	l := &Log{directory: directory, maxBytes: maxBytes, create: createFile}
 	recovered := Recovered{Replica: standby.NewReplica()}
@@ -86,12 +88,12 @@
 	return os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, fileMode)
 }
 
-// path returns the path of a segment. Names sort like numbers.
+// path returns the path of a segment. Numbers are zero-padded, so that names sort in the same order.
 func (l *Log) path(number uint64) string {
 	return filepath.Join(l.directory, fmt.Sprintf("%s%016d%s", segmentPrefix, number, segmentSuffix))
 }
 
-// segmentNumbers returns the numbers of the segments on disk, oldest first. Other files are ignored.
+// segmentNumbers returns the numbers of the segments on disk, oldest first. It ignores other files.
 func (l *Log) segmentNumbers() ([]uint64, error) {
 	files, err := os.ReadDir(l.directory)
 	if err != nil {
@@ -111,10 +113,11 @@
 	return numbers, nil
 }
 
-// Full returns whether the next frame has to begin a segment.
-func (l *Log) Full() bool { return l.file == nil || l.size >= l.maxBytes/segments }
+// Full reports whether the next frame has to begin a new segment (Begin), because none is open or the
+// open one has its share of the log's size.
+func (l *Log) Full() bool { return l.file == nil || l.size >= l.maxBytes/maxSegments }
 
-// Append writes a frame to the present segment. The error is ErrNoSegment if there is none.
+// Append writes a frame to the open segment. The error wraps ErrNoSegment if there is none.
 func (l *Log) Append(frame standby.Frame) error {
 	if l.file == nil {
 		return fmt.Errorf("decision log: append: %w", ErrNoSegment)
@@ -122,11 +125,11 @@
 	return l.write(encodeRecord(frame))
 }
 
-// Begin begins a segment with a snapshot of the whole state, and deletes the earlier segments once
-// it is on disk.
+// Begin begins a new segment with a snapshot of the whole state. Once the snapshot is on disk, it
+// deletes the earlier segments.
 func (l *Log) Begin(snapshot standby.Frame) error {
 	if err := l.Close(); err != nil {
-		slog.Debug("close segment of the decision log", "error", err) // the snapshot replaces it
+		slog.Debug("can't close a segment of the decision log", "error", err) // the snapshot replaces it
 	}
 	earlier, err := l.segmentNumbers()
 	if err != nil {
@@ -150,7 +153,7 @@
 	return l.deleteSegments(earlier)
 }
 
-// deleteSegments deletes segments other than the present one.
+// deleteSegments deletes segments, but never the open one.
 func (l *Log) deleteSegments(numbers []uint64) error {
 	for _, number := range numbers {
 		if number == l.number {
@@ -163,7 +166,7 @@
 	return nil
 }
 
-// write writes to the present segment.
+// write writes to the open segment and counts its size.
 func (l *Log) write(data []byte) error {
 	n, err := l.file.Write(data)
 	l.size += int64(n)
@@ -173,7 +176,7 @@
 	return nil
 }
 
-// Close closes the present segment, if there is one.
+// Close closes the open segment, if there is one.
 func (l *Log) Close() error {
 	if l.file == nil {
 		return nil
--- a/internal/decisionlog/decisionlog_test.go
+++ b/internal/decisionlog/decisionlog_test.go
@@ -12,10 +12,10 @@
 	"gingertally/internal/standby"
 )
 
-// testBytes is the size of the logs in tests.
+// testBytes is the maximum size of the logs in tests.
 const testBytes = 40_000
 
-// writer is a leader with a log to which its changes are written.
+// writer is a leader that writes its changes to a log.
 type writer struct {
 	t         *testing.T
 	rng       *rand.Rand
@@ -24,7 +24,8 @@
 	now       time.Time
 }
 
-// newWriter opens the log in a directory, and returns a new leader that writes it and what it held.
+// newWriter opens the log in a directory, and returns a new leader that writes to it, and what was
+// read from it.
 func newWriter(t *testing.T, directory string, seed uint64) (*writer, Recovered) {
 	t.Helper()
 	log, recovered, err := Open(directory, testBytes)
@@ -37,10 +38,10 @@
 	return w, recovered
 }
 
-// change makes n random changes and writes them to the log; it returns the first error.
+// change makes n random changes and writes them to the log. It returns the first error.
 func (w *writer) change(n int) error {
 	for range n {
-		// The key isn't valid text: a log with such keys once couldn't be read again.
+		// The key isn't valid UTF-8: the first version couldn't read a log with such keys.
 		e := standby.Entry{Key: fmt.Sprint("\xff\x80", w.rng.IntN(40))}
 		if w.rng.IntN(5) > 0 {
 			e.Value = fmt.Appendf(nil, "%0100d", w.rng.IntN(1000))
@@ -64,8 +65,8 @@
 	return nil
 }
 
-// size returns the size of all files in a directory, and their paths.
-func size(t *testing.T, directory string) (bytes int64, files []string) {
+// directorySize returns the total size of the files in a directory, and their paths.
+func directorySize(t *testing.T, directory string) (bytes int64, files []string) {
 	t.Helper()
 	entries, err := os.ReadDir(directory)
 	if err != nil {
@@ -82,8 +83,9 @@
 	return bytes, files
 }
 
-// A log that is opened again holds the leader's last state, however many segments were begun, and it
-// stays within its size: else a restart would begin without a copy, or the disk fill up.
+// A log that is opened again holds the leader's last state, however many segments were begun, and
+// never exceeds its maximum size. Otherwise a restarted controller would have no copy, or the disk
+// would fill up.
 func TestLogIsReadAgain(t *testing.T) {
 	for seed := range uint64(10) {
 		directory := t.TempDir()
@@ -91,7 +93,7 @@
 		if err := w.change(1200); err != nil {
 			t.Fatal(err)
 		}
-		if bytes, files := size(t, directory); bytes > testBytes || len(files) > segments {
+		if bytes, files := directorySize(t, directory); bytes > testBytes || len(files) > maxSegments {
 			t.Fatalf("%d bytes in %d files", bytes, len(files))
 		}
 		if w.log.number < 3 {
@@ -110,9 +112,9 @@
 	}
 }
 
-// A log that ends anywhere in a record, or has flipped bits, is read up to there, and what follows is
-// cut off, so that the log can be written and read again. A damaged record must neither be taken for
-// a change nor keep the controller from starting.
+// A log that ends in the middle of a record, or in which a bit is flipped, is read up to that record
+// and truncated there, after which it can be written and read again. A damaged record must neither be
+// applied nor prevent the controller from starting.
 func TestTornTail(t *testing.T) {
 	for seed := range uint64(60) {
 		directory := t.TempDir()
@@ -123,7 +125,7 @@
 		if err := w.log.Close(); err != nil {
 			t.Fatal(err)
 		}
-		_, files := size(t, directory)
+		_, files := directorySize(t, directory)
 		last := files[len(files)-1]
 		content, err := os.ReadFile(last)
 		if err != nil {
@@ -158,10 +160,10 @@
 	}
 }
 
-// failingFile is a file on a disk that has room for so many more bytes.
+// failingFile is a file whose disk is full after a number of bytes.
 type failingFile struct {
 	File
-	left int
+	left int // bytes that can still be written
 }
 
 var errFull = errors.New("no space left on device")
@@ -177,8 +179,8 @@
 	return f.File.Write(data)
 }
 
-// A full disk is an error, and the log can be read up to there: the controller goes on without the log,
-// and after a restart with what was written.
+// A full disk is reported as an error, upon which the controller continues without the log. What was
+// written before can be read after a restart.
 func TestFullDisk(t *testing.T) {
 	directory := t.TempDir()
 	w, _ := newWriter(t, directory, 1)
@@ -187,7 +189,7 @@
 		return &failingFile{File: file, left: 5000}, err
 	}
 	if err := w.change(300); !errors.Is(err, errFull) {
-		t.Fatalf("a full disk: %v", err)
+		t.Fatalf("writing to a full disk: %v", err)
 	}
 	if err := w.log.Close(); err != nil {
 		t.Fatal(err)
@@ -198,8 +200,8 @@
 	}
 }
 
-// Files that aren't segments of this format are left out, and a directory that doesn't exist is an
-// error: it is most likely a mistake in the settings.
+// Files that aren't segments of this format are ignored. A directory that doesn't exist is an error,
+// since it is most likely a mistake in the settings.
 func TestForeignFiles(t *testing.T) {
 	directory := t.TempDir()
 	for name, content := range map[string]string{
@@ -219,8 +221,8 @@
 	}
 }
 
-// A frame can't be appended before a segment was begun: it would be written without the snapshot that
-// it changes.
+// Append fails unless a segment has been begun. Otherwise a frame would be stored without the snapshot
+// that it changes, and couldn't be replayed.
 func TestAppendNeedsASegment(t *testing.T) {
 	log, _, err := Open(t.TempDir(), testBytes)
 	if err != nil {
--- a/internal/decisionlog/golden_test.go
+++ b/internal/decisionlog/golden_test.go
@@ -9,8 +9,9 @@
 	"gingertally/internal/standby"
 )
 
-// The form of a segment on disk, which a controller has to be able to read after an upgrade. Every
-// field of a frame is stored: one that is added to standby.Frame alone would be lost by a restart.
+// The format of a segment doesn't change, since a controller has to read its log after an upgrade.
+// Every field of a frame is stored: a field that was added to standby.Frame alone would be lost in a
+// restart.
 func TestSegmentGolden(t *testing.T) {
 	frame := goldentest.Filled[standby.Frame]()
 	frame.Entries = append(frame.Entries, standby.Entry{Key: "\xff\x80"})
@@ -22,6 +23,6 @@
 	lines.Check(t, "segment.txt")
 	read, size, err := readRecord(bytes.NewReader(written))
 	if err != nil || size != int64(len(written)) || !reflect.DeepEqual(read, frame) {
-		t.Errorf("read again it is %+v (%d bytes, %v), not %+v", read, size, err, frame)
+		t.Errorf("read back as %+v (%d bytes, %v), want %+v", read, size, err, frame)
 	}
 }
--- a/internal/decisionlog/record.go
+++ b/internal/decisionlog/record.go
@@ -10,29 +10,29 @@
 	"gingertally/internal/standby"
 )
 
-// A record is a header, which holds the length and the checksum of the payload as little-endian
-// numbers of four bytes each, and the payload, a storedFrame in CBOR.
+// A record consists of a header and a payload. The header holds the payload's length and checksum, each
+// as a little-endian uint32; the payload is a storedFrame in CBOR.
 const (
 	headerBytes = 8
-	// maxRecordBytes bounds a payload. A larger length is that of a damaged header.
+	// maxRecordBytes is the maximum length of a payload. A header with a larger length is damaged.
 	maxRecordBytes = 16 << 20
 )
 
-// checksumTable is that of the records' checksum, CRC-32C.
+// checksumTable is the CRC-32C table, with which records are checksummed.
 var checksumTable = crc32.MakeTable(crc32.Castagnoli)
 
-// errTorn says that a record is incomplete or damaged.
+// errTorn reports that there is no further record, or that it is incomplete or damaged.
 var errTorn = errors.New("torn record")
 
-// storedFrame is the form of a frame on disk. Its names are tags of their own, so that standby.Frame
-// can be renamed without a change of the form; the golden file of TestSegmentGolden holds it.
+// storedFrame is a frame as it is encoded on disk. Its tags fix the encoded names, so that fields of
+// standby.Frame can be renamed without changing the format; TestSegmentGolden checks the format.
 type storedFrame struct {
 	Kind     standby.FrameKind `cbor:"Kind"`
 	Term     uint64            `cbor:"Term"`
 	Sequence uint64            `cbor:"Sequence"`
 	Newest   uint64            `cbor:"Newest"`
-	// TextEntries is null. The first version wrote entries here whose keys were text, by which
-	// they couldn't be read again.
+	// TextEntries is always null. The first version of the format stored the entries here, with keys
+	// as CBOR text, and couldn't read them back because the keys aren't valid UTF-8.
 	TextEntries []codec.RawMessage `cbor:"Entries"`
 	Part        int                `cbor:"Part"`
 	Last        bool               `cbor:"Last"`
@@ -42,14 +42,14 @@
 	Entries     []storedEntry      `cbor:"Stored"`
 }
 
-// storedEntry is the form of an entry on disk. Its key is bytes, since it isn't valid text.
+// storedEntry is an entry as it is encoded on disk. The key is a byte string since it isn't valid UTF-8.
 type storedEntry struct {
 	_     struct{} `cbor:",toarray"`
 	Key   []byte
 	Value []byte
 }
 
-// encodeRecord returns the record of a frame.
+// encodeRecord returns a frame encoded as a record.
 func encodeRecord(frame standby.Frame) []byte {
 	stored := storedFrame{
 		Kind: frame.Kind, Term: frame.Term, Sequence: frame.Sequence, Newest: frame.Newest,
@@ -66,8 +66,9 @@
 	return append(record, payload...)
 }
 
-// readRecord reads the next record, and returns its frame and how many bytes it takes. The error is
-// errTorn if the record is incomplete or damaged, and at the end of the segment.
+// readRecord reads the next record, and returns its frame and the record's size in bytes. The error is
+// errTorn if the record is incomplete, damaged or of the first version, and also at the end of the
+// segment.
 func readRecord(reader io.Reader) (frame standby.Frame, size int64, err error) {
 	var header [headerBytes]byte
 	if _, err := io.ReadFull(reader, header[:]); err != nil {
@@ -88,7 +89,7 @@
 	return stored.frame(), headerBytes + int64(length), nil
 }
 
-// frame returns the frame that was stored.
+// frame converts a decoded frame to a standby.Frame.
 func (s *storedFrame) frame() standby.Frame {
 	frame := standby.Frame{
 		Kind: s.Kind, Term: s.Term, Sequence: s.Sequence, Newest: s.Newest,
--- a/internal/decisionlog/record_test.go
+++ b/internal/decisionlog/record_test.go
@@ -10,15 +10,16 @@
 	"gingertally/internal/codec"
 )
 
-// recordOf returns a record with a payload.
+// recordOf returns a record with a payload and the checksum of that payload.
 func recordOf(payload []byte) []byte {
 	record := binary.LittleEndian.AppendUint32(nil, uint32(len(payload)))
 	record = binary.LittleEndian.AppendUint32(record, crc32.Checksum(payload, checksumTable))
 	return append(record, payload...)
 }
 
-// A record that isn't one of this version's is torn, also if its checksum is right. Of a record of
-// the first version, whose entries stood elsewhere, everything but the entries would be read.
+// A record that this version can't decode counts as torn even if its checksum is right. The first
+// version stored the entries in another field; if its records were accepted, they would be read
+// without their entries.
 func TestUnreadableRecordIsTorn(t *testing.T) {
 	frame := map[string]any{"Kind": 2, "Term": 1, "Sequence": 1, "Entries": nil}
 	if _, _, err := readRecord(bytes.NewReader(recordOf(codec.MustMarshal(frame)))); err != nil {
--- a/internal/decisionlog/replay.go
+++ b/internal/decisionlog/replay.go
@@ -6,28 +6,28 @@
 	"os"
 )
 
-// magic is the beginning of each segment. A file that begins otherwise has another format, and counts
-// as damaged from its first byte.
+// magic is the first bytes of each segment. A file that begins differently has another format; it
+// counts as damaged from its first byte.
 const magic = "GTDLOG1\n"
 
-// replaySegment applies the records of a segment up to the first that can't be read, and cuts off the
-// rest of the file.
+// replaySegment applies the records of a segment up to the first that can't be read, and truncates the
+// file there.
 func (r *Recovered) replaySegment(path string) error {
 	intact, err := r.replayRecords(path)
 	if err != nil {
 		return err
 	}
-	return r.cutOff(path, intact)
+	return r.truncate(path, intact)
 }
 
-// replayRecords applies the records of a segment up to the first that can't be read, and returns how
-// many bytes these and the magic take.
+// replayRecords applies the records of a segment up to the first that can't be read. It returns the
+// size of the intact part, which is the magic and these records; 0 if the magic is wrong.
 func (r *Recovered) replayRecords(path string) (intact int64, err error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return 0, err
 	}
-	defer func() { _ = file.Close() }() // it is only read
+	defer func() { _ = file.Close() }() // nothing was written
 	reader := bufio.NewReader(file)
 	begin := make([]byte, len(magic))
 	if _, err := io.ReadFull(reader, begin); err != nil || string(begin) != magic {
@@ -45,8 +45,8 @@
 	}
 }
 
-// cutOff truncates a segment after its intact bytes.
-func (r *Recovered) cutOff(path string, intact int64) error {
+// truncate truncates a segment to its intact part, and counts the bytes that are lost.
+func (r *Recovered) truncate(path string, intact int64) error {
 	info, err := os.Stat(path)
 	if err != nil {
 		return err
