--- a/internal/jobstore/cache.go
+++ b/internal/jobstore/cache.go
@@ -7,33 +7,35 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// Bounds of the cache, in jobs. A map that is full is emptied: all in it can be read again.
+// Maximum numbers of jobs in the maps of the cache: maxCachedFinals in finals, maxCachedRefs in each
+// of the others. A map that is full is cleared, since all that it holds can be read again.
 const (
-	maxFinals   = 5_000
-	maxAccepted = 20_000
+	maxCachedFinals = 5_000
+	maxCachedRefs   = 20_000
 )
 
-// cache holds facts about jobs that have been read: such that never change, and such that
-// are relied on for a limited time. It is safe for concurrent use.
+// cache holds facts about jobs that were read from the store. Those in finals and validDependencies
+// never change; those in notCancelledAt are relied on for a limited time. It is safe for concurrent
+// use.
 type cache struct {
-	mu             sync.Mutex
-	finals         map[string]pipeline.Final // final entries, which never change
-	accepted       map[string]bool           // jobs that were accepted and aren't services
-	notCancelledAt map[string]time.Time      // when neither the job nor any of its dependencies was cancelled
+	mu                sync.Mutex
+	finals            map[string]pipeline.Final // final entries, which never change
+	validDependencies map[string]bool           // jobs that were accepted and aren't known to be services
+	notCancelledAt    map[string]time.Time      // when the job and its dependencies weren't cancelled
 }
 
 func newCache() *cache {
 	return &cache{
-		finals:         map[string]pipeline.Final{},
-		accepted:       map[string]bool{},
-		notCancelledAt: map[string]time.Time{},
+		finals:            map[string]pipeline.Final{},
+		validDependencies: map[string]bool{},
+		notCancelledAt:    map[string]time.Time{},
 	}
 }
 
 func (c *cache) noteFinal(ref string, final pipeline.Final) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.finals) >= maxFinals {
+	if len(c.finals) >= maxCachedFinals {
 		clear(c.finals)
 	}
 	c.finals[ref] = final
@@ -46,25 +48,25 @@
 	return final, known
 }
 
-func (c *cache) noteAccepted(ref string) {
+func (c *cache) noteValidDependency(ref string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.accepted) >= maxAccepted {
-		clear(c.accepted)
+	if len(c.validDependencies) >= maxCachedRefs {
+		clear(c.validDependencies)
 	}
-	c.accepted[ref] = true
+	c.validDependencies[ref] = true
 }
 
-func (c *cache) isAccepted(ref string) bool {
+func (c *cache) isValidDependency(ref string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.accepted[ref]
+	return c.validDependencies[ref]
 }
 
 func (c *cache) noteNotCancelled(ref string, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.notCancelledAt) >= maxAccepted {
+	if len(c.notCancelledAt) >= maxCachedRefs {
 		clear(c.notCancelledAt)
 	}
 	c.notCancelledAt[ref] = at
--- a/internal/jobstore/cancel.go
+++ b/internal/jobstore/cancel.go
@@ -14,23 +14,24 @@
 	"gingertally/internal/statestore"
 )
 
-// cancelTries is how often one cancellation is tried while the leader keeps writing the job's
-// record.
-const cancelTries = 4
+// maxCancelAttempts is the number of attempts of a cancellation that conflicts with the leader's
+// writes of the job's record.
+const maxCancelAttempts = 4
 
-// errRecordChanged says that the leader wrote the record after it was read.
+// errRecordChanged reports that the record was changed between being read and being written.
 var errRecordChanged = errors.New("record keeps changing")
 
-// Cancel cancels a job unless it is over, and returns the state that holds then. The record's
-// version decides between a cancellation and the leader's writes of the same record.
+// Cancel cancels a job and returns its state. A job that is over or cancelled already is left as
+// it is. The write is conditional on the record's version, so that of a cancellation and a write
+// of the same record by the leader only one succeeds.
 //
-// The guard is a condition by which no leader goes on answering users with an older state: it
-// holds while the caller's own term lasts (UnderTerm), or while nobody leads (docs/design.md,
-// "The bound of a cancellation"; TestCancelWithoutAnswer). If it fails, the error is
-// ErrNotLeader. On statestore.ErrUnknownOutcome the returned state has the version over which
-// the cancellation may have been written.
+// The guard is a further condition of the write. It ensures that no leader keeps answering users
+// with the state from before: it holds only during the caller's own term (UnderTerm), or only
+// while nobody leads (docs/design.md, "The bound of a cancellation"; TestCancelWithoutAnswer). If
+// it fails, the error wraps ErrNotLeader. On statestore.ErrUnknownOutcome, the returned state holds
+// the version of the record that the cancellation may have replaced.
 func (j *Jobs) Cancel(ctx context.Context, ref string, now time.Time, guard statestore.Compare) (State, error) {
-	for range cancelTries {
+	for range maxCancelAttempts {
 		state, err := j.Load(ctx, ref)
 		switch {
 		case err != nil:
@@ -54,8 +55,10 @@
 	return State{}, fmt.Errorf("cancel job %s: %w", ref, errRecordChanged)
 }
 
-// commitCancelled writes the record of a cancelled job over the version that was read, and
-// returns the new version.
+// commitCancelled writes the record of a cancelled job if the record still has the version that
+// was read, and returns the new version. The error is ErrNotLeader if the guard failed,
+// errRecordChanged if the version is another, and wraps statestore.ErrUnknownOutcome unless it is
+// certain that nothing was written.
 func (j *Jobs) commitCancelled(ctx context.Context, ref string, state State, guard statestore.Compare) (uint64, error) {
 	key := JobPrefix + ref
 	value, err := codec.Marshal(state.Record)
@@ -78,9 +81,9 @@
 	return 0, fmt.Errorf("%w: %w", statestore.ErrUnknownOutcome, err)
 }
 
-// cancelRecord turns a job's record into that of a cancelled job and removes what no longer
-// matters. A record from when values could be larger also loses its description, without
-// which it fits.
+// cancelRecord turns a job's record into that of a cancelled job, and removes what isn't needed
+// any more. If the record was written when the limit of a value was higher, it may now be too
+// large; it then also loses its class, image, zone and machine types, without which it fits.
 func (j *Jobs) cancelRecord(record *pipeline.Record, now time.Time) {
 	record.Phase, record.CancelledMS = pipeline.Cancelled, now.UnixMilli()
 	record.Done, record.Restarts, record.Dependencies = nil, nil, nil
@@ -89,7 +92,7 @@
 	}
 }
 
-// CancelEvent returns the event by which a leader's engine learns the outcome of Cancel.
+// CancelEvent returns the event that tells a leader's engine the outcome of Cancel.
 func CancelEvent(ref string, state State, err error) core.Event {
 	switch {
 	case err != nil:
@@ -100,7 +103,8 @@
 	return core.JobStored{Job: core.StoredJob{Record: state.Record, Version: state.Version}}
 }
 
-// UnderTerm returns the condition that a leader's term isn't over.
+// UnderTerm returns the condition that a leader's term isn't over. It fails once a newer term has
+// begun.
 func UnderTerm(term leadership.Term) statestore.Compare {
 	return statestore.Compare{Key: leadership.TermKey, ModRevision: term.Revision}
 }
--- a/internal/jobstore/decode.go
+++ b/internal/jobstore/decode.go
@@ -8,7 +8,8 @@
 	"gingertally/internal/statestore"
 )
 
-// decodeValue decodes the value of a key into a record. Its error wraps codec.ErrMalformed.
+// decodeValue decodes the value of a key into record, which is a pointer. Its error names the key
+// and wraps codec.ErrMalformed.
 func decodeValue(item statestore.KeyValue, record any) error {
 	if err := codec.Unmarshal(item.Value, record); err != nil {
 		return fmt.Errorf("decode %s: %w", item.Key, err)
@@ -16,7 +17,7 @@
 	return nil
 }
 
-// decodeAll decodes items in their order; the first that can't be decoded is the error.
+// decodeAll decodes items in their order. It returns the error of the first that can't be decoded.
 func decodeAll[T any](items []statestore.KeyValue, decode func(statestore.KeyValue) (T, error)) ([]T, error) {
 	var decoded []T
 	for _, item := range items {
@@ -29,8 +30,8 @@
 	return decoded, nil
 }
 
-// listAndDecode reads all keys with a prefix and decodes their values. The revision is the one
-// from which a watch of the prefix misses no change.
+// listAndDecode reads all keys with a prefix and decodes their values. A watch of the prefix that
+// starts from the returned revision misses no change.
 func listAndDecode[T any](
 	ctx context.Context, store Store, prefix string, decode func(statestore.KeyValue) (T, error),
 ) (records []T, revision uint64, err error) {
--- a/internal/jobstore/dependencies_test.go
+++ b/internal/jobstore/dependencies_test.go
@@ -19,9 +19,9 @@
 	return core.PutFinal{Ref: ref, Version: version, Final: pipeline.Final{Phase: pipeline.Cancelled}}
 }
 
-// A job may depend on jobs that were accepted, whatever became of them, and on nothing else.
-// If an accepted job's dependencies were checked again, a user who repeats a submission would
-// be refused once the rest of the store has moved on.
+// A job may depend on jobs that were accepted, whatever became of them, and on nothing else. A job
+// that was accepted is reported as existing even if its dependencies aren't valid: otherwise a
+// repeated submission could be rejected.
 func TestCheckDependencies(t *testing.T) {
 	store, jobs, term := setup(t)
 	for ref, shape := range map[string]pipeline.Shape{"j-2": pipeline.Array, "j-3": pipeline.Service} {
@@ -44,13 +44,13 @@
 		want         error
 	}{
 		{"none", "j-5", nil, nil},
-		{"an active and a finished job", "j-5", []string{"j-1", "j-2"}, nil},
+		{"an active job and one that is over", "j-5", []string{"j-1", "j-2"}, nil},
 		{"an unknown job", "j-5", []string{"j-1", "j-4"}, ErrBadDependency},
 		{"a service", "j-5", []string{"j-3"}, ErrBadDependency},
 		{"the job itself", "j-5", []string{"j-5"}, ErrBadDependency},
-		{"no reference", "j-5", []string{"nonsense"}, ErrBadDependency},
-		{"an unknown job, of an active job", "j-1", []string{"j-4"}, ErrExists},
-		{"the job itself, of a finished job", "j-2", []string{"j-2"}, ErrExists},
+		{"an invalid reference", "j-5", []string{"nonsense"}, ErrBadDependency},
+		{"an unknown job, for an existing active job", "j-1", []string{"j-4"}, ErrExists},
+		{"the job itself, for an existing job that is over", "j-2", []string{"j-2"}, ErrExists},
 		{"many", "j-5", many, nil},
 		{"many, one unknown", "j-5", append(many[:9:9], "j-4"), ErrBadDependency},
 		{"many, one a service", "j-5", append(many[:9:9], "j-3"), ErrBadDependency},
@@ -58,15 +58,15 @@
 		uncached := New(store, Limits{ValueBytes: 4000, TxnOps: 2})
 		err := uncached.CheckDependencies(t.Context(), c.ref, c.dependencies)
 		if !errors.Is(err, c.want) || c.want == nil && err != nil {
-			t.Errorf("%s: %s after %v: %v, want %v", c.name, c.ref, c.dependencies, err, c.want)
+			t.Errorf("%s: %s depending on %v: %v, want %v", c.name, c.ref, c.dependencies, err, c.want)
 		}
 	}
 }
 
-// A job with a cancelled job among its direct or indirect dependencies isn't reported as
-// waiting, even before the leader has cancelled it. The state service once failed for longer
-// than cancel_s right after a user was told of a cancellation; when it was back, controllers
-// reported the jobs that depended on the cancelled one as queued.
+// A job with a cancelled job among its direct or indirect dependencies isn't reported as waiting,
+// even before the leader has cancelled it. Once, the state service failed for longer than cancel_s
+// right after a user was told of a cancellation. When it was available again, controllers reported
+// the jobs that depended on the cancelled one as queued.
 func TestDependencyCancelled(t *testing.T) {
 	store, jobs, term := setup(t)
 	for i, dependencies := range [][]string{{"j-1"}, {"j-2"}, {"j-2", "j-3"}} {
@@ -90,7 +90,7 @@
 		return dependencyCancelled
 	}
 	if cancelled("j-1") || cancelled("j-2") || cancelled("j-4") {
-		t.Error("a dependency counts as cancelled, and no job is")
+		t.Error("a dependency counts as cancelled, but no job is")
 	}
 	state, err := jobs.Cancel(t.Context(), "j-1", time.Now(), nobodyLeads)
 	if err != nil {
@@ -99,11 +99,11 @@
 	checkCancelled := func() {
 		t.Helper()
 		if cancelled("j-1") || !cancelled("j-2") || !cancelled("j-3") || !cancelled("j-4") {
-			t.Error("the dependency on a cancelled job wasn't found")
+			t.Error("DependencyCancelled is wrong for a job after j-1 was cancelled")
 		}
 	}
 	if cancelled("j-4") {
-		t.Error("looked up again within NotCancelledFor")
+		t.Error("dependencies were read again within NotCancelledFor")
 	}
 	now = now.Add(10 * time.Second)
 	checkCancelled()
@@ -114,27 +114,27 @@
 	checkCancelled()
 }
 
-// failing is a store that carries out some transactions and then refuses all.
-type failing struct {
-	*memory
-	left int // transactions that are still carried out
+// failingStore is a store that becomes unavailable after some transactions.
+type failingStore struct {
+	*memoryStore
+	left int // number of transactions that are still carried out
 }
 
-func (f *failing) Commit(
+func (f *failingStore) Commit(
 	ctx context.Context, conditions []statestore.Compare, changes []statestore.Op,
 ) (uint64, error) {
 	if f.left--; f.left < 0 {
 		return 0, statestore.ErrUnavailable
 	}
-	return f.memory.Commit(ctx, conditions, changes)
+	return f.memoryStore.Commit(ctx, conditions, changes)
 }
 
-// A job counts as accepted only once all pages of its dependencies are stored, each within the
-// limit of a value, and a repeated submission goes on where the last one stopped. Otherwise a
-// job could start before jobs that it depends on, or a long list could never be submitted while
-// the store fails now and then.
+// A job counts as accepted only once all pages of its dependencies are stored, each within the limit
+// for a value, and a repeated submission continues where the previous one failed. Otherwise a job
+// could start before jobs that it depends on, or a job with a long list could never be submitted
+// while the store fails intermittently.
 func TestLongListIsTakenWholeOrNotAtAll(t *testing.T) {
-	store := &memory{items: map[string]statestore.KeyValue{}}
+	store := &memoryStore{items: map[string]statestore.KeyValue{}}
 	limits := Limits{ValueBytes: 1000, TxnOps: 2}
 	var refs []string
 	for i := range 4000 {
@@ -143,15 +143,15 @@
 	tries := 0
 	for err := error(statestore.ErrUnavailable); err != nil; tries++ {
 		if state, err := New(store, limits).Load(t.Context(), "j-9"); err != nil || state.Found {
-			t.Fatalf("half accepted: %+v, %v", state, err)
+			t.Fatalf("found before it was accepted: %+v, %v", state, err)
 		}
-		err = New(&failing{store, 7}, limits).Create(t.Context(), pipeline.Spec{Ref: "j-9", Tasks: 1}, refs, time.Now())
+		err = New(&failingStore{store, 7}, limits).Create(t.Context(), pipeline.Spec{Ref: "j-9", Tasks: 1}, refs, time.Now())
 		if err != nil && !errors.Is(err, statestore.ErrUnavailable) || tries > 10 {
-			t.Fatalf("try %d: %v", tries, err)
+			t.Fatalf("attempt %d: %v", tries, err)
 		}
 	}
 	if tries < 2 {
-		t.Fatal("the list fits one try: nothing was tested")
+		t.Fatal("the list was stored in a single attempt, so that nothing was tested")
 	}
 	for key, item := range store.items {
 		if size, err := codec.JSONSize(item.Value); err != nil || size > 1024 {
@@ -164,17 +164,17 @@
 	}
 }
 
-// The record of a job that is over, which a watch may bring late, can't be completed: the pages
-// of its dependencies are deleted. The error says so, and the job can be loaded instead. A
-// leader that retried the record itself would never have come to any later change.
+// A watch may deliver the record of a job that is over by now, whose pages of dependencies are
+// deleted. ReadJob reports this with an error of its own, upon which the job can be loaded instead. A
+// leader that kept retrying the record itself would never get to any later change.
 func TestLateRecordOfAJobThatIsOver(t *testing.T) {
 	store, jobs, term := setup(t)
-	low := New(store, Limits{ValueBytes: 700, TxnOps: 3})
+	lowLimit := New(store, Limits{ValueBytes: 700, TxnOps: 3})
 	refs := make([]string, 100)
 	for i := range refs {
 		refs[i] = fmt.Sprintf("j-%06d", i)
 	}
-	if err := low.Create(t.Context(), pipeline.Spec{Ref: "j-9", Tasks: 1}, refs, time.Now()); err != nil {
+	if err := lowLimit.Create(t.Context(), pipeline.Spec{Ref: "j-9", Tasks: 1}, refs, time.Now()); err != nil {
 		t.Fatal(err)
 	}
 	late := store.items["j/j-9"]
--- a/internal/jobstore/dependency_cancelled.go
+++ b/internal/jobstore/dependency_cancelled.go
@@ -8,15 +8,16 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// errCancelled says that a job, or one that it depends on, was cancelled.
+// errCancelled reports that a job, or one that it depends on, was cancelled.
 var errCancelled = errors.New("cancelled")
 
-// DependencyCancelled returns whether a job that the store holds as waiting has a cancelled
-// job among those that it depends on, directly or through others. The leader will cancel such
-// a job, too, but until it has written that, no user may be told that the job still waits.
+// DependencyCancelled reports whether a job that is stored as waiting for its dependencies has a
+// cancelled job among them, directly or indirectly. The leader will cancel such a job, too, but
+// users must not be told that the job still waits until the leader has written that.
 //
-// With an error, such as an expired ctx, the question is undecided; what was found out is
-// cached for the next call (docs/design.md, "Safety arguments" 15; TestDependencyCancelled).
+// If it returns an error, for example since ctx has expired, the answer isn't known. What was
+// found out by then is cached for the next call (docs/design.md, "Safety arguments" 15;
+// TestDependencyCancelled).
 func (j *Jobs) DependencyCancelled(ctx context.Context, state State, now time.Time) (bool, error) {
 	if state.Over || !state.Record.Held() {
 		return false, nil
@@ -28,8 +29,9 @@
 	return false, err
 }
 
-// confirmNoneCancelled makes sure that none of some jobs is cancelled, nor any that they
-// depend on, and returns the moment as of which this is known. Else the error is errCancelled.
+// confirmNoneCancelled checks that neither the given jobs nor any that they wait for are
+// cancelled; otherwise the error is errCancelled. It returns the time as of which this was true,
+// which is earlier than now if cached results were used.
 func (j *Jobs) confirmNoneCancelled(ctx context.Context, refs []string, now time.Time) (time.Time, error) {
 	asOf := now
 	for _, ref := range refs {
@@ -44,7 +46,7 @@
 	return asOf, nil
 }
 
-// confirmNotCancelled does the same for one job.
+// confirmNotCancelled does the same as confirmNoneCancelled for a single job.
 func (j *Jobs) confirmNotCancelled(ctx context.Context, ref string, now time.Time) (time.Time, error) {
 	if at, known := j.cache.notCancelled(ref); known && now.Sub(at) < j.limits.NotCancelledFor {
 		return at, nil
--- a/internal/jobstore/dependency_check.go
+++ b/internal/jobstore/dependency_check.go
@@ -12,14 +12,16 @@
 	"gingertally/internal/statestore"
 )
 
-// maxSingleLookups is up to how many dependencies are looked up one by one. For more of them
-// it takes fewer requests to list all unfinished jobs.
+// maxSingleLookups is the number of dependencies up to which each is looked up with requests of
+// its own. For more of them, listing all unfinished jobs takes fewer requests.
 const maxSingleLookups = 6
 
-// CheckDependencies makes sure that a job may depend on others: each was accepted, whatever
-// became of it since, and isn't a service. Else the error is ErrBadDependency, or ErrExists if
-// the job itself was accepted before, with the dependencies that it had then (docs/design.md,
-// "Safety arguments" 16; TestCheckDependencies).
+// CheckDependencies checks that a job that is submitted may have the given dependencies: each
+// must have been accepted, whatever became of it since, must not be a service, and must not be
+// the job itself. Otherwise the error is ErrBadDependency, or ErrExists if the job was accepted
+// before, with the dependencies that it had then (docs/design.md, "Safety arguments" 16;
+// TestCheckDependencies). A service that is over isn't rejected: its final entry doesn't hold its
+// shape.
 func (j *Jobs) CheckDependencies(ctx context.Context, ref string, dependencies []string) error {
 	err := j.checkAllAccepted(ctx, ref, dependencies)
 	if !errors.Is(err, ErrBadDependency) {
@@ -35,28 +37,29 @@
 	return err
 }
 
-// checkAllAccepted checks the dependencies of a job, and reads those that aren't cached.
+// checkAllAccepted checks the dependencies of a job, and reads from the store those that aren't
+// known to be valid from the cache. The error is ErrBadDependency if one isn't valid.
 func (j *Jobs) checkAllAccepted(ctx context.Context, ref string, dependencies []string) error {
 	unchecked := make([]string, 0, len(dependencies))
 	for _, dependency := range dependencies {
 		if dependency == ref || !pipeline.ValidRef(dependency) {
 			return ErrBadDependency
 		}
-		if !j.cache.isAccepted(dependency) {
+		if !j.cache.isValidDependency(dependency) {
 			unchecked = append(unchecked, dependency)
 		}
 	}
 	if len(unchecked) > maxSingleLookups {
 		return j.checkByList(ctx, unchecked)
 	}
-	group, ctx := errgroup.WithContext(ctx) // concurrently, since some answers take long
+	group, ctx := errgroup.WithContext(ctx) // concurrently, since some responses are slow
 	for _, dependency := range unchecked {
 		group.Go(func() error { return j.checkByLoad(ctx, dependency) })
 	}
 	return group.Wait()
 }
 
-// checkByLoad checks one dependency by reading it.
+// checkByLoad checks a single dependency by reading it from the store.
 func (j *Jobs) checkByLoad(ctx context.Context, ref string) error {
 	state, err := j.Load(ctx, ref)
 	switch {
@@ -65,12 +68,12 @@
 	case !state.Found || state.Record.Spec.Shape == pipeline.Service:
 		return ErrBadDependency
 	}
-	j.cache.noteAccepted(ref)
+	j.cache.noteValidDependency(ref)
 	return nil
 }
 
-// checkByList checks many dependencies: it lists all unfinished jobs, and looks for the final
-// entries of those that aren't among them.
+// checkByList checks many dependencies: it lists all unfinished jobs, and looks up the final
+// entries of the dependencies that aren't among them.
 func (j *Jobs) checkByList(ctx context.Context, refs []string) error {
 	items, _, err := j.store.List(ctx, JobPrefix)
 	if err != nil {
@@ -94,18 +97,18 @@
 		if record.Spec.Shape == pipeline.Service {
 			return ErrBadDependency
 		}
-		j.cache.noteAccepted(ref)
+		j.cache.noteValidDependency(ref)
 	}
 	return j.checkFinalEntries(ctx, notListed)
 }
 
-// conditionsPerOp is how many conditions a transaction may have for each change that it may
-// have, by the protocol.
+// conditionsPerOp is the ratio of the state service's limits of a transaction: it may have this
+// many conditions for each change that is allowed (Limits.TxnOps).
 const conditionsPerOp = 4
 
-// checkFinalEntries makes sure that all of some jobs have final entries. One transaction asks
-// about many of them: it changes nothing, and its conditions are that the entries don't exist,
-// so that the conditions which fail name those that do.
+// checkFinalEntries checks that each of the given jobs has a final entry. One transaction looks
+// up many of them: it changes nothing, and its conditions are that the entries don't exist. The
+// entries that exist are those whose conditions fail. The error is ErrBadDependency if one doesn't.
 func (j *Jobs) checkFinalEntries(ctx context.Context, refs []string) error {
 	maxConditions := conditionsPerOp * j.limits.TxnOps
 	for len(refs) > 0 {
@@ -124,7 +127,7 @@
 			return ErrBadDependency
 		}
 		for _, ref := range asked {
-			j.cache.noteAccepted(ref)
+			j.cache.noteValidDependency(ref)
 		}
 	}
 	return nil
--- a/internal/jobstore/dependency_pages.go
+++ b/internal/jobstore/dependency_pages.go
@@ -12,24 +12,26 @@
 	"gingertally/internal/statestore"
 )
 
-// listSumBytes is how many bytes of a hash name the pages of a list of dependencies.
+// listSumBytes is the number of bytes of a list's SHA-256 hash that are kept as its sum, which is
+// part of the keys of its pages.
 const listSumBytes = 8
 
-// MissingPagesError says that a job's record names more pages of dependencies than the store
-// holds, or fewer: the record is out of date, or a submission of the job is under way.
+// MissingPagesError reports that the store holds more or fewer pages of a job's dependencies than
+// the job's record says: the record is out of date, or a submission of the job is under way.
 type MissingPagesError struct {
 	Ref          string
-	Stored, Want int
+	Stored, Want int // numbers of pages: in the store, and according to the record
 }
 
 func (e *MissingPagesError) Error() string {
-	return fmt.Sprintf("read dependencies of job %s: %d pages are stored, not %d", e.Ref, e.Stored, e.Want)
+	return fmt.Sprintf("read dependencies of job %s: %d pages are stored, want %d", e.Ref, e.Stored, e.Want)
 }
 
 // putDependencies puts a job's dependencies into its record or, if that would make the record
-// too large, stores them on pages of their own. The pages are written before the record and
-// count only with it; a repeated submission skips those that are stored (docs/design.md,
-// "Safety arguments" 16; TestLongListIsTakenWholeOrNotAtAll).
+// too large, stores them on separate pages and puts their number and the list's sum into the
+// record. The pages are written before the record and have no effect without it. A repeated
+// submission skips the pages that are stored already (docs/design.md, "Safety arguments" 16;
+// TestLongListIsTakenWholeOrNotAtAll).
 func (j *Jobs) putDependencies(ctx context.Context, record *pipeline.Record, dependencies []string) error {
 	if len(dependencies) == 0 {
 		return nil
@@ -58,8 +60,8 @@
 	return nil
 }
 
-// splitPages splits a list into pages of at most valueBytes each. A single dependency always
-// fits.
+// splitPages splits a list into pages that take valueBytes each at the most. A page holds at least
+// one dependency, which always fits.
 func splitPages(dependencies []string, valueBytes int) [][]string {
 	var pages [][]string
 	for rest := dependencies; len(rest) > 0; {
@@ -72,7 +74,8 @@
 	return pages
 }
 
-// storedDependencyKeys returns the keys of those pages of a record's list that are stored.
+// storedDependencyKeys returns the set of keys of those pages of a record's list of dependencies
+// that are stored.
 func (j *Jobs) storedDependencyKeys(ctx context.Context, record *pipeline.Record) (map[string]bool, error) {
 	items, _, err := j.store.List(ctx, dependencyPagesPrefix(record.Spec.Ref, record.DependencyListSum))
 	if err != nil {
@@ -85,8 +88,9 @@
 	return stored, nil
 }
 
-// readDependencies completes the record of a job that waits: it reads the pages of its
-// dependencies if they aren't in the record itself.
+// readDependencies completes the record of a job that waits for its dependencies: if these are on
+// separate pages, it reads them into the record. The error is a *MissingPagesError if the number of
+// pages isn't the one in the record.
 func (j *Jobs) readDependencies(ctx context.Context, record *pipeline.Record) error {
 	if !record.Held() || record.DependencyPages == 0 {
 		return nil
--- a/internal/jobstore/drains.go
+++ b/internal/jobstore/drains.go
@@ -13,23 +13,25 @@
 	"gingertally/internal/statestore"
 )
 
-// Outcomes of operations on drain plans, which callers tell apart with errors.Is. Operators see
-// their texts.
+// Errors of operations on drain plans, which callers tell apart with errors.Is. Their texts are
+// shown to operators.
 var (
-	// ErrUnknownPlan says that no plan has this id.
+	// ErrUnknownPlan reports that no plan has this ID.
 	ErrUnknownPlan = errors.New("unknown drain plan")
-	// ErrOtherPlan says that a plan with this id exists and asks for something else.
+	// ErrOtherPlan reports that a plan with this ID exists and was requested with other parameters.
 	ErrOtherPlan = errors.New("another drain plan has this id")
-	// ErrPlanOver says that the plan's phase doesn't allow the change.
+	// ErrPlanOver reports that the plan's phase can't change to the requested one.
 	ErrPlanOver = errors.New("the drain plan can't do that any more")
-	// errPlanContended says that others kept changing the plan.
+	// errPlanContended reports that all attempts conflicted with other changes of the plan.
 	errPlanContended = errors.New("the drain plan changes all the time")
 )
 
-// planTries is how often one change of a plan is tried while others change it as well.
-const planTries = 5
+// maxPlanAttempts is the number of attempts of a change of a plan that conflicts with other
+// changes.
+const maxPlanAttempts = 5
 
-// Drains reads all that is stored about drains: plans, cordoned machines and charges.
+// Drains reads all that is stored about drains: plans, cordoned machines and charges to disruption
+// budgets.
 func (j *Jobs) Drains(ctx context.Context) (drain.Stored, error) {
 	var stored drain.Stored
 	var err error
@@ -55,19 +57,19 @@
 	return page, err
 }
 
-// DrainPlans reads all plans, and the revision from which to watch them.
+// DrainPlans reads all plans, and returns the revision from which a watch of them misses no change.
 func (j *Jobs) DrainPlans(ctx context.Context) ([]drain.StoredPlan, uint64, error) {
 	return listAndDecode(ctx, j.store, DrainPlanPrefix, DecodeDrainPlan)
 }
 
-// DecodeDrainPlan decodes a plan from its key and value.
+// DecodeDrainPlan decodes a stored plan. Its error names the key and wraps codec.ErrMalformed.
 func DecodeDrainPlan(item statestore.KeyValue) (drain.StoredPlan, error) {
 	stored := drain.StoredPlan{Version: item.ModRevision}
 	err := decodeValue(item, &stored.Plan)
 	return stored, err
 }
 
-// DrainPlan reads a plan. The error is ErrUnknownPlan if no plan has this id.
+// DrainPlan reads a plan. The error is ErrUnknownPlan if no plan has this ID.
 func (j *Jobs) DrainPlan(ctx context.Context, id string) (drain.StoredPlan, error) {
 	item, found, err := j.store.Get(ctx, DrainPlanPrefix+id)
 	switch {
@@ -79,8 +81,9 @@
 	return DecodeDrainPlan(item)
 }
 
-// CreateDrainPlan stores a new plan. A repeated request changes nothing and returns the plan as
-// it is now. The error is ErrOtherPlan if a plan with this id asks for something else.
+// CreateDrainPlan stores a new plan, which begins in the phase drain.Running. A repeated request
+// changes nothing and returns the stored plan. The error is ErrOtherPlan if the stored plan with
+// this ID was requested with other parameters, and wraps drain.ErrBadPlan if the plan is invalid.
 func (j *Jobs) CreateDrainPlan(ctx context.Context, plan drain.Plan, now time.Time) (drain.StoredPlan, error) {
 	if err := plan.Check(); err != nil {
 		return drain.StoredPlan{}, err
@@ -98,10 +101,10 @@
 	return stored, err
 }
 
-// ChangeDrainPlan moves a plan to another phase; a plan that is in it is left as it is. The error
-// is ErrPlanOver if the plan's phase doesn't allow that.
+// ChangeDrainPlan changes a plan's phase; a plan that is in that phase already is left as it is.
+// The error wraps ErrPlanOver if the present phase doesn't allow the change.
 func (j *Jobs) ChangeDrainPlan(ctx context.Context, id string, to drain.Phase) (drain.StoredPlan, error) {
-	for range planTries {
+	for range maxPlanAttempts {
 		stored, err := j.DrainPlan(ctx, id)
 		if err != nil || stored.Plan.Phase == to {
 			return stored, err
@@ -119,14 +122,15 @@
 	return drain.StoredPlan{}, errPlanContended
 }
 
-// WriteDrainPlan stores a change that the leader makes of a plan, under its term and over the
-// version that it knows.
+// WriteDrainPlan stores or deletes a plan for the leader. The write is conditional on the leader's
+// term and on the version of the plan that it knows.
 func (j *Jobs) WriteDrainPlan(ctx context.Context, term leadership.Term, w drain.PlanWrite) error {
 	_, err := j.putDrainPlan(ctx, []statestore.Compare{UnderTerm(term)}, w)
 	return err
 }
 
-// putDrainPlan stores or deletes a plan over a version of it, and returns the revision.
+// putDrainPlan stores or deletes a plan if it has the version w.Version and the given conditions
+// hold, and returns the revision of the transaction.
 func (j *Jobs) putDrainPlan(ctx context.Context, conditions []statestore.Compare, w drain.PlanWrite) (uint64, error) {
 	key := DrainPlanPrefix + w.Plan.ID
 	conditions = append(conditions, statestore.Compare{Key: key, ModRevision: w.Version})
--- a/internal/jobstore/drains_test.go
+++ b/internal/jobstore/drains_test.go
@@ -10,11 +10,11 @@
 	"gingertally/internal/drain"
 )
 
-// Pages of drains and the largest plan, with the longest numbers, fit the smallest value that any
-// deployment has, in the JSON form in which the state service counts. A page that doesn't fit is
-// rejected, and a new leader would forget its cordons or charges.
+// Pages of drains and the largest plan, with the longest numbers, fit the lowest limit for a value
+// that any deployment has, which the state service applies to the JSON form. A page that exceeds it
+// would be rejected, and a new leader wouldn't know of its cordons or charges.
 func TestDrainValuesFit(t *testing.T) {
-	const limit = 4000 // of 4 KiB, as the daemon sets it
+	const limit = 4000 // what the daemon uses of a limit of 4 KiB
 	now := time.Unix(1_800_000_000, 0)
 	pages := 0
 	newName := func() string { pages++; return fmt.Sprintf("1-%d", pages) }
@@ -48,7 +48,7 @@
 	}
 	for _, value := range append(values, plan) {
 		if size, err := codec.JSONSize(codec.MustMarshal(value)); err != nil || size > limit {
-			t.Errorf("%T takes %d bytes, want %d or less (%v)", value, size, limit, err)
+			t.Errorf("%T takes %d bytes, want at most %d (%v)", value, size, limit, err)
 		}
 	}
 }
--- a/internal/jobstore/encode.go
+++ b/internal/jobstore/encode.go
@@ -10,11 +10,11 @@
 	"gingertally/internal/statestore"
 )
 
-// encodedWrite is one of the leader's writes as a transaction of the store. It implements
-// core.WriteEncoder: each kind of write calls the method of its kind.
+// encodedWrite is one of the leader's writes, encoded as a transaction of the store. It implements
+// core.WriteEncoder: a write encodes itself by calling the method of its kind (core.Write.Encode).
 type encodedWrite struct {
 	transaction
-	pageKey string // the key of a page that is written over its version; empty for all other writes
+	pageKey string // key of the page on whose version the write is conditional; empty if there is none
 }
 
 // encode turns one of the leader's writes into a transaction.
@@ -63,8 +63,8 @@
 	return err
 }
 
-// PutImagePage implements core.WriteEncoder. It needs no version: only the leader writes these
-// pages, one transaction at a time, and they are no more than hints.
+// PutImagePage implements core.WriteEncoder. It isn't conditional on a version: only the leader
+// writes these pages, one transaction at a time, and they are merely hints.
 func (e *encodedWrite) PutImagePage(w core.PutImagePage) error {
 	return e.put(imagePrefix+w.Name, w.Record)
 }
@@ -95,26 +95,26 @@
 	return e.deletePage(cordonPrefix+w.Name, w.Version)
 }
 
-// putPage stores a page over a version of it, which PageVersion can then read again.
+// putPage stores a page if it has the given version; PageVersion can read its version anew.
 func (e *encodedWrite) putPage(key string, record any, version uint64) error {
 	e.pageKey = key
 	return e.putVersion(key, record, version)
 }
 
-// deletePage deletes a version of a page, which PageVersion can then read again.
+// deletePage deletes a page if it has the given version; PageVersion can read its version anew.
 func (e *encodedWrite) deletePage(key string, version uint64) error {
 	e.pageKey = key
 	e.deleteVersion(key, version)
 	return nil
 }
 
-// putVersion stores a record if the key has a version; 0 means that the key doesn't exist.
+// putVersion stores a record if the key has the given version; 0 means that it doesn't exist.
 func (e *encodedWrite) putVersion(key string, record any, version uint64) error {
 	e.conditions = append(e.conditions, statestore.Compare{Key: key, ModRevision: version})
 	return e.put(key, record)
 }
 
-// put stores a record, whatever the key holds.
+// put stores a record unconditionally.
 func (e *encodedWrite) put(key string, record any) error {
 	value, err := codec.Marshal(record)
 	if err != nil {
@@ -124,20 +124,22 @@
 	return nil
 }
 
-// deleteVersion deletes a key if it has a version; 0 means that it doesn't exist.
+// deleteVersion deletes a key if it has the given version; 0 means that it doesn't exist.
 func (e *encodedWrite) deleteVersion(key string, version uint64) {
 	e.conditions = append(e.conditions, statestore.Compare{Key: key, ModRevision: version})
 	e.delete(key)
 }
 
-// delete deletes a key, whatever it holds.
+// delete deletes a key unconditionally.
 func (e *encodedWrite) delete(key string) { e.changes = append(e.changes, statestore.Delete(key)) }
 
-// ErrNoPageVersion says that a write has no page, or that its page is written whatever its version.
-var ErrNoPageVersion = errors.New("the write doesn't depend on a page's version")
+// ErrNoPageVersion reports that a write isn't conditional on the version of a page: it is not of a
+// page, or is of a page that is written unconditionally.
+var ErrNoPageVersion = errors.New("the write isn't conditional on a page's version")
 
-// PageVersion reads the current version of the page that a write puts or deletes; 0 if the page
-// doesn't exist. The error is ErrNoPageVersion for a write that depends on no page's version.
+// PageVersion reads the current version of the page that a write puts or deletes; it is 0 if the
+// page doesn't exist. The error is ErrNoPageVersion if the write isn't conditional on the version of
+// a page.
 func (j *Jobs) PageVersion(ctx context.Context, write core.Write) (uint64, error) {
 	encoded, err := encode(write)
 	if err != nil {
--- a/internal/jobstore/golden_test.go
+++ b/internal/jobstore/golden_test.go
@@ -17,7 +17,7 @@
 	"gingertally/internal/goldentest"
 )
 
-// leaderWrites are writes of every kind that puts something, in which every field is set.
+// leaderWrites returns a write of every kind that puts a value, with every field of the value set.
 func leaderWrites() []core.Write {
 	return []core.Write{
 		core.PutStartLogPage{Name: "7-1", Record: goldentest.Filled[fleet.StartLogRecord]()},
@@ -30,7 +30,7 @@
 	}
 }
 
-// leaderDeletes are writes of every kind that deletes something.
+// leaderDeletes returns a write of every kind that only deletes a key.
 func leaderDeletes() []core.Write {
 	return []core.Write{
 		core.DeleteStartLogPage{Name: "7-1"},
@@ -42,8 +42,8 @@
 	}
 }
 
-// The keys and values of everything that the package writes. Another version, during an upgrade or
-// after its rollback, has to be able to read them.
+// The keys and encoded values of everything that the package writes don't change. Otherwise another
+// version couldn't read them during an upgrade or after a rollback.
 func TestStoredFormsGolden(t *testing.T) {
 	store, jobs, term := setup(t)
 	clear(store.items)
@@ -92,8 +92,8 @@
 	lines.Check(t, "stored.txt")
 }
 
-// Every stored record is encoded to the same bytes again once it has been decoded: a field that is
-// lost in between would be lost by each update of the record.
+// Every kind of stored value is encoded to the same bytes again after it was decoded. Otherwise each
+// update of a record would lose the fields that decoding leaves out.
 func TestStoredFormsRoundTrip(t *testing.T) {
 	for _, value := range []any{
 		goldentest.Filled[fleet.StartLogRecord](), goldentest.Filled[pipeline.Record](), goldentest.Filled[pipeline.Final](),
@@ -106,7 +106,7 @@
 			t.Errorf("%T: %v", value, err)
 		}
 		if again := codec.MustMarshal(read.Interface()); !bytes.Equal(again, encoded) {
-			t.Errorf("%T: read and written again it is %x, not %x", value, again, encoded)
+			t.Errorf("%T: encoded again as %x, want %x", value, again, encoded)
 		}
 	}
 }
--- a/internal/jobstore/limits_test.go
+++ b/internal/jobstore/limits_test.go
@@ -10,19 +10,21 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// Every value of a job fits the limit, whichever tasks are done and however long its texts, and a
-// task whose result didn't fit isn't taken for stored: its result would be lost.
+// Every value of a job fits the limit, whichever tasks are finished and however long its texts are.
+// A task that was left out to fit the limit doesn't count as stored; otherwise its result would be
+// lost in a takeover.
 func TestValuesFit(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 5))
 	for _, limit := range []int{1000, 2000, 4000} {
 		for range 40 {
-			checkValuesFit(t, raggedJob(t, rng), limit)
+			checkValuesFit(t, randomJob(t, rng), limit)
 		}
 	}
 }
 
-// raggedJob returns a job of which random tasks are done and random tasks were restarted.
-func raggedJob(t *testing.T, rng *rand.Rand) *pipeline.Job {
+// randomJob returns a job with random texts and numbers, of which random tasks are finished or have
+// failed up to two times.
+func randomJob(t *testing.T, rng *rand.Rand) *pipeline.Job {
 	t.Helper()
 	spec := pipeline.Spec{
 		Ref: "j-123456", Class: strings.Repeat("c\"", 1+rng.IntN(10)), Team: "tea<m", Image: "i",
@@ -44,7 +46,7 @@
 	return job
 }
 
-// checkValuesFit encodes a job within a limit, and decodes it again.
+// checkValuesFit encodes a job within a limit, decodes it, and compares which tasks are finished.
 func checkValuesFit(t *testing.T, job *pipeline.Job, limit int) {
 	t.Helper()
 	record := job.Record(limit)
@@ -58,7 +60,7 @@
 	job.MarkWriting(0, record.Done)
 	for _, value := range values {
 		if size, err := codec.JSONSize(codec.MustMarshal(value)); err != nil || size > limit {
-			t.Fatalf("limit %d: a value of %d bytes, %v", limit, size, err)
+			t.Fatalf("limit %d: a value takes %d bytes, %v", limit, size, err)
 		}
 	}
 	again, err := pipeline.NewJob(record, 2, chunks)
@@ -69,7 +71,7 @@
 		finished := job.Tasks[i].State() == pipeline.Finished
 		readAsFinished := again.Tasks[i].State() == pipeline.Finished
 		if finished && job.ResultStored(i) && !readAsFinished || readAsFinished && !finished {
-			t.Fatalf("limit %d: task %d of %d is stored %v, and taken for %v",
+			t.Fatalf("limit %d: task %d of %d: finished after decoding is %v, ResultStored is %v",
 				limit, i, job.Spec.Tasks, readAsFinished, job.ResultStored(i))
 		}
 	}
--- a/internal/jobstore/memory_test.go
+++ b/internal/jobstore/memory_test.go
@@ -13,18 +13,18 @@
 	"gingertally/internal/statestore"
 )
 
-// memory is a store that keeps its items in memory.
-type memory struct {
+// memoryStore is a store that keeps its items in memory.
+type memoryStore struct {
 	items map[string]statestore.KeyValue
 	rev   uint64
 }
 
-func (m *memory) Get(_ context.Context, key string) (statestore.KeyValue, bool, error) {
+func (m *memoryStore) Get(_ context.Context, key string) (statestore.KeyValue, bool, error) {
 	it, ok := m.items[key]
 	return it, ok, nil
 }
 
-func (m *memory) List(_ context.Context, prefix string) (out []statestore.KeyValue, rev uint64, err error) {
+func (m *memoryStore) List(_ context.Context, prefix string) (out []statestore.KeyValue, rev uint64, err error) {
 	for k, it := range m.items {
 		if strings.HasPrefix(k, prefix) {
 			out = append(out, it)
@@ -34,9 +34,9 @@
 	return out, m.rev, nil
 }
 
-func (m *memory) Commit(_ context.Context, conds []statestore.Compare, changes []statestore.Op) (uint64, error) {
+func (m *memoryStore) Commit(_ context.Context, conditions []statestore.Compare, changes []statestore.Op) (uint64, error) {
 	var failed []string
-	for _, c := range conds {
+	for _, c := range conditions {
 		if m.items[c.Key].ModRevision != c.ModRevision {
 			failed = append(failed, c.Key)
 		}
@@ -55,8 +55,8 @@
 	return m.rev, nil
 }
 
-// putTerm stores the number of a leader's term, by which that term begins and all earlier ones are over.
-func putTerm(t *testing.T, store *memory, number int) (revision uint64) {
+// putTerm stores the number of a leader's term, which begins that term and ends all earlier ones.
+func putTerm(t *testing.T, store *memoryStore, number int) (revision uint64) {
 	t.Helper()
 	op := statestore.Put(leadership.TermKey, codec.MustMarshal(number))
 	revision, err := store.Commit(t.Context(), nil, []statestore.Op{op})
@@ -66,10 +66,11 @@
 	return revision
 }
 
-// setup returns a store with a leader's term and one job, j-1, that has two tasks.
-func setup(t *testing.T) (*memory, *Jobs, leadership.Term) {
+// setup returns a store in which a leader's term has begun and which holds one job, j-1, with two
+// tasks.
+func setup(t *testing.T) (*memoryStore, *Jobs, leadership.Term) {
 	t.Helper()
-	store := &memory{items: map[string]statestore.KeyValue{}}
+	store := &memoryStore{items: map[string]statestore.KeyValue{}}
 	revision := putTerm(t, store, 1)
 	jobs := New(store, Limits{ValueBytes: 4000, TxnOps: 8})
 	if err := jobs.Create(t.Context(), pipeline.Spec{Ref: "j-1", Tasks: 2, Types: []string{}}, nil, time.Now()); err != nil {
--- a/internal/jobstore/records.go
+++ b/internal/jobstore/records.go
@@ -17,15 +17,15 @@
 	Found   bool // the job was accepted
 	Over    bool // the job has a final entry
 	Phase   pipeline.Phase
-	Done    int             // tasks that are done
-	Record  pipeline.Record // unless Over
-	Version uint64          // modification revision of Record
-	Final   pipeline.Final  // if Over
+	Done    int             // number of finished tasks, as far as Record or Final says (countRanges)
+	Record  pipeline.Record // the job's record, unless Over
+	Version uint64          // modification revision of Record's key
+	Final   pipeline.Final  // the job's final entry, if Over
 }
 
-// Create stores a new job. The caller has checked its dependencies (CheckDependencies). The
-// error is ErrExists if the job was accepted before, and ErrTooLarge if its record can't be
-// stored.
+// Create stores a new job. The caller must have checked its dependencies (CheckDependencies). The
+// error is ErrExists if the job was accepted before, and ErrTooLarge if its record exceeds the
+// limit for a value.
 func (j *Jobs) Create(ctx context.Context, spec pipeline.Spec, dependencies []string, now time.Time) error {
 	record := pipeline.Record{Spec: spec, SubmittedMS: now.UnixMilli()}
 	if record.Bytes() > j.limits.ValueBytes {
@@ -47,14 +47,14 @@
 		return ErrExists
 	}
 	if err == nil && spec.Shape != pipeline.Service {
-		j.cache.noteAccepted(spec.Ref) // the user's next job may depend on it
+		j.cache.noteValidDependency(spec.Ref) // the user's next job is likely to depend on it
 	}
 	return err
 }
 
-// existsOrTooLarge returns the error for a submission that is too large to be stored. The
-// job may have been accepted before, when values could be larger; a repeated submission is
-// then answered with ErrExists like any other.
+// existsOrTooLarge returns the error for a submission that is too large to be stored. This is
+// ErrExists if the job was accepted before, when the limit for a value was higher, as for any
+// repeated submission, and else ErrTooLarge.
 func (j *Jobs) existsOrTooLarge(ctx context.Context, ref string) error {
 	state, err := j.Load(ctx, ref)
 	switch {
@@ -66,9 +66,9 @@
 	return ErrTooLarge
 }
 
-// Load reads a job. It reads the record first and the final entry, which takes the record's
-// place, only if there is no record: a job that moves from one to the other in between is
-// found in either case.
+// Load reads a job. It reads the record first, and the final entry only if there is no record.
+// Since the final entry replaces the record, a job that becomes over between the two reads is
+// still found.
 func (j *Jobs) Load(ctx context.Context, ref string) (State, error) {
 	if final, ok := j.cache.final(ref); ok {
 		return finalState(final), nil
@@ -90,8 +90,9 @@
 	return state, err
 }
 
-// countRanges returns how many tasks the ranges of a record cover. Ranges are pairs: the
-// length of a gap, and the length of the run that follows it.
+// countRanges returns how many tasks are finished according to the done ranges of a record. These
+// are pairs of lengths: of a run of tasks that aren't finished, and of the run of finished tasks
+// that follows. A record covers only the first pipeline.ChunkTasks tasks of its job.
 func countRanges(ranges []int) int {
 	count := 0
 	for i := 1; i < len(ranges); i += 2 {
@@ -100,8 +101,8 @@
 	return count
 }
 
-// LoadFinished is Load for a job that is most likely over: it looks for the final entry
-// first, and saves the read of the record if there is one.
+// LoadFinished is Load for a job that is most likely over: it reads the final entry first, and the
+// record only if there is none.
 func (j *Jobs) LoadFinished(ctx context.Context, ref string) (State, error) {
 	if state, err := j.loadFinalEntry(ctx, ref); err != nil || state.Found {
 		return state, err
@@ -132,9 +133,9 @@
 	return state
 }
 
-// ReadJob decodes a job's record, and reads the pages of its dependencies if it has any. The
-// error is a *MissingPagesError if the job has moved on since item was read and its pages
-// were deleted; the caller then has to load the job again.
+// ReadJob decodes a job's record, and reads the pages of its dependencies if it has any. If the
+// job has changed since item was read, the pages may be deleted; the error is then a
+// *MissingPagesError, and the caller has to load the job again.
 func (j *Jobs) ReadJob(ctx context.Context, item statestore.KeyValue) (core.StoredJob, error) {
 	job := core.StoredJob{Version: item.ModRevision}
 	if err := decodeValue(item, &job.Record); err != nil {
--- a/internal/jobstore/records_test.go
+++ b/internal/jobstore/records_test.go
@@ -13,11 +13,11 @@
 	"gingertally/internal/statestore"
 )
 
-// A job whose record was written when values could be larger can still be cancelled, and a
-// repeated submission of it is still answered as known: a lower limit of the store must not make
-// accepted jobs unreachable.
+// A job whose record was written when the limit for a value was higher can still be cancelled, and
+// a repeated submission of it is still recognized. Lowering the limit must not make accepted jobs
+// unreachable.
 func TestLargeRecordsFromBefore(t *testing.T) {
-	store := &memory{items: map[string]statestore.KeyValue{}}
+	store := &memoryStore{items: map[string]statestore.KeyValue{}}
 	spec := pipeline.Spec{
 		Ref: "j-1", Class: strings.Repeat("c", 200), Team: "t", Image: strings.Repeat("i", 200), Tasks: 2000,
 	}
@@ -27,15 +27,15 @@
 	if err := New(store, Limits{ValueBytes: 4000, TxnOps: 8}).Create(t.Context(), spec, nil, time.Now()); err != nil {
 		t.Fatal(err)
 	}
-	low := New(store, Limits{ValueBytes: 1000, TxnOps: 2})
-	if err := low.Create(t.Context(), spec, nil, time.Now()); !errors.Is(err, ErrExists) {
-		t.Fatalf("submitted again: %v", err)
+	lowLimit := New(store, Limits{ValueBytes: 1000, TxnOps: 2})
+	if err := lowLimit.Create(t.Context(), spec, nil, time.Now()); !errors.Is(err, ErrExists) {
+		t.Fatalf("repeated submission under the lower limit: %v", err)
 	}
 	spec.Ref = "j-2"
-	if err := low.Create(t.Context(), spec, nil, time.Now()); !errors.Is(err, ErrTooLarge) {
-		t.Fatalf("submitted now: %v", err)
+	if err := lowLimit.Create(t.Context(), spec, nil, time.Now()); !errors.Is(err, ErrTooLarge) {
+		t.Fatalf("new submission under the lower limit: %v", err)
 	}
-	if _, err := low.Cancel(t.Context(), "j-1", time.Now(), nobodyLeads); err != nil {
+	if _, err := lowLimit.Cancel(t.Context(), "j-1", time.Now(), nobodyLeads); err != nil {
 		t.Fatal(err)
 	}
 	if size, err := codec.JSONSize(store.items["j/j-1"].Value); err != nil || size > 1000 {
@@ -43,8 +43,8 @@
 	}
 }
 
-// A reference belongs to the first job that was accepted under it, also once that is over. A
-// repeated submission that replaced the job would run it twice.
+// A reference belongs to the first job that was accepted with it, even once that job is over. If a
+// repeated submission replaced the job, it would run twice.
 func TestCreateOnce(t *testing.T) {
 	_, jobs, term := setup(t)
 	if err := jobs.Create(t.Context(), pipeline.Spec{Ref: "j-1", Tasks: 9}, nil, time.Now()); !errors.Is(err, ErrExists) {
@@ -55,7 +55,7 @@
 		t.Fatalf("%+v, %v", state, err)
 	}
 	if state.Record.Spec.Types == nil {
-		t.Fatal("a list of no types has become any type")
+		t.Fatal("an empty list of machine types was read as nil, which allows any type")
 	}
 	final := core.PutFinal{Ref: "j-1", Version: state.Version, Final: pipeline.Final{Phase: pipeline.Done, Tasks: 2}}
 	if _, err := jobs.Apply(t.Context(), term, []core.Write{final}); err != nil {
--- a/internal/jobstore/snapshot.go
+++ b/internal/jobstore/snapshot.go
@@ -12,8 +12,8 @@
 	"gingertally/internal/statestore"
 )
 
-// Snapshot reads all that a new leader's engine starts from, and the revision from which it
-// then watches the jobs.
+// Snapshot reads the records from which a new leader's engine starts, except those of drains (see
+// Drains). A watch of the jobs that starts from the returned revision misses no change.
 func (j *Jobs) Snapshot(ctx context.Context) (core.Snapshot, uint64, error) {
 	var snapshot core.Snapshot
 	items, revision, err := j.listAll(ctx)
@@ -32,18 +32,18 @@
 	return snapshot, revision, nil
 }
 
-// itemsByPrefix holds the items of a snapshot by the prefix of their keys.
+// itemsByPrefix holds the keys and values of a snapshot by the prefix of the keys.
 type itemsByPrefix map[string][]statestore.KeyValue
 
-// listAll lists the items of a snapshot. The jobs come first, and the revision is that of
-// their list: a watch from there on misses no change of a job.
+// listAll lists the items of a snapshot. It lists the jobs first and returns the revision of that
+// list, so that a watch of the jobs from there misses no change.
 func (j *Jobs) listAll(ctx context.Context) (itemsByPrefix, uint64, error) {
 	jobs, revision, err := j.store.List(ctx, JobPrefix)
 	if err != nil {
 		return nil, 0, err
 	}
 	items := itemsByPrefix{JobPrefix: jobs}
-	for _, prefix := range []string{chunkPrefix, pagePrefix, machinePrefix, imagePrefix} {
+	for _, prefix := range []string{chunkPrefix, startLogPrefix, machinePrefix, imagePrefix} {
 		if items[prefix], _, err = j.store.List(ctx, prefix); err != nil {
 			return nil, 0, err
 		}
@@ -51,7 +51,8 @@
 	return items, revision, nil
 }
 
-// decodeJobs decodes the jobs' records, and adds the chunks of done ranges to each.
+// decodeJobs decodes the jobs' records, reads their pages of dependencies, and adds the chunks of
+// done ranges that are stored separately.
 func (j *Jobs) decodeJobs(ctx context.Context, items itemsByPrefix) ([]core.StoredJob, error) {
 	chunks, err := decodeChunks(items[chunkPrefix])
 	if err != nil {
@@ -64,8 +65,8 @@
 	})
 }
 
-// decodeChunks decodes the done ranges that records have no room for, by job and by the number
-// of the chunk.
+// decodeChunks decodes the chunks of done ranges that records have no room for, and returns them by
+// job and number of the chunk.
 func decodeChunks(items []statestore.KeyValue) (map[string]map[int][]int, error) {
 	byJob := map[string]map[int][]int{}
 	for _, item := range items {
@@ -86,10 +87,10 @@
 	return byJob, nil
 }
 
-// decodeStartLog decodes the pages of the start log, and after them the records by machine of
-// earlier versions.
+// decodeStartLog decodes the pages of the start log, followed by the machine records of earlier
+// versions as pages.
 func decodeStartLog(items itemsByPrefix) ([]core.StoredPage, error) {
-	pages, err := decodeAll(items[pagePrefix], decodeStartLogPage)
+	pages, err := decodeAll(items[startLogPrefix], decodeStartLogPage)
 	if err != nil {
 		return nil, err
 	}
@@ -101,12 +102,12 @@
 }
 
 func decodeStartLogPage(item statestore.KeyValue) (core.StoredPage, error) {
-	page := core.StoredPage{Name: strings.TrimPrefix(item.Key, pagePrefix), Version: item.ModRevision}
+	page := core.StoredPage{Name: strings.TrimPrefix(item.Key, startLogPrefix), Version: item.ModRevision}
 	err := decodeValue(item, &page.Record)
 	return page, err
 }
 
-// machineRecord is what earlier versions stored of a machine in place of the start log.
+// machineRecord is what earlier versions stored for each machine instead of the start log.
 type machineRecord struct {
 	Type    string                `cbor:"ty"`
 	Zone    string                `cbor:"zo"`
@@ -114,8 +115,8 @@
 	Entries []fleet.StartLogEntry `cbor:"e"`
 }
 
-// decodeMachineRecord decodes the record of one machine as a page of the start log. The page's
-// name is the whole key, under which startLogKey finds it when the page is deleted.
+// decodeMachineRecord decodes the record of one machine into a page of the start log. The page's
+// name is the whole key, so that startLogKey returns that key when the page is deleted.
 func decodeMachineRecord(item statestore.KeyValue) (core.StoredPage, error) {
 	var record machineRecord
 	if err := decodeValue(item, &record); err != nil {
--- a/internal/jobstore/snapshot_test.go
+++ b/internal/jobstore/snapshot_test.go
@@ -15,11 +15,11 @@
 	"gingertally/internal/statestore"
 )
 
-// Records that the version in production wrote (production.go.txt says how they were made) are
-// read as they were meant, and records of jobs without dependencies are written to the byte as
-// that version writes them. Otherwise an upgrade or its rollback would lose jobs.
+// Records that were written by the version in production (production.go.txt is the program that
+// wrote them) are read correctly, and records of jobs without dependencies are written with the same
+// bytes as by that version. Otherwise an upgrade or a rollback would lose jobs.
 func TestRecordsOfTheVersionInProduction(t *testing.T) {
-	store := &memory{items: map[string]statestore.KeyValue{}}
+	store := &memoryStore{items: map[string]statestore.KeyValue{}}
 	for _, line := range productionLines(t) {
 		key, v, _ := strings.Cut(line, " ")
 		b, err := hex.DecodeString(v)
@@ -35,14 +35,14 @@
 	}
 	for _, stored := range snapshot.Jobs {
 		if stored.Record.Held() {
-			t.Errorf("%s waits", stored.Record.Spec.Ref)
+			t.Errorf("%s waits for dependencies", stored.Record.Spec.Ref)
 		}
 		job, err := pipeline.NewJob(stored.Record, stored.Version, stored.Chunks)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if back := codec.MustMarshal(job.Record(4000)); !slices.Equal(back, store.items["j/"+job.Ref].Value) {
-			t.Errorf("%s is written back as %x", job.Ref, back)
+			t.Errorf("the record of %s is written back as %x", job.Ref, back)
 		}
 	}
 	for ref, want := range map[string]pipeline.Phase{"j-000003": pipeline.Done, "j-000004": pipeline.Cancelled} {
@@ -51,11 +51,12 @@
 			t.Errorf("%s: %+v, %v", ref, state, err)
 		}
 		if back := codec.MustMarshal(state.Final); !slices.Equal(back, store.items["f/"+ref].Value) {
-			t.Errorf("%s is written as %x", ref, back)
+			t.Errorf("the final entry of %s is written back as %x", ref, back)
 		}
 	}
 }
 
+// productionLines returns the lines of production.txt, each a key and its value in hexadecimal.
 func productionLines(t *testing.T) []string {
 	t.Helper()
 	b, err := os.ReadFile("testdata/production.txt")
@@ -65,9 +66,9 @@
 	return strings.Split(strings.TrimSpace(string(b)), "\n")
 }
 
-// Records by machine, which earlier versions wrote, are read as pages of the start log and
-// deleted under their own keys. A new leader that overlooked them would start tasks a second
-// time that still run there.
+// Machine records, which earlier versions wrote, are read as pages of the start log and deleted under
+// their own keys. If a new leader overlooked them, it would start tasks a second time that still run
+// on these machines.
 func TestOldMachineRecords(t *testing.T) {
 	store, jobs, term := setup(t)
 	old := map[string]any{"ty": "g8", "zo": "a", "so": true, "ad": "x:1", "e": []any{[]any{"j-1", 3, 77}}}
@@ -110,8 +111,8 @@
 	}
 }
 
-// The image log is read as it was written, and its pages can be deleted: else pages would pile
-// up in the store, or tasks would be placed by wrong hints.
+// The image log is read as it was written, and its pages can be deleted. Otherwise tasks would be
+// placed by wrong hints, or pages would accumulate in the store.
 func TestImageLog(t *testing.T) {
 	_, jobs, term := setup(t)
 	record := fleet.RecordImages(map[string][]fleet.Image{
@@ -139,8 +140,8 @@
 	}
 }
 
-// A value that can't be decoded is an error that names its key. A leader that left the value out
-// would take a job or a machine for unknown.
+// A value that can't be decoded leads to an error that names its key. If the value were skipped, a
+// leader wouldn't know of a job or machine.
 func TestMalformedValueIsNamed(t *testing.T) {
 	snapshot := func(jobs *Jobs) error { _, _, err := jobs.Snapshot(t.Context()); return err }
 	drains := func(jobs *Jobs) error { _, err := jobs.Drains(t.Context()); return err }
@@ -155,7 +156,7 @@
 		{"j/j-1", load}, {"f/j-1", load},
 	} {
 		malformed := statestore.KeyValue{Key: c.key, Value: codec.MustMarshal("text"), ModRevision: 1}
-		store := &memory{items: map[string]statestore.KeyValue{c.key: malformed}}
+		store := &memoryStore{items: map[string]statestore.KeyValue{c.key: malformed}}
 		err := c.read(New(store, Limits{ValueBytes: 4000, TxnOps: 8}))
 		if !errors.Is(err, codec.ErrMalformed) || !strings.Contains(err.Error(), c.key) {
 			t.Errorf("%s: %v", c.key, err)
--- a/internal/jobstore/writes.go
+++ b/internal/jobstore/writes.go
@@ -11,11 +11,11 @@
 	"gingertally/internal/statestore"
 )
 
-// maxTxnBytes bounds the keys and values of a transaction. The state service's limit is 64 KiB
-// of the transaction's JSON form, which is somewhat larger than the CBOR that is counted here.
+// maxTxnBytes limits the total size of the keys and values of a transaction. The state service
+// allows 64 KiB for the transaction's JSON form, which is somewhat larger than the CBOR counted here.
 const maxTxnBytes = 40 << 10
 
-// transaction holds the conditions and changes of one commit.
+// transaction holds the conditions and changes of one Commit.
 type transaction struct {
 	conditions []statestore.Compare
 	changes    []statestore.Op
@@ -30,25 +30,25 @@
 	return size
 }
 
-// add appends another transaction to this one.
+// add appends the conditions and changes of another transaction to this one.
 func (t *transaction) add(other transaction) {
 	t.conditions = append(t.conditions, other.conditions...)
 	t.changes = append(t.changes, other.changes...)
 }
 
-// Applied is what a transaction of the leader's writes covered.
+// Applied says which of the leader's writes a transaction contained.
 type Applied struct {
-	Sent     []core.Write // the writes that were sent, the first ones of those that were given
-	Revision uint64       // of the transaction; 0 unless it was carried out
+	Sent     []core.Write // the writes that were sent, which are the first of those passed to Apply
+	Revision uint64       // revision of the transaction; 0 unless it is known to have been executed
 }
 
-// Apply carries out as many of the leader's writes as one transaction takes, in their order,
-// under the condition of the leader's term. The caller applies the others again. What was sent
-// is told also with an error.
+// Apply sends as many of the leader's writes as fit one transaction, in their order, on the
+// condition that the leader's term isn't over. The caller passes the others to another call.
+// Applied.Sent is also set if the transaction fails.
 //
-// If the term is over, the error is ErrDeposed and nothing was written (docs/design.md, "Safety
-// arguments" 2; TestDeposedLeaderCannotWrite). On statestore.ErrRejected the covered writes are
-// a single one, which can't ever be written.
+// If the term is over, the error wraps ErrDeposed and nothing was written (docs/design.md, "Safety
+// arguments" 2; TestDeposedLeaderCannotWrite). On statestore.ErrRejected, Sent holds a single write,
+// which the state service will never accept.
 func (j *Jobs) Apply(ctx context.Context, term leadership.Term, writes []core.Write) (Applied, error) {
 	txn, count, err := joinWrites(writes)
 	if err != nil {
@@ -56,13 +56,13 @@
 	}
 	revision, err := j.commitUnderTerm(ctx, term, txn)
 	if errors.Is(err, statestore.ErrRejected) && count > 1 {
-		return j.Apply(ctx, term, writes[:1]) // a write that is rejected mustn't hold up the others
+		return j.Apply(ctx, term, writes[:1]) // a rejected write must not block the others
 	}
 	return Applied{Sent: writes[:count], Revision: revision}, err
 }
 
-// joinWrites encodes as many writes as one transaction takes, one at least, and returns how
-// many these are.
+// joinWrites encodes as many of the first writes as fit maxTxnBytes, but at least one, into a single
+// transaction, and returns their number.
 func joinWrites(writes []core.Write) (txn transaction, count int, err error) {
 	size := 0
 	for _, write := range writes {
@@ -80,22 +80,22 @@
 	return txn, count, nil
 }
 
-// Put stores a value of the leader's own, whatever the key held before. The error is ErrDeposed
-// if the leader's term is over.
+// Put stores a value under a key that only the leader writes, on the sole condition that its term
+// isn't over; if it is, the error wraps ErrDeposed.
 func (j *Jobs) Put(ctx context.Context, term leadership.Term, key string, value []byte) error {
 	_, err := j.commitUnderTerm(ctx, term, transaction{changes: []statestore.Op{statestore.Put(key, value)}})
 	return err
 }
 
-// Delete deletes a key of the leader's own, whatever it held. The error is ErrDeposed if the
-// leader's term is over.
+// Delete deletes a key that only the leader writes, on the sole condition that its term isn't over;
+// if it is, the error wraps ErrDeposed.
 func (j *Jobs) Delete(ctx context.Context, term leadership.Term, key string) error {
 	_, err := j.commitUnderTerm(ctx, term, transaction{changes: []statestore.Op{statestore.Delete(key)}})
 	return err
 }
 
-// commitUnderTerm commits a transaction under the further condition that a leader's term isn't
-// over, and returns its revision. The error is ErrDeposed if that condition failed, and a
+// commitUnderTerm commits a transaction on the additional condition that the leader's term isn't
+// over, and returns its revision. The error wraps ErrDeposed if that condition failed, and a
 // *statestore.ConflictError if only others did.
 func (j *Jobs) commitUnderTerm(ctx context.Context, term leadership.Term, txn transaction) (uint64, error) {
 	conditions := append([]statestore.Compare{UnderTerm(term)}, txn.conditions...)
--- a/internal/jobstore/writes_test.go
+++ b/internal/jobstore/writes_test.go
@@ -16,8 +16,9 @@
 	"gingertally/internal/statestore"
 )
 
-// A write that the store rejects doesn't hold up the writes in the same batch: it is sent alone.
-// Otherwise one value that is too large would keep the leader from writing anything.
+// If the store rejects a batch, the first write is sent alone, so that a write that is always
+// rejected doesn't block the others. Otherwise one value that is too large would keep the leader from
+// writing anything.
 func TestRefusedWriteIsSentAlone(t *testing.T) {
 	store, jobs, term := setup(t)
 	rejecting := &rejectingStore{store}
@@ -31,8 +32,8 @@
 	}
 }
 
-// rejectingStore rejects all transactions that put one certain key.
-type rejectingStore struct{ *memory }
+// rejectingStore is a store that rejects all transactions that change the key i/bad.
+type rejectingStore struct{ *memoryStore }
 
 func (r *rejectingStore) Commit(
 	ctx context.Context, conditions []statestore.Compare, changes []statestore.Op,
@@ -42,11 +43,11 @@
 			return 0, statestore.ErrRejected
 		}
 	}
-	return r.memory.Commit(ctx, conditions, changes)
+	return r.memoryStore.Commit(ctx, conditions, changes)
 }
 
-// Nothing that a deposed leader writes is carried out, however late it arrives: it would undo
-// what its successor has written.
+// No write of a leader succeeds after its term is over, however late it arrives. Otherwise it would
+// overwrite what the successor has written.
 func TestDeposedLeaderCannotWrite(t *testing.T) {
 	store, jobs, term := setup(t)
 	state, _ := jobs.Load(t.Context(), "j-1")
@@ -70,8 +71,8 @@
 	}
 }
 
-// Apply covers as many writes as one transaction takes, and returns which: the rest would be
-// lost if it were taken for written.
+// Apply sends only as many writes as fit one transaction, and returns which. Otherwise the rest would
+// count as written and be lost.
 func TestApplyInParts(t *testing.T) {
 	_, jobs, term := setup(t)
 	var writes []core.Write
