--- a/internal/decisionlog/record.go
+++ b/internal/decisionlog/record.go
@@ -42,7 +42,8 @@
 	Entries     []storedEntry      `cbor:"Stored"`
 }
 
-// storedEntry is an entry as it is encoded on disk. The key is a byte string since it isn't valid UTF-8.
+// storedEntry is an entry as it is encoded on disk. The key is a byte string, since it isn't valid
+// UTF-8.
 type storedEntry struct {
 	_     struct{} `cbor:",toarray"`
 	Key   []byte
