--- a/internal/jobstore/cache.go
+++ b/internal/jobstore/cache.go
@@ -14,9 +14,9 @@
 	maxCachedRefs   = 20_000
 )
 
-// cache holds facts about jobs that were read from the store. Those in finals and validDependencies
-// never change; those in notCancelledAt are relied on for a limited time. It is safe for concurrent
-// use.
+// cache holds what is known about jobs from earlier reads and writes. Entries of finals and
+// validDependencies stay valid; those of notCancelledAt are relied on for a limited time. It is safe
+// for concurrent use.
 type cache struct {
 	mu                sync.Mutex
 	finals            map[string]pipeline.Final // final entries, which never change
--- a/internal/jobstore/cancel.go
+++ b/internal/jobstore/cancel.go
@@ -22,8 +22,8 @@
 var errRecordChanged = errors.New("record keeps changing")
 
 // Cancel cancels a job and returns its state. A job that is over or cancelled already is left as
-// it is. The write is conditional on the record's version, so that of a cancellation and a write
-// of the same record by the leader only one succeeds.
+// it is; for an unknown one the error is ErrUnknownJob. The write is conditional on the record's
+// version, so that of a cancellation and a write of the same record by the leader only one succeeds.
 //
 // The guard is a further condition of the write. It ensures that no leader keeps answering users
 // with the state from before: it holds only during the caller's own term (UnderTerm), or only
--- a/internal/jobstore/dependency_check.go
+++ b/internal/jobstore/dependency_check.go
@@ -16,9 +16,9 @@
 // its own. For more of them, listing all unfinished jobs takes fewer requests.
 const maxSingleLookups = 6
 
-// CheckDependencies checks that a job that is submitted may have the given dependencies: each
-// must have been accepted, whatever became of it since, must not be a service, and must not be
-// the job itself. Otherwise the error is ErrBadDependency, or ErrExists if the job was accepted
+// CheckDependencies checks that a submitted job may have the given dependencies: each must have
+// been accepted, whatever became of it since, and must be neither a service nor the job itself.
+// Otherwise the error is ErrBadDependency, or ErrExists if the job was accepted
 // before, with the dependencies that it had then (docs/design.md, "Safety arguments" 16;
 // TestCheckDependencies). A service that is over isn't rejected: its final entry doesn't hold its
 // shape.
@@ -108,7 +108,8 @@
 
 // checkFinalEntries checks that each of the given jobs has a final entry. One transaction looks
 // up many of them: it changes nothing, and its conditions are that the entries don't exist. The
-// entries that exist are those whose conditions fail. The error is ErrBadDependency if one doesn't.
+// entries that exist are those whose conditions fail. If one is missing, the error is
+// ErrBadDependency.
 func (j *Jobs) checkFinalEntries(ctx context.Context, refs []string) error {
 	maxConditions := conditionsPerOp * j.limits.TxnOps
 	for len(refs) > 0 {
--- a/internal/jobstore/records.go
+++ b/internal/jobstore/records.go
@@ -67,8 +67,7 @@
 }
 
 // Load reads a job. It reads the record first, and the final entry only if there is no record.
-// Since the final entry replaces the record, a job that becomes over between the two reads is
-// still found.
+// Since the final entry replaces the record, a job that ends between the two reads is still found.
 func (j *Jobs) Load(ctx context.Context, ref string) (State, error) {
 	if final, ok := j.cache.final(ref); ok {
 		return finalState(final), nil
