--- a/internal/jobstore/dependency_check.go
+++ b/internal/jobstore/dependency_check.go
@@ -18,10 +18,9 @@
 
 // CheckDependencies checks that a submitted job may have the given dependencies: each must have
 // been accepted, whatever became of it since, and must be neither a service nor the job itself.
-// Otherwise the error is ErrBadDependency, or ErrExists if the job was accepted
-// before, with the dependencies that it had then (docs/design.md, "Safety arguments" 16;
-// TestCheckDependencies). A service that is over isn't rejected: its final entry doesn't hold its
-// shape.
+// Otherwise the error is ErrBadDependency, or ErrExists if the job was accepted before, with the
+// dependencies that it had then (docs/design.md, "Safety arguments" 16; TestCheckDependencies). A
+// service that is over isn't rejected, since its final entry doesn't hold its shape.
 func (j *Jobs) CheckDependencies(ctx context.Context, ref string, dependencies []string) error {
 	err := j.checkAllAccepted(ctx, ref, dependencies)
 	if !errors.Is(err, ErrBadDependency) {
