--- a/internal/core/capacity/capacity.go
+++ b/internal/core/capacity/capacity.go
@@ -1,5 +1,6 @@
-// Package capacity plans which machines to request from the cloud. An offer is a pool whose
-// machines the cloud may let one have; requests and refusals are remembered by offer.
+// Package capacity plans which machines to request from the cloud. An offer is a pool
+// (machine type, zone, spot or not) from which the cloud may provide machines. Pending requests
+// and refusals are tracked per offer.
 package capacity
 
 import (
@@ -13,38 +14,40 @@
 	"gingertally/internal/core/placement"
 )
 
-// Demand is waiting work that no machine has room for.
+// Demand holds waiting tasks of a job that don't fit on the machines that take tasks now.
 type Demand struct {
 	Job   *pipeline.Job
 	Tasks int
-	Zones map[string]int // where tasks of the job may be already
+	Zones map[string]int // attempts of the job that may already be on machines, by zone
 }
 
-// Order asks for machines of an offer.
+// Order is a request to be made for machines of an offer.
 type Order struct {
 	Offer fleet.PoolKey
 	Count int
 }
 
-// Plan remembers which offers were refused of late, and which requests are under way.
+// Plan keeps the back-off of offers that were refused recently, and the requests in flight. Its
+// zero value is ready to use.
 type Plan struct {
 	backoffs  map[fleet.PoolKey]Backoff
-	requested map[fleet.PoolKey]int // machines, by offer
+	requested map[fleet.PoolKey]int // machines in requests in flight, by offer
 }
 
-// Backoff is how long an offer is left alone after refusals.
+// Backoff is the pause in requests for an offer after it was refused.
 type Backoff struct {
-	Until    time.Time
-	Refusals int // in a row
+	Until    time.Time // no request before this time
+	Refusals int       // consecutive refusals
 }
 
-// Backoff is how long an offer is left alone; false if it isn't.
+// Backoff returns the back-off of an offer; false if no refusal is remembered. The back-off may
+// have expired.
 func (p *Plan) Backoff(o fleet.PoolKey) (Backoff, bool) {
 	b, refused := p.backoffs[o]
 	return b, refused
 }
 
-// SetBackoff has an offer left alone, as another leader had found it refused.
+// SetBackoff sets the back-off of an offer, as taken over from the previous leader.
 func (p *Plan) SetBackoff(o fleet.PoolKey, b Backoff) {
 	if p.backoffs == nil {
 		p.backoffs = map[fleet.PoolKey]Backoff{}
@@ -52,25 +55,26 @@
 	p.backoffs[o] = b
 }
 
-// An offer is left alone for minBackoff after a refusal, for twice as long after each
-// further one, and for maxBackoff at the most.
+// The back-off after a first refusal is minBackoff. It doubles with each further consecutive
+// refusal, up to maxBackoff.
 const (
 	minBackoff   = 8 * time.Second
 	maxBackoff   = 64 * time.Second
 	maxDoublings = 4
 )
 
-// maxPerRequest is how many machines one request may name (PROTOCOL).
+// maxPerRequest is the most machines that one request may ask for (PROTOCOL).
 const maxPerRequest = 50
 
 // Answer is the outcome of a request for machines of an offer.
 type Answer struct {
 	Requested      int  // machines asked for
 	Created        int  // machines created
-	OutcomeUnknown bool // given up without an answer
+	OutcomeUnknown bool // the request was given up without an answer
 }
 
-// Answered takes in the outcome of a request.
+// Answered records the outcome of a request. If all machines were created, the offer's back-off
+// ends; if some weren't, it is extended. An unknown outcome leaves it as it is.
 func (p *Plan) Answered(now time.Time, o fleet.PoolKey, a Answer) {
 	p.requested[o] -= a.Requested
 	if p.requested[o] <= 0 {
@@ -84,7 +88,7 @@
 	}
 }
 
-// backOff leaves an offer alone for a while.
+// backOff counts a refusal of an offer and starts its next back-off.
 func (p *Plan) backOff(now time.Time, o fleet.PoolKey) {
 	if p.backoffs == nil {
 		p.backoffs = map[fleet.PoolKey]Backoff{}
@@ -95,7 +99,7 @@
 	p.backoffs[o] = b
 }
 
-// Requested notes a request that is under way.
+// Requested records that a request for machines of an offer was sent.
 func (p *Plan) Requested(o fleet.PoolKey, count int) {
 	if p.requested == nil {
 		p.requested = map[fleet.PoolKey]int{}
@@ -103,20 +107,21 @@
 	p.requested[o] += count
 }
 
-// requestedOffers lists the offers that are being asked for, in a fixed order: which of the
-// coming machines a demand is booked on decides what is left for the next demand.
+// requestedOffers lists the offers with requests in flight, in a fixed order. The order matters:
+// which of the requested machines a demand is booked on decides what is left for the next demand.
 func (p *Plan) requestedOffers() []fleet.PoolKey {
 	return slices.SortedFunc(maps.Keys(p.requested), fleet.PoolKey.Compare)
 }
 
-// available reports whether an offer may be asked for now.
+// available reports whether an offer may be requested now: it is neither in back-off nor has a
+// request in flight.
 func (p *Plan) available(now time.Time, o fleet.PoolKey) bool {
 	return !p.backoffs[o].Until.After(now) && p.requested[o] == 0
 }
 
-// Choose plans what to request for work that nothing has room for, after what the
-// machines counted as capacity, live and booting, will take of it. Reservations don't
-// count: the jobs that room is kept for are among the demand.
+// Choose returns the requests to make for the demand that is left after the free capacity of live
+// and booting machines, and machines in requests in flight, have been used up. Reservations are
+// ignored, since the jobs that hold them are part of the demand.
 func (p *Plan) Choose(
 	now time.Time, demand []Demand, freeCapacity *placement.FreeCapacity, c placement.Catalog,
 ) []Order {
@@ -140,31 +145,31 @@
 	return out
 }
 
-// planner is one plan in the making.
+// planner holds the state of one call of Choose.
 type planner struct {
 	plan         *Plan
 	now          time.Time
 	catalog      placement.Catalog
 	freeCapacity *placement.FreeCapacity
-	copies       map[*placement.Slot]*placement.Slot // of the slots with free capacity, with what is planned for them
-	extra        []*placement.Slot                   // of machines asked for, or about to be
+	copies       map[*placement.Slot]*placement.Slot // copies of freeCapacity's slots, with what is booked on them
+	extra        []*placement.Slot                   // slots of machines that are requested or in orders
 	orders       map[fleet.PoolKey]int
 }
 
-// addMachines counts on machines of an offer that are asked for, or about to be.
+// addMachines adds slots for n machines of an offer that are requested or in orders.
 func (g *planner) addMachines(t *placement.Type, o fleet.PoolKey, n int) {
 	for range n {
 		g.extra = append(g.extra, placement.NewPlannedSlot(t, o))
 	}
 }
 
-// eachSlot calls fn for each slot that may have room for a task of the job, until it
-// returns false.
+// eachSlot calls fn for each slot that may have room for a task of the job, existing machines
+// before requested ones, until fn returns false. Zone, if not empty, restricts the slots.
 func (g *planner) eachSlot(j *pipeline.Job, zone string, fn func(*placement.Slot) bool) {
 	more := true
 	g.freeCapacity.EachWithFreeCapacity(&j.Spec, zone, func(s *placement.Slot) bool {
 		if j.Avoids(g.now, s.Machine.Name) {
-			return true // it won't be placed there again
+			return true // the job won't be placed there for now
 		}
 		c := g.copies[s]
 		if c == nil {
@@ -184,7 +189,7 @@
 	}
 }
 
-// serve books a demand on what is there or coming, and orders machines for the rest.
+// serve books a demand on existing and requested machines, and orders machines for the rest.
 func (g *planner) serve(d Demand) {
 	zones := map[string]int{}
 	maps.Copy(zones, d.Zones)
@@ -207,8 +212,9 @@
 	}
 }
 
-// zoneFor picks the zone for a job that must stay in one: where its tasks are,
-// else where the least is missing of those where something can be had.
+// zoneFor picks the zone for a job that must stay in one zone: the zone of its tasks if it has any
+// on machines, else the zone where the fewest tasks lack room. A zone that lacks room and has no
+// available offer is left out. The result is empty if no zone remains.
 func (g *planner) zoneFor(d Demand, zones map[string]int) string {
 	names := map[string]bool{}
 	for z, n := range zones {
@@ -221,7 +227,7 @@
 			names[z] = true
 		}
 	}
-	best, least := "", math.MaxInt
+	best, leastMissing := "", math.MaxInt
 	for _, z := range slices.Sorted(maps.Keys(names)) {
 		left := d.Tasks
 		g.eachSlot(d.Job, z, func(s *placement.Slot) bool {
@@ -233,15 +239,15 @@
 				continue
 			}
 		}
-		if left < least {
-			best, least = z, left
+		if left < leastMissing {
+			best, leastMissing = z, left
 		}
 	}
 	return best
 }
 
-// book books tasks of a job on slots and returns how many are left. Zone, if not empty, is
-// where they have to be.
+// book books tasks of a job on slots and returns how many of left found no room. It counts the
+// booked tasks in zones. Zone, if not empty, is the zone that they have to be in.
 func (g *planner) book(j *pipeline.Job, left int, zones map[string]int, zone string) int {
 	g.eachSlot(j, zone, func(s *placement.Slot) bool {
 		for left > 0 && s.CapacityFor(&j.Spec) > 0 && placement.ZoneCapacity(j, s.Zone, zones) > 0 {
@@ -254,14 +260,15 @@
 	return left
 }
 
-// pricedOffer is an offer with its machine type.
+// pricedOffer is an offer with its machine type, which has the prices.
 type pricedOffer struct {
 	fleet.PoolKey
 	machine *placement.Type
 }
 
-// cheapest is the available offer with the least cost for each task of the job, nil if
-// there is none. Zone, if not empty, is where it has to be.
+// cheapest returns the available offer with the lowest hourly price per task of the job, nil if
+// there is none. The price of a machine is divided among the tasks that would run on it, left at
+// the most. Zone, if not empty, is the zone that the offer has to be in.
 func (g *planner) cheapest(j *pipeline.Job, left int, zones map[string]int, zone string) *pricedOffer {
 	var best *pricedOffer
 	lowest := math.Inf(1)
@@ -283,7 +290,8 @@
 	return best
 }
 
-// mayOrder reports whether one more machine of an offer may be ordered for a job.
+// mayOrder reports whether one more machine of an offer may be ordered for a job that its type
+// fits.
 func (g *planner) mayOrder(j *pipeline.Job, o fleet.PoolKey, zones map[string]int, zone string) bool {
 	if j.Zone != "" && j.Zone != o.Zone || zone != "" && zone != o.Zone {
 		return false
@@ -294,13 +302,13 @@
 	return placement.ZoneCapacity(j, o.Zone, zones) >= 1 && g.plan.available(g.now, o)
 }
 
-// Outlook is what may be expected for a job that finds no room.
+// Outlook says whether a job that finds no room may expect new machines.
 type Outlook struct {
-	Requested  bool // machines that it may use are being asked for
-	AllRefused bool // all offers that it may use have been refused of late
+	Requested  bool // a request for machines that it may use is in flight
+	AllRefused bool // all offers that it may use are in back-off after a refusal
 }
 
-// Outlook looks at the offers that a job may use.
+// Outlook returns the outlook for a job, from the state of the offers that it may use.
 func (p *Plan) Outlook(now time.Time, sp *pipeline.Spec, c placement.Catalog) Outlook {
 	out := Outlook{AllRefused: true}
 	for _, t := range c {
@@ -318,8 +326,7 @@
 	return out
 }
 
-// offersOf lists the offers of a machine type: in each of its zones an ordinary and a spot
-// one.
+// offersOf lists the offers of a machine type: in each of its zones an on-demand and a spot one.
 func offersOf(t *placement.Type) []fleet.PoolKey {
 	out := make([]fleet.PoolKey, 0, 2*len(t.Zones))
 	for _, z := range t.Zones {
--- a/internal/core/capacity/capacity_test.go
+++ b/internal/core/capacity/capacity_test.go
@@ -26,8 +26,9 @@
 
 var now = time.Unix(100, 0)
 
-// The cheapest offer is asked for, once; after a refusal it is left alone for a while and the next
-// one is asked for.
+// The cheapest offer is requested, and not again while the request is in flight. After a refusal
+// the next cheapest one is requested until the back-off is over. Guards against repeated requests
+// for the same demand, and against insisting on an offer that the cloud refuses.
 func TestChoosesTheCheapestOpenOffer(t *testing.T) {
 	var p Plan
 	j := job(t, pipeline.Spec{Tasks: 3, CPUs: 8, Spot: true})
@@ -37,7 +38,7 @@
 	}
 	p.Requested(o[0].Offer, 3)
 	if again := p.Choose(now, []Demand{{Job: j, Tasks: 3}}, &placement.FreeCapacity{}, types); len(again) != 0 {
-		t.Fatalf("asked again while asking: %v", again)
+		t.Fatalf("requested again while a request is in flight: %v", again)
 	}
 	p.Answered(now, o[0].Offer, Answer{Requested: 3})
 	other := fleet.PoolKey{Type: "cpu", Zone: "b", Spot: true}
@@ -47,12 +48,13 @@
 	}
 	later := now.Add(minBackoff + time.Second)
 	if o := p.Choose(later, []Demand{{Job: j, Tasks: 3}}, &placement.FreeCapacity{}, types); o[0].Offer.Zone != "a" {
-		t.Fatalf("after the pause: %v", o)
+		t.Fatalf("after the back-off: %v", o)
 	}
 }
 
-// A gang that must spread over zones isn't helped by more machines in one: the
-// plan once requested and released there without end.
+// A gang that must spread over zones gets machines in several zones, and one that must stay in a
+// zone gets them all in one. Guards against machines in a zone that can't take more of the gang's
+// tasks: the plan once requested and released such machines in an endless loop.
 func TestGangZones(t *testing.T) {
 	var p Plan
 	j := job(t, pipeline.Spec{Tasks: 4, CPUs: 8, Shape: pipeline.Gang, Spread: true})
@@ -72,7 +74,8 @@
 	}
 }
 
-// Room on a machine where the job failed is none: the plan once waited for it.
+// Free capacity on a machine that the job avoids after a failure doesn't count. Guards against a
+// job that never runs: the plan once counted on that capacity and requested no machine.
 func TestCapacityOfBadMachineIsNone(t *testing.T) {
 	m := fleet.NewMachine(now, "m-1", fleet.PoolKey{Type: "cpu", Zone: "a"})
 	m.Move(now, fleet.Live)
@@ -80,16 +83,16 @@
 	freeCapacity.Set(m, types["cpu"], false)
 	j := job(t, pipeline.Spec{Tasks: 1, CPUs: 8})
 	if o := new(Plan).Choose(now, []Demand{{Job: j, Tasks: 1}}, freeCapacity, types); len(o) != 0 {
-		t.Fatalf("requests machines although there is room: %v", o)
+		t.Fatalf("requests machines although one has room: %v", o)
 	}
 	j.AvoidUntil["m-1"] = now.Add(time.Minute)
 	if o := new(Plan).Choose(now, []Demand{{Job: j, Tasks: 1}}, freeCapacity, types); len(o) != 1 {
-		t.Fatalf("waits for room that it won't use: %v", o)
+		t.Fatalf("orders %v, want one: the only machine with room is avoided", o)
 	}
 }
 
-// The needs of several jobs go into one request for an offer, rather than the
-// second job's into a dearer offer.
+// The demands of several jobs are combined in one request for the cheapest offer. Guards against
+// requesting a more expensive offer for the second job.
 func TestDemandsShareAnOrder(t *testing.T) {
 	var d []Demand
 	for range 5 {
@@ -101,8 +104,8 @@
 	}
 }
 
-// Which of the machines being asked for a demand is booked on doesn't depend on chance:
-// equal plans make equal orders.
+// Plans with the same requests in flight and the same demand give the same orders. Guards against
+// booking demands on requested machines in the random order of a map.
 func TestEqualPlansMakeEqualOrders(t *testing.T) {
 	anywhere, onlyBig := job(t, pipeline.Spec{Tasks: 1, CPUs: 8}), job(t, pipeline.Spec{Tasks: 1, CPUs: 64, Spot: true})
 	demand := []Demand{{Job: anywhere, Tasks: 1}, {Job: onlyBig, Tasks: 1}}
--- a/internal/core/fleet/connectivity_test.go
+++ b/internal/core/fleet/connectivity_test.go
@@ -9,7 +9,8 @@
 
 func at(seconds int) time.Time { return start.Add(time.Duration(seconds) * time.Second) }
 
-// Heartbeats are ordered by fencing token, then incarnation, then sequence number.
+// Heartbeats are ordered by fencing token, then incarnation, then sequence number. Guards against
+// taking a late copy of a heartbeat for a newer one.
 func TestHeartbeatVersionOrder(t *testing.T) {
 	ordered := []HeartbeatVersion{{1, 1, 1}, {1, 1, 2}, {1, 2, 1}, {2, 1, 1}, {2, 1, 9}, {3, 7, 1}}
 	for i, a := range ordered {
@@ -21,7 +22,8 @@
 	}
 }
 
-// Only a higher fencing token under counts that haven't risen shows a restart.
+// A heartbeat shows a restart exactly if its fencing token is higher while incarnation and sequence
+// number haven't risen. Guards against missing a restart and against inferring one that wasn't.
 func TestHeartbeatVersionRestarted(t *testing.T) {
 	known := HeartbeatVersion{FencingToken: 4, Incarnation: 3, Sequence: 10}
 	for _, c := range []struct {
@@ -42,28 +44,30 @@
 	}
 }
 
-// Stale heartbeats show a restart only if they rise steadily, three at the least, for long
-// enough; a copy in between restarts the count.
+// Stale heartbeats show a restart only if at least three in a row have rising sequence numbers over
+// a minimum time; a duplicate in between restarts the count. Guards against taking late copies for
+// a restarted worker.
 func TestStaleHeartbeatsShowRestart(t *testing.T) {
 	var s StaleHeartbeats
 	note := func(second int, seq uint64) bool {
 		return s.NoteStale(at(second), &Heartbeat{Incarnation: 1, Sequence: seq}, 3*time.Second)
 	}
 	if note(0, 1) || note(3, 2) {
-		t.Fatal("restarted after two heartbeats")
+		t.Fatal("restart inferred from two heartbeats")
 	}
 	if note(4, 2) {
-		t.Fatal("restarted by a duplicate")
+		t.Fatal("restart inferred from a duplicate")
 	}
 	if note(5, 3) || note(6, 4) {
-		t.Fatal("restarted before the time is over")
+		t.Fatal("restart inferred before the minimum time has passed")
 	}
 	if !note(7, 5) {
-		t.Fatal("a restart isn't noticed")
+		t.Fatal("a restart wasn't detected")
 	}
 }
 
-// Answers in a row that aren't delivered are counted from the first one, until one is.
+// Consecutive undelivered answers are counted until one is delivered, and the lease is counted from
+// the last of them. Guards against a machine that stays unreachable after its answers arrive again.
 func TestOneWayLossCounts(t *testing.T) {
 	l := OneWayLoss{expecting: true}
 	l.NoteUndelivered(at(1))
--- a/internal/core/fleet/image_log.go
+++ b/internal/core/fleet/image_log.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// ImageRecord is one value of the image log: which images machines are believed
-// to have. It is a hint that saves fetches after a change of leader, and proves
-// nothing: it may be old, and losing it costs time only.
+// ImageRecord is one value of the image log: which images machines are believed to have. It is
+// only a hint that saves fetches after a change of leader: it may be outdated, and its loss costs
+// nothing but time.
 type ImageRecord struct {
-	Images   []ImageSize  `cbor:"i"`
-	Machines []ImagesHere `cbor:"m"`
+	Images   []ImageSize     `cbor:"i"`
+	Machines []MachineImages `cbor:"m"`
 }
 
 // ImageSize is an image with its size.
@@ -20,29 +20,30 @@
 	GB   float64
 }
 
-// ImagesHere is what one machine has, by place in the record's images, the most
+// MachineImages lists the images of one machine, as indexes into the record's Images, the most
 // recently used last.
-type ImagesHere struct {
+type MachineImages struct {
 	_       struct{} `cbor:",toarray"`
 	Machine string
 	Images  []int
 }
 
-// About what a machine, one of its images, and an image take of a record, in the
-// JSON form that the state service counts in.
+// Approximate sizes of the parts of a record in bytes, in the JSON form by which the state service
+// counts sizes: of a machine without its name, of one index of an image, and of an image without
+// its name.
 const (
-	hereBytes  = 20
-	indexBytes = 5
-	sizeBytes  = 40
+	recordMachineBytes = 20
+	recordIndexBytes   = 5
+	recordImageBytes   = 40
 )
 
-// RecordImages puts what is known of some machines into a record that takes no
-// more than so many bytes; machines beyond that are left out. Of the first machine
-// there is something in any case: its images that were used last.
-func RecordImages(has map[string][]Image, maxBytes int) ImageRecord {
+// RecordImages returns a record of the machines' images, in the order of the machines' names, that
+// takes no more than maxBytes, by estimate. Machines that don't fit are left out. The first machine
+// is always included, if need be only with as many of its most recently used images as fit.
+func RecordImages(byMachine map[string][]Image, maxBytes int) ImageRecord {
 	b := imageRecordBuilder{index: map[string]int{}}
-	for _, machine := range sortedNames(has) {
-		images := has[machine]
+	for _, machine := range sortedNames(byMachine) {
+		images := byMachine[machine]
 		first := len(b.record.Machines) == 0
 		for first && len(images) > 0 && b.bytesFor(machine, images) > maxBytes {
 			images = images[1:]
@@ -56,26 +57,27 @@
 	return b.record
 }
 
-// imageRecordBuilder puts together a record of the image log.
+// imageRecordBuilder builds a record of the image log.
 type imageRecordBuilder struct {
 	record ImageRecord
-	index  map[string]int // places of the record's images
-	bytes  int            // about what the record takes
+	index  map[string]int // indexes into record.Images by name
+	bytes  int            // estimated size of the record
 }
 
-// bytesFor is about what a machine with its images adds to the record.
+// bytesFor estimates how many bytes a machine with its images adds to the record.
 func (b *imageRecordBuilder) bytesFor(machine string, images []Image) int {
-	n := hereBytes + len(machine) + indexBytes*len(images)
+	n := recordMachineBytes + len(machine) + recordIndexBytes*len(images)
 	for _, i := range images {
 		if _, known := b.index[i.Name]; !known {
-			n += sizeBytes + len(i.Name)
+			n += recordImageBytes + len(i.Name)
 		}
 	}
 	return n
 }
 
+// add appends a machine with its images to the record.
 func (b *imageRecordBuilder) add(machine string, images []Image) {
-	here := ImagesHere{Machine: machine}
+	entry := MachineImages{Machine: machine}
 	for _, i := range images {
 		place, known := b.index[i.Name]
 		if !known {
@@ -83,14 +85,15 @@
 			b.index[i.Name] = place
 			b.record.Images = append(b.record.Images, ImageSize{Name: i.Name, GB: i.GB})
 		}
-		here.Images = append(here.Images, place)
+		entry.Images = append(entry.Images, place)
 	}
-	b.record.Machines = append(b.record.Machines, here)
+	b.record.Machines = append(b.record.Machines, entry)
 }
 
-func sortedNames(has map[string][]Image) []string { return slices.Sorted(maps.Keys(has)) }
+func sortedNames(byMachine map[string][]Image) []string { return slices.Sorted(maps.Keys(byMachine)) }
 
-// Each calls fn with what the record says of each machine.
+// Each calls fn for each machine in the record, with its images. Indexes without an image are
+// skipped.
 func (r *ImageRecord) Each(fn func(machine string, images []Image)) {
 	for _, h := range r.Machines {
 		var images []Image
--- a/internal/core/fleet/images.go
+++ b/internal/core/fleet/images.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Image is an image that a machine is believed to have.
+// Image is an image that a machine is believed to have, or to be fetching.
 type Image struct {
 	Name  string
 	GB    float64
-	Ready time.Time // when it is expected to be there
+	Ready time.Time // when the fetch is expected to be complete
 }
 
-// Images lists the images that the machine is believed to have, most recently used last.
+// Images lists the images that the machine is believed to have, the most recently used last.
 func (m *Machine) Images() []Image { return m.images }
 
-// SetImages takes over which images the machine is believed to have.
+// SetImages replaces the images that the machine is believed to have.
 func (m *Machine) SetImages(images []Image) { m.images = images }
 
-// FetchLeft is how long until an image is expected to be there; one that isn't
-// being fetched yet shares the rate with those that are, until the shorter of
-// the two is there.
+// FetchLeft estimates how long it takes until an image of the given size is on the machine. An
+// image that isn't being fetched yet shares the machine's rate (GB per second) with each fetch
+// under way, until the shorter of the two is complete.
 func (m *Machine) FetchLeft(now time.Time, name string, gb, rate float64) time.Duration {
 	if rate <= 0 {
 		return 0
@@ -37,8 +37,8 @@
 	return all
 }
 
-// UseImage notes that a task with an image was started; the cache keeps the
-// most recently used ones.
+// UseImage records that a task with an image was started, which makes the image the most recently
+// used one. Beyond cacheGB in all, the least recently used images are taken to be evicted.
 func (m *Machine) UseImage(now time.Time, name string, gb, cacheGB, rate float64) {
 	ready := now.Add(m.FetchLeft(now, name, gb, rate))
 	m.RemoveImage(name)
@@ -53,8 +53,8 @@
 	}
 }
 
-// ImageThere notes that a task past its fetch was seen, perhaps one that an
-// earlier leader started. It reports whether the image is news.
+// ImageThere records that the image is on the machine, since a task with it was seen past its
+// fetch; an earlier leader may have started that task. It returns true if the image wasn't listed.
 func (m *Machine) ImageThere(now time.Time, name string, gb float64) bool {
 	for i := range m.images {
 		if m.images[i].Name == name {
@@ -68,10 +68,10 @@
 	return true
 }
 
-// FetchGivenUp notes that a task which waited for an image is gone, in the given state: a
-// machine gives a fetch up that no task waits for any more. A task that was reported as
-// fetching shows that the image wasn't there. It reports whether the image was believed
-// there.
+// FetchGivenUp records that an attempt which may have waited for an image has ended in the state was.
+// If no other attempt on the machine waits for that image, the worker abandons the fetch, so the
+// image is removed if it can't be there yet: the attempt was reported as fetching it, or the fetch
+// isn't expected to be complete. It returns true if the image was removed.
 func (m *Machine) FetchGivenUp(now time.Time, name string, was AttemptState) bool {
 	for _, a := range m.attempts {
 		if a.Image == name && (a.state == Sent || a.state == Fetching) {
@@ -87,7 +87,7 @@
 	return false
 }
 
-// RemoveImage notes that an image isn't there after all.
+// RemoveImage removes an image from those that the machine is believed to have.
 func (m *Machine) RemoveImage(name string) {
 	m.images = slices.DeleteFunc(m.images, func(i Image) bool { return i.Name == name })
 }
--- a/internal/core/fleet/machine.go
+++ b/internal/core/fleet/machine.go
@@ -11,14 +11,14 @@
 
 // States of a machine.
 const (
-	Booting           MachineState = iota // requested or listed, never heard of
-	AwaitingHeartbeat                     // the records say that tasks may be on it; not heard under this term
+	Booting           MachineState = iota // requested, or listed by the cloud; no heartbeat yet
+	AwaitingHeartbeat                     // named by an earlier leader's records; no heartbeat in this term yet
 	Live                                  // sends heartbeats
 	Unresponsive                          // has stopped sending heartbeats
-	ScalingIn                             // its release is under way
+	ScalingIn                             // its release was requested from the cloud
 	Removed                               // proven gone
 
-	MachineStates = iota // how many there are
+	MachineStates = iota // number of states
 )
 
 var machineStateNames = [...]string{"booting", "unheard", "live", "silent", "releasing", "gone"}
@@ -26,51 +26,52 @@
 // String returns the state's name, as operators see it.
 func (s MachineState) String() string { return machineStateNames[s] }
 
-// Machine is what a leader knows of one machine. Its methods are the only places that change
-// it; each keeps together the facts that belong together. The engine decides when a change
-// is due, the machine how the change looks.
+// Machine holds what a leader knows of one machine. Only its methods change the unexported fields;
+// each method keeps the fields that belong together consistent. The engine decides when a change is
+// due, and Machine what the change consists of.
 type Machine struct {
 	Name    string
-	PoolKey // what distinguishes it from machines of other pools
+	PoolKey // the pool that it belongs to
 
 	heartbeats // heartbeats and their answers, see machine_heartbeats.go
-	lifecycle  // its state and what the cloud says of it
-	condition  // whether it takes starts, see machine_condition.go
+	lifecycle  // its state, and what the cloud says of it
+	condition  // whether it may be sent starts, see machine_condition.go
 
-	// OneWayLoss follows whether the answers to its heartbeats arrive.
+	// OneWayLoss detects whether the answers to its heartbeats get lost.
 	OneWayLoss OneWayLoss
-	// StaleHeartbeats follows the heartbeats that aren't newer than the newest one.
+	// StaleHeartbeats detects a restart of its worker by the heartbeats that aren't newer than the
+	// newest one.
 	StaleHeartbeats StaleHeartbeats
 
 	attempts       map[TaskID]*Attempt
 	images         []Image // most recently used last
-	used           Amount
-	serviceUsage   Amount // the part of used that replicas of services take
-	activeAttempts int
+	used           Amount  // resources of the attempts that haven't exited
+	serviceUsage   Amount  // the part of used that belongs to replicas of services
+	activeAttempts int     // attempts that haven't exited
 }
 
-// lifecycle is a machine's state with what bears on it from outside.
+// lifecycle holds a machine's state, and what the cloud says of the machine.
 type lifecycle struct {
 	state             MachineState
-	firstSeen         time.Time
+	firstSeen         time.Time // since when it has existed, as far as is known
 	idleSince         time.Time // since when it has been idle, if it is
 	listedAt          time.Time // when the cloud last listed it
-	listedRunning     bool      // the cloud's last list with it said that it is up
+	listedRunning     bool      // the cloud's last list with it said that it is running
 	existenceVerified bool      // listed by the cloud, requested from it, or heard under this term's fencing token
 	interruptionAt    time.Time // when the cloud takes it back; zero without a notice
-	failedScaleIns    int       // releases without a known outcome since the last one was asked for
+	failedScaleIns    int       // failed release requests since ScaleInRequested
 }
 
-// NewMachine makes a machine that may still be booting. The start log doesn't name it, so it
-// never held a task of an earlier term, and this term may use it as soon as it is heard of.
+// NewMachine returns a machine that may still be booting. The start log doesn't name it, so it
+// never held a task of an earlier term, and this term may use it from its first heartbeat on.
 func NewMachine(now time.Time, name string, k PoolKey) *Machine {
 	m := newMachine(now, name, k, Booting)
 	m.termConfirmed = true
 	return m
 }
 
-// NewInheritedMachine makes a machine that an earlier leader's records name. Until a heartbeat
-// tells more it counts as if its worker's lease had been renewed just now.
+// NewInheritedMachine returns a machine that an earlier leader's records name. Until its first
+// heartbeat in this term, its worker's lease counts as renewed at the given time.
 func NewInheritedMachine(now time.Time, name string, k PoolKey) *Machine {
 	m := newMachine(now, name, k, AwaitingHeartbeat)
 	m.lastHeartbeat, m.leaseRenewedAt = now, now
@@ -88,9 +89,9 @@
 // State returns the machine's state.
 func (m *Machine) State() MachineState { return m.state }
 
-// Move is the one place where a machine changes state; Removed is final. It returns false if
-// nothing changes. Whatever the new state is, a heartbeat is no longer expected on the word of
-// the warm state, and a machine that could not be used before is idle only from now on.
+// Move changes the machine's state; no other method does. It returns false if nothing changes.
+// Removed is final. Any change ends the expectation of a heartbeat, see ExpectHeartbeat. A machine
+// that becomes live after it booted or was unresponsive counts as idle only from now on.
 func (m *Machine) Move(now time.Time, to MachineState) bool {
 	if m.state == to || m.state == Removed {
 		return false
@@ -103,17 +104,17 @@
 	return true
 }
 
-// FirstSeen is since when the machine has existed, as far as is known.
+// FirstSeen returns since when the machine has existed, as far as is known.
 func (m *Machine) FirstSeen() time.Time { return m.firstSeen }
 
-// SetAge takes over how long the machine has existed according to the cloud.
+// SetAge sets how long the machine has existed, as the cloud reports it.
 func (m *Machine) SetAge(now time.Time, age time.Duration) { m.firstSeen = now.Add(-age) }
 
-// IdleSince is since when the machine has been idle, if it is.
+// IdleSince returns since when the machine has been idle, if it is.
 func (m *Machine) IdleSince() time.Time { return m.idleSince }
 
-// Listed takes in that the cloud lists the machine. It reports whether its existence had not
-// been verified before.
+// Listed records that the cloud lists the machine, and whether as running. It returns true if that
+// verifies the machine's existence for the first time.
 func (m *Machine) Listed(now time.Time, addr string, running bool) (newlyVerified bool) {
 	m.listedAt, m.listedRunning = now, running
 	if m.addr == "" {
@@ -122,14 +123,14 @@
 	return m.VerifyExistence()
 }
 
-// ListedAt is when the cloud last listed the machine; zero if it never has.
+// ListedAt returns when the cloud last listed the machine; zero if it never has.
 func (m *Machine) ListedAt() time.Time { return m.listedAt }
 
-// ListedRunning reports whether the cloud's last list with the machine said that it is up.
+// ListedRunning reports whether the cloud's last list with the machine said that it is running.
 func (m *Machine) ListedRunning() bool { return m.listedRunning }
 
-// VerifyExistence notes that more than an old copy of a record names the machine. It reports
-// whether that is news.
+// VerifyExistence records evidence of the machine's existence other than a record that may be
+// outdated. It returns true if the existence wasn't verified before.
 func (m *Machine) VerifyExistence() bool {
 	if m.existenceVerified {
 		return false
@@ -141,8 +142,8 @@
 // ExistenceVerified reports whether the machine is known to exist, see VerifyExistence.
 func (m *Machine) ExistenceVerified() bool { return m.existenceVerified }
 
-// AnnounceInterruption takes in when the cloud will take the machine back. It reports whether
-// this is the first notice.
+// AnnounceInterruption records when the cloud will take the machine back. It reports whether this
+// is the first notice.
 func (m *Machine) AnnounceInterruption(at time.Time) (first bool) {
 	first = m.interruptionAt.IsZero()
 	m.interruptionAt = at
@@ -152,25 +153,24 @@
 // InterruptionAnnounced reports whether the cloud will take the machine back.
 func (m *Machine) InterruptionAnnounced() bool { return !m.interruptionAt.IsZero() }
 
-// Used returns what all that may be on the machine takes of it. Exited tasks
-// take nothing.
+// Used returns the resources of all attempts that may be on the machine and haven't exited.
 func (m *Machine) Used() Amount { return m.used }
 
-// ServiceUsage returns what replicas of services take of the machine.
+// ServiceUsage returns the part of Used that belongs to replicas of services.
 func (m *Machine) ServiceUsage() Amount { return m.serviceUsage }
 
-// ActiveAttempts counts the attempts that may be on the machine.
+// ActiveAttempts returns how many attempts may be on the machine and haven't exited.
 func (m *Machine) ActiveAttempts() int { return m.activeAttempts }
 
 // Attempt returns the attempt of a task that is on the machine, perhaps exited; nil if there
 // is none.
 func (m *Machine) Attempt(id TaskID) *Attempt { return m.attempts[id] }
 
-// Empty reports whether nothing at all is on the machine, not even an exited attempt that its
-// worker still lists.
+// Empty reports whether no attempt is on the machine, not even an exited one that its worker still
+// lists.
 func (m *Machine) Empty() bool { return len(m.attempts) == 0 }
 
-// Attempts goes through all attempts on the machine, in no particular order.
+// Attempts iterates over all attempts on the machine, exited ones too, in no particular order.
 func (m *Machine) Attempts() iter.Seq[*Attempt] {
 	return func(yield func(*Attempt) bool) {
 		for _, a := range m.attempts {
@@ -181,7 +181,7 @@
 	}
 }
 
-// SortedAttempts lists all attempts on the machine by job and task.
+// SortedAttempts lists all attempts on the machine, exited ones too, sorted by job and task.
 func (m *Machine) SortedAttempts() []*Attempt {
 	out := make([]*Attempt, 0, len(m.attempts))
 	for _, a := range m.attempts {
@@ -191,7 +191,8 @@
 	return out
 }
 
-// HasUnrecorded reports whether something runs on the machine that no record names.
+// HasUnrecorded reports whether an attempt that should not run there, see Attempt.Unrecorded, may
+// still be on the machine.
 func (m *Machine) HasUnrecorded() bool {
 	for _, a := range m.attempts {
 		if a.Unrecorded && a.state != Exited {
@@ -201,7 +202,8 @@
 	return false
 }
 
-// HasUnstoredResults reports whether results on the machine are not yet written.
+// HasUnstoredResults reports whether an attempt on the machine has exited and its exit hasn't been
+// processed yet, so that a result may not be stored yet.
 func (m *Machine) HasUnstoredResults() bool {
 	for _, a := range m.attempts {
 		if a.state == Exited && !a.ExitHandled {
@@ -211,7 +213,7 @@
 	return false
 }
 
-// AddAttempt notes an attempt that is, or may be, on the machine.
+// AddAttempt adds an attempt that is, or may be, on the machine, in the given state.
 func (m *Machine) AddAttempt(now time.Time, a *Attempt, st AttemptState) {
 	a.Machine, a.state, a.StateSince = m, st, now
 	if st == Running {
@@ -227,7 +229,7 @@
 	}
 }
 
-// MoveAttempt takes an attempt to another state; it returns false if nothing changes.
+// MoveAttempt changes the state of an attempt on the machine. It returns false if nothing changes.
 func (m *Machine) MoveAttempt(now time.Time, a *Attempt, to AttemptState) bool {
 	if !a.move(now, to) {
 		return false
@@ -239,13 +241,14 @@
 			m.serviceUsage = m.serviceUsage.Minus(a)
 		}
 		if m.activeAttempts == 0 {
-			m.used, m.serviceUsage = Amount{}, Amount{} // no rounding is carried on
+			m.used, m.serviceUsage = Amount{}, Amount{} // discards accumulated rounding errors
 		}
 	}
 	return true
 }
 
-// RemoveAttempt removes an attempt that is proven gone, or forgotten by its worker.
+// RemoveAttempt removes an attempt that is proven gone or was forgotten by its worker. With the last
+// one the machine becomes idle.
 func (m *Machine) RemoveAttempt(now time.Time, id TaskID) {
 	delete(m.attempts, id)
 	if len(m.attempts) == 0 {
--- a/internal/core/fleet/machine_condition.go
+++ b/internal/core/fleet/machine_condition.go
@@ -6,18 +6,17 @@
 	"time"
 )
 
-// StartBlock is why a machine may not be sent starts.
+// StartBlock is the reason why a machine may not be sent starts.
 type StartBlock uint8
 
-// Reasons for which a machine may not be sent starts, the strongest first among those that
-// withdraw it from placement.
+// Reasons why a machine may not be sent starts. If several apply, StartBlock returns the first one.
 const (
 	NotBlocked             StartBlock = iota
-	BlockedDraining                   // it is being emptied, to be released
-	BlockedQuarantined                // too much has failed on it
-	BlockedCordoned                   // operators asked for it
-	BlockedUnreachable                // answers to its heartbeats don't arrive
-	BlockedNotLive                    // it doesn't send heartbeats, or not yet
+	BlockedDraining                   // it is being emptied before its release
+	BlockedQuarantined                // too many attempts have failed on it
+	BlockedCordoned                   // operators have cordoned it
+	BlockedUnreachable                // the answers to its heartbeats get lost
+	BlockedNotLive                    // it sends no heartbeats, or not yet
 	BlockedUnconfirmedTerm            // a start of an earlier term may still reach it
 )
 
@@ -27,19 +26,19 @@
 // String returns the reason's name.
 func (b StartBlock) String() string { return startBlockNames[b] }
 
-// Withdraws reports whether the reason takes the machine out of placement altogether. The other
-// reasons pass by themselves, so that the machine may count as coming.
+// Withdraws reports whether the reason takes the machine out of placement altogether. A machine
+// that is blocked for another reason may still be expected to take tasks soon.
 func (b StartBlock) Withdraws() bool { return b >= BlockedDraining && b <= BlockedUnreachable }
 
-// condition is what decides, beside the machine's state, whether it is given work.
+// condition holds what decides, besides the machine's state, whether work is placed on it.
 type condition struct {
-	draining          bool
-	quarantined       bool
-	cordoned          bool            // no more starts, at the operators' request
-	cordonPlanned     bool            // it is about to be cordoned, and used only if nothing else has room
-	startsPausedUntil time.Time       // nothing is placed there until then
-	failedJobs        map[string]bool // jobs that failed on it since something last succeeded
-	failures          int             // how often any did
+	draining          bool            // it is being emptied before its release
+	quarantined       bool            // too many attempts have failed on it
+	cordoned          bool            // takes no more starts, at the operators' request
+	cordonPlanned     bool            // about to be cordoned; used only if no other machine has room
+	startsPausedUntil time.Time       // no work is placed there before; also when a failed release is retried
+	failedJobs        map[string]bool // jobs of the attempts that failed on it since the last success
+	failures          int             // exits with errors on it since the last success
 }
 
 // StartBlock returns why the machine may not be sent starts, or NotBlocked if it may
@@ -62,17 +61,17 @@
 	return NotBlocked
 }
 
-// ToBeReleased reports whether the machine is to be released once it is empty: it drains, or is
-// in quarantine. A cordon alone doesn't release it.
+// ToBeReleased reports whether the machine is to be released once it is empty: it is draining or
+// quarantined. A cordon alone doesn't release it.
 func (m *Machine) ToBeReleased() bool { return m.draining || m.quarantined }
 
-// Draining reports whether the machine is being emptied.
+// Draining reports whether the machine is being emptied before its release.
 func (m *Machine) Draining() bool { return m.draining }
 
-// StartDraining lets the machine run empty.
+// StartDraining begins to empty the machine: it is sent no more starts.
 func (m *Machine) StartDraining() { m.draining = true }
 
-// StopDraining gives up emptying the machine.
+// StopDraining ends the draining of the machine without a release.
 func (m *Machine) StopDraining() { m.draining = false }
 
 // Cordoned reports whether operators have withdrawn the machine from placement.
@@ -81,8 +80,8 @@
 // CordonPlanned reports whether the machine is about to be cordoned.
 func (m *Machine) CordonPlanned() bool { return m.cordonPlanned }
 
-// SetCordon takes over what the operators' plans say of the machine. It returns false if
-// nothing changes.
+// SetCordon sets whether the operators' drain plans cordon the machine now, and whether they are
+// about to. It returns false if nothing changes.
 func (m *Machine) SetCordon(cordoned, planned bool) bool {
 	if m.cordoned == cordoned && m.cordonPlanned == planned {
 		return false
@@ -91,38 +90,40 @@
 	return true
 }
 
-// PauseStarts has nothing placed on the machine for a while.
+// PauseStarts keeps new work from being placed on the machine until the given time.
 func (m *Machine) PauseStarts(until time.Time) { m.startsPausedUntil = until }
 
-// StartsPaused reports whether nothing is to be placed on the machine for the moment. What has
-// been placed may still be started.
+// StartsPaused reports whether no new work may be placed on the machine for the moment. Work that
+// is already placed may still be started.
 func (m *Machine) StartsPaused(now time.Time) bool { return m.startsPausedUntil.After(now) }
 
-// ScaleInRequested notes that the machine's release is asked for, with which it drains.
+// ScaleInRequested records that the machine's release was requested. The machine counts as draining
+// from then on.
 func (m *Machine) ScaleInRequested() { m.draining, m.failedScaleIns = true, 0 }
 
-// ScaleInFailed notes that the outcome of its release isn't known; it is asked for again after
-// a pause.
+// ScaleInFailed records that a release request failed or has no known outcome. The request is
+// repeated from retryAt on.
 func (m *Machine) ScaleInFailed(retryAt time.Time) {
 	m.failedScaleIns++
 	m.startsPausedUntil = retryAt
 }
 
-// ScaleInToRetry reports whether the release that was last asked for has failed.
+// ScaleInToRetry reports whether a release request has failed since ScaleInRequested.
 func (m *Machine) ScaleInToRetry() bool { return m.failedScaleIns > 0 }
 
-// ScaleInPending reports whether a release is under way that must not be asked for again now.
+// ScaleInPending reports whether the machine is being released and the request must not be repeated
+// now.
 func (m *Machine) ScaleInPending(now time.Time) bool {
 	return m.state == ScalingIn && (m.failedScaleIns == 0 || now.Before(m.startsPausedUntil))
 }
 
-// Quarantined reports whether too much has failed on the machine.
+// Quarantined reports whether the machine is quarantined because too many attempts failed on it.
 func (m *Machine) Quarantined() bool { return m.quarantined }
 
-// Quarantine withdraws the machine for good: it is to be released once it is empty.
+// Quarantine permanently withdraws the machine from placement; it is released once it is empty.
 func (m *Machine) Quarantine() { m.quarantined = true }
 
-// RecordFailure counts an exit of a job with an error against the machine.
+// RecordFailure counts an exit with an error of one of the job's attempts against the machine.
 func (m *Machine) RecordFailure(ref string) {
 	if m.failedJobs == nil {
 		m.failedJobs = map[string]bool{}
@@ -131,13 +132,13 @@
 	m.failedJobs[ref] = true
 }
 
-// ClearFailures forgets the exits with errors on the machine.
+// ClearFailures resets the count of failures on the machine.
 func (m *Machine) ClearFailures() { m.failures, m.failedJobs = 0, nil }
 
-// Failures counts the exits with errors on the machine since something last succeeded there.
+// Failures returns the number of exits with errors on the machine since the last success there.
 func (m *Machine) Failures() int { return m.failures }
 
-// FailedJobs lists the jobs to which Failures happened, by name.
+// FailedJobs lists the references of the jobs whose exits Failures counts, sorted.
 func (m *Machine) FailedJobs() []string {
 	if len(m.failedJobs) == 0 {
 		return nil
@@ -145,7 +146,7 @@
 	return slices.Sorted(maps.Keys(m.failedJobs))
 }
 
-// History is what a leader hands on of a machine to the next one, besides its state.
+// History is what a leader passes on to the next one about a machine, besides its state.
 type History struct {
 	Quarantined, Draining, ListedRunning bool
 	FirstSeen, IdleSince                 time.Time
@@ -153,7 +154,7 @@
 	FailedJobs                           []string
 }
 
-// History returns what the next leader may take over.
+// History returns the machine's history for the next leader.
 func (m *Machine) History() History {
 	return History{
 		Quarantined: m.quarantined, Draining: m.draining, ListedRunning: m.listedRunning,
@@ -162,7 +163,7 @@
 	}
 }
 
-// RestoreHistory takes over what the leader before knew of the machine.
+// RestoreHistory sets the machine's history as received from the previous leader.
 func (m *Machine) RestoreHistory(h History) {
 	m.quarantined, m.draining, m.listedRunning = h.Quarantined, h.Draining, h.ListedRunning
 	m.firstSeen, m.idleSince = h.FirstSeen, h.IdleSince
--- a/internal/core/fleet/machine_test.go
+++ b/internal/core/fleet/machine_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Whatever is wrong with a machine, the reason named is the strongest one, and only those that
-// don't pass by themselves take it out of placement. A place that looks at the facts one by
-// one would be the one that forgets the next fact.
+// For each condition of a machine, StartBlock names the first reason that applies, and only some of
+// the reasons take the machine out of placement. Guards against starts on a machine that may not
+// have them, as when a caller checks conditions one by one and misses one.
 func TestStartBlock(t *testing.T) {
 	unreachable := func(m *Machine) {
 		m.OneWayLoss.NoteUndelivered(at(0))
@@ -47,25 +47,26 @@
 	}
 }
 
-// A release that failed is asked for again only after a pause; one that is under way isn't.
+// A release request that failed is repeated after a pause; one in flight isn't. Guards against
+// repeated requests, and against machines that are never released after a failed one.
 func TestScaleInRetry(t *testing.T) {
 	m := NewMachine(at(0), "m-1", PoolKey{Type: "cpu", Zone: "a"})
 	if m.ScaleInPending(at(0)) {
-		t.Fatal("pending before it is asked for")
+		t.Fatal("pending before it is requested")
 	}
 	m.Move(at(0), ScalingIn)
 	m.ScaleInRequested()
 	if !m.ScaleInPending(at(9)) || m.ScaleInToRetry() {
-		t.Fatal("asked for a second time without an answer")
+		t.Fatal("to be requested a second time without an answer")
 	}
 	m.ScaleInFailed(at(10))
 	if !m.ScaleInPending(at(9)) || m.ScaleInPending(at(10)) || !m.ScaleInToRetry() {
-		t.Fatal("a failed release isn't asked for again after the pause, or is before")
+		t.Fatal("a failed release isn't requested again after the pause, or is before its end")
 	}
 }
 
-// A machine is idle from when it can be used: counted from its request, one that boots slowly
-// would be released as idle as soon as it comes up.
+// A machine counts as idle only from when it can be used. Guards against the release of a machine
+// that booted slowly as soon as it is live: its idle time was counted from its request.
 func TestIdleFromFirstUse(t *testing.T) {
 	expected := map[MachineState]time.Time{Booting: at(5), Unresponsive: at(5), AwaitingHeartbeat: at(0)}
 	for from, idleSince := range expected {
@@ -76,7 +77,8 @@
 	}
 }
 
-// What a leader hands on of a machine is what the next one starts from.
+// The next leader starts with the machine's history as the previous leader passed it on. Guards
+// against a change of leader that clears failures or a quarantine.
 func TestHistoryIsHandedOn(t *testing.T) {
 	m := NewMachine(at(0), "m-1", PoolKey{Type: "cpu", Zone: "a"})
 	m.RecordFailure("j-2")
@@ -88,12 +90,13 @@
 	next.RestoreHistory(m.History())
 	if !next.Quarantined() || next.Draining() || !next.ListedRunning() || next.Failures() != 3 ||
 		len(next.FailedJobs()) != 2 || !next.FirstSeen().Equal(at(0)) || !next.IdleSince().Equal(at(0)) {
-		t.Fatalf("handed on: %+v", next.History())
+		t.Fatalf("restored history: %+v", next.History())
 	}
 }
 
-// An eviction that the worker ignores is noticed by the next heartbeat, and a stop takes its place
-// for good: an eviction that could be taken back after a stop would let the attempt run on.
+// The next heartbeat shows whether the worker has ignored an eviction, and a stop replaces an
+// eviction. Guards against an attempt that goes on running because an eviction is taken back after
+// the stop.
 func TestStopReplacesEviction(t *testing.T) {
 	m := NewMachine(at(0), "m-1", PoolKey{Type: "cpu", Zone: "a"})
 	a := &Attempt{TaskID: TaskID{Ref: "j-1"}, Number: 1}
@@ -106,14 +109,14 @@
 	}
 	a.WithdrawEviction()
 	if a.Eviction() != EvictionSent {
-		t.Fatal("an eviction that has gone out is taken back")
+		t.Fatal("an eviction that was sent is taken back")
 	}
 	m.HeartbeatReceived(at(4), &Heartbeat{Incarnation: 1, Sequence: 2})
 	if !a.EvictionIgnored() {
-		t.Fatal("an ignored eviction isn't noticed")
+		t.Fatal("an ignored eviction isn't detected")
 	}
 	a.RequestStop(at(4), 0)
 	if a.EvictionIgnored() || a.Eviction() != NotEvicted || !a.Stopping() || a.Grace() != 0 || a.CommandSequence() != 0 {
-		t.Fatal("a stop doesn't take the place of an eviction")
+		t.Fatal("a stop doesn't replace an eviction")
 	}
 }
--- a/internal/core/fleet/messages.go
+++ b/internal/core/fleet/messages.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// ExitCause says why a task exited.
+// ExitCause is the reason why an attempt exited, as its worker reports it.
 type ExitCause uint8
 
 // Causes of exits.
 const (
-	CauseNone ExitCause = iota
-	CauseDone
-	CauseStopped
-	CauseGangPeerLost
-	CauseGangIncomplete
-	CauseError
-	CauseInsufficientResources
-	CauseAlreadyPresent
-	CauseUnknownTask
+	CauseNone                  ExitCause = iota // hasn't exited
+	CauseDone                                   // the task is done
+	CauseStopped                                // it was told to stop
+	CauseGangPeerLost                           // another task of its gang ended without being done
+	CauseGangIncomplete                         // the other tasks of its gang didn't arrive in time
+	CauseError                                  // the task failed
+	CauseInsufficientResources                  // the machine had too few free resources to start it
+	CauseAlreadyPresent                         // an attempt of the task was already on the machine
+	CauseUnknownTask                            // the worker doesn't know the task
 )
 
 var exitCauseNames = [...]string{"none", "done", "stopped", "gang peer lost", "gang incomplete", "error",
 	"insufficient resources", "already present", "unknown task"}
 
-// String returns the cause's name, as the log has it.
+// String returns the cause's name, as it appears in the log.
 func (c ExitCause) String() string { return exitCauseNames[c] }
 
-// CommandKind is a command to a worker.
+// CommandKind is the kind of a command to a worker.
 type CommandKind uint8
 
-// Commands to workers.
+// Kinds of commands to workers.
 const (
-	Start CommandKind = iota
-	Stop
-	Forget
+	Start  CommandKind = iota // start an attempt
+	Stop                      // stop an attempt
+	Forget                    // no longer report an attempt that has exited
 )
 
 // Command is one command to a worker.
@@ -40,10 +40,10 @@
 	Ref     string
 	Task    int
 	Attempt uint64
-	Grace   time.Duration
+	Grace   time.Duration // of a Stop: time allowed for a checkpoint
 }
 
-// TaskStatus is one task in a worker's heartbeat.
+// TaskStatus is the status of one task in a worker's heartbeat.
 type TaskStatus struct {
 	Ref          string
 	Task         int
@@ -58,6 +58,6 @@
 	Machine, Addr, Type, Zone           string
 	Spot                                bool
 	Incarnation, Sequence, FencingToken uint64
-	InterruptionIn                      time.Duration // negative: none
+	InterruptionIn                      time.Duration // until the cloud takes the machine back; negative: no notice
 	Tasks                               []TaskStatus
 }
--- a/internal/core/fleet/pool_key.go
+++ b/internal/core/fleet/pool_key.go
@@ -2,14 +2,15 @@
 
 import "cmp"
 
-// PoolKey names a pool: the machines that nothing distinguishes before they are requested. For
-// a job, all machines of a pool are allowed or none, and the cloud offers machines by pool.
+// PoolKey identifies a pool: the machines of one type in one zone that are all spot instances or
+// all on demand. A job may use either all machines of a pool or none, and the cloud offers machines
+// by pool.
 type PoolKey struct {
 	Type, Zone string
 	Spot       bool
 }
 
-// Compare orders pools by type and zone, the ordinary one of a zone before the spot one.
+// Compare orders pools by type, then by zone, on demand before spot.
 func (k PoolKey) Compare(o PoolKey) int {
 	if c := cmp.Compare(k.Type, o.Type); c != 0 {
 		return c
--- a/internal/core/fleet/stale_heartbeats.go
+++ b/internal/core/fleet/stale_heartbeats.go
@@ -3,19 +3,18 @@
 import "time"
 
 // HeartbeatVersion orders the heartbeats of one machine: by fencing token, then incarnation,
-// then sequence number.
-// A worker's fencing token only rises, but a worker that restarts counts its incarnations and
-// sequence numbers from one again.
+// then sequence number. A worker's fencing token never falls, but a worker that restarts counts its
+// incarnations and sequence numbers from one again.
 type HeartbeatVersion struct{ FencingToken, Incarnation, Sequence uint64 }
 
-// Version returns the heartbeat's place in the order of its machine's heartbeats.
+// Version returns the heartbeat's version, which orders it among its machine's heartbeats.
 func (r *Heartbeat) Version() HeartbeatVersion {
 	return HeartbeatVersion{r.FencingToken, r.Incarnation, r.Sequence}
 }
 
-// After reports whether a version is later than another. The fencing token comes first: it alone
-// tells the heartbeats of a restarted worker from late copies of its former ones
-// (docs/design.md, safety argument 5; TestCopyFromFormerIncarnation).
+// After reports whether the version is later than another. The fencing token is compared first: it
+// alone distinguishes the heartbeats of a restarted worker from late copies of those that it sent
+// before (docs/design.md, safety argument 5; TestCopyFromFormerIncarnation).
 func (p HeartbeatVersion) After(o HeartbeatVersion) bool {
 	if p.FencingToken != o.FencingToken {
 		return p.FencingToken > o.FencingToken
@@ -23,32 +22,34 @@
 	return p.CountsPast(o)
 }
 
-// CountsPast reports whether incarnation and sequence number alone are past another version's.
+// CountsPast reports whether the version is later than another by incarnation and sequence number
+// alone.
 func (p HeartbeatVersion) CountsPast(o HeartbeatVersion) bool {
 	return p.Incarnation > o.Incarnation || p.Incarnation == o.Incarnation && p.Sequence > o.Sequence
 }
 
-// Restarted reports whether a heartbeat of this version, which is after the other, can only
-// come from a worker that has restarted in between: its fencing token is higher, but it
-// counts from lower numbers. What was known before are late copies.
+// Restarted reports whether the worker must have restarted between another version and this later
+// one: the fencing token is higher, but incarnation and sequence number are not. Heartbeats that
+// were received with the other fencing token meanwhile are late copies.
 func (p HeartbeatVersion) Restarted(o HeartbeatVersion) bool {
 	return p.FencingToken > o.FencingToken && !p.CountsPast(o)
 }
 
-// StaleHeartbeats follows the heartbeats of a machine that are not newer than the newest one
-// known. They are late or duplicate copies, or come from a worker that has restarted
-// and counts from one again (docs/design.md, safety argument 5; TestWorkerRestarts).
+// StaleHeartbeats detects a restart of a worker by its stale heartbeats: those that aren't newer
+// than the newest one known. They are late or duplicate copies, or come from a worker that has
+// restarted and counts from one again (docs/design.md, safety argument 5; TestWorkerRestarts).
 type StaleHeartbeats struct {
-	last        HeartbeatVersion
-	risingSince time.Time
-	rising      int // stale heartbeats in a row, each later than the one before
+	last        HeartbeatVersion // of the last stale heartbeat
+	risingSince time.Time        // when the present run of rising stale heartbeats began
+	rising      int              // length of that run: each heartbeat is later than the one before
 }
 
-// restartHeartbeats is how many stale heartbeats must rise steadily to show a restart.
+// restartHeartbeats is how many consecutive stale heartbeats must rise to show a restart.
 const restartHeartbeats = 3
 
-// NoteStale takes in a stale heartbeat. It reports whether such heartbeats have risen steadily
-// for at least the given time, so that the worker must have restarted.
+// NoteStale records a stale heartbeat. It reports whether the last stale heartbeats, at least
+// restartHeartbeats of them over at least the given time, each had a later incarnation or sequence
+// number than the one before, which means that the worker has restarted.
 func (s *StaleHeartbeats) NoteStale(now time.Time, r *Heartbeat, atLeast time.Duration) (restarted bool) {
 	if r.Version().CountsPast(s.last) {
 		s.rising++
--- a/internal/core/fleet/start_log.go
+++ b/internal/core/fleet/start_log.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// StartLogEntry is one attempt in the start log.
+// StartLogEntry identifies one attempt in the start log.
 type StartLogEntry struct {
 	_       struct{} `cbor:",toarray"`
 	Ref     string
@@ -14,7 +14,7 @@
 	Attempt uint64
 }
 
-// MachineStarts is what a page of the start log says of one machine.
+// MachineStarts lists the attempts on one machine in a page of the start log.
 type MachineStarts struct {
 	_          struct{} `cbor:",toarray"`
 	Machine    string
@@ -23,53 +23,54 @@
 	Entries    []StartLogEntry
 }
 
-// StartLogRecord is the value of one page.
+// StartLogRecord is the value of one page in the state service.
 type StartLogRecord struct {
 	Placed []MachineStarts `cbor:"p"`
 }
 
-// What a machine and an attempt take of a page besides their names, at the most,
-// in the JSON form that the state service counts in.
+// Upper bounds of the sizes in bytes of a machine and of an attempt without their names, and of an
+// empty page, in the JSON form by which the state service counts sizes.
 const (
-	placedBytes = 24
-	entryBytes  = 36
-	pageBytes   = 16
+	pageMachineBytes = 24
+	pageEntryBytes   = 36
+	emptyPageBytes   = 16
 )
 
-// maxEntryBytes is what an attempt takes of a page at the most, on a machine of its own.
+// maxEntryBytes returns an upper bound of what an attempt adds to the size of a page: its own size
+// and that of its machine, as if no other attempt on the page were on that machine.
 func maxEntryBytes(a *Attempt) int {
 	m := a.Machine
-	return placedBytes + len(m.Name) + len(m.Type) + len(m.Zone) + entryBytes + len(a.Ref)
+	return pageMachineBytes + len(m.Name) + len(m.Type) + len(m.Zone) + pageEntryBytes + len(a.Ref)
 }
 
-// StartLogPage is one value of the start log: which attempts may be on which machines.
-// An attempt is named in a page of the store before its first start leaves, and
-// stays so until it is proven gone; whoever takes over reads all pages. Many
-// starts share one write, and a page that is written again drops what is gone.
+// StartLogPage is one value of the start log: which attempts may be on which machines. An attempt is
+// listed in a stored page before its start is first sent, and stays listed until it is proven gone;
+// a new leader reads all pages. Many starts share one write, and rewriting a page drops the entries
+// of attempts that are gone.
 type StartLogPage struct {
 	Name    string
-	Version uint64 // in the store; 0: not there as far as is known
-	Sending bool   // a write is under way
-	Dirty   bool   // holds attempts that the store doesn't
-	Trimmed time.Time
-	live    map[*Attempt]bool
-	bytes   int // what those take at the most
-	stale   int // entries in the store whose attempts are gone
+	Version uint64            // in the state service; 0: not there as far as is known
+	Sending bool              // a write is in flight
+	Dirty   bool              // has attempts that the stored page lacks
+	Trimmed time.Time         // when it was last stored or rejected, or a trim was last attempted
+	live    map[*Attempt]bool // attempts that may be on machines
+	bytes   int               // upper bound of the size of the live attempts' entries
+	stale   int               // stored entries whose attempts are gone
 }
 
-// NewStartLogPage makes an empty page.
+// NewStartLogPage returns an empty page.
 func NewStartLogPage(name string, version uint64) *StartLogPage {
 	return &StartLogPage{Name: name, Version: version, live: map[*Attempt]bool{}}
 }
 
-// Add puts a new attempt on the page, which has to be written then.
+// Add puts a new attempt on the page, which must then be written.
 func (p *StartLogPage) Add(a *Attempt) {
 	p.put(a)
 	p.Dirty = true
 }
 
-// Recover puts an attempt on the page that the store already has there: AddStale has
-// counted it, and it turns out to be current.
+// Recover puts an attempt on the page whose stored entry AddStale has counted, and which turned out
+// to be current.
 func (p *StartLogPage) Recover(a *Attempt) {
 	p.put(a)
 	p.stale--
@@ -83,10 +84,10 @@
 	a.Page = p
 }
 
-// AddStale notes an entry in the store whose attempt isn't known to be current.
+// AddStale counts a stored entry whose attempt isn't known to be current.
 func (p *StartLogPage) AddStale() { p.stale++ }
 
-// Remove takes an attempt that is proven gone off its page.
+// Remove removes an attempt that is proven gone. Its stored entry becomes stale.
 func (p *StartLogPage) Remove(a *Attempt) {
 	if p.live[a] {
 		delete(p.live, a)
@@ -95,26 +96,27 @@
 	}
 }
 
-// Live counts the attempts on the page that may be on machines.
+// Live returns the number of attempts on the page that may be on machines.
 func (p *StartLogPage) Live() int { return len(p.live) }
 
-// Stale counts the entries in the store whose attempts are gone.
+// Stale returns the number of stored entries whose attempts are gone.
 func (p *StartLogPage) Stale() int { return p.stale }
 
-// Fits reports whether the page, with one more attempt if there is one, takes no
-// more than so many bytes. A single attempt always does.
+// Fits reports whether the page, with one more attempt unless a is nil, takes no more than maxBytes.
+// An empty page has room for any one attempt.
 func (p *StartLogPage) Fits(a *Attempt, maxBytes int) bool {
-	n := pageBytes + p.bytes
+	n := emptyPageBytes + p.bytes
 	if a != nil {
 		n += maxEntryBytes(a)
 	}
 	return n <= maxBytes || a != nil && len(p.live) == 0
 }
 
-// HalfEmpty reports whether at least half of so many bytes are free.
-func (p *StartLogPage) HalfEmpty(maxBytes int) bool { return pageBytes+p.bytes <= maxBytes/2 }
+// HalfEmpty reports whether the page takes no more than half of maxBytes.
+func (p *StartLogPage) HalfEmpty(maxBytes int) bool { return emptyPageBytes+p.bytes <= maxBytes/2 }
 
-// Unwritten lists the attempts that the store isn't known to hold, by machine and number.
+// Unwritten lists the attempts that the stored page isn't known to list, sorted by machine, number
+// and task.
 func (p *StartLogPage) Unwritten() []*Attempt {
 	var out []*Attempt
 	for a := range p.live {
@@ -134,17 +136,17 @@
 	})
 }
 
-// Record returns the page as it should now be written.
+// Record returns the value to be written for the page now.
 func (p *StartLogPage) Record() StartLogRecord {
-	at := make([]*Attempt, 0, len(p.live))
+	attempts := make([]*Attempt, 0, len(p.live))
 	for a := range p.live {
-		at = append(at, a)
+		attempts = append(attempts, a)
 	}
-	sortByMachine(at)
+	sortByMachine(attempts)
 	var r StartLogRecord
-	for i, a := range at {
+	for i, a := range attempts {
 		m := a.Machine
-		if i == 0 || at[i-1].Machine != m {
+		if i == 0 || attempts[i-1].Machine != m {
 			r.Placed = append(r.Placed, MachineStarts{Machine: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot})
 		}
 		pl := &r.Placed[len(r.Placed)-1]
@@ -153,33 +155,35 @@
 	return r
 }
 
-// WriteStarted notes that the page's present content is on its way to the store.
+// WriteStarted records that a write of the page's present content is in flight.
 func (p *StartLogPage) WriteStarted() { p.Sending, p.Dirty, p.stale = true, false, 0 }
 
-// Stored notes that the store holds a record: attempts in it that were only
-// intended may now be started.
+// Stored records that a record of the page is stored. The intended attempts in it become recorded,
+// so that they may be started.
 func (p *StartLogPage) Stored(now time.Time, r StartLogRecord, version uint64) {
 	p.Version, p.Sending, p.Trimmed = version, false, now
-	in := map[StartLogEntry]bool{}
+	stored := map[StartLogEntry]bool{}
 	for _, pl := range r.Placed {
 		for _, e := range pl.Entries {
-			in[e] = true
+			stored[e] = true
 		}
 	}
 	for a := range p.live {
-		if a.state == Intended && in[StartLogEntry{Ref: a.Ref, Task: a.Task, Attempt: a.Number}] {
+		if a.state == Intended && stored[StartLogEntry{Ref: a.Ref, Task: a.Task, Attempt: a.Number}] {
 			a.move(now, Recorded)
 		}
 	}
 }
 
-// WriteFailed notes that a write isn't known to have happened.
+// WriteFailed records that a write failed or has no known outcome. The page is written again unless
+// it is empty.
 func (p *StartLogPage) WriteFailed() {
 	p.Sending, p.Dirty = false, len(p.live) > 0
-	p.stale++ // what the store holds may differ
+	p.stale++ // the stored page may list attempts that are gone
 }
 
-// WriteRefused notes that the store won't take the page as it was sent.
+// WriteRefused records that the state service rejected the page as it was sent, so that a repeated
+// write would fail, too.
 func (p *StartLogPage) WriteRefused(now time.Time) {
 	p.Sending, p.Dirty, p.Trimmed = false, false, now
 	p.stale++
--- a/internal/core/fleet/start_log_test.go
+++ b/internal/core/fleet/start_log_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// What is stopped when a page is refused is stopped in a fixed order.
+// Unwritten lists attempts in a fixed order. Guards against stopping the attempts of a rejected page
+// in the random order of a map, which would make runs with equal events differ.
 func TestUnwrittenInOrder(t *testing.T) {
 	now := time.Unix(100, 0)
 	m := NewMachine(now, "m-1", PoolKey{Type: "cpu", Zone: "a"})
@@ -18,6 +19,6 @@
 	}
 	sorted := slices.IsSortedFunc(page.Unwritten(), func(a, b *Attempt) int { return a.Task - b.Task })
 	if !sorted {
-		t.Fatalf("the unwritten attempts come in any order")
+		t.Fatalf("the unwritten attempts aren't sorted")
 	}
 }
