--- a/internal/core/pipeline/dependencies.go
+++ b/internal/core/pipeline/dependencies.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// dependencies are the jobs that a job depends on.
+// dependencies holds the jobs that a job depends on.
 type dependencies struct {
-	refs    []string        // in the order of the record; nil once the job isn't held any more
-	open    map[string]bool // those of refs that aren't known to be done
-	listSum string          // names the list's pages in the state service, if it has any
-	pages   int             // how many pages
+	refs    []string        // in the order of the record; nil once the job is no longer held
+	open    map[string]bool // the refs that aren't known to be done
+	listSum string          // identifies the list's pages in the state service, if it has any
+	pages   int             // number of those pages
 }
 
-// restoreDependencies takes over what a record says of a job's dependencies.
+// restoreDependencies restores a job's dependencies from its record, without duplicates. A job that
+// still waits for some of them becomes held.
 func (j *Job) restoreDependencies(r *Record) {
 	d := &j.dependencies
 	d.pages, d.listSum = r.DependencyPages, r.DependencyListSum
@@ -27,7 +28,8 @@
 	}
 }
 
-// Dependencies lists the jobs that this one waits for: those that aren't known to be done.
+// Dependencies lists the references of the jobs that this one waits for: its dependencies that
+// aren't known to be done.
 func (j *Job) Dependencies() []string {
 	out := make([]string, 0, len(j.dependencies.open))
 	for _, ref := range j.dependencies.refs {
@@ -38,14 +40,14 @@
 	return out
 }
 
-// DependencyPages returns what names the pages with the dependencies that the job was submitted with,
-// and how many there are: none if the list fits the job's record.
+// DependencyPages returns the sum that identifies the pages with the dependencies that the job was
+// submitted with, and the number of those pages, which is 0 if the list fits the job's record.
 func (j *Job) DependencyPages() (sum string, pages int) {
 	return j.dependencies.listSum, j.dependencies.pages
 }
 
-// DependencyDone notes that the state service holds that a dependency is done, and since when. It
-// returns whether that was the last one, so that the job is ready.
+// DependencyDone records that a dependency is done, and since when, according to the state service.
+// It returns whether that was the last open dependency, so that the job is now ready.
 func (j *Job) DependencyDone(ref string, at time.Time) (ready bool) {
 	if !j.dependencies.open[ref] {
 		return false
@@ -57,12 +59,12 @@
 	if len(j.dependencies.open) > 0 || !j.setPhase(Active) {
 		return false
 	}
-	j.done.dirty[0] = true // the record is written, so that the next leader needn't look them up again
+	j.done.dirty[0] = true // so that the record is written, and the next leader needn't look them up again
 	return true
 }
 
-// CancelAsDependent cancels a job since one that it waits for is cancelled, and returns whether it did.
-// No task of it has ever been started (docs/design.md, safety argument 15).
+// CancelAsDependent cancels a held job because one of its dependencies is cancelled, and returns
+// whether it did. No task of a held job has ever been started (docs/design.md, safety argument 15).
 func (j *Job) CancelAsDependent(at time.Time) bool {
 	if j.phase != Held || !j.setPhase(Cancelled) {
 		return false
--- a/internal/core/pipeline/done_ranges.go
+++ b/internal/core/pipeline/done_ranges.go
@@ -2,28 +2,29 @@
 
 import "strconv"
 
-// Which tasks of a job are finished is stored in chunks of ChunkTasks tasks. A chunk is a list of run
-// lengths: so many tasks aren't finished, so many are, and so on alternately. The first chunk is part
-// of the job's record; the others have keys of their own.
+// The finished tasks of a job are stored as done ranges, in chunks of ChunkTasks tasks each. A chunk
+// is a list of run lengths, alternately of unfinished and of finished tasks, beginning with
+// unfinished ones. The first chunk is part of the job's record; the others have keys of their own.
 
 // ChunkTasks is how many tasks a chunk of done ranges covers. Runs that would make the value too large
 // are left out, see TruncateRuns.
 const ChunkTasks = 1024
 
-// doneRanges says which chunks of a job's done ranges the state service doesn't hold.
+// doneRanges tracks which of a job's done ranges the state service doesn't hold.
 type doneRanges struct {
-	dirty       map[int]bool // chunks that have changed since they were last written
+	dirty       map[int]bool // chunks that have changed since they were last written; 0 stands for the whole record
 	truncatedAt map[int]int  // for a chunk that was written without its last runs: the first task left out
 }
 
-// stored reports whether the state service holds a task's result, as far as is known.
+// stored reports whether the stored done ranges are known to cover a task and to be up to date, so that
+// they hold its result if it has one.
 func (d *doneRanges) stored(task int) bool {
 	chunk := task / ChunkTasks
 	end, truncated := d.truncatedAt[chunk]
 	return !d.dirty[chunk] && (!truncated || task < end)
 }
 
-// truncate notes that a chunk was written without the tasks from a given one on.
+// truncate records that a chunk is written without the tasks from firstLeftOut on.
 func (d *doneRanges) truncate(chunk, firstLeftOut int) {
 	if d.truncatedAt == nil {
 		d.truncatedAt = map[int]int{}
@@ -44,8 +45,8 @@
 	return out
 }
 
-// MarkWriting notes that runs of a chunk are about to be written: all that it has now, or the first of
-// them. MarkDirty takes that back if the write fails.
+// MarkWriting records that a chunk is being written with the given runs: all that it has now, or only
+// the first of them. If the write fails, MarkDirty undoes that.
 func (j *Job) MarkWriting(chunk int, runs []int) {
 	delete(j.done.dirty, chunk)
 	delete(j.done.truncatedAt, chunk)
@@ -59,12 +60,12 @@
 	j.done.truncate(chunk, firstLeftOut)
 }
 
-// MarkDirty notes that a chunk has to be written.
+// MarkDirty records that a chunk has to be written.
 func (j *Job) MarkDirty(chunk int) { j.done.dirty[chunk] = true }
 
-// TruncateRuns returns as many pairs of runs as fit a limit in the JSON form that the state service counts
-// in. Tasks past the last pair aren't finished as far as the state service knows; a leader that takes
-// over has them run again if it doesn't learn of their results otherwise.
+// TruncateRuns returns as many pairs of runs as fit in maxBytes, in the JSON form by which the state
+// service counts sizes. Tasks after the last pair count as unfinished in the state service; a new
+// leader has them run again unless it learns of their results in another way.
 func TruncateRuns(runs []int, maxBytes int) []int {
 	bytes := len("[]")
 	for i, length := range runs {
@@ -75,10 +76,10 @@
 	return runs
 }
 
-// runBytes returns what a run length takes in JSON, with its comma.
+// runBytes returns the size of a run length in JSON, with its comma.
 func runBytes(length int) int { return len(strconv.Itoa(length)) + len(",") }
 
-// restoreChunk takes over the run lengths of a chunk.
+// restoreChunk marks the tasks as finished that a stored chunk's run lengths say are.
 func (j *Job) restoreChunk(chunk int, runs []int) {
 	task, finished := chunk*ChunkTasks, false
 	for _, length := range runs {
@@ -92,7 +93,8 @@
 	delete(j.done.dirty, chunk)
 }
 
-// DoneRuns returns the run lengths of a chunk. The last run is of finished tasks.
+// DoneRuns returns the run lengths of a chunk. Unfinished tasks after the last finished one are left
+// out, so that the last run is always of finished tasks.
 func (j *Job) DoneRuns(chunk int) []int {
 	var runs []int
 	inFinishedRun, length := false, 0
@@ -109,5 +111,5 @@
 	return runs
 }
 
-// ResultStored reports whether the state service holds a task's result, as far as is known.
+// ResultStored reports whether the state service is known to hold the result of a finished task.
 func (j *Job) ResultStored(task int) bool { return j.done.stored(task) }
--- a/internal/core/pipeline/graph.go
+++ b/internal/core/pipeline/graph.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// Graph is the dependency graph of the jobs that aren't over. Each job knows its open dependencies,
-// and the graph knows each job's dependents, so that the cost of a change is in proportion to the
-// edges that it concerns (docs/design.md, safety argument 14).
+// Graph is the dependency graph of the jobs that aren't over. Each job has its open dependencies,
+// and the graph has each job's dependents, so that the cost of a change is proportional to the
+// number of edges that it affects (docs/design.md, safety argument 14).
 type Graph struct {
-	jobs       map[string]*Job          // those that aren't over
-	dependents map[string]map[*Job]bool // by the job that they wait for, which need not be in jobs
-	unknown    map[string]bool          // dependencies of which it isn't known whether they are over
+	jobs       map[string]*Job          // those that aren't over, by reference
+	dependents map[string]map[*Job]bool // by the reference of the job they wait for, which may not be in jobs
+	unknown    map[string]bool          // dependencies that may be over: not added, and not known to have ended
 	lookups    []string                 // those of unknown that have to be looked up, in order
 	// ExpectedDuration returns how long a job is expected to take once it is ready.
 	ExpectedDuration func(j *Job) time.Duration
 }
 
-// NewGraph makes an empty graph.
+// NewGraph returns an empty graph.
 func NewGraph(duration func(j *Job) time.Duration) *Graph {
 	return &Graph{
 		jobs:             map[string]*Job{},
@@ -28,7 +28,7 @@
 	}
 }
 
-// Add takes in a job that isn't over. Jobs may come in any order.
+// Add adds a job that isn't over. Jobs may be added in any order.
 func (g *Graph) Add(j *Job) {
 	g.jobs[j.Ref] = j
 	delete(g.unknown, j.Ref)
@@ -48,8 +48,8 @@
 	g.propagateUrgency(j)
 }
 
-// ToLookUp lists dependencies of which it isn't known whether they are over, no more than the limit.
-// Each is listed once, and again only after LookUpAgain.
+// ToLookUp removes from the queue of look-ups, and returns, up to limit dependencies of which it isn't
+// known whether they are over. Each is returned once, and again only after LookUpAgain.
 func (g *Graph) ToLookUp(limit int) []string {
 	var out []string
 	for len(g.lookups) > 0 && len(out) < limit {
@@ -62,15 +62,15 @@
 	return out
 }
 
-// LookUpAgain notes that the look-up of a dependency has failed.
+// LookUpAgain queues the look-up of a dependency again, after it has failed.
 func (g *Graph) LookUpAgain(ref string) {
 	if g.unknown[ref] {
 		g.lookups = append(g.lookups, ref)
 	}
 }
 
-// OutcomesKnown reports whether it is known of all direct and indirect dependencies of a job whether
-// they are over (docs/design.md, safety argument 15; TestNewLeaderAsks).
+// OutcomesKnown reports whether for each direct or indirect dependency of a job it is known whether
+// it is over (docs/design.md, safety argument 15; TestNewLeaderAsks).
 func (g *Graph) OutcomesKnown(j *Job) bool {
 	if len(g.unknown) == 0 {
 		return true
@@ -92,7 +92,7 @@
 // HasDependents reports whether any job waits for this one.
 func (g *Graph) HasDependents(ref string) bool { return len(g.dependents[ref]) > 0 }
 
-// Dependents lists the jobs that wait for this one, by name.
+// Dependents lists the jobs that wait for this one, sorted by reference.
 func (g *Graph) Dependents(ref string) []*Job {
 	set := g.dependents[ref]
 	if len(set) == 0 {
@@ -106,8 +106,8 @@
 	return out
 }
 
-// JobDone notes that the state service holds that a job is done. It returns the jobs that thereby
-// become ready (TestStartsOnceTheParentIsStored).
+// JobDone records that a job is done according to the state service. It returns the dependents that
+// become ready thereby (TestStartsOnceTheParentIsStored).
 func (g *Graph) JobDone(ref string, at time.Time) (ready []*Job) {
 	for _, j := range g.Dependents(ref) {
 		if j.DependencyDone(ref, at) {
@@ -119,12 +119,12 @@
 	return ready
 }
 
-// JobCancelled notes that a job is cancelled. It cancels the job's direct and indirect dependents and
-// returns them (docs/design.md, safety argument 15; TestCancelReachesAllAtOnce).
+// JobCancelled records that a job is cancelled. It cancels the job's direct and indirect dependents
+// and returns them (docs/design.md, safety argument 15; TestCancelReachesAllAtOnce).
 func (g *Graph) JobCancelled(ref string, at time.Time) (cancelled []*Job) {
 	for refs := []string{ref}; len(refs) > 0; refs = refs[1:] {
 		for _, j := range g.Dependents(refs[0]) {
-			dependencies := j.Dependencies() // a cancelled job has none
+			dependencies := j.Dependencies() // read before the cancellation, which clears them
 			if j.CancelAsDependent(at) {
 				cancelled = append(cancelled, j)
 				refs = append(refs, j.Ref)
@@ -137,15 +137,15 @@
 	return cancelled
 }
 
-// Remove forgets a job that is over.
+// Remove removes a job that is over from the graph.
 func (g *Graph) Remove(j *Job) {
 	if g.jobs[j.Ref] == j {
 		delete(g.jobs, j.Ref)
 	}
 }
 
-// RemoveDependencies notes that a job no longer waits for some others, and recomputes their urgency
-// from the dependents that remain.
+// RemoveDependencies removes the edges from a job to some of its dependencies, and recomputes the
+// urgency of those from their remaining dependents.
 func (g *Graph) RemoveDependencies(j *Job, dependencies []string) {
 	for _, ref := range dependencies {
 		delete(g.dependents[ref], j)
--- a/internal/core/pipeline/graph_test.go
+++ b/internal/core/pipeline/graph_test.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// graphModel is a graph and the jobs that are added to it one by one, with which its answers are
-// compared by brute force.
+// graphModel is a graph with the jobs that are added to it one by one. It computes by brute force
+// what the graph should say of them.
 type graphModel struct {
 	t            *testing.T
 	g            *Graph
 	jobs         []*Job  // in the order of their submission
 	dependencies [][]int // by job: the jobs before it that it depends on
-	known        []bool  // by job: it was added to the graph
+	known        []bool  // by job: whether it was added to the graph
 }
 
 // estimate is the expected duration of a job in these tests.
 func estimate(j *Job) time.Duration { return j.Estimate }
 
-// dependsOn reports whether one job depends on another, directly or through others that are known.
+// dependsOn reports whether one job depends on another, directly or through others that were added.
 func (m *graphModel) dependsOn(job, other int) bool {
 	for _, k := range m.dependencies[job] {
 		if k == other || m.known[k] && m.dependsOn(k, other) {
@@ -52,7 +52,7 @@
 	return best
 }
 
-// check compares every known job with what the model expects.
+// check compares each job that was added with what the model expects.
 func (m *graphModel) check(cancelled, done map[int]bool) {
 	for i, j := range m.jobs {
 		if !m.known[i] {
@@ -75,7 +75,7 @@
 	}
 }
 
-// phaseOf returns the phase that a job has to be in, unless it is over.
+// phaseOf returns the phase that a job has to be in, unless it is already over.
 func (m *graphModel) phaseOf(i int, cancelled, done map[int]bool) Phase {
 	for k := range m.jobs[:i] {
 		if m.dependsOn(i, k) && cancelled[k] {
@@ -111,10 +111,10 @@
 	return urgency, endBy
 }
 
-// Whatever the order in which jobs are added, end and are cancelled, a job is ready exactly when all its
-// dependencies are done, is cancelled exactly when one of them is, and is as urgent as its most urgent
-// dependent. It guards against jobs that start too early or never, and against urgent jobs that wait for
-// others which nobody knows to be urgent.
+// In whatever order jobs are added, end and are cancelled: a job is ready if and only if all its
+// dependencies are done, is cancelled if a direct or indirect dependency is, and is as urgent as the
+// most urgent one among itself and its dependents. Guards against jobs that start too early or
+// never, and against urgent jobs that wait for dependencies with a low urgency.
 func TestGraph(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -168,8 +168,8 @@
 	}
 }
 
-// Dependencies of which nothing is known are looked up once each, and again only if the look-up has
-// failed. It guards against dependents that wait for good, and against requests without end.
+// Each unknown dependency is looked up once, and again only if the look-up has failed. Guards against
+// dependents that wait forever, and against endless requests.
 func TestLookUpOnce(t *testing.T) {
 	g := NewGraph(estimate)
 	for i, refs := range [][]string{nil, {"j-0", "j-8"}, {"j-8", "j-9"}} {
@@ -190,8 +190,8 @@
 	}
 }
 
-// A job's times count from the end of its last dependency, and a leader that takes over reads that from
-// the record. It guards against objectives and deadlines that count the time in which a job was held.
+// A job counts as ready since the end of its last dependency, also for a new leader, which reads that
+// from the record. Guards against objectives that include the time in which a job was held.
 func TestTimesBeginWithTheLastEnd(t *testing.T) {
 	dependencies := []string{"j-2", "j-3", "j-2"}
 	j, err := NewJob(Record{Spec: Spec{Ref: "j-1", Tasks: 2}, SubmittedMS: 5000, Dependencies: dependencies}, 1, nil)
--- a/internal/core/pipeline/job.go
+++ b/internal/core/pipeline/job.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// Phase says where a job is in its life.
+// Phase is a stage in the life of a job.
 type Phase uint8
 
-// Phases of a job. Done and Cancelled are final. Held is never stored: the record says Active, and
-// names the jobs that have to be done first.
+// Phases of a job. Done and Cancelled are final. Held is never stored: the record of a held job says
+// Active and lists the dependencies.
 const (
-	Active Phase = iota
-	Done
-	Cancelled
-	Held // waits for other jobs
+	Active    Phase = iota // its tasks may run
+	Done                   // all its tasks are finished
+	Cancelled              // cancelled by its user, or with a job that it depended on
+	Held                   // waits until its dependencies are done
 )
 
 var phaseNames = [...]string{"active", "done", "cancelled", "held"}
 
-// String returns the phase's name, as the log has it.
+// String returns the phase's name, as it appears in the log.
 func (p Phase) String() string { return phaseNames[p] }
 
 // Job is the state of one job.
@@ -29,11 +29,11 @@
 	Spec
 	Version      uint64 // of its record in the state service
 	Submitted    time.Time
-	Since        time.Time    // when it became ready: submitted, or the end of its last dependency
-	CancelAt     time.Time    // zero unless it is cancelled
+	Since        time.Time    // when it became ready: at its submission, or at the end of its last dependency
+	CancelAt     time.Time    // when it was cancelled; else zero
 	Started      bool         // a task of it has run
 	StartSent    bool         // a start of a task was sent in this term
-	Urgency      Priority     // the most urgent one among its own and those of its dependents
+	Urgency      Priority     // the most urgent of its own priority and its dependents' urgencies
 	CriticalPath CriticalPath // to the dependent with a deadline that leaves it the least time
 	Tasks        []Task
 	AvoidUntil   map[string]time.Time // machines on which a task failed, and until when it avoids them
@@ -42,19 +42,19 @@
 	storedPhase    Phase // the phase that the state service is known to hold
 	dependencies   dependencies
 	done           doneRanges
-	minRecordBytes int             // bytes that its record takes with its lists left out
-	counts         [taskStates]int // tasks by state
-	firstOpenTask  int             // every task before it is finished
+	minRecordBytes int             // upper bound of its record's size without the lists that may be left out
+	counts         [taskStates]int // number of tasks by state
+	firstOpenTask  int             // all tasks before this one are finished
 }
 
-// Errors that NewJob wraps. Such a record was damaged, or another version's format was misread.
+// Errors that NewJob wraps. Such a record is damaged, or was written by a version with another format.
 var (
 	ErrNoTasks        = errors.New("record without tasks")
-	ErrNoDependencies = errors.New("record without the jobs that it waits for")
+	ErrNoDependencies = errors.New("record of a held job without its dependencies")
 )
 
 // NewJob restores a job's state from its record. The first chunk of the done ranges is in the record
-// itself; chunks has the further ones by number. The error wraps ErrNoTasks or ErrNoDependencies.
+// itself; chunks holds the others by number. The error wraps ErrNoTasks or ErrNoDependencies.
 func NewJob(r Record, version uint64, chunks map[int][]int) (*Job, error) {
 	if r.Spec.Tasks <= 0 {
 		return nil, fmt.Errorf("job %s: %w", r.Spec.Ref, ErrNoTasks)
@@ -91,7 +91,7 @@
 	return j, nil
 }
 
-// restoreRestarts takes over the record's pairs of a task and its restart count.
+// restoreRestarts restores the restart counts from the record's pairs of a task and its count.
 func (j *Job) restoreRestarts(pairs []int) {
 	for i := 0; i+1 < len(pairs); i += 2 {
 		if task := pairs[i]; task >= 0 && task < len(j.Tasks) {
@@ -100,22 +100,22 @@
 	}
 }
 
-// Phase returns the job's phase as decided here.
+// Phase returns the job's phase as this leader has decided it. It may not be stored yet.
 func (j *Job) Phase() Phase { return j.phase }
 
-// StoredPhase returns the job's phase as the state service is known to hold it. Only this one is
-// told to users: a leader that takes over doesn't know of the other.
+// StoredPhase returns the phase that the state service is known to hold. Only this phase is shown to
+// users, since a new leader wouldn't know of the other one.
 func (j *Job) StoredPhase() Phase { return j.storedPhase }
 
-// SetStoredPhase notes that the state service holds a phase.
+// SetStoredPhase records that the state service holds a phase.
 func (j *Job) SetStoredPhase(p Phase) { j.storedPhase = p }
 
 // Over reports whether the job's phase is final.
 func (j *Job) Over() bool { return j.phase == Done || j.phase == Cancelled }
 
-// setPhase changes the job's phase; it returns false if the present one is final or the same. A job
-// that is held becomes active once its dependencies are done. It becomes done at once if its results
-// turn up: they prove that an earlier leader has started it (docs/design.md, safety argument 14;
+// setPhase changes the job's phase. It returns false if the present one is final or the same. A held
+// job becomes active once its dependencies are done, or cancelled. It may also become done directly:
+// reported results prove that an earlier leader has started it (docs/design.md, safety argument 14;
 // TestResultsOfAJobStartedBefore).
 func (j *Job) setPhase(to Phase) bool {
 	if j.phase != Active && j.phase != Held || to == j.phase || to == Held {
@@ -131,19 +131,21 @@
 	return true
 }
 
-// CompleteIfDone changes the job's phase to Done if all tasks are finished, and returns whether it did.
+// CompleteIfDone changes the job's phase to Done if all its tasks are finished, and returns whether it
+// did. A service never becomes done.
 func (j *Job) CompleteIfDone() bool {
 	return j.Shape != Service && j.counts[Finished] == len(j.Tasks) && j.setPhase(Done)
 }
 
-// Cancel takes over a cancellation that the state service holds, and returns whether that is new. It
-// wins over a result that isn't stored yet, since the cancellation was stored first.
+// Cancel applies a cancellation that the state service holds, and returns whether that changed the
+// job's phase or stored phase. It overrides a Done phase that isn't stored yet, since the
+// cancellation was stored first.
 func (j *Job) Cancel(at time.Time) bool {
 	if j.phase == Done && j.storedPhase != Done {
 		j.phase = Active
 	}
 	if j.phase == Cancelled && j.storedPhase != Cancelled {
-		j.storedPhase = Cancelled // it was cancelled here as a dependent, and now that is stored
+		j.storedPhase = Cancelled // was cancelled as a dependent before, which is stored now
 		return true
 	}
 	if !j.setPhase(Cancelled) {
@@ -154,6 +156,6 @@
 	return true
 }
 
-// RecordFits reports whether the job's record fits a limit at all. One that was written when the limit was
-// higher may not.
+// RecordFits reports whether the job's record fits in maxBytes without the lists that may be left out.
+// A record that was written under a higher limit may not.
 func (j *Job) RecordFits(maxBytes int) bool { return j.minRecordBytes <= maxBytes }
--- a/internal/core/pipeline/pipeline_test.go
+++ b/internal/core/pipeline/pipeline_test.go
@@ -18,8 +18,8 @@
 	return j
 }
 
-// A record from which no job can be restored is told apart by its error. It guards against a job without
-// tasks, and against one that is ready before its dependencies are known.
+// NewJob rejects a record from which no job can be restored, with an error for each reason. Guards
+// against a job without tasks, and against one that is ready before its dependencies are known.
 func TestRecordsThatCannotBeRestored(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -30,7 +30,7 @@
 		{"no tasks", Record{Spec: Spec{Ref: "j-1"}}, ErrNoTasks, "job j-1: record without tasks"},
 		{"negative tasks", Record{Spec: Spec{Ref: "j-1", Tasks: -1}}, ErrNoTasks, "job j-1: record without tasks"},
 		{"dependencies on pages that weren't read", Record{Spec: Spec{Ref: "j-2", Tasks: 1}, DependencyPages: 2},
-			ErrNoDependencies, "job j-2: record without the jobs that it waits for"},
+			ErrNoDependencies, "job j-2: record of a held job without its dependencies"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			j, err := NewJob(c.record, 1, nil)
@@ -41,9 +41,9 @@
 	}
 }
 
-// Done ranges that don't fit a limit are cut to whole pairs of runs that do, and the tasks left out don't
-// count as stored. It guards against values that the state service rejects, and against results that
-// only this leader knows and takes for stored.
+// Done ranges that exceed the size limit are truncated to whole pairs of runs, and the tasks left out
+// don't count as stored. Guards against values that the state service rejects, and against results
+// that only this leader knows but counts as stored.
 func TestDoneRangesAreCutToFit(t *testing.T) {
 	j := newJob(t, Spec{Ref: "j-1", Tasks: 100})
 	for i := 1; i < 100; i += 2 {
@@ -68,8 +68,8 @@
 	}
 }
 
-// Done ranges that are written and read again name the same tasks, also for a job of the largest size. It
-// guards against tasks that a takeover runs again, and against results that never were.
+// Done ranges survive writing and reading, also for a job of the largest size. Guards against tasks
+// that run again after a takeover, and against results that were never reported.
 func TestDoneRanges(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for _, n := range []int{1, 7, ChunkTasks, ChunkTasks + 1, 100_000} {
@@ -85,7 +85,7 @@
 	}
 }
 
-// checkReadAgain writes a job's done ranges, reads them and compares.
+// checkReadAgain restores a job from its record and chunks, and compares the two.
 func checkReadAgain(t *testing.T, j *Job) {
 	t.Helper()
 	n := len(j.Tasks)
@@ -112,17 +112,17 @@
 	}
 }
 
-// Of a cancellation and a result, the one that was stored first holds. It guards against users who are
-// told an end that the next leader doesn't know of.
+// Of a cancellation and a result, the one that was stored first wins. Guards against telling users of
+// an end that the next leader doesn't know of.
 func TestCancelAgainstDone(t *testing.T) {
 	now := time.Unix(1000, 0)
 	j := newJob(t, Spec{Ref: "j-1", Tasks: 1})
 	j.Finish(0)
 	if !j.CompleteIfDone() || j.Phase() != Done || j.StoredPhase() != Active {
-		t.Fatal("a finished job isn't done, or is told before it is written")
+		t.Fatal("a finished job isn't done, or counts as stored before it is written")
 	}
 	if !j.Cancel(now) || j.StoredPhase() != Cancelled {
-		t.Fatal("a cancellation that the store holds lost against an unwritten result")
+		t.Fatal("a stored cancellation lost against an unwritten result")
 	}
 	k := newJob(t, Spec{Ref: "j-2", Tasks: 1})
 	k.Finish(0)
@@ -133,8 +133,8 @@
 	}
 }
 
-// All tasks of a gang finish together, and stay finished. It guards against tasks of a gang that are
-// started again alone.
+// All tasks of a gang finish together, and stay finished. Guards against restarting single tasks of a
+// gang.
 func TestGangFinishesTogether(t *testing.T) {
 	j := newJob(t, Spec{Ref: "j-1", Tasks: 3, Shape: Gang})
 	j.Assign(1, "m", 5)
@@ -148,8 +148,9 @@
 	}
 }
 
-// Past the restart limit a task is retried less and less often, and its restarts are stored. It guards
-// against a task that exits at once and takes a machine up, and against one that is given up.
+// Past the restart limit a task is retried at growing intervals, and its restart count is stored.
+// Guards against a task that occupies a machine by failing over and over, and against a task that is
+// no longer retried.
 func TestRestarts(t *testing.T) {
 	now := time.Unix(1000, 0)
 	j := newJob(t, Spec{Ref: "j-1", Tasks: 2})
@@ -167,11 +168,11 @@
 			t.Fatalf("restart %d: task %d may start during back-off", n, i)
 		}
 		if j.NextWaiting(now.Add(wait), 0) != 0 {
-			t.Fatalf("restart %d: not repeated after its back-off", n)
+			t.Fatalf("restart %d: not retried after its back-off", n)
 		}
 	}
 	k, err := NewJob(j.Record(1<<20), 2, nil)
 	if err != nil || k.Tasks[0].Restarts() != 12 {
-		t.Fatalf("restarts after reading: %d, %v", k.Tasks[0].Restarts(), err)
+		t.Fatalf("restarts read from the record: %d, %v", k.Tasks[0].Restarts(), err)
 	}
 }
--- a/internal/core/pipeline/record.go
+++ b/internal/core/pipeline/record.go
@@ -1,25 +1,26 @@
 package pipeline
 
-// Record is what the state service holds of a job that isn't over, under one key. Chunks of done ranges
-// after the first one have keys of their own.
+// Record is what the state service stores of a job that isn't over, under one key. Chunks of done
+// ranges after the first one, and lists of dependencies that are too large, have keys of their own.
 type Record struct {
 	Spec        Spec  `cbor:"s"`
 	SubmittedMS int64 `cbor:"at"`
 	Phase       Phase `cbor:"p"`
 	CancelledMS int64 `cbor:"ca,omitempty"`
 	Done        []int `cbor:"d,omitempty"` // the first chunk of done ranges
-	Restarts    []int `cbor:"r,omitempty"` // task, count, task, count, …
+	Restarts    []int `cbor:"r,omitempty"` // pairs of a task and its restart count
 
-	// A job that depends on others names them in Dependencies or, if the list is too large, on
-	// DependencyPages pages that are told from those of other lists by DependencyListSum. ReadyMS is
-	// when the last of them was done, once the state service holds that all are.
+	// A job that depends on others lists them in Dependencies or, if the list is too large, on as many
+	// pages as DependencyPages says. DependencyListSum distinguishes those pages from the pages of
+	// other lists. ReadyMS is when the last dependency was done, once all are done according to the
+	// state service.
 	Dependencies      []string `cbor:"aw,omitempty"`
 	DependencyPages   int      `cbor:"ap,omitempty"`
 	DependencyListSum string   `cbor:"as,omitempty"`
 	ReadyMS           int64    `cbor:"rd,omitempty"`
 }
 
-// Held reports whether the job waits for others, as far as the record says.
+// Held reports whether the job waits for others according to the record.
 func (r *Record) Held() bool {
 	return r.Phase == Active && r.ReadyMS == 0 && (len(r.Dependencies) > 0 || r.DependencyPages > 0)
 }
@@ -31,19 +32,19 @@
 	EndMS int64 `cbor:"e,omitempty"` // when it ended, if other jobs waited for it
 }
 
-// maxRestartPairs bounds the restart counts in a record. A task whose count is left out is retried more
-// often after a takeover, which does no harm.
+// maxRestartPairs bounds the number of restart counts in a record. A task whose count is left out is
+// retried more often after a takeover, which does no harm.
 const maxRestartPairs = 100
 
-// Upper bounds of the stored size, in the JSON form that the state service counts in: of a record
+// Upper bounds of sizes in bytes, in the JSON form by which the state service counts them: of a record
 // without its texts and lists, and of a pair of a task and its restart count.
 const (
 	recordBytes  = 520
 	restartBytes = 14
 )
 
-// textBytes bounds what a text takes in JSON with its quotes and comma. A byte that has to be escaped
-// takes up to six.
+// textBytes returns an upper bound of the size of a text in JSON, with its quotes and a comma. A byte
+// that is escaped takes up to six bytes.
 func textBytes(s string) int {
 	n := len(`"",`)
 	for i := range len(s) {
@@ -56,7 +57,8 @@
 	return n
 }
 
-// Bytes bounds what a record takes in the state service without done ranges and restart counts.
+// Bytes returns an upper bound of the record's size in the state service without done ranges and
+// restart counts.
 func (r *Record) Bytes() int {
 	s := &r.Spec
 	n := recordBytes + textBytes(s.Ref) + textBytes(s.Class) + textBytes(s.Team) + textBytes(s.Image) + textBytes(s.Zone)
@@ -66,7 +68,7 @@
 	return n + DependencyBytes(r.Dependencies)
 }
 
-// DependencyBytes bounds what a list of jobs takes in the state service.
+// DependencyBytes returns an upper bound of the size of a list of dependencies in the state service.
 func DependencyBytes(refs []string) int {
 	n := len("[]")
 	for _, ref := range refs {
@@ -75,14 +77,14 @@
 	return n
 }
 
-// Record returns the job's record as it has to be written now. As many done ranges and restart counts
-// are left out as is needed to keep it within a limit.
+// Record returns the job's record as it has to be written now. Done ranges and restart counts that
+// don't fit in maxBytes are left out.
 func (j *Job) Record(maxBytes int) Record {
 	r := Record{Spec: j.Spec, SubmittedMS: j.Submitted.UnixMilli(), Phase: j.phase,
 		DependencyPages: j.dependencies.pages, DependencyListSum: j.dependencies.listSum}
 	switch j.phase {
 	case Done:
-		r.Phase = Active // that it is done is stored as the job's final entry, not in its record
+		r.Phase = Active // Done is stored in the job's final entry, not in its record
 	case Held:
 		r.Phase = Active
 		if r.DependencyPages == 0 {
@@ -104,7 +106,8 @@
 	return r
 }
 
-// restartPairs lists tasks that have restarted with their restart counts, no more than the limit.
+// restartPairs returns pairs of a task and its restart count, for the first tasks that have restarted
+// and for no more than limit of them.
 func (j *Job) restartPairs(limit int) []int {
 	var pairs []int
 	for i := range j.Tasks {
@@ -115,5 +118,5 @@
 	return pairs
 }
 
-// FinalEntry returns what is stored of the job once it is over.
+// FinalEntry returns the entry that is stored for the job once it is over.
 func (j *Job) FinalEntry() Final { return Final{Phase: j.phase, Tasks: len(j.Tasks)} }
--- a/internal/core/pipeline/spec.go
+++ b/internal/core/pipeline/spec.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Shape is the kind of a job.
+// Shape says how the tasks of a job belong together.
 type Shape uint8
 
 // Shapes of jobs.
 const (
 	Array   Shape = iota // independent tasks
-	Gang                 // all tasks at once or none
-	Service              // replicas that run until cancelled
+	Gang                 // tasks that run all at the same time or not at all
+	Service              // replicas that run until the job is cancelled
 )
 
-// Priority orders jobs: those with a smaller value go first.
+// Priority orders jobs: those with a smaller value are more urgent.
 type Priority uint8
 
 // Priorities, the most urgent first.
@@ -27,7 +27,7 @@
 	Low
 )
 
-// Spec is what a user has submitted; it never changes.
+// Spec describes a job as its user has submitted it. It never changes.
 type Spec struct {
 	Ref                string        `cbor:"ref"`
 	Class              string        `cbor:"cl"`
@@ -35,19 +35,19 @@
 	Shape              Shape         `cbor:"sh"`
 	Priority           Priority      `cbor:"pr"`
 	Tasks              int           `cbor:"n"`
-	CPUs               float64       `cbor:"c"` // of a task, as are GPUs and MemGB
+	CPUs               float64       `cbor:"c"` // per task, as are GPUs and MemGB
 	GPUs               float64       `cbor:"g"`
 	MemGB              float64       `cbor:"m"`
 	Image              string        `cbor:"im"`
 	ImageGB            float64       `cbor:"ig"`
 	Types              []string      `cbor:"ty"`           // machine types that it may run on; nil: any
-	Zone               string        `cbor:"zo,omitempty"` // that it has to run in; empty: any
+	Zone               string        `cbor:"zo,omitempty"` // in which it has to run; empty: any
 	OneZone            bool          `cbor:"oz,omitempty"` // all tasks have to run in the same zone
 	Spread             bool          `cbor:"sp,omitempty"` // no zone may have more than half of the tasks, rounded up
 	Spot               bool          `cbor:"so,omitempty"` // may run on spot instances
-	Estimate           time.Duration `cbor:"es"`           // how long a task runs
+	Estimate           time.Duration `cbor:"es"`           // expected run time of a task
 	CheckpointInterval time.Duration `cbor:"ck,omitempty"` // 0: tasks don't save their progress
-	CheckpointTime     time.Duration `cbor:"sv,omitempty"` // how long saving takes
+	CheckpointTime     time.Duration `cbor:"sv,omitempty"` // how long a checkpoint takes
 	Deadline           time.Duration `cbor:"dl,omitempty"` // from the submission; 0: none
 }
 
