--- a/internal/core/capacity/capacity.go
+++ b/internal/core/capacity/capacity.go
@@ -151,7 +151,7 @@
 	now          time.Time
 	catalog      placement.Catalog
 	freeCapacity *placement.FreeCapacity
-	copies       map[*placement.Slot]*placement.Slot // copies of freeCapacity's slots, with what is booked on them
+	copies       map[*placement.Slot]*placement.Slot // of freeCapacity's slots, with what is booked here
 	extra        []*placement.Slot                   // slots of machines that are requested or in orders
 	orders       map[fleet.PoolKey]int
 }
--- a/internal/core/capacity/capacity_test.go
+++ b/internal/core/capacity/capacity_test.go
@@ -15,6 +15,7 @@
 	"big": {Name: "big", CPUs: 64, MemGB: 256, Hourly: 7, SpotHour: 3, Zones: []string{"a"}},
 }
 
+// job returns a job with a spec, all of whose tasks wait.
 func job(t *testing.T, s pipeline.Spec) *pipeline.Job {
 	t.Helper()
 	j, err := pipeline.NewJob(pipeline.Record{Spec: s}, 1, nil)
--- a/internal/core/fleet/machine.go
+++ b/internal/core/fleet/machine.go
@@ -12,7 +12,7 @@
 // States of a machine.
 const (
 	Booting           MachineState = iota // requested, or listed by the cloud; no heartbeat yet
-	AwaitingHeartbeat                     // named by an earlier leader's records; no heartbeat in this term yet
+	AwaitingHeartbeat                     // in an earlier leader's records; no heartbeat in this term yet
 	Live                                  // sends heartbeats
 	Unresponsive                          // has stopped sending heartbeats
 	ScalingIn                             // its release was requested from the cloud
--- a/internal/core/fleet/machine_condition.go
+++ b/internal/core/fleet/machine_condition.go
@@ -36,7 +36,7 @@
 	quarantined       bool            // too many attempts have failed on it
 	cordoned          bool            // takes no more starts, at the operators' request
 	cordonPlanned     bool            // about to be cordoned; used only if no other machine has room
-	startsPausedUntil time.Time       // no work is placed there before; also when a failed release is retried
+	startsPausedUntil time.Time       // no new work before; also when to retry a failed release
 	failedJobs        map[string]bool // jobs of the attempts that failed on it since the last success
 	failures          int             // exits with errors on it since the last success
 }
--- a/internal/core/fleet/machine_heartbeats.go
+++ b/internal/core/fleet/machine_heartbeats.go
@@ -8,7 +8,7 @@
 	newest            HeartbeatVersion // of its newest heartbeat
 	lastHeartbeat     time.Time        // when the newest heartbeat arrived, see also ExcuseMissingHeartbeats
 	leaseRenewedAt    time.Time        // no heartbeat was answered with 200 after this time
-	responseHeld      bool             // the answer to its newest heartbeat is held, and carries what is placed now
+	responseHeld      bool             // the answer to its newest heartbeat is held, for starts decided now
 	fencingTokenSent  bool             // was sent this term's fencing token
 	termConfirmed     bool             // see TermConfirmed
 	heartbeatExpected bool             // see ExpectHeartbeat
--- a/internal/core/fleet/messages.go
+++ b/internal/core/fleet/messages.go
@@ -58,6 +58,6 @@
 	Machine, Addr, Type, Zone           string
 	Spot                                bool
 	Incarnation, Sequence, FencingToken uint64
-	InterruptionIn                      time.Duration // until the cloud takes the machine back; negative: no notice
+	InterruptionIn                      time.Duration // until the cloud takes it back; negative: no notice
 	Tasks                               []TaskStatus
 }
--- a/internal/core/pipeline/done_ranges.go
+++ b/internal/core/pipeline/done_ranges.go
@@ -12,7 +12,7 @@
 
 // doneRanges tracks which of a job's done ranges the state service doesn't hold.
 type doneRanges struct {
-	dirty       map[int]bool // chunks that have changed since they were last written; 0 stands for the whole record
+	dirty       map[int]bool // chunks to be written; 0 stands for the whole record
 	truncatedAt map[int]int  // for a chunk that was written without its last runs: the first task left out
 }
 
--- a/internal/core/pipeline/graph.go
+++ b/internal/core/pipeline/graph.go
@@ -11,8 +11,8 @@
 // number of edges that it affects (docs/design.md, safety argument 14).
 type Graph struct {
 	jobs       map[string]*Job          // those that aren't over, by reference
-	dependents map[string]map[*Job]bool // by the reference of the job they wait for, which may not be in jobs
-	unknown    map[string]bool          // dependencies that may be over: not added, and not known to have ended
+	dependents map[string]map[*Job]bool // by the reference of the job they wait for; it may not be in jobs
+	unknown    map[string]bool          // dependencies that may be over: not added, and no known end
 	lookups    []string                 // those of unknown that have to be looked up, in order
 	// ExpectedDuration returns how long a job is expected to take once it is ready.
 	ExpectedDuration func(j *Job) time.Duration
--- a/internal/core/pipeline/job.go
+++ b/internal/core/pipeline/job.go
@@ -29,7 +29,7 @@
 	Spec
 	Version      uint64 // of its record in the state service
 	Submitted    time.Time
-	Since        time.Time    // when it became ready: at its submission, or at the end of its last dependency
+	Since        time.Time    // when it became ready: its submission, or the end of its last dependency
 	CancelAt     time.Time    // when it was cancelled; else zero
 	Started      bool         // a task of it has run
 	StartSent    bool         // a start of a task was sent in this term
--- a/internal/core/pipeline/pipeline_test.go
+++ b/internal/core/pipeline/pipeline_test.go
@@ -9,6 +9,7 @@
 	"time"
 )
 
+// newJob returns an active job with a spec, all of whose tasks wait.
 func newJob(t *testing.T, s Spec) *Job {
 	t.Helper()
 	j, err := NewJob(Record{Spec: s}, 1, nil)
--- a/internal/core/placement/array.go
+++ b/internal/core/placement/array.go
@@ -7,12 +7,12 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// cachedWithin is how soon an image must be there for a place to count as one that has it.
+// cachedWithin is how soon an image must be on a machine for the machine to count as having it.
 const cachedWithin = 3 * time.Second
 
-// placeTasks places as many tasks of an array as there is room for, and at most so many.
-// Slots are filled one after the other, since a task more on a machine that has
-// the image, or is in use, costs nothing more.
+// placeTasks places as many tasks of an array as there is room for, and at most entry.Most. Slots
+// are filled one after the other, since one more task on a machine that has the image, or is in use
+// already, costs nothing extra.
 func (b *Board) placeTasks(entry QueueEntry) {
 	j := entry.Job
 	room := min(b.quotaHeadroom(j), entry.Most)
@@ -20,7 +20,7 @@
 	if want == 0 {
 		return
 	}
-	slots := b.open(j, "")
+	slots := b.rankedSlots(j, "")
 	task := j.NextWaiting(b.Now, 0)
 	if task < 0 {
 		return
@@ -39,7 +39,7 @@
 		}
 	}
 	if unmet := want - placed; unmet > 0 && task >= 0 && !entry.ImageCachedOnly {
-		b.wait(j, 1, b.Cluster.Zones(j.Ref))
+		b.reserveOrPreempt(j, 1, b.Cluster.Zones(j.Ref))
 		b.Executor.Unplaced(j, unmet)
 	}
 }
--- a/internal/core/placement/doc.go
+++ b/internal/core/placement/doc.go
@@ -1,12 +1,13 @@
-// Package placement decides which waiting task goes where: quota, constraints, and a round of
-// decisions that stops when its budget is spent and goes on from there the next time.
+// Package placement decides on which machines waiting tasks run, within the constraints of their jobs
+// and the quotas of their teams. It works in rounds: a round that has used up its budget stops, and
+// resumes there the next time.
 //
-//   - rounds.go: Round, which goes through the queue of jobs; board.go: Board, what it decides on,
-//     with the interfaces Cluster and Executor through which it asks and acts
+//   - rounds.go: Round, which goes through the queue of jobs; board.go: Board, its inputs, with the
+//     interfaces Cluster and Executor through which it asks and acts
 //   - array.go, gang.go, replicas.go: how the tasks of each shape of job are placed
-//   - score.go: Scorer, which compares places
-//   - free_capacity.go, slot.go, machine_type.go: what is free, by pool and machine, and the
+//   - score.go: Scorer, which ranks slots for a task
+//   - free_capacity.go, slot.go, machine_type.go: the free capacity by pool and machine, and the
 //     catalog of machine types
-//   - preempt.go: room that is kept or made for jobs that have none
+//   - preempt.go: reservations and preemption for jobs without room
 //   - placement.go, quota.go: what a job's constraints and its team's quota allow
 package placement
--- a/internal/core/placement/free_capacity.go
+++ b/internal/core/placement/free_capacity.go
@@ -8,27 +8,26 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// Pool holds the slots of machines that are alike. Its bounds spare a look at
-// them when none can have the room.
+// Pool holds the slots of the machines of one pool. Its bound maxFree saves a look at each slot when
+// none can have room.
 type Pool struct {
-	Key   fleet.PoolKey
-	Type  *Type
-	Slots []*Slot // by name
-	most  fleet.Amount
-	stale bool // most may be too high or too low
+	Key          fleet.PoolKey
+	Type         *Type
+	Slots        []*Slot      // sorted by machine name
+	maxFree      fleet.Amount // the most that any slot has free, for each resource on its own
+	maxFreeStale bool         // maxFree has to be recomputed
 }
 
-// FreeCapacity is all machines that may take tasks, or soon will, by pool. It is kept up
-// as they change.
+// FreeCapacity holds the slots of all machines that take tasks, or soon will, by pool. Set and Remove
+// keep it up to date.
 type FreeCapacity struct {
-	Pools  []*Pool
-	byKey  map[fleet.PoolKey]*Pool
-	slots  map[*fleet.Machine]*Slot
-	marked []*Slot // that hold a round's reservation
+	Pools         []*Pool
+	byKey         map[fleet.PoolKey]*Pool
+	slots         map[*fleet.Machine]*Slot
+	reservedSlots []*Slot // that hold a round's reservation
 }
 
-// Set adds a machine, or brings its slot up to date. Future ones
-// are booting and take no tasks yet.
+// Set adds a machine, or updates its slot. A future machine is still booting and takes no tasks yet.
 func (f *FreeCapacity) Set(m *fleet.Machine, t *Type, future bool) {
 	if f.slots == nil {
 		f.slots, f.byKey = map[*fleet.Machine]*Slot{}, map[fleet.PoolKey]*Pool{}
@@ -46,9 +45,10 @@
 	}
 	s.free, s.Future = t.total().Sub(m.Used()), future
 	s.serviceUsage = m.ServiceUsage()
-	s.pool.stale = true
+	s.pool.maxFreeStale = true
 }
 
+// pool returns the pool with a key, which it adds if needed, and sets its type.
 func (f *FreeCapacity) pool(k fleet.PoolKey, t *Type) *Pool {
 	p := f.byKey[k]
 	if p == nil {
@@ -61,10 +61,10 @@
 	return p
 }
 
-// Size is how many machines are counted.
+// Size returns the number of machines.
 func (f *FreeCapacity) Size() int { return len(f.slots) }
 
-// Remove takes a machine out.
+// Remove removes a machine, if it is there.
 func (f *FreeCapacity) Remove(m *fleet.Machine) {
 	s := f.slots[m]
 	if s == nil {
@@ -75,32 +75,32 @@
 	s.pool.Slots = slices.Delete(s.pool.Slots, i, i+1)
 }
 
-// find returns where a machine's slot is, or would have to be inserted.
+// find returns the index in Slots at which a machine's slot is, or would have to be inserted.
 func (p *Pool) find(name string) int {
 	byName := func(s *Slot, name string) int { return cmp.Compare(s.Machine.Name, name) }
 	i, _ := slices.BinarySearchFunc(p.Slots, name, byName)
 	return i
 }
 
-// Allowed reports whether a job may use the pool's machines at all.
+// Allowed reports whether the pool has machines, the job may use them, and its tasks fit an empty one.
 func (p *Pool) Allowed(sp *pipeline.Spec) bool {
 	return len(p.Slots) > 0 && sp.AllowsType(p.Key.Type) && (sp.Zone == "" || sp.Zone == p.Key.Zone) &&
 		(sp.Spot || !p.Key.Spot) && p.Type.Fits(sp)
 }
 
-// mayFit reports whether any slot might have room for a task: no is certain.
+// mayFit reports whether any slot might have room for a task. If it is false, none has.
 func (p *Pool) mayFit(sp *pipeline.Spec) bool {
-	if p.stale {
-		p.stale, p.most = false, fleet.Amount{}
+	if p.maxFreeStale {
+		p.maxFreeStale, p.maxFree = false, fleet.Amount{}
 		for _, s := range p.Slots {
-			p.most = p.most.Max(s.free)
+			p.maxFree = p.maxFree.Max(s.free)
 		}
 	}
-	return p.most.CPUs+slack >= sp.CPUs && p.most.GPUs+slack >= sp.GPUs && p.most.MemGB+slack >= sp.MemGB
+	return p.maxFree.CPUs+epsilon >= sp.CPUs && p.maxFree.GPUs+epsilon >= sp.GPUs && p.maxFree.MemGB+epsilon >= sp.MemGB
 }
 
-// FindOpen is the first slot with room for a task of the job that is accepted; nil if there
-// is none.
+// FindOpen returns the first slot that has room for a task of the job now and that accept approves; nil
+// if there is none.
 func (f *FreeCapacity) FindOpen(sp *pipeline.Spec, accept func(*Slot) bool) *Slot {
 	for _, p := range f.Pools {
 		if !p.Allowed(sp) || !p.mayFit(sp) {
@@ -115,7 +115,8 @@
 	return nil
 }
 
-// EachOpen calls fn for each slot that now has room for a task of the job.
+// EachOpen calls fn for each slot in the zone (empty: in all zones) that has room for a task of the
+// job now.
 func (f *FreeCapacity) EachOpen(sp *pipeline.Spec, zone string, fn func(*Slot)) {
 	for _, p := range f.Pools {
 		if (zone != "" && p.Key.Zone != zone) || !p.Allowed(sp) || !p.mayFit(sp) {
@@ -129,8 +130,9 @@
 	}
 }
 
-// EachWithFreeCapacity calls fn for each slot, booting ones too, that may have room for a
-// task of the job, reservations apart, until it returns false.
+// EachWithFreeCapacity calls fn for each slot in the zone (empty: in all zones), those of booting
+// machines too, that has room for a task of the job if reservations are ignored, until fn returns
+// false.
 func (f *FreeCapacity) EachWithFreeCapacity(sp *pipeline.Spec, zone string, fn func(*Slot) bool) {
 	for _, p := range f.Pools {
 		if (zone != "" && p.Key.Zone != zone) || !p.Allowed(sp) || !p.mayFit(sp) {
@@ -144,8 +146,8 @@
 	}
 }
 
-// EachAllowed calls fn for each slot of live machines that the job may use, with
-// room or not.
+// EachAllowed calls fn for each slot in the zone (empty: in all zones) that the job may use, with room
+// or not, except those of booting machines.
 func (f *FreeCapacity) EachAllowed(sp *pipeline.Spec, zone string, fn func(*Slot)) {
 	for _, p := range f.Pools {
 		if (zone == "" || p.Key.Zone == zone) && p.Allowed(sp) {
@@ -158,7 +160,7 @@
 	}
 }
 
-// byPrice lists the pools that the job may use, the cheapest machines first.
+// byPrice lists the pools that the job may use, those with the cheapest machines first.
 func (f *FreeCapacity) byPrice(sp *pipeline.Spec) []*Pool {
 	var pools []*Pool
 	for _, p := range f.Pools {
@@ -172,7 +174,7 @@
 	return pools
 }
 
-// Zones lists the zones that have slots.
+// Zones lists the zones that have slots, sorted.
 func (f *FreeCapacity) Zones() []string {
 	var out []string
 	seen := map[string]bool{}
@@ -186,17 +188,16 @@
 	return out
 }
 
-// reserve keeps what a slot has free, and will have, for a job; a round's
-// reservations end with it.
+// reserve reserves a slot for a job, until ClearReservations is called.
 func (f *FreeCapacity) reserve(s *Slot, left reservation) {
 	s.reserved = &left
-	f.marked = append(f.marked, s)
+	f.reservedSlots = append(f.reservedSlots, s)
 }
 
-// Clear ends the reservations of the last round.
-func (f *FreeCapacity) Clear() {
-	for _, s := range f.marked {
+// ClearReservations removes all reservations.
+func (f *FreeCapacity) ClearReservations() {
+	for _, s := range f.reservedSlots {
 		s.reserved = nil
 	}
-	f.marked = f.marked[:0]
+	f.reservedSlots = f.reservedSlots[:0]
 }
--- a/internal/core/placement/gang.go
+++ b/internal/core/placement/gang.go
@@ -9,8 +9,8 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// placeGang places all tasks of a gang or none. Nothing of an earlier attempt
-// may be left anywhere.
+// placeGang places all tasks of a gang or none. It waits until no attempt of the gang may be left on
+// any machine.
 func (b *Board) placeGang(j *pipeline.Job) {
 	n := len(j.Tasks)
 	if b.Cluster.ActiveAttempts(j.Ref) > 0 || j.Count(pipeline.Waiting) < n || b.quotaHeadroom(j) < n {
@@ -22,24 +22,24 @@
 		}
 	}
 	var best []*Slot
-	low := math.Inf(1)
+	lowest := math.Inf(1)
 	for _, z := range b.gangZones(j) {
-		if chosen, score := b.tryGang(j, z); chosen != nil && score < low {
-			best, low = chosen, score
+		if chosen, score := b.tryGang(j, z); chosen != nil && score < lowest {
+			best, lowest = chosen, score
 		}
 	}
 	if best != nil {
 		b.startGang(j, best)
 		return
 	}
-	b.wait(j, n, map[string]int{})
+	b.reserveOrPreempt(j, n, map[string]int{})
 	b.Executor.Unplaced(j, n)
 }
 
-// startGang places a gang. A task that has its image waits only so long for the
-// others, so where the fetches differ by more, the quick ones are started later.
-// A fetch mostly takes less than expected, and the gang starts with its last one,
-// so a part of the longest is left out.
+// startGang places a gang on the chosen slots. A task that has its image waits for the rest of its
+// gang for a limited time only. So where the expected fetches differ by more than GangSlack, the
+// starts of tasks with short fetches are delayed. The longest fetch counts at 4/5 only: fetches
+// mostly take less than expected, and the gang starts when the last one is complete.
 func (b *Board) startGang(j *pipeline.Job, slots []*Slot) {
 	fetch := make([]time.Duration, len(slots))
 	for i, s := range slots {
@@ -52,7 +52,8 @@
 	}
 }
 
-// gangZones are the zones to try one by one; an empty name stands for all.
+// gangZones lists the zones to try one by one for the tasks of a job. An empty name stands for all
+// zones together.
 func (b *Board) gangZones(j *pipeline.Job) []string {
 	if j.OneZone && len(j.Tasks) > 1 {
 		return b.FreeCapacity.Zones()
@@ -60,13 +61,14 @@
 	return []string{""}
 }
 
-// tryGang chooses places for a whole gang. Its score is that of the worst place,
-// since a gang starts with its last image, and a little for all the others.
+// tryGang chooses slots for a whole gang, in the zone if one is given; nil if there is no room for it.
+// The score is that of the worst slot, since the gang starts when its last image is fetched, plus the
+// mean of all, so that the other slots count a little, too.
 func (b *Board) tryGang(j *pipeline.Job, zone string) ([]*Slot, float64) {
 	var chosen []*Slot
 	zones := map[string]int{}
 	worst, sum := 0.0, 0.0
-	for _, s := range b.open(j, zone) {
+	for _, s := range b.rankedSlots(j, zone) {
 		for range s.CapacityFor(&j.Spec) {
 			i := len(chosen)
 			if i == len(j.Tasks) || ZoneCapacity(j, s.Zone, zones) < 1 ||
--- a/internal/core/placement/machine_type.go
+++ b/internal/core/placement/machine_type.go
@@ -9,18 +9,18 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// Type is a machine type with its present prices.
+// Type is a machine type with its current prices.
 type Type struct {
 	Name             string
 	CPUs, GPUs       float64
-	MemGB, CacheGB   float64
-	FetchGBPerS      float64
-	Hourly, SpotHour float64
-	Boot             time.Duration
-	Zones            []string
+	MemGB, CacheGB   float64       // memory, and size of the image cache
+	FetchGBPerS      float64       // rate of image fetches
+	Hourly, SpotHour float64       // prices of an hour, on demand and spot
+	Boot             time.Duration // expected time to boot
+	Zones            []string      // in which it is offered
 }
 
-// Price is what an hour of the type costs.
+// Price returns the price of a machine of the type for an hour.
 func (t *Type) Price(spot bool) float64 {
 	if spot {
 		return t.SpotHour
@@ -36,7 +36,8 @@
 // Catalog holds the machine types by name.
 type Catalog map[string]*Type
 
-// Images are the size of a type's image cache and its rate of fetching.
+// Images returns the size of a type's image cache and its rate of image fetches. For an unknown type
+// the cache is unbounded and the rate 0, at which fetches count as taking no time.
 func (c Catalog) Images(typ string) (cacheGB, gbPerS float64) {
 	if t := c[typ]; t != nil {
 		return t.CacheGB, t.FetchGBPerS
@@ -44,29 +45,29 @@
 	return math.Inf(1), 0
 }
 
-// slack absorbs the rounding of sums of decimal amounts.
-const slack = 1e-6
+// epsilon is the tolerance for rounding errors in sums of amounts.
+const epsilon = 1e-6
 
 // Fits reports whether one task fits an empty machine of the type.
 func (t *Type) Fits(s *pipeline.Spec) bool { return t.Capacity(s) > 0 }
 
-// Capacity is how many tasks of the job fit an empty machine of the type.
+// Capacity returns how many tasks of the job fit an empty machine of the type.
 func (t *Type) Capacity(s *pipeline.Spec) int { return tasksWithin(t.total(), s) }
 
-// total is what an empty machine of the type has.
+// total returns the resources of an empty machine of the type.
 func (t *Type) total() fleet.Amount {
 	return fleet.Amount{CPUs: t.CPUs, GPUs: t.GPUs, MemGB: t.MemGB}
 }
 
-// maxPerMachine bounds how many tasks are counted onto one machine.
+// maxPerMachine is the most tasks that count as fitting on one machine.
 const maxPerMachine = 1000
 
-// tasksWithin is how many tasks of the job fit into an amount.
+// tasksWithin returns how many tasks of the job fit into an amount, maxPerMachine at the most.
 func tasksWithin(free fleet.Amount, s *pipeline.Spec) int {
 	n := maxPerMachine
 	for _, p := range [3][2]float64{{free.CPUs, s.CPUs}, {free.GPUs, s.GPUs}, {free.MemGB, s.MemGB}} {
 		if p[1] > 0 {
-			n = min(n, int((p[0]+slack)/p[1]))
+			n = min(n, int((p[0]+epsilon)/p[1]))
 		}
 	}
 	return max(n, 0)
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -2,8 +2,8 @@
 
 import "gingertally/internal/core/pipeline"
 
-// Possible reports whether a job could ever run: some allowed type, in an allowed
-// zone, fits a task, and the team's limit allows what has to run at once.
+// Possible reports whether a job could ever run: a task fits some allowed machine type in an allowed
+// zone, and the team's limit allows all tasks that have to run at the same time.
 func Possible(s *pipeline.Spec, team Quota, c Catalog) bool {
 	n := 1.0
 	if s.Shape != pipeline.Array {
@@ -25,7 +25,8 @@
 	return false
 }
 
-// ZoneCapacity is how many more tasks of the job a zone may take, given where others are.
+// ZoneCapacity returns how many more tasks of the job its constraints allow in a zone, given the
+// number of its tasks in each zone. It doesn't look at machines.
 func ZoneCapacity(j *pipeline.Job, zone string, zones map[string]int) int {
 	n := len(j.Tasks)
 	if j.OneZone {
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -13,8 +13,8 @@
 	"gpu": {Name: "gpu", CPUs: 8, GPUs: 2, MemGB: 32, Hourly: 9, FetchGBPerS: 1, Zones: []string{"a"}},
 }
 
-// A job that no type of machine, zone or limit ever allows is turned away when it is submitted,
-// rather than left to wait for good.
+// Possible tells the jobs that could run from those that no machine type, zone or limit ever allows.
+// Guards against accepting a job that would wait forever.
 func TestPossible(t *testing.T) {
 	limit := Quota{CPULimit: 10, GPULimit: 2}
 	for _, c := range []struct {
@@ -38,8 +38,9 @@
 	}
 }
 
-// board is a round over some machines; it records what is placed and stopped. Attempts of j-9
-// may be stopped for others, all end in a minute, and the only team may use 40 CPUs.
+// board is a Board that is its own Cluster and Executor, and records what is placed and stopped.
+// Attempts of j-9 may be preempted, all attempts are expected to end in a minute, and the only team
+// may use 40 CPUs.
 type board struct {
 	Board
 	placed  []Decision
@@ -101,6 +102,7 @@
 
 func (b *board) Spent() bool { return b.spent != nil && b.spent() }
 
+// machine returns a live machine on which a task of 4 CPUs runs for each job in tasks.
 func machine(name, typ, zone string, tasks ...string) *fleet.Machine {
 	m := fleet.NewMachine(time.Unix(0, 0), name, fleet.PoolKey{Type: typ, Zone: zone})
 	m.Move(time.Unix(0, 0), fleet.Live)
@@ -120,8 +122,8 @@
 	return j
 }
 
-// Of a gang either all tasks are placed, in one zone if it must stay in one, or none: a part would
-// hold machines and never start.
+// Either all tasks of a gang are placed, in one zone if they must be, or none. Guards against a part
+// of a gang that occupies machines and never starts.
 func TestGangWholeOrNotAtAll(t *testing.T) {
 	gang := job(t, pipeline.Spec{Ref: "j-1", Tasks: 3, CPUs: 8, Shape: pipeline.Gang, OneZone: true})
 	b := newBoard(t, []*pipeline.Job{gang},
@@ -141,8 +143,8 @@
 	}
 }
 
-// Of an array only as many tasks are placed as the team's limit allows, also when machines have
-// room for more.
+// No more tasks of an array are placed than the team's limit allows, even if machines have room for
+// more. Guards against exceeding the limit within one round.
 func TestQuotaBoundsArrays(t *testing.T) {
 	j := job(t, pipeline.Spec{Ref: "j-1", Tasks: 9, CPUs: 8})
 	var ms []*fleet.Machine
@@ -155,9 +157,9 @@
 	}
 }
 
-// A gang's tasks wait for each other for a while only: where one has its image at
-// once and another fetches for longer, the quick one starts later. A gang once
-// gave up five times, each time after the fetch had almost come to its end.
+// If one task of a gang has its image and another one fetches it for long, the start of the first is
+// delayed. Guards against gangs that fail because a task waits for the others for a limited time
+// only: one once failed five times, each time shortly before the end of the fetch.
 func TestGangStartsTogether(t *testing.T) {
 	gang := job(t, pipeline.Spec{Ref: "j-1", Tasks: 2, CPUs: 8, Shape: pipeline.Gang, Image: "i", ImageGB: 60})
 	cached, uncached := machine("m-1", "cpu", "a"), machine("m-2", "cpu", "a")
@@ -168,7 +170,7 @@
 	for _, d := range b.placed {
 		want := map[string]time.Duration{"m-1": 38 * time.Second, "m-2": 0}[d.Slot.Machine.Name]
 		if d.Delay != want {
-			t.Errorf("start on %s put off by %s, not %s", d.Slot.Machine.Name, d.Delay, want)
+			t.Errorf("start on %s delayed by %s, want %s", d.Slot.Machine.Name, d.Delay, want)
 		}
 	}
 	if len(b.placed) != 2 {
@@ -176,7 +178,8 @@
 	}
 }
 
-// Work without GPUs goes where it wastes none.
+// A task without GPUs is placed on a machine without GPUs, if one has room. Guards against wasting
+// expensive machines.
 func TestCheaperPlace(t *testing.T) {
 	j := job(t, pipeline.Spec{Ref: "j-1", Tasks: 1, CPUs: 4})
 	b := newBoard(t, []*pipeline.Job{j}, machine("m-1", "gpu", "a"), machine("m-2", "cpu", "a"))
@@ -185,7 +188,8 @@
 	}
 }
 
-// Room that is made, or is coming, for a large task isn't given to later jobs.
+// Room that is made by preemption, or expected, for a large task isn't given to later jobs. Guards
+// against small tasks that keep a large one waiting.
 func TestPreemptionKeepsTheRoom(t *testing.T) {
 	large := job(t, pipeline.Spec{Ref: "j-1", Tasks: 1, CPUs: 8, Priority: pipeline.High})
 	small := job(t, pipeline.Spec{Ref: "j-2", Tasks: 1, CPUs: 4, Priority: pipeline.Normal})
@@ -199,8 +203,9 @@
 	}
 }
 
-// A gang of several tasks makes room for itself in one zone, or not at all, and
-// keeps what it has made: gangs were once left out of preemption.
+// A gang that must stay in one zone preempts attempts in one zone for all its tasks, or none at all,
+// and the room is reserved for it. Guards against preemption for a part of a gang, and against
+// leaving gangs out of preemption, as was once the case.
 func TestGangMakesRoom(t *testing.T) {
 	gang := job(t, pipeline.Spec{
 		Ref: "j-1", Tasks: 2, CPUs: 8, Priority: pipeline.High, Shape: pipeline.Gang, OneZone: true,
@@ -223,11 +228,12 @@
 	}
 	b = newBoard(t, []*pipeline.Job{gang}, machine("m-1", "cpu", "a", "j-9"), machine("m-3", "cpu", "b", "j-9"))
 	if new(Round).Run(&b.Board); len(b.stopped) != 0 {
-		t.Fatalf("stopped %v although a part isn't enough", b.stopped)
+		t.Fatalf("stopped %v although there is no room for the whole gang", b.stopped)
 	}
 }
 
-// A round that runs out of its budget goes on where it stopped.
+// A round that has used up its budget resumes at the job where it stopped. Guards against jobs at the
+// end of the queue that no round reaches.
 func TestRoundResumes(t *testing.T) {
 	var jobs []*pipeline.Job
 	for _, ref := range []string{"j-1", "j-2", "j-3"} {
@@ -240,7 +246,7 @@
 	rounds := 1
 	for !r.Run(&b.Board) {
 		if rounds++; rounds > 10 {
-			t.Fatal("never comes to the end")
+			t.Fatal("the round never reaches the end of the queue")
 		}
 	}
 	if len(b.placed) != 3 || rounds != 3 {
@@ -248,9 +254,9 @@
 	}
 }
 
-// A start waits for the machine's next heartbeat: of places that are alike, that one is
-// taken whose heartbeat is due first, or whose answer is being held. Stages of pipelines
-// once began half a heartbeat interval late each.
+// Of otherwise equal machines, a task goes to the one whose next heartbeat is due first, or whose
+// answer is being held, since a start waits for the answer to a heartbeat. Guards against needless
+// delays: each stage of a pipeline once started half a heartbeat interval late.
 func TestNearestHeartbeatFirst(t *testing.T) {
 	now := time.Unix(100, 0)
 	var machines []*fleet.Machine
@@ -270,8 +276,9 @@
 	}
 }
 
-// Where it must start by a time that it can still keep, a task goes to the machine that
-// answers in time, though another one is used more.
+// If a task must start by a time that can still be met, it goes to a machine that can be sent the
+// start in time, even if another one is used more. Guards against missing the objective in favor of
+// filling machines, and against trying to meet one that can't be met.
 func TestStartsInTimeForItsObjective(t *testing.T) {
 	now := time.Unix(100, 0)
 	for _, c := range []struct {
--- a/internal/core/placement/preempt.go
+++ b/internal/core/placement/preempt.go
@@ -9,82 +9,87 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// largeShare is the part of a machine from which a task counts as large: small
-// ones that come later would go on filling the room that it waits for.
-const largeShare = 0.3
+// largeTaskShare is the share of a machine from which on a task counts as large. Capacity is reserved
+// for large tasks, since small tasks that come later would otherwise go on filling the room that a
+// large one waits for.
+const largeTaskShare = 0.3
 
-// reservation is what a reserved slot may still give to jobs other than the one it is
-// kept for.
+// reservation reserves a slot for a job. Other jobs get no more of the slot than what is left besides
+// the reserved room.
 type reservation struct {
-	ref  string // the job it is kept for
-	left fleet.Amount
+	ref  string       // the job that the slot is reserved for
+	left fleet.Amount // what other jobs may still take
 }
 
-// plus is the reservation once an attempt has left.
+// plus returns the reservation once an attempt has left the machine.
 func (r reservation) plus(a *fleet.Attempt) reservation {
 	return reservation{r.ref, r.left.Plus(a)}
 }
 
-// minus is what a task of the job leaves.
+// minus returns the reservation for the job, with the room for one of its tasks taken off what is
+// left.
 func (r reservation) minus(sp *pipeline.Spec) reservation {
-	return reservation{sp.Ref, r.left.Sub(need(sp))}
+	return reservation{sp.Ref, r.left.Sub(taskAmount(sp))}
 }
 
-// fits reports whether there is room for a task of the job.
+// fits reports whether what is left has room for a task of the job.
 func (r reservation) fits(sp *pipeline.Spec) bool { return tasksWithin(r.left, sp) > 0 }
 
-// endsLate is how much later than expected the last of what occupies a place may
-// end: room is made in time rather than hoped for until it is too late.
-const endsLate = 20 * time.Second
+// endMargin is how much later than expected the attempts that occupy a slot may end. With this margin,
+// attempts are preempted in time instead of when it is already too late.
+const endMargin = 20 * time.Second
 
-// wait is called for a job that has no room now for n tasks at once: room that
-// is coming is kept for it, and if that comes too late, room is made by stopping
-// what may be stopped. Each round does so for a few jobs, the first in the order.
-func (b *Board) wait(j *pipeline.Job, n int, zones map[string]int) {
+// reserveOrPreempt is called for a job that has no room now for n tasks at once. It reserves the slots
+// that will have room first. If that is too late for the job's objective, it makes room by preemption
+// instead, if it can. Each round does so for the first MaxReservations such jobs in the queue.
+func (b *Board) reserveOrPreempt(j *pipeline.Job, n int, zones map[string]int) {
 	preempts := b.Cluster.MayPreempt(j)
-	if b.MaxReservations == 0 || !(preempts || n > 1 || b.large(j)) {
+	if b.MaxReservations == 0 || !(preempts || n > 1 || b.hasLargeTasks(j)) {
 		return
 	}
 	b.MaxReservations--
-	places, at := b.soonest(j, n, zones)
-	if len(places) < n || at.After(b.Cluster.NeedsCapacityBy(j).Add(-endsLate)) {
+	places, at := b.earliestPlaces(j, n, zones)
+	if len(places) < n || at.After(b.Cluster.NeedsCapacityBy(j).Add(-endMargin)) {
 		if preempts && b.makeCapacity(j, n, zones) {
 			return
 		}
 	}
 	for _, p := range places {
-		if n > 1 || Share(p.slot.Type, &j.Spec) >= largeShare {
+		if n > 1 || Share(p.slot.Type, &j.Spec) >= largeTaskShare {
 			b.FreeCapacity.reserve(p.slot, p.left)
 		}
 	}
 }
 
-// large reports whether the job's tasks count as large on some type it may use.
-func (b *Board) large(j *pipeline.Job) bool {
+// hasLargeTasks reports whether the job's tasks count as large on some machine type that it may use.
+func (b *Board) hasLargeTasks(j *pipeline.Job) bool {
 	for _, p := range b.FreeCapacity.Pools {
-		if p.Allowed(&j.Spec) && Share(p.Type, &j.Spec) >= largeShare {
+		if p.Allowed(&j.Spec) && Share(p.Type, &j.Spec) >= largeTaskShare {
 			return true
 		}
 	}
 	return false
 }
 
+// usable reports whether a slot may be reserved for one more task of the job, given the number of its
+// tasks in each zone.
 func (b *Board) usable(s *Slot, j *pipeline.Job, zones map[string]int) bool {
 	return s.reserved == nil && ZoneCapacity(j, s.Zone, zones) > 0 && !j.Avoids(b.Now, s.Machine.Name)
 }
 
-// place is a slot that takes, or will take, a task of a waiting job.
+// place is a slot that may be reserved for a task of a waiting job.
 type place struct {
 	slot    *Slot
-	at      time.Time
-	left    reservation
-	cost    float64
-	victims []*fleet.Attempt
+	at      time.Time        // of earliestPlaces: when the slot is expected to have room
+	left    reservation      // the reservation to be made
+	cost    float64          // of chooseVictims: total cost of the preemption in seconds
+	victims []*fleet.Attempt // of chooseVictims: the attempts to stop
 }
 
-// soonest are the slots where n tasks of the job will first fit, one each, and
-// when the last of them will; in one zone where they must be.
-func (b *Board) soonest(j *pipeline.Job, n int, zones map[string]int) (best []place, at time.Time) {
+// earliestPlaces returns the n slots that are expected to have room for a task of the job first, and
+// when the last of them will. All are in one zone if the job's tasks must be. If there are fewer than
+// n slots, it returns none.
+func (b *Board) earliestPlaces(j *pipeline.Job, n int, zones map[string]int) (best []place, at time.Time) {
 	for _, z := range b.gangZones(j) {
 		var all []place
 		b.FreeCapacity.EachAllowed(&j.Spec, z, func(s *Slot) {
@@ -104,8 +109,9 @@
 	return best, at
 }
 
-// present lists what may be on a machine, by attempt.
-func present(m *fleet.Machine) []*fleet.Attempt {
+// activeAttempts lists the attempts that may be on a machine and haven't exited, sorted by number and
+// task.
+func activeAttempts(m *fleet.Machine) []*fleet.Attempt {
 	out := make([]*fleet.Attempt, 0, m.ActiveAttempts())
 	for a := range m.Attempts() {
 		if a.State() != fleet.Exited {
@@ -118,7 +124,8 @@
 	return out
 }
 
-// capacityAt is when a slot will have room for a task, and what will then be left.
+// capacityAt returns when a slot is expected to have room for a task of the job, and the reservation
+// to be made for the task then.
 func (b *Board) capacityAt(s *Slot, sp *pipeline.Spec) (time.Time, reservation) {
 	at, free := b.Now, reservation{sp.Ref, s.free}
 	if free.fits(sp) {
@@ -129,7 +136,7 @@
 		at      time.Time
 	}
 	var ends []end
-	for _, a := range present(s.Machine) {
+	for _, a := range activeAttempts(s.Machine) {
 		ends = append(ends, end{a, b.Cluster.EndOf(a)})
 	}
 	slices.SortStableFunc(ends, func(a, b end) int { return a.at.Compare(b.at) })
@@ -142,11 +149,11 @@
 	return at, free.minus(sp)
 }
 
-// makeCapacity stops what must make way for n tasks of the job, on the machines
-// where that loses the least, and keeps the room for it. It is all or nothing.
+// makeCapacity makes room for n tasks of the job by preemption, on the machines where that costs the
+// least, and reserves it. If it can't make room for all n, it stops nothing and returns false.
 func (b *Board) makeCapacity(j *pipeline.Job, n int, zones map[string]int) bool {
 	var best []place
-	low := 0.0
+	lowest := 0.0
 	for _, z := range b.gangZones(j) {
 		all := b.preemptible(j, z, zones)
 		if len(all) < n {
@@ -156,25 +163,25 @@
 		for _, p := range all[:n] {
 			sum += p.cost
 		}
-		if best == nil || sum < low {
-			best, low = all[:n], sum
+		if best == nil || sum < lowest {
+			best, lowest = all[:n], sum
 		}
 	}
 	for _, p := range best {
-		b.clear(p)
+		b.preemptAndReserve(p)
 	}
 	return best != nil
 }
 
-// preemptible are the places in a zone (empty: in all) where one task of the job has room
-// once what may be stopped for it is stopped, those where that loses the least first.
+// preemptible lists the places in a zone (empty: in all zones) where preemption can make room for one
+// task of the job, those with the lowest cost first.
 func (b *Board) preemptible(j *pipeline.Job, zone string, zones map[string]int) []place {
 	var all []place
 	b.FreeCapacity.EachAllowed(&j.Spec, zone, func(s *Slot) {
 		if !b.usable(s, j, zones) {
 			return
 		}
-		if p, ok := b.victims(s, j); ok {
+		if p, ok := b.chooseVictims(s, j); ok {
 			all = append(all, p)
 		}
 	})
@@ -182,17 +189,18 @@
 	return all
 }
 
-// clear stops what occupies a place and keeps the room for its task.
-func (b *Board) clear(p place) {
+// preemptAndReserve preempts the victims of a place and reserves its slot.
+func (b *Board) preemptAndReserve(p place) {
 	b.FreeCapacity.reserve(p.slot, p.left)
 	for _, a := range p.victims {
 		b.Executor.Preempt(a)
 	}
 }
 
-// victims are the attempts on a slot to stop for a task of the job, what that
-// costs in seconds of delay and lost work, and what room it leaves.
-func (b *Board) victims(s *Slot, j *pipeline.Job) (place, bool) {
+// chooseVictims chooses the attempts on a slot to stop for a task of the job, at the least cost in
+// seconds of delay and lost work first. It returns false if stopping all that may be stopped doesn't
+// make enough room.
+func (b *Board) chooseVictims(s *Slot, j *pipeline.Job) (place, bool) {
 	free := reservation{j.Ref, s.free}
 	type candidate struct {
 		attempt *fleet.Attempt
@@ -200,9 +208,9 @@
 	}
 	var may []candidate
 	if !free.fits(&j.Spec) {
-		for _, a := range present(s.Machine) {
+		for _, a := range activeAttempts(s.Machine) {
 			if a.Stopping() {
-				free = free.plus(a) // on its way out already
+				free = free.plus(a) // was already told to stop
 				continue
 			}
 			if cost, ok := b.Cluster.PreemptionCost(j, a); ok {
--- a/internal/core/placement/replicas.go
+++ b/internal/core/placement/replicas.go
@@ -9,9 +9,9 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// placeReplicas places as many of a service's waiting replicas as there is room for, each on
-// a machine of its own while there are enough, and evenly over the zones: what is lost with
-// a machine or a zone is missing until it is proven gone.
+// placeReplicas places as many of a service's waiting replicas as there is room for, and at most
+// entry.Most. They are spread evenly over the zones, and over the machines as far as there are
+// enough: replicas on a lost machine or zone aren't replaced before they are proven gone.
 func (b *Board) placeReplicas(entry QueueEntry) {
 	j := entry.Job
 	want := min(b.quotaHeadroom(j), entry.Most, j.Count(pipeline.Waiting))
@@ -36,37 +36,38 @@
 	}
 }
 
-// zoneSeconds weighs a zone that has a replica of the service already against the time until
-// a replica starts.
-const zoneSeconds = 3.0
+// occupiedZoneSeconds counts against a zone, in seconds of delay, for each replica of the service
+// that is already there.
+const occupiedZoneSeconds = 3.0
 
-// replicaChoices are the slots with room for a service's replicas by zone, the best first.
+// replicaChoices holds the slots with room for a service's replicas.
 type replicaChoices struct {
-	zones  []string // in a fixed order
-	byZone map[string][]scored
+	zones  []string            // sorted
+	byZone map[string][]scored // the best first; slots that were chosen before come last
 }
 
+// replicaChoices collects the slots that have room for the service's replicas now.
 func (b *Board) replicaChoices(j *pipeline.Job) *replicaChoices {
 	c := &replicaChoices{byZone: map[string][]scored{}}
-	for _, s := range b.open(j, "") {
+	for _, s := range b.rankedSlots(j, "") {
 		c.byZone[s.Zone] = append(c.byZone[s.Zone], s)
 	}
 	c.zones = slices.Sorted(maps.Keys(c.byZone))
 	return c
 }
 
-// next is the best slot for the next replica, nil if there is none. Its machine is chosen
-// again only after all others of the zone.
+// next returns the best slot for the next replica, nil if there is none. The slot then goes to the end
+// of its zone's list, so that its machine is chosen again only after all others of the zone.
 func (c *replicaChoices) next(j *pipeline.Job, inZones map[string]int, task int) *Slot {
-	best, low := "", 0.0
+	best, lowest := "", 0.0
 	for _, zone := range c.zones {
 		c.skipFull(j, zone, task)
 		if len(c.byZone[zone]) == 0 || ZoneCapacity(j, zone, inZones) < 1 {
 			continue
 		}
-		score := c.byZone[zone][0].score + zoneSeconds*float64(inZones[zone])
-		if best == "" || score < low {
-			best, low = zone, score
+		score := c.byZone[zone][0].score + occupiedZoneSeconds*float64(inZones[zone])
+		if best == "" || score < lowest {
+			best, lowest = zone, score
 		}
 	}
 	if best == "" {
@@ -77,7 +78,7 @@
 	return slots[0].Slot
 }
 
-// skipFull drops the first slots of a zone that can't take the replica.
+// skipFull removes slots that can't take the replica from the front of a zone's list.
 func (c *replicaChoices) skipFull(j *pipeline.Job, zone string, task int) {
 	slots := c.byZone[zone]
 	id := fleet.TaskID{Ref: j.Ref, Task: task}
@@ -87,13 +88,13 @@
 	c.byZone[zone] = slots
 }
 
-// placesPerReplica is how many places are looked at for each missing replica: replicas of many
-// services are missing at once when a zone is lost, and room has to be made within seconds.
+// placesPerReplica bounds how many places of a pool are considered for each missing replica. When a
+// zone is lost, replicas of many services are missing at once, and room has to be made within seconds.
 const placesPerReplica = 3
 
-// makeCapacityForReplicas makes room for as many of n missing replicas of a service as it can,
-// one on each machine and no more in a zone than may be there, on the cheapest machines:
-// unlike a gang's tasks, each is of use without the others.
+// makeCapacityForReplicas makes room by preemption for as many of n missing replicas of a service as
+// it can, one on each machine and no more in a zone than the service's constraints allow, in pools
+// with cheap machines first. Unlike a gang's tasks, each replica is useful without the others.
 func (b *Board) makeCapacityForReplicas(j *pipeline.Job, n int, zones map[string]int) {
 	if b.MaxReservations == 0 || !b.Cluster.MayPreempt(j) {
 		return
@@ -110,15 +111,15 @@
 			if ZoneCapacity(j, p.slot.Zone, inZones) < 1 {
 				break
 			}
-			b.clear(p)
+			b.preemptAndReserve(p)
 			inZones[p.slot.Zone]++
 			n--
 		}
 	}
 }
 
-// preemptibleIn are up to so many places of a pool where one task of the job has room once
-// what may be stopped for it is stopped.
+// preemptibleIn lists up to most places of a pool where preemption can make room for one task of the
+// job, in the order of the machines' names.
 func (b *Board) preemptibleIn(pool *Pool, j *pipeline.Job, zones map[string]int, most int) []place {
 	var found []place
 	for _, s := range pool.Slots {
@@ -128,7 +129,7 @@
 		if s.Future || !b.usable(s, j, zones) {
 			continue
 		}
-		if p, ok := b.victims(s, j); ok {
+		if p, ok := b.chooseVictims(s, j); ok {
 			found = append(found, p)
 		}
 	}
--- a/internal/core/placement/replicas_test.go
+++ b/internal/core/placement/replicas_test.go
@@ -9,53 +9,55 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// countingZones has a board count what it places by zone, as the engine does.
-func countingZones(b *board) { b.zones = map[string]int{} }
+// countByZone makes a board count what it places by zone, as the engine does.
+func countByZone(b *board) { b.zones = map[string]int{} }
 
 func service(t *testing.T, replicas int) *pipeline.Job {
 	t.Helper()
 	return job(t, pipeline.Spec{Ref: "j-1", Tasks: replicas, CPUs: 4, Shape: pipeline.Service, Spread: true})
 }
 
-// Replicas missing after a zone was lost once waited for arrays' tasks to end, for 7 s on
-// the mean, since a service that had begun had no objective left to be late for.
+// Replicas that are missing after the loss of a zone preempt array tasks. Guards against replicas that
+// wait for such tasks to end, once for 7 s on average: a service that had started had no objective
+// left that it could miss.
 func TestMissingReplicasMakeRoom(t *testing.T) {
 	b := newBoard(t, []*pipeline.Job{service(t, 4)}, machine("m-1", "cpu", "a", "j-9", "j-8"),
 		machine("m-2", "cpu", "a", "j-9", "j-8"), machine("m-3", "cpu", "a", "j-9", "j-8"),
 		machine("m-4", "cpu", "b", "j-9", "j-8"))
-	countingZones(b)
+	countByZone(b)
 	new(Round).Run(&b.Board)
 	byMachine := map[string]int{}
 	for _, a := range b.stopped {
 		byMachine[a.Machine.Name]++
 	}
 	if len(b.stopped) != 3 || byMachine["m-4"] != 1 || b.unmet != 4 {
-		t.Fatalf("stopped on %v, unmet %d; want two places in zone a, one in zone b", byMachine, b.unmet)
+		t.Fatalf("stopped on %v, unmet %d; want two machines in zone a, one in zone b", byMachine, b.unmet)
 	}
 }
 
-// The replicas of a service were once put on one machine, or in one zone, as far as its
-// limit of half of them allowed.
+// The replicas of a service are placed on as many machines and zones as possible. Guards against
+// putting them all on one machine, or as many in one zone as the limit of half of them allows.
 func TestReplicasSpread(t *testing.T) {
 	var machines []*fleet.Machine
 	for i, zone := range []string{"a", "a", "b", "c"} {
 		machines = append(machines, machine(fmt.Sprintf("m-%d", i+1), "cpu", zone))
 	}
 	b := newBoard(t, []*pipeline.Job{service(t, 4)}, machines...)
-	countingZones(b)
+	countByZone(b)
 	new(Round).Run(&b.Board)
 	on := map[string]int{}
 	for _, d := range b.placed {
 		on[d.Slot.Machine.Name]++
 	}
 	if len(b.placed) != 4 || len(on) != 4 {
-		t.Fatalf("4 replicas on %v", on)
+		t.Fatalf("4 replicas on %v, want one on each of 4 machines", on)
 	}
 }
 
-// Replicas were once strewn over machines with GPUs, on each a few more than fit beside the
-// tasks that need its GPUs: gangs waited for minutes while those machines stood idle. They
-// first take what is left beside such tasks, then fill machines that are lost to those already.
+// On machines with GPUs, replicas first take the room that is left beside tasks that need the GPUs.
+// Only then do they fill machines that have no more room for such tasks anyway. Guards against
+// scattering replicas over those machines so that no GPU task fits on any: gangs once waited for
+// minutes while the GPUs were idle.
 func TestReplicasLeaveRoomForGPUWork(t *testing.T) {
 	large := &pipeline.Spec{Ref: "j-9", CPUs: 4, GPUs: 2}
 	on := map[string]int{}
@@ -70,7 +72,7 @@
 		replica := job(t, pipeline.Spec{Ref: "j-1", Tasks: 1, CPUs: 2, Shape: pipeline.Service})
 		b := newBoard(t, []*pipeline.Job{replica}, machines...)
 		b.LargeGPUWork = map[*Type]*pipeline.Spec{types["gpu"]: large}
-		countingZones(b)
+		countByZone(b)
 		new(Round).Run(&b.Board)
 		if len(b.placed) != 1 {
 			t.Fatalf("replica %d isn't placed", i)
--- a/internal/core/placement/rounds.go
+++ b/internal/core/placement/rounds.go
@@ -7,32 +7,31 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// Decision puts a task of a job on a machine.
+// Decision assigns a task of a job to a machine.
 type Decision struct {
 	Job   *pipeline.Job
 	Task  int
 	Slot  *Slot
-	Delay time.Duration // how long to put its start off
+	Delay time.Duration // by which its start is delayed
 }
 
-// QueueEntry is a job's place in the queue of a round, how many of its tasks it may place there, and
-// whether only where its image is there already or soon.
+// QueueEntry is the entry of a job in the queue of a round. A job may have several.
 type QueueEntry struct {
 	Job             *pipeline.Job
-	Most            int
-	ImageCachedOnly bool
+	Most            int  // most tasks to place for this entry; ignored for gangs
+	ImageCachedOnly bool // of an array: only on machines that have its image within cachedWithin
 }
 
-// Round is a round of decisions that may take several goes.
+// Round is a round of decisions, which may be spread over several calls of Run.
 type Round struct {
-	resume string // the job it stopped before
+	resume string // the job at which the next call resumes; empty: it begins a new round
 }
 
-// Resumes reports whether the next go continues a round.
+// Resumes reports whether the next call of Run continues a round.
 func (r *Round) Resumes() bool { return r.resume != "" }
 
-// Run goes through the jobs from where it last stopped until all were looked
-// at or the budget is spent; it reports whether it came to the end.
+// Run goes through the queue from where it last stopped, until its end or until the budget is spent.
+// It reports whether it has reached the end.
 func (r *Round) Run(b *Board) bool {
 	from := 0
 	if r.resume != "" {
@@ -40,7 +39,7 @@
 	}
 	r.resume = ""
 	if b.MaxReservations > 0 && from == 0 {
-		b.FreeCapacity.Clear()
+		b.FreeCapacity.ClearReservations()
 	}
 	for _, entry := range b.Queue[from:] {
 		j := entry.Job
--- a/internal/core/placement/score.go
+++ b/internal/core/placement/score.go
@@ -8,22 +8,22 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// Scorer compares places for tasks.
+// Scorer scores slots for tasks.
 type Scorer struct {
 	Now time.Time
-	// SecondsPerDollarHour weighs a dearer place against time lost on fetching.
+	// SecondsPerDollarHour converts a slot's cost in dollars per hour into seconds of delay.
 	SecondsPerDollarHour float64
-	// HeartbeatInterval is how often a machine can be told to start something.
+	// HeartbeatInterval is the interval at which a machine can be sent starts.
 	HeartbeatInterval time.Duration
-	// LargeGPUWork is the largest task of recent work that needs GPUs, by the type of machine that
-	// it would run on.
+	// LargeGPUWork holds, by machine type, the job with the largest tasks among recent jobs that need
+	// GPUs and would run on that type.
 	LargeGPUWork map[*Type]*pipeline.Spec
 }
 
-// waste is the part of the slot that becomes unusable for others if the job takes it: a
-// task without GPUs on a machine with GPUs, say. Beside the replicas of services there is
-// often room for a task of the large work that needs the GPUs; only the replica that takes
-// the last such room wastes something, and that is the machine.
+// waste returns the share of the machine that a task of the job makes unusable for others, besides
+// the share that it uses itself. A task without GPUs on a machine with GPUs wastes as much as it uses.
+// Beside the replicas of services, though, there is often room for tasks of the type's LargeGPUWork.
+// So a replica wastes only the shares of those tasks that no longer fit because of it.
 func (w *Scorer) waste(s *Slot, sp *pipeline.Spec) float64 {
 	if sp.GPUs > 0 || s.Type.GPUs == 0 {
 		return 0
@@ -33,33 +33,32 @@
 		return Share(s.Type, sp)
 	}
 	left := s.Type.total().Sub(s.serviceUsage)
-	lost := tasksWithin(left, large) - tasksWithin(left.Sub(need(sp)), large)
+	lost := tasksWithin(left, large) - tasksWithin(left.Sub(taskAmount(sp)), large)
 	return float64(lost) * Share(s.Type, large)
 }
 
-// What counts against a machine when a place is chosen, in seconds of delay.
+// Penalties in the score of a slot, in seconds of delay.
 const (
-	// fullerSeconds counts against an untouched machine: room left whole is what large tasks
-	// and gangs need, and what can be released.
-	fullerSeconds = 10.0
-	// plannedSeconds counts against a machine that is about to be drained: it is taken only if
-	// nothing else has room, so that what is placed there needn't move again.
-	plannedSeconds = 3600.0
-	// lateSeconds counts against a start that misses its objective.
-	lateSeconds = 15.0
-	// probationSeconds counts against a machine on which something failed.
-	probationSeconds = 60.0
+	// emptyMachineSeconds counts against a machine in proportion to its free CPUs: large tasks and
+	// gangs need machines that are left empty, and only those can be released.
+	emptyMachineSeconds = 10.0
+	// cordonPlannedSeconds counts against a machine that is about to be drained. It is used only if
+	// no other machine has room, so that tasks needn't be moved soon after their start.
+	cordonPlannedSeconds = 3600.0
+	// missedObjectiveSeconds counts against a slot on which the start misses its objective.
+	missedObjectiveSeconds = 15.0
+	// failedMachineSeconds counts against a machine on which an attempt failed since the last success.
+	failedMachineSeconds = 60.0
 )
 
-// startLag is what a start takes besides the wait for an answer and the fetch: the write
-// before it, and the way to the machine.
+// startLag is how long a start takes besides the wait for a heartbeat and the image fetch: the write
+// of its record, and the transfer to the machine.
 const startLag = 100 * time.Millisecond
 
-// Score ranks slots for a task of a job that is best started by a time (zero: any); the
-// lowest is best. It adds up the time until the machine can be told and the image is there,
-// what the place costs, and how much of the machine is free, so that room stays whole and
-// machines empty out. Where a task would start too late for the objective of starting by a
-// time (zero: there is none, or it has passed), that counts too.
+// Score returns the score of a slot for a task of a job, in seconds; the lowest is best. It adds up
+// the time until the machine can be sent the start and has the image, the cost of the slot, and the
+// penalties above. StartBy is the job's objective for starting (zero: there is none, or it has
+// passed).
 func (w *Scorer) Score(s *Slot, j *pipeline.Job, startBy time.Time) float64 {
 	sp := &j.Spec
 	score := (Share(s.Type, sp) + w.waste(s, sp)) * s.Type.Price(s.Spot) * w.SecondsPerDollarHour
@@ -68,15 +67,15 @@
 			s.Machine.NextResponseIn(w.Now, w.HeartbeatInterval)
 		score += starts.Seconds()
 		if w.Now.Before(startBy) && w.Now.Add(starts+startLag).After(startBy) {
-			score += lateSeconds
+			score += missedObjectiveSeconds
 		}
 	}
-	score += fullerSeconds * s.free.CPUs / s.Type.CPUs
+	score += emptyMachineSeconds * s.free.CPUs / s.Type.CPUs
 	if s.Machine != nil && s.Machine.Failures() > 0 {
-		score += probationSeconds
+		score += failedMachineSeconds
 	}
 	if s.Machine != nil && s.Machine.CordonPlanned() {
-		score += plannedSeconds
+		score += cordonPlannedSeconds
 	}
 	return score
 }
@@ -87,8 +86,9 @@
 	score float64
 }
 
-// open lists the slots with room for the job, the best first.
-func (b *Board) open(j *pipeline.Job, zone string) []scored {
+// rankedSlots lists the slots in the zone (empty: in all zones) that have room for a task of the job
+// now and may take it, the best first.
+func (b *Board) rankedSlots(j *pipeline.Job, zone string) []scored {
 	var out []scored
 	startBy := b.Cluster.StartBy(j)
 	b.FreeCapacity.EachOpen(&j.Spec, zone, func(s *Slot) {
--- a/internal/core/placement/slot.go
+++ b/internal/core/placement/slot.go
@@ -7,49 +7,51 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// Slot is a machine as a round sees it: what is free, and what it costs.
+// Slot is a machine in the view of placement and planning: its type, and what is free on it.
 type Slot struct {
-	Machine      *fleet.Machine // nil: only planned to be requested
+	Machine      *fleet.Machine // nil: the machine is requested, or is to be
 	Type         *Type
 	Zone         string
 	Spot         bool
-	Future       bool         // is booting: counts as coming, takes no tasks yet
-	free         fleet.Amount // what nothing takes, reservations apart
-	serviceUsage fleet.Amount // what replicas of services take of it
-	reserved     *reservation // what is kept of it for a job; nil: nothing
-	pool         *Pool
+	Future       bool         // booting or only requested: takes no tasks yet
+	free         fleet.Amount // resources that no attempt uses, whether reserved or not
+	serviceUsage fleet.Amount // resources that replicas of services use
+	reserved     *reservation // nil: not reserved
+	pool         *Pool        // nil: it belongs to no FreeCapacity
 }
 
-// NewPlannedSlot is an empty machine of a pool that is requested, or about to be.
+// NewPlannedSlot returns the slot of an empty machine of a pool that is requested, or is to be.
 func NewPlannedSlot(t *Type, k fleet.PoolKey) *Slot {
 	return &Slot{Type: t, Zone: k.Zone, Spot: k.Spot, Future: true, free: t.total()}
 }
 
-// need is what a task of the job takes.
-func need(sp *pipeline.Spec) fleet.Amount {
+// taskAmount returns the resources that a task of the job needs.
+func taskAmount(sp *pipeline.Spec) fleet.Amount {
 	return fleet.Amount{CPUs: sp.CPUs, GPUs: sp.GPUs, MemGB: sp.MemGB}
 }
 
-// Take books a task of the job.
+// Take takes the resources of one task of the job off what is free.
 func (s *Slot) Take(sp *pipeline.Spec) {
-	s.free = s.free.Sub(need(sp))
+	s.free = s.free.Sub(taskAmount(sp))
 	if sp.Shape == pipeline.Service {
-		s.serviceUsage = s.serviceUsage.Add(need(sp))
+		s.serviceUsage = s.serviceUsage.Add(taskAmount(sp))
 	}
 	if s.pool != nil {
-		s.pool.stale = true
+		s.pool.maxFreeStale = true
 	}
 	if r := s.reserved; r != nil && r.ref != sp.Ref {
-		r.left = r.left.Sub(need(sp))
+		r.left = r.left.Sub(taskAmount(sp))
 	}
 }
 
-// Allowed reports whether the job may use the slot's type, zone and kind.
+// Allowed reports whether the job may use the slot's machine type and zone, and spot instances if it
+// is one.
 func (s *Slot) Allowed(sp *pipeline.Spec) bool {
 	return sp.AllowsType(s.Type.Name) && (sp.Zone == "" || sp.Zone == s.Zone) && (sp.Spot || !s.Spot)
 }
 
-// CapacityFor is how many tasks of the job the slot still takes.
+// CapacityFor returns how many more tasks of the job fit on the slot, with what is reserved for
+// another job left out.
 func (s *Slot) CapacityFor(sp *pipeline.Spec) int {
 	n := tasksWithin(s.free, sp)
 	if r := s.reserved; r != nil && r.ref != sp.Ref && n > 0 {
@@ -58,7 +60,8 @@
 	return n
 }
 
-// Share is the part of a machine of the type that a task takes of its scarcest resource.
+// Share returns the share of a machine of the type that a task takes, by the resource of which it takes
+// the largest share.
 func Share(t *Type, sp *pipeline.Spec) float64 {
 	share := 0.0
 	for _, p := range [3][2]float64{{t.CPUs, sp.CPUs}, {t.GPUs, sp.GPUs}, {t.MemGB, sp.MemGB}} {
@@ -69,14 +72,14 @@
 	return share
 }
 
-// Plain copies a slot for planning, without its reservation.
+// Plain returns a copy of the slot for planning, without its reservation.
 func (s *Slot) Plain() *Slot {
 	c := *s
 	c.reserved, c.pool = nil, nil
 	return &c
 }
 
-// paused reports whether nothing is to be placed on the slot for the moment.
+// paused reports whether no new work may be placed on the slot's machine for the moment.
 func (s *Slot) paused(now time.Time) bool {
 	return s.Machine != nil && s.Machine.StartsPaused(now)
 }
