--- a/internal/core/placement/preempt.go
+++ b/internal/core/placement/preempt.go
@@ -39,9 +39,11 @@
 // attempts are preempted in time instead of when it is already too late.
 const endMargin = 20 * time.Second
 
-// reserveOrPreempt is called for a job that has no room now for n tasks at once. It reserves the slots
-// that will have room first. If that is too late for the job's objective, it makes room by preemption
-// instead, if it can. Each round does so for the first MaxReservations such jobs in the queue.
+// reserveOrPreempt is called for a job that has no room now for n tasks at once. If the room that is
+// expected comes too late for the job's objective, it makes room by preemption, if it can. Else it
+// reserves the slots that are expected to have room first, unless the job needs room for a single
+// task that isn't large there. Each round does so for the first MaxReservations jobs in the queue
+// that may preempt, need room for several tasks at once, or have large tasks.
 func (b *Board) reserveOrPreempt(j *pipeline.Job, n int, zones map[string]int) {
 	preempts := b.Cluster.MayPreempt(j)
 	if b.MaxReservations == 0 || !(preempts || n > 1 || b.hasLargeTasks(j)) {
