--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -1,7 +1,7 @@
 package core
 
-// The life of attempts: from the moment at which one is, or may be, on a machine until it
-// is proven gone (docs/design.md, safety arguments 3 to 7 and 11).
+// The life cycle of attempts: from the decision that puts one on a machine until it is proven gone
+// (docs/design.md, safety arguments 3 to 7 and 11).
 
 import (
 	"log/slog"
@@ -11,8 +11,8 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// attach notes an attempt that is, or may be, on a machine. Together with moveAttempt and
-// detach it keeps the counts that quotas, zones and gangs are checked against.
+// attach adds an attempt that is, or may be, on a machine. attach, moveAttempt and detach maintain
+// the usage that quotas, zones and gangs are checked against.
 func (e *Engine) attach(now time.Time, m *fleet.Machine, a *fleet.Attempt, st fleet.AttemptState) {
 	team := ""
 	if j := e.jobs.get(a.Ref); j != nil {
@@ -25,7 +25,7 @@
 	e.warm.noteAttempt(a)
 }
 
-// moveAttempt is the one place where an attempt that is attached changes state.
+// moveAttempt changes the state of an attached attempt. No other function does.
 func (e *Engine) moveAttempt(now time.Time, m *fleet.Machine, a *fleet.Attempt, to fleet.AttemptState) {
 	was := a.State()
 	if !m.MoveAttempt(now, a, to) {
@@ -42,8 +42,8 @@
 	}
 }
 
-// settleExit takes an attempt that has exited out of all counts, and off its page of the
-// start log.
+// settleExit removes an attempt that has exited from all counts and from its page of the start
+// log.
 func (e *Engine) settleExit(now time.Time, m *fleet.Machine, a *fleet.Attempt, was fleet.AttemptState) {
 	if was == fleet.Sent || was == fleet.Fetching {
 		if m.FetchGivenUp(now, a.Image, was) {
@@ -57,27 +57,28 @@
 	e.forgetUsage(a.Ref)
 }
 
-// forgetUsage forgets the usage of a job that is over and nowhere any more.
+// forgetUsage drops the usage of a job that is over, once nothing of it is on machines.
 func (e *Engine) forgetUsage(ref string) {
 	if e.jobs.get(ref) == nil {
 		e.usage.forgetUnused(ref)
 	}
 }
 
-// detach notes that an attempt is proven gone.
+// detach removes an attempt that is proven gone.
 func (e *Engine) detach(now time.Time, m *fleet.Machine, a *fleet.Attempt) {
 	e.moveAttempt(now, m, a, fleet.Exited)
 	e.removeAttempt(now, m, a)
 }
 
-// removeAttempt forgets an attempt that has exited.
+// removeAttempt removes an attempt that has exited from its machine.
 func (e *Engine) removeAttempt(now time.Time, m *fleet.Machine, a *fleet.Attempt) {
 	m.RemoveAttempt(now, a.TaskID)
 	e.usage.removeResult(a)
 	e.forgetUsage(a.Ref)
 }
 
-// stopJob ends all attempts of a job at once: nothing they could save counts.
+// stopJob stops all attempts of a job without time for a checkpoint: their progress is no longer
+// needed.
 func (e *Engine) stopJob(now time.Time, j *pipeline.Job, reason stopReason) {
 	for _, a := range e.usage.attemptsOf(j.Ref) {
 		e.stop(now, a.Machine, a, 0)
@@ -85,8 +86,8 @@
 	e.debug(LogJobTasksStopped, logJob(j), logReason(string(reason)))
 }
 
-// stop asks an attempt to stop, after a checkpoint if grace leaves time for one. A start that
-// hasn't been sent is simply withdrawn.
+// stop requests the stop of an attempt; grace is the time that it has for a checkpoint. If its
+// start hasn't been sent, the attempt is withdrawn and its task requeued instead.
 func (e *Engine) stop(now time.Time, m *fleet.Machine, a *fleet.Attempt, grace time.Duration) {
 	switch a.State() {
 	case fleet.Exited:
@@ -104,13 +105,13 @@
 	a.RequestStop(now, grace)
 	e.capacityChanged(m)
 	if a.State() == fleet.Sent || m.Incarnation() == 0 {
-		return // goes with the next heartbeat's response, once it is there
+		return // the worker may not have it yet: the stop goes out with an answer to a heartbeat
 	}
 	e.direct(m, fleet.Command{Kind: fleet.Stop, Ref: a.Ref, Task: a.Task, Attempt: a.Number, Grace: grace})
 }
 
-// direct sends a command to a worker at once, outside the answers to its heartbeats. Only
-// stops go this way: they name their attempt and are harmless late (docs/design.md, safety
+// direct sends a command to a worker at once, not with the answer to a heartbeat. This is used only
+// for stops: they name their attempt and do no harm when they arrive late (docs/design.md, safety
 // argument 7).
 func (e *Engine) direct(m *fleet.Machine, c fleet.Command) {
 	m.NoteFencingTokenSent()
@@ -126,14 +127,16 @@
 	})
 }
 
-// requeue lets the task of an attempt that is proven gone be placed again.
+// requeue makes the task of an attempt wait for placement again, unless a newer attempt of the task
+// exists.
 func (e *Engine) requeue(a *fleet.Attempt) {
 	if j := e.jobs.get(a.Ref); j != nil && a.Task < len(j.Tasks) && j.Tasks[a.Task].Attempt == a.Number {
 		j.Requeue(a.Task)
 	}
 }
 
-// attemptLost handles an attempt that is proven gone without a reported exit.
+// attemptLost handles an attempt that is proven gone without a reported exit: its task is requeued,
+// and the rest of its gang stopped.
 func (e *Engine) attemptLost(now time.Time, m *fleet.Machine, a *fleet.Attempt, reason lostReason) {
 	e.chargeInvoluntary(now, a)
 	e.detach(now, m, a)
@@ -142,9 +145,9 @@
 	e.stopBrokenGang(now, a)
 }
 
-// stopBrokenGang stops the rest of a gang that has lost a task: an attempt of a
-// gang runs whole or not at all. Another attempt of the gang, which took the place of one
-// given up, doesn't end with that (TestOldAttemptOfAGangEndsAlone).
+// stopBrokenGang stops the other tasks of a gang attempt of which one task has ended: a gang runs
+// whole or not at all. Only tasks with the same attempt number are stopped; a newer attempt that
+// replaced this one continues (TestOldAttemptOfAGangEndsAlone).
 func (e *Engine) stopBrokenGang(now time.Time, a *fleet.Attempt) {
 	j := e.jobs.get(a.Ref)
 	if j == nil || j.Shape != pipeline.Gang || j.Tasks[0].State() == pipeline.Finished || len(j.Tasks) == 1 {
@@ -158,10 +161,10 @@
 	}
 }
 
-// taskExited handles a reported exit, once.
+// taskExited handles a reported exit. Further reports of the same exit are ignored.
 func (e *Engine) taskExited(now time.Time, m *fleet.Machine, a *fleet.Attempt, t fleet.TaskStatus) {
 	if a.State() == fleet.Exited {
-		return // reported again, until the worker is told to forget it
+		return // the worker reports the exit until it is told to forget the task
 	}
 	j := e.jobs.get(a.Ref)
 	current := j != nil && a.Task < len(j.Tasks) && j.Tasks[a.Task].Attempt == a.Number
@@ -195,14 +198,15 @@
 }
 
 const (
-	// maxNoCapacityPause bounds how long a machine gets no starts after it had no room for one.
+	// maxNoCapacityPause bounds how long a machine gets no starts after its worker refused one for
+	// lack of resources or because the task was still present.
 	maxNoCapacityPause = 3 * time.Second
-	// unknownExitPause is how long a task is held back after an exit of unknown cause.
+	// unknownExitPause is how long a task is held back after a worker reported it as unknown.
 	unknownExitPause = 2 * time.Second
 )
 
-// taskDone takes in a task's result. The worker may forget it only once the store holds it
-// (docs/design.md, safety argument 7; TestForgetOnlyAfterWritten).
+// taskDone handles the exit of a task that has succeeded. The worker is told to forget the result
+// only once the store holds it (docs/design.md, safety argument 7; TestForgetOnlyAfterWritten).
 func (e *Engine) taskDone(now time.Time, m *fleet.Machine, a *fleet.Attempt) {
 	e.debug(LogAttemptSucceeded, logAttempt(a)...)
 	m.ClearFailures()
@@ -223,14 +227,15 @@
 	e.jobWrites.jobChanged(j)
 }
 
-// A machine counts as faulty once so many different jobs, or so many attempts, have failed on
-// it with no success between.
+// A machine is quarantined after failures of this many different jobs, or of this many attempts,
+// with no success in between.
 const (
 	quarantineAfterJobs     = 2
 	quarantineAfterFailures = 3
 )
 
-// taskFailed weighs an exit with an error against the machine before the job.
+// taskFailed handles an exit with an error. It quarantines the machine if enough has failed there,
+// and the jobs that failed no longer avoid it; otherwise the job avoids the machine for a while.
 func (e *Engine) taskFailed(now time.Time, m *fleet.Machine, j *pipeline.Job, task int) {
 	m.RecordFailure(j.Ref)
 	e.warm.noteJob(j.Ref)
--- a/internal/core/batch.go
+++ b/internal/core/batch.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// batch collects writes for one transaction, up to a limit of puts and deletes.
+// batch collects the writes of one transaction, up to a limit of puts and deletes.
 type batch struct {
 	writes    []Write
-	remaining int // puts and deletes that may be added
+	remaining int // puts and deletes that may still be added
 }
 
 func (b *batch) add(w Write) {
@@ -15,30 +15,31 @@
 
 func (b *batch) empty() bool { return len(b.writes) == 0 }
 
-// batchTurns is whose turn it is in the next batch, and how the last one ended.
-type batchTurns struct {
-	jobEndsFirst bool
-	failing      bool // the last batch wasn't written
+// batchState remembers what went first in the last batch, and how the last batch ended.
+type batchState struct {
+	jobEndsFirst bool // jobs' final entries went before starts in the last batch
+	failing      bool // the last batch failed
 }
 
-// endsFirst reports whether the ends of jobs go before starts in the batch that is being made;
-// they take turns.
-func (t *batchTurns) endsFirst() bool {
+// endsFirst reports whether jobs' final entries go before starts in the batch that is being made.
+// It is called once for each batch and alternates.
+func (t *batchState) endsFirst() bool {
 	t.jobEndsFirst = !t.jobEndsFirst
 	return t.jobEndsFirst
 }
 
-// finished notes how a batch has ended.
-func (t *batchTurns) finished(ok bool) { t.failing = !ok }
+// finished notes whether a batch was written.
+func (t *batchState) finished(ok bool) { t.failing = !ok }
 
-// WritesPending reports whether a start or a job's end waits for a write.
+// WritesPending reports whether starts, jobs or drains have changes that aren't written yet.
 func (e *Engine) WritesPending() bool {
 	return e.startLog.pending() || e.jobWrites.pending() || e.drains.pending()
 }
 
-// Batch asks for the most urgent writes, at most `limit` puts and deletes: starts and
-// jobs' ends, taking turns at going first (TestStartsAndEndsTakeTurns), then partial
-// progress, and last what only tidies.
+// Batch returns the most urgent writes, at most `limit` puts and deletes: those of drains, then
+// starts and jobs' final entries, which take turns at going first (TestStartsAndEndsTakeTurns),
+// then the progress of unfinished jobs. Cleanup is added only if there is nothing else, and the
+// image log comes last.
 func (e *Engine) Batch(now time.Time, limit int) []Write {
 	b := &batch{remaining: limit}
 	e.drains.addWrites(now, b)
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -9,27 +9,29 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// busyFleet is a leader with so many machines, all of them full, and a backlog.
+// busyFleet returns a leader with this many full machines and a backlog of jobs, the current time,
+// and the machines' last heartbeats.
 func busyFleet(machines int) (*Engine, time.Time, []fleet.Heartbeat) {
 	return busyFleetWith(testConfig(), machines)
 }
 
+// busyFleetWith is busyFleet with other settings.
 func busyFleetWith(cfg Config, machines int) (*Engine, time.Time, []fleet.Heartbeat) {
 	now := time.Unix(5000, 0)
 	e := New(now, cfg, 2, Snapshot{})
 	e.Step(now, testCatalog())
-	reports := make([]fleet.Heartbeat, machines)
-	for i := range reports {
+	heartbeats := make([]fleet.Heartbeat, machines)
+	for i := range heartbeats {
 		name := fmt.Sprintf("m-%06d", i)
-		reports[i] = heartbeatFrom(name, 1, 0)
+		heartbeats[i] = heartbeatFrom(name, 1, 0)
 	}
-	hear := func(i int) HeartbeatResponse {
-		reports[i].Sequence++
-		return *e.Step(now, HeartbeatReceived{reports[i]}).Response
+	send := func(i int) HeartbeatResponse {
+		heartbeats[i].Sequence++
+		return *e.Step(now, HeartbeatReceived{heartbeats[i]}).Response
 	}
-	for i := range reports {
-		hear(i)
-		reports[i].FencingToken = 2 // which it now has been given
+	for i := range heartbeats {
+		send(i)
+		heartbeats[i].FencingToken = 2 // the machine has now received the term's token
 	}
 	jobs := machines*8/40 + 30
 	for i := range jobs {
@@ -48,24 +50,24 @@
 			e.Step(now, WritesStarted{batch})
 			e.Step(now, WritesFinished{Batch: batch, OK: true, Revision: 100})
 		}
-		for i := range reports {
-			for _, c := range hear(i).Commands {
+		for i := range heartbeats {
+			for _, c := range send(i).Commands {
 				if c.Kind == fleet.Start {
-					reports[i].Tasks = append(reports[i].Tasks, running(c))
+					heartbeats[i].Tasks = append(heartbeats[i].Tasks, running(c))
 				}
 			}
 		}
 	}
-	return e, now, reports
+	return e, now, heartbeats
 }
 
-// An unchanged heartbeat costs the same in a large fleet as in a small one.
+// Measures an unchanged heartbeat. Its cost should not depend on the size of the fleet.
 func BenchmarkReport(b *testing.B) {
 	for _, n := range []int{100, 500, 2000, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			e, now, reports := busyFleet(n)
+			e, now, heartbeats := busyFleet(n)
 			for i := 0; b.Loop(); i++ {
-				r := &reports[i%n]
+				r := &heartbeats[i%n]
 				r.Sequence++
 				e.Step(now, HeartbeatReceived{*r})
 				e.Batch(now, 30)
@@ -74,8 +76,8 @@
 	}
 }
 
-// A tick without news costs next to nothing; one that runs a round and a plan
-// follows the backlog.
+// Measures ticks with and without a round of decisions. Without a round a tick should cost next to
+// nothing; with a round its cost grows with the backlog.
 func BenchmarkRound(b *testing.B) {
 	for _, n := range []int{100, 500, 2000, 4000} {
 		for _, news := range []bool{false, true} {
--- a/internal/core/cancel.go
+++ b/internal/core/cancel.go
@@ -10,51 +10,56 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// The bound of a cancellation (docs/design.md, "The bound of a cancellation"). From
-// before its transaction is sent, whatever this node answers a worker with tells it to
-// stop the job's tasks (CancelRequested; TestCancelAskedStopsFirst), or, if an earlier
-// leader's was confirmed, from this leader's first answer on (New;
-// TestFirstAnswerStopsCancelled). So a 200 that doesn't say so answers a heartbeat that was
-// sent before the confirmation, and the worker's lease, which counts from there, ends
-// within CancelBound of it, whatever happens next: hangs and delayed answers don't
-// prolong it, since it counts from the heartbeat and runs on while a machine hangs.
-
-// CancelBound is how long after its confirmation a cancelled task may be on its machine
-// at the most: the worker's lease, the drift of two clocks, and the steps of timers.
+// The bound of a cancellation (docs/design.md, "The bound of a cancellation"). Every answer to a
+// worker carries the stops of the cancelled job's tasks: from before the transaction of the
+// cancellation is sent (CancelRequested; TestCancelAskedStopsFirst), or, if an earlier leader's
+// cancellation was confirmed, from this leader's first answer on (New;
+// TestFirstAnswerStopsCancelled). So an answer with status 200 and without the stops belongs to a
+// heartbeat that was sent before the confirmation. The worker's lease counts from that heartbeat
+// and ends within CancelBound of the confirmation. Hangs and delayed answers don't prolong the
+// lease, since it counts from the heartbeat and runs on while a machine hangs.
+
+// CancelBound returns how long a cancelled task may remain on its machine after the confirmation:
+// the worker's lease, plus allowances for the drift of two clocks and the resolution of timers.
 func (c *Config) CancelBound() time.Duration { return fleet.LeaseBound(c.Lease) }
 
-// CancelKept reports whether a cancellation may be confirmed while tasks of the job may be
-// on machines. If not, they have to be proven gone first.
+// CancelKept reports whether CancelBound is within CancelWithin, so that a cancellation may be
+// confirmed while tasks of the job may be on machines. If not, the tasks have to be proven gone
+// first.
 func (c *Config) CancelKept() bool { return c.CancelBound() <= c.CancelWithin }
 
-// cancellations holds the cancellations that are under way, of both kinds: those of
-// which it isn't known whether the store holds them, and those that are stored while
-// tasks of the job may still be on machines.
+// cancellations holds the cancellations in progress: the pending ones, of which it isn't known
+// whether the store holds them, and the stored ones whose jobs may still have tasks on machines.
 type cancellations struct {
 	pending  map[string]*pendingCancellation // by job
-	stopping map[*pipeline.Job]bool
+	stopping map[*pipeline.Job]bool          // cancelled jobs that may have tasks on machines
 }
 
 func newCancellations() cancellations {
 	return cancellations{pending: map[string]*pendingCancellation{}, stopping: map[*pipeline.Job]bool{}}
 }
 
-// pendingCancellation is what is not yet known about a job's cancellation. Meanwhile
-// nothing of the job is started, what runs is stopped (it is useless to its user), and
-// nobody is told of it from memory: the store is asked (TestNoAnswerWhileOutcomeUnknown).
+// pendingCancellation is a cancellation of a job whose outcome isn't known yet. Meanwhile no task
+// of the job is started, its running tasks are stopped (the user doesn't need them any more), and
+// requests for its state are answered from the store, not from memory
+// (TestNoAnswerWhileOutcomeUnknown).
 type pendingCancellation struct {
-	transactions   int       // under way
-	unknownVersion uint64    // one without an answer may yet change the record if it still has this version; 0: none
-	deferredUntil  time.Time // put off until then, for its user to ask again
+	// transactions is the number of transactions in progress.
+	transactions int
+	// unknownVersion is the version of the record that a transaction without an answer may still
+	// change; 0 if there is none.
+	unknownVersion uint64
+	// deferredUntil is until when the cancellation is deferred, for its user to retry.
+	deferredUntil time.Time
 }
 
-// undecided reports whether the store may hold the cancellation, or may yet come to hold
-// it. RecordVersion is that of the job's record, 0 if the job isn't known.
+// undecided reports whether the store may hold the cancellation, or may still come to hold it.
+// recordVersion is the version of the job's record, 0 if the job isn't known.
 func (p *pendingCancellation) undecided(recordVersion uint64) bool {
 	return p.transactions > 0 || p.unknownVersion != 0 && recordVersion <= p.unknownVersion
 }
 
-// begin counts a transaction that is about to be sent.
+// begin counts a transaction that is about to be sent to cancel a job.
 func (c *cancellations) begin(ref string) {
 	p := c.pending[ref]
 	if p == nil {
@@ -64,12 +69,13 @@
 	p.transactions++
 }
 
-// resolve forgets what was pending: the store is known to hold the cancellation, or the
-// end of the job.
+// resolve removes a pending cancellation, for instance because the store is known to hold it, or
+// the job's final entry.
 func (c *cancellations) resolve(ref string) { delete(c.pending, ref) }
 
-// transactionEnded takes in how a transaction ended that didn't certainly cancel the job; one
-// that was put off is expected again by deferredUntil. It returns false if nothing is pending.
+// transactionEnded applies the outcome of a transaction that isn't known to have cancelled the job.
+// If the cancellation was deferred, its user is expected to retry by deferredUntil.
+// transactionEnded returns false if no cancellation of the job is pending.
 func (c *cancellations) transactionEnded(end CancelUndecided, deferredUntil time.Time) bool {
 	p := c.pending[end.Ref]
 	if p == nil {
@@ -85,37 +91,38 @@
 	return true
 }
 
-// outcomeUnknown reports whether a transaction without an answer may yet change the job's record.
+// outcomeUnknown reports whether a transaction without an answer may still change the job's record,
+// which is at recordVersion.
 func (c *cancellations) outcomeUnknown(ref string, recordVersion uint64) bool {
 	p := c.pending[ref]
 	return p != nil && p.unknownVersion >= recordVersion
 }
 
-// stop notes a job that is cancelled and of which tasks may still be on machines.
+// stop adds a cancelled job that may still have tasks on machines.
 func (c *cancellations) stop(j *pipeline.Job) { c.stopping[j] = true }
 
-// stopped notes that nothing of a cancelled job is on machines any more.
+// stopped removes a cancelled job that has no tasks on machines any more.
 func (c *cancellations) stopped(j *pipeline.Job) { delete(c.stopping, j) }
 
-// beingStopped lists the jobs between stop and stopped, by name.
+// beingStopped returns the cancelled jobs that may still have tasks on machines, ordered by name.
 func (c *cancellations) beingStopped() []*pipeline.Job {
 	if len(c.stopping) == 0 {
-		return nil // asked with every tick
+		return nil // avoids the sort, since every tick calls this
 	}
 	return slices.SortedFunc(maps.Keys(c.stopping), func(a, b *pipeline.Job) int { return cmp.Compare(a.Ref, b.Ref) })
 }
 
-// isPending reports whether something isn't known yet about a cancellation of the job.
+// isPending reports whether a cancellation of the job is pending.
 func (c *cancellations) isPending(ref string) bool { return c.pending[ref] != nil }
 
-// inTransaction reports whether a transaction is under way that cancels the job.
+// inTransaction reports whether a transaction that cancels the job is in progress.
 func (c *cancellations) inTransaction(ref string) bool {
 	p := c.pending[ref]
 	return p != nil && p.transactions > 0
 }
 
-// undecided reports whether the store may hold a cancellation of the job that isn't known
-// here, and forgets what has been decided.
+// undecided reports whether the store may hold, or come to hold, a cancellation of the job that
+// isn't known here. It removes a pending cancellation that is decided and not deferred.
 func (c *cancellations) undecided(ref string, recordVersion uint64) bool {
 	p := c.pending[ref]
 	if p == nil {
@@ -131,8 +138,8 @@
 	return false
 }
 
-// deferred reports whether the job's cancellation is put off, and forgets it once its user
-// hasn't asked again in time.
+// deferred reports whether the job's cancellation is deferred. It removes a pending cancellation
+// that isn't, for instance because its user hasn't retried in time.
 func (c *cancellations) deferred(now time.Time, ref string) bool {
 	p := c.pending[ref]
 	if p == nil {
@@ -145,7 +152,7 @@
 	return false
 }
 
-// CancelRequested says that a transaction is about to be sent that cancels a job.
+// CancelRequested says that a transaction that cancels a job is about to be sent.
 type CancelRequested struct{ Ref string }
 
 func (c CancelRequested) apply(e *Engine, now time.Time) {
@@ -155,13 +162,13 @@
 	}
 }
 
-// CancelUndecided says how a transaction ended that didn't certainly cancel the job; one
-// that did brings JobStored or JobFinished.
+// CancelUndecided carries the outcome of a transaction that isn't known to have cancelled the job.
+// A transaction that did is followed by JobStored or JobFinished instead.
 type CancelUndecided struct {
 	Ref      string
-	Unknown  bool   // it may have been carried out, or may yet be
-	Version  uint64 // of the record that it changes, if so
-	Deferred bool   // it wasn't sent, and is expected again
+	Unknown  bool   // the transaction may have been carried out, or may still be
+	Version  uint64 // if Unknown: version of the record that the transaction changes
+	Deferred bool   // the transaction wasn't sent, and the user is expected to retry
 }
 
 func (c CancelUndecided) apply(e *Engine, now time.Time) {
@@ -171,14 +178,13 @@
 	if j := e.jobs.get(c.Ref); c.Unknown && j != nil {
 		e.resolveUnknownOutcome(j)
 	}
-	e.cancelUndecided(c.Ref) // forgets what is decided
+	e.cancelUndecided(c.Ref) // removes the cancellation if it is decided
 	e.rounds.request()
 }
 
-// resolveUnknownOutcome requests a new write of the record of a job whose cancellation may yet
-// be carried out: a transaction that was meant for an earlier version of the record fails
-// from then on (docs/design.md, "The bound of a cancellation", 1; TestCancelWithoutAnswer,
-// TestCancelInDoubt).
+// resolveUnknownOutcome requests a new write of the record of a job whose cancellation may still be
+// carried out. Once that is written, a transaction for an earlier version of the record fails
+// (docs/design.md, "The bound of a cancellation", 1; TestCancelWithoutAnswer, TestCancelInDoubt).
 func (e *Engine) resolveUnknownOutcome(j *pipeline.Job) {
 	if e.cancellations.outcomeUnknown(j.Ref, j.Version) {
 		j.MarkDirty(0)
@@ -186,7 +192,8 @@
 	}
 }
 
-// cancelUndecided reports whether the store may hold a cancellation that isn't known here.
+// cancelUndecided reports whether the store may hold, or come to hold, a cancellation of a job that
+// isn't known here.
 func (e *Engine) cancelUndecided(ref string) bool {
 	if !e.cancellations.isPending(ref) {
 		return false
@@ -198,14 +205,14 @@
 	return e.cancellations.undecided(ref, version)
 }
 
-// cancelHolds reports whether nothing of a job may be started because of its cancellation.
+// cancelHolds reports whether a pending or deferred cancellation prevents starts of a job's tasks.
 func (e *Engine) cancelHolds(now time.Time, ref string) bool {
 	return e.cancelUndecided(ref) || e.cancellations.deferred(now, ref)
 }
 
-// enforceCancellations makes sure that the tasks of cancelled jobs are gone in time,
-// also on machines that don't answer: those are released (docs/design.md, safety
-// argument 8; TestCancelIsFinalAndInTime).
+// enforceCancellations ensures that the tasks of cancelled jobs are gone in time, also on machines
+// that send no heartbeats: after 60 % of CancelWithin the machines that still hold one are released
+// (docs/design.md, safety argument 8; TestCancelIsFinalAndInTime).
 func (e *Engine) enforceCancellations(now time.Time) {
 	for _, j := range e.cancellations.beingStopped() {
 		left := e.usage.attemptsOf(j.Ref)
@@ -224,5 +231,5 @@
 	}
 }
 
-// MayBeOnMachines reports whether any task of a job may be on a machine.
+// MayBeOnMachines reports whether attempts of a job may be on machines.
 func (e *Engine) MayBeOnMachines(ref string) bool { return len(e.usage.attemptsOf(ref)) > 0 }
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -7,8 +7,8 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// commands is what the worker is told in answer to the heartbeat just heard: first
-// what it may forget, then stops, then starts.
+// commands returns the commands for the answer to a machine's newest heartbeat: exits that the
+// worker may forget, then stops, then starts.
 func (e *Engine) commands(now time.Time, m *fleet.Machine) []fleet.Command {
 	m.OneWayLoss.Expect(m.FencingToken() != e.numbers.term)
 	if m.Empty() {
@@ -30,11 +30,12 @@
 				stops = append(stops, c)
 			}
 		case a.EvictionIgnored():
-			// It is judged again, since a window may have closed meanwhile; its charge stands.
+			// The worker didn't act on the eviction. It has to be approved again, since a window
+			// may have closed meanwhile; what the budget was charged for it stands.
 			a.ForgetEviction()
 		case a.Stopping():
 			if state == fleet.Checkpointing && a.Grace() > 0 {
-				continue // it saves; a second stop could end that
+				continue // a second stop could abort the checkpoint
 			}
 			c.Kind, c.Grace = fleet.Stop, a.Grace()
 			a.CommandSent()
@@ -48,18 +49,19 @@
 	return append(append(forgets, stops...), starts...)
 }
 
-// startDue reports whether the start of an attempt that the store holds may leave now.
+// startDue reports whether the start of a recorded attempt may be sent now.
 func (*Engine) startDue(now time.Time, m *fleet.Machine, a *fleet.Attempt) bool {
 	return !a.Inherited && m.StartBlock() == fleet.NotBlocked && !now.Before(a.NotBefore)
 }
 
-// urgent reports whether an attempt's start isn't held back by the pace of a recovery.
+// urgent reports whether the limit on the rate of starts after a takeover doesn't apply to an
+// attempt.
 func (e *Engine) urgent(a *fleet.Attempt) bool {
 	j := e.jobs.get(a.Ref)
 	return j != nil && j.Urgency <= pipeline.High
 }
 
-// startSent notes that an attempt's start goes out with the answer to the newest heartbeat.
+// startSent notes that an attempt's start is sent with the answer to the newest heartbeat.
 func (e *Engine) startSent(now time.Time, m *fleet.Machine, a *fleet.Attempt) {
 	a.CommandSent()
 	if j := e.jobs.get(a.Ref); j != nil && !j.Started && !j.StartSent {
@@ -75,7 +77,7 @@
 	e.debug(LogStartSent, logAttempt(a)...)
 }
 
-// imageGB is the size of a job's image, 0 if the job isn't known.
+// imageGB returns the size of a job's image, 0 if the job isn't known.
 func (e *Engine) imageGB(ref string) float64 {
 	if j := e.jobs.get(ref); j != nil {
 		return j.ImageGB
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -8,54 +8,54 @@
 	"gingertally/internal/recovery"
 )
 
-// Config is what the core needs of the settings.
+// Config holds the settings that the core needs.
 type Config struct {
 	Teams             map[string]placement.Quota
-	Objectives        map[string][]Objective // by class of jobs
+	Objectives        map[string][]Objective // by job class
 	HeartbeatInterval time.Duration
 	Lease             time.Duration
 	CancelWithin      time.Duration
-	GangWait          time.Duration // how long a gang's task waits for the others
+	GangWait          time.Duration // how long a started gang task waits for the other tasks
 	InstanceListLag   time.Duration
-	RestartLimit      int                  // bad exits of a task before it is held back
-	BatchInterval     time.Duration        // how often partial progress is written
-	MaxValueBytes     int                  // bytes that one value in the store may have
-	WritesPerSecond   float64              // changes a second that the leader may make; 0: unknown
-	RoundBudget       int                  // tasks looked at in one round of decisions
-	Weights           Weights              // of money against lateness
-	Debug             bool                 // notes at debug level are wanted
-	Pace              recovery.PaceOptions // of orders at the start of a term
-	Admission         bool                 // the backlog is to be measured, see Load
-	WarmState         bool                 // changes of the warm state are to be noted, see WarmChanges
-	Drain             *drain.Policy        // disruption budgets; nil: operators' drains are off
+	RestartLimit      int                  // failures of a task after which it is held back
+	BatchInterval     time.Duration        // how often the progress of unfinished jobs is written
+	MaxValueBytes     int                  // size limit of one value in the store
+	WritesPerSecond   float64              // puts and deletes a second that the leader may make; 0 if unknown
+	RoundBudget       int                  // jobs considered and tasks placed in one pass of a round
+	Weights           Weights              // weights of cost against delay
+	Debug             bool                 // whether to emit log records at debug level
+	Pace              recovery.PaceOptions // limits the rate of starts at the beginning of a term
+	Admission         bool                 // whether to measure the backlog, see Load
+	WarmState         bool                 // whether to record changes of the warm state, see WarmChanges
+	Drain             *drain.Policy        // disruption budgets; nil if operators' drains are off
 }
 
-// Weights say what money is worth against lateness.
+// Weights trade cost against delay.
 type Weights struct {
-	SecondsPerDollarHour float64 // of delay that a place costing a dollar an hour more is worth
-	IdleDollars          float64 // that may be spent on keeping one idle machine ready
-	MoveGain             float64 // how many times its cost a move of tasks must save
-	SmallFirst           float64 // seconds of due time that a second of machine time counts against a job
+	SecondsPerDollarHour float64 // seconds of delay that are accepted to save a dollar an hour
+	IdleDollars          float64 // dollars that may be spent on keeping one idle machine
+	MoveGain             float64 // factor by which the savings of a move must exceed its cost
+	SmallFirst           float64 // seconds of delay in the order per second of machine time
 }
 
-// DefaultWeights are the weights that docs/rounds.md arrived at.
+// DefaultWeights returns the weights that the measurements in docs/rounds.md led to.
 func DefaultWeights() Weights {
 	return Weights{SecondsPerDollarHour: 1, IdleDollars: 0.1, MoveGain: 3, SmallFirst: 12}
 }
 
-// ObjectiveKind is what an objective is about.
+// ObjectiveKind says what an objective refers to.
 type ObjectiveKind uint8
 
 // Kinds of objectives.
 const (
-	StartObjective    ObjectiveKind = iota // tasks started in time
-	FinishObjective                        // jobs done in time
-	DeadlineObjective                      // jobs done by their own deadline
+	StartObjective    ObjectiveKind = iota // tasks start within a duration
+	FinishObjective                        // jobs finish within a duration
+	DeadlineObjective                      // jobs finish by a multiple of their own deadline
 )
 
-// Objective is what the operators expect of a class of jobs.
+// Objective is a service-level objective for a class of jobs.
 type Objective struct {
 	Kind   ObjectiveKind
-	Within time.Duration // of a start or finish
-	Times  float64       // of a deadline: so many times the job's own
+	Within time.Duration // for StartObjective and FinishObjective
+	Times  float64       // for DeadlineObjective: multiple of the job's own deadline
 }
--- a/internal/core/connectivity.go
+++ b/internal/core/connectivity.go
@@ -6,13 +6,14 @@
 	"gingertally/internal/core/fleet"
 )
 
-// delivery is what a heartbeat shows about the answers that its machine was sent.
+// delivery is what a heartbeat shows about whether its machine received the last answers.
 type delivery struct {
-	delivered   bool // an answer has shown its effect
-	undelivered bool // an answer should have, and hasn't
+	delivered   bool // an answer has had an effect
+	undelivered bool // an answer should have had an effect and hasn't
 }
 
-// detectOneWayLoss looks in a heartbeat for traces of what the machine was last told.
+// detectOneWayLoss looks in a heartbeat for the effects of the last answers to its machine. If
+// answers have shown no effect, it pauses starts on the machine.
 func (e *Engine) detectOneWayLoss(now time.Time, m *fleet.Machine, r *fleet.Heartbeat, leaseEnded bool) {
 	switch d := e.deliveryShown(now, m, r, leaseEnded); {
 	case d.delivered:
@@ -34,8 +35,8 @@
 }
 
 // deliveryShown compares a heartbeat with the commands and the fencing token that the machine was
-// last told. LeaseEnded says that the worker's lease has ended although its heartbeats
-// were answered.
+// last sent. leaseEnded says that the worker's lease has ended although its heartbeats were
+// answered.
 func (e *Engine) deliveryShown(now time.Time, m *fleet.Machine, r *fleet.Heartbeat, leaseEnded bool) delivery {
 	d := delivery{
 		delivered:   r.Incarnation == m.Incarnation() && m.OneWayLoss.MustHaveDelivered(now, e.cfg.Lease),
@@ -59,7 +60,7 @@
 			d.delivered = true
 		case t.State == fleet.Exited && a.State() == fleet.Exited,
 			a.Stopping() && a.Grace() == 0 && t.State < fleet.Checkpointing:
-			d.undelivered = true // a forget, or a stop that asks for no saving
+			d.undelivered = true // a forget, or a stop without time for a checkpoint, has had no effect
 		}
 	}
 	for a := range m.Attempts() {
@@ -70,15 +71,14 @@
 	return d
 }
 
-// undeliveredPause is how long a machine gets no starts after an answer that it seems
-// not to have received. After the second in a row it gets none until one is delivered.
+// undeliveredPause is how long a machine gets no starts after an answer that it seems not to have
+// received. After the second such answer in a row it gets none until an answer is delivered.
 const undeliveredPause = 2 * time.Second
 
-// scaleInUnreachable releases a machine to which no answer was delivered for half a
-// lease: its worker's lease isn't renewed by answers that don't arrive, so all on it is
-// as good as lost. When many machines seem unreachable at once, it is this node whose
-// answers are lost, and none is released (docs/design.md, safety argument 6;
-// TestOneWayLossOfAllIsOurs).
+// scaleInUnreachable releases a machine that has received no answers for half a lease: only answers
+// that arrive renew its worker's lease, so the tasks on it will be lost anyway. If more than two
+// machines, and more than a quarter of all, seem unreachable at once, this node is taken for the
+// cause and none is released (docs/design.md, safety argument 6; TestOneWayLossOfAllIsOurs).
 func (e *Engine) scaleInUnreachable(now time.Time, m *fleet.Machine) {
 	if !m.OneWayLoss.Unreachable() || now.Sub(m.OneWayLoss.FirstUndelivered()) < e.cfg.Lease/2 {
 		return
--- a/internal/core/consolidate_test.go
+++ b/internal/core/consolidate_test.go
@@ -28,12 +28,12 @@
 	b := newHarness(t, 2, Snapshot{Jobs: []StoredJob{long, filler}})
 	b.up("m-1")
 	b.pass(6*time.Second, true)
-	onFirst := runAll(b.heartbeat("m-1", 2))
+	onFirst := startedTasks(b.heartbeat("m-1", 2))
 	b.heartbeat("m-1", 2, onFirst...)
 	b.up("m-2")
 	b.e.Step(b.now, JobStored{Job: other})
 	b.pass(6*time.Second, true)
-	onSecond := runAll(b.heartbeat("m-2", 2))
+	onSecond := startedTasks(b.heartbeat("m-2", 2))
 	if len(onFirst) != 3 || len(onSecond) != 1 {
 		t.Fatalf("not placed as meant: %v and %v", onFirst, onSecond)
 	}
--- a/internal/core/decide.go
+++ b/internal/core/decide.go
@@ -9,24 +9,27 @@
 	"gingertally/internal/core/placement"
 )
 
-// planEvery is how often scaling out and in is planned, and room is kept or made for what
-// waits: a look at all machines, so less often the more there are.
+// planEvery returns the interval at which scaling out and in is planned, and capacity is reserved
+// or freed by preemption for waiting jobs. Since this goes through all machines, the interval grows
+// with their number, up to a second.
 func (e *Engine) planEvery() time.Duration {
-	return min(time.Duration(e.capacity.free.Size())*planEach, time.Second)
+	return min(time.Duration(e.capacity.free.Size())*planPausePerMachine, time.Second)
 }
 
-// planEach is the pause between plans for each machine.
-const planEach = 4 * time.Millisecond
+// planPausePerMachine is the part of the interval between plans that each machine adds.
+const planPausePerMachine = 4 * time.Millisecond
 
-// settled reports whether a new leader knows enough to place (recovery.Reconciler.MayPlace).
+// settled reports whether a new leader knows enough to place tasks
+// (recovery.Reconciler.MayPlace).
 func (e *Engine) settled(now time.Time) bool {
 	return e.recovery.MayPlace(now, e.machines.everListed())
 }
 
-// reservationsPerRound is for how many jobs a round keeps or makes room.
+// reservationsPerRound bounds the number of jobs for which a round reserves or frees capacity.
 const reservationsPerRound = 30
 
-// decide runs a round of decisions, or goes on with one, and at its end plans scaling.
+// decide runs a pass of a round of decisions, if one is due. At the end of a round it plans
+// scaling, if that is due too.
 func (e *Engine) decide(now time.Time, spent func() bool) {
 	if len(e.catalog) == 0 || !e.settled(now) || !e.rounds.due(now) {
 		return
@@ -54,9 +57,9 @@
 	}
 }
 
-// newBoard makes the board of one go of a round, which reserves nothing.
+// newBoard returns the input of one pass of a round. It allows no reservations.
 func (e *Engine) newBoard(now time.Time, spent func() bool) *placement.Board {
-	joined := e.newRoundBoard(now, spent)
+	adapter := e.newPlacementAdapter(now, spent)
 	return &placement.Board{
 		Scorer: placement.Scorer{
 			Now:                  now,
@@ -66,16 +69,19 @@
 		},
 		Queue:        e.priorityOrder(now),
 		FreeCapacity: &e.capacity.free,
-		Cluster:      joined,
-		Executor:     joined,
+		Cluster:      adapter,
+		Executor:     adapter,
 		GangSlack:    max(0, e.cfg.GangWait-e.cfg.HeartbeatInterval*5/4),
 	}
 }
 
-// updateFreeCapacity brings the free capacity up to date with the machines that have changed.
-func (e *Engine) updateFreeCapacity(now time.Time) { e.capacity.update(now, e.catalog, e.slowBoot) }
+// updateFreeCapacity updates the free capacity with the machines that have changed.
+func (e *Engine) updateFreeCapacity(now time.Time) {
+	e.capacity.update(now, e.catalog, e.slowBootAfter)
+}
 
-// largeGPUWork finds the largest task of the recent classes that need GPUs, by type.
+// largeGPUWork returns, for each machine type with GPUs, the largest task that fits it of the job
+// classes that need GPUs and were seen recently.
 func (e *Engine) largeGPUWork(now time.Time) map[*placement.Type]*pipeline.Spec {
 	byType := map[*placement.Type]*pipeline.Spec{}
 	for _, t := range e.catalog {
@@ -95,7 +101,8 @@
 	return byType
 }
 
-// larger orders tasks by the part of a machine that they take, and then by job.
+// larger reports whether a task takes a larger share of a machine than another; job names break
+// ties.
 func larger(t *placement.Type, a, b *pipeline.Spec) bool {
 	if x, y := placement.Share(t, a), placement.Share(t, b); x != y {
 		return x > y
@@ -103,8 +110,8 @@
 	return a.Ref < b.Ref
 }
 
-// runningWork is the lowest priority of which anything may be on a machine, and
-// how many teams have work there.
+// runningWork returns the lowest priority among the jobs that may have attempts on machines, and
+// how many teams these jobs belong to.
 func (e *Engine) runningWork() (lowest pipeline.Priority, teams int) {
 	seen := map[string]bool{}
 	for _, j := range e.jobs.inOrder() {
@@ -115,16 +122,18 @@
 	return lowest, len(seen)
 }
 
-// slowBoot is after how long a machine that boots no longer counts as coming.
-func (e *Engine) slowBoot(t *placement.Type) time.Duration { return 2*t.Boot + e.cfg.HeartbeatInterval }
+// slowBootAfter returns for how long a booting machine of a type counts as upcoming capacity.
+func (e *Engine) slowBootAfter(t *placement.Type) time.Duration {
+	return 2*t.Boot + e.cfg.HeartbeatInterval
+}
 
-// place notes a decision: the start goes out once the store holds that the
+// place applies a placement decision. The start is sent once the store holds the record that the
 // attempt may be on the machine.
 func (e *Engine) place(now time.Time, d placement.Decision) {
 	j := d.Job
 	n := e.numbers.nextAttempt()
 	if j.Shape == pipeline.Gang && d.Task > 0 {
-		n = j.Tasks[0].Attempt // the tasks of a gang find each other by it
+		n = j.Tasks[0].Attempt // the tasks of a gang share the number to find each other
 	}
 	a := &fleet.Attempt{
 		TaskID: fleet.TaskID{Ref: j.Ref, Task: d.Task}, Number: n,
--- a/internal/core/decision_rounds.go
+++ b/internal/core/decision_rounds.go
@@ -8,30 +8,32 @@
 	"gingertally/internal/core/placement"
 )
 
-// decisionRounds is when rounds of decisions are due, and what the present one has found. A
-// round may take several goes; only at its end is there a plan of what to request and release.
+// decisionRounds tracks when rounds of decisions are due, and what the current round has found. A
+// round considers all waiting jobs. Its budget may split it into several passes; scaling is planned
+// only at the end of a round.
 type decisionRounds struct {
 	round     placement.Round
-	requested bool              // something has changed that placement may use
-	demand    []capacity.Demand // what the present round found no room for
-	backlog   fleet.Amount      // what waited at the last round, in seconds of each resource; for admission
-	begunAt   time.Time         // when the last go began
+	requested bool              // the next tick is to begin a pass
+	demand    []capacity.Demand // tasks for which the current round found no capacity
+	backlog   fleet.Amount      // waiting work, in seconds of each resource; for admission
+	begunAt   time.Time         // when the last pass began
 	plannedAt time.Time         // when scaling was last planned
 }
 
-// decideEvery bounds how often a go is begun without need.
+// decideEvery is how often a pass begins if none is requested.
 const decideEvery = time.Second
 
-// request has a go begin with the next tick: something has changed that placement may use.
+// request makes a pass begin with the next tick, because something has changed that may affect
+// placement.
 func (r *decisionRounds) request() { r.requested = true }
 
-// due reports whether a go is to begin.
+// due reports whether a pass is to begin.
 func (r *decisionRounds) due(now time.Time) bool {
 	return r.requested || now.Sub(r.begunAt) >= decideEvery
 }
 
-// begin notes that a go begins. Unless it resumes a round, nothing is known yet of what has no
-// room.
+// begin notes that a pass begins. Unless the pass resumes a round, the demand of the last round is
+// dropped.
 func (r *decisionRounds) begin(now time.Time) {
 	r.requested, r.begunAt = false, now
 	if !r.round.Resumes() {
@@ -39,8 +41,8 @@
 	}
 }
 
-// run carries a go out. It reports whether the round has come to its end; if not, the next go
-// is requested.
+// run carries out a pass and reports whether that completes the round. If not, it requests the next
+// pass.
 func (r *decisionRounds) run(b *placement.Board) bool {
 	finished := r.round.Run(b)
 	if !finished {
@@ -49,16 +51,16 @@
 	return finished
 }
 
-// addDemand notes work that has found no room.
+// addDemand adds tasks for which no capacity was found.
 func (r *decisionRounds) addDemand(d capacity.Demand) { r.demand = append(r.demand, d) }
 
-// waiting notes what the jobs that may choose need, in seconds of each resource.
-func (r *decisionRounds) waiting(backlog fleet.Amount) { r.backlog = backlog }
+// setBacklog sets the waiting work of the jobs in the queue, in seconds of each resource.
+func (r *decisionRounds) setBacklog(backlog fleet.Amount) { r.backlog = backlog }
 
 // planDue reports whether it is time to plan scaling again.
 func (r *decisionRounds) planDue(now time.Time, every time.Duration) bool {
 	return now.Sub(r.plannedAt) >= every
 }
 
-// planned notes that scaling is planned now.
+// planned notes that scaling is being planned.
 func (r *decisionRounds) planned(now time.Time) { r.plannedAt = now }
--- a/internal/core/dependents.go
+++ b/internal/core/dependents.go
@@ -7,19 +7,20 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// Jobs may depend on each other. A job is ready once the store holds that all its
-// dependencies are done, and cancelled once one of them is. Both follow from the records
-// alone, so that a new leader comes to the same, wherever the last one stopped
-// (docs/design.md, "Pipelines" and safety arguments 14 and 15).
+// Jobs may depend on other jobs. A job becomes ready once the store holds that all its dependencies
+// are done, and is cancelled once one of them is cancelled. Both follow from the records alone, so
+// a new leader reaches the same result, wherever the last one stopped (docs/design.md, "Pipelines"
+// and safety arguments 14 and 15).
 
-// becameReady notes that a job's tasks may be placed from now on.
+// becameReady notes that a job's tasks may be placed from now on, and requests a round of
+// decisions.
 func (e *Engine) becameReady(now time.Time, j *pipeline.Job) {
 	e.classes.class(j.Class).arrived(now, &j.Spec, j.Count(pipeline.Waiting))
 	e.warm.noteClass(j.Class)
 	e.rounds.request()
 }
 
-// applyKnownDependencies takes in what is known here of a job's dependencies.
+// applyKnownDependencies applies to a new job what is already known about its dependencies.
 func (e *Engine) applyKnownDependencies(now time.Time, j *pipeline.Job) {
 	for _, ref := range j.Dependencies() {
 		if f, over := e.jobs.final(ref); over {
@@ -30,8 +31,8 @@
 	}
 }
 
-// dependencyOver takes in that the store holds the final entry of a job that others may
-// depend on.
+// dependencyOver applies a stored final entry to the dependents of its job: they are cancelled with
+// it, or become ready if it was their last missing dependency.
 func (e *Engine) dependencyOver(now time.Time, ref string, f pipeline.Final) {
 	if f.Phase == pipeline.Cancelled {
 		e.cancelDependents(now, ref)
@@ -48,8 +49,8 @@
 	}
 }
 
-// cancelDependents cancels all direct and indirect dependents of a job that is cancelled.
-// Nothing of them has been started, so their final entries can be written at once
+// cancelDependents cancels all direct and indirect dependents of a cancelled job. None of their
+// tasks has been started, so their final entries can be written at once
 // (TestCancelReachesAllAtOnce).
 func (e *Engine) cancelDependents(now time.Time, ref string) {
 	for _, j := range e.graph.JobCancelled(ref, now) {
@@ -58,22 +59,23 @@
 	}
 }
 
-// DependenciesToLookUp names dependencies of which nothing is known here, at most as many
-// as the limit. What the store holds of each comes as JobFinished or JobStored, or, if that
-// can't be found out now, as DependencyLookupFailed.
+// DependenciesToLookUp returns up to `limit` dependencies that aren't known here. The caller looks
+// each up in the store and reports the result as JobFinished or JobStored, or as
+// DependencyLookupFailed if the lookup fails.
 func (e *Engine) DependenciesToLookUp(limit int) []string { return e.graph.ToLookUp(limit) }
 
-// DependencyLookupFailed says that a dependency could not be looked up now.
+// DependencyLookupFailed says that the lookup of a dependency failed. It is to be tried again.
 type DependencyLookupFailed struct{ Ref string }
 
 func (d DependencyLookupFailed) apply(e *Engine, _ time.Time) { e.graph.LookUpAgain(d.Ref) }
 
-// stageOverhead is what a job on a path of dependencies takes besides the run of its tasks:
-// until the end of its last dependency is written, and until machines fetch their commands.
+// stageOverhead returns the time that each job in a chain of dependencies takes besides the run of
+// its tasks: until the end of its last dependency is written, and until machines fetch their
+// commands.
 func (e *Engine) stageOverhead() time.Duration { return e.cfg.HeartbeatInterval/2 + time.Second }
 
-// expectedDuration is how long a job is expected to take once it is ready: its tasks' run
-// with a quarter to spare, the fetch of its image, and the overhead of a stage
+// expectedDuration returns how long a job is expected to take once it is ready: the expected run
+// time of its tasks plus a margin of a quarter, the fetch of its image, and stageOverhead
 // (docs/design.md, "Pipelines").
 func (e *Engine) expectedDuration(j *pipeline.Job) time.Duration {
 	return e.expectedRun(j)*5/4 + e.expectedFetch(j) + e.stageOverhead()
--- a/internal/core/dependents_test.go
+++ b/internal/core/dependents_test.go
@@ -9,10 +9,10 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// A job starts only once the store holds that the job before it is done: until
-// then a user may still be told that that one is cancelled.
+// A job may start only once the store holds that its dependency is done: until then the dependency
+// may still turn out to be cancelled.
 func TestStartsOnceTheParentIsStored(t *testing.T) {
-	b := newHarness(t, 2, Snapshot{Jobs: []StoredJob{after("j-2", "j-1"), job("j-1", 1)}})
+	b := newHarness(t, 2, Snapshot{Jobs: []StoredJob{jobAfter("j-2", "j-1"), job("j-1", 1)}})
 	b.up("m-1")
 	b.pass(6*time.Second, true)
 	s := starts(b.heartbeat("m-1", 2))
@@ -27,13 +27,14 @@
 	}
 	b.pass(time.Second, true)
 	if s := starts(b.heartbeat("m-1", 2)); len(s) != 1 || s[0].Ref != "j-2" {
-		t.Fatalf("not started afterwards: %v", s)
+		t.Fatalf("not started once the store holds that its dependency is done: %v", s)
 	}
 }
 
-// A job that waits takes no place, asks for no room and counts towards nothing.
+// A job that waits for its dependencies is neither placed nor counted as demand or usage, and users
+// see it as active with no running tasks.
 func TestHeldJobTakesNothing(t *testing.T) {
-	held := after("j-2", "j-1")
+	held := jobAfter("j-2", "j-1")
 	held.Record.Spec.Tasks, held.Record.Spec.Priority = 50, pipeline.Production
 	b := newHarness(t, 2, Snapshot{Jobs: []StoredJob{held, job("j-1", 1)}})
 	b.up("m-1")
@@ -42,16 +43,16 @@
 		t.Fatalf("demand %v, in use %v", b.e.rounds.demand, b.e.usage.ofTeam("t"))
 	}
 	if v, ok := b.e.Lookup("j-2"); !ok || v.Phase != pipeline.Active || v.Running != 0 {
-		t.Fatalf("told as %+v, %v", v, ok)
+		t.Fatalf("view %+v, %v", v, ok)
 	}
 }
 
-// A cancellation reaches all that need the job at once, though its own tasks are
-// still on a machine that is unresponsive, and though some come only afterwards: waiting
-// for the tasks' end would leave them queued for longer than their users accept.
+// A cancellation reaches all direct and indirect dependents at once, also those submitted
+// afterwards, while the job's own task is still on a machine that doesn't respond. Waiting for the
+// end of that task would leave the dependents queued for longer than users accept.
 func TestCancelReachesAllAtOnce(t *testing.T) {
 	b := newHarness(t, 2, Snapshot{Jobs: []StoredJob{
-		job("j-1", 1), after("j-2", "j-1"), after("j-3", "j-2"), after("j-4", "j-1", "j-3"),
+		job("j-1", 1), jobAfter("j-2", "j-1"), jobAfter("j-3", "j-2"), jobAfter("j-4", "j-1", "j-3"),
 	}})
 	b.up("m-1")
 	b.pass(6*time.Second, true)
@@ -60,35 +61,35 @@
 	c := job("j-1", 1)
 	c.Version, c.Record.Phase, c.Record.CancelledMS = 900, pipeline.Cancelled, b.now.UnixMilli()
 	b.e.Step(b.now, JobStored{c})
-	b.e.Step(b.now, JobStored{after("j-5", "j-4")})
+	b.e.Step(b.now, JobStored{jobAfter("j-5", "j-4")})
 	for _, ref := range []string{"j-2", "j-3", "j-4", "j-5"} {
-		if f, ok := b.ended(ref); !ok || f.Phase != pipeline.Cancelled {
+		if f, ok := b.finalEntry(ref); !ok || f.Phase != pipeline.Cancelled {
 			t.Errorf("%s isn't being cancelled", ref)
 		}
 		if _, ok := b.e.Lookup(ref); ok {
-			t.Errorf("%s is told of before the store holds it", ref)
+			t.Errorf("the state of %s is answered before the store holds it", ref)
 		}
 	}
-	if _, ok := b.ended("j-1"); ok {
-		t.Error("j-1 is over with a task on a machine")
+	if _, ok := b.finalEntry("j-1"); ok {
+		t.Error("j-1's final entry is to be written with a task on a machine")
 	}
 }
 
-// A new leader asks what became of jobs that are over, and comes to the same as the
-// last one, wherever that stopped.
+// A new leader looks up dependencies that it doesn't know, and reaches the same result as the last
+// leader, wherever that one stopped.
 func TestNewLeaderAsks(t *testing.T) {
-	b := newHarness(t, 3, Snapshot{Jobs: []StoredJob{after("j-2", "j-1"), after("j-3", "j-2"), after("j-5", "j-4")}})
+	b := newHarness(t, 3, Snapshot{Jobs: []StoredJob{jobAfter("j-2", "j-1"), jobAfter("j-3", "j-2"), jobAfter("j-5", "j-4")}})
 	if a := b.e.DependenciesToLookUp(9); len(a) != 2 || a[0] != "j-1" || a[1] != "j-4" {
-		t.Fatalf("asks for %v", a)
+		t.Fatalf("dependencies to look up: %v", a)
 	}
 	for _, ref := range []string{"j-2", "j-3", "j-5"} {
 		if _, ok := b.e.Lookup(ref); ok {
-			t.Errorf("%s is called queued before it is known whether a job before it is cancelled", ref)
+			t.Errorf("the state of %s is answered before it is known whether a dependency is cancelled", ref)
 		}
 	}
 	b.e.Step(b.now, DependencyLookupFailed{"j-1"})
 	if a := b.e.DependenciesToLookUp(9); len(a) != 1 || a[0] != "j-1" {
-		t.Fatalf("asks again for %v", a)
+		t.Fatalf("dependencies to look up after a failed lookup: %v", a)
 	}
 	end := b.now.Add(-time.Minute).Truncate(time.Millisecond)
 	b.e.Step(b.now, JobFinished{Ref: "j-1", Final: pipeline.Final{Phase: pipeline.Done, EndMS: end.UnixMilli()}})
@@ -96,34 +97,34 @@
 		t.Fatalf("phase %d since %v", j.Phase(), j.Since)
 	}
 	b.e.Step(b.now, JobFinished{Ref: "j-4", Final: pipeline.Final{Phase: pipeline.Cancelled}})
-	if f, ok := b.ended("j-5"); !ok || f.Phase != pipeline.Cancelled {
+	if f, ok := b.finalEntry("j-5"); !ok || f.Phase != pipeline.Cancelled {
 		t.Fatal("j-5 isn't being cancelled")
 	}
 	if v, ok := b.e.Lookup("j-3"); !ok || v.Phase != pipeline.Active || b.e.jobs.get("j-3").Phase() != pipeline.Held {
-		t.Fatalf("j-3 is told of as %+v, %v", v, ok)
+		t.Fatalf("view of j-3: %+v, %v", v, ok)
 	}
 }
 
-// The results of a job that had been started before the leader changed count, though
-// the new leader hasn't yet learnt that it was.
+// The results of a job that the last leader had started count, even if the new leader doesn't know
+// yet that the job's dependencies are done.
 func TestResultsOfAJobStartedBefore(t *testing.T) {
 	b := newHarness(t, 2, Snapshot{
-		Jobs:  []StoredJob{after("j-1", "j-0")},
+		Jobs:  []StoredJob{jobAfter("j-1", "j-0")},
 		Pages: []StoredPage{page("1-1", "m-1", 1<<attemptBits)},
 	})
 	b.heartbeat("m-1", 0, fleet.TaskStatus{Ref: "j-1", Attempt: 1 << attemptBits, State: fleet.Running})
 	b.finish("m-1", fleet.Command{Ref: "j-1", Attempt: 1 << attemptBits})
-	if f, ok := b.ended("j-1"); !ok || f.Phase != pipeline.Done {
+	if f, ok := b.finalEntry("j-1"); !ok || f.Phase != pipeline.Done {
 		t.Fatalf("%+v, %v", f, ok)
 	}
 }
 
-// Work goes first whose line ends in urgent work, and of equally urgent work that
-// whose line is due first.
+// Jobs that urgent jobs depend on are placed first, and among equally urgent ones those whose
+// dependents have the earlier deadline.
 func TestJobsGoByTheirCriticalPath(t *testing.T) {
 	cfg := testConfig()
 	cfg.Objectives = map[string][]Objective{"last": {{Kind: DeadlineObjective, Times: 1}}}
-	jobs := []StoredJob{job("j-1", 1), job("j-2", 1), job("j-3", 1), after("j-8", "j-2"), after("j-9", "j-3")}
+	jobs := []StoredJob{job("j-1", 1), job("j-2", 1), job("j-3", 1), jobAfter("j-8", "j-2"), jobAfter("j-9", "j-3")}
 	for i := range jobs {
 		s := &jobs[i].Record.Spec
 		s.Priority, s.Estimate = pipeline.Low, 10*time.Second
@@ -143,8 +144,8 @@
 	}
 }
 
-// A write that the store refuses for its size doesn't stop the others, and isn't
-// sent again as it was: what was on the page goes to smaller ones.
+// A page of the start log that the store rejects for its size doesn't block other writes. It isn't
+// sent again unchanged; its entries move to smaller pages.
 func TestRefusedWriteIsMadeSmaller(t *testing.T) {
 	b := newHarness(t, 2, Snapshot{Jobs: []StoredJob{job("j-1", 60)}})
 	for i := range 8 {
@@ -180,11 +181,11 @@
 		}
 	}
 	if largest == 0 || len(started) != 60 {
-		t.Fatalf("largest page refused: %d; %d of 60 started", largest, len(started))
+		t.Fatalf("largest rejected page: %d entries; %d of 60 tasks started", largest, len(started))
 	}
 }
 
-// changes is how many puts and drops a batch makes.
+// changes returns the number of puts and deletes in a batch.
 func changes(batch []Write) (n int) {
 	for _, w := range batch {
 		n += w.ops()
@@ -192,8 +193,8 @@
 	return n
 }
 
-// Starts and jobs' ends take turns at the store: neither waits for the other for
-// long when it takes few changes at a time.
+// Starts and jobs' final entries take turns at going first in a batch, so that neither delays the
+// other for long when a batch has room for few changes.
 func TestStartsAndEndsTakeTurns(t *testing.T) {
 	e := New(time.Unix(0, 0), testConfig(), 1, Snapshot{})
 	for i := range 20 {
@@ -226,11 +227,11 @@
 	}
 }
 
-// Of jobs that are over, those cancelled with others are written first, and then
-// those that have waited longest. By name, those with high numbers once stayed queued
-// for over a minute at a low rate of writes, among others that kept ending.
+// Final entries of jobs that were cancelled with a dependency are written first, then those that
+// have waited longest. When they were written in order of job names, jobs with high numbers stayed
+// queued for over a minute at a low rate of writes, while other jobs kept ending.
 func TestCancelledWithOthersAreWrittenFirst(t *testing.T) {
-	b := newHarness(t, 2, Snapshot{Jobs: []StoredJob{job("j-1", 1), job("j-2", 1), job("j-5", 1), after("j-9", "j-8")}})
+	b := newHarness(t, 2, Snapshot{Jobs: []StoredJob{job("j-1", 1), job("j-2", 1), job("j-5", 1), jobAfter("j-9", "j-8")}})
 	for _, ref := range []string{"j-5", "j-1", "j-2"} {
 		j := b.e.jobs.get(ref)
 		delete(b.e.jobWrites.changed, j)
@@ -248,8 +249,8 @@
 	}
 }
 
-// Of a job whose description is larger than values may now be, only the end is
-// written: its progress would be refused, and all other values be made smaller for it.
+// If a job's spec is larger than the current limit of values, only its final entry is written. Its
+// progress would be rejected, and that would make the engine shrink all other values.
 func TestLargeDescriptionIsLeftAsItIs(t *testing.T) {
 	cfg := testConfig()
 	cfg.MaxValueBytes = 1000
@@ -267,7 +268,7 @@
 	}
 	b.e.jobs.get("j-1").Finish(1)
 	b.e.jobs.get("j-1").CompleteIfDone()
-	if f, ok := b.ended("j-1"); !ok || f.Phase != pipeline.Done {
-		t.Fatalf("its end: %+v, %v", f, ok)
+	if f, ok := b.finalEntry("j-1"); !ok || f.Phase != pipeline.Done {
+		t.Fatalf("final entry of j-1: %+v, %v", f, ok)
 	}
 }
--- a/internal/core/drain_bench_test.go
+++ b/internal/core/drain_bench_test.go
@@ -43,7 +43,7 @@
 		cfg = drainTestConfig(nil)
 		cfg.Drain.FinishWait = 0
 	default:
-		hourly := limit(func(b *drain.Budget) { b.WindowInterruptions, b.Window = 1, time.Hour })
+		hourly := budgetWith(func(b *drain.Budget) { b.WindowInterruptions, b.Window = 1, time.Hour })
 		cfg = drainTestConfig(map[drain.Scope]drain.Budget{{Team: "t"}: hourly})
 	}
 	e, now, reports := busyFleetWith(cfg, machines)
--- a/internal/core/draining_test.go
+++ b/internal/core/draining_test.go
@@ -49,7 +49,7 @@
 // The leader ends between charge and stop: the next one carries the eviction out, and charges
 // nothing again.
 func TestNextLeaderSpendsTheCharge(t *testing.T) {
-	budgets := map[drain.Scope]drain.Budget{{Team: "t"}: limit(func(b *drain.Budget) { b.TaskInterruptions = 1 })}
+	budgets := map[drain.Scope]drain.Budget{{Team: "t"}: budgetWith(func(b *drain.Budget) { b.TaskInterruptions = 1 })}
 	d := busyAndFree(t, drainTestConfig(budgets), longJob("j-1", "t", 1))
 	d.drainMachine("m-1")
 	for i := 0; len(d.stored.Charges) == 0 && i < 100; i++ {
@@ -78,7 +78,7 @@
 // can't be emptied. No work of the other team is interrupted for it, it goes on getting work,
 // and the status says whose budget it is.
 func TestConflictingBudgets(t *testing.T) {
-	budgets := map[drain.Scope]drain.Budget{{Team: "u"}: limit(func(b *drain.Budget) { b.TaskInterruptions = 0 })}
+	budgets := map[drain.Scope]drain.Budget{{Team: "u"}: budgetWith(func(b *drain.Budget) { b.TaskInterruptions = 0 })}
 	stuck := longJob("j-2", "u", 1)
 	stuck.Record.Spec.Shape = pipeline.Service
 	d := busyAndFree(t, drainTestConfig(budgets), longJob("j-1", "t", 2), stuck)
@@ -99,12 +99,12 @@
 // A task that may not be interrupted and won't end before the plan's deadline: nothing else on its
 // machine is interrupted in vain.
 func TestDeadlineProtectsWork(t *testing.T) {
-	budgets := map[drain.Scope]drain.Budget{{Team: "u"}: limit(func(b *drain.Budget) { b.TaskInterruptions = 0 })}
+	budgets := map[drain.Scope]drain.Budget{{Team: "u"}: budgetWith(func(b *drain.Budget) { b.TaskInterruptions = 0 })}
 	for _, deadline := range []time.Duration{time.Minute, 0} {
 		d := busyAndFree(t, drainTestConfig(budgets), longJob("j-1", "t", 2), longJob("j-2", "u", 1))
 		p := drainPlan("p", d.now, "m-1")
 		p.Deadline = deadline
-		d.plan(p)
+		d.storePlan(p)
 		d.run(30 * time.Second)
 		want := 2
 		if deadline > 0 {
@@ -125,8 +125,8 @@
 	early := drain.ClosedWindow{Days: every, From: 0, To: offset + 60*time.Second, Location: time.UTC}
 	late := drain.ClosedWindow{Days: every, From: offset + 60*time.Second, To: 24 * time.Hour, Location: time.UTC}
 	budgets := map[drain.Scope]drain.Budget{
-		{Team: "t"}: limit(func(b *drain.Budget) { b.Closed = []drain.ClosedWindow{early} }),
-		{Team: "u"}: limit(func(b *drain.Budget) { b.Closed = []drain.ClosedWindow{late} }),
+		{Team: "t"}: budgetWith(func(b *drain.Budget) { b.Closed = []drain.ClosedWindow{early} }),
+		{Team: "u"}: budgetWith(func(b *drain.Budget) { b.Closed = []drain.ClosedWindow{late} }),
 	}
 	d := busyAndFree(t, drainTestConfig(budgets), longJob("j-1", "t", 1), longJob("j-2", "u", 1))
 	d.drainMachine("m-1")
@@ -146,13 +146,13 @@
 func TestGangIsChargedWhole(t *testing.T) {
 	gang := longJob("j-1", "t", 2)
 	gang.Record.Spec.Shape, gang.Record.Spec.CPUs = pipeline.Gang, 5
-	d := newWorld(t, drainTestConfig(nil), gang)
+	d := newSimulatedCluster(t, drainTestConfig(nil), gang)
 	d.bringUp("m-1", "m-2")
 	d.run(15 * time.Second)
 	if d.runsOn("m-1") != 1 || d.runsOn("m-2") != 1 {
 		t.Fatalf("not placed as meant: %v", d.on)
 	}
-	d.plan(drain.Plan{ID: "p", Selector: drain.Selector{All: true}, MaxAtOnce: 2, CreatedMS: d.now.UnixMilli()})
+	d.storePlan(drain.Plan{ID: "p", Selector: drain.Selector{All: true}, MaxAtOnce: 2, CreatedMS: d.now.UnixMilli()})
 	d.run(15 * time.Second)
 	if d.evictions != 0 {
 		t.Fatalf("%d evictions without room elsewhere", d.evictions)
@@ -167,7 +167,7 @@
 // A cordoned machine gets no start, under this leader and under the next; a drained one that
 // turns up again, as listed late or by a late heartbeat, gets none either.
 func TestNoStartOnDrainedMachine(t *testing.T) {
-	d := newWorld(t, drainTestConfig(nil), longJob("j-1", "t", 1))
+	d := newSimulatedCluster(t, drainTestConfig(nil), longJob("j-1", "t", 1))
 	d.bringUp("m-1")
 	d.run(12 * time.Second)
 	d.drainMachine("m-1")
@@ -230,7 +230,7 @@
 	}
 	p := d.stored.Plans[0].Plan
 	p.Phase = drain.Cancelled
-	d.plan(p)
+	d.storePlan(p)
 	d.run(60 * time.Second)
 	if s := d.e.DrainStatus(d.now); d.evictions != 0 || s.Scopes[0].Voluntary != 0 || d.e.machines.get("m-1").Cordoned() {
 		t.Errorf("%d evictions, %+v", d.evictions, s)
@@ -239,7 +239,7 @@
 
 // Preemption and lost machines aren't forbidden by a budget, and take from what it leaves.
 func TestInvoluntaryTakesFromTheBudget(t *testing.T) {
-	budgets := map[drain.Scope]drain.Budget{{Team: "t"}: limit(func(b *drain.Budget) { b.TaskInterruptions = 1 })}
+	budgets := map[drain.Scope]drain.Budget{{Team: "t"}: budgetWith(func(b *drain.Budget) { b.TaskInterruptions = 1 })}
 	d := busyAndFree(t, drainTestConfig(budgets), longJob("j-1", "t", 1))
 	delete(d.on, "m-1") // it dies
 	d.run(60 * time.Second)
@@ -263,7 +263,7 @@
 	b := newHarness(t, 2, Snapshot{Jobs: []StoredJob{gang}})
 	b.up("m-1")
 	b.pass(6*time.Second, true)
-	on := runAll(b.heartbeat("m-1", 2))
+	on := startedTasks(b.heartbeat("m-1", 2))
 	if len(on) != 2 {
 		t.Fatalf("not placed as meant: %v", on)
 	}
@@ -282,13 +282,13 @@
 // A machine that is about to be drained is used only if nothing else has room: what is placed
 // there would have to move again.
 func TestPlannedMachineIsUsedLast(t *testing.T) {
-	d := newWorld(t, drainTestConfig(nil), longJob("j-1", "t", 1))
+	d := newSimulatedCluster(t, drainTestConfig(nil), longJob("j-1", "t", 1))
 	d.bringUp("m-1")
 	d.run(12 * time.Second)
 	d.bringUp("m-2")
 	p := drainPlan("p", d.now, "m-1")
 	p.Through, p.Phase = "m-9", drain.Paused
-	d.plan(p)
+	d.storePlan(p)
 	if m := d.e.machines.get("m-1"); !m.CordonPlanned() || m.Cordoned() {
 		t.Fatalf("planned %v, cordoned %v", m.CordonPlanned(), m.Cordoned())
 	}
@@ -308,21 +308,21 @@
 
 // While a plan is paused nothing more is disrupted, and what is cordoned stays so.
 func TestPausedPlan(t *testing.T) {
-	d := newWorld(t, drainTestConfig(nil), longJob("j-1", "t", 2))
+	d := newSimulatedCluster(t, drainTestConfig(nil), longJob("j-1", "t", 2))
 	d.bringUp("m-1")
 	d.run(12 * time.Second)
 	d.drainMachine("m-1")
 	d.run(6 * time.Second)
 	p := d.stored.Plans[0].Plan
 	p.Phase = drain.Paused
-	d.plan(p)
+	d.storePlan(p)
 	d.bringUp("m-2")
 	d.run(60 * time.Second)
 	if d.evictions != 0 || !d.e.machines.get("m-1").Cordoned() {
 		t.Fatalf("%d evictions, cordoned %v", d.evictions, d.e.machines.get("m-1").Cordoned())
 	}
 	p.Phase = drain.Running
-	d.plan(p)
+	d.storePlan(p)
 	d.bringUp("m-3")
 	d.run(60 * time.Second)
 	if _, there := d.on["m-1"]; there {
@@ -333,10 +333,10 @@
 // Where nothing else has room, a machine like the drained one is requested first; it isn't given
 // back for idleness while the other is still there.
 func TestReplacementIsRequested(t *testing.T) {
-	d := newWorld(t, drainTestConfig(nil), longJob("j-1", "t", 2))
+	d := newSimulatedCluster(t, drainTestConfig(nil), longJob("j-1", "t", 2))
 	d.bringUp("m-1")
 	d.run(12 * time.Second)
-	d.plan(drain.Plan{ID: "p", Selector: drain.Selector{All: true}, MaxAtOnce: 1, Surge: 1, CreatedMS: d.now.UnixMilli()})
+	d.storePlan(drain.Plan{ID: "p", Selector: drain.Selector{All: true}, MaxAtOnce: 1, Surge: 1, CreatedMS: d.now.UnixMilli()})
 	for i := 0; len(d.requests) == 0 && i < 20; i++ {
 		d.run(3 * time.Second)
 	}
@@ -354,7 +354,7 @@
 
 // While a large part of the fleet sends no heartbeats, nothing is disrupted by choice.
 func TestLostMachinesPauseDrains(t *testing.T) {
-	d := newWorld(t, drainTestConfig(nil), longJob("j-1", "t", 2))
+	d := newSimulatedCluster(t, drainTestConfig(nil), longJob("j-1", "t", 2))
 	d.bringUp("m-1")
 	d.run(12 * time.Second)
 	d.bringUp("m-2", "m-3")
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -5,15 +5,16 @@
 	"gingertally/internal/drain"
 )
 
-// HeartbeatResponse answers a heartbeat.
+// HeartbeatResponse is the answer to a heartbeat.
 type HeartbeatResponse struct {
-	OK           bool // 200; otherwise the heartbeat is refused with 503
+	OK           bool // status 200; otherwise the heartbeat is refused with status 503
 	FencingToken uint64
-	Held         bool // worth holding for a moment, then to be completed by Collect
+	Held         bool // not to be sent yet: the caller waits briefly and then applies HeldResponseDue
 	Commands     []fleet.Command
 }
 
-// Direct is a set of commands to be sent to a worker at once.
+// Direct holds commands that are to be sent to a worker at once, not with the answer to a
+// heartbeat.
 type Direct struct {
 	Machine, Addr string
 	Incarnation   uint64
@@ -21,7 +22,7 @@
 	Commands      []fleet.Command
 }
 
-// ScaleOut is a request for machines; Name is unique over all terms.
+// ScaleOut is a request to the cloud for machines. Its Name is unique over all terms.
 type ScaleOut struct {
 	Name       string
 	Type, Zone string
@@ -29,22 +30,23 @@
 	Count      int
 }
 
-// Effects is what a step wants done.
+// Effects holds what the caller has to carry out after a step.
 type Effects struct {
 	Response *HeartbeatResponse
 	Direct   []Direct
 	ScaleOut []ScaleOut
-	ScaleIn  [][]string
-	Drains   []drain.PlanWrite // plans of drains whose records are to be written
-	// HigherFencingToken is one that a worker has seen: somebody else has claimed a higher term, or
-	// this one. 0: none has been seen.
+	ScaleIn  [][]string        // requests for releases, each with the names of its machines
+	Drains   []drain.PlanWrite // drain plans whose records are to be written
+	// HigherFencingToken is a fencing token that a worker has from another leader, which shows that
+	// a higher term, or this same one, has been claimed elsewhere; 0 if there is none.
 	HigherFencingToken uint64
-	// AttemptNumbersExhausted says that this term has to end for want of attempt numbers; the
-	// next one can go on.
+	// AttemptNumbersExhausted says that this term has to end because it has used up its attempt
+	// numbers. The next term starts with new ones.
 	AttemptNumbersExhausted bool
-	Preempted               []*fleet.Attempt // attempts that make way for a job with a better claim
+	Preempted               []*fleet.Attempt // attempts that are stopped to free capacity for other jobs
 	Log                     []LogRecord
 }
 
-// Deposed reports whether this term is over since a higher one exists.
+// Deposed reports whether this term has to end because another leader has claimed it or a higher
+// one.
 func (e *Effects) Deposed() bool { return e.HigherFencingToken != 0 }
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -11,59 +11,59 @@
 	"gingertally/internal/recovery"
 )
 
-// Engine is a leader's state for one term. It joins concerns that each own their state: what an
-// event means for one of them is in that one's methods, what it means for several in the
-// engine's. It isn't safe for concurrent use.
+// Engine is a leader's state for one term. Its components own their state: an event that concerns
+// one of them is handled in the component's methods, one that concerns several in the engine's. An
+// Engine isn't safe for concurrent use.
 type Engine struct {
 	cfg     Config
-	numbers numbering // the term, and what is numbered in it
+	numbers numbering // the term, and the numbers and names assigned in it
 	started time.Time // when the term was claimed, by this node's clock
-	ticks   tickClock // whether this node keeps up
-	out     Effects   // of the present step
+	ticks   tickClock // detects that this node is slow
+	out     Effects   // effects of the current step
 
 	// Jobs.
 	jobs          jobRegistry
-	graph         *pipeline.Graph // of their dependencies
+	graph         *pipeline.Graph // dependencies between jobs
 	classes       jobClasses
-	cancellations cancellations // under way
+	cancellations cancellations // cancellations in progress
 
-	// Machines, and what may be on them.
+	// Machines, and the attempts that may be on them.
 	machines machineRegistry
-	recovery *recovery.Reconciler // of what the records and the machines say
+	recovery *recovery.Reconciler // compares the records with the heartbeats
 	usage    usage
 
 	// Decisions.
 	catalog  placement.Catalog
 	capacity capacityView
 	rounds   decisionRounds
-	plan     capacity.Plan // of requests for machines
+	plan     capacity.Plan // requests for machines
 	emptying emptying
 
-	// What the store doesn't hold yet.
+	// Data that has to be written to the store.
 	startLog  startLog
 	jobWrites jobWrites
 	images    imageLog
-	batches   batchTurns
+	batches   batchState
 
-	drains *draining // operators' drains; nil: off
+	drains *draining // operators' drains; nil if drains are off
 
 	// Admission under overload.
 	waits     startWaits
 	fairOrder FairOrderChanged
 
 	// Warm standby.
-	warm        *warmFeed // nil: off
+	warm        *warmFeed // nil if the warm state is off
 	warmOutcome WarmOutcome
 }
 
-// Event is anything that moves the engine on.
+// Event is an input that changes the engine's state.
 type Event interface {
 	apply(e *Engine, now time.Time)
 }
 
-// New makes the engine of a term claimed at `now`. All earlier leaders' leases have ended
-// by then, so none of them has answered a worker after it (docs/design.md, safety arguments
-// 1 and 4).
+// New returns the engine for a term that was claimed at `now`. The leases of all earlier leaders
+// have ended by then, so none of them answers a worker after `now` (docs/design.md, safety
+// arguments 1 and 4).
 func New(now time.Time, cfg Config, term uint64, snap Snapshot) *Engine {
 	e := &Engine{
 		cfg:           cfg,
@@ -96,9 +96,9 @@
 	e.graph = pipeline.NewGraph(e.expectedDuration)
 	e.startLog = newStartLog(&e.cfg, e.numbers.nextPageName)
 	e.images = newImageLog(&e.cfg, now, e.numbers.nextPageName, e.imagesOn)
-	e.images.recover(snap.Images) // before the machines that they name
+	e.images.recover(snap.Images) // before the machines that the pages name are added
 	if cfg.Drain != nil {
-		e.drains = newDraining(now, e, snap.Drains) // before the machines that it cordons
+		e.drains = newDraining(now, e, snap.Drains) // before the machines that it cordons are added
 	}
 	for _, s := range snap.Jobs {
 		e.addJob(now, s)
@@ -106,17 +106,18 @@
 	e.recoverStartLog(now, snap.Pages)
 	e.recoverCharges(now)
 	for _, j := range e.cancellations.beingStopped() {
-		// The first answer already says so (TestFirstAnswerStopsCancelled).
+		// The first answer to each machine already carries the stops
+		// (TestFirstAnswerStopsCancelled).
 		e.stopJob(now, j, stopCancelledInFormerTerm)
 	}
 	return e
 }
 
-// RestoreSettled reports whether this term need not be taken for one after a restore of the state
-// service any more.
+// RestoreSettled reports whether this term no longer has to be treated as one that follows a
+// restore of the state service.
 func (e *Engine) RestoreSettled(now time.Time) bool { return e.recovery.RestoreSettled(now) }
 
-// Step applies an event and returns what is to be done about it.
+// Step applies an event and returns the effects that the caller has to carry out.
 func (e *Engine) Step(now time.Time, ev Event) Effects {
 	e.out = Effects{}
 	ev.apply(e, now)
@@ -126,7 +127,7 @@
 // Term returns the engine's term, which is also its fencing token.
 func (e *Engine) Term() uint64 { return e.numbers.term }
 
-// imagesOn is which images a machine is believed to have, if it has been heard of.
+// imagesOn returns the images that a machine is believed to have, and whether the machine is known.
 func (e *Engine) imagesOn(machine string) ([]fleet.Image, bool) {
 	if m := e.machines.get(machine); m != nil {
 		return m.Images(), true
@@ -134,22 +135,25 @@
 	return nil, false
 }
 
-// capacityChanged notes that what a machine may take has changed.
+// capacityChanged notes that the capacity that a machine offers to placement has changed, and
+// requests a round of decisions.
 func (e *Engine) capacityChanged(m *fleet.Machine) {
 	e.capacity.machineChanged(m)
 	e.rounds.request()
 	e.warm.noteMachine(m.Name)
 }
 
-// imagesChanged notes that what is known of a machine's images has changed.
+// imagesChanged notes that the known set of a machine's images has changed.
 func (e *Engine) imagesChanged(m *fleet.Machine) {
 	e.images.machineChanged(m.Name)
 	e.warm.noteMachine(m.Name)
 }
 
-// Tick lets time pass: unresponsiveness, leases, cancellations, rounds of decisions.
+// Tick runs everything that depends on the time: the pace of a recovery, checks of machines and
+// their leases, deadlines of cancellations, rounds of decisions, and drains.
 type Tick struct {
-	// Spent reports whether a round's time budget is used up; nil: never.
+	// Spent reports whether the time budget of this pass of a round is used up; nil means that
+	// there is no time budget.
 	Spent func() bool
 }
 
@@ -163,8 +167,8 @@
 	e.drainRound(now)
 }
 
-// LeaseResumed says that the leader's lease had lapsed and holds again: heartbeats that were missed
-// meanwhile say nothing about the machines.
+// LeaseResumed says that the leader's lease had lapsed and is valid again. Heartbeats that are
+// missing from the time between prove nothing about the machines.
 type LeaseResumed struct{}
 
 func (LeaseResumed) apply(e *Engine, now time.Time) {
@@ -175,11 +179,11 @@
 	}
 }
 
-// CatalogUpdated brings the cloud's machine types and present prices.
+// CatalogUpdated carries the cloud's machine types and current prices.
 type CatalogUpdated struct{ Types placement.Catalog }
 
 func (c CatalogUpdated) apply(e *Engine, _ time.Time) {
-	if sameTypes(e.catalog, c.Types) {
+	if catalogsEqual(e.catalog, c.Types) {
 		return
 	}
 	e.catalog = c.Types
@@ -188,8 +192,8 @@
 	}
 }
 
-// sameTypes reports whether two catalogs are equal.
-func sameTypes(a, b placement.Catalog) bool {
+// catalogsEqual reports whether two catalogs are equal.
+func catalogsEqual(a, b placement.Catalog) bool {
 	if len(a) != len(b) {
 		return false
 	}
--- a/internal/core/fleet_size_test.go
+++ b/internal/core/fleet_size_test.go
@@ -8,13 +8,13 @@
 	"gingertally/internal/core/fleet"
 )
 
-// largeFleet is the number of machines that a deployment may have at the least.
+// largeFleet is a number of machines that a deployment must be able to have.
 const largeFleet = 4000
 
-// storedPages is the start log as the state service holds it.
+// storedPages is the start log in the state service, by page name.
 type storedPages map[string]StoredPage
 
-// write takes in a batch as the state service would.
+// write applies a batch as the state service would.
 func (s storedPages) write(batch []Write, version uint64) {
 	for _, w := range batch {
 		switch w := w.(type) {
@@ -26,8 +26,8 @@
 	}
 }
 
-// No fixed limit stands below 4,000 machines: a leader starts a task on each of them, its
-// start log names all, and the next leader knows each and keeps every task.
+// Guards against fixed limits below 4,000 machines: a leader starts a task on each machine, its
+// start log names them all, and the next leader knows each machine and keeps its task.
 func TestFourThousandMachines(t *testing.T) {
 	now := time.Unix(5000, 0)
 	jobs := make([]StoredJob, 0, 8)
@@ -44,7 +44,7 @@
 	for i := range names {
 		names[i] = fmt.Sprintf("m-%06d", i)
 	}
-	report := func(term uint64) {
+	heartbeatAll := func(term uint64) {
 		for _, name := range names {
 			b.sequences[name]++
 			r := heartbeatFrom(name, term, b.sequences[name])
@@ -58,7 +58,7 @@
 			}
 		}
 	}
-	report(0)
+	heartbeatAll(0)
 	for version := uint64(100); len(tasks) < largeFleet && version < 160; version++ {
 		b.now = b.now.Add(time.Second)
 		b.e.Step(b.now, Tick{})
@@ -67,7 +67,7 @@
 			b.e.Step(b.now, WritesFinished{Batch: batch, OK: true, Revision: version})
 			pages.write(batch, version)
 		}
-		report(2)
+		heartbeatAll(2)
 	}
 	if len(tasks) != largeFleet {
 		t.Fatalf("%d of %d machines got a task", len(tasks), largeFleet)
@@ -80,18 +80,18 @@
 	if b.e.machines.count() != largeFleet || b.e.recovery.Status(b.now).Machines["expected"] != largeFleet {
 		t.Fatalf("the next leader knows %d machines", b.e.machines.count())
 	}
-	report(2)
-	report(3)
-	b.list(names...)
+	heartbeatAll(2)
+	heartbeatAll(3)
+	b.listInstances(names...)
 	b.e.Step(b.now.Add(100*time.Millisecond), Tick{})
 	b.e.Step(b.now.Add(200*time.Millisecond), Tick{})
 	if s := b.e.Status(b.now).Recovery; s.State != "normal" || s.Machines["settled"] != largeFleet {
-		t.Fatalf("after all have reported within a moment: %+v", s)
+		t.Fatalf("recovery after heartbeats from all machines: %+v", s)
 	}
 	checkTakenOver(t, b, names)
 }
 
-// checkTakenOver demands that a leader knows each machine with its one task.
+// checkTakenOver fails the test unless the leader knows each machine with its one task.
 func checkTakenOver(t *testing.T, b *harness, names []string) {
 	t.Helper()
 	for _, name := range names {
@@ -100,21 +100,21 @@
 		}
 	}
 	if s := b.e.Status(b.now); s.Pools[0].States["live"] != largeFleet || s.Pools[0].Attempts != largeFleet {
-		t.Fatalf("the status shows %+v", s.Pools[0])
+		t.Fatalf("pool in the status: %+v", s.Pools[0])
 	}
 }
 
-// An attempt's number has room for so many in a term. The next ones would be those of the
-// next term, so the term has to end before.
+// An attempt number has a limited range for each term. Numbers beyond it would belong to the next
+// term, so the term must end and place nothing more.
 func TestTermEndsBeforeItsNumbers(t *testing.T) {
 	b := newHarness(t, 2, Snapshot{Jobs: []StoredJob{job("j-1", 1)}})
 	b.up("m-1")
 	b.e.numbers.counter = 1<<attemptBits - attemptReserve
 	b.now = b.now.Add(6 * time.Second)
 	if effects := b.e.Step(b.now, Tick{}); !effects.AttemptNumbersExhausted {
-		t.Fatal("the term goes on without numbers")
+		t.Fatal("the term doesn't end though its attempt numbers are used up")
 	}
 	if n := b.e.machines.get("m-1").ActiveAttempts(); n != 0 {
-		t.Fatalf("%d tasks were placed without numbers", n)
+		t.Fatalf("%d tasks were placed though the attempt numbers are used up", n)
 	}
 }
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -10,34 +10,34 @@
 	"gingertally/internal/drain"
 )
 
-// harness drives one engine, in either of two ways.
+// harness drives one engine in one of two ways.
 //
-// By hand, a test sends each heartbeat itself (heartbeat, up, heartbeatOf) and lets time pass
-// with rounds of decisions (pass), where it says whether the store takes what is written.
+// By hand, a test sends each heartbeat itself (heartbeat, up, heartbeatOf) and lets time pass with
+// rounds of decisions (pass), where it says whether the store accepts writes.
 //
-// In a small world (run, tick, step), machines that are brought up with bringUp send their
-// heartbeats by themselves and obey what they are told, and a store keeps what the engine
-// writes of starts and drains, so that a next leader can take over from it (takeOver).
+// In a simulated cluster (run, tick, step), machines that are brought up with bringUp send their
+// own heartbeats and execute commands. A simulated store keeps what the engine writes about starts
+// and drains, so that the next leader can take over from it (takeOver).
 type harness struct {
 	t         *testing.T
 	cfg       Config
 	e         *Engine
 	now       time.Time
-	sequences map[string]uint64 // of each machine's newest heartbeat
+	sequences map[string]uint64 // sequence number of each machine's newest heartbeat
 
-	// The store of the small world.
+	// The store of the simulated cluster.
 	jobs      []StoredJob
 	pages     []StoredPage
 	stored    drain.Stored
-	storeDown bool // it takes nothing
+	storeDown bool // all writes fail
 
-	// Its machines and its cloud.
-	on        map[string][]fleet.TaskStatus // what runs on each machine
-	evictions int                           // stops that machines were told
-	requests  []ScaleOut
+	// The machines and the cloud of the simulated cluster.
+	on        map[string][]fleet.TaskStatus // tasks on each machine
+	evictions int                           // number of tasks that were stopped
+	requests  []ScaleOut                    // requests for machines so far
 }
 
-// testConfig is the settings of most tests.
+// testConfig returns the settings of most tests.
 func testConfig() Config {
 	return Config{
 		Teams: map[string]placement.Quota{"t": {}}, HeartbeatInterval: 3 * time.Second, Lease: 30 * time.Second,
@@ -46,7 +46,7 @@
 	}
 }
 
-// drainTestConfig is the settings of tests of drains: two teams, and disruption budgets.
+// drainTestConfig returns the settings of drain tests: two teams, and disruption budgets.
 func drainTestConfig(budgets map[drain.Scope]drain.Budget) Config {
 	cfg := testConfig()
 	cfg.Teams = map[string]placement.Quota{"t": {}, "u": {}}
@@ -54,7 +54,7 @@
 	return cfg
 }
 
-// testCatalog has the one type of machine of most tests.
+// testCatalog returns a catalog with the one machine type of most tests.
 func testCatalog() CatalogUpdated {
 	return CatalogUpdated{placement.Catalog{"big": {
 		Name: "big", CPUs: 8, MemGB: 32, CacheGB: 10, FetchGBPerS: 1, Hourly: 1,
@@ -62,30 +62,30 @@
 	}}}
 }
 
-// newHarness makes a leader of a term with the settings of most tests.
+// newHarness returns a harness for a leader with the settings of most tests.
 func newHarness(t *testing.T, term uint64, snap Snapshot) *harness {
 	return newHarnessWith(t, testConfig(), term, snap)
 }
 
-// newHarnessWith makes a leader of a term.
+// newHarnessWith returns a harness for a leader with these settings.
 func newHarnessWith(t *testing.T, cfg Config, term uint64, snap Snapshot) *harness {
 	h := &harness{
 		t: t, cfg: cfg, now: time.Unix(5000, 0),
 		sequences: map[string]uint64{}, on: map[string][]fleet.TaskStatus{},
 	}
-	h.lead(term, snap)
+	h.startLeader(term, snap)
 	return h
 }
 
-// newWorld makes a leader in a small world whose store holds some jobs.
-func newWorld(t *testing.T, cfg Config, jobs ...StoredJob) *harness {
+// newSimulatedCluster returns a harness for a simulated cluster whose store holds some jobs.
+func newSimulatedCluster(t *testing.T, cfg Config, jobs ...StoredJob) *harness {
 	h := newHarnessWith(t, cfg, 2, Snapshot{Jobs: jobs})
 	h.jobs = jobs
 	return h
 }
 
-// lead makes the leader of a term.
-func (h *harness) lead(term uint64, snap Snapshot) {
+// startLeader replaces the engine by that of a new leader with this term.
+func (h *harness) startLeader(term uint64, snap Snapshot) {
 	begin := time.Unix(5000, 0)
 	h.e = New(begin, h.cfg, term, snap)
 	h.e.Step(begin, testCatalog())
@@ -97,21 +97,21 @@
 	return h.heartbeatNumbered(machine, token, h.sequences[machine], tasks...)
 }
 
-// up brings a machine up that has not been heard of: only its second heartbeat,
-// under this term's fencing token, is certainly no late copy.
+// up sends the first two heartbeats of a machine. Only the second, with this term's fencing token,
+// is certainly no late copy.
 func (h *harness) up(machine string) {
 	h.heartbeat(machine, 0)
 	h.heartbeat(machine, h.e.numbers.term)
 }
 
-// heartbeatNumbered sends a heartbeat with a sequence number and returns its answer, after a
-// hold if there is one.
+// heartbeatNumbered sends a heartbeat with a sequence number and returns the answer to it, also if
+// that is held first.
 func (h *harness) heartbeatNumbered(machine string, token, seq uint64, tasks ...fleet.TaskStatus) HeartbeatResponse {
 	r := heartbeatFrom(machine, token, seq)
 	r.Tasks = tasks
 	eff := h.e.Step(h.now, HeartbeatReceived{r})
 	if eff.Deposed() && token == h.e.numbers.term {
-		h.t.Fatalf("%s reports a token that it wasn't given: the test shows nothing", machine)
+		h.t.Fatalf("error in the test: %s reports a fencing token that it hasn't received", machine)
 	}
 	for eff.Response.Held {
 		h.now = h.now.Add(250 * time.Millisecond)
@@ -120,8 +120,8 @@
 	return *eff.Response
 }
 
-// pass lets time pass, with rounds of decisions; written says whether the
-// store takes what the engine wants written.
+// pass lets time pass, with rounds of decisions. written says whether the store accepts the
+// engine's writes.
 func (h *harness) pass(d time.Duration, written bool) {
 	for end := h.now.Add(d); h.now.Before(end); {
 		h.now = h.now.Add(200 * time.Millisecond)
@@ -133,7 +133,8 @@
 	}
 }
 
-// heartbeatOf sends a heartbeat of an incarnation, with a sequence number; it isn't held.
+// heartbeatOf sends a heartbeat with an incarnation and a sequence number, and returns the first
+// answer even if that is held.
 func (h *harness) heartbeatOf(
 	machine string, token, incarnation, seq uint64, tasks ...fleet.TaskStatus,
 ) HeartbeatResponse {
@@ -142,13 +143,13 @@
 	return *h.e.Step(h.now, HeartbeatReceived{r}).Response
 }
 
-// finish has a machine report the end of what it was told to start.
+// finish sends a heartbeat that reports the success of a started task.
 func (h *harness) finish(machine string, c fleet.Command) HeartbeatResponse {
 	return h.heartbeat(machine, h.e.numbers.term, exited(c, fleet.CauseDone))
 }
 
-// ended tells how a job ended, if its final entry is to be written now.
-func (h *harness) ended(ref string) (f pipeline.Final, ok bool) {
+// finalEntry returns a job's final entry if the engine asks for it to be written now.
+func (h *harness) finalEntry(ref string) (f pipeline.Final, ok bool) {
 	for _, w := range h.e.Batch(h.now, 50) {
 		if final, ok := w.(PutFinal); ok && final.Ref == ref {
 			return final.Final, true
@@ -157,8 +158,8 @@
 	return f, false
 }
 
-// list has the cloud list machines.
-func (h *harness) list(machines ...string) {
+// listInstances sends a list from the cloud with these machines.
+func (h *harness) listInstances(machines ...string) {
 	var listed []Instance
 	for _, name := range machines {
 		listed = append(listed, Instance{Name: name, Addr: name, Type: "big", Zone: "a", Status: InstanceRunning})
@@ -166,13 +167,14 @@
 	h.e.Step(h.now, InstancesListed{Instances: listed})
 }
 
-// takeOver has the next leader begin, with what is stored.
+// takeOver starts the next leader with the contents of the store.
 func (h *harness) takeOver() {
-	h.lead(h.e.numbers.term+1, Snapshot{Jobs: h.jobs, Pages: h.pages, Drains: h.stored})
+	h.startLeader(h.e.numbers.term+1, Snapshot{Jobs: h.jobs, Pages: h.pages, Drains: h.stored})
 	h.e.started = h.now
 }
 
-// run lets time pass: machines send heartbeats every three seconds and do what they are told.
+// run lets time pass. Every three seconds the machines send heartbeats and execute the commands in
+// the answers.
 func (h *harness) run(length time.Duration) {
 	h.t.Helper()
 	for end := h.now.Add(length); h.now.Before(end); {
@@ -211,7 +213,7 @@
 	}
 }
 
-// step moves the engine on and carries out what it asks for.
+// step applies an event to the engine and carries out the effects.
 func (h *harness) step(ev Event) Effects {
 	effects := h.e.Step(h.now, ev)
 	h.requests = append(h.requests, effects.ScaleOut...)
@@ -222,16 +224,16 @@
 		}
 	}
 	for _, w := range effects.Drains {
-		h.plan(w.Plan)
+		h.storePlan(w.Plan)
 		h.e.Step(h.now, DrainPlanWritten{Write: w, OK: true})
 	}
 	for _, direct := range effects.Direct {
-		h.obey(direct.Machine, direct.Commands)
+		h.execute(direct.Machine, direct.Commands)
 	}
 	return effects
 }
 
-// store keeps a write.
+// store applies a write to the store.
 func (h *harness) store(w Write) {
 	switch w := w.(type) {
 	case PutChargePage:
@@ -258,7 +260,7 @@
 	}
 }
 
-// storeCordons keeps a page of cordons.
+// storeCordons applies the write of a page of cordons.
 func (h *harness) storeCordons(name string, record drain.MachinePage) {
 	for i, p := range h.stored.Machines {
 		if p.Name == name {
@@ -269,8 +271,8 @@
 	h.stored.Machines = append(h.stored.Machines, drain.StoredMachines{Name: name, Version: 100, Record: record})
 }
 
-// plan stores a plan and tells the leader.
-func (h *harness) plan(p drain.Plan) {
+// storePlan stores a drain plan and tells the leader.
+func (h *harness) storePlan(p drain.Plan) {
 	version := uint64(len(h.stored.Plans) + 1)
 	for i, known := range h.stored.Plans {
 		if known.Plan.ID == p.ID {
@@ -284,18 +286,18 @@
 	h.step(DrainPlanStored{Stored: stored})
 }
 
-// drainMachine asks for one machine to be drained.
+// drainMachine stores a plan that drains one machine.
 func (h *harness) drainMachine(name string) {
-	h.plan(drainPlan("p-"+name, h.now, name))
+	h.storePlan(drainPlan("p-"+name, h.now, name))
 }
 
-// exchange has a machine send a heartbeat with what runs there, and carry out the answer.
+// exchange sends a machine's heartbeat with its tasks, and executes the commands in the answer.
 func (h *harness) exchange(name string) {
 	response := h.heartbeat(name, h.tokenOf(name), h.on[name]...)
-	h.obey(name, response.Commands)
+	h.execute(name, response.Commands)
 }
 
-// tokenOf is the fencing token that a machine's worker has.
+// tokenOf returns the fencing token that a machine's worker has.
 func (h *harness) tokenOf(name string) uint64 {
 	if m := h.e.machines.get(name); m != nil && m.FencingTokenSent() {
 		return h.e.numbers.term
@@ -303,8 +305,8 @@
 	return h.e.numbers.term - 1
 }
 
-// obey carries commands out at a machine: what is stopped has exited, with its progress saved.
-func (h *harness) obey(name string, commands []fleet.Command) {
+// execute carries out commands on a machine. A stopped task exits at once, after a checkpoint.
+func (h *harness) execute(name string, commands []fleet.Command) {
 	for _, c := range commands {
 		switch c.Kind {
 		case fleet.Start:
@@ -329,7 +331,7 @@
 	}
 }
 
-// runsOn counts what runs on a machine.
+// runsOn counts the running tasks on a machine.
 func (h *harness) runsOn(name string) int {
 	n := 0
 	for _, r := range h.on[name] {
@@ -340,7 +342,7 @@
 	return n
 }
 
-// bringUp brings machines up.
+// bringUp adds empty machines to the simulated cluster and sends their first heartbeats.
 func (h *harness) bringUp(names ...string) {
 	for _, name := range names {
 		h.on[name] = []fleet.TaskStatus{}
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -8,7 +8,7 @@
 	"gingertally/internal/recovery"
 )
 
-// HeartbeatReceived brings a worker's heartbeat; its Response is in the effects.
+// HeartbeatReceived carries a worker's heartbeat. The answer to it is in Effects.Response.
 type HeartbeatReceived struct{ Heartbeat fleet.Heartbeat }
 
 func (r HeartbeatReceived) apply(e *Engine, now time.Time) {
@@ -29,24 +29,26 @@
 		e.log(LogMachineDiscovered, logMachine(m), slog.String("type", m.Type), slog.String("zone", m.Zone))
 	}
 	if heartbeat.FencingToken == e.numbers.term && !m.FencingTokenSent() {
-		// It has this fencing token from a leader that the state service has forgotten.
+		// The worker has this fencing token from a leader whose claim of this term the state
+		// service has lost in a restore.
 		e.out.HigherFencingToken = heartbeat.FencingToken
 		return
 	}
 	if !m.Newer(&heartbeat) {
 		e.staleHeartbeat(now, m, &heartbeat)
-		return // a stale copy proves nothing and must not renew the lease
+		return // it proves nothing and must not renew the lease
 	}
 	active := m.ActiveAttempts()
 	e.applyHeartbeat(now, m, &heartbeat)
-	// Room has become free, or a new leader is about to place: a start decided now
-	// would otherwise wait for the worker's next heartbeat.
+	// The answer is held if capacity has become free, or a new leader is about to place tasks: a
+	// start that is decided now would otherwise wait for the worker's next heartbeat.
 	startExpected := m.ActiveAttempts() < active || e.emptyUnderNewLeader(now, m)
 	e.respond(now, m, startExpected && m.StartBlock() == fleet.NotBlocked)
 	m.RenewLease(now)
 }
 
-// respond answers the newest heartbeat of a machine with 200, at once or after a hold.
+// respond answers the newest heartbeat of a machine with status 200, or holds the answer for a
+// moment.
 func (e *Engine) respond(now time.Time, m *fleet.Machine, hold bool) {
 	m.HeartbeatAnswered(hold)
 	e.out.Response = &HeartbeatResponse{OK: true, FencingToken: e.numbers.term, Held: hold}
@@ -55,10 +57,10 @@
 	}
 }
 
-// staleHeartbeat handles a heartbeat that isn't newer than all known ones. Mostly it is a
-// late or duplicate copy. If such heartbeats rise steadily while nothing newer comes, the
-// machine's worker has restarted and counts from one again: all that was there is
-// lost, and since nothing tells its heartbeats from copies, the machine is released.
+// staleHeartbeat handles a heartbeat that isn't newer than all known ones. Usually it is a late or
+// duplicate copy. If the sequence numbers of such heartbeats rise steadily while no newer heartbeat
+// arrives, the machine's worker has restarted and counts from one again. All its tasks are lost,
+// and since its heartbeats can't be told from copies, the machine is released.
 func (e *Engine) staleHeartbeat(now time.Time, m *fleet.Machine, r *fleet.Heartbeat) {
 	restarted := m.StaleHeartbeats.NoteStale(now, r, e.cfg.HeartbeatInterval)
 	if restarted && now.Sub(m.LastHeartbeat()) > e.unresponsiveAfter() {
@@ -66,22 +68,23 @@
 	}
 }
 
-// emptyUnderNewLeader reports whether a machine is empty in the first heartbeat interval of a
-// leader, which then has much to place at once, and which doesn't lag (docs/design.md,
-// "Safety arguments", last paragraph; TestNewLeaderHoldsAnswers).
+// emptyUnderNewLeader reports whether a machine is empty during the first heartbeat interval of a
+// leader whose ticks aren't late. A new leader has much to place at once (docs/design.md, "Safety
+// arguments", last paragraph; TestNewLeaderHoldsAnswers).
 func (e *Engine) emptyUnderNewLeader(now time.Time, m *fleet.Machine) bool {
 	return m.Empty() && now.Sub(e.started) < e.cfg.HeartbeatInterval && e.ticks.sinceLast(now) < maxTickLag
 }
 
-// maxResponseHold is how long a reply may be held in all, maxTickLag how late a tick may be
-// while replies are held.
 const (
+	// maxResponseHold bounds how long an answer is held in total.
 	maxResponseHold = 2 * time.Second
-	maxTickLag      = 300 * time.Millisecond
+	// maxTickLag is how long ago the last tick may have been for answers to be held by a new
+	// leader.
+	maxTickLag = 300 * time.Millisecond
 )
 
-// keepHeld reports whether a reply that was held had better be held once more: the
-// machine is still empty, or what was placed there isn't written yet.
+// keepHeld reports whether a held answer should be held once more: a start for the machine isn't
+// written yet, or the machine is still empty under a new leader.
 func (e *Engine) keepHeld(now time.Time, m *fleet.Machine) bool {
 	if m.StartBlock() != fleet.NotBlocked || now.Sub(m.LastHeartbeat()) > maxResponseHold {
 		return false
@@ -94,19 +97,20 @@
 	return e.emptyUnderNewLeader(now, m)
 }
 
-// HeldResponseDue completes the reply to a heartbeat that was held for a moment.
+// HeldResponseDue says that a held answer to a heartbeat may now be completed. The engine may hold
+// it once more.
 type HeldResponseDue struct{ Heartbeat fleet.Heartbeat }
 
 func (c HeldResponseDue) apply(e *Engine, now time.Time) {
 	e.out.Response = &HeartbeatResponse{}
 	m := e.machines.get(c.Heartbeat.Machine)
 	if m == nil || m.Incarnation() != c.Heartbeat.Incarnation || m.Sequence() != c.Heartbeat.Sequence {
-		return // a newer heartbeat has come; only its answer may start anything
+		return // a newer heartbeat has arrived; only the answer to that one may carry starts
 	}
 	e.respond(now, m, e.keepHeld(now, m))
 }
 
-// applyHeartbeat takes in a heartbeat that is newer than all before it.
+// applyHeartbeat applies a heartbeat that is newer than all earlier ones of its machine.
 func (e *Engine) applyHeartbeat(now time.Time, m *fleet.Machine, r *fleet.Heartbeat) {
 	newIncarnation := r.Incarnation > m.Incarnation() || r.Version().Restarted(m.HeartbeatVersion())
 	was, quiet := m.State(), now.Sub(m.LastHeartbeat())
@@ -140,14 +144,16 @@
 	e.interruptionAnnounced(now, m, r.InterruptionIn)
 }
 
-// incarnationEnded takes in that a worker's incarnation has ended: it killed and forgot all that
-// earlier incarnations held, also what earlier terms had started. Whatever is there now is in
-// the heartbeat's list; of earlier terms' late starts only a confirmed heartbeat can speak
-// (docs/design.md, safety argument 5; TestInheritedAttemptNeedsConfirmedHeartbeat).
+// incarnationEnded marks attempts as lost after the start of a new incarnation of a worker, which
+// has killed and forgotten all tasks of earlier incarnations, also those that earlier terms
+// started. The tasks that are there now are in the heartbeat. That inherited attempts are gone can
+// be concluded only from a heartbeat with this term's fencing token, since an earlier leader's
+// start may arrive late (docs/design.md, safety argument 5;
+// TestInheritedAttemptNeedsConfirmedHeartbeat).
 func (e *Engine) incarnationEnded(now time.Time, m *fleet.Machine, r *fleet.Heartbeat) {
 	for _, a := range m.SortedAttempts() {
 		if a.State() <= fleet.Recorded && !a.Inherited {
-			continue // its start hasn't left, so it belongs to no incarnation yet
+			continue // its start hasn't been sent, so it belongs to no incarnation yet
 		}
 		if !listsAttempt(r, a) && (!a.Inherited || m.TermConfirmed()) {
 			e.attemptLost(now, m, a, lostIncarnationEnded)
@@ -155,7 +161,7 @@
 	}
 }
 
-// listsAttempt reports whether a heartbeat names an attempt.
+// listsAttempt reports whether a heartbeat lists an attempt.
 func listsAttempt(r *fleet.Heartbeat, a *fleet.Attempt) bool {
 	for i := range r.Tasks {
 		if t := &r.Tasks[i]; t.Attempt == a.Number && t.Task == a.Task && t.Ref == a.Ref {
@@ -165,8 +171,8 @@
 	return false
 }
 
-// applyUnlisted deals with attempts that a heartbeat doesn't list (docs/design.md, safety
-// argument 5; TestDroppedStart, TestOldHeartbeatProvesNothing).
+// applyUnlisted handles the attempts on a machine that its heartbeat doesn't list (docs/design.md,
+// safety argument 5; TestDroppedStart, TestOldHeartbeatProvesNothing).
 func (e *Engine) applyUnlisted(now time.Time, m *fleet.Machine, r *fleet.Heartbeat) {
 	for _, a := range m.SortedAttempts() {
 		if listsAttempt(r, a) {
@@ -179,8 +185,8 @@
 		}
 		finding := recovery.ClassifyUnreported(recovery.UnreportedAttempt{
 			Inherited: a.Inherited, Confirmed: m.TermConfirmed(),
-			// The response with the start was answered or dropped before this heartbeat was
-			// sent; the worker never executes it later.
+			// The worker received or dropped the answer with the start before it sent this
+			// heartbeat, and doesn't execute it later.
 			Answered: a.State() == fleet.Sent && r.Sequence > a.CommandSequence(),
 			Seen:     a.State() >= fleet.Fetching,
 		})
@@ -191,16 +197,17 @@
 	}
 }
 
-// exitNoLongerListed handles an exit that left the heartbeats before it was dealt with
-// (the worker's lease ended): a result was noted already, all else is handled.
+// exitNoLongerListed handles an exit that heartbeats no longer list. Usually its worker was told to
+// forget it, but a worker also forgets exits when its lease ends. A success has been noted already;
+// for any other exit that hasn't been handled, the task is requeued.
 func (e *Engine) exitNoLongerListed(a *fleet.Attempt) {
 	if !a.ExitHandled && a.Cause != fleet.CauseDone {
 		e.requeue(a)
 	}
 }
 
-// applyTaskStatus takes in one task of a heartbeat that was sent under a fencing token. What it is, and
-// what is done about it, is decided by recovery.Classify.
+// applyTaskStatus applies one task of a heartbeat. token is the heartbeat's fencing token.
+// recovery.Classify decides what the task is and what to do about it.
 func (e *Engine) applyTaskStatus(now time.Time, m *fleet.Machine, token uint64, t fleet.TaskStatus) {
 	k := fleet.TaskID{Ref: t.Ref, Task: t.Task}
 	finding := recovery.Classify(e.observe(m, m.Attempt(k), token, t))
@@ -220,7 +227,7 @@
 	case recovery.Adopt:
 		e.adoptRunning(now, m, t)
 	case recovery.Stop:
-		e.adoptUnrecorded(now, m, t)
+		e.stopUnwanted(now, m, t)
 	default:
 		if m.Attempt(k) == nil {
 			e.adoptExited(now, m, t)
@@ -229,7 +236,7 @@
 	e.updateAttempt(now, m, m.Attempt(k), t)
 }
 
-// updateAttempt takes over what a heartbeat says of an attempt.
+// updateAttempt updates an attempt with its status in a heartbeat.
 func (e *Engine) updateAttempt(now time.Time, m *fleet.Machine, a *fleet.Attempt, t fleet.TaskStatus) {
 	a.Inherited = false
 	if t.State == fleet.Exited {
--- a/internal/core/images_test.go
+++ b/internal/core/images_test.go
@@ -179,7 +179,7 @@
 	b := newHarness(t, 2, Snapshot{})
 	// The worker has served the leader before. The test once gave it this term's fencing token,
 	// which no worker can have before its first answer.
-	b.list("m-1")
+	b.listInstances("m-1")
 	r := heartbeatFrom("m-1", 1, 1)
 	b.e.Step(b.now, Tick{})
 	if eff := b.e.Step(b.now, HeartbeatReceived{r}); !eff.Response.Held {
--- a/internal/core/interruption.go
+++ b/internal/core/interruption.go
@@ -8,8 +8,9 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// interruptionAnnounced handles the cloud's notice that it will take the machine back: what can save is
-// stopped in time and goes on elsewhere; the rest may still finish.
+// interruptionAnnounced handles the cloud's notice that it will take a machine back in `left`; a
+// negative `left` means that there is no notice. The machine is drained: tasks that can save a
+// checkpoint in time are stopped and continue elsewhere, the others may still finish.
 func (e *Engine) interruptionAnnounced(now time.Time, m *fleet.Machine, left time.Duration) {
 	if left < 0 {
 		return
@@ -21,7 +22,8 @@
 	e.stopTasksOn(now, m, left)
 }
 
-// stopTasksOn stops what is on a machine that is to be left.
+// stopTasksOn stops the tasks on a machine that is gone in `left`, except running tasks that can't
+// save a checkpoint in that time.
 func (e *Engine) stopTasksOn(now time.Time, m *fleet.Machine, left time.Duration) {
 	for _, a := range m.SortedAttempts() {
 		j := e.jobs.get(a.Ref)
@@ -29,14 +31,15 @@
 			continue
 		}
 		if a.State() == fleet.Running && (j.CheckpointInterval == 0 || j.CheckpointTime >= left) {
-			continue // can't save: it may as well go on
+			continue // it can't save a checkpoint in time, but may still finish
 		}
 		e.chargeInvoluntary(now, a)
 		e.stopWithCheckpoint(now, m, a, j)
 	}
 }
 
-// stopWithCheckpoint stops an attempt so that it saves; of a gang, all tasks at once.
+// stopWithCheckpoint stops an attempt and leaves it the time for a checkpoint. All tasks of a gang
+// are stopped together.
 func (e *Engine) stopWithCheckpoint(now time.Time, m *fleet.Machine, a *fleet.Attempt, j *pipeline.Job) {
 	grace := j.CheckpointTime + time.Second
 	if j.Shape != pipeline.Gang {
--- a/internal/core/job_classes.go
+++ b/internal/core/job_classes.go
@@ -7,30 +7,30 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// jobClasses is what is known of classes of jobs, by their names.
+// jobClasses holds the statistics of job classes by class name.
 type jobClasses map[string]*classStats
 
-// classStats is what finished tasks and arrivals taught about a class of jobs.
+// classStats holds the run times and the arrival rate observed for a class of jobs.
 type classStats struct {
-	runs   int            // tasks that have shown how long they run
-	ratio  float64        // run time over estimate, smoothed
+	runs   int            // number of observed run times
+	ratio  float64        // run time divided by estimate, smoothed
 	lastAt time.Time      // when a job of the class last became ready
-	rate   float64        // tasks a second as of lastAt
-	spec   *pipeline.Spec // its latest job's
+	rate   float64        // arrival rate at lastAt, in tasks a second
+	spec   *pipeline.Spec // spec of the class's latest job
 }
 
 const (
-	// minRunRatio and maxRunRatio bound what one run may show.
+	// minRunRatio and maxRunRatio bound the ratio that one run contributes.
 	minRunRatio = 0.1
 	maxRunRatio = 10
-	// minRunWeight is the weight of a run once many have been seen.
+	// minRunWeight is the weight of a run in the moving average once many have been observed.
 	minRunWeight = 0.1
-	// rateWindow smooths the observed arrivals.
+	// rateWindow is the time constant of the smoothed arrival rate.
 	rateWindow = time.Minute
 )
 
-// class returns what is known of a class of jobs. A class that is new starts from its owners'
-// estimates.
+// class returns the statistics of a class of jobs, and adds the class if it is new. A new class has
+// the ratio 1: its users' estimates count as exact.
 func (c jobClasses) class(name string) *classStats {
 	s := c[name]
 	if s == nil {
@@ -40,7 +40,8 @@
 	return s
 }
 
-// learnRunTime takes in how long a task ran, as a ratio to its job's estimate.
+// learnRunTime adds the run time of a task, as a ratio to its job's estimate, to the moving
+// average.
 func (s *classStats) learnRunTime(ran, estimate time.Duration) {
 	ratio := min(max(float64(ran)/float64(estimate), minRunRatio), maxRunRatio)
 	s.runs++
@@ -48,14 +49,14 @@
 	s.ratio += (ratio - s.ratio) * weight
 }
 
-// arrived takes in that a job has become ready, with so many tasks.
+// arrived notes that a job with this many tasks has become ready.
 func (s *classStats) arrived(now time.Time, spec *pipeline.Spec, tasks int) {
 	s.rate = s.rateAt(now) + float64(tasks)/rateWindow.Seconds()
 	s.lastAt = now
 	s.spec = spec
 }
 
-// rateAt is the class's recent rate of arrivals, in tasks a second.
+// rateAt returns the class's smoothed arrival rate at a time, in tasks a second.
 func (s *classStats) rateAt(now time.Time) float64 {
 	if s.lastAt.IsZero() {
 		return 0
@@ -63,8 +64,8 @@
 	return s.rate * math.Exp(-now.Sub(s.lastAt).Seconds()/rateWindow.Seconds())
 }
 
-// restore takes over what the leader before knew of the class. LastAt is when a job of it last
-// became ready; zero if none has.
+// restore sets the statistics to those of the previous leader. lastAt is when a job of the class
+// last became ready, zero if none has.
 func (s *classStats) restore(w *WarmClass, lastAt time.Time) {
 	s.runs, s.ratio = w.Runs, min(max(w.Ratio, minRunRatio), maxRunRatio)
 	s.rate, s.lastAt = max(w.Rate, 0), lastAt
--- a/internal/core/job_registry.go
+++ b/internal/core/job_registry.go
@@ -7,15 +7,15 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// jobRegistry holds the jobs that aren't over, by name and in ready order, and the final
-// entries of some that are.
+// jobRegistry holds the jobs that aren't over, by name and in the order of compareReady, and a
+// cache of the final entries of jobs that are.
 type jobRegistry struct {
 	byRef   map[string]*pipeline.Job
 	ordered []*pipeline.Job
 	finals  map[string]pipeline.Final
 }
 
-// maxFinals bounds the final entries kept at hand.
+// maxFinals bounds the number of cached final entries.
 const maxFinals = 20_000
 
 func newJobRegistry() jobRegistry {
@@ -25,21 +25,21 @@
 // get returns a job that isn't over, or nil.
 func (r *jobRegistry) get(ref string) *pipeline.Job { return r.byRef[ref] }
 
-// inOrder lists the jobs that aren't over by priority, and within it by when they were
-// submitted. The list is only to be read.
+// inOrder returns the jobs that aren't over, by priority and then by submission time. Callers must
+// not modify the slice.
 func (r *jobRegistry) inOrder() []*pipeline.Job { return r.ordered }
 
-// count is how many jobs aren't over.
+// count returns the number of jobs that aren't over.
 func (r *jobRegistry) count() int { return len(r.ordered) }
 
-// add takes in a job.
+// add adds a job that isn't over.
 func (r *jobRegistry) add(j *pipeline.Job) {
 	r.byRef[j.Ref] = j
 	at, _ := slices.BinarySearchFunc(r.ordered, j, compareReady)
 	r.ordered = slices.Insert(r.ordered, at, j)
 }
 
-// remove forgets a job that is over.
+// remove removes a job that is over.
 func (r *jobRegistry) remove(j *pipeline.Job) {
 	delete(r.byRef, j.Ref)
 	if i := slices.Index(r.ordered, j); i >= 0 {
@@ -47,21 +47,21 @@
 	}
 }
 
-// final returns the final entry of a job that is over, if it is at hand.
+// final returns the final entry of a job that is over, if it is cached.
 func (r *jobRegistry) final(ref string) (f pipeline.Final, known bool) {
 	f, known = r.finals[ref]
 	return f, known
 }
 
-// setFinal keeps the final entry of a job at hand.
+// setFinal caches the final entry of a job.
 func (r *jobRegistry) setFinal(ref string, f pipeline.Final) {
 	if len(r.finals) >= maxFinals {
-		clear(r.finals) // the store still knows them
+		clear(r.finals) // the store still holds them
 	}
 	r.finals[ref] = f
 }
 
-// compareReady orders jobs by priority, and within it by when they were submitted.
+// compareReady orders jobs by priority, then by submission time, then by name.
 func compareReady(a, b *pipeline.Job) int {
 	return cmp.Or(cmp.Compare(a.Priority, b.Priority), a.Submitted.Compare(b.Submitted), cmp.Compare(a.Ref, b.Ref))
 }
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -7,8 +7,8 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// JobStored brings a job's record as the store holds it: a newly accepted job,
-// or one that another node has cancelled.
+// JobStored carries a job's record as the store holds it: that of a newly accepted job, or of one
+// that has been cancelled.
 type JobStored struct{ Job StoredJob }
 
 func (s JobStored) apply(e *Engine, now time.Time) {
@@ -31,7 +31,8 @@
 	e.jobWrites.jobChanged(j)
 }
 
-// cancellationStored takes in that the store holds the cancellation of a job.
+// cancellationStored applies a cancellation of a job that the store holds: it stops the job's tasks
+// and cancels its dependents.
 func (e *Engine) cancellationStored(now time.Time, j *pipeline.Job, at time.Time) {
 	e.cancellations.resolve(j.Ref)
 	dependencies := j.Dependencies()
@@ -45,7 +46,7 @@
 	e.cancelDependents(now, j.Ref)
 }
 
-// JobFinished says that the store holds a job's final entry.
+// JobFinished carries a job's final entry that the store holds.
 type JobFinished struct {
 	Ref   string
 	Final pipeline.Final
@@ -53,7 +54,7 @@
 
 func (f JobFinished) apply(e *Engine, now time.Time) { e.finished(now, f.Ref, f.Final) }
 
-// finished takes in that the store holds a job's final entry.
+// finished applies a job's final entry that the store holds, and removes the job.
 func (e *Engine) finished(now time.Time, ref string, f pipeline.Final) {
 	e.jobs.setFinal(ref, f)
 	e.cancellations.resolve(ref)
@@ -71,7 +72,7 @@
 	e.log(LogJobFinished, slog.String(logKeyJob, ref), slog.String("phase", f.Phase.String()))
 }
 
-// addJob takes in a job that isn't over as far as the store is known.
+// addJob adds a job that the store holds and that isn't over as far as is known here.
 func (e *Engine) addJob(now time.Time, s StoredJob) {
 	j, err := pipeline.NewJob(s.Record, s.Version, s.Chunks)
 	if err != nil {
@@ -96,7 +97,7 @@
 	e.jobWrites.jobChanged(j)
 }
 
-// removeJob forgets a job that is over.
+// removeJob removes a job that is over.
 func (e *Engine) removeJob(j *pipeline.Job) {
 	e.jobs.remove(j)
 	e.warm.noteJob(j.Ref)
@@ -104,14 +105,15 @@
 	e.usage.forgetUnused(j.Ref)
 }
 
-// JobView is what may be told about a job.
+// JobView is the state of a job that users may be told.
 type JobView struct {
 	Phase         pipeline.Phase
 	Done, Running int
 }
 
-// Lookup tells of a job what the store is known to hold; false if it isn't known here
-// (docs/design.md, safety argument 9; TestNoAnswerWhileOutcomeUnknown).
+// Lookup returns the state of a job that the store is known to hold. It returns false if that isn't
+// known here, and the store has to be asked (docs/design.md, safety argument 9;
+// TestNoAnswerWhileOutcomeUnknown).
 func (e *Engine) Lookup(ref string) (JobView, bool) {
 	if f, ok := e.jobs.final(ref); ok {
 		return finalView(f), true
@@ -121,7 +123,7 @@
 		return JobView{}, false
 	}
 	if j.Phase() != j.StoredPhase() || e.cancelUndecided(ref) || !e.graph.OutcomesKnown(j) {
-		// The store may hold more than is known here; a node that reads it there
+		// The store may hold a newer state than is known here. Another node that has read it there
 		// must not be contradicted.
 		return JobView{}, false
 	}
@@ -130,12 +132,12 @@
 	case pipeline.Active:
 		v.Running = e.usage.ofJob(ref).running
 	case pipeline.Held:
-		v.Phase = pipeline.Active // none of it runs, and that is what users are told
+		v.Phase = pipeline.Active // users see a held job as active with no running tasks
 	}
 	return v, true
 }
 
-// finalView is what a final entry says.
+// finalView returns the view of a job with a final entry.
 func finalView(f pipeline.Final) JobView {
 	v := JobView{Phase: f.Phase}
 	if f.Phase == pipeline.Done {
--- a/internal/core/log.go
+++ b/internal/core/log.go
@@ -8,8 +8,8 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// LogEvent names a line of the log. docs/operating.md says of each at level info or above what it
-// means and what to do.
+// LogEvent is the message of a log record. docs/operating.md explains each message at level info or
+// above and says what to do about it.
 type LogEvent string
 
 // Events of machines.
@@ -38,7 +38,7 @@
 	LogJobDependenciesDone   LogEvent = "job dependencies done"
 	LogJobTasksDone          LogEvent = "job tasks done"
 	LogJobCancelled          LogEvent = "job cancelled"
-	LogJobCancelledDependent LogEvent = "job cancelled with a dependency"
+	LogJobCancelledDependent LogEvent = "job cancelled because a dependency was cancelled"
 	LogJobTasksStopped       LogEvent = "job tasks stopped"
 	LogJobFinished           LogEvent = "job finished"
 	LogJobRecordInvalid      LogEvent = "job record invalid"
@@ -62,19 +62,19 @@
 	LogFairOrderSwitched LogEvent = "fair team order switched"
 )
 
-// LogRecord is a line for the log.
+// LogRecord is a record that the caller of the engine has to write to the log.
 type LogRecord struct {
 	Level slog.Level
 	Event LogEvent
 	Attrs []slog.Attr
 }
 
-// log adds a line for the log.
+// log adds a record at level info to the effects.
 func (e *Engine) log(event LogEvent, attrs ...slog.Attr) {
 	e.out.Log = append(e.out.Log, LogRecord{Level: slog.LevelInfo, Event: event, Attrs: attrs})
 }
 
-// debug adds a line for the log at debug level, if such are wanted.
+// debug adds a record at level debug to the effects, if Config.Debug is set.
 func (e *Engine) debug(event LogEvent, attrs ...slog.Attr) {
 	if !e.cfg.Debug {
 		return
@@ -82,7 +82,7 @@
 	e.out.Log = append(e.out.Log, LogRecord{Level: slog.LevelDebug, Event: event, Attrs: attrs})
 }
 
-// Keys of attributes that several lines have.
+// Keys of attributes that several events share.
 const (
 	logKeyJob     = "job"
 	logKeyTask    = "task"
@@ -98,15 +98,15 @@
 
 func logReason(reason string) slog.Attr { return slog.String(logKeyReason, reason) }
 
-// logActive is how many attempts are on a machine.
+// logActive is the number of attempts that may be on a machine.
 func logActive(m *fleet.Machine) slog.Attr { return slog.Int("attempts", m.ActiveAttempts()) }
 
-// logPool says of which kind a machine is.
+// logPool is a machine's type and zone, and whether it is a spot machine.
 func logPool(k fleet.PoolKey) []slog.Attr {
 	return []slog.Attr{slog.String("type", k.Type), slog.String("zone", k.Zone), slog.Bool("spot", k.Spot)}
 }
 
-// logAttempt names an attempt and where it is.
+// logAttempt is an attempt's job, task, number and machine, followed by further attributes.
 func logAttempt(a *fleet.Attempt, more ...slog.Attr) []slog.Attr {
 	attrs := []slog.Attr{
 		slog.String(logKeyJob, a.Ref), slog.Int(logKeyTask, a.Task), slog.Uint64(logKeyAttempt, a.Number),
@@ -115,4 +115,5 @@
 	return append(attrs, more...)
 }
 
+// logSince is the time that has passed since an event.
 func logSince(key string, now, since time.Time) slog.Attr { return slog.Duration(key, now.Sub(since)) }
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -6,7 +6,7 @@
 	"gingertally/internal/core/fleet"
 )
 
-// addMachine takes in a machine that is new here.
+// addMachine adds a machine that wasn't known.
 func (e *Engine) addMachine(now time.Time, m *fleet.Machine) {
 	e.machines.add(now, m)
 	m.SetImages(e.images.takeInherited(m.Name))
@@ -15,8 +15,8 @@
 	e.drainMachineKnown(now, m)
 }
 
-// moveMachine is the one place where a machine that is known here changes state. It returns
-// false if nothing changes.
+// moveMachine changes the state of a known machine. No other function does. It returns false if
+// nothing changes.
 func (e *Engine) moveMachine(now time.Time, m *fleet.Machine, to fleet.MachineState) bool {
 	if !e.machines.move(now, m, to) {
 		return false
@@ -28,7 +28,7 @@
 	return true
 }
 
-// removeMachine forgets a machine that is proven gone with all on it.
+// removeMachine removes a machine that is proven gone, and handles the attempts on it as lost.
 func (e *Engine) removeMachine(now time.Time, m *fleet.Machine) {
 	e.moveMachine(now, m, fleet.Removed)
 	for _, a := range m.SortedAttempts() {
@@ -47,8 +47,8 @@
 	e.log(LogMachineRemoved, logMachine(m))
 }
 
-// checkMachines looks at the machines for which it is time: unresponsiveness, ended
-// leases, boots that take too long.
+// checkMachines runs the checks of machines that are due: for unresponsiveness, expired leases and
+// boots that take too long.
 func (e *Engine) checkMachines(now time.Time) {
 	for m := e.machines.nextDue(now); m != nil; m = e.machines.nextDue(now) {
 		next := e.checkMachine(now, m)
@@ -59,11 +59,10 @@
 	e.machines.pruneRemoved(now)
 }
 
-// recheckEvery is how soon a machine is looked at again on which something is
-// going on.
+// recheckEvery is how soon a machine is checked again while it needs attention.
 const recheckEvery = 200 * time.Millisecond
 
-// checkMachine looks at one machine and says when to do so again.
+// checkMachine checks one machine and returns when to check it again.
 func (e *Engine) checkMachine(now time.Time, m *fleet.Machine) time.Time {
 	next := now.Add(recheckEvery)
 	switch m.State() {
@@ -73,7 +72,7 @@
 		}
 		next = now.Add(time.Second)
 	case fleet.Booting:
-		if now.Sub(m.FirstSeen()) > e.bootLimit(e.bootTime(m)) && now.Sub(e.started) > e.firstHeartbeatTimeout(m) {
+		if now.Sub(m.FirstSeen()) > e.bootTimeout(e.bootTime(m)) && now.Sub(e.started) > e.firstHeartbeatTimeout(m) {
 			e.scaleIn(now, m, ScaleInNeverLive)
 		}
 		next = now.Add(time.Second)
@@ -102,15 +101,15 @@
 	return next
 }
 
-// startDraining keeps a machine from getting more starts; it goes back once empty.
+// startDraining makes a machine get no more starts, and has it released once it is empty.
 func (e *Engine) startDraining(now time.Time, m *fleet.Machine) {
 	m.StartDraining()
 	e.machines.checkAt(m, now)
 	e.capacityChanged(m)
 }
 
-// withdrawUnsentStarts takes back starts that haven't left from a machine that gets
-// no more of them; they would wait there for good.
+// withdrawUnsentStarts withdraws the starts that haven't been sent to a machine that gets no more
+// starts; they would wait there forever.
 func (e *Engine) withdrawUnsentStarts(now time.Time, m *fleet.Machine) {
 	for _, a := range m.SortedAttempts() {
 		if a.State() <= fleet.Recorded && !a.Inherited {
@@ -120,16 +119,17 @@
 	}
 }
 
-// bootLimit is after how long a boot is given up: boots usually take up to one
-// and a half times the nominal time, some several times as long.
-func (e *Engine) bootLimit(boot time.Duration) time.Duration {
+// bootTimeout returns how long a machine may boot before it is released. Boots usually take up to
+// one and a half times the nominal time, some several times as long.
+func (e *Engine) bootTimeout(boot time.Duration) time.Duration {
 	return 4*boot + 2*e.cfg.InstanceListLag + 10*time.Second
 }
 
-// firstHeartbeatTimeout is how long after its claim a new leader waits for a machine that no
-// record names. One that was up and idle under the last leader looks just like one that
-// is still booting: it may take a lease's time to find the new leader. If the cloud lists
-// it as running, it may be in a zone that is cut off, and is kept like an unresponsive one.
+// firstHeartbeatTimeout returns how long after its claim a new leader waits for the first heartbeat
+// of a machine that no record names. A machine that was up and idle under the last leader looks
+// just like one that is still booting, and may take a lease's time to find the new leader. If the
+// cloud lists it as running, it may be in a zone that is cut off, and is kept like an unresponsive
+// machine.
 func (e *Engine) firstHeartbeatTimeout(m *fleet.Machine) time.Duration {
 	if m.ListedRunning() {
 		return e.unresponsiveLimit(m)
@@ -137,17 +137,21 @@
 	return e.cfg.Lease
 }
 
-// missingFromList reports whether the cloud no longer lists a machine that it did: hint
-// enough to release it before its worker's lease has ended, which proves all on
-// it gone. Machines that only hang stay listed, and are waited for.
+// missingFromList reports whether the cloud no longer lists a machine that it listed before. That
+// is enough to release the machine before its worker's lease has ended; the release proves the
+// tasks on it gone. Machines that only hang stay listed and are waited for.
 func (e *Engine) missingFromList(m *fleet.Machine) bool {
 	return !m.ListedAt().IsZero() && e.machines.lastListed().Sub(m.ListedAt()) > 2*e.cfg.InstanceListLag+4*time.Second
 }
 
-// unresponsiveAfter is when a machine that sends no heartbeats gets no more starts: two
-// heartbeats have then failed to arrive, with a change of node between them.
+// unresponsiveAfter returns after how long without heartbeats a machine counts as unresponsive and
+// gets no more starts: two heartbeats are then missing, and the time that a worker needs to change
+// to another node between them has passed.
 func (e *Engine) unresponsiveAfter() time.Duration { return 2*e.cfg.HeartbeatInterval + 5*time.Second }
 
+// checkResponsiveness handles a machine that sends no heartbeats: it becomes unresponsive, its
+// attempts are lost once its worker's lease has ended, and it is released if the cloud no longer
+// lists it or after unresponsiveLimit.
 func (e *Engine) checkResponsiveness(now time.Time, m *fleet.Machine) {
 	quiet := now.Sub(m.LastHeartbeat())
 	if m.State() == fleet.Live && quiet > e.unresponsiveAfter() && e.moveMachine(now, m, fleet.Unresponsive) {
@@ -160,7 +164,7 @@
 	if !m.LeaseExpired(now, e.cfg.Lease) {
 		return
 	}
-	e.moveMachine(now, m, fleet.Unresponsive) // whatever is placed on it now would be counted as gone at once
+	e.moveMachine(now, m, fleet.Unresponsive) // a task placed on it now would count as lost at once
 	if m.ActiveAttempts() > 0 {
 		e.log(LogWorkerLeaseExpired, logMachine(m), logActive(m))
 	}
@@ -174,31 +178,31 @@
 	}
 }
 
-// unresponsiveLimit is how long a machine is kept that sends no heartbeats but stays listed:
-// beyond its worker's lease, which ends all on it, for about as long as another
-// would take to be of use. A zone that is cut off, or many machines that hang,
-// mostly come back sooner, with their images; and while they are away, what waits
-// is placed and requested elsewhere.
+// unresponsiveLimit returns how long a machine that sends no heartbeats but stays listed is kept:
+// its worker's lease, after which its tasks are gone, plus about the time that a replacement would
+// take to be ready. Machines in a zone that is cut off, or many machines that hang, mostly come
+// back sooner, with their images. Until then, waiting tasks are placed on other machines, and more
+// machines are requested.
 func (e *Engine) unresponsiveLimit(m *fleet.Machine) time.Duration {
 	return e.cfg.Lease + 2*e.bootTime(m)
 }
 
-// unknownBoot is the boot time of machines of unknown type.
-const unknownBoot = time.Minute
+// defaultBootTime is the assumed boot time of machines of unknown type.
+const defaultBootTime = time.Minute
 
-// bootTime is the nominal boot time of a machine.
+// bootTime returns the nominal boot time of a machine.
 func (e *Engine) bootTime(m *fleet.Machine) time.Duration {
 	if t := e.catalog[m.Type]; t != nil {
 		return t.Boot
 	}
-	return unknownBoot
+	return defaultBootTime
 }
 
-// HasLiveMachines reports whether any machine is up as far as is known.
+// HasLiveMachines reports whether any machine is live or unresponsive, and so probably up.
 func (e *Engine) HasLiveMachines() bool {
 	for m := range e.machines.all() {
 		if s := m.State(); s == fleet.Live || s == fleet.Unresponsive {
-			return true // mostly the first one looked at
+			return true // usually true of the first machine
 		}
 	}
 	return false
--- a/internal/core/one_way_loss_test.go
+++ b/internal/core/one_way_loss_test.go
@@ -8,20 +8,22 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// hearNothing has a machine with a task that was told to stop send heartbeats as if it hadn't been.
-func hearNothing(t *testing.T) (*harness, fleet.TaskStatus) {
+// undeliveredStop returns a leader whose stop of a running task on m-1 didn't arrive, and the
+// status that m-1 still reports for the task.
+func undeliveredStop(t *testing.T) (*harness, fleet.TaskStatus) {
 	t.Helper()
-	b, c := started(t)
+	b, c := withStartedTask(t)
 	b.heartbeat("m-1", 2, running(c))
 	b.e.Step(b.now, CancelRequested{Ref: c.Ref})
 	b.heartbeat("m-1", 2, running(c)) // answered with the stop
 	return b, running(c)
 }
 
-// Heartbeats that a cut has held back come together, and none of them can show what the first
-// was answered with. 27 machines of a zone were once released for that.
+// Heartbeats that a network partition has held up arrive together, and none of them can show an
+// effect of the answer to the first. They count as one undelivered answer: 27 machines of a zone
+// were once released for counting each.
 func TestHeartbeatsDeliveredTogether(t *testing.T) {
-	b, task := hearNothing(t)
+	b, task := undeliveredStop(t)
 	for range 4 {
 		b.heartbeat("m-1", 2, task)
 	}
@@ -30,24 +32,24 @@
 	}
 }
 
-// A leader that computes several times slower answers too late, and workers drop what comes
-// late: up to 117 healthy machines were once released as hearing nothing.
+// A leader on a node that has become several times slower answers too late, and workers drop late
+// answers. Up to 117 healthy machines were once released as unreachable for that.
 func TestSlowLeaderReleasesNone(t *testing.T) {
-	b, task := hearNothing(t)
+	b, task := undeliveredStop(t)
 	for range 10 {
-		b.now = b.now.Add(2 * time.Second) // the next tick is as late
+		b.now = b.now.Add(2 * time.Second) // the next tick is late
 		b.e.Step(b.now, Tick{})
 		b.heartbeat("m-1", 2, task)
 	}
 	if n := b.e.machines.get("m-1").OneWayLoss.Undelivered(); n > 0 {
-		t.Fatalf("%d answers counted as undelivered by a leader that is slow itself", n)
+		t.Fatalf("%d answers counted as undelivered though the leader itself is slow", n)
 	}
 }
 
-// Starts on a machine whose heartbeats arrive but that receives no answers come to nothing
-// again and again: it gets no more of them and is released.
+// A machine whose heartbeats arrive but that receives no answers would be sent start after start in
+// vain. It must get no more starts after a few and be released.
 func TestOneWayLoss(t *testing.T) {
-	b, _ := started(t)
+	b, _ := withStartedTask(t)
 	at := b.now
 	sent := 0
 	for b.now.Sub(at) < testConfig().Lease {
@@ -58,16 +60,16 @@
 				t.Fatalf("%d starts sent to a machine that receives nothing", sent)
 			}
 			if b.e.jobs.get("j-1").Count(pipeline.Waiting) != 1 {
-				t.Fatal("its task isn't free to go elsewhere")
+				t.Fatal("its task isn't free to be placed elsewhere")
 			}
 			return
 		}
 	}
-	t.Fatal("kept although it receives nothing")
+	t.Fatal("a machine that receives no answers is kept")
 }
 
-// A machine that seemed unreachable and keeps its incarnation for longer than a lease must
-// have had answers: six such machines, idle, were once kept and never used again.
+// A machine that seemed unreachable but keeps its incarnation for longer than a lease must have
+// received answers, and is used again. Six such idle machines were once kept and never used again.
 func TestOneWayLossEnds(t *testing.T) {
 	b := newHarness(t, 2, Snapshot{})
 	names := []string{"m-1", "m-2", "m-3", "m-4"}
@@ -92,8 +94,8 @@
 	}
 }
 
-// When all machines seem to hear nothing, it is this node that isn't heard, and
-// giving the machines back would end all work.
+// When all machines seem to receive no answers, the fault is with this node. Releasing the machines
+// would end all work.
 func TestOneWayLossOfAllIsOurs(t *testing.T) {
 	b := newHarness(t, 2, Snapshot{Jobs: []StoredJob{job("j-1", 40)}})
 	names := []string{"m-1", "m-2", "m-3", "m-4", "m-5"}
--- a/internal/core/priority_order.go
+++ b/internal/core/priority_order.go
@@ -28,7 +28,7 @@
 			}
 		}
 	}
-	e.rounds.waiting(backlog)
+	e.rounds.setBacklog(backlog)
 	slices.SortStableFunc(out, comparePrioritized)
 	e.orderFairly(out)
 	entries := make([]placement.QueueEntry, len(out))
--- a/internal/core/reasons.go
+++ b/internal/core/reasons.go
@@ -1,9 +1,9 @@
 package core
 
-// ScaleInReason is why a machine is given back.
+// ScaleInReason says why a machine is released.
 type ScaleInReason string
 
-// Reasons for giving machines back.
+// Reasons for releasing machines.
 const (
 	ScaleInIdle            ScaleInReason = "idle"
 	ScaleInDrained         ScaleInReason = "drained"
@@ -16,20 +16,20 @@
 	ScaleInRetry           ScaleInReason = "scale-in is tried again"
 )
 
-// lostReason is why an attempt is proven gone without an exit in a heartbeat.
+// lostReason says why an attempt is proven gone without a reported exit.
 type lostReason string
 
-// Reasons for which attempts are lost, besides those of package recovery.
+// Reasons for losing attempts, in addition to those of package recovery.
 const (
 	lostIncarnationEnded lostReason = "worker incarnation ended"
 	lostLeaseExpired     lostReason = "worker lease expired"
 	lostMachineRemoved   lostReason = "machine removed"
 )
 
-// stopReason is why all tasks of a job are stopped.
+// stopReason says why all tasks of a job are stopped.
 type stopReason string
 
-// Reasons for which jobs are stopped.
+// Reasons for stopping all tasks of a job.
 const (
 	stopCancelRequested       stopReason = "cancellation requested"
 	stopCancelled             stopReason = "cancelled"
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -1,7 +1,7 @@
 package core
 
-// How reported tasks are compared with what the records say, and taken in
-// (docs/recovery.md; package recovery decides).
+// Reconciliation of the tasks that heartbeats report with the records (docs/recovery.md). Package
+// recovery makes the decisions.
 
 import (
 	"time"
@@ -11,8 +11,9 @@
 	"gingertally/internal/recovery"
 )
 
-// observe compares a reported task with what is known of it; a is the attempt of the task that
-// is known on this machine, if any.
+// observe compares a reported task with what is known about it, for recovery.Classify. a is the
+// known attempt of the task on this machine, nil if there is none; token is the heartbeat's fencing
+// token.
 func (e *Engine) observe(m *fleet.Machine, a *fleet.Attempt, token uint64, t fleet.TaskStatus) recovery.ObservedTask {
 	exited := t.State == fleet.Exited
 	o := recovery.ObservedTask{
@@ -37,10 +38,10 @@
 	return o
 }
 
-// unsent reports whether an attempt's start hasn't left.
+// unsent reports whether an attempt's start hasn't been sent.
 func unsent(a *fleet.Attempt) bool { return a.State() <= fleet.Recorded && !a.Inherited }
 
-// holderHere is what the attempt known on a machine is to the reported one.
+// holderHere returns the relation of the known attempt on a machine to the reported one.
 func holderHere(a *fleet.Attempt, reported uint64) recovery.Holder {
 	switch {
 	case a.Number == reported:
@@ -53,7 +54,8 @@
 	return recovery.HolderNewerHere
 }
 
-// holderElsewhere is the attempt of a task that another machine holds, or may; nil if none.
+// holderElsewhere returns the attempt of a task that is, or may be, on another machine; nil if
+// there is none.
 func (e *Engine) holderElsewhere(m *fleet.Machine, k fleet.TaskID) *fleet.Attempt {
 	j := e.jobs.get(k.Ref)
 	if j == nil || k.Task >= len(j.Tasks) || j.Tasks[k.Task].State() != pipeline.Assigned {
@@ -70,8 +72,8 @@
 	return a
 }
 
-// withdrawStart takes back the start of a task that hasn't left, on this machine or another;
-// false if there is none.
+// withdrawStart withdraws the unsent start of a task, on this machine or another. It returns false
+// if there is none.
 func (e *Engine) withdrawStart(now time.Time, m *fleet.Machine, k fleet.TaskID) bool {
 	a := m.Attempt(k)
 	if a == nil {
@@ -84,7 +86,7 @@
 	return true
 }
 
-// newAttempt makes an attempt that only a heartbeat names.
+// newAttempt returns an attempt for a task that was only reported by a heartbeat.
 func (e *Engine) newAttempt(t fleet.TaskStatus) *fleet.Attempt {
 	a := &fleet.Attempt{TaskID: fleet.TaskID{Ref: t.Ref, Task: t.Task}, Number: t.Attempt}
 	if j := e.jobs.get(t.Ref); j != nil && t.Task < len(j.Tasks) {
@@ -93,8 +95,8 @@
 	return a
 }
 
-// adoptRunning takes an attempt up that runs and that no record names, as after a restore of
-// the state service: it is recorded from now on, and its task isn't placed again.
+// adoptRunning adopts a running attempt that no record names, which happens after a restore of the
+// state service. The attempt is recorded from now on, and its task isn't placed again.
 func (e *Engine) adoptRunning(now time.Time, m *fleet.Machine, t fleet.TaskStatus) {
 	a := e.newAttempt(t)
 	e.attach(now, m, a, t.State)
@@ -103,8 +105,8 @@
 	e.log(LogAttemptAdopted, logAttempt(a)...)
 }
 
-// adoptUnrecorded takes in an attempt that shouldn't be there, and has it stopped.
-func (e *Engine) adoptUnrecorded(now time.Time, m *fleet.Machine, t fleet.TaskStatus) {
+// stopUnwanted adds a reported attempt that should not be running, and stops it.
+func (e *Engine) stopUnwanted(now time.Time, m *fleet.Machine, t fleet.TaskStatus) {
 	a := e.newAttempt(t)
 	e.attach(now, m, a, t.State)
 	a.RunStart = time.Time{}
@@ -113,9 +115,9 @@
 	e.stop(now, m, a, 0)
 }
 
-// adoptExited takes in an exit that an earlier leader hadn't dealt with.
+// adoptExited adds an attempt whose exit no earlier leader has handled.
 func (e *Engine) adoptExited(now time.Time, m *fleet.Machine, t fleet.TaskStatus) {
 	a := e.newAttempt(t)
-	e.attach(now, m, a, fleet.Running) // its exit moves it on, and settles the counts
+	e.attach(now, m, a, fleet.Running) // updateAttempt then moves it to Exited and updates the counts
 	a.RunStart = time.Time{}
 }
--- a/internal/core/reconcile_test.go
+++ b/internal/core/reconcile_test.go
@@ -9,26 +9,27 @@
 	"gingertally/internal/recovery"
 )
 
-// restored is a leader after a restore of the state service that has lost its start log.
-func restored(t *testing.T, tasks int) *harness {
+// restoredLeader returns a leader after a restore of the state service that has lost the start log.
+func restoredLeader(t *testing.T, tasks int) *harness {
 	return newHarness(t, 9, Snapshot{Jobs: []StoredJob{job("j-1", tasks)}, Restored: true})
 }
 
-// Work that the state service has forgotten is adopted where it runs, and recorded before
-// anything else: nothing of it is placed anywhere before all machines are heard of.
+// After a restore that lost the start log, a running task is adopted on its machine and recorded
+// before anything else is written. No task is placed before every machine that may hold one has
+// sent a heartbeat, or its lease has ended; otherwise tasks would run twice.
 func TestForgottenWorkIsAdopted(t *testing.T) {
-	b := restored(t, 2)
-	b.list("m-1", "m-2")
+	b := restoredLeader(t, 2)
+	b.listInstances("m-1", "m-2")
 	b.heartbeat("m-2", 0)
 	b.heartbeat("m-2", 9)
 	b.pass(8*time.Second, true)
 	if n := b.e.jobs.get("j-1").Count(pipeline.Waiting); n != 2 {
-		t.Fatal("placed while a machine that may hold it hasn't been heard of")
+		t.Fatal("placed before a machine that may hold the tasks has sent a heartbeat")
 	}
 	running1 := fleet.TaskStatus{Ref: "j-1", Task: 1, Attempt: 8<<attemptBits | 7, State: fleet.Running}
 	b.heartbeat("m-1", 8, running1)
 	if n := b.e.jobs.get("j-1").Count(pipeline.Waiting); n != 2 {
-		t.Fatal("adopted on the word of what may be a late copy")
+		t.Fatal("adopted because of a heartbeat that may be a late copy")
 	}
 	b.heartbeat("m-1", 9, running1)
 	a := b.e.machines.get("m-1").Attempt(fleet.TaskID{Ref: "j-1", Task: 1})
@@ -43,9 +44,9 @@
 	if !ok || len(page.Record.Placed) != 1 || page.Record.Placed[0].Entries[0].Attempt != a.Number {
 		t.Fatalf("not recorded: %+v", batch)
 	}
-	for b.now.Sub(b.e.started) < 28*time.Second { // until the leases of all that may not have been heard of are over
+	for b.now.Sub(b.e.started) < 28*time.Second { // until the leases of machines not seen yet have ended
 		if n := b.e.jobs.get("j-1").Count(pipeline.Assigned); n != 1 {
-			t.Fatalf("%d tasks assigned before all leases are over", n)
+			t.Fatalf("%d tasks assigned before all leases have ended", n)
 		}
 		b.heartbeat("m-1", 9, running1)
 		b.heartbeat("m-2", 9)
@@ -54,15 +55,16 @@
 	b.pass(4*time.Second, true)
 	s := append(starts(b.heartbeat("m-1", 9, running1)), starts(b.heartbeat("m-2", 9))...)
 	if len(s) != 1 || s[0].Task != 0 {
-		t.Fatalf("the other task isn't started once all are heard of: %v", s)
+		t.Fatalf("starts of the other task after all leases have ended: %v", s)
 	}
 	if told := b.e.Status(b.now).Recovery; !told.Restored || told.Findings[recovery.RunningUnrecorded.String()] != 1 {
-		t.Fatalf("%+v", told)
+		t.Fatalf("recovery in the status: %+v", told)
 	}
 }
 
-// A forgotten attempt whose task is just to be started elsewhere takes that start's place; one
-// that runs elsewhere already is stopped, and counts until it is gone.
+// If an attempt that no record names is reported while its task has an unsent start on another
+// machine, the start is withdrawn and the attempt adopted. If the task already runs on another
+// machine, the unrecorded attempt is stopped.
 func TestForgottenWorkAgainstNew(t *testing.T) {
 	b := newHarness(t, 9, Snapshot{Jobs: []StoredJob{job("j-1", 1)}})
 	b.up("m-2")
@@ -74,7 +76,7 @@
 		t.Fatalf("the task is on %s, %d attempts on m-2", j.Tasks[0].Machine, b.e.machines.get("m-2").ActiveAttempts())
 	}
 	if s := starts(b.heartbeat("m-2", 9)); len(s) != 0 {
-		t.Fatalf("started beside the forgotten one: %v", s)
+		t.Fatalf("started in addition to the unrecorded attempt: %v", s)
 	}
 
 	b = newHarness(t, 9, Snapshot{Jobs: []StoredJob{job("j-1", 1)}})
@@ -88,11 +90,11 @@
 	b.heartbeat("m-1", 8, forgotten)
 	reply := b.heartbeat("m-1", 9, forgotten)
 	if len(reply.Commands) != 1 || reply.Commands[0].Kind != fleet.Stop {
-		t.Fatalf("the second holder is told %v", reply.Commands)
+		t.Fatalf("commands to the machine with the unrecorded attempt: %v", reply.Commands)
 	}
 }
 
-// A result that comes minutes late, after its task was placed again, is kept.
+// A result that arrives late, after its task was placed again, counts.
 func TestLateResultIsKept(t *testing.T) {
 	b := newHarness(t, 9, Snapshot{Jobs: []StoredJob{job("j-1", 1)}})
 	b.up("m-2")
@@ -105,8 +107,8 @@
 	}
 }
 
-// The pace holds bulk starts back at the beginning of a term, but neither stops nor urgent
-// starts, and all go out in the end.
+// At the beginning of a term the rate of low-priority starts is limited and rises. Urgent starts
+// aren't delayed, and in the end all tasks are started.
 func TestPaceOfStarts(t *testing.T) {
 	cfg := testConfig()
 	cfg.Pace = recovery.PaceOptions{Enabled: true, Initial: 2, Highest: 50}
@@ -139,32 +141,32 @@
 	rate := 2.0
 	for second := range 30 {
 		if n := perSecond[second]; float64(n) > 2*rate+2 && rate < 50 {
-			t.Errorf("%d bulk starts in second %d", n, second)
+			t.Errorf("%d low-priority starts in second %d", n, second)
 		}
 		rate *= 1.5
 		total += perSecond[second]
 	}
 	if total != 60 {
-		t.Errorf("%d of 60 bulk tasks were started", total)
+		t.Errorf("%d of 60 low-priority tasks were started", total)
 	}
 	if urgentAt > 8*time.Second {
 		t.Errorf("the urgent tasks were started after %s", urgentAt)
 	}
 }
 
-// A worker that has this term's fencing token although this leader has never answered it has it from a
-// leader that the state service has forgotten: the term ends before anything is done with the
-// heartbeat.
+// If a worker that this leader has never answered has this term's fencing token, it has the token
+// from another leader, whose claim the state service has lost in a restore. The term must end
+// without applying the heartbeat.
 func TestTokenOfAForgottenLeader(t *testing.T) {
 	b := newHarness(t, 9, Snapshot{Jobs: []StoredJob{job("j-1", 1)}})
 	r := heartbeatFrom("m-1", 9, 1)
 	eff := b.e.Step(b.now, HeartbeatReceived{r})
 	if !eff.Deposed() || eff.HigherFencingToken != 9 || eff.Response.OK {
-		t.Fatalf("%+v", eff)
+		t.Fatalf("effects of a heartbeat with another leader's token: %+v", eff)
 	}
 	b.heartbeat("m-2", 0)
 	r.Machine, r.Addr, r.Sequence = "m-2", "m-2", b.sequences["m-2"]+1
 	if eff := b.e.Step(b.now, HeartbeatReceived{r}); eff.Deposed() {
-		t.Fatal("a worker that was given the token deposes its leader")
+		t.Fatal("the leader is deposed by a worker that has the token from it")
 	}
 }
--- a/internal/core/safety_test.go
+++ b/internal/core/safety_test.go
@@ -8,8 +8,8 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// A start leaves only once the store holds that the attempt may be there:
-// otherwise a later leader wouldn't know of it.
+// A start is sent only once the store holds the record of the attempt: otherwise a later leader
+// wouldn't know of it and could start the task a second time.
 func TestStartOnlyAfterRecord(t *testing.T) {
 	b := newHarness(t, 2, Snapshot{Jobs: []StoredJob{job("j-1", 1)}})
 	b.up("m-1")
@@ -26,12 +26,12 @@
 // A heartbeat without this term's fencing token may have been sent before an earlier
 // leader's last start arrived, so it can't prove an inherited attempt absent.
 func TestInheritedAttemptNeedsConfirmedHeartbeat(t *testing.T) {
-	b := newHarness(t, 2, inherited())
+	b := newHarness(t, 2, inheritedSnapshot())
 	b.up("m-2")
 	b.heartbeat("m-1", 1) // lists nothing, but was sent under term 1
 	b.pass(6*time.Second, true)
 	if s := starts(b.heartbeat("m-2", 2)); len(s) != 0 {
-		t.Fatalf("placed again on the word of an unconfirmed heartbeat: %v", s)
+		t.Fatalf("placed again because of an unconfirmed heartbeat: %v", s)
 	}
 	b.heartbeat("m-1", 2)
 	b.pass(time.Second, true)
@@ -40,10 +40,11 @@
 	}
 }
 
-// An unheard machine holds its tasks until its worker's lease has ended, counted
-// from the takeover: an earlier leader may have answered it until then.
+// The tasks on record for a machine that sends no heartbeats count as running until its worker's
+// lease has ended, counted from the takeover: an earlier leader may have answered the worker until
+// then.
 func TestInheritedAttemptUntilLeaseOver(t *testing.T) {
-	b := newHarness(t, 2, inherited())
+	b := newHarness(t, 2, inheritedSnapshot())
 	start := b.now
 	b.up("m-2")
 	for {
@@ -62,21 +63,21 @@
 
 // Of several records that name a task, only the highest attempt can be current.
 func TestHighestAttemptCounts(t *testing.T) {
-	snap := inherited()
+	snap := inheritedSnapshot()
 	snap.Pages = append(snap.Pages, page("1-0", "m-0", 1<<attemptBits-5))
 	b := newHarness(t, 2, snap)
 	b.heartbeat("m-1", 1)
-	b.heartbeat("m-1", 2) // proves the attempt there gone; m-0 is never heard
+	b.heartbeat("m-1", 2) // proves the attempt there gone; m-0 never sends a heartbeat
 	b.pass(6*time.Second, true)
 	if s := starts(b.heartbeat("m-1", 2)); len(s) != 1 {
 		t.Fatalf("an outdated record keeps the task from being placed: %v", s)
 	}
 }
 
-// A start still in flight isn't absent: an older heartbeat that arrives late, or a
-// copy of the one that was answered with the start, proves nothing.
+// An older heartbeat that arrives late, or a copy of the one that was answered with the start,
+// doesn't prove that a started attempt is absent: the start may still be in flight.
 func TestOldHeartbeatProvesNothing(t *testing.T) {
-	b, c := started(t)
+	b, c := withStartedTask(t)
 	seq := b.sequences["m-1"]
 	for _, old := range []uint64{seq - 1, seq} {
 		if r := b.heartbeatNumbered("m-1", 2, old); r.OK {
@@ -84,14 +85,14 @@
 		}
 	}
 	if b.e.jobs.get("j-1").Tasks[0].Attempt != c.Attempt {
-		t.Fatal("an old heartbeat made the task free to be placed again")
+		t.Fatal("the task was requeued because of an old heartbeat")
 	}
 }
 
-// The next heartbeat without the attempt proves that the start was dropped, and the
-// task starts anew under a new number.
+// A newer heartbeat without the attempt proves that the start was dropped. The task is started
+// again with a new attempt number.
 func TestDroppedStart(t *testing.T) {
-	b, c := started(t)
+	b, c := withStartedTask(t)
 	b.heartbeat("m-1", 2)
 	b.pass(undeliveredPause+time.Second, true)
 	s := starts(b.heartbeat("m-1", 2))
@@ -100,9 +101,10 @@
 	}
 }
 
-// A result is forgotten by the worker only once the store holds it.
+// A worker may be told to forget a result only once the store holds it, or the result could be
+// lost.
 func TestForgetOnlyAfterWritten(t *testing.T) {
-	b, c := started(t)
+	b, c := withStartedTask(t)
 	b.heartbeat("m-1", 2, running(c))
 	done := exited(c, fleet.CauseDone)
 	for range 3 {
@@ -110,7 +112,7 @@
 			t.Fatalf("commands before the result is written: %v", r.Commands)
 		}
 		if v, ok := b.e.Lookup("j-1"); ok && v.Phase == pipeline.Done {
-			t.Fatal("told as done before it is written")
+			t.Fatal("the job is reported as done before the result is written")
 		}
 		b.pass(time.Second, false)
 	}
@@ -123,8 +125,9 @@
 	}
 }
 
-// While a final entry is on its way, or a cancellation's fate is unknown, this
-// node must not call the job active: another may have read better in the store.
+// While a final entry is being written, or a cancellation is in progress or its outcome unknown,
+// this node must not report the job as active: another node may already have read a newer state in
+// the store.
 func TestNoAnswerWhileOutcomeUnknown(t *testing.T) {
 	b := newHarness(t, 2, Snapshot{Jobs: []StoredJob{job("j-1", 1)}})
 	if _, ok := b.e.Lookup("j-1"); !ok {
@@ -132,22 +135,22 @@
 	}
 	b.e.Step(b.now, CancelRequested{"j-1"})
 	if v, ok := b.e.Lookup("j-1"); ok {
-		t.Fatalf("answered while a cancellation is on its way: %v", v)
+		t.Fatalf("answered while a cancellation is in progress: %v", v)
 	}
 	b.e.Step(b.now, CancelUndecided{Ref: "j-1", Unknown: true, Version: 5})
 	if v, ok := b.e.Lookup("j-1"); ok {
 		t.Fatalf("answered while the outcome is unknown: %v", v)
 	}
-	b.pass(5*time.Second, true) // the record is written anew
+	b.pass(5*time.Second, true) // the record is written again
 	if _, ok := b.e.Lookup("j-1"); !ok {
 		t.Fatal("outcome still unknown after the record was written again")
 	}
 }
 
-// A cancelled job's tasks are stopped at once, nothing starts afterwards, and a
-// machine that stays unresponsive with one of them is released in time.
+// A cancelled job's tasks are stopped at once, and a machine that stays unresponsive with one of
+// them is released within CancelWithin.
 func TestCancelIsFinalAndInTime(t *testing.T) {
-	b, c := started(t)
+	b, c := withStartedTask(t)
 	b.e.cfg.Lease = 2 * b.e.cfg.CancelWithin // the lease proves the task gone too late
 	b.heartbeat("m-1", 2, running(c))
 	at := b.now
@@ -166,7 +169,7 @@
 	t.Fatal("the unresponsive machine wasn't released in time")
 }
 
-// A heartbeat with a higher fencing token means that somebody else has taken over.
+// A heartbeat with a higher fencing token means that another leader has taken over.
 func TestHigherTokenDeposes(t *testing.T) {
 	b := newHarness(t, 2, Snapshot{})
 	eff := b.e.Step(b.now, HeartbeatReceived{heartbeatFrom("m-1", 3, 1)})
@@ -175,8 +178,8 @@
 	}
 }
 
-// A machine on which several jobs fail is blamed, not the jobs; what waits there
-// unsent goes elsewhere.
+// If several jobs fail on a machine, the machine is taken for faulty and quarantined, not the jobs.
+// The jobs, and starts that wait for the machine, continue elsewhere.
 func TestFaultyMachineIsQuarantined(t *testing.T) {
 	b := newHarness(t, 2, Snapshot{Jobs: []StoredJob{job("j-1", 1), job("j-2", 1)}})
 	b.up("m-1")
@@ -197,18 +200,18 @@
 	b.up("m-2")
 	b.pass(5*time.Second, true)
 	if s := starts(b.heartbeat("m-2", 2)); len(s) != 3 {
-		t.Fatalf("the jobs don't go on elsewhere: %v", s)
+		t.Fatalf("the jobs don't continue elsewhere: %v", s)
 	}
 }
 
-// What a finished job still has on machines counts against its team's limit:
-// the random tests once found a team above it.
+// Attempts of a finished job that are still on machines count against its team's limit. Randomized
+// tests once found a team above its limit.
 func TestQuotaCountsJobsThatAreOver(t *testing.T) {
 	gang := job("j-1", 2)
 	gang.Record.Spec.Shape, gang.Record.Spec.CPUs = pipeline.Gang, 8
 	b := newHarness(t, 2, Snapshot{Jobs: []StoredJob{gang}})
 	if b.e.HasLiveMachines() {
-		t.Fatal("machines are believed up that nobody has heard of")
+		t.Fatal("live machines before any heartbeat")
 	}
 	b.up("m-1")
 	b.up("m-2")
@@ -224,14 +227,14 @@
 		t.Fatalf("view %v, %v", v, ok)
 	}
 	if u := b.e.usage.ofTeam("t"); u.CPUs != 8 {
-		t.Fatalf("%g CPUs counted while one task is still there", u.CPUs)
+		t.Fatalf("%g CPUs counted while one task is still on a machine", u.CPUs)
 	}
 }
 
-// A machine that nothing needs is released within a minute, however cheap it
-// is: a longer wait once failed the users' check of that.
+// An idle machine is released within a minute, however cheap it is. A longer wait once failed the
+// users' acceptance check.
 func TestIdleMachineIsGivenBack(t *testing.T) {
-	b, c := started(t)
+	b, c := withStartedTask(t)
 	b.heartbeat("m-1", 2, running(c))
 	done := exited(c, fleet.CauseDone)
 	b.heartbeat("m-1", 2, done)
@@ -246,44 +249,45 @@
 			return
 		}
 	}
-	t.Fatal("kept for a minute with nothing to do")
+	t.Fatal("an idle machine is kept for a minute")
 }
 
-// A new leader may hear a late copy from before a machine's worker restarted,
-// with a higher count than the worker has now. It once believed the copy that an
-// attempt was gone, and the task ran twice; nor may the worker be ignored.
+// After a worker's restart, a new leader may receive a late copy of an earlier heartbeat with a
+// higher sequence number than the worker has now. The copy must not prove an attempt gone, which
+// once made a task run twice, and it must not make the leader ignore the worker's own heartbeats.
 func TestCopyFromFormerIncarnation(t *testing.T) {
-	b := newHarness(t, 3, inherited())
+	b := newHarness(t, 3, inheritedSnapshot())
 	here := running(fleet.Command{Ref: "j-1", Attempt: 1 << attemptBits})
 	b.heartbeatOf("m-1", 2, 1, 4, here)
 	b.heartbeatOf("m-1", 3, 1, 5, here)
 	if r := b.heartbeatOf("m-1", 1, 1, 900); r.OK || b.e.jobs.get("j-1").Tasks[0].Attempt != 1<<attemptBits {
-		t.Fatalf("a copy with an older token is believed: %+v", r)
+		t.Fatalf("a copy with an older token is applied: %+v", r)
 	}
-	b = newHarness(t, 3, inherited())
+	b = newHarness(t, 3, inheritedSnapshot())
 	b.heartbeatOf("m-1", 1, 2, 900)
 	if r := b.heartbeatOf("m-1", 2, 1, 4, here); !r.OK || b.e.machines.get("m-1").Sequence() != 4 {
-		t.Fatalf("the worker is ignored for a copy's sake: %+v", r)
+		t.Fatalf("the worker's heartbeat is ignored because of a copy: %+v", r)
 	}
 }
 
-// What a late copy lists that the start log doesn't name is nowhere any more.
+// A task that is listed only in a late copy of a heartbeat, and not in the start log, is gone. It
+// must not be taken for running, and nothing may be placed on the machine.
 func TestCopyRevivesNothing(t *testing.T) {
 	b := newHarness(t, 3, Snapshot{Jobs: []StoredJob{job("j-1", 1)}})
 	b.heartbeatOf("m-9", 2, 1, 7, running(fleet.Command{Ref: "j-1", Attempt: 5}))
 	if n := b.e.jobs.get("j-1").Count(pipeline.Waiting); n != 1 {
-		t.Fatal("a copy of a heartbeat of long ago has the task taken for running")
+		t.Fatal("the task counts as running because of a copy of an old heartbeat")
 	}
 	b.pass(6*time.Second, true)
 	if b.e.machines.get("m-9").ActiveAttempts() > 0 {
-		t.Fatal("placed on a machine of which only an old copy speaks")
+		t.Fatal("placed on a machine that is known only from a copy of an old heartbeat")
 	}
 }
 
-// A worker that restarts within a term can't be told from copies of its old
-// heartbeats; it isn't ignored for good but released.
+// The heartbeats of a worker that restarts within a term can't be told from copies of its old ones.
+// The worker must not be ignored forever: its machine is released.
 func TestWorkerRestarts(t *testing.T) {
-	b, c := started(t)
+	b, c := withStartedTask(t)
 	b.heartbeat("m-1", 2, running(c))
 	for seq := uint64(1); seq < uint64(testConfig().Lease/(2*time.Second)); seq++ {
 		b.heartbeatOf("m-1", 0, 1, seq)
@@ -294,17 +298,18 @@
 			}
 		}
 		if b.e.jobs.get("j-1").Count(pipeline.Waiting) > 0 {
-			t.Fatal("taken for gone on the word of what may be copies")
+			t.Fatal("the task counts as gone because of heartbeats that may be copies")
 		}
 		if b.e.machines.get("m-1").State() == fleet.ScalingIn {
 			return
 		}
 	}
-	t.Fatal("ignored until its lease is over")
+	t.Fatal("a restarted worker is ignored until its lease has ended")
 }
 
-// A new leader needn't wait for the last of the machines on record: what it
-// places on is proven free, and a dead machine would hold up all others.
+// A new leader doesn't wait for heartbeats from all machines on record, since a dead machine would
+// delay everything. It places tasks on machines that are proven free, but not the task that may
+// still be on the dead machine.
 func TestPlacesBeforeAllAreHeard(t *testing.T) {
 	snap := Snapshot{Jobs: []StoredJob{job("j-1", 1), job("j-2", 1)}}
 	snap.Pages = append(snap.Pages, page("1-1", "m-dead", 1<<attemptBits))
@@ -319,17 +324,17 @@
 		for _, c := range starts(b.heartbeat(m, 2)) {
 			n++
 			if c.Ref != "j-2" {
-				t.Errorf("%s is started although it may be on the machine that isn't heard", c.Ref)
+				t.Errorf("%s is started although it may be on the machine without heartbeats", c.Ref)
 			}
 		}
 	}
 	if n != 1 {
-		t.Fatalf("%d starts while one machine isn't heard", n)
+		t.Fatalf("%d starts while one machine sends no heartbeats", n)
 	}
 }
 
-// A job that failed on the only machine that fits it is started there again within 90 s of
-// the end of what made it fail, as the users' check of a day's end demands.
+// A job that failed on the only machine that fits it is started there again within 90 s after the
+// cause of the failure has ended, as the users' check at the end of a day demands.
 func TestFailedMachineIsTriedAgain(t *testing.T) {
 	b := newHarness(t, 2, Snapshot{Jobs: []StoredJob{job("j-1", 1), job("j-2", 1)}})
 	b.up("m-1")
@@ -344,7 +349,7 @@
 	}
 	for range 9 { // past the restart limit
 		b.heartbeat("m-1", 2, running(busy), exited(c, fleet.CauseError))
-		b.e.machines.get("m-1").ClearFailures() // other work goes well there
+		b.e.machines.get("m-1").ClearFailures() // as if another task had succeeded there
 		failed := b.now
 		for s := starts(b.heartbeat("m-1", 2, running(busy))); ; s = starts(b.heartbeat("m-1", 2, running(busy))) {
 			if len(s) > 0 {
--- a/internal/core/silence_test.go
+++ b/internal/core/silence_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// A zone cut off for longer than its workers' lease once cost all its machines,
-// released seconds before they came back, and then their boots and images. Their
-// work goes on elsewhere, but they are kept for about as long as others would
-// take, and when they are back they count as idle from then.
+// When a zone was cut off for longer than its workers' lease, all its machines were once released
+// seconds before they came back, and new ones had to boot and fetch images. The tasks of
+// unresponsive machines continue elsewhere after the lease, but the machines are kept for about as
+// long as replacements would take. When they are back, their idle time starts anew.
 func TestUnresponsiveMachinesAreKept(t *testing.T) {
-	b, c := started(t)
+	b, c := withStartedTask(t)
 	b.heartbeat("m-1", 2, running(c))
 	unresponsiveSince := b.now
 	lease, kept := b.e.cfg.Lease, b.e.unresponsiveLimit(b.e.machines.get("m-1"))
@@ -21,11 +21,11 @@
 		}
 	}
 	if n := b.e.machines.get("m-1").ActiveAttempts(); n != 0 {
-		t.Fatalf("%d tasks counted as there after the lease", n)
+		t.Fatalf("%d tasks still counted on the machine after the lease", n)
 	}
 	seq := b.sequences["m-1"] + 1
 	if r := b.heartbeatOf("m-1", 2, 2, seq); !r.OK {
-		t.Fatal("a machine that is back isn't answered")
+		t.Fatal("a machine that is back is refused")
 	}
 	for range 3 {
 		b.now = b.now.Add(time.Second)
@@ -40,12 +40,12 @@
 			return
 		}
 	}
-	t.Fatal("a machine that stays unresponsive is kept for good")
+	t.Fatal("a machine that stays unresponsive is kept forever")
 }
 
-// A machine that was up and idle under the last leader stands in no record, and the list
-// may come before its first heartbeat to the new one. It was then released as one whose boot
-// had failed: six machines at one takeover of an incident.
+// No record names a machine that was up and idle under the last leader, and the cloud's list may
+// arrive before its first heartbeat to the new leader. Such machines were once released as if their
+// boot had failed: six at one takeover during an incident.
 func TestIdleMachineOutlivesItsLeader(t *testing.T) {
 	b := newHarness(t, 2, Snapshot{})
 	up := Instance{Name: "m-1", Addr: "m-1", Type: "big", Zone: "a", Status: InstanceRunning, Age: 10 * time.Minute}
@@ -63,5 +63,5 @@
 			return
 		}
 	}
-	t.Fatal("a machine that never sends a heartbeat is kept for good")
+	t.Fatal("a machine that never sends a heartbeat is kept forever")
 }
--- a/internal/core/snapshot.go
+++ b/internal/core/snapshot.go
@@ -6,14 +6,14 @@
 	"gingertally/internal/drain"
 )
 
-// Snapshot is what the store held when the term was claimed.
+// Snapshot holds what the store held when the term was claimed.
 type Snapshot struct {
 	Jobs   []StoredJob
 	Pages  []StoredPage
 	Images []StoredImages
-	Drains drain.Stored // if drains are on
-	// Restored says that workers have seen higher terms than the state service knew when
-	// the term was claimed: it was restored from an older copy.
+	Drains drain.Stored // empty if drains are off
+	// Restored says that the state service was restored from an older copy: workers had seen higher
+	// terms than the state service knew when the term was claimed.
 	Restored bool
 }
 
@@ -23,7 +23,8 @@
 	Record fleet.ImageRecord
 }
 
-// StoredJob is a job's record with its version and further done ranges.
+// StoredJob is a job's record with its version, and the done ranges that are stored outside the
+// record.
 type StoredJob struct {
 	Record  pipeline.Record
 	Version uint64
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -13,30 +13,30 @@
 	"gingertally/internal/recovery"
 )
 
-// Status is a leader's state as an operator wants to see it.
+// Status is a leader's state, as shown to operators.
 type Status struct {
 	Term     uint64
-	Settled  bool // past the takeover: whatever is proven free may be used
+	Settled  bool // the takeover has progressed so far that tasks may be placed
 	Pools    []PoolStatus
-	Waiting  []WaitingJob // the first of them, in ready order
-	Waits    int          // how many wait in all
+	Waiting  []WaitingJob // at most statusJobs of them, in order of priority
+	Waits    int          // number of all waiting jobs
 	Active   int          // jobs that aren't over
-	Unstored int          // starts that wait for the state service
+	Unstored int          // starts that aren't written to the state service yet
 	Recovery recovery.Status
 	Starts   []StartWait   // how long jobs waited for their first start in this term
-	Drains   *drain.Status `json:",omitempty"` // operators' drains; nil: off
+	Drains   *drain.Status `json:",omitempty"` // operators' drains; nil if drains are off
 }
 
-// PoolStatus counts the machines that are alike.
+// PoolStatus counts the machines of one pool: those of a type in a zone, spot or not.
 type PoolStatus struct {
 	Type, Zone string
 	Spot       bool
 	States     map[string]int // machines by state
 	Draining   int
-	Attempts   int // what may be on them
+	Attempts   int // attempts that may be on these machines
 }
 
-// WaitingJob is a job with tasks that wait, and why they do.
+// WaitingJob is a job with waiting tasks, and the reason why they wait.
 type WaitingJob struct {
 	Ref, Class, Team string
 	Waiting, Tasks   int
@@ -44,10 +44,10 @@
 	Reason           string
 }
 
-// statusJobs is how many waiting jobs a status names.
+// statusJobs bounds the number of waiting jobs that a status lists.
 const statusJobs = 200
 
-// Reasons for which tasks wait.
+// Reasons why tasks wait.
 const (
 	ReasonTakeover   = "a new leader is still hearing the machines"
 	ReasonPause      = "a pause after bad exits"
@@ -59,7 +59,7 @@
 	ReasonNoCapacity = "no room"
 )
 
-// Status tells of machines and of jobs that wait.
+// Status returns the engine's current status.
 func (e *Engine) Status(now time.Time) Status {
 	s := Status{
 		Term: e.numbers.term, Settled: e.settled(now),
@@ -93,7 +93,7 @@
 	return out
 }
 
-// addWaiting adds the jobs with tasks that wait for room, in the order of priority.
+// addWaiting adds the jobs with tasks that wait for capacity, in order of priority.
 func (e *Engine) addWaiting(now time.Time, s *Status) {
 	seen := map[string]bool{}
 	for _, t := range e.priorityOrder(now) {
@@ -123,7 +123,7 @@
 	}
 }
 
-// waitsForText says which dependencies a job waits for.
+// waitsForText returns the reason of a job that waits for dependencies.
 func waitsForText(refs []string) string {
 	if more := len(refs) - maxNamedDependencies; more > 0 {
 		return fmt.Sprintf("waits for %s and %d more", strings.Join(refs[:maxNamedDependencies], ", "), more)
@@ -131,10 +131,10 @@
 	return "waits for " + strings.Join(refs, ", ")
 }
 
-// maxNamedDependencies is how many jobs are named that one waits for.
+// maxNamedDependencies bounds the number of dependencies that a reason names.
 const maxNamedDependencies = 5
 
-// reason is why a job's waiting tasks wait.
+// reason returns why a job's waiting tasks wait.
 func (e *Engine) reason(now time.Time, j *pipeline.Job, settled bool) string {
 	u, team := e.usage.ofTeam(j.Team), e.cfg.Teams[j.Team]
 	n := 1.0
--- a/internal/core/takeover.go
+++ b/internal/core/takeover.go
@@ -7,20 +7,20 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// loggedAttempt is what the start log says of one task: where its attempt may be.
+// loggedAttempt is the start log's newest attempt of a task, with the machine that it may be on.
 type loggedAttempt struct {
 	placed fleet.MachineStarts
 	page   *fleet.StartLogPage
 	number uint64
 }
 
-// recoverStartLog takes over what the start log says may be on machines (docs/design.md,
-// safety argument 4).
+// recoverStartLog adds the attempts that may be on machines according to the start log
+// (docs/design.md, safety argument 4).
 func (e *Engine) recoverStartLog(now time.Time, stored []StoredPage) {
 	for task, logged := range e.newestLogged(stored) {
 		j := e.jobs.get(task.Ref)
 		if j == nil || task.Task >= len(j.Tasks) || j.Tasks[task.Task].State() == pipeline.Finished {
-			continue // should it still be there, the machine's heartbeat will say so
+			continue // if the attempt is still there, its machine's heartbeat reports it
 		}
 		m := e.machines.get(logged.placed.Machine)
 		if m == nil {
@@ -35,9 +35,9 @@
 	}
 }
 
-// newestLogged takes in the pages of the start log and returns each task's highest attempt
-// in them. Of several entries for one task only that can be current: it was written only
-// after the ones before it were proven gone (TestHighestAttemptCounts).
+// newestLogged adds the pages of the start log and returns the highest attempt of each task in
+// them. Of several entries for one task only the highest can be current, since it was written after
+// the others were proven gone (TestHighestAttemptCounts).
 func (e *Engine) newestLogged(stored []StoredPage) map[fleet.TaskID]loggedAttempt {
 	newest := map[fleet.TaskID]loggedAttempt{}
 	for _, s := range stored {
@@ -56,8 +56,8 @@
 	return newest
 }
 
-// addAwaitingHeartbeat takes in a machine that the start log names and that has not been heard of
-// under this term.
+// addAwaitingHeartbeat adds a machine that the start log names and that hasn't sent a heartbeat in
+// this term.
 func (e *Engine) addAwaitingHeartbeat(now time.Time, p fleet.MachineStarts) *fleet.Machine {
 	m := fleet.NewInheritedMachine(now, p.Machine, fleet.PoolKey{Type: p.Type, Zone: p.Zone, Spot: p.Spot})
 	e.addMachine(now, m)
--- a/internal/core/tick_clock.go
+++ b/internal/core/tick_clock.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// tickClock follows whether this node's ticks come in time: answers that are given late are
-// dropped by workers, and then say nothing about the machines.
+// tickClock detects that this node's ticks are late. Its answers to heartbeats may then be late
+// too; workers drop late answers, so missing effects of answers prove nothing about the machines.
 type tickClock struct {
-	last     time.Time // when the last tick came; zero: none has
-	laggedAt time.Time // when a tick last came too late
+	last     time.Time // when the last tick came; zero if there was none
+	laggedAt time.Time // when the last late tick came
 }
 
-// answerTimeout is after how long a worker drops an answer (PROTOCOL). A node whose ticks
-// come lateTick late may be answering so late.
 const (
+	// answerTimeout is after how long a worker stops waiting for an answer (PROTOCOL).
 	answerTimeout = 4 * time.Second
-	lateTick      = 500 * time.Millisecond
+	// lateTick is the time between two ticks from which on this node counts as slow, so that its
+	// answers may exceed answerTimeout.
+	lateTick = 500 * time.Millisecond
 )
 
-// tick notes a tick.
+// tick notes a tick, and whether it is late.
 func (c *tickClock) tick(now time.Time) {
 	if !c.last.IsZero() && now.Sub(c.last) > lateTick {
 		c.laggedAt = now
@@ -24,12 +25,13 @@
 	c.last = now
 }
 
-// sinceLast is how long ago the last tick came.
+// sinceLast returns how long ago the last tick came.
 func (c *tickClock) sinceLast(now time.Time) time.Duration { return now.Sub(c.last) }
 
-// answersLate reports whether this node has been slow of late: answers that workers drop for
-// being late, or that meet heartbeats held back and delivered together, are no sign that a
-// machine receives nothing (TestSlowLeaderReleasesNone, TestHeartbeatsDeliveredTogether).
+// answersLate reports whether this node has recently been slow. Answers that workers dropped for
+// being late, or that were sent to heartbeats that had been held up and arrived together, don't
+// show that a machine receives nothing (TestSlowLeaderReleasesNone,
+// TestHeartbeatsDeliveredTogether).
 func (c *tickClock) answersLate(now time.Time, heartbeatInterval time.Duration) bool {
 	return now.Sub(c.last) > lateTick || now.Sub(c.laggedAt) < answerTimeout+heartbeatInterval
 }
--- a/internal/core/timer_queue.go
+++ b/internal/core/timer_queue.go
@@ -7,10 +7,9 @@
 	"gingertally/internal/core/fleet"
 )
 
-// timerQueue says which machine is to be checked next, and when, so that a tick costs
-// nothing for machines about which there is nothing to decide. Each machine has at most one
-// valid timer, the one that expires at the time noted in valid; others are left in the queue
-// and ignored when they expire.
+// timerQueue schedules the checks of machines, so that a tick costs nothing for machines whose
+// check isn't due. Each machine has at most one valid timer, the one that expires at the time in
+// valid; others stay in the queue and are ignored when they expire.
 type timerQueue struct {
 	timers timerHeap
 	valid  map[*fleet.Machine]time.Time
@@ -21,7 +20,7 @@
 	machine *fleet.Machine
 }
 
-// schedule sets a machine's timer. If its present timer expires earlier, that one stays.
+// schedule sets a machine's timer, unless its current timer expires no later.
 func (q *timerQueue) schedule(m *fleet.Machine, at time.Time) {
 	if present, scheduled := q.valid[m]; scheduled && !at.Before(present) {
 		return
@@ -33,7 +32,8 @@
 	heap.Push(&q.timers, timer{at, m})
 }
 
-// expired takes a machine whose timer has expired off the queue, or returns nil.
+// expired returns a machine whose timer has expired, and removes the timer. It returns nil if there
+// is none.
 func (q *timerQueue) expired(now time.Time) *fleet.Machine {
 	for len(q.timers) > 0 && !q.timers[0].at.After(now) {
 		t := heap.Pop(&q.timers).(timer)
--- a/internal/core/timer_queue_test.go
+++ b/internal/core/timer_queue_test.go
@@ -7,7 +7,7 @@
 	"gingertally/internal/core/fleet"
 )
 
-// Of a machine's timers only the earliest counts, and none of a machine that is gone.
+// Only the earliest timer of a machine counts, and timers of removed machines are ignored.
 func TestTimerQueue(t *testing.T) {
 	start := time.Unix(5000, 0)
 	at := func(seconds int) time.Time { return start.Add(time.Duration(seconds) * time.Second) }
@@ -33,6 +33,6 @@
 	}
 	q.schedule(a, at(30))
 	if q.expired(at(30)) != a {
-		t.Fatal("not checked again")
+		t.Fatal("a machine's next timer doesn't expire")
 	}
 }
--- a/internal/core/usage.go
+++ b/internal/core/usage.go
@@ -7,33 +7,34 @@
 	"gingertally/internal/core/fleet"
 )
 
-// usage is what of jobs and teams may be on machines. Quotas, zones and gangs are checked
-// against it, also for jobs that are over (TestQuotaCountsJobsThatAreOver).
+// usage holds the attempts that may be on machines by job, and the resources that they take by
+// team. Quotas, zones and gangs are checked against it. It includes attempts of jobs that are over
+// (TestQuotaCountsJobsThatAreOver).
 type usage struct {
 	byJob  map[string]*jobUsage
 	byTeam map[string]fleet.Amount
 }
 
-// jobUsage is what of a job may be on machines. All but usage's methods only read it.
+// jobUsage is the usage of one job. Only the methods of usage change it.
 type jobUsage struct {
 	team     string
-	attempts map[*fleet.Attempt]bool
-	results  map[*fleet.Attempt]bool // that the store isn't known to hold
-	running  int                     // attempts that run
-	zones    map[string]int          // attempts by zone
+	attempts map[*fleet.Attempt]bool // attempts that may be on machines
+	results  map[*fleet.Attempt]bool // succeeded attempts whose results aren't known to be stored
+	running  int                     // number of running attempts
+	zones    map[string]int          // number of attempts by zone
 }
 
-// noUsage stands for a job of which nothing is on machines, and nothing has been.
+// noUsage is the usage of jobs that aren't tracked. It must not be changed.
 var noUsage = &jobUsage{zones: map[string]int{}}
 
 func newUsage() usage {
 	return usage{byJob: map[string]*jobUsage{}, byTeam: map[string]fleet.Amount{}}
 }
 
-// ofTeam is what all jobs of a team take of machines.
+// ofTeam returns the resources that the attempts of a team's jobs take.
 func (u *usage) ofTeam(team string) fleet.Amount { return u.byTeam[team] }
 
-// ofJob is what of a job may be on machines.
+// ofJob returns the usage of a job, to be read only.
 func (u *usage) ofJob(ref string) *jobUsage {
 	if j := u.byJob[ref]; j != nil {
 		return j
@@ -41,7 +42,8 @@
 	return noUsage
 }
 
-// track begins to follow a job, if that hasn't begun. Who holds its zones sees them change.
+// track returns the usage of a job, and adds it if it is missing. The map of zones is shared: those
+// who keep it see later changes.
 func (u *usage) track(ref string) *jobUsage {
 	j := u.byJob[ref]
 	if j == nil {
@@ -51,15 +53,16 @@
 	return j
 }
 
-// forgetUnused stops following a job of which nothing is on machines. It must be over.
+// forgetUnused drops the usage of a job that has no attempts on machines and no unstored results.
+// The job must be over.
 func (u *usage) forgetUnused(ref string) {
 	if j := u.byJob[ref]; j != nil && len(j.attempts)+len(j.results) == 0 {
 		delete(u.byJob, ref)
 	}
 }
 
-// add counts an attempt that is, or may be, on its machine. Team is empty if the job isn't
-// known; what is known of its team from before then stays.
+// add counts an attempt that is, or may be, on its machine. An empty team means that the job isn't
+// known; the team that was set earlier, if any, then stays.
 func (u *usage) add(a *fleet.Attempt, team string) {
 	j := u.track(a.Ref)
 	if team != "" {
@@ -73,7 +76,7 @@
 	}
 }
 
-// moved counts that an attempt has changed its state.
+// moved updates the number of running attempts after an attempt has changed its state.
 func (u *usage) moved(a *fleet.Attempt, was fleet.AttemptState) {
 	j := u.track(a.Ref)
 	if was == fleet.Running {
@@ -84,7 +87,7 @@
 	}
 }
 
-// exited takes an attempt that has exited out of the counts.
+// exited removes an attempt that has exited from the counts.
 func (u *usage) exited(a *fleet.Attempt) {
 	j := u.track(a.Ref)
 	delete(j.attempts, a)
@@ -92,13 +95,13 @@
 	u.byTeam[j.team] = u.byTeam[j.team].Minus(a)
 }
 
-// addResult notes an attempt with a result that the store doesn't hold yet.
+// addResult adds an attempt with a result that the store isn't known to hold yet.
 func (u *usage) addResult(a *fleet.Attempt) { u.track(a.Ref).results[a] = true }
 
-// removeResult notes that the result of an attempt, if any, waits for the store no longer.
+// removeResult removes an attempt from those with unstored results.
 func (u *usage) removeResult(a *fleet.Attempt) { delete(u.ofJob(a.Ref).results, a) }
 
-// attemptsOf lists the attempts of a job that may be on machines, by machine.
+// attemptsOf returns the attempts of a job that may be on machines, ordered by machine and task.
 func (u *usage) attemptsOf(ref string) []*fleet.Attempt {
 	j := u.ofJob(ref)
 	if len(j.attempts) == 0 {
@@ -114,7 +117,7 @@
 	return out
 }
 
-// find returns an attempt that may be on a machine; nil if it is proven gone.
+// find returns the attempt of a task with a number, or nil if none may be on a machine.
 func (u *usage) find(id fleet.TaskID, number uint64) *fleet.Attempt {
 	for a := range u.ofJob(id.Ref).attempts {
 		if a.TaskID == id && a.Number == number {
@@ -124,5 +127,5 @@
 	return nil
 }
 
-// active is how many attempts of the job may be on machines.
+// active returns the number of attempts of the job that may be on machines.
 func (j *jobUsage) active() int { return len(j.attempts) }
