--- a/internal/core/cancel.go
+++ b/internal/core/cancel.go
@@ -139,7 +139,8 @@
 }
 
 // deferred reports whether the job's cancellation is deferred. It removes a pending cancellation
-// that isn't, for instance because its user hasn't retried in time.
+// that isn't, for instance because its user hasn't retried in time, so callers must first check
+// that it isn't undecided.
 func (c *cancellations) deferred(now time.Time, ref string) bool {
 	p := c.pending[ref]
 	if p == nil {
--- a/internal/core/decide.go
+++ b/internal/core/decide.go
@@ -110,8 +110,8 @@
 	return a.Ref < b.Ref
 }
 
-// runningWork returns the lowest priority among the jobs that may have attempts on machines, and
-// how many teams these jobs belong to.
+// runningWork returns the lowest urgency (Job.Urgency) among the jobs that may have attempts on
+// machines, and how many teams these jobs belong to.
 func (e *Engine) runningWork() (lowest pipeline.Priority, teams int) {
 	seen := map[string]bool{}
 	for _, j := range e.jobs.inOrder() {
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -28,7 +28,7 @@
 	return true
 }
 
-// removeMachine removes a machine that is proven gone, and handles the attempts on it as lost.
+// removeMachine removes a machine that is proven gone. Attempts on it that haven't exited are lost.
 func (e *Engine) removeMachine(now time.Time, m *fleet.Machine) {
 	e.moveMachine(now, m, fleet.Removed)
 	for _, a := range m.SortedAttempts() {
--- a/internal/core/placement_adapter.go
+++ b/internal/core/placement_adapter.go
@@ -18,8 +18,8 @@
 	steps  int         // jobs considered and tasks placed in this pass
 
 	// The work on machines, which decides whether preemption can help a job at all.
-	lowest pipeline.Priority // lowest priority of the jobs that may have attempts on machines
-	teams  int               // teams that may have attempts on machines
+	lowest pipeline.Priority // lowest urgency of the jobs that may have attempts on machines
+	teams  int               // number of teams of these jobs
 }
 
 var (
--- a/internal/core/reconcile_test.go
+++ b/internal/core/reconcile_test.go
@@ -108,7 +108,7 @@
 }
 
 // At the beginning of a term the rate of low-priority starts is limited and rises. Urgent starts
-// aren't delayed, and in the end all tasks are started.
+// aren't limited, and in the end all tasks are started.
 func TestPaceOfStarts(t *testing.T) {
 	cfg := testConfig()
 	cfg.Pace = recovery.PaceOptions{Enabled: true, Initial: 2, Highest: 50}
--- a/internal/core/snapshot.go
+++ b/internal/core/snapshot.go
@@ -11,7 +11,7 @@
 	Jobs   []StoredJob
 	Pages  []StoredPage
 	Images []StoredImages
-	Drains drain.Stored // empty if drains are off
+	Drains drain.Stored // ignored if drains are off
 	// Restored says that the state service was restored from an older copy: workers had seen higher
 	// terms than the state service knew when the term was claimed.
 	Restored bool
