--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -64,7 +64,7 @@
 	a.CommandSent()
 	if j := e.jobs.get(a.Ref); j != nil && !j.Started && !j.StartSent {
 		j.StartSent = true
-		e.waits.note(j, now.Sub(j.Since))
+		e.waits.record(j, now.Sub(j.Since))
 	}
 	e.moveAttempt(now, m, a, fleet.Sent)
 	imageGB := e.imageGB(a.Ref)
--- a/internal/core/consolidate.go
+++ b/internal/core/consolidate.go
@@ -13,96 +13,102 @@
 	"gingertally/internal/core/placement"
 )
 
-// When work thins out, tasks that save are moved off machines that they hardly
-// use, so that those can be released.
+// Consolidation: when load falls, tasks that checkpoint are moved off lightly used machines, so
+// that these can be released.
 const (
-	// consolidateEvery leaves time for the last move to show.
-	consolidateEvery = 3 * time.Second
-	// settledRun is how long a task must have run: users count a start only if
-	// no command stops it within 30 s.
-	settledRun = 35 * time.Second
-	// moveOverhead is what a move costs besides saving: exit, start, image check.
+	// consolidateInterval is the least time between two consolidations. It leaves time for the last
+	// moves to take effect.
+	consolidateInterval = 3 * time.Second
+	// minRunBeforeMove is how long a task must have run before it may be moved: users count a start
+	// only if no command stops it within 30 s.
+	minRunBeforeMove = 35 * time.Second
+	// moveOverhead is what a move costs besides the checkpoint: exit, start and image check. A task
+	// isn't moved to where its image takes longer than this to fetch.
 	moveOverhead = 4 * time.Second
-	// emptiedPart is the part of the fleet that may be emptied at once.
-	emptiedPart = 25
+	// emptyingDivisor bounds how many machines are emptied at a time: one in emptyingDivisor of the
+	// fleet, and at least one.
+	emptyingDivisor = 25
 )
 
-// emptying is which machines are being emptied to be released.
+// emptying holds the machines that are being emptied in order to be released.
 type emptying struct {
-	machines map[*fleet.Machine]bool
-	lookedAt time.Time // when machines to be emptied were last looked for
+	machines  map[*fleet.Machine]bool
+	checkedAt time.Time // when machines to empty were last searched for
 }
 
 func newEmptying() emptying { return emptying{machines: map[*fleet.Machine]bool{}} }
 
-// lookDue reports whether it is time to look for machines to be emptied, and notes the look.
-func (s *emptying) lookDue(now time.Time) bool {
-	if now.Sub(s.lookedAt) < consolidateEvery {
+// checkDue reports whether it is time to search for machines to empty, and if so records the
+// search.
+func (s *emptying) checkDue(now time.Time) bool {
+	if now.Sub(s.checkedAt) < consolidateInterval {
 		return false
 	}
-	s.lookedAt = now
+	s.checkedAt = now
 	return true
 }
 
-// add notes that a machine is being emptied.
+// add records that a machine is being emptied.
 func (s *emptying) add(m *fleet.Machine) { s.machines[m] = true }
 
-// remove notes that a machine is kept after all.
+// remove removes a machine that is kept after all.
 func (s *emptying) remove(m *fleet.Machine) { delete(s.machines, m) }
 
-// stillRunning counts the machines on which something is left, and forgets the others.
-func (s *emptying) stillRunning() int {
+// pruneAndCount removes the machines that are empty or no longer live, and returns how many are
+// left.
+func (s *emptying) pruneAndCount() int {
 	maps.DeleteFunc(s.machines, func(m *fleet.Machine, _ bool) bool {
 		return m.State() != fleet.Live || m.ActiveAttempts() == 0
 	})
 	return len(s.machines)
 }
 
-// consolidate empties the machines whose emptying saves the most, a few at a
-// time, if their tasks have room elsewhere and what stays free is enough for the
-// arrivals of a boot time.
+// consolidate empties the machines whose release saves the most, a few at a time, if their tasks
+// have room elsewhere and the remaining free capacity is enough for the tasks expected to arrive
+// while a machine boots.
 func (e *Engine) consolidate(now time.Time) {
-	if !e.emptying.lookDue(now) {
+	if !e.emptying.checkDue(now) {
 		return
 	}
-	atOnce := max(1, e.capacity.free.Size()/emptiedPart) - e.emptying.stillRunning()
+	remaining := max(1, e.capacity.free.Size()/emptyingDivisor) - e.emptying.pruneAndCount()
 	plan := newConsolidation(now, e, &placement.Scorer{
 		Now:                  now,
 		SecondsPerDollarHour: e.cfg.Weights.SecondsPerDollarHour,
 		LargeGPUWork:         e.largeGPUWork(now),
 	})
 	candidates := plan.candidates()
-	for _, c := range candidates[:min(len(candidates), 3*max(atOnce, 0))] {
-		if atOnce <= 0 {
+	for _, c := range candidates[:min(len(candidates), 3*max(remaining, 0))] {
+		if remaining <= 0 {
 			return
 		}
 		if e.hasAllReplicas(c.slot.Machine) || !plan.bookElsewhere(c.slot, c.jobs) {
 			continue
 		}
-		atOnce--
+		remaining--
 		m := c.slot.Machine
 		e.emptying.add(m)
 		e.log(LogConsolidationStarted, logMachine(m), slog.String("type", m.Type), logActive(m),
 			slog.Float64("saves_dollars", math.Round(c.gain*100)/100))
-		e.moveByChoice(now, m)
+		e.stopForConsolidation(now, m)
 		e.startDraining(now, m)
 	}
 }
 
-// hasAllReplicas reports whether a machine has all the running replicas of a service of
-// several: moving them together would stop the service.
+// hasAllReplicas reports whether a machine has all the running replicas of a service with more than
+// one: moving them together would stop the service.
 func (e *Engine) hasAllReplicas(m *fleet.Machine) bool {
 	for a := range m.Attempts() {
 		j := e.jobs.get(a.Ref)
-		several := j != nil && j.Shape == pipeline.Service && len(j.Tasks) > 1
-		if several && a.State() != fleet.Exited && !e.runsElsewhere(a.Ref, m) {
+		replicated := j != nil && j.Shape == pipeline.Service && len(j.Tasks) > 1
+		if replicated && a.State() != fleet.Exited && !e.runsElsewhere(a.Ref, m) {
 			return true
 		}
 	}
 	return false
 }
 
-// runsElsewhere reports whether a task of a job runs on another machine and isn't to stop.
+// runsElsewhere reports whether a task of a job runs on a machine other than m and isn't being
+// stopped.
 func (e *Engine) runsElsewhere(ref string, m *fleet.Machine) bool {
 	for _, a := range e.usage.attemptsOf(ref) {
 		if a.Machine != m && a.State() == fleet.Running && !a.Stopping() {
@@ -112,14 +118,14 @@
 	return false
 }
 
-// consolidation is one plan of which machines to empty, and where their tasks go.
+// consolidation is a plan of which machines to empty and where to move their tasks.
 type consolidation struct {
 	engine  *Engine
 	scorer  *placement.Scorer
 	now     time.Time
-	copies  map[*placement.Slot]*placement.Slot // with what is to move there
+	copies  map[*placement.Slot]*placement.Slot // with the tasks that are to move there booked
 	emptied map[*placement.Slot]bool            // slots that are being emptied
-	targets map[*fleet.Machine]bool             // machines that something is to move to
+	targets map[*fleet.Machine]bool             // machines that tasks are to move to
 }
 
 func newConsolidation(now time.Time, e *Engine, scorer *placement.Scorer) *consolidation {
@@ -131,15 +137,15 @@
 	}
 }
 
-// candidate is a machine that might be emptied, with the jobs of its tasks and
-// what that would save in money.
+// candidate is a machine that might be emptied, with the jobs of its tasks and what emptying it
+// would save: in dollars, less the weighted cost of the moves.
 type candidate struct {
 	slot *placement.Slot
 	jobs []*pipeline.Job
 	gain float64
 }
 
-// candidates are the machines whose emptying saves something, the most first.
+// candidates returns the machines whose emptying saves something, the largest gain first.
 func (v *consolidation) candidates() []candidate {
 	var out []candidate
 	for _, p := range v.engine.capacity.free.Pools {
@@ -147,7 +153,7 @@
 			if s.Future || s.Machine.ActiveAttempts() == 0 {
 				continue
 			}
-			if c := v.gain(s); c.gain > 0 {
+			if c := v.evaluate(s); c.gain > 0 {
 				out = append(out, c)
 			}
 		}
@@ -156,9 +162,9 @@
 	return out
 }
 
-// gain is what emptying a machine is expected to save, or 0 if it can't be
-// emptied, or had better not be.
-func (v *consolidation) gain(s *placement.Slot) candidate {
+// evaluate returns a machine as a candidate with its expected gain. The gain is 0 if some task on
+// it can't be moved, and not above 0 if moving its tasks isn't worth it.
+func (v *consolidation) evaluate(s *placement.Slot) candidate {
 	price := s.Type.Price(s.Spot) / 3600
 	var longest time.Duration
 	var moved []*pipeline.Job
@@ -178,16 +184,16 @@
 	return candidate{s, moved, price*longest.Seconds() - v.engine.cfg.Weights.MoveGain*cost}
 }
 
-// movable reports whether an attempt may be moved: it saves, has run long enough for its start to
-// count, and no budget is in the way.
+// movable reports whether an attempt may be moved: it has run long enough for its start to count,
+// its job checkpoints and isn't a gang, and no disruption budget forbids it.
 func (v *consolidation) movable(a *fleet.Attempt, j *pipeline.Job) bool {
-	if a.State() != fleet.Running || a.Stopping() || v.now.Sub(a.RunStart) < settledRun {
+	if a.State() != fleet.Running || a.Stopping() || v.now.Sub(a.RunStart) < minRunBeforeMove {
 		return false
 	}
-	return j.CheckpointInterval > 0 && !isGang(j) && v.engine.mayMoveByChoice(v.now, a, j)
+	return j.CheckpointInterval > 0 && !isGang(j) && v.engine.budgetsAllowMove(v.now, a, j)
 }
 
-// copyOf is the plan's own copy of a slot, with what is to move there.
+// copyOf returns the plan's own copy of a slot, on which planned moves are booked.
 func (v *consolidation) copyOf(s *placement.Slot) *placement.Slot {
 	c := v.copies[s]
 	if c == nil {
@@ -197,11 +203,11 @@
 	return c
 }
 
-// bookElsewhere books the jobs' tasks on other machines, if all have room and enough
-// stays free.
+// bookElsewhere books the jobs' tasks on other machines and reports whether it could: there must be
+// room for all of them, and enough must stay free. Otherwise nothing is booked.
 func (v *consolidation) bookElsewhere(from *placement.Slot, jobs []*pipeline.Job) bool {
 	if v.targets[from.Machine] {
-		return false // others are to move there
+		return false // other tasks are to move there
 	}
 	undo := map[*placement.Slot]placement.Slot{}
 	for _, j := range jobs {
@@ -216,7 +222,7 @@
 		to.Take(&j.Spec)
 	}
 	v.emptied[from] = true
-	if !v.headroom(from.Type.Boot) {
+	if !v.hasHeadroom(from.Type.Boot) {
 		v.emptied[from] = false
 		v.restore(undo)
 		return false
@@ -227,17 +233,18 @@
 	return true
 }
 
+// restore puts booked copies of slots back to what they were.
 func (*consolidation) restore(undo map[*placement.Slot]placement.Slot) {
 	for s, was := range undo {
 		*s = was
 	}
 }
 
-// bestTarget is the best place for a task on another machine that is in use, or much
-// cheaper.
+// bestTarget returns the best place for a task on another machine; nil if there is none. An idle
+// machine is considered only if it costs at most half as much as the present one.
 func (v *consolidation) bestTarget(j *pipeline.Job, from *placement.Slot) *placement.Slot {
 	var best *placement.Slot
-	low := math.Inf(1)
+	lowest := math.Inf(1)
 	zones := maps.Clone(v.engine.usage.ofJob(j.Ref).zones)
 	zones[from.Zone]--
 	v.engine.capacity.free.EachOpen(&j.Spec, "", func(o *placement.Slot) {
@@ -247,17 +254,17 @@
 			return
 		}
 		if c := v.copyOf(o); c.CapacityFor(&j.Spec) > 0 {
-			if sc := v.scorer.Score(c, j, time.Time{}); sc < low {
-				best, low = c, sc
+			if sc := v.scorer.Score(c, j, time.Time{}); sc < lowest {
+				best, lowest = c, sc
 			}
 		}
 	})
 	return best
 }
 
-// headroom reports whether there is room for what is expected to arrive, of each
-// class, while a machine boots.
-func (v *consolidation) headroom(boot time.Duration) bool {
+// hasHeadroom reports whether enough stays free for the tasks of each class that are expected to
+// arrive while a machine boots.
+func (v *consolidation) hasHeadroom(boot time.Duration) bool {
 	for _, c := range v.engine.classes {
 		need := c.rateAt(v.now) * boot.Seconds()
 		if c.spec == nil || need < 0.1 {
--- a/internal/core/decide.go
+++ b/internal/core/decide.go
@@ -83,7 +83,7 @@
 			continue
 		}
 		for _, c := range e.classes {
-			recent := c.spec != nil && c.spec.GPUs > 0 && now.Sub(c.lastAt) <= recentClass
+			recent := c.spec != nil && c.spec.GPUs > 0 && now.Sub(c.lastAt) <= recentClassWindow
 			if !recent || !c.spec.AllowsType(t.Name) || !t.Fits(c.spec) {
 				continue
 			}
--- a/internal/core/drain_capacity.go
+++ b/internal/core/drain_capacity.go
@@ -10,35 +10,35 @@
 	"gingertally/internal/drain"
 )
 
-// capacityBooking finds out whether what is to be evicted has room elsewhere, beside all that is
-// moving already. It looks at the machines only once something asks.
+// capacityBooking books room elsewhere for tasks that are to be evicted, besides the tasks that are
+// moving already. It examines the machines only once something is booked.
 type capacityBooking struct {
-	engine  *Engine
-	now     time.Time
-	copies  map[*placement.Slot]*placement.Slot
-	without map[string]bool // jobs for which there is no room
-	short   bool            // what is moving already has no room
+	engine       *Engine
+	now          time.Time
+	copies       map[*placement.Slot]*placement.Slot
+	noCapacity   map[string]bool // jobs for which no slot was found
+	insufficient bool            // there isn't room even for the tasks that are moving already
 }
 
 func (e *Engine) newCapacityBooking(now time.Time) *capacityBooking {
 	return &capacityBooking{engine: e, now: now}
 }
 
-// book books room for the tasks of a group that have to leave their machines; false if there
-// isn't any. Ahead: machines that are about to be drained don't count.
-func (b *capacityBooking) book(g *evictionGroup, ahead bool) bool {
+// book books room for the tasks of a group that have to leave their machines, and returns false if
+// there isn't enough. With skipPlanned, machines that are about to be drained don't count as room.
+func (b *capacityBooking) book(g *evictionGroup, skipPlanned bool) bool {
 	if b.copies == nil {
-		b.copies, b.without = map[*placement.Slot]*placement.Slot{}, map[string]bool{}
+		b.copies, b.noCapacity = map[*placement.Slot]*placement.Slot{}, map[string]bool{}
 		for _, t := range b.engine.drains.moving.sorted() {
-			s := b.find(t.job, b.engine.usage.ofJob(t.job.Ref).zones, ahead)
+			s := b.find(t.job, b.engine.usage.ofJob(t.job.Ref).zones, skipPlanned)
 			if s == nil {
-				b.short = true
+				b.insufficient = true
 				break
 			}
 			s.Take(&t.job.Spec)
 		}
 	}
-	if b.short {
+	if b.insufficient {
 		return false
 	}
 	undo := map[*placement.Slot]placement.Slot{}
@@ -46,9 +46,9 @@
 	for _, a := range g.attempts {
 		if !a.Machine.Cordoned() && !a.Machine.Draining() {
 			zones[a.Machine.Zone]++
-			continue // it may go back to where it is
+			continue // it may start again on the same machine
 		}
-		s := b.find(g.job, zones, ahead)
+		s := b.find(g.job, zones, skipPlanned)
 		if s == nil {
 			for slot, was := range undo {
 				*slot = was
@@ -64,7 +64,8 @@
 	return true
 }
 
-// zonesWithout counts the tasks of a job that may be on machines by zone, but for some.
+// zonesWithout counts the tasks of a job that may be on machines, by zone and without the attempts
+// that are leaving.
 func (e *Engine) zonesWithout(j *pipeline.Job, leaving []*fleet.Attempt) map[string]int {
 	zones := maps.Clone(e.usage.ofJob(j.Ref).zones)
 	for _, a := range leaving {
@@ -73,25 +74,27 @@
 	return zones
 }
 
-// find is a place with room for a task of a job, of which so many are in which zone; nil if
-// there is none. A job that found none finds none again.
-func (b *capacityBooking) find(j *pipeline.Job, zones map[string]int, ahead bool) *placement.Slot {
-	if b.without[j.Ref] {
+// find returns the booking's copy of a slot with room for a task of a job, given how many of its
+// tasks each zone has; nil if there is none. Once it has found none for a job, it finds none for
+// that job again.
+func (b *capacityBooking) find(j *pipeline.Job, zones map[string]int, skipPlanned bool) *placement.Slot {
+	if b.noCapacity[j.Ref] {
 		return nil
 	}
 	found := b.engine.capacity.free.FindOpen(&j.Spec, func(s *placement.Slot) bool {
-		if ahead && s.Machine.CordonPlanned() || j.Avoids(b.now, s.Machine.Name) {
+		if skipPlanned && s.Machine.CordonPlanned() || j.Avoids(b.now, s.Machine.Name) {
 			return false
 		}
 		return placement.ZoneCapacity(j, s.Zone, zones) > 0 && b.copyOf(s).CapacityFor(&j.Spec) > 0
 	})
 	if found == nil {
-		b.without[j.Ref] = true
+		b.noCapacity[j.Ref] = true
 		return nil
 	}
 	return b.copyOf(found)
 }
 
+// copyOf returns the booking's own copy of a slot.
 func (b *capacityBooking) copyOf(s *placement.Slot) *placement.Slot {
 	c := b.copies[s]
 	if c == nil {
@@ -101,9 +104,10 @@
 	return c
 }
 
-// awaitReplacement deals with a machine whose work has no room elsewhere: a machine like it is
-// requested, if its plan says so.
-func (e *Engine) awaitReplacement(now time.Time, dm *drain.Machine) drain.Verdict {
+// ensureReplacement handles a machine whose tasks have no room elsewhere, and returns what its
+// drain waits for. A machine like it is requested if its plan allows one more replacement and the
+// cloud hasn't refused such machines recently.
+func (e *Engine) ensureReplacement(now time.Time, dm *drain.Machine) drain.Verdict {
 	d := e.drains
 	m := e.machines.get(dm.Name)
 	if r := d.replacements.of(dm.Name); r != nil && !e.replacementLost(now, r) {
@@ -125,19 +129,20 @@
 	return drain.Verdict{Kind: drain.NotYet, Cause: drain.CauseReplacement}
 }
 
-// replacementLost reports whether a replacement won't come up any more, or has and isn't enough.
+// replacementLost reports whether a replacement is no longer waited for: the cloud hasn't answered
+// in time, the machine is gone, or it is up and in use and there still isn't enough room.
 func (e *Engine) replacementLost(now time.Time, r *replacement) bool {
 	if r.machine == "" {
-		return now.Sub(r.requested) > replacementAnswer
+		return now.Sub(r.requested) > replacementTimeout
 	}
 	m := e.machines.get(r.machine)
 	return m == nil || m.State() != fleet.Booting && m.ActiveAttempts() > 0
 }
 
-// replacementAnswer is how long the cloud's answer about a replacement is waited for.
-const replacementAnswer = 30 * time.Second
+// replacementTimeout is how long to wait for the cloud's answer to a request for a replacement.
+const replacementTimeout = 30 * time.Second
 
-// isReplacement reports whether a machine was requested in place of one that is still there.
+// isReplacement reports whether a machine was requested to replace one that still exists.
 func (e *Engine) isReplacement(m *fleet.Machine) bool {
 	return e.drains != nil && e.drains.replacements.include(m.Name)
 }
--- a/internal/core/drain_eviction.go
+++ b/internal/core/drain_eviction.go
@@ -10,22 +10,23 @@
 )
 
 const (
-	// answerDropped is how long after it sent a heartbeat a worker takes its answer (PROTOCOL).
-	answerDropped = 4 * time.Second
-	// evictionSlack is what a stop takes beside the way to the worker and saving.
+	// responseMaxAge is how long after it sent a heartbeat a worker accepts the response to it
+	// (PROTOCOL).
+	responseMaxAge = 4 * time.Second
+	// evictionSlack is what a stop takes besides its way to the worker and the checkpoint.
 	evictionSlack = 2 * time.Second
-	// directBound is how long a direct command may take; only gangs of several tasks, which
-	// have to be told together, are stopped by them.
-	directBound = 10 * time.Second
+	// directCommandTimeout is how long a direct command may take. Direct commands stop only gangs
+	// of several tasks, which have to be told together.
+	directCommandTimeout = 10 * time.Second
 )
 
-// machineWork is what is on a machine that is to be emptied.
+// machineWork is the work on a machine that is to be emptied.
 type machineWork struct {
 	groups       []*evictionGroup
-	gangStarting bool // a gang is being started, of which not all has been reported yet
+	gangStarting bool // a gang is being started, and not all its tasks have been reported yet
 }
 
-// evictionGroup is what is evicted together: a task, or all tasks of a gang.
+// evictionGroup is what is evicted together: one task, or all tasks of a gang.
 type evictionGroup struct {
 	job       *pipeline.Job
 	attempts  []*fleet.Attempt
@@ -33,7 +34,9 @@
 	verdict   drain.Verdict
 }
 
-// workOn lists what is on a machine, but for what is leaving or has not been reported yet.
+// workOn returns the work on a machine that can be evicted. It leaves out attempts that are leaving
+// or haven't been reported yet, with the rest of their gangs, and attempts of jobs that aren't
+// known or are over.
 func (e *Engine) workOn(now time.Time, m *fleet.Machine) *machineWork {
 	work := &machineWork{}
 	seen := map[string]bool{}
@@ -58,12 +61,13 @@
 	return work
 }
 
-// taskKey names an attempt's task in the ledger of charges.
+// taskKey returns the key of an attempt's task in the ledger of charges.
 func taskKey(a *fleet.Attempt) drain.TaskKey { return drain.TaskKey{Job: a.Ref, Task: a.Task} }
 
-// isGang reports whether a job's tasks are stopped together.
+// isGang reports whether a job is a gang of several tasks, which are stopped together.
 func isGang(j *pipeline.Job) bool { return j.Shape == pipeline.Gang && len(j.Tasks) > 1 }
 
+// allObserved reports whether all attempts have been reported by their machines.
 func allObserved(attempts []*fleet.Attempt) bool {
 	for _, a := range attempts {
 		if a.State() < fleet.Fetching {
@@ -73,6 +77,7 @@
 	return true
 }
 
+// anyLeaving reports whether any of the attempts is leaving its machine.
 func anyLeaving(attempts []*fleet.Attempt) bool {
 	for _, a := range attempts {
 		if a.Leaving() {
@@ -82,7 +87,8 @@
 	return false
 }
 
-// newEvictionGroup describes what would be interrupted.
+// newEvictionGroup makes a group of attempts that would be interrupted together, and describes them
+// as a candidate for the drain policy.
 func newEvictionGroup(now time.Time, j *pipeline.Job, attempts []*fleet.Attempt) *evictionGroup {
 	g := &evictionGroup{job: j, attempts: attempts}
 	g.candidate = drain.Candidate{
@@ -98,21 +104,22 @@
 	return g
 }
 
-// evictionTime is how long after the decision the last task of a group has left.
+// evictionTime returns how long after the decision the last task of a group of the job is gone, at
+// the latest.
 func evictionTime(j *pipeline.Job) time.Duration {
-	takes := answerDropped + evictionSlack
+	takes := responseMaxAge + evictionSlack
 	if j.CheckpointInterval > 0 {
 		takes += j.CheckpointTime
 	}
 	if isGang(j) {
-		takes += directBound
+		takes += directCommandTimeout
 	}
 	return takes
 }
 
-// tasksDown counts the tasks of a job that are down, but for some attempts: replicas that
-// don't run, and of other jobs tasks that were interrupted and don't run again. It is counted
-// only where something depends on it.
+// tasksDown counts the tasks of a job that are down, but for the given attempts: of a service the
+// replicas that don't run, of other jobs the tasks that were interrupted and don't run again. The
+// latter are counted only where a budget limits them.
 func (e *Engine) tasksDown(j *pipeline.Job, except []*fleet.Attempt) int {
 	switch {
 	case j.Shape == pipeline.Service:
@@ -129,7 +136,8 @@
 	return down
 }
 
-// replicasDown counts the replicas of a service that don't run or are leaving, but for some.
+// replicasDown counts the replicas of a service that don't run or are leaving; the given attempts
+// count as up.
 func (e *Engine) replicasDown(j *pipeline.Job, except []*fleet.Attempt) int {
 	up := map[int]bool{}
 	for a := range e.usage.ofJob(j.Ref).attempts {
@@ -140,7 +148,7 @@
 	return len(j.Tasks) - len(up)
 }
 
-// taskUp reports whether a task runs and stays, or is one of some attempts.
+// taskUp reports whether a task runs and stays; the given attempts count as up.
 func (e *Engine) taskUp(j *pipeline.Job, task int, except []*fleet.Attempt) bool {
 	m := e.machines.get(j.Tasks[task].Machine)
 	if m == nil {
@@ -150,24 +158,26 @@
 	return a != nil && (e.isUp(a) || slices.Contains(except, a))
 }
 
-// isUp reports whether an attempt runs and isn't to be interrupted.
+// isUp reports whether an attempt runs and isn't about to be interrupted.
 func (e *Engine) isUp(a *fleet.Attempt) bool {
 	return a.State() == fleet.Running && !a.Leaving() && !e.charged(a)
 }
 
-// charged reports whether an interruption of an attempt is charged and may be under way.
+// charged reports whether an attempt has an open charge, so that its interruption may be under way.
 func (e *Engine) charged(a *fleet.Attempt) bool {
 	c := e.drains.coordinator.Ledger.Find(taskKey(a), a.Number)
 	return c != nil && c.Open()
 }
 
-// judge judges a group as things are now: what was evicted a moment ago counts.
+// judge returns the drain policy's verdict on a group as things are now: tasks that were evicted a
+// moment ago count as down.
 func (e *Engine) judge(now time.Time, g *evictionGroup) drain.Verdict {
 	g.candidate.Down = e.tasksDown(g.job, g.attempts)
 	return e.cfg.Drain.Judge(now, e.drains.coordinator.Ledger, &g.candidate)
 }
 
-// evictAllowed evicts what may leave a machine. It tells what stands in the way beside budgets.
+// evictAllowed evicts the groups that may leave a machine. It returns what holds evictions up
+// besides the policy: a lack of room, or charges that aren't stored yet.
 func (e *Engine) evictAllowed(
 	now time.Time, dm *drain.Machine, work *machineWork, booking *capacityBooking,
 ) drain.Verdict {
@@ -180,7 +190,7 @@
 			continue
 		}
 		if !booking.book(group, e.drains.coordinator.Surge(dm) > 0) {
-			return e.awaitReplacement(now, dm)
+			return e.ensureReplacement(now, dm)
 		}
 		e.drains.coordinator.Move(dm, drain.Emptying)
 		if !e.evict(now, group) {
@@ -190,8 +200,8 @@
 	return blocked
 }
 
-// evict requests that a group leaves its machines, once the state service holds all its charges.
-// It returns false as long as it doesn't.
+// evict charges a group's interruption and, once the state service holds all its charges, has the
+// group leave its machines. It returns false until then.
 func (e *Engine) evict(now time.Time, g *evictionGroup) bool {
 	ledger, stored := e.drains.coordinator.Ledger, true
 	for _, t := range g.candidate.Tasks {
@@ -213,7 +223,8 @@
 	return true
 }
 
-// sendEviction has an approved eviction go with an answer, if it is still in time; else it is
+// sendEviction sends an approved eviction with a heartbeat's response if the task would still be
+// gone before the next closed window. Otherwise it withdraws the approval, and the eviction is
 // judged again.
 func (e *Engine) sendEviction(now time.Time, m *fleet.Machine, a *fleet.Attempt) bool {
 	j := e.jobs.get(a.Ref)
@@ -227,7 +238,7 @@
 	return true
 }
 
-// revokeEvictions takes back the evictions from a machine that haven't gone out.
+// revokeEvictions withdraws the evictions from a machine that haven't been sent.
 func (e *Engine) revokeEvictions(machine string) {
 	m := e.machines.get(machine)
 	if m == nil {
@@ -238,18 +249,18 @@
 	}
 }
 
-// voidEvery is the pause between two looks for charges that won't be spent.
-const voidEvery = 10 * time.Second
+// chargeCheckInterval is the least time between two searches for charges that won't be used.
+const chargeCheckInterval = 10 * time.Second
 
-// voidCharges takes back the charges of attempts that run on and whose machines aren't drained
-// any more. Their machines have sent heartbeats under this term, so that no stop by an earlier leader
-// is obeyed there, and this one hasn't told them to stop (TestUnspentChargeIsVoid).
-func (e *Engine) voidCharges(now time.Time) {
+// withdrawUnusedCharges withdraws the charges of attempts that keep running on machines that aren't
+// drained any more. Those machines have sent heartbeats under this term, so they obey no stop from
+// an earlier leader, and this leader hasn't sent one (TestUnspentChargeIsVoid).
+func (e *Engine) withdrawUnusedCharges(now time.Time) {
 	d := e.drains
-	if now.Sub(d.voidedAt) < voidEvery {
+	if now.Sub(d.chargesCheckedAt) < chargeCheckInterval {
 		return
 	}
-	d.voidedAt = now
+	d.chargesCheckedAt = now
 	ledger := d.coordinator.Ledger
 	for _, c := range ledger.OpenCharges() {
 		a := e.usage.find(fleet.TaskID{Ref: c.Job, Task: c.Task}, c.Attempt)
@@ -264,14 +275,15 @@
 	}
 }
 
-// endCharge notes that an attempt is gone, if anything was charged for it.
+// endCharge records that an attempt is gone, which ends its charge if it has one.
 func (e *Engine) endCharge(now time.Time, a *fleet.Attempt) {
 	if e.drains != nil {
 		e.drains.coordinator.Ledger.End(now, taskKey(a), a.Number)
 	}
 }
 
-// chargeInvoluntary counts an interruption that budgets can't forbid against what they leave.
+// chargeInvoluntary charges an interruption that budgets can't forbid, so that it counts against
+// what they still allow.
 func (e *Engine) chargeInvoluntary(now time.Time, a *fleet.Attempt) {
 	j := e.jobs.get(a.Ref)
 	if e.drains == nil || j == nil || j.Over() || !e.cfg.Drain.Limits(j.Team, j.Class) {
@@ -287,7 +299,8 @@
 	}
 }
 
-// interruptedWith is what is interrupted together with an attempt: all of a gang.
+// interruptedWith returns the attempts that are interrupted together with an attempt: all of its
+// gang, or only itself.
 func (e *Engine) interruptedWith(j *pipeline.Job, a *fleet.Attempt) []*fleet.Attempt {
 	if isGang(j) {
 		return e.usage.attemptsOf(j.Ref)
@@ -295,9 +308,8 @@
 	return []*fleet.Attempt{a}
 }
 
-// mayMoveByChoice reports whether the scheduler may move a task by its own choice, as far as
-// disruption budgets go.
-func (e *Engine) mayMoveByChoice(now time.Time, a *fleet.Attempt, j *pipeline.Job) bool {
+// budgetsAllowMove reports whether disruption budgets allow consolidation to move an attempt.
+func (e *Engine) budgetsAllowMove(now time.Time, a *fleet.Attempt, j *pipeline.Job) bool {
 	if e.drains == nil || !e.cfg.Drain.Limits(j.Team, j.Class) {
 		return true
 	}
@@ -305,28 +317,28 @@
 	return e.judge(now, g).Kind == drain.Allowed
 }
 
-// moveByChoice stops what is on a machine that the scheduler has chosen to empty. What is
-// under a budget is charged first (evictOwn).
-func (e *Engine) moveByChoice(now time.Time, m *fleet.Machine) {
+// stopForConsolidation stops the tasks on a machine that consolidation empties. Those under a
+// disruption budget are left to evictForConsolidation, which charges their interruption first.
+func (e *Engine) stopForConsolidation(now time.Time, m *fleet.Machine) {
 	for _, a := range m.SortedAttempts() {
 		j := e.jobs.get(a.Ref)
 		switch {
 		case j == nil || a.State() == fleet.Exited:
 		case e.drains != nil && e.cfg.Drain.Limits(j.Team, j.Class):
-			e.drains.own.begin(now, m)
+			e.drains.consolidating.begin(now, m)
 		default:
 			e.stopWithCheckpoint(now, m, a, j)
 		}
 	}
 }
 
-// ownPatience is how long the scheduler tries to empty a machine by its own choice.
-const ownPatience = time.Minute
+// consolidationTimeout is how long consolidation tries to evict tasks under budgets from a machine.
+const consolidationTimeout = time.Minute
 
-// keepMachine gives up emptying a machine by the scheduler's own choice: budgets don't let what
-// is left on it go, and its room is needed.
-func (e *Engine) keepMachine(m *fleet.Machine) {
-	e.drains.own.end(m)
+// abortConsolidation gives up emptying a machine for consolidation, since budgets don't let the
+// remaining tasks go. The machine takes tasks again.
+func (e *Engine) abortConsolidation(m *fleet.Machine) {
+	e.drains.consolidating.end(m)
 	e.emptying.remove(m)
 	e.revokeEvictions(m.Name)
 	m.StopDraining()
@@ -334,15 +346,16 @@
 	e.log(LogConsolidationGivenUp, logMachine(m), logActive(m))
 }
 
-// evictOwn evicts what is under a budget on machines that the scheduler empties by choice.
-func (e *Engine) evictOwn(now time.Time, booking *capacityBooking) {
-	for _, m := range e.drains.own.sorted() {
+// evictForConsolidation evicts tasks under disruption budgets from the machines that consolidation
+// empties.
+func (e *Engine) evictForConsolidation(now time.Time, booking *capacityBooking) {
+	for _, m := range e.drains.consolidating.sorted() {
 		if m.State() != fleet.Live || m.ActiveAttempts() == 0 {
-			e.drains.own.end(m)
+			e.drains.consolidating.end(m)
 			continue
 		}
-		if e.drains.own.since(now, m) > ownPatience && !m.InterruptionAnnounced() {
-			e.keepMachine(m)
+		if e.drains.consolidating.elapsed(now, m) > consolidationTimeout && !m.InterruptionAnnounced() {
+			e.abortConsolidation(m)
 			continue
 		}
 		if !e.mayDisrupt(now) {
--- a/internal/core/drain_preview.go
+++ b/internal/core/drain_preview.go
@@ -7,16 +7,16 @@
 	"gingertally/internal/drain"
 )
 
-// previewedMachines is how many machines a preview lists.
-const previewedMachines = 200
+// maxPreviewMachines is how many machines a preview lists at most.
+const maxPreviewMachines = 200
 
-// PreviewDrain tells what a plan would do as things are now, and changes nothing; nil if drains
-// are off.
+// PreviewDrain returns what a plan would do in the present state, and changes nothing; nil if
+// drains are off.
 func (e *Engine) PreviewDrain(now time.Time, plan drain.Plan) *drain.Preview {
 	if e.drains == nil {
 		return nil
 	}
-	plan.Through = e.drains.newest
+	plan.Through = e.drains.lastMachine
 	preview := &drain.Preview{}
 	plan.CreatedMS = now.UnixMilli()
 	interrupted := map[drain.Scope]int{}
@@ -37,7 +37,7 @@
 				Verdict: e.judge(now, group).String(),
 			})
 		}
-		if len(preview.Listed) < previewedMachines {
+		if len(preview.Listed) < maxPreviewMachines {
 			preview.Listed = append(preview.Listed, listed)
 		}
 	}
--- a/internal/core/drain_round.go
+++ b/internal/core/drain_round.go
@@ -9,61 +9,63 @@
 )
 
 const (
-	// drainsPerRound is how many machines that are being drained one round looks at; the next
-	// goes on where it stopped.
+	// drainsPerRound is how many machines that are being drained one round checks; the next round
+	// continues after them.
 	drainsPerRound = 64
-	// proposalsPerRound is how many machines one round looks at to be cordoned next.
+	// proposalsPerRound is how many machines one round considers to cordon next.
 	proposalsPerRound = 16
-	// drainLookEvery is the least time between two looks at one machine.
-	drainLookEvery = 400 * time.Millisecond
-	// lostPart: while more than so much of the fleet sends no heartbeats, nothing is disrupted.
-	lostPart = 10
-	// cordonAhead is how long before its first task may leave a machine is cordoned at most.
-	cordonAhead = 5 * time.Minute
+	// drainCheckInterval is the least time between two checks of one machine.
+	drainCheckInterval = 400 * time.Millisecond
+	// maxLostDivisor bounds how much of the fleet may send no heartbeats: one machine in
+	// maxLostDivisor, and at least one. While more do, nothing is disrupted.
+	maxLostDivisor = 10
+	// maxCordonLead is how long before the end of the closed windows of its tasks a machine may be
+	// cordoned.
+	maxCordonLead = 5 * time.Minute
 )
 
-// drainRound carries the plans on.
+// drainRound advances the drain plans.
 func (e *Engine) drainRound(now time.Time) {
 	d := e.drains
 	if d == nil {
 		return
 	}
 	complete := e.machinesComplete(now)
-	e.out.Drains = append(e.out.Drains, d.coordinator.PlanWrites(now, d.newest, complete)...)
+	e.out.Drains = append(e.out.Drains, d.coordinator.PlanWrites(now, d.lastMachine, complete)...)
 	d.moving.forgetPlaced()
-	e.voidCharges(now)
+	e.withdrawUnusedCharges(now)
 	booking := e.newCapacityBooking(now)
-	e.evictOwn(now, booking)
+	e.evictForConsolidation(now, booking)
 	if e.mayDisrupt(now) {
 		e.cordonNext(now)
 	}
 	for _, m := range d.coordinator.NextActive(drainsPerRound) {
-		if now.Sub(m.Checked) >= drainLookEvery {
+		if now.Sub(m.Checked) >= drainCheckInterval {
 			m.Checked = now
 			e.drainMachine(now, m, booking, complete)
 		}
 	}
 }
 
-// machinesComplete reports whether all machines that exist are known: the cloud's list was read
-// often enough under this term for even the latest to be on it.
+// machinesComplete reports whether all existing machines are known: the cloud's list was read so
+// long after the start of this term that even the newest machine is on it.
 func (e *Engine) machinesComplete(now time.Time) bool {
 	wait := 2*e.cfg.InstanceListLag + e.cfg.HeartbeatInterval
 	return e.machines.everListed() && e.machines.lastListed().Sub(e.started) > wait && e.settled(now)
 }
 
-// mayDisrupt reports whether the leader knows enough, and enough of the fleet is there, to
-// interrupt anything by choice. While the store takes no writes, no charge can be made.
+// mayDisrupt reports whether the leader knows enough, and enough of the fleet sends heartbeats, for
+// voluntary interruptions. While the store takes no writes, no charge can be made.
 func (e *Engine) mayDisrupt(now time.Time) bool {
 	if len(e.catalog) == 0 || !e.settled(now) || e.batches.failing || e.ticks.answersLate(now, e.cfg.HeartbeatInterval) {
 		return false
 	}
 	lost := e.machines.inState(fleet.Unresponsive) + e.machines.inState(fleet.AwaitingHeartbeat) +
 		e.machines.unreachableCount()
-	return lost <= max(1, e.machines.count()/lostPart)
+	return lost <= max(1, e.machines.count()/maxLostDivisor)
 }
 
-// cordonNext cordons machines as far as the plans' stages have room.
+// cordonNext cordons further machines, as far as the plans' limits allow.
 func (e *Engine) cordonNext(now time.Time) {
 	c := e.drains.coordinator
 	for range proposalsPerRound {
@@ -87,8 +89,9 @@
 	}
 }
 
-// mayCordon reports whether cordoning a machine would come to anything soon: nothing there is
-// without hope of leaving by a plan's deadline, or waits for long.
+// mayCordon returns whether it makes sense to cordon a machine now. It doesn't while a gang is
+// starting there, or if some of its tasks can't leave by the plan's deadline or have to wait long
+// for a closed window to end.
 func (e *Engine) mayCordon(now time.Time, m *fleet.Machine, deadline time.Time) drain.Verdict {
 	if m.State() != fleet.Live || m.Draining() {
 		return drain.Verdict{Kind: drain.NotYet, Cause: drain.CauseAwaitingHeartbeat}
@@ -101,20 +104,20 @@
 		return v
 	}
 	for _, group := range work.groups {
-		if v := group.verdict; v.Kind == drain.NotYet && v.Cause == drain.CauseClosed && v.Until.Sub(now) > cordonAhead {
+		if v := group.verdict; v.Kind == drain.NotYet && v.Cause == drain.CauseClosed && v.Until.Sub(now) > maxCordonLead {
 			return v
 		}
 	}
 	return drain.Verdict{}
 }
 
-// drainMachine looks at one machine that is being drained and does what can be done.
+// drainMachine checks one machine that is being drained and takes the next step.
 func (e *Engine) drainMachine(now time.Time, dm *drain.Machine, booking *capacityBooking, complete bool) {
 	c := e.drains.coordinator
 	m := e.machines.get(dm.Name)
 	if m == nil {
 		if complete {
-			c.MachineRemoved(dm.Name) // the list and all heartbeats have had time to speak of it
+			c.MachineRemoved(dm.Name) // neither the cloud's list nor any heartbeat has named it in time
 		}
 		return
 	}
@@ -125,7 +128,7 @@
 	dm.Verdict = e.emptyMachine(now, dm, m, booking)
 }
 
-// emptyMachine brings a machine closer to being empty, and tells why it isn't yet.
+// emptyMachine takes the next step towards emptying a machine, and returns why it isn't empty yet.
 func (e *Engine) emptyMachine(
 	now time.Time, dm *drain.Machine, m *fleet.Machine, booking *capacityBooking,
 ) drain.Verdict {
@@ -169,7 +172,7 @@
 	return verdict
 }
 
-// machineEmptied starts the release of a machine on which nothing is left.
+// machineEmptied starts the release of a machine that is empty.
 func (e *Engine) machineEmptied(now time.Time, dm *drain.Machine, m *fleet.Machine) {
 	if e.drains.coordinator.Move(dm, drain.Empty) {
 		e.log(LogMachineDrained, logMachine(m), slog.String(logKeyPlan, dm.Plan), logSince("took", now, dm.CordonedAt))
@@ -177,13 +180,13 @@
 	}
 }
 
-// judgeAll judges all work on a machine, and returns the verdict that forbids the most. What may
-// leave only after the deadline never will.
+// judgeAll judges all groups on a machine, and returns the verdict that forbids the most. A group
+// that may leave only after the deadline gets the verdict Never.
 func (e *Engine) judgeAll(now time.Time, work *machineWork, deadline time.Time) drain.Verdict {
 	worst := drain.Verdict{}
 	for _, group := range work.groups {
 		v := e.judge(now, group)
-		if v.Kind == drain.NotYet && !deadline.IsZero() && e.leavesFrom(now, group, v).After(deadline) {
+		if v.Kind == drain.NotYet && !deadline.IsZero() && e.earliestLeave(now, group, v).After(deadline) {
 			v.Kind, v.Cause = drain.Never, drain.CauseDeadline
 		}
 		group.verdict = v
@@ -194,10 +197,10 @@
 	return worst
 }
 
-// leavesFrom is the earliest time at which a group may leave, as far as is known: by its own end,
-// or once its verdict allows it.
-func (e *Engine) leavesFrom(now time.Time, g *evictionGroup, v drain.Verdict) time.Time {
-	allowed, ends := v.Until, e.endOf(now, g.attempts[0])
+// earliestLeave returns the earliest time at which a group may leave, as far as is known: when it
+// is expected to finish, or when its verdict allows it.
+func (e *Engine) earliestLeave(now time.Time, g *evictionGroup, v drain.Verdict) time.Time {
+	allowed, ends := v.Until, e.expectedEnd(now, g.attempts[0])
 	switch {
 	case g.candidate.Replicas > 0:
 		return allowed
--- a/internal/core/drain_writes.go
+++ b/internal/core/drain_writes.go
@@ -43,7 +43,7 @@
 	e.drains.coordinator.Ledger.PageRejected(w.Name)
 }
 
-// DeleteChargePage deletes a page of the ledger that counts nowhere any more.
+// DeleteChargePage deletes a page of the ledger whose charges don't count anywhere any more.
 type DeleteChargePage struct {
 	Name    string
 	Version uint64
@@ -79,7 +79,7 @@
 	e.drains.coordinator.Ledger.PageRejected(w.Name)
 }
 
-// PutCordonPage writes a page with the states of machines in drains.
+// PutCordonPage writes a page with the drain states of machines.
 type PutCordonPage struct {
 	Name    string
 	Version uint64
@@ -116,7 +116,7 @@
 	e.drains.coordinator.MachinePageRejected(w.Name)
 }
 
-// DeleteCordonPage deletes a page that names no machine any more.
+// DeleteCordonPage deletes a page with the drain states of machines that no longer names any.
 type DeleteCordonPage struct {
 	Name    string
 	Version uint64
@@ -152,19 +152,20 @@
 	e.drains.coordinator.MachinePageRejected(w.Name)
 }
 
-// failedOutcome is the outcome of a write that isn't known to have happened, with the version of
-// its page if that was read afterwards.
+// failedOutcome returns the outcome of a write that isn't known to have happened, with the version
+// of its page if that was read afterwards.
 func failedOutcome(name string, versions map[string]uint64) drain.PageWriteOutcome {
 	version, known := versions[name]
 	return drain.PageWriteOutcome{Version: version, Known: known}
 }
 
-// chargePageWritten brings the ledger the outcome of the write of a page.
+// chargePageWritten passes the outcome of the write of a page to the ledger of charges.
 func (e *Engine) chargePageWritten(name string, deleted bool, outcome drain.PageWriteOutcome) {
 	e.drains.coordinator.Ledger.Written(drain.ChargePageWrite{Name: name, Delete: deleted}, outcome)
 }
 
-// cordonPageWritten brings the outcome of the write of a page of cordons, which hold from then on.
+// cordonPageWritten passes the outcome of the write of a page to the coordinator. Machines that the
+// stored page no longer names may be uncordoned now.
 func (e *Engine) cordonPageWritten(name string, outcome drain.PageWriteOutcome) {
 	for _, machine := range e.drains.coordinator.MachinePageWritten(name, outcome) {
 		if m := e.machines.get(machine); m != nil {
--- a/internal/core/draining.go
+++ b/internal/core/draining.go
@@ -1,8 +1,8 @@
 package core
 
-// How operators' drains are joined to the machines and attempts (docs/draining.md). Package
-// drain holds the plans, the budgets and the ledger of charges; here machines are cordoned,
-// work is evicted, and what has become empty takes the way of every machine that is given back.
+// Drains of machines by operators (docs/draining.md). Package drain holds the plans, the budgets
+// and the ledger of charges. Here machines are cordoned and work is evicted; a machine that has
+// become empty is released like any other.
 
 import (
 	"log/slog"
@@ -12,28 +12,29 @@
 	"gingertally/internal/drain"
 )
 
-// draining is a leader's part in drains. A nil one stands for none.
+// draining is a leader's state of drains. A nil one stands for drains that are off.
 type draining struct {
-	coordinator  *drain.Coordinator
-	replacements replacements
-	moving       movingTasks
-	own          ownChoices
-	voidedAt     time.Time // when charges were last looked for that won't be spent
-	newest       string    // last name of a machine that is known
+	coordinator      *drain.Coordinator
+	replacements     replacements
+	moving           movingTasks
+	consolidating    consolidatingMachines
+	chargesCheckedAt time.Time // when unused charges were last searched for
+	lastMachine      string    // the highest name of a machine so far
 }
 
 func newDraining(now time.Time, e *Engine, stored drain.Stored) *draining {
 	pageLimit := func() int { return e.cfg.MaxValueBytes }
 	return &draining{
-		coordinator:  drain.NewCoordinator(now, e.cfg.Drain, stored, e.numbers.nextPageName, pageLimit),
-		replacements: replacements{},
-		moving:       movingTasks{},
-		own:          ownChoices{},
+		coordinator:   drain.NewCoordinator(now, e.cfg.Drain, stored, e.numbers.nextPageName, pageLimit),
+		replacements:  replacements{},
+		moving:        movingTasks{},
+		consolidating: consolidatingMachines{},
 	}
 }
 
-// recoverCharges ends the charges of attempts that no record names any more: an earlier
-// leader knew them to be gone. When is not known, so they count from now on.
+// recoverCharges ends the charges of attempts that no record names any more: an earlier leader knew
+// them to be gone. When they went isn't known, so the charges count as ended now. Charged jobs that
+// no longer exist are marked as finished.
 func (e *Engine) recoverCharges(now time.Time) {
 	if e.drains == nil {
 		return
@@ -51,13 +52,14 @@
 	}
 }
 
-// drainMachineKnown takes in a machine that is new here: it may be cordoned, or part of a plan.
-func (e *Engine) drainMachineKnown(now time.Time, m *fleet.Machine) {
+// drainMachineAdded takes in a machine that is new to this leader: it may be cordoned, or selected
+// by a plan.
+func (e *Engine) drainMachineAdded(now time.Time, m *fleet.Machine) {
 	d := e.drains
 	if d == nil {
 		return
 	}
-	d.newest = max(d.newest, m.Name)
+	d.lastMachine = max(d.lastMachine, m.Name)
 	d.coordinator.MachineAdded(drain.MachineID{Name: m.Name, Type: m.Type, Zone: m.Zone})
 	e.applyCordon(m)
 	if d.coordinator.Emptied(m.Name) {
@@ -65,7 +67,7 @@
 	}
 }
 
-// applyCordon brings a machine's flags in line with the plans.
+// applyCordon sets a machine's cordon flags as the plans say.
 func (e *Engine) applyCordon(m *fleet.Machine) {
 	c := e.drains.coordinator
 	cordoned, planned := c.Cordoned(m.Name), c.Queued(m.Name)
@@ -73,12 +75,12 @@
 		return
 	}
 	if !cordoned {
-		e.drains.replacements.forget(m.Name) // it stays, so nothing is kept in its place
+		e.drains.replacements.forget(m.Name) // the machine stays, and its replacement becomes an ordinary one
 	}
 	e.capacityChanged(m)
 }
 
-// drainMachineRemoved takes in that a machine is gone.
+// drainMachineRemoved takes in that a machine no longer exists.
 func (e *Engine) drainMachineRemoved(m *fleet.Machine) {
 	d := e.drains
 	if d == nil {
@@ -86,7 +88,7 @@
 	}
 	d.coordinator.MachineRemoved(m.Name)
 	d.replacements.forget(m.Name)
-	d.own.end(m)
+	d.consolidating.end(m)
 }
 
 // drainJobOver takes in that a job is over.
@@ -104,11 +106,11 @@
 	if d == nil {
 		return
 	}
-	uncordoned, fresh := d.coordinator.PlanStored(now, s.Stored)
+	uncordoned, needsMachines := d.coordinator.PlanStored(now, s.Stored)
 	for _, name := range uncordoned {
 		e.revokeEvictions(name)
 	}
-	if fresh {
+	if needsMachines {
 		for m := range e.machines.all() {
 			d.coordinator.MachineAdded(drain.MachineID{Name: m.Name, Type: m.Type, Zone: m.Zone})
 		}
@@ -136,7 +138,7 @@
 	}
 }
 
-// DrainStatus is what operators are shown of drains; nil if they are off.
+// DrainStatus returns the state of drains for operators; nil if drains are off.
 func (e *Engine) DrainStatus(now time.Time) *drain.Status {
 	if e.drains == nil {
 		return nil
@@ -145,22 +147,23 @@
 	return &s
 }
 
-// addWrites adds pages of machines and charges that are to be written, before all else: they
-// are few, and evictions wait for them. A part of the batch is left to the rest.
+// addWrites adds writes of changed pages of machines and charges to a batch, ahead of all other
+// writes: they are few, and evictions wait for them. They take no more than half of the batch, or
+// one write.
 func (d *draining) addWrites(now time.Time, b *batch) {
 	if d == nil {
 		return
 	}
-	most := max(1, b.remaining/2)
-	for _, w := range d.coordinator.MachinePageWrites(most) {
+	limit := max(1, b.remaining/2)
+	for _, w := range d.coordinator.MachinePageWrites(limit) {
 		if w.Delete {
 			b.add(DeleteCordonPage{Name: w.Name, Version: w.Version})
 		} else {
 			b.add(PutCordonPage{Name: w.Name, Version: w.Version, Record: w.Record})
 		}
-		most--
+		limit--
 	}
-	for _, w := range d.coordinator.Ledger.Writes(now, most) {
+	for _, w := range d.coordinator.Ledger.Writes(now, limit) {
 		if w.Delete {
 			b.add(DeleteChargePage{Name: w.Name, Version: w.Version})
 		} else {
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -52,7 +52,7 @@
 	fairOrder FairOrderChanged
 
 	// Warm standby.
-	warm        *warmFeed // nil: off
+	warm        *warmChangeSet // nil: off
 	warmOutcome WarmOutcome
 }
 
@@ -91,7 +91,7 @@
 		e.log(LogRestoreDetected)
 	}
 	if cfg.WarmState {
-		e.warm = newWarmFeed()
+		e.warm = newWarmChangeSet()
 	}
 	e.graph = pipeline.NewGraph(e.expectedDuration)
 	e.startLog = newStartLog(&e.cfg, e.numbers.nextPageName)
--- a/internal/core/estimates.go
+++ b/internal/core/estimates.go
@@ -1,6 +1,6 @@
 package core
 
-// How long tasks and image fetches are expected to take, and when jobs have to start.
+// Estimates of how long tasks and image fetches take, and of when jobs have to start.
 
 import (
 	"time"
@@ -10,26 +10,26 @@
 )
 
 const (
-	// defaultStart is the time to start that a job without objectives is given.
-	defaultStart = 5 * time.Minute
-	// lateFactor is how much later than its last objective a job counts that can keep none any
-	// more: it lets those go first that can, but isn't put off for good.
+	// defaultStartWithin is the time within which a job without objectives should start.
+	defaultStartWithin = 5 * time.Minute
+	// lateFactor multiplies the latest objective of a job that can't meet any objective: it counts
+	// as due only then. Jobs that can still meet one go first, but it isn't put off for good.
 	lateFactor = 2
 )
 
-// startBy is when a job's tasks must have started for the next of its objectives on starting;
-// zero if it has none that it can still keep.
+// startBy returns when a job's tasks must have started to meet the next of its objectives for
+// starting; zero if it has none that it can still meet.
 func (e *Engine) startBy(now time.Time, j *pipeline.Job) (by time.Time) {
-	for _, a := range e.cfg.Objectives[j.Class] {
-		if t := j.Since.Add(a.Within); a.Kind == StartObjective && t.After(now) && (by.IsZero() || t.Before(by)) {
+	for _, objective := range e.cfg.Objectives[j.Class] {
+		if t := j.Since.Add(objective.Within); objective.Kind == StartObjective && t.After(now) && (by.IsZero() || t.Before(by)) {
 			by = t
 		}
 	}
 	return by
 }
 
-// dueStart is when a job must have started to keep the next of its objectives, or of
-// those of the last job of its line.
+// dueStart returns when a job must have started to meet the next of its objectives, or of the
+// deadline objectives of the job at the end of its critical path.
 func (e *Engine) dueStart(now time.Time, j *pipeline.Job) time.Time {
 	run, fetch := e.expectedRun(j), e.expectedFetch(j)
 	var next, last time.Duration
@@ -40,28 +40,28 @@
 			next = d
 		}
 	}
-	for _, a := range e.cfg.Objectives[j.Class] {
+	for _, objective := range e.cfg.Objectives[j.Class] {
 		var d time.Duration
-		switch a.Kind {
+		switch objective.Kind {
 		case StartObjective:
 			if j.Started {
 				continue
 			}
-			d = a.Within
+			d = objective.Within
 		case FinishObjective:
-			d = a.Within - run
+			d = objective.Within - run
 		case DeadlineObjective:
 			if j.Deadline == 0 {
 				continue
 			}
-			d = time.Duration(float64(j.Deadline)*a.Times) - run - j.Since.Sub(j.Submitted)
+			d = time.Duration(float64(j.Deadline)*objective.Times) - run - j.Since.Sub(j.Submitted)
 		}
 		consider(d - fetch)
 	}
-	if l := j.CriticalPath; l.Job != nil {
-		for _, a := range e.cfg.Objectives[l.Job.Class] {
-			if a.Kind == DeadlineObjective {
-				consider(l.EndBy(a.Times).Sub(j.Since) - run - fetch)
+	if path := j.CriticalPath; path.Job != nil {
+		for _, objective := range e.cfg.Objectives[path.Job.Class] {
+			if objective.Kind == DeadlineObjective {
+				consider(path.EndBy(objective.Times).Sub(j.Since) - run - fetch)
 			}
 		}
 	}
@@ -71,22 +71,22 @@
 	case last > 0:
 		return j.Since.Add(lateFactor * last)
 	}
-	return j.Since.Add(defaultStart)
+	return j.Since.Add(defaultStartWithin)
 }
 
-// remainingWork is the run time of all tasks of a job that aren't done.
+// remainingWork returns the expected run time of all tasks of a job that aren't done, added up.
 func (e *Engine) remainingWork(j *pipeline.Job) time.Duration {
 	return e.expectedRun(j) * time.Duration(len(j.Tasks)-j.Count(pipeline.Finished))
 }
 
-// expectedRun is how long a task of the job is expected to run: its owner's
-// estimate, corrected by what its class taught.
+// expectedRun returns how long a task of the job is expected to run: its owner's estimate,
+// corrected by the run times seen in its class.
 func (e *Engine) expectedRun(j *pipeline.Job) time.Duration {
 	return time.Duration(float64(j.Estimate) * e.classes.class(j.Class).ratio)
 }
 
-// expectedFetch is how long the job's image takes to fetch, on the mean of the
-// types that it may use.
+// expectedFetch returns how long the job's image takes to fetch at the mean rate of the machine
+// types that the job may use.
 func (e *Engine) expectedFetch(j *pipeline.Job) time.Duration {
 	var rate float64
 	n := 0
@@ -102,18 +102,18 @@
 	return time.Duration(j.ImageGB / (rate / float64(n)) * float64(time.Second))
 }
 
-// overdue is how much longer a task is expected to run that has outrun its
-// expectation.
-const overdue = 15 * time.Second
+// overdueExtension is how much longer a task is expected to run if it has exceeded its expected run
+// time, or if its job isn't known.
+const overdueExtension = 15 * time.Second
 
-// endOf is when an attempt is expected to leave its machine.
-func (e *Engine) endOf(now time.Time, a *fleet.Attempt) time.Time {
+// expectedEnd returns when an attempt is expected to leave its machine.
+func (e *Engine) expectedEnd(now time.Time, a *fleet.Attempt) time.Time {
 	j := e.jobs.get(a.Ref)
 	if a.Stopping() {
 		return a.StopAt().Add(a.Grace() + e.cfg.HeartbeatInterval)
 	}
 	if j == nil {
-		return now.Add(overdue)
+		return now.Add(overdueExtension)
 	}
 	from := a.RunStart
 	if from.IsZero() {
@@ -121,7 +121,7 @@
 	}
 	end := from.Add(e.expectedRun(j))
 	if end.Before(now) {
-		end = now.Add(overdue)
+		end = now.Add(overdueExtension)
 	}
 	return end
 }
--- a/internal/core/fair_order.go
+++ b/internal/core/fair_order.go
@@ -9,13 +9,13 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// FairOrderChanged switches fair order on or off. With it, jobs of one urgency choose in the order
-// of their teams' weighted dominant shares, the team that uses least for its weight first, so
-// that a small team's job doesn't wait behind the backlog of a large one. Admission switches it
-// on under overload.
+// FairOrderChanged switches fair order on or off. With it, jobs of equal urgency are placed in the
+// order of their teams' weighted dominant shares, the team that uses the least for its weight
+// first, so that a small team's job doesn't wait behind a large team's backlog. Admission control
+// switches it on under overload.
 type FairOrderChanged struct {
 	On      bool
-	Weights map[string]float64 // by team; those that aren't named weigh 1
+	Weights map[string]float64 // by team; 1 for those that aren't listed
 }
 
 func (f FairOrderChanged) apply(e *Engine, _ time.Time) {
@@ -26,14 +26,14 @@
 	e.fairOrder = f
 }
 
-// teamLine is what is left of a team's entries in a stretch of the order.
-type teamLine struct {
+// teamQueue holds the entries of a team that are left while a group is ordered.
+type teamQueue struct {
 	entries []prioritized
-	used    float64 // dominant share, with what was ordered before, for the team's weight
+	used    float64 // dominant share over the team's weight, counting what is ordered already
 }
 
-// orderFairly reorders each stretch of entries that differ in nothing but their team and how
-// soon they are due. A team's own entries keep their order.
+// orderFairly reorders the entries within each group of neighbours whose order fairness between
+// teams decides. A team's own entries keep their order.
 func (e *Engine) orderFairly(out []prioritized) {
 	if !e.fairOrder.On {
 		return
@@ -41,51 +41,52 @@
 	total := e.capacityTotal()
 	for from := 0; from < len(out); {
 		to := from + 1
-		for to < len(out) && out[to].sameStretch(&out[from]) {
+		for to < len(out) && out[to].sameFairnessGroup(&out[from]) {
 			to++
 		}
-		e.orderStretch(out[from:to], total)
+		e.orderGroup(out[from:to], total)
 		from = to
 	}
 }
 
-// sameStretch reports whether fairness between teams decides which of two entries is first.
-func (a *prioritized) sameStretch(b *prioritized) bool {
+// sameFairnessGroup reports whether fairness between teams decides which of two entries goes first:
+// they are equal in urgency, starvation and repeated failure.
+func (a *prioritized) sameFairnessGroup(b *prioritized) bool {
 	return a.failing == b.failing && a.starving == b.starving && a.Job.Urgency == b.Job.Urgency
 }
 
-// orderStretch merges the teams' lines, taking each time the first entry of the team that
-// then uses least for its weight.
-func (e *Engine) orderStretch(stretch []prioritized, total fleet.Amount) {
-	lines := map[string]*teamLine{}
-	var teams []string // in the order of their first entries, which decides between equals
-	for _, entry := range stretch {
+// orderGroup merges the teams' queues: each time, it takes the first entry of the team that then
+// uses the least for its weight.
+func (e *Engine) orderGroup(group []prioritized, total fleet.Amount) {
+	queues := map[string]*teamQueue{}
+	var teams []string // in the order of their first entries, which breaks ties
+	for _, entry := range group {
 		team := entry.Job.Team
-		if lines[team] == nil {
+		if queues[team] == nil {
 			use := e.usage.ofTeam(team)
-			lines[team] = &teamLine{used: dominantShare(use, total) / e.fairWeight(team)}
+			queues[team] = &teamQueue{used: dominantShare(use, total) / e.fairWeight(team)}
 			teams = append(teams, team)
 		}
-		lines[team].entries = append(lines[team].entries, entry)
+		queues[team].entries = append(queues[team].entries, entry)
 	}
 	if len(teams) < 2 {
 		return
 	}
-	for i := range stretch {
+	for i := range group {
 		next := ""
 		for _, team := range teams {
-			if l := lines[team]; len(l.entries) > 0 && (next == "" || l.used < lines[next].used) {
+			if queue := queues[team]; len(queue.entries) > 0 && (next == "" || queue.used < queues[next].used) {
 				next = team
 			}
 		}
-		l := lines[next]
-		stretch[i] = l.entries[0]
-		l.entries = l.entries[1:]
-		l.used += dominantShare(needOf(stretch[i].Job, stretch[i].Most), total) / e.fairWeight(next)
+		queue := queues[next]
+		group[i] = queue.entries[0]
+		queue.entries = queue.entries[1:]
+		queue.used += dominantShare(needOf(group[i].Job, group[i].Most), total) / e.fairWeight(next)
 	}
 }
 
-// fairWeight is a team's weight.
+// fairWeight returns a team's weight.
 func (e *Engine) fairWeight(team string) float64 {
 	if w, set := e.fairOrder.Weights[team]; set && w > 0 {
 		return w
@@ -93,24 +94,24 @@
 	return 1
 }
 
-// needOf is what so many waiting tasks of a job take.
-func needOf(j *pipeline.Job, most int) fleet.Amount {
-	n := float64(min(most, j.Count(pipeline.Waiting)))
+// needOf returns what the waiting tasks of a job need, of so many at most.
+func needOf(j *pipeline.Job, limit int) fleet.Amount {
+	n := float64(min(limit, j.Count(pipeline.Waiting)))
 	return fleet.Amount{CPUs: n * j.CPUs, GPUs: n * j.GPUs, MemGB: n * j.MemGB}
 }
 
-// dominantShare is the largest part that an amount takes of any resource.
+// dominantShare returns the largest share that an amount takes of any resource.
 func dominantShare(a, total fleet.Amount) float64 {
 	share := 0.0
-	for _, part := range [...][2]float64{{a.CPUs, total.CPUs}, {a.GPUs, total.GPUs}, {a.MemGB, total.MemGB}} {
-		if part[1] > 0 {
-			share = math.Max(share, part[0]/part[1])
+	for _, pair := range [...][2]float64{{a.CPUs, total.CPUs}, {a.GPUs, total.GPUs}, {a.MemGB, total.MemGB}} {
+		if pair[1] > 0 {
+			share = math.Max(share, pair[0]/pair[1])
 		}
 	}
 	return share
 }
 
-// capacityTotal is what all machines have that take tasks.
+// capacityTotal returns the resources of all machines that take tasks, or soon will.
 func (e *Engine) capacityTotal() fleet.Amount {
 	var total fleet.Amount
 	for _, p := range e.capacity.free.Pools {
@@ -122,21 +123,22 @@
 	return total
 }
 
-// ClusterLoad is what there is to work with and what waits for it.
+// ClusterLoad is the capacity of the cluster and the work that waits for it.
 type ClusterLoad struct {
 	Capacity fleet.Amount  // of all machines that take tasks, or soon will
-	Backlog  time.Duration // that they need for the tasks that wait
-	Settled  bool          // past the takeover; before, the capacity isn't known
+	Backlog  time.Duration // how long all of it needs for the waiting tasks
+	Settled  bool          // the takeover is over; until then the capacity isn't known
 }
 
-// Load tells of capacity and backlog, the latter as of the last round of decisions.
+// Load returns capacity and backlog; the backlog is that of the last round of decisions.
 func (e *Engine) Load(now time.Time) ClusterLoad {
 	load := ClusterLoad{Capacity: e.capacityTotal(), Settled: e.settled(now) && len(e.catalog) > 0}
 	load.Backlog = time.Duration(dominantShare(e.rounds.backlog, load.Capacity) * float64(time.Second))
 	return load
 }
 
-// waitingWork is what the waiting tasks of a job take, in seconds of each resource.
+// waitingWork returns what the waiting tasks of a job need over their expected run time, in seconds
+// of each resource.
 func (e *Engine) waitingWork(j *pipeline.Job) fleet.Amount {
 	need, seconds := needOf(j, len(j.Tasks)), e.expectedRun(j).Seconds()
 	return fleet.Amount{CPUs: need.CPUs * seconds, GPUs: need.GPUs * seconds, MemGB: need.MemGB * seconds}
--- a/internal/core/fair_order_test.go
+++ b/internal/core/fair_order_test.go
@@ -10,9 +10,9 @@
 	"gingertally/internal/core/placement"
 )
 
-// twoTeams is a leader with one machine of eight CPUs, a backlog of one team, and a single job
+// newTwoTeamHarness is a leader with one machine of eight CPUs, a backlog of one team, and a single job
 // of another that came after all of it.
-func twoTeams(t *testing.T, order FairOrderChanged) *harness {
+func newTwoTeamHarness(t *testing.T, order FairOrderChanged) *harness {
 	cfg := testConfig()
 	cfg.Teams = map[string]placement.Quota{"large": {}, "small": {}}
 	var jobs []StoredJob
@@ -34,7 +34,7 @@
 // urgency: it is among the first to be placed. Without, it comes last, as it came last.
 func TestFairOrder(t *testing.T) {
 	for _, on := range []bool{false, true} {
-		b := twoTeams(t, FairOrderChanged{On: on})
+		b := newTwoTeamHarness(t, FairOrderChanged{On: on})
 		placed := b.e.jobs.get("j-900000").Count(pipeline.Assigned) > 0
 		if placed != on {
 			t.Errorf("fair order %v: the small team's job placed: %v", on, placed)
@@ -47,7 +47,7 @@
 func TestFairOrderKeepsAll(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		b := twoTeams(t, FairOrderChanged{On: true, Weights: map[string]float64{"large": 2}})
+		b := newTwoTeamHarness(t, FairOrderChanged{On: true, Weights: map[string]float64{"large": 2}})
 		var in []prioritized
 		for i := range 40 {
 			j := job(fmt.Sprintf("j-%06d", i), 1+rng.IntN(5))
--- a/internal/core/image_log.go
+++ b/internal/core/image_log.go
@@ -8,24 +8,24 @@
 	"gingertally/internal/core/fleet"
 )
 
-// imageLog keeps in the store which images machines are believed to have, so that
-// a new leader doesn't have all of them fetched once more. It is written a page at
-// a time, seldom, and never ahead of anything else. It is a hint and proves nothing
-// (docs/design.md, "Records"; TestImagesOutliveTheLeader).
+// imageLog keeps in the store which images machines are believed to have, so that after a takeover
+// they aren't all fetched once more. It is written rarely, one page at a time, and after all else
+// in a batch. It is a hint and proves nothing (docs/design.md, "Records";
+// TestImagesOutliveTheLeader).
 type imageLog struct {
 	cfg       *Config
 	started   time.Time                                         // when this leader's term began
-	newName   func() string                                     // makes names for new pages
-	imagesOf  func(machine string) (has []fleet.Image, ok bool) // of a machine that has been heard of
+	newName   func() string                                     // returns an unused page name
+	imagesOf  func(machine string) (has []fleet.Image, ok bool) // not ok: the machine isn't known yet
 	pages     map[string]*imagePage
 	byMachine map[string]*imagePage
-	inherited map[string][]fleet.Image // what an earlier leader knew of machines without a heartbeat yet
-	open      *imagePage               // takes machines that are on no page
+	inherited map[string][]fleet.Image // images that an earlier leader knew, of machines that have sent no heartbeat yet
+	open      *imagePage               // the page that takes machines that are on none
 	lastWrite time.Time
-	expired   bool // what was inherited and not used is forgotten
+	expired   bool // what was inherited and not used has been forgotten
 }
 
-// imagePage is one page of the image log. Each machine is on one page at the most.
+// imagePage is one page of the image log. Each machine is on one page at most.
 type imagePage struct {
 	name      string
 	machines  map[string]bool
@@ -41,34 +41,36 @@
 }
 
 const (
-	// imagePageEvery is about how often each page is written.
-	imagePageEvery = 20 * time.Second
-	// imageWritesPart is the part of the leader's writes that the image log may take.
-	imageWritesPart = 8
-	// inheritedFor is how long what an earlier leader knew of a machine is kept while that
-	// sends no heartbeat.
-	inheritedFor = 5 * time.Minute
-	// machineBytes is about what a machine takes of a page, minPageMachines and
-	// maxPageMachines bound how many a page takes.
+	// imagePageInterval is about how long it takes until a page is written again.
+	imagePageInterval = 20 * time.Second
+	// imageWritesDivisor bounds the image log's share of the leader's writes: one in
+	// imageWritesDivisor.
+	imageWritesDivisor = 8
+	// inheritedRetention is how long the inherited images of a machine are kept while it sends no
+	// heartbeat.
+	inheritedRetention = 5 * time.Minute
+	// machineBytes is about what a machine takes of a page; minPageMachines and maxPageMachines
+	// bound how many machines a page takes.
 	machineBytes    = 120
 	minPageMachines = 8
 	maxPageMachines = 100
 )
 
-// minWriteInterval is how much time lies between two pages at the least.
+// minWriteInterval returns the least time between the writes of two pages.
 func (l *imageLog) minWriteInterval() time.Duration {
 	if l.cfg.WritesPerSecond <= 0 {
 		return time.Second
 	}
-	return time.Duration(imageWritesPart / l.cfg.WritesPerSecond * float64(time.Second))
+	return time.Duration(imageWritesDivisor / l.cfg.WritesPerSecond * float64(time.Second))
 }
 
-// pageMachines is how many machines a page takes.
+// pageMachines returns how many machines a page takes.
 func (l *imageLog) pageMachines() int {
 	return min(maxPageMachines, max(minPageMachines, l.cfg.MaxValueBytes/machineBytes))
 }
 
-// recover takes over what the store holds of the image log.
+// recover takes over the pages that the store holds. If several name a machine, the first one
+// counts.
 func (l *imageLog) recover(stored []StoredImages) {
 	for _, s := range stored {
 		p := l.newPage(s.Name)
@@ -92,14 +94,15 @@
 	p.machines[machine] = true
 }
 
-// takeInherited returns what an earlier leader knew of a machine's images, once.
+// takeInherited returns the images that an earlier leader knew on a machine, and forgets them.
 func (l *imageLog) takeInherited(machine string) []fleet.Image {
 	images := l.inherited[machine]
 	delete(l.inherited, machine)
 	return images
 }
 
-// machineChanged notes that what is known of a machine's images has changed.
+// machineChanged notes that what is known of a machine's images has changed, so that its page is
+// written.
 func (l *imageLog) machineChanged(machine string) {
 	p := l.byMachine[machine]
 	if p == nil {
@@ -126,8 +129,8 @@
 	}
 }
 
-// moveOverflow moves machines for which a page had no room to others, such as those
-// of a page from before values became smaller.
+// moveOverflow moves the machines that a page had no room for to other pages. A page may be too
+// full if it is from before the size limit of values was lowered.
 func (l *imageLog) moveOverflow(p *imagePage, written fleet.ImageRecord) {
 	if len(written.Machines) == len(p.machines) {
 		return
@@ -147,10 +150,10 @@
 	}
 }
 
-// addWrite adds the page that has waited longest, if it is time for one.
+// addWrite adds a write of the changed page that was written longest ago, if one is due.
 func (l *imageLog) addWrite(now time.Time, b *batch) {
-	every := max(l.minWriteInterval(), imagePageEvery/time.Duration(max(1, len(l.pages))))
-	if b.remaining <= 0 || now.Sub(l.lastWrite) < every {
+	interval := max(l.minWriteInterval(), imagePageInterval/time.Duration(max(1, len(l.pages))))
+	if b.remaining <= 0 || now.Sub(l.lastWrite) < interval {
 		return
 	}
 	l.expireInherited(now)
@@ -168,9 +171,9 @@
 	b.add(PutImagePage{Name: p.name, Record: record})
 }
 
-// expireInherited forgets, once, machines that were not heard of for long.
+// expireInherited forgets, once, the machines that haven't been heard of for inheritedRetention.
 func (l *imageLog) expireInherited(now time.Time) {
-	if l.expired || now.Sub(l.started) <= inheritedFor {
+	if l.expired || now.Sub(l.started) <= inheritedRetention {
 		return
 	}
 	l.expired = true
@@ -180,7 +183,7 @@
 	clear(l.inherited)
 }
 
-// nextDirty is the page to be written that was written longest ago, nil if there is none.
+// nextDirty returns the changed page that was written longest ago; nil if none has changed.
 func (l *imageLog) nextDirty() *imagePage {
 	var next *imagePage
 	for _, p := range l.pages {
@@ -194,8 +197,8 @@
 	return next
 }
 
-// record returns a page as it should now be written. A tenth of the value's size is left
-// for what the estimate of its size may be wrong by.
+// record returns a page as it should now be written. A tenth of the size limit is left free, since
+// the size of a record is only estimated.
 func (l *imageLog) record(p *imagePage) fleet.ImageRecord {
 	has := make(map[string][]fleet.Image, len(p.machines))
 	for name := range p.machines {
@@ -208,7 +211,7 @@
 	return fleet.RecordImages(has, l.cfg.MaxValueBytes*9/10)
 }
 
-// writeStarted notes that a page's present content is on its way to the store.
+// writeStarted notes that a page's present content is being written.
 func (l *imageLog) writeStarted(name string) {
 	if p := l.pages[name]; p != nil {
 		p.dirty = false
@@ -222,7 +225,7 @@
 	}
 }
 
-// deleted notes that the store no longer holds a page.
+// deleted forgets a page that the store no longer holds, unless machines were put on it meanwhile.
 func (l *imageLog) deleted(name string) {
 	if p := l.pages[name]; p != nil && len(p.machines) == 0 && p != l.open {
 		delete(l.pages, name)
--- a/internal/core/image_log_writes.go
+++ b/internal/core/image_log_writes.go
@@ -6,8 +6,8 @@
 	"gingertally/internal/core/fleet"
 )
 
-// PutImagePage writes a page of the image log. Only the leader writes these, one after the other, so
-// it has no version.
+// PutImagePage writes a page of the image log. Only the leader writes these pages, one after the
+// other, so it has no version.
 type PutImagePage struct {
 	Name   string
 	Record fleet.ImageRecord
@@ -33,10 +33,10 @@
 
 func (w PutImagePage) failed(e *Engine, _ map[string]uint64) { e.images.writeFailed(w.Name) }
 
-// rejected leaves the page as it is until something on it changes.
+// rejected does nothing: the page is written again once something on it changes.
 func (PutImagePage) rejected(_ *Engine, _ time.Time) {}
 
-// DeleteImagePage deletes a page of the image log that names no machine any more.
+// DeleteImagePage deletes a page of the image log that no longer names any machine.
 type DeleteImagePage struct{ Name string }
 
 // Kind implements Write.
--- a/internal/core/job_write_types.go
+++ b/internal/core/job_write_types.go
@@ -46,7 +46,8 @@
 
 func (w PutJob) rejected(e *Engine, now time.Time) { e.jobWriteRejected(now, w, w.Ref) }
 
-// PutDoneRanges writes further done ranges of a job; the version of its record covers them.
+// PutDoneRanges writes a chunk of a job's done ranges that isn't part of its record. It goes with a
+// write of the record, whose version guards both.
 type PutDoneRanges struct {
 	Ref   string
 	Chunk int
@@ -83,7 +84,7 @@
 
 func (w PutDoneRanges) rejected(e *Engine, now time.Time) { e.jobWriteRejected(now, w, w.Ref) }
 
-// PutFinal writes a job's final entry, in place of its record.
+// PutFinal writes a job's final entry and deletes its record.
 type PutFinal struct {
 	Ref     string
 	Version uint64 // of the record
@@ -112,7 +113,7 @@
 
 func (w PutFinal) rejected(e *Engine, now time.Time) { e.jobWriteRejected(now, w, w.Ref) }
 
-// DeleteDoneRanges deletes done ranges of a job that is over.
+// DeleteDoneRanges deletes a chunk of done ranges of a job that is over.
 type DeleteDoneRanges struct {
 	Ref   string
 	Chunk int
@@ -143,7 +144,7 @@
 // DeleteDependencyPage deletes a page of the list of dependencies of a job that is over.
 type DeleteDependencyPage struct {
 	Ref     string
-	ListSum string // which list the page belongs to
+	ListSum string // of the list that the page belongs to
 	Page    int
 }
 
@@ -171,10 +172,10 @@
 
 func (DeleteDependencyPage) rejected(_ *Engine, _ time.Time) {}
 
-// chunkTarget names a chunk of a job in the log.
+// chunkTarget returns the name of a chunk or page of a job for the log.
 func chunkTarget(ref string, chunk int) string { return fmt.Sprintf("%s/%d", ref, chunk) }
 
-// rewriteChunk requests a new write of a chunk of a job's done ranges; chunk 0 is part of the
+// rewriteChunk requests another write of a chunk of a job's done ranges; chunk 0 is part of the
 // job's record.
 func (e *Engine) rewriteChunk(ref string, chunk int) {
 	if j := e.jobs.get(ref); j != nil {
@@ -183,8 +184,9 @@
 	}
 }
 
-// jobWriteRejected has a write of a job tried again after a pause, with values made smaller.
+// jobWriteRejected has a rejected write of a job tried again after a pause; values are smaller by
+// then.
 func (e *Engine) jobWriteRejected(now time.Time, w Write, ref string) {
 	w.failed(e, nil)
-	e.jobWrites.pause(ref, now.Add(rejectedPause))
+	e.jobWrites.pause(ref, now.Add(rejectedRetryDelay))
 }
--- a/internal/core/job_writes.go
+++ b/internal/core/job_writes.go
@@ -8,20 +8,20 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// jobWrites is what the store doesn't hold yet of jobs, and what it still holds of jobs
-// that are over.
+// jobWrites tracks what the store doesn't hold yet of jobs, and what it still holds of jobs that
+// are over.
 type jobWrites struct {
-	changed   map[*pipeline.Job]int // jobs with something that may have to be written, in order of change
+	changed   map[*pipeline.Job]int // jobs that may have something to write, with their place in the order of changes
 	changes   int                   // counts the changes
-	lastWrite map[string]time.Time  // when a job's record was last written, or until when it isn't tried again
-	cleanup   []Write               // deletes of further keys of jobs that are over
+	lastWrite map[string]time.Time  // when a job's record was last written, or until when its writes are paused
+	cleanup   []Write               // deletes of the remaining keys of jobs that are over
 }
 
 func newJobWrites() jobWrites {
 	return jobWrites{changed: map[*pipeline.Job]int{}, lastWrite: map[string]time.Time{}}
 }
 
-// jobChanged notes that something of a job may have to be written.
+// jobChanged notes that a job may have something to write.
 func (w *jobWrites) jobChanged(j *pipeline.Job) {
 	if _, known := w.changed[j]; !known {
 		w.changes++
@@ -29,8 +29,8 @@
 	}
 }
 
-// jobOver notes that the store holds a job's final entry. Its further keys are deleted
-// when there is nothing else to write.
+// jobOver notes that the store holds a job's final entry. The job's remaining keys are deleted when
+// there is nothing else to write.
 func (w *jobWrites) jobOver(j *pipeline.Job) {
 	delete(w.changed, j)
 	delete(w.lastWrite, j.Ref)
@@ -43,10 +43,10 @@
 	}
 }
 
-// pending reports whether anything of a job waits for a write.
+// pending reports whether any job may have something to write.
 func (w *jobWrites) pending() bool { return len(w.changed) > 0 }
 
-// addCleanup adds deletes of keys of jobs that are over.
+// addCleanup adds deletes of the remaining keys of jobs that are over.
 func (w *jobWrites) addCleanup(b *batch) {
 	for _, key := range w.cleanup {
 		if b.remaining > 0 {
@@ -55,14 +55,14 @@
 	}
 }
 
-// cleanedUp notes that a key of a job that is over is deleted.
+// cleanedUp notes that a key of a job that is over has been deleted.
 func (w *jobWrites) cleanedUp(key Write) {
 	if i := slices.Index(w.cleanup, key); i >= 0 {
 		w.cleanup = slices.Delete(w.cleanup, i, i+1)
 	}
 }
 
-// jobWriteNeed is what is to be written of a job that has changed.
+// jobWriteNeed says what has to be written of a job that has changed.
 type jobWriteNeed uint8
 
 const (
@@ -72,14 +72,15 @@
 	needsEnd                   // its final entry, in place of the record
 )
 
-// dueJobs are the jobs of which something is to be written now.
+// dueJobs holds the jobs of which something has to be written now.
 type dueJobs struct {
 	ends     []*pipeline.Job // final entries, in place of records
 	progress []*pipeline.Job // records with partial progress
 }
 
-// due are the jobs that are over, and those of which progress is due to be written, in the order
-// in which they are to be written. Needs tells what is to be written of a job.
+// due returns the jobs that are over and those whose progress is due to be written, each in the
+// order in which they are to be written. The function needs returns what has to be written of a
+// job; a job that needs nothing is forgotten until it changes again.
 func (w *jobWrites) due(now time.Time, interval time.Duration, needs func(*pipeline.Job) jobWriteNeed) dueJobs {
 	var due dueJobs
 	for j := range w.changed {
@@ -87,7 +88,7 @@
 		case needsNothing:
 			delete(w.changed, j)
 		case needsEnd:
-			if !w.lastWrite[j.Ref].After(now) { // else it was refused
+			if !w.lastWrite[j.Ref].After(now) { // otherwise it was rejected and has to pause
 				due.ends = append(due.ends, j)
 			}
 		case needsProgress:
@@ -102,20 +103,20 @@
 	return due
 }
 
-// recordWritten notes that a job's record is on its way.
+// recordWritten notes that a job's record is being written.
 func (w *jobWrites) recordWritten(ref string, now time.Time) { w.lastWrite[ref] = now }
 
-// pause has nothing of a job written for a while.
+// pause holds writes of a job back until a time.
 func (w *jobWrites) pause(ref string, until time.Time) { w.lastWrite[ref] = until }
 
-// sortEnds puts those jobs first that are cancelled with others: their users are told
-// nothing until that is written, and can't be told for long that they wait (docs/design.md,
-// safety argument 15; TestCancelledWithOthersAreWrittenFirst). Of the others, what has
-// waited longest comes first.
+// sortEnds puts the jobs first that were cancelled with a dependency. Until that is written, their
+// users aren't told of it, and they mustn't be told for long that the jobs still wait
+// (docs/design.md, safety argument 15; TestCancelledWithOthersAreWrittenFirst). The others follow,
+// the one that changed first ahead.
 func (w *jobWrites) sortEnds(ends []*pipeline.Job) {
 	slices.SortFunc(ends, func(a, b *pipeline.Job) int {
-		if cancelledWithOthers(a) != cancelledWithOthers(b) {
-			return -falseFirst(cancelledWithOthers(a))
+		if cancelledWithDependency(a) != cancelledWithDependency(b) {
+			return -falseFirst(cancelledWithDependency(a))
 		}
 		return cmp.Compare(w.changed[a], w.changed[b])
 	})
@@ -128,30 +129,30 @@
 	})
 }
 
-// cancelledWithOthers reports whether a job is cancelled with one of its dependencies, and
-// the store doesn't hold that yet.
-func cancelledWithOthers(j *pipeline.Job) bool {
+// cancelledWithDependency reports whether a job was cancelled with one of its dependencies and the
+// store doesn't hold that yet.
+func cancelledWithDependency(j *pipeline.Job) bool {
 	return j.Phase() == pipeline.Cancelled && j.StoredPhase() != pipeline.Cancelled
 }
 
-// writeNeed is what is to be written of a job.
+// writeNeed returns what has to be written of a job.
 func (e *Engine) writeNeed(j *pipeline.Job) jobWriteNeed {
 	switch {
-	case e.over(j):
+	case e.readyForFinalEntry(j):
 		return needsEnd
 	case j.Over() || !j.NeedsWrite():
 		return needsNothing
 	case e.cancellations.inTransaction(j.Ref):
-		return needsLater // a new version of the record would only be in the cancellation's way
+		return needsLater // a new version of the record would only conflict with the cancellation
 	case !j.RecordFits(e.cfg.MaxValueBytes):
-		return needsLater // only its end is written; until then its workers keep its results
+		return needsLater // only its final entry is written; until then its workers keep its results
 	}
 	return needsProgress
 }
 
-// over reports whether a job's final entry can take the place of its record: all
-// done, or cancelled with nothing left on any machine.
-func (e *Engine) over(j *pipeline.Job) bool {
+// readyForFinalEntry reports whether a job's final entry can take the place of its record: all its
+// tasks are done, or it is cancelled and nothing of it is left on any machine.
+func (e *Engine) readyForFinalEntry(j *pipeline.Job) bool {
 	switch j.Phase() {
 	case pipeline.Done:
 		return true
@@ -161,7 +162,7 @@
 	return false
 }
 
-// addJobEnds adds final entries that take the place of jobs' records.
+// addJobEnds adds the final entries that take the place of jobs' records.
 func (e *Engine) addJobEnds(now time.Time, b *batch, ends []*pipeline.Job) {
 	for _, j := range ends {
 		f := j.FinalEntry()
@@ -176,7 +177,7 @@
 	}
 }
 
-// addProgress adds records with partial progress, and done ranges that have changed.
+// addProgress adds records with partial progress, and the chunks of done ranges that have changed.
 func (e *Engine) addProgress(b *batch, progress []*pipeline.Job) {
 	limit := e.cfg.MaxValueBytes
 	for _, j := range progress {
@@ -194,7 +195,7 @@
 	}
 }
 
-// forgetStoredResults lets workers forget results that the store now holds (docs/design.md,
+// forgetStoredResults lets workers forget the results that the store now holds (docs/design.md,
 // safety argument 7; TestForgetOnlyAfterWritten).
 func (e *Engine) forgetStoredResults(j *pipeline.Job) {
 	for a := range e.usage.ofJob(j.Ref).results {
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -12,7 +12,7 @@
 	m.SetImages(e.images.takeInherited(m.Name))
 	e.recovery.AddUnrecordedMachine(m.Name)
 	e.capacityChanged(m)
-	e.drainMachineKnown(now, m)
+	e.drainMachineAdded(now, m)
 }
 
 // moveMachine is the one place where a machine that is known here changes state. It returns
@@ -81,7 +81,7 @@
 		e.checkResponsiveness(now, m)
 		e.scaleInUnreachable(now, m)
 		if m.HeartbeatExpected() && now.Sub(m.LastHeartbeat()) > e.unresponsiveAfter() {
-			e.expectNoLonger(now, m)
+			e.stopExpectingHeartbeat(now, m)
 		}
 		switch {
 		case m.State() == fleet.Live && !m.ToBeReleased() && !m.OneWayLoss.Unreachable():
--- a/internal/core/preemption.go
+++ b/internal/core/preemption.go
@@ -1,6 +1,6 @@
 package core
 
-// Which running work may be stopped to make room for other work, and at what cost.
+// Preemption: which running tasks may be stopped to make room for others, and at what cost.
 
 import (
 	"time"
@@ -10,16 +10,17 @@
 	"gingertally/internal/core/placement"
 )
 
-// preemptionCost holds the protocol's rules of preemption: for a job of higher
-// priority, or to give a team its guarantee at the expense of one that is beyond
-// its own. The cost is the delay of saving and the work that is lost, in seconds of a
-// whole machine: many small tasks of an array are less than one gang.
-func (e *Engine) preemptionCost(now time.Time, by *pipeline.Job, a *fleet.Attempt) (float64, bool) {
+// preemptionCost returns what it costs to stop an attempt for another job, and whether the
+// protocol's rules allow it: the other job must be of higher priority, or its team must get its
+// guarantee at the expense of a team that exceeds its own. The cost is the delay for a checkpoint
+// and the work that is lost, in seconds of a whole machine, so that many small tasks of an array
+// cost less than one gang.
+func (e *Engine) preemptionCost(now time.Time, preemptor *pipeline.Job, a *fleet.Attempt) (float64, bool) {
 	j := e.jobs.get(a.Ref)
 	if j == nil || a.Unrecorded || a.Stopping() || a.State() == fleet.Checkpointing {
 		return 0, false
 	}
-	if by.Urgency >= j.Urgency && !e.mayReclaimGuarantee(by, j) || e.starvesBefore(now, j, by) {
+	if preemptor.Urgency >= j.Urgency && !e.mayReclaimGuarantee(preemptor, j) || e.starvesBefore(now, j, preemptor) {
 		return 0, false
 	}
 	cost := 10 + j.CheckpointTime.Seconds()
@@ -29,11 +30,11 @@
 			cost += ran.Seconds()
 		}
 		if e.expectedRun(j)-ran < j.CheckpointTime+5*time.Second {
-			return 0, false // as good as done
+			return 0, false // about to finish
 		}
 	}
 	if j.Shape == pipeline.Gang {
-		cost *= float64(len(j.Tasks)) // they all stop
+		cost *= float64(len(j.Tasks)) // all its tasks stop
 	}
 	if t := e.catalog[a.Machine.Type]; t != nil {
 		cost *= placement.Share(t, &j.Spec)
@@ -41,35 +42,36 @@
 	return cost, true
 }
 
-// starvesBefore reports whether a job of which nothing has begun for long comes before another:
-// what it has just been given mustn't be taken from it again, round after round, so that
-// neither ever starts.
-func (e *Engine) starvesBefore(now time.Time, j, by *pipeline.Job) bool {
+// starvesBefore reports whether a job is past its starvation bound and comes before another one.
+// What it has just been given mustn't be taken from it again, round after round, or neither would
+// ever start.
+func (e *Engine) starvesBefore(now time.Time, j, preemptor *pipeline.Job) bool {
 	if !e.pastStarvationBound(now, j) {
 		return false
 	}
-	return !e.pastStarvationBound(now, by) || !e.starvingSince(by).Before(e.starvingSince(j))
+	return !e.pastStarvationBound(now, preemptor) || !e.starvingSince(preemptor).Before(e.starvingSince(j))
 }
 
-// mayReclaimGuarantee reports whether a job's team is within its guarantee with what the job needs at
-// once, and the other job's team beyond its own. Where both CPUs and GPUs are guaranteed,
-// both have to fit; a guarantee of none holds nothing back but gives nothing either.
-func (e *Engine) mayReclaimGuarantee(by, j *pipeline.Job) bool {
-	if by.Team == j.Team {
+// mayReclaimGuarantee reports whether a job's team stays within its guarantee with what the job
+// needs at once, and the other job's team exceeds its own. A job with GPUs must fit the guarantee
+// of GPUs, and that of CPUs unless it is 0; for a job without GPUs a guarantee of no CPUs gives
+// nothing.
+func (e *Engine) mayReclaimGuarantee(preemptor, j *pipeline.Job) bool {
+	if preemptor.Team == j.Team {
 		return false
 	}
-	t, o := e.cfg.Teams[by.Team], e.cfg.Teams[j.Team]
-	u, ou := e.usage.ofTeam(by.Team), e.usage.ofTeam(j.Team)
-	n := 1.0
-	if by.Shape == pipeline.Gang {
-		n = float64(len(by.Tasks))
+	quota, otherQuota := e.cfg.Teams[preemptor.Team], e.cfg.Teams[j.Team]
+	used, otherUsed := e.usage.ofTeam(preemptor.Team), e.usage.ofTeam(j.Team)
+	tasks := 1.0
+	if preemptor.Shape == pipeline.Gang {
+		tasks = float64(len(preemptor.Tasks))
 	}
-	cpus, gpus := u.CPUs+n*by.CPUs <= t.GuaranteedCPUs, u.GPUs+n*by.GPUs <= t.GuaranteedGPUs
-	within := cpus
-	if by.GPUs > 0 {
-		within = gpus && (cpus || t.GuaranteedCPUs == 0)
+	cpusFit, gpusFit := used.CPUs+tasks*preemptor.CPUs <= quota.GuaranteedCPUs, used.GPUs+tasks*preemptor.GPUs <= quota.GuaranteedGPUs
+	within := cpusFit
+	if preemptor.GPUs > 0 {
+		within = gpusFit && (cpusFit || quota.GuaranteedCPUs == 0)
 	}
-	beyond := ou.CPUs > o.GuaranteedCPUs || ou.GPUs > o.GuaranteedGPUs
+	beyond := otherUsed.CPUs > otherQuota.GuaranteedCPUs || otherUsed.GPUs > otherQuota.GuaranteedGPUs
 	return within && beyond
 }
 
--- a/internal/core/priority_order.go
+++ b/internal/core/priority_order.go
@@ -11,13 +11,13 @@
 	"gingertally/internal/core/placement"
 )
 
-// priorityOrder is the jobs with waiting tasks in the order in which they may choose:
-// by urgency, then by how soon they must start to keep an objective that can still be
-// kept, the small ones sooner. Jobs that keep failing come last. A job of which
-// nothing has begun for long comes before all others, if only with a few of its
-// tasks: neither urgent nor small work may starve it.
+// priorityOrder returns the jobs with waiting tasks in the order in which they may choose: by
+// urgency, then by how soon they must start to meet an objective that can still be met, small jobs
+// sooner. Jobs that fail repeatedly come last. A job that has waited past its starvation bound for
+// its first task comes before all others, an array only with a few of its tasks: neither urgent nor
+// small work may starve it.
 func (e *Engine) priorityOrder(now time.Time) []placement.QueueEntry {
-	machines := float64(max(e.capacity.free.Size(), fewMachines))
+	machines := float64(max(e.capacity.free.Size(), minFleetSize))
 	var out []prioritized
 	var backlog fleet.Amount
 	for _, j := range e.jobs.inOrder() {
@@ -38,15 +38,15 @@
 	return entries
 }
 
-// prioritized is a queue entry with what its place in the order goes by.
+// prioritized is a queue entry with its sort keys.
 type prioritized struct {
 	placement.QueueEntry
 	starving, failing bool
-	cacheMiss         int // 0: needs no fetch, or a short one; 1: a first wave; 2: the rest
+	fetchRank         int // 0: needs no image fetch, or a short one; 1: the first wave of an array; 2: its rest
 	due               time.Time
 }
 
-// comparePrioritized orders queue entries.
+// comparePrioritized compares two queue entries; the one that is to choose first is less.
 func comparePrioritized(a, b prioritized) int {
 	switch {
 	case a.failing != b.failing:
@@ -55,55 +55,56 @@
 		return -falseFirst(a.starving)
 	case !a.starving && a.Job.Urgency != b.Job.Urgency:
 		return cmp.Compare(a.Job.Urgency, b.Job.Urgency)
-	case a.cacheMiss != b.cacheMiss:
-		return cmp.Compare(a.cacheMiss, b.cacheMiss)
+	case a.fetchRank != b.fetchRank:
+		return cmp.Compare(a.fetchRank, b.fetchRank)
 	}
 	return a.due.Compare(b.due)
 }
 
-// falseFirst compares a fact with its opposite, so that what it isn't true of comes first.
-func falseFirst(fact bool) int {
-	if fact {
+// falseFirst compares an element with one that differs from it in a condition, given whether the
+// first one meets it: the one that doesn't comes first.
+func falseFirst(condition bool) int {
+	if condition {
 		return 1
 	}
 	return -1
 }
 
-// appendEntries adds a job's queue entries. Arrays whose image is slow to fetch have three: for
-// machines that have it, for as many others as they need to be in time, and for
-// the rest. The time that a place is held for a fetch is lost to all.
+// appendEntries appends a job's queue entries. An array whose image is slow to fetch has three: one
+// for machines that have the image, one for as many others as it needs to finish in time, and one
+// for the rest. While a place waits for a fetch, nobody can use it.
 func (e *Engine) appendEntries(out []prioritized, now time.Time, j *pipeline.Job, machines float64) []prioritized {
 	wait := now.Sub(j.Since)
 	failing := j.FailsRepeatedly(e.cfg.RestartLimit)
 	if !failing && e.pastStarvationBound(now, j) {
-		most := len(j.Tasks)
+		limit := len(j.Tasks)
 		if j.Shape == pipeline.Array {
-			most = 1 + most/starvingPart
+			limit = 1 + limit/starvingDivisor
 		}
 		out = append(out, prioritized{
-			QueueEntry: placement.QueueEntry{Job: j, Most: most},
+			QueueEntry: placement.QueueEntry{Job: j, Most: limit},
 			starving:   true, due: e.starvingSince(j),
 		})
 	}
-	size := time.Duration(float64(e.remainingWork(j)) * e.cfg.Weights.SmallFirst / machines)
-	size = time.Duration(float64(size) * min(1, max(0, 2-float64(wait)/float64(sizeFades))))
+	sizePenalty := time.Duration(float64(e.remainingWork(j)) * e.cfg.Weights.SmallFirst / machines)
+	sizePenalty = time.Duration(float64(sizePenalty) * min(1, max(0, 2-float64(wait)/float64(sizePenaltyFade))))
 	due := e.dueStart(now, j)
-	r := prioritized{QueueEntry: placement.QueueEntry{Job: j, Most: len(j.Tasks)}, failing: failing, due: due.Add(size)}
+	rest := prioritized{QueueEntry: placement.QueueEntry{Job: j, Most: len(j.Tasks)}, failing: failing, due: due.Add(sizePenalty)}
 	if j.Shape == pipeline.Array && e.expectedFetch(j) > longFetch {
-		cached, first := r, r
-		cached.ImageCachedOnly, r.cacheMiss, first.cacheMiss = true, 2, 1
-		first.Most = e.firstWave(j, due.Sub(now)-spareTime) - e.usage.ofJob(j.Ref).active()
+		cached, first := rest, rest
+		cached.ImageCachedOnly, rest.fetchRank, first.fetchRank = true, 2, 1
+		first.Most = e.firstWave(j, due.Sub(now)-firstWaveSlack) - e.usage.ofJob(j.Ref).active()
 		out = append(out, cached)
 		if first.Most > 0 {
 			out = append(out, first)
 		}
 	}
-	return append(out, r)
+	return append(out, rest)
 }
 
-// firstWave is how many places an array needs at once to have all its tasks done
-// in time one after the other: so many may fetch its image ahead of later work
-// that needs none fetched.
+// firstWave returns how many places an array needs at once so that all its tasks, run there one
+// after the other, are done in time. So many may fetch its image ahead of later work that needs no
+// fetch.
 func (e *Engine) firstWave(j *pipeline.Job, spare time.Duration) int {
 	run := e.expectedRun(j).Seconds()
 	if run <= 0 {
@@ -119,12 +120,13 @@
 	return !j.Started && now.Sub(j.Since) > e.starvationBound(j)
 }
 
-// starvingSince is what jobs past the starvation bound are ordered by among themselves.
-func (e *Engine) starvingSince(j *pipeline.Job) time.Time { return j.Since.Add(-e.gatherTime(j)) }
+// starvingSince returns the time by which jobs past their starvation bounds are ordered among
+// themselves.
+func (e *Engine) starvingSince(j *pipeline.Job) time.Time { return j.Since.Add(-e.gangAgeBonus(j)) }
 
-// needsCapacityBy is when a job must have room if it isn't to be late; one that has
-// waited for long is late already, whatever objective it can still keep.
-// A service is late with each replica that isn't running, since every second of it counts.
+// needsCapacityBy returns when a job must have room so as not to be late. A job past its starvation
+// bound is late already, whatever objective it can still meet, and so is a service with a replica
+// that isn't running, since every second of it counts.
 func (e *Engine) needsCapacityBy(now time.Time, j *pipeline.Job) time.Time {
 	if e.pastStarvationBound(now, j) || j.Shape == pipeline.Service {
 		return now
@@ -132,11 +134,11 @@
 	return e.dueStart(now, j)
 }
 
-// starvationBound is how long a job may wait for its first task before it comes ahead
-// of all others: the largest must begin within four minutes.
+// starvationBound returns how long a job may wait for its first task before it comes ahead of all
+// others: the largest must begin within four minutes.
 func (e *Engine) starvationBound(j *pipeline.Job) time.Duration {
 	if j.Shape == pipeline.Gang && len(j.Tasks) > 1 {
-		return max(gangStarvationBound-e.gatherTime(j), 0)
+		return max(gangStarvationBound-e.gangAgeBonus(j), 0)
 	}
 	return jobStarvationBound
 }
@@ -144,36 +146,38 @@
 const (
 	jobStarvationBound  = 150 * time.Second
 	gangStarvationBound = 100 * time.Second
-	// for each task beyond the first in a fleet of gatherFleet machines or fewer
-	gatherEach  = 10 * time.Second
-	gatherFleet = 250
+	// ageBonusPerTask is a gang's age bonus for each task beyond the first. In fleets of more than
+	// ageBonusFleetSize machines it is less, in inverse proportion to their size.
+	ageBonusPerTask   = 10 * time.Second
+	ageBonusFleetSize = 250
 )
 
-// gatherTime is by how much a gang counts as older than it is: the more places it
-// needs at once, the longer they take to come together; the less so the more
-// machines there are, since places become free on all of them.
-func (e *Engine) gatherTime(j *pipeline.Job) time.Duration {
+// gangAgeBonus returns by how much a gang counts as older than it is. The more places it needs at
+// once, the longer it takes until so many are free together; that takes less time in a large fleet,
+// where places become free on more machines.
+func (e *Engine) gangAgeBonus(j *pipeline.Job) time.Duration {
 	if j.Shape != pipeline.Gang {
 		return 0
 	}
-	each := gatherEach * gatherFleet / time.Duration(max(gatherFleet, e.capacity.free.Size()))
+	each := ageBonusPerTask * ageBonusFleetSize / time.Duration(max(ageBonusFleetSize, e.capacity.free.Size()))
 	return time.Duration(len(j.Tasks)-1) * each
 }
 
-// How size counts against a job: Weights.SmallFirst seconds for each second of a
-// machine that it needs, divided among the machines that are up, of which there
-// are taken to be fewMachines at least. When not all can be in time, more jobs are if the
-// small ones go first. It counts less once the job has waited for sizeFades, and
-// not at all after twice that.
+// The size of a job counts against it with Weights.SmallFirst seconds for each second of a machine
+// that it needs, divided by the number of machines that are up, which is taken to be at least
+// minFleetSize. When not all jobs can be in time, more of them are if the small ones go first. Size
+// counts less once the job has waited for sizePenaltyFade, and not at all after twice that. Of an
+// array past its starvation bound, one task in starvingDivisor and one more come before all other
+// work.
 const (
-	fewMachines  = 36
-	sizeFades    = 4 * time.Minute
-	starvingPart = 8
+	minFleetSize    = 36
+	sizePenaltyFade = 4 * time.Minute
+	starvingDivisor = 8
 )
 
-// Arrays whose image takes longer than longFetch to fetch have several queue entries. Their
-// first waves are so wide that they would be done spareTime before they are due.
+// Arrays whose image takes longer than longFetch to fetch have several queue entries. Their first
+// waves are so wide that they would be done firstWaveSlack before they are due.
 const (
-	longFetch = 10 * time.Second
-	spareTime = 20 * time.Second
+	longFetch      = 10 * time.Second
+	firstWaveSlack = 20 * time.Second
 )
--- a/internal/core/replacements.go
+++ b/internal/core/replacements.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// replacements are the machines that are requested ahead of ones that are being drained, by the
-// name of the machine that is replaced.
+// replacements holds the machines that were requested to replace ones that are being drained, by
+// the name of the machine that is replaced.
 type replacements map[string]*replacement
 
-// replacement is one of them.
+// replacement is a machine that was requested to replace another.
 type replacement struct {
 	request   string // name of the request
 	machine   string // empty until the cloud has answered
@@ -16,15 +16,15 @@
 // of returns the replacement of a machine, or nil.
 func (r replacements) of(replaced string) *replacement { return r[replaced] }
 
-// request notes that a replacement is requested for a machine.
+// request records that a replacement for a machine has been requested.
 func (r replacements) request(now time.Time, replaced, request string) {
 	r[replaced] = &replacement{request: request, requested: now}
 }
 
-// forget gives a machine's replacement up, or keeps it as any other machine.
+// forget removes a machine's replacement, which is given up or kept like any other machine.
 func (r replacements) forget(replaced string) { delete(r, replaced) }
 
-// answered takes in the cloud's answer to a request, which may be one for a replacement.
+// answered takes in the cloud's answer to a request, which may be for a replacement.
 func (r replacements) answered(a ScaleOutAnswered) {
 	for replaced, by := range r {
 		if by.request != a.Request.Name {
@@ -38,7 +38,7 @@
 	}
 }
 
-// include reports whether a machine was requested in place of one that is still there.
+// include reports whether a machine was requested to replace one that still exists.
 func (r replacements) include(machine string) bool {
 	for _, by := range r {
 		if by.machine == machine {
--- a/internal/core/round_board.go
+++ b/internal/core/round_board.go
@@ -46,7 +46,7 @@
 func (b *roundBoard) ActiveAttempts(ref string) int { return b.engine.usage.ofJob(ref).active() }
 
 // EndOf implements placement.Cluster.
-func (b *roundBoard) EndOf(a *fleet.Attempt) time.Time { return b.engine.endOf(b.now, a) }
+func (b *roundBoard) EndOf(a *fleet.Attempt) time.Time { return b.engine.expectedEnd(b.now, a) }
 
 // NeedsCapacityBy implements placement.Cluster.
 func (b *roundBoard) NeedsCapacityBy(j *pipeline.Job) time.Time {
--- a/internal/core/scale_in.go
+++ b/internal/core/scale_in.go
@@ -9,7 +9,8 @@
 	"gingertally/internal/core/placement"
 )
 
-// scaleIn asks the cloud to release a machine; its answer proves all on the machine gone.
+// scaleIn asks the cloud to release a machine; its answer proves that everything on the machine is
+// gone.
 func (e *Engine) scaleIn(now time.Time, m *fleet.Machine, reason ScaleInReason) {
 	if m.ScaleInPending(now) {
 		return
@@ -29,13 +30,14 @@
 // maxScaleIn is how many machines one request for release may name (PROTOCOL).
 const maxScaleIn = 100
 
-// recentClass is how long a class of jobs counts as one that may come again.
-const recentClass = 4 * time.Minute
+// recentClassWindow is how long after its latest job a class counts as one of which more jobs may
+// come.
+const recentClassWindow = 4 * time.Minute
 
-// idleTimeoutUnused is how long an idle machine is kept that no recent class of jobs fits.
-// Others are kept for idleTimeout and as long as Weights.IdleDollars pay for: being there
-// spares a job the boot time, whatever the machine costs. If the last job that fits came
-// longer than idleTimeoutOld ago, that is the most.
+// idleTimeoutUnused is how long an idle machine is kept that no recent class of jobs fits. Other
+// idle machines are kept for idleTimeout and as long as Weights.IdleDollars pay for: a machine that
+// is up saves a job the boot time, whatever the machine costs. If the last job that fits came
+// longer than idleTimeoutOld ago, they are kept for idleTimeoutOld at most.
 const (
 	idleTimeoutUnused = 10 * time.Second
 	idleTimeout       = 10 * time.Second
@@ -66,9 +68,9 @@
 	}
 }
 
-// idleTimeoutOf is how long an idle machine of a pool is kept.
+// idleTimeoutOf returns how long idle machines of a pool are kept.
 func (e *Engine) idleTimeoutOf(now time.Time, p *placement.Pool) time.Duration {
-	last := e.lastUse(now, p)
+	last := e.lastMatchingArrival(now, p)
 	if last.IsZero() {
 		return idleTimeoutUnused
 	}
@@ -79,8 +81,8 @@
 	return keep
 }
 
-// neededByDemand reports whether waiting work could use the machine: a gang, say, that
-// still lacks room for some of its tasks.
+// neededByDemand reports whether waiting work could use the machine: a gang, say, that still lacks
+// room for some of its tasks.
 func neededByDemand(now time.Time, p *placement.Pool, m *fleet.Machine, demand []capacity.Demand) bool {
 	for _, d := range demand {
 		if p.Allowed(&d.Job.Spec) && !d.Job.Avoids(now, m.Name) {
@@ -90,20 +92,21 @@
 	return false
 }
 
-// lastUse is when a job last came that could run on the pool's machines; zero if
-// that is long ago.
-func (e *Engine) lastUse(now time.Time, p *placement.Pool) time.Time {
+// lastMatchingArrival returns when the latest job arrived whose class fits the pool's machines;
+// zero if that is longer ago than recentClassWindow.
+func (e *Engine) lastMatchingArrival(now time.Time, p *placement.Pool) time.Time {
 	var last time.Time
 	for _, c := range e.classes {
-		if now.Sub(c.lastAt) < recentClass && c.lastAt.After(last) && c.spec != nil && p.Allowed(c.spec) {
+		if now.Sub(c.lastAt) < recentClassWindow && c.lastAt.After(last) && c.spec != nil && p.Allowed(c.spec) {
 			last = c.lastAt
 		}
 	}
 	return last
 }
 
-// ScaleInAnswered says that the cloud answered a release with 200: the machines and
-// all on them are gone. OK false: unknown, to be tried again.
+// ScaleInAnswered brings the outcome of a release. If OK, the cloud answered with 200: the machines
+// and everything on them are gone. Otherwise the outcome isn't known, and the release is tried
+// again.
 type ScaleInAnswered struct {
 	Machines []string
 	OK       bool
--- a/internal/core/scale_out.go
+++ b/internal/core/scale_out.go
@@ -8,12 +8,12 @@
 	"gingertally/internal/core/fleet"
 )
 
-// scaleOut asks for machines for work that nothing has room for.
+// scaleOut requests machines for work that no machine has room for.
 func (e *Engine) scaleOut(now time.Time, demand []capacity.Demand) {
 	if now.Sub(e.started) < e.cfg.HeartbeatInterval*5/4 {
-		return // machines may be there that haven't been heard of yet
+		return // there may be machines that haven't sent a heartbeat yet
 	}
-	e.recovery.Pacer().Allow(true) // bulk starts wait for it, not the other way round
+	e.recovery.Pacer().Allow(true) // scale-out isn't held up by the pace, but slows other starts down
 	for _, o := range e.plan.Choose(now, demand, &e.capacity.free, e.catalog) {
 		e.plan.Requested(o.Offer, o.Count)
 		e.out.ScaleOut = append(e.out.ScaleOut, ScaleOut{
@@ -23,12 +23,12 @@
 	}
 }
 
-// ScaleOutAnswered brings the answer to a request for machines.
+// ScaleOutAnswered brings the outcome of a request for machines.
 type ScaleOutAnswered struct {
 	Request        ScaleOut
 	Machines       []string // those created
-	NoCapacity     bool     // no capacity
-	OutcomeUnknown bool     // given up without an answer; the list will tell
+	NoCapacity     bool     // the cloud has no such machines left
+	OutcomeUnknown bool     // given up without an answer; the cloud's list will show what was created
 }
 
 func (r ScaleOutAnswered) apply(e *Engine, now time.Time) {
--- a/internal/core/start_log.go
+++ b/internal/core/start_log.go
@@ -9,18 +9,17 @@
 	"gingertally/internal/core/fleet"
 )
 
-// startLog is this leader's view of the start log: which page names which attempt, and
-// which pages the store doesn't hold as they are here. An attempt's start may leave only
-// once the store holds a page that names it (docs/design.md, safety argument 4;
-// TestStartOnlyAfterRecord).
+// startLog is this leader's view of the start log: which page names which attempt, and which pages
+// differ from what the store holds. An attempt's start may be sent only once the store holds a page
+// that names it (docs/design.md, safety argument 4; TestStartOnlyAfterRecord).
 type startLog struct {
-	cfg       *Config
-	newName   func() string // makes names for new pages
-	pages     map[string]*fleet.StartLogPage
-	unpaged   []*fleet.Attempt    // decided, but on no page yet
-	open      *fleet.StartLogPage // the page that takes new attempts
-	dirty     map[*fleet.StartLogPage]bool
-	trimmedAt time.Time
+	cfg        *Config
+	newName    func() string // returns an unused page name
+	pages      map[string]*fleet.StartLogPage
+	unassigned []*fleet.Attempt    // decided, but on no page yet
+	open       *fleet.StartLogPage // the page that takes new attempts
+	dirty      map[*fleet.StartLogPage]bool
+	lastTrim   time.Time
 }
 
 func newStartLog(cfg *Config, newName func() string) startLog {
@@ -31,25 +30,24 @@
 	}
 }
 
-// trimEvery is how often a page is trimmed of attempts that are gone, trimPause how much
-// time lies between the trims of two pages. An untrimmed entry costs a later leader the
-// wait for that machine's next confirmed heartbeat.
+// trimInterval is the least time between two trims of a page, which drop entries of attempts that
+// are gone; trimPause is the least time between trims of any two pages. An entry that isn't trimmed
+// makes a later leader wait for that machine's next confirmed heartbeat.
 const (
-	trimEvery = 10 * time.Second
-	trimPause = trimEvery / 10
+	trimInterval = 10 * time.Second
+	trimPause    = trimInterval / 10
 )
 
-// addPage takes in a page.
+// addPage adds a page to the log.
 func (l *startLog) addPage(p *fleet.StartLogPage) { l.pages[p.Name] = p }
 
 // page returns a page; nil if there is none of that name.
 func (l *startLog) page(name string) *fleet.StartLogPage { return l.pages[name] }
 
-// addAttempt takes in an attempt that has been decided. It goes on a page with the next
-// batch.
-func (l *startLog) addAttempt(a *fleet.Attempt) { l.unpaged = append(l.unpaged, a) }
+// addAttempt adds an attempt that has been decided. The next batch puts it on a page.
+func (l *startLog) addAttempt(a *fleet.Attempt) { l.unassigned = append(l.unassigned, a) }
 
-// removeAttempt takes an attempt that is proven gone off its page.
+// removeAttempt removes an attempt that is proven gone from its page.
 func (l *startLog) removeAttempt(a *fleet.Attempt) {
 	if p := a.Page; p != nil {
 		p.Remove(a)
@@ -57,7 +55,7 @@
 	}
 }
 
-// pageChanged notes whether a page is to be written.
+// pageChanged puts a page on the list of those to be written, or takes it off.
 func (l *startLog) pageChanged(p *fleet.StartLogPage) {
 	if p.Dirty {
 		l.dirty[p] = true
@@ -66,13 +64,13 @@
 	}
 }
 
-// unstored is how many starts aren't on a page yet.
-func (l *startLog) unstored() int { return len(l.unpaged) }
+// unstored returns how many attempts aren't on a page yet.
+func (l *startLog) unstored() int { return len(l.unassigned) }
 
 // pending reports whether a start waits for a write.
-func (l *startLog) pending() bool { return len(l.unpaged) > 0 || len(l.dirty) > 0 }
+func (l *startLog) pending() bool { return len(l.unassigned) > 0 || len(l.dirty) > 0 }
 
-// addWrites puts new attempts on pages, and adds the pages that are to be written.
+// addWrites puts new attempts on pages, and adds writes of the pages that have changed.
 func (l *startLog) addWrites(b *batch) {
 	l.assignPages(b.remaining)
 	for _, p := range sortedPages(l.dirty) {
@@ -82,16 +80,16 @@
 	}
 }
 
-// assignPages puts new attempts on pages, until as many pages are dirty as may be
-// written. Attempts beyond that wait for the next batch.
+// assignPages puts new attempts on pages until maxDirty pages have to be written. Further attempts
+// wait for the next batch.
 func (l *startLog) assignPages(maxDirty int) {
-	for i, a := range l.unpaged {
+	for i, a := range l.unassigned {
 		if a.State() == fleet.Exited {
 			continue // withdrawn meanwhile
 		}
 		if l.open == nil || l.open.Sending || !l.open.Fits(a, l.cfg.MaxValueBytes) {
 			if len(l.dirty) >= maxDirty {
-				l.unpaged = append(l.unpaged[:0], l.unpaged[i:]...)
+				l.unassigned = append(l.unassigned[:0], l.unassigned[i:]...)
 				return
 			}
 			l.open = l.leastFilledPage()
@@ -99,11 +97,11 @@
 		l.open.Add(a)
 		l.pageChanged(l.open)
 	}
-	l.unpaged = l.unpaged[:0]
+	l.unassigned = l.unassigned[:0]
 }
 
-// leastFilledPage is the page with the least on it that still has room for some, or
-// a new one. Writing it again drops what is gone from it.
+// leastFilledPage returns the page with the fewest attempts that is at least half empty, or a new
+// one. Writing it also drops its entries of attempts that are gone.
 func (l *startLog) leastFilledPage() *fleet.StartLogPage {
 	var best *fleet.StartLogPage
 	for _, p := range l.pages {
@@ -121,13 +119,13 @@
 	return best
 }
 
-// addTrim adds the page with the most entries that are gone, if it is time to rewrite one
-// without them, or to drop it if nothing is left.
+// addTrim adds a write of the page with the most entries of attempts that are gone, if it is time
+// for one. The write drops those entries, or the whole page if nothing else is on it.
 func (l *startLog) addTrim(now time.Time, b *batch) {
-	if now.Sub(l.trimmedAt) < trimPause {
+	if now.Sub(l.lastTrim) < trimPause {
 		return
 	}
-	l.trimmedAt = now
+	l.lastTrim = now
 	p := l.stalestPage(now)
 	if p == nil || b.remaining <= 0 {
 		return
@@ -140,12 +138,12 @@
 	b.add(DeleteStartLogPage{Name: p.Name, Version: p.Version})
 }
 
-// stalestPage is the page with the most entries that are gone, of those that may be
-// trimmed; nil if none may.
+// stalestPage returns the page with the most entries of attempts that are gone, among those that
+// may be trimmed; nil if there is none.
 func (l *startLog) stalestPage(now time.Time) *fleet.StartLogPage {
 	var worst *fleet.StartLogPage
 	for _, p := range l.pages {
-		if p.Sending || p == l.open || p.Stale() == 0 || now.Sub(p.Trimmed) < trimEvery ||
+		if p.Sending || p == l.open || p.Stale() == 0 || now.Sub(p.Trimmed) < trimInterval ||
 			!p.Fits(nil, l.cfg.MaxValueBytes) {
 			continue
 		}
@@ -156,7 +154,7 @@
 	return worst
 }
 
-// writeStarted notes that a page is on its way to the store.
+// writeStarted notes that a page is being written.
 func (l *startLog) writeStarted(name string) {
 	if p := l.pages[name]; p != nil {
 		p.WriteStarted()
@@ -181,21 +179,21 @@
 	}
 }
 
-// writeFailed notes that a page isn't known to have been written. Seen holds the versions
-// of the pages that were read afterwards.
-func (l *startLog) writeFailed(name string, seen map[string]uint64) {
+// writeFailed notes that a page isn't known to have been written. The map holds the versions of the
+// pages that were read afterwards.
+func (l *startLog) writeFailed(name string, versions map[string]uint64) {
 	p := l.pages[name]
 	if p == nil {
 		return
 	}
-	if version, read := seen[name]; read {
+	if version, read := versions[name]; read {
 		p.Version = version
 	}
 	p.WriteFailed()
 	l.pageChanged(p)
 }
 
-// rejected notes that the store takes a page under no circumstances.
+// rejected notes that the store rejects a page whatever its version.
 func (l *startLog) rejected(now time.Time, p *fleet.StartLogPage) {
 	p.WriteRefused(now)
 	l.pageChanged(p)
@@ -204,14 +202,15 @@
 	}
 }
 
+// pageWrite returns a write of a page as it is now.
 func pageWrite(p *fleet.StartLogPage) Write {
 	return PutStartLogPage{Name: p.Name, Version: p.Version, Record: p.Record()}
 }
 
-// sortedPages lists a set of pages by name.
+// sortedPages returns a set of pages sorted by name.
 func sortedPages(set map[*fleet.StartLogPage]bool) []*fleet.StartLogPage {
 	if len(set) == 0 {
-		return nil // asked for every batch
+		return nil // usual; this is called for every batch
 	}
 	return slices.SortedFunc(maps.Keys(set), func(a, b *fleet.StartLogPage) int { return cmp.Compare(a.Name, b.Name) })
 }
--- a/internal/core/start_log_writes.go
+++ b/internal/core/start_log_writes.go
@@ -39,7 +39,7 @@
 
 func (w PutStartLogPage) rejected(e *Engine, now time.Time) { e.startLogPageRejected(now, w.Name) }
 
-// DeleteStartLogPage deletes a page of the start log on which nothing is left.
+// DeleteStartLogPage deletes a page of the start log without any attempts left.
 type DeleteStartLogPage struct {
 	Name    string
 	Version uint64
@@ -72,7 +72,7 @@
 func (w DeleteStartLogPage) rejected(e *Engine, now time.Time) { e.startLogPageRejected(now, w.Name) }
 
 // startLogPageRejected withdraws the starts that wait for a page of the start log which the store
-// won't take. They are placed again, on a page with less on it.
+// rejects. They are placed again, on a page with less on it.
 func (e *Engine) startLogPageRejected(now time.Time, name string) {
 	p := e.startLog.page(name)
 	if p == nil {
--- a/internal/core/start_waits.go
+++ b/internal/core/start_waits.go
@@ -8,7 +8,7 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// StartWait is how long the jobs of a team's class have waited for their first start in this
+// StartWait is how long the jobs of a team and class have waited for their first start in this
 // term.
 type StartWait struct {
 	Team, Class string
@@ -16,17 +16,18 @@
 	Mean, Max   time.Duration
 }
 
-// maxStartWaits bounds the classes that are told apart.
+// maxStartWaits bounds how many combinations of team and class are told apart; others aren't
+// counted.
 const maxStartWaits = 500
 
-// waitKey names what waits are kept by.
+// waitKey identifies a StartWait.
 type waitKey struct{ team, class string }
 
-// startWaits keeps the waits of jobs for their first start.
+// startWaits holds how long jobs have waited for their first start.
 type startWaits map[waitKey]*StartWait
 
-// note takes in the wait of a job of which the first task starts.
-func (w startWaits) note(j *pipeline.Job, wait time.Duration) {
+// record adds how long a job has waited whose first task starts.
+func (w startWaits) record(j *pipeline.Job, wait time.Duration) {
 	key := waitKey{j.Team, j.Class}
 	s := w[key]
 	if s == nil {
@@ -41,7 +42,7 @@
 	s.Max = max(s.Max, wait)
 }
 
-// list lists all by team and class.
+// list returns all waits, sorted by team and class.
 func (w startWaits) list() []StartWait {
 	out := make([]StartWait, 0, len(w))
 	for _, s := range w {
--- a/internal/core/warm_start.go
+++ b/internal/core/warm_start.go
@@ -8,25 +8,25 @@
 	"gingertally/internal/core/fleet"
 )
 
-// WarmStart brings a new leader the warm state of the leader before it, right after New and
-// before anything else. Confirmed says that the state is that leader's last one as far as
-// can be told, and recent: machines that sent it heartbeats are then expected to do so here,
-// and work is placed on those at once.
+// WarmStart brings a new leader the warm state of the previous one, right after New and before any
+// other event. Confirmed says that this state is recent and, as far as can be told, the previous
+// leader's last: machines that sent that leader heartbeats are then expected to send them to this
+// one, and work is placed on them at once.
 //
-// Where the start log, which New has read, and the warm state differ, the start log holds:
-// an attempt that only the warm state knows is nowhere, and a machine with an attempt that
-// only the start log knows is not expected but waited for as ever
-// (docs/design.md, safety argument 18; TestWarmStateProvesNothing).
+// Where the warm state differs from the start log, which New has read, the start log counts: an
+// attempt that only the warm state knows is taken to be nowhere, and a machine with an attempt that
+// only the start log knows isn't expected but waited for like after any takeover (docs/design.md,
+// safety argument 18; TestWarmStateProvesNothing).
 type WarmStart struct {
 	Records   []WarmRecord
 	Confirmed bool
 }
 
-// WarmOutcome counts what came of a warm start.
+// WarmOutcome counts the results of a warm start.
 type WarmOutcome struct {
 	Confirmed bool
 	Expected  int // machines on which work is placed before their first heartbeat
-	Differing int // machines of which the start log and the warm state tell different things
+	Differing int // machines on which the start log and the warm state disagree
 	Unstored  int // attempts that only the warm state knows
 	Unknown   int // attempts that only the start log knows
 }
@@ -42,16 +42,16 @@
 		case r.Attempt != nil:
 			s.attempts[fleet.TaskID{Ref: r.Attempt.Ref, Task: r.Attempt.Task}] = r.Attempt
 		case r.Class != nil:
-			s.takeClass(r.Class)
+			s.restoreClass(r.Class)
 		case r.Offer != nil:
-			s.takeOffer(r.Offer)
+			s.restoreOffer(r.Offer)
 		case r.Job != nil:
-			s.takeJob(r.Job)
+			s.restoreJob(r.Job)
 		}
 	}
 	s.compareAttempts()
 	for _, m := range machines {
-		s.takeMachine(m)
+		s.restoreMachine(m)
 	}
 	s.outcome.Differing = len(s.differing)
 	e.warmOutcome = s.outcome
@@ -61,20 +61,20 @@
 		slog.Int("attempts_unstored", s.outcome.Unstored), slog.Int("attempts_unknown", s.outcome.Unknown))
 }
 
-// WarmOutcome tells what came of the warm start of this term; all zero without one.
+// WarmOutcome returns the results of this term's warm start; all zero without one.
 func (e *Engine) WarmOutcome() WarmOutcome { return e.warmOutcome }
 
-// warmStart is a warm start under way.
+// warmStart is a warm start in progress.
 type warmStart struct {
 	engine    *Engine
 	now       time.Time
-	attempts  map[fleet.TaskID]*WarmAttempt // not found in the start log so far
+	attempts  map[fleet.TaskID]*WarmAttempt // of the warm state, not found in the start log so far
 	differing map[string]bool               // machines
 	outcome   WarmOutcome
 }
 
-// compareAttempts goes through what the start log says, decision by decision, and adds to it
-// since when each attempt has run.
+// compareAttempts compares the start log's attempts with those of the warm state, and takes over
+// since when they have run.
 func (s *warmStart) compareAttempts() {
 	e := s.engine
 	for m := range e.machines.all() {
@@ -90,16 +90,16 @@
 			if known.RunStartMS == 0 {
 				continue
 			}
-			a.RunStart = s.timeOf(known.RunStartMS)
+			a.RunStart = s.pastTime(known.RunStartMS)
 			e.jobs.get(task.Ref).Started = true
 		}
 	}
 	s.outcome.Unstored = len(s.attempts)
 }
 
-// timeOf is a time of the leader before, which is in the past here too, whatever the clocks
-// of the two nodes say.
-func (s *warmStart) timeOf(ms int64) time.Time {
+// pastTime returns a time recorded by the previous leader. It is never in the future, whatever the
+// clocks of the two nodes say.
+func (s *warmStart) pastTime(ms int64) time.Time {
 	t := time.UnixMilli(ms)
 	if t.After(s.now) {
 		return s.now
@@ -107,48 +107,48 @@
 	return t
 }
 
-// maxWarmWait bounds times that lie ahead, so that a wrong clock can't put anything off for
-// good.
-const maxWarmWait = 2 * time.Minute
+// maxRestoredWait bounds restored times that lie ahead, so that a wrong clock can't put anything
+// off for good.
+const maxRestoredWait = 2 * time.Minute
 
-// timeAhead is a time that the leader before has set for later.
-func (s *warmStart) timeAhead(ms int64) time.Time {
+// futureTime returns a time that the previous leader set for later, at most maxRestoredWait ahead.
+func (s *warmStart) futureTime(ms int64) time.Time {
 	t := time.UnixMilli(ms)
-	if latest := s.now.Add(maxWarmWait); t.After(latest) {
+	if latest := s.now.Add(maxRestoredWait); t.After(latest) {
 		return latest
 	}
 	return t
 }
 
-func (s *warmStart) takeClass(w *WarmClass) {
+func (s *warmStart) restoreClass(w *WarmClass) {
 	var lastAt time.Time
 	if w.LastArriveMS != 0 {
-		lastAt = s.timeOf(w.LastArriveMS)
+		lastAt = s.pastTime(w.LastArriveMS)
 	}
 	s.engine.classes.class(w.Name).restore(w, lastAt)
 	s.engine.warm.noteClass(w.Name)
 }
 
-func (s *warmStart) takeOffer(w *WarmOffer) {
+func (s *warmStart) restoreOffer(w *WarmOffer) {
 	o := fleet.PoolKey{Type: w.Type, Zone: w.Zone, Spot: w.Spot}
-	s.engine.plan.SetBackoff(o, capacity.Backoff{Until: s.timeAhead(w.UntilMS), Refusals: w.Refusals})
+	s.engine.plan.SetBackoff(o, capacity.Backoff{Until: s.futureTime(w.UntilMS), Refusals: w.Refusals})
 	s.engine.warm.noteOffer(o)
 }
 
-func (s *warmStart) takeJob(w *WarmJob) {
+func (s *warmStart) restoreJob(w *WarmJob) {
 	j := s.engine.jobs.get(w.Ref)
 	if j == nil {
 		return
 	}
 	for _, avoid := range w.Avoids {
-		j.AvoidUntil[avoid.Machine] = s.timeAhead(avoid.UntilMS)
+		j.AvoidUntil[avoid.Machine] = s.futureTime(avoid.UntilMS)
 	}
 	s.engine.warm.noteJob(w.Ref)
 }
 
-// takeMachine takes over what is known of a machine. One that the start log doesn't name is
-// taken in only if it is to be expected; else the cloud's list or its heartbeat will tell of it.
-func (s *warmStart) takeMachine(w *WarmMachine) {
+// restoreMachine takes over what is known of a machine. One that the start log doesn't name is
+// added only if it is to be expected; otherwise the cloud's list or its heartbeat will name it.
+func (s *warmStart) restoreMachine(w *WarmMachine) {
 	e := s.engine
 	m := e.machines.get(w.Name)
 	expected := s.outcome.Confirmed && w.Reporting && !w.Quarantined && !w.Draining && !s.differing[w.Name]
@@ -161,42 +161,42 @@
 	}
 	m.RestoreHistory(fleet.History{
 		Quarantined: w.Quarantined, Draining: w.Draining, ListedRunning: w.ListedRunning,
-		FirstSeen: s.timeOf(w.FirstSeenMS), IdleSince: s.timeOf(w.IdleSinceMS),
+		FirstSeen: s.pastTime(w.FirstSeenMS), IdleSince: s.pastTime(w.IdleSinceMS),
 		Failures: w.Failures, FailedJobs: w.FailedJobs,
 	})
-	s.takeImages(m, w.Images)
+	s.restoreImages(m, w.Images)
 	if expected {
-		e.expect(m)
+		e.expectHeartbeat(m)
 		s.outcome.Expected++
 	}
 	e.capacityChanged(m)
 }
 
-func (s *warmStart) takeImages(m *fleet.Machine, images []WarmImage) {
+func (s *warmStart) restoreImages(m *fleet.Machine, images []WarmImage) {
 	if len(images) == 0 {
 		return
 	}
 	known := make([]fleet.Image, len(images))
 	for i, image := range images {
-		known[i] = fleet.Image{Name: image.Name, GB: image.GB, Ready: s.timeAhead(image.ReadyMS)}
+		known[i] = fleet.Image{Name: image.Name, GB: image.GB, Ready: s.futureTime(image.ReadyMS)}
 	}
 	m.SetImages(known)
 	s.engine.imagesChanged(m)
 }
 
-// expect lets work be placed on a machine that hasn't sent a heartbeat under this term. The start
-// still leaves only in the answer to a heartbeat that proves the machine free of anything else, as
-// for all other machines.
-func (e *Engine) expect(m *fleet.Machine) {
+// expectHeartbeat lets work be placed on a machine that hasn't sent a heartbeat under this term. As
+// for all other machines, the start is sent only in the response to a heartbeat that proves the
+// machine free of anything else.
+func (e *Engine) expectHeartbeat(m *fleet.Machine) {
 	if m.ExpectHeartbeat() {
 		e.recovery.SetConfirmedByWarmState(m.Name, true)
 		e.capacityChanged(m)
 	}
 }
 
-// expectNoLonger gives up on a machine that was expected and hasn't sent a heartbeat for as long
-// as makes any machine unresponsive: what was placed there goes elsewhere.
-func (e *Engine) expectNoLonger(now time.Time, m *fleet.Machine) {
+// stopExpectingHeartbeat gives up on a machine that was expected and hasn't sent a heartbeat for as
+// long as makes any machine unresponsive. What was placed there goes elsewhere.
+func (e *Engine) stopExpectingHeartbeat(now time.Time, m *fleet.Machine) {
 	m.HeartbeatOverdue()
 	e.recovery.SetConfirmedByWarmState(m.Name, false)
 	e.capacityChanged(m)
--- a/internal/core/warm_start_test.go
+++ b/internal/core/warm_start_test.go
@@ -10,8 +10,8 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// warmBench is a leader whose changes of the warm state are noted.
-func warmBench(t *testing.T, term uint64, snap Snapshot) *harness {
+// newWarmHarness is a leader whose changes of the warm state are noted.
+func newWarmHarness(t *testing.T, term uint64, snap Snapshot) *harness {
 	cfg := testConfig()
 	cfg.WarmState = true
 	return newHarnessWith(t, cfg, term, snap)
@@ -40,11 +40,11 @@
 	return out
 }
 
-// takenOver is a leader of term 2 that has started j-1/0 on m-1, and has m-2 idle, and the
+// newWarmSuccessor is a leader of term 2 that has started j-1/0 on m-1, and has m-2 idle, and the
 // leader after it, which starts from the records and the warm state.
-func takenOver(t *testing.T, jobs []StoredJob, alter func(warmTable)) (next *harness, started fleet.Command) {
+func newWarmSuccessor(t *testing.T, jobs []StoredJob, alter func(warmTable)) (next *harness, started fleet.Command) {
 	t.Helper()
-	b := warmBench(t, 2, Snapshot{Jobs: jobs[:1]})
+	b := newWarmHarness(t, 2, Snapshot{Jobs: jobs[:1]})
 	b.up("m-1")
 	b.pass(6*time.Second, true)
 	s := starts(b.heartbeat("m-1", 2))
@@ -79,7 +79,7 @@
 // With a confirmed view, work is placed before anything is heard of, and its start goes with
 // the first answer after the one that gives the machine the new fencing token.
 func TestWarmStartPlacesAtOnce(t *testing.T) {
-	b, _ := takenOver(t, []StoredJob{job("j-1", 1), job("j-2", 2)}, nil)
+	b, _ := newWarmSuccessor(t, []StoredJob{job("j-1", 1), job("j-2", 2)}, nil)
 	if o := b.e.WarmOutcome(); o.Expected != 2 || o.Differing != 0 {
 		t.Fatalf("%+v", o)
 	}
@@ -104,7 +104,7 @@
 // proven gone, a machine that it tells otherwise of is waited for, and what only the warm
 // state knows is nowhere.
 func TestWarmStateProvesNothing(t *testing.T) {
-	b, c := takenOver(t, []StoredJob{job("j-1", 1), job("j-2", 40)}, func(state warmTable) {
+	b, c := newWarmSuccessor(t, []StoredJob{job("j-1", 1), job("j-2", 40)}, func(state warmTable) {
 		key := WarmKey{Kind: WarmAttemptKind, Name: "j-1"}
 		if state[key].Attempt == nil {
 			t.Fatal("the attempt isn't in the warm state")
@@ -138,7 +138,7 @@
 // What was placed on an expected machine that is never heard of goes elsewhere, and nothing has
 // been started twice: the start hasn't left.
 func TestExpectedMachineNeverHeardOf(t *testing.T) {
-	b, _ := takenOver(t, []StoredJob{job("j-1", 1), job("j-2", 14)}, nil)
+	b, _ := newWarmSuccessor(t, []StoredJob{job("j-1", 1), job("j-2", 14)}, nil)
 	b.pass(time.Second, true)
 	b.heartbeat("m-1", 2)
 	for range 8 {
@@ -160,7 +160,7 @@
 // refused offers, machines that a job avoids, and since when tasks run.
 func TestWarmStateIsTakenOver(t *testing.T) {
 	offer := fleet.PoolKey{Type: "big", Zone: "a"}
-	b, c := takenOver(t, []StoredJob{job("j-1", 1), job("j-2", 1)}, func(state warmTable) {
+	b, c := newWarmSuccessor(t, []StoredJob{job("j-1", 1), job("j-2", 1)}, func(state warmTable) {
 		for key, r := range state {
 			if r.Machine != nil && r.Machine.Name == "m-2" {
 				r.Machine.Quarantined = true
@@ -203,7 +203,7 @@
 // The records of the warm state follow every change: replayed one by one, they are what a
 // leader would tell of itself from the beginning.
 func TestWarmChangesAreComplete(t *testing.T) {
-	b := warmBench(t, 2, Snapshot{Jobs: []StoredJob{job("j-1", 6), job("j-2", 3)}})
+	b := newWarmHarness(t, 2, Snapshot{Jobs: []StoredJob{job("j-1", 6), job("j-2", 3)}})
 	state := warmTable{}
 	rng := rand.New(rand.NewPCG(4, 4))
 	machines := []string{"m-1", "m-2", "m-3"}
--- a/internal/core/warm_state.go
+++ b/internal/core/warm_state.go
@@ -10,12 +10,12 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// What a leader knows and the state service doesn't hold: the warm state. It is replicated
-// to the standbys as a table of small records that follows every change, so that the next
-// leader needn't learn it anew. It only saves time: no record of it proves anything gone or
-// stored (docs/design.md, "Warm standby").
+// The warm state is what a leader knows and the state service doesn't hold. It is replicated to the
+// standbys as a table of small records that follows every change, so that the next leader needn't
+// learn it anew. It only saves time: no record of it proves anything gone or stored
+// (docs/design.md, "Warm standby").
 
-// WarmKind is what a record of the warm state is about.
+// WarmKind is the kind of a record of the warm state.
 type WarmKind uint8
 
 // Kinds of records.
@@ -27,16 +27,16 @@
 	WarmJobKind
 )
 
-// WarmKey names a record of the warm state.
+// WarmKey identifies a record of the warm state.
 type WarmKey struct {
 	Kind WarmKind
-	Name string // of the machine, class or job; of an attempt or offer: see their fields
+	Name string // of the machine, class or job; of an attempt its job, of an offer its type
 	Task int    // of an attempt
-	Spot bool   // of an offer, with type and zone in Name and Zone
+	Spot bool   // of an offer
 	Zone string
 }
 
-// compareWarmKeys orders keys, so that equal states give equal streams.
+// compareWarmKeys compares keys in a fixed order, so that equal states give equal streams.
 func compareWarmKeys(a, b WarmKey) int {
 	spot := 0
 	if a.Spot != b.Spot {
@@ -85,7 +85,7 @@
 	RunStartMS int64  `cbor:"r,omitempty"` // 0: isn't known to have run
 }
 
-// WarmClass is what the leader has learnt of a class of jobs.
+// WarmClass is what the leader has learned about a class of jobs.
 type WarmClass struct {
 	Name         string         `cbor:"n"`
 	Runs         int            `cbor:"r,omitempty"`
@@ -95,7 +95,7 @@
 	Spec         *pipeline.Spec `cbor:"s,omitempty"`
 }
 
-// WarmOffer is an offer that the cloud has refused of late.
+// WarmOffer is an offer of machines that the cloud has refused recently.
 type WarmOffer struct {
 	Type     string `cbor:"t"`
 	Zone     string `cbor:"z"`
@@ -104,21 +104,21 @@
 	Refusals int    `cbor:"r"`
 }
 
-// WarmJob is on which machines a job has failed, and until when it avoids them.
+// WarmJob lists the machines on which a job has failed, and until when it avoids them.
 type WarmJob struct {
 	Ref    string      `cbor:"j"`
 	Avoids []WarmAvoid `cbor:"a"` // by machine
 }
 
-// WarmAvoid is until when a job avoids a machine.
+// WarmAvoid is a machine that a job avoids, and until when.
 type WarmAvoid struct {
 	_       struct{} `cbor:",toarray"`
 	Machine string
 	UntilMS int64
 }
 
-// WarmRecord is a record of the warm state. Exactly one of the pointers is set; none: there
-// is no such record any more.
+// WarmRecord is a record of the warm state. Exactly one of the pointers is set; if none is, the
+// record no longer exists.
 type WarmRecord struct {
 	Key     WarmKey
 	Machine *WarmMachine
@@ -128,35 +128,35 @@
 	Job     *WarmJob
 }
 
-// warmFeed notes which records of the warm state have changed since they were last asked
-// for. A nil feed notes nothing.
-type warmFeed struct{ changed map[WarmKey]bool }
+// warmChangeSet holds the keys of the records of the warm state that have changed since they were
+// last taken. A nil set keeps nothing.
+type warmChangeSet struct{ changed map[WarmKey]bool }
 
-func newWarmFeed() *warmFeed { return &warmFeed{changed: map[WarmKey]bool{}} }
+func newWarmChangeSet() *warmChangeSet { return &warmChangeSet{changed: map[WarmKey]bool{}} }
 
-func (f *warmFeed) note(key WarmKey) {
+func (f *warmChangeSet) note(key WarmKey) {
 	if f != nil {
 		f.changed[key] = true
 	}
 }
 
-func (f *warmFeed) noteMachine(name string) { f.note(WarmKey{Kind: WarmMachineKind, Name: name}) }
+func (f *warmChangeSet) noteMachine(name string) { f.note(WarmKey{Kind: WarmMachineKind, Name: name}) }
 
-func (f *warmFeed) noteAttempt(a *fleet.Attempt) {
+func (f *warmChangeSet) noteAttempt(a *fleet.Attempt) {
 	f.note(WarmKey{Kind: WarmAttemptKind, Name: a.Ref, Task: a.Task})
 }
 
-func (f *warmFeed) noteClass(name string) { f.note(WarmKey{Kind: WarmClassKind, Name: name}) }
+func (f *warmChangeSet) noteClass(name string) { f.note(WarmKey{Kind: WarmClassKind, Name: name}) }
 
-func (f *warmFeed) noteOffer(o fleet.PoolKey) {
+func (f *warmChangeSet) noteOffer(o fleet.PoolKey) {
 	f.note(WarmKey{Kind: WarmOfferKind, Name: o.Type, Zone: o.Zone, Spot: o.Spot})
 }
 
-func (f *warmFeed) noteJob(ref string) { f.note(WarmKey{Kind: WarmJobKind, Name: ref}) }
+func (f *warmChangeSet) noteJob(ref string) { f.note(WarmKey{Kind: WarmJobKind, Name: ref}) }
 
-// take returns the keys of what has changed, in a fixed order, at most so many; the rest is
-// left for the next time.
-func (f *warmFeed) take(limit int) []WarmKey {
+// take returns the keys of changed records in a fixed order, at most limit of them, and removes
+// them from the set.
+func (f *warmChangeSet) take(limit int) []WarmKey {
 	if f == nil || len(f.changed) == 0 {
 		return nil
 	}
@@ -168,8 +168,9 @@
 	return keys
 }
 
-// WarmChanges returns the records of the warm state that have changed since the last call,
-// at most so many at a time. It returns none unless Config.WarmState is set.
+// WarmChanges returns the records of the warm state that have changed since the last call, at most
+// limit of them; the rest is left for the next call. It returns none unless Config.WarmState is
+// set.
 func (e *Engine) WarmChanges(now time.Time, limit int) []WarmRecord {
 	var records []WarmRecord
 	for _, key := range e.warm.take(limit) {
@@ -178,7 +179,7 @@
 	return records
 }
 
-// warmRecord is a record as it is now.
+// warmRecord returns a record with its present content.
 func (e *Engine) warmRecord(now time.Time, key WarmKey) WarmRecord {
 	record := WarmRecord{Key: key}
 	switch key.Kind {
