--- a/internal/core/consolidate_test.go
+++ b/internal/core/consolidate_test.go
@@ -8,8 +8,8 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// A machine that has all running replicas of a service isn't emptied: they would all be
-// stopped by choice at once. With other jobs on it, it is.
+// Consolidation doesn't empty a machine that has all running replicas of a service, since it would
+// stop all of them at once. It does empty one with all tasks of an array.
 func TestServiceIsNotMovedAsAWhole(t *testing.T) {
 	for shape, want := range map[pipeline.Shape]bool{pipeline.Service: false, pipeline.Array: true} {
 		if got := emptiedWith(t, shape); got != want {
@@ -18,8 +18,8 @@
 	}
 }
 
-// emptiedWith reports whether a machine with two long tasks of a job is emptied, once
-// another machine in use has room for them.
+// emptiedWith reports whether consolidation empties a machine with two long tasks of a job of a
+// shape, once another machine in use has room for them.
 func emptiedWith(t *testing.T, shape pipeline.Shape) bool {
 	long, filler, other := job("j-1", 2), job("j-2", 1), job("j-3", 1)
 	long.Record.Spec.Shape, long.Record.Spec.CheckpointInterval, long.Record.Spec.Estimate = shape, time.Second, time.Hour
@@ -35,7 +35,7 @@
 	b.pass(6*time.Second, true)
 	onSecond := runAll(b.heartbeat("m-2", 2))
 	if len(onFirst) != 3 || len(onSecond) != 1 {
-		t.Fatalf("not placed as meant: %v and %v", onFirst, onSecond)
+		t.Fatalf("unexpected placement: %v and %v", onFirst, onSecond)
 	}
 	for i := range onFirst {
 		if onFirst[i].Ref == "j-2" {
--- a/internal/core/drain_bench_test.go
+++ b/internal/core/drain_bench_test.go
@@ -10,8 +10,9 @@
 	"gingertally/internal/drain"
 )
 
-// The cost of a tick with its round, and of a heartbeat, in a full fleet: with drains off, on, and
-// with all machines in a plan, a tenth of them cordoned and under budgets that let little go.
+// BenchmarkDrain measures a tick with its round, and a heartbeat, in a full fleet: with drains off,
+// with drains on, and with all machines in a plan and a tenth of them cordoned. The plan runs under
+// budgets that let little go, and without budgets.
 func BenchmarkDrain(b *testing.B) {
 	for _, machines := range []int{500, 4000} {
 		for _, mode := range []string{"off", "on", "plan of all", "plan of all, no budgets"} {
@@ -23,9 +24,9 @@
 				}
 			})
 			b.Run(fmt.Sprintf("report/%d/%s", machines, mode), func(b *testing.B) {
-				e, now, reports := drainedFleet(machines, mode)
+				e, now, heartbeats := drainedFleet(machines, mode)
 				for i := 0; b.Loop(); i++ {
-					r := &reports[i%machines]
+					r := &heartbeats[i%machines]
 					r.Sequence++
 					e.Step(now, HeartbeatReceived{*r})
 				}
@@ -34,7 +35,8 @@
 	}
 }
 
-// drainedFleet is a full fleet in one of the modes of BenchmarkDrain.
+// drainedFleet returns an engine with a full fleet in one of the modes of BenchmarkDrain, the time
+// that it has reached, and a heartbeat of each machine.
 func drainedFleet(machines int, mode string) (*Engine, time.Time, []fleet.Heartbeat) {
 	cfg := testConfig()
 	switch mode {
@@ -46,7 +48,7 @@
 		hourly := limit(func(b *drain.Budget) { b.WindowInterruptions, b.Window = 1, time.Hour })
 		cfg = drainTestConfig(map[drain.Scope]drain.Budget{{Team: "t"}: hourly})
 	}
-	e, now, reports := busyFleetWith(cfg, machines)
+	e, now, heartbeats := busyFleetWith(cfg, machines)
 	if strings.HasPrefix(mode, "plan of all") {
 		plan := drain.Plan{
 			ID: "all", Selector: drain.Selector{All: true}, MaxAtOnce: machines / 10,
@@ -62,5 +64,5 @@
 			e.Step(now, WritesFinished{Batch: batch, OK: true, Revision: 100})
 		}
 	}
-	return e, now, reports
+	return e, now, heartbeats
 }
--- a/internal/core/draining_test.go
+++ b/internal/core/draining_test.go
@@ -10,7 +10,7 @@
 	"gingertally/internal/drain"
 )
 
-// A drained machine is emptied and given back, and its work goes on elsewhere.
+// A drained machine is emptied and released, and its tasks run on elsewhere.
 func TestMachineIsDrained(t *testing.T) {
 	d := busyAndFree(t, drainTestConfig(nil), longJob("j-1", "t", 3))
 	d.drainMachine("m-1")
@@ -23,7 +23,8 @@
 	}
 }
 
-// Without a stored charge nothing is stopped; once the store takes it, it is.
+// Nothing is evicted while the store doesn't hold its charge: the next leader wouldn't know of the
+// interruption. Once the store takes charges, the machine is emptied.
 func TestNoEvictionWithoutStoredCharge(t *testing.T) {
 	d := busyAndFree(t, drainTestConfig(nil), longJob("j-1", "t", 2))
 	d.drainMachine("m-1")
@@ -39,15 +40,15 @@
 		t.Fatalf("%d evictions while the store takes no charge", d.evictions)
 	}
 	d.storeDown = false
-	d.bringUp("m-3") // the other has gone back for idleness
+	d.bringUp("m-3") // m-2 has been released, since it was idle
 	d.run(60 * time.Second)
 	if _, there := d.on["m-1"]; there {
 		t.Errorf("not emptied once the store is back: %+v", d.e.DrainStatus(d.now))
 	}
 }
 
-// The leader ends between charge and stop: the next one carries the eviction out, and charges
-// nothing again.
+// A leader ends between storing a charge and sending the stop. The next one carries the eviction
+// out, and must not charge it a second time.
 func TestNextLeaderSpendsTheCharge(t *testing.T) {
 	budgets := map[drain.Scope]drain.Budget{{Team: "t"}: limit(func(b *drain.Budget) { b.TaskInterruptions = 1 })}
 	d := busyAndFree(t, drainTestConfig(budgets), longJob("j-1", "t", 1))
@@ -74,9 +75,9 @@
 	}
 }
 
-// Two teams' budgets conflict on one machine: one service has nothing left, so the machine
-// can't be emptied. No work of the other team is interrupted for it, it goes on getting work,
-// and the status says whose budget it is.
+// Two teams have tasks on one machine, and a service of one of them has no interruption left, so
+// the machine can't be emptied. No task of the other team is interrupted in vain, the machine goes
+// on getting work, and the status says whose budget forbids the drain.
 func TestConflictingBudgets(t *testing.T) {
 	budgets := map[drain.Scope]drain.Budget{{Team: "u"}: limit(func(b *drain.Budget) { b.TaskInterruptions = 0 })}
 	stuck := longJob("j-2", "u", 1)
@@ -96,7 +97,7 @@
 	}
 }
 
-// A task that may not be interrupted and won't end before the plan's deadline: nothing else on its
+// A task may not be interrupted and won't end before the plan's deadline. Then no other task on its
 // machine is interrupted in vain.
 func TestDeadlineProtectsWork(t *testing.T) {
 	budgets := map[drain.Scope]drain.Budget{{Team: "u"}: limit(func(b *drain.Budget) { b.TaskInterruptions = 0 })}
@@ -116,7 +117,8 @@
 	}
 }
 
-// One may move only by night, the other only by day: each goes in its time.
+// Two tasks on one machine have closed windows that together cover the whole day. Each is evicted
+// outside its own window.
 func TestNightAndDay(t *testing.T) {
 	every := [7]bool{true, true, true, true, true, true, true}
 	begin := time.Unix(5000, 0).UTC()
@@ -134,15 +136,16 @@
 		d.run(3 * time.Second)
 	}
 	if d.evictions != 1 || d.runsOn("m-1") != 1 || d.on["m-1"][0].Ref != "j-1" {
-		t.Fatalf("before the change: %d evictions, %v, %+v", d.evictions, d.on, d.e.DrainStatus(d.now))
+		t.Fatalf("in the first window: %d evictions, %v, %+v", d.evictions, d.on, d.e.DrainStatus(d.now))
 	}
 	d.run(60 * time.Second)
 	if _, there := d.on["m-1"]; there || d.evictions != 2 {
-		t.Errorf("after it: %d evictions, %v", d.evictions, d.on)
+		t.Errorf("in the second window: %d evictions, %v", d.evictions, d.on)
 	}
 }
 
-// A gang is evicted once, and charged for all its tasks, though two of its machines are drained.
+// Two machines with tasks of one gang are drained. The gang is evicted once, and charged once for
+// each of its tasks.
 func TestGangIsChargedWhole(t *testing.T) {
 	gang := longJob("j-1", "t", 2)
 	gang.Record.Spec.Shape, gang.Record.Spec.CPUs = pipeline.Gang, 5
@@ -150,7 +153,7 @@
 	d.bringUp("m-1", "m-2")
 	d.run(15 * time.Second)
 	if d.runsOn("m-1") != 1 || d.runsOn("m-2") != 1 {
-		t.Fatalf("not placed as meant: %v", d.on)
+		t.Fatalf("unexpected placement: %v", d.on)
 	}
 	d.plan(drain.Plan{ID: "p", Selector: drain.Selector{All: true}, MaxAtOnce: 2, CreatedMS: d.now.UnixMilli()})
 	d.run(15 * time.Second)
@@ -164,14 +167,14 @@
 	}
 }
 
-// A cordoned machine gets no start, under this leader and under the next; a drained one that
-// turns up again, as listed late or by a late heartbeat, gets none either.
+// A cordoned machine gets no starts, neither under this leader nor under the next. A drained
+// machine that turns up again, in an old list or with a late heartbeat, gets none either.
 func TestNoStartOnDrainedMachine(t *testing.T) {
 	d := newWorld(t, drainTestConfig(nil), longJob("j-1", "t", 1))
 	d.bringUp("m-1")
 	d.run(12 * time.Second)
 	d.drainMachine("m-1")
-	d.run(6 * time.Second) // it has no room elsewhere, and stays
+	d.run(6 * time.Second) // its task has no room elsewhere, and stays
 	d.takeOver()
 	more := longJob("j-2", "t", 2)
 	d.jobs = append(d.jobs, more)
@@ -186,7 +189,7 @@
 		t.Fatalf("not emptied: %v", d.on)
 	}
 	d.takeOver()
-	d.on["m-1"] = nil // it is listed and sends heartbeats as if nothing had been
+	d.on["m-1"] = nil // it is listed and sends heartbeats as if it had never been drained
 	d.bringUp("m-1")
 	d.jobs = append(d.jobs, longJob("j-3", "t", 8))
 	d.step(JobStored{Job: d.jobs[2]})
@@ -202,7 +205,8 @@
 	}
 }
 
-// An eviction whose answer is lost is judged again, with the charge that it has.
+// A response with an eviction is lost. The eviction is judged and sent again, with the charge that
+// it already has.
 func TestLostEvictionIsJudgedAgain(t *testing.T) {
 	d := busyAndFree(t, drainTestConfig(nil), longJob("j-1", "t", 1))
 	d.drainMachine("m-1")
@@ -211,7 +215,7 @@
 		d.tick(3 * time.Second)
 		for _, c := range d.heartbeat("m-1", d.e.numbers.term, d.on["m-1"]...).Commands {
 			if c.Kind == fleet.Stop {
-				told++ // and the answer is lost
+				told++ // this response is lost
 			}
 		}
 		d.exchange("m-2")
@@ -221,7 +225,8 @@
 	}
 }
 
-// A plan that ends between charge and stop: the charge won't be spent, and is taken back.
+// A plan is cancelled between charge and stop. Its charge won't be used, and must be withdrawn so
+// that it doesn't count as an interruption.
 func TestUnspentChargeIsVoid(t *testing.T) {
 	d := busyAndFree(t, drainTestConfig(nil), longJob("j-1", "t", 1))
 	d.drainMachine("m-1")
@@ -237,7 +242,8 @@
 	}
 }
 
-// Preemption and lost machines aren't forbidden by a budget, and take from what it leaves.
+// Preemption and lost machines aren't forbidden by a budget, but count against it: after a machine
+// is lost, a drain finds that the only interruption is used up.
 func TestInvoluntaryTakesFromTheBudget(t *testing.T) {
 	budgets := map[drain.Scope]drain.Budget{{Team: "t"}: limit(func(b *drain.Budget) { b.TaskInterruptions = 1 })}
 	d := busyAndFree(t, drainTestConfig(budgets), longJob("j-1", "t", 1))
@@ -255,8 +261,8 @@
 	}
 }
 
-// The loss of an attempt of a gang that was given up for lost, and has turned up on a machine
-// that hung, doesn't end the attempt that took its place.
+// An attempt of a gang was given up for lost, and turns up again on a machine that hung. When it is
+// gone, the attempt that took its place must run on.
 func TestOldAttemptOfAGangEndsAlone(t *testing.T) {
 	gang := longJob("j-1", "t", 2)
 	gang.Record.Spec.Shape = pipeline.Gang
@@ -265,7 +271,7 @@
 	b.pass(6*time.Second, true)
 	on := runAll(b.heartbeat("m-1", 2))
 	if len(on) != 2 {
-		t.Fatalf("not placed as meant: %v", on)
+		t.Fatalf("unexpected placement: %v", on)
 	}
 	b.heartbeat("m-1", 2, on...)
 	b.up("m-2")
@@ -279,7 +285,7 @@
 	}
 }
 
-// A machine that is about to be drained is used only if nothing else has room: what is placed
+// A machine that is about to be drained is used only if nothing else has room, since what is placed
 // there would have to move again.
 func TestPlannedMachineIsUsedLast(t *testing.T) {
 	d := newWorld(t, drainTestConfig(nil), longJob("j-1", "t", 1))
@@ -306,7 +312,8 @@
 	}
 }
 
-// While a plan is paused nothing more is disrupted, and what is cordoned stays so.
+// While a plan is paused nothing more is evicted, and cordoned machines stay cordoned. Once it is
+// resumed, its machine is emptied.
 func TestPausedPlan(t *testing.T) {
 	d := newWorld(t, drainTestConfig(nil), longJob("j-1", "t", 2))
 	d.bringUp("m-1")
@@ -330,8 +337,8 @@
 	}
 }
 
-// Where nothing else has room, a machine like the drained one is requested first; it isn't given
-// back for idleness while the other is still there.
+// Where no other machine has room, a machine like the drained one is requested first. It isn't
+// released for being idle while the drained one still exists.
 func TestReplacementIsRequested(t *testing.T) {
 	d := newWorld(t, drainTestConfig(nil), longJob("j-1", "t", 2))
 	d.bringUp("m-1")
@@ -340,11 +347,11 @@
 	for i := 0; len(d.requests) == 0 && i < 20; i++ {
 		d.run(3 * time.Second)
 	}
-	asked := d.requests
-	if len(asked) != 1 || asked[0].Type != "big" || asked[0].Zone != "a" || asked[0].Count != 1 || d.evictions != 0 {
-		t.Fatalf("asked for %+v, %d evictions", asked, d.evictions)
+	requested := d.requests
+	if len(requested) != 1 || requested[0].Type != "big" || requested[0].Zone != "a" || requested[0].Count != 1 || d.evictions != 0 {
+		t.Fatalf("requested %+v, %d evictions", requested, d.evictions)
 	}
-	d.step(ScaleOutAnswered{Request: asked[0], Machines: []string{"m-2"}})
+	d.step(ScaleOutAnswered{Request: requested[0], Machines: []string{"m-2"}})
 	d.bringUp("m-2")
 	d.run(60 * time.Second)
 	if _, there := d.on["m-1"]; there || d.runsOn("m-2") != 2 {
@@ -352,7 +359,7 @@
 	}
 }
 
-// While a large part of the fleet sends no heartbeats, nothing is disrupted by choice.
+// While a large part of the fleet sends no heartbeats, drains interrupt nothing.
 func TestLostMachinesPauseDrains(t *testing.T) {
 	d := newWorld(t, drainTestConfig(nil), longJob("j-1", "t", 2))
 	d.bringUp("m-1")
@@ -361,7 +368,7 @@
 	d.run(3 * time.Second)
 	lost := []string{"m-4", "m-5"}
 	for _, name := range lost {
-		d.up(name) // and never again
+		d.up(name) // it sends no further heartbeats
 	}
 	d.run(15 * time.Second)
 	d.drainMachine("m-1")
@@ -371,7 +378,7 @@
 	}
 }
 
-// A replica isn't moved to a zone that may take no more of its service.
+// Consolidation doesn't move a replica to a zone that may take no more replicas of its service.
 func TestNoMoveToAFullZone(t *testing.T) {
 	service := longJob("j-1", "t", 2)
 	service.Record.Spec.Shape, service.Record.Spec.Spread = pipeline.Service, true
@@ -385,7 +392,7 @@
 	}
 	b.pass(6*time.Second, true)
 	if u := b.e.usage.ofJob("j-1"); u.zones["a"] != 1 || u.zones["b"] != 1 {
-		t.Fatalf("not placed as meant: %v", u.zones)
+		t.Fatalf("unexpected placement: %v", u.zones)
 	}
 	b.e.updateFreeCapacity(b.now)
 	plan := newConsolidation(b.now, b.e, &placement.Scorer{Now: b.now})
--- a/internal/core/fair_order_test.go
+++ b/internal/core/fair_order_test.go
@@ -10,8 +10,8 @@
 	"gingertally/internal/core/placement"
 )
 
-// newTwoTeamHarness is a leader with one machine of eight CPUs, a backlog of one team, and a single job
-// of another that came after all of it.
+// newTwoTeamHarness makes a leader with one machine of eight CPUs, a backlog of team "large", and a
+// single job of team "small" that was submitted after all of it.
 func newTwoTeamHarness(t *testing.T, order FairOrderChanged) *harness {
 	cfg := testConfig()
 	cfg.Teams = map[string]placement.Quota{"large": {}, "small": {}}
@@ -30,8 +30,9 @@
 	return b
 }
 
-// Under overload a small team's job doesn't wait behind the backlog of a large one of the same
-// urgency: it is among the first to be placed. Without, it comes last, as it came last.
+// Without fair order, a small team's job waits behind the backlog of a large team of the same
+// urgency, since it was submitted last. With it, as under overload, the job is among the first to
+// be placed.
 func TestFairOrder(t *testing.T) {
 	for _, on := range []bool{false, true} {
 		b := newTwoTeamHarness(t, FairOrderChanged{On: on})
@@ -42,8 +43,8 @@
 	}
 }
 
-// The order goes by weights, keeps each team's own order, loses nothing, and leaves urgency,
-// starving and failing jobs in their places.
+// With weights, fair order keeps each team's own order, loses no entry, and moves none past jobs of
+// another urgency or past starving jobs.
 func TestFairOrderKeepsAll(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -66,7 +67,7 @@
 		for i, entry := range out {
 			j := entry.Job
 			if j.Urgency != in[i].Job.Urgency || entry.starving != in[i].starving {
-				t.Fatalf("seed %d: place %d changed its stretch", seed, i)
+				t.Fatalf("seed %d: place %d has an entry of another group", seed, i)
 			}
 			if j.Ref < last[j.Team] {
 				t.Fatalf("seed %d: %s after %s of the same team", seed, j.Ref, last[j.Team])
--- a/internal/core/images_test.go
+++ b/internal/core/images_test.go
@@ -9,7 +9,7 @@
 	"gingertally/internal/core/fleet"
 )
 
-// imageJob is an array with an image that takes 20 s to fetch.
+// imageJob returns an array whose image takes 20 s to fetch, submitted so long ago.
 func imageJob(b *harness, ref, image string, tasks int, age time.Duration) JobStored {
 	j := job(ref, tasks)
 	j.Record.Spec.Image, j.Record.Spec.ImageGB, j.Record.Spec.Estimate = image, 20, 20*time.Second
@@ -17,9 +17,9 @@
 	return JobStored{j}
 }
 
-// A job that is nearly late once took places of machines that had the image of others:
-// on the fleet's rough days more than half of the places were fetching, and
-// nearly all jobs were late. Work whose image is there goes first.
+// A nearly late job could take places on machines that had the image of other jobs. On bad days
+// more than half of the places were fetching then, and nearly all jobs were late. Jobs whose image
+// is on the machine go first.
 func TestPlacesGoToWorkWithItsImageThere(t *testing.T) {
 	cfg := testConfig()
 	cfg.Objectives = map[string][]Objective{"c": {{Kind: FinishObjective, Within: time.Minute}}}
@@ -53,8 +53,8 @@
 	}
 }
 
-// Of arrays without their image anywhere, each first gets so many places as it
-// needs to be in time: the first in the order once took all, each with a fetch.
+// Of arrays whose image is on no machine, each first gets as many places as it needs to be in time.
+// Otherwise the first in the order takes all places, each with a fetch.
 func TestFirstWavesBeforeTheRest(t *testing.T) {
 	cfg := testConfig()
 	cfg.Objectives = map[string][]Objective{"c": {{Kind: FinishObjective, Within: 140 * time.Second}}}
@@ -72,8 +72,8 @@
 	}
 }
 
-// A machine gives a fetch up when no task waits for it. The image was once
-// believed there, and the next task placed for it waited for a whole fetch.
+// A machine gives a fetch up when no task waits for it. If the image counted as fetched all the
+// same, the next task placed for it would wait for a whole fetch.
 func TestFetchGivenUpIsForgotten(t *testing.T) {
 	b := newHarness(t, 2, Snapshot{})
 	b.e.Step(b.now, imageJob(b, "j-1", "x", 1, 0))
@@ -94,9 +94,8 @@
 	}
 }
 
-// A new leader once knew of no image anywhere, and on a fleet whose images take
-// 40 s had them fetched all over. It learns them from what machines run, and from
-// the image log, in which those that are gone are forgotten.
+// A new leader that knew of no images had them all fetched again, which took 40 s in one fleet. It
+// must learn them from running tasks and from the image log, which forgets machines that are gone.
 func TestImagesOutliveTheLeader(t *testing.T) {
 	b := newHarness(t, 2, Snapshot{})
 	b.e.Step(b.now, imageJob(b, "j-1", "x", 1, 0))
@@ -140,8 +139,8 @@
 	}
 }
 
-// A page of the image log must fit a value of the state service, which counts its
-// JSON form; one that doesn't would hold up the starts written with it.
+// A page of the image log must fit a value of the state service, which counts its JSON form. One
+// that doesn't would hold up the starts written with it.
 func TestImageRecordFits(t *testing.T) {
 	has := map[string][]fleet.Image{}
 	for m := range 100 {
@@ -172,13 +171,13 @@
 	}
 }
 
-// Jobs that come just after the first heartbeats of an idle fleet once waited for the
-// next ones, a whole heartbeat interval. While a leader is new its answers to empty
-// machines wait for a moment, but not for long, and not when it falls behind.
+// Jobs that arrive just after the first heartbeats of an idle fleet would wait a whole heartbeat
+// interval for the next ones. So a new leader holds its responses to empty machines for a moment,
+// but not for long, and not when it falls behind.
 func TestNewLeaderHoldsAnswers(t *testing.T) {
 	b := newHarness(t, 2, Snapshot{})
-	// The worker has served the leader before. The test once gave it this term's fencing token,
-	// which no worker can have before its first answer.
+	// The worker served the previous leader, and has its fencing token: no worker has this term's
+	// before the first response.
 	b.list("m-1")
 	r := heartbeatFrom("m-1", 1, 1)
 	b.e.Step(b.now, Tick{})
--- a/internal/core/priority_order_test.go
+++ b/internal/core/priority_order_test.go
@@ -8,9 +8,9 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// A gang that had missed its objective to start has a later one that it can still keep,
-// and so once waited for room to come by itself, for as long as that objective allowed.
-// By its age it comes before all others, and room is made for it at once.
+// A gang that has missed its objective for starting may still meet a later one. Going by that one
+// alone, it would wait for room to become free by itself for as long as the objective allows. Past
+// its starvation bound it comes before all others, and room is made for it at once.
 func TestStarvingGangMakesRoom(t *testing.T) {
 	cfg := testConfig()
 	cfg.Objectives = map[string][]Objective{"g": {{Kind: FinishObjective, Within: 400 * time.Second}}}
--- a/internal/core/starvation_bound_test.go
+++ b/internal/core/starvation_bound_test.go
@@ -7,9 +7,9 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// An old small job and a later, more urgent one that needs most of the only machine: what
-// the first is given isn't taken from it again, round after round, before it has left.
-// Without that neither started on a hunted day, for ten minutes.
+// An old small job and a later, more urgent one that needs most of the only machine: what the first
+// is given must not be taken from it again, round after round, before its start has left. In one
+// simulation neither started for ten minutes.
 func TestStarvingJobKeepsItsPlace(t *testing.T) {
 	old, urgent := job("j-1", 1), job("j-2", 1)
 	old.Record.Spec.CPUs, old.Record.Spec.Priority, old.Record.SubmittedMS = 4, pipeline.Normal, 4_700_000
@@ -22,7 +22,7 @@
 	for range 50 { // the store is slow: nothing can leave yet
 		b.now = b.now.Add(200 * time.Millisecond)
 		if preempted := b.e.Step(b.now, Tick{}).Preempted; len(preempted) > 0 {
-			t.Fatalf("taken again before it has left: %+v", preempted[0])
+			t.Fatalf("preempted before its start has left: %+v", preempted[0])
 		}
 	}
 	b.pass(time.Second, true)
--- a/internal/core/warm_start_test.go
+++ b/internal/core/warm_start_test.go
@@ -10,7 +10,7 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// newWarmHarness is a leader whose changes of the warm state are noted.
+// newWarmHarness makes a leader that records changes of the warm state.
 func newWarmHarness(t *testing.T, term uint64, snap Snapshot) *harness {
 	cfg := testConfig()
 	cfg.WarmState = true
@@ -20,6 +20,7 @@
 // warmTable is the warm state as a follower has it.
 type warmTable map[WarmKey]WarmRecord
 
+// take applies the engine's changes to the table.
 func (w warmTable) take(e *Engine, now time.Time) {
 	for records := e.WarmChanges(now, 10); len(records) > 0; records = e.WarmChanges(now, 10) {
 		for _, r := range records {
@@ -32,6 +33,7 @@
 	}
 }
 
+// records returns the table's records.
 func (w warmTable) records() []WarmRecord {
 	var out []WarmRecord
 	for _, r := range w {
@@ -40,8 +42,9 @@
 	return out
 }
 
-// newWarmSuccessor is a leader of term 2 that has started j-1/0 on m-1, and has m-2 idle, and the
-// leader after it, which starts from the records and the warm state.
+// newWarmSuccessor makes a leader of term 2 that has started j-1/0 on m-1 and has m-2 idle. It
+// returns the leader of term 3, which starts from the records and the warm state, and the command
+// that started j-1/0. The function alter, if any, changes the warm state before.
 func newWarmSuccessor(t *testing.T, jobs []StoredJob, alter func(warmTable)) (next *harness, started fleet.Command) {
 	t.Helper()
 	b := newWarmHarness(t, 2, Snapshot{Jobs: jobs[:1]})
@@ -76,8 +79,8 @@
 	return next, s[0]
 }
 
-// With a confirmed view, work is placed before anything is heard of, and its start goes with
-// the first answer after the one that gives the machine the new fencing token.
+// With a confirmed warm state, work is placed before any heartbeat, and its start goes with the
+// first response after the one that gives the machine the new fencing token.
 func TestWarmStartPlacesAtOnce(t *testing.T) {
 	b, _ := newWarmSuccessor(t, []StoredJob{job("j-1", 1), job("j-2", 2)}, nil)
 	if o := b.e.WarmOutcome(); o.Expected != 2 || o.Differing != 0 {
@@ -100,9 +103,9 @@
 	}
 }
 
-// Whatever the warm state says, an attempt that the start log names is on its machine until
-// proven gone, a machine that it tells otherwise of is waited for, and what only the warm
-// state knows is nowhere.
+// Warm state that is wrong must not have a task placed twice. An attempt that the start log names
+// is on its machine until proven gone, a machine of which the warm state says otherwise is waited
+// for, and an attempt that only the warm state knows is nowhere.
 func TestWarmStateProvesNothing(t *testing.T) {
 	b, c := newWarmSuccessor(t, []StoredJob{job("j-1", 1), job("j-2", 40)}, func(state warmTable) {
 		key := WarmKey{Kind: WarmAttemptKind, Name: "j-1"}
@@ -110,8 +113,8 @@
 			t.Fatal("the attempt isn't in the warm state")
 		}
 		delete(state, key) // as if the old leader had known it gone
-		ghost := WarmKey{Kind: WarmAttemptKind, Name: "j-2", Task: 7}
-		state[ghost] = WarmRecord{Key: ghost, Attempt: &WarmAttempt{
+		unstored := WarmKey{Kind: WarmAttemptKind, Name: "j-2", Task: 7}
+		state[unstored] = WarmRecord{Key: unstored, Attempt: &WarmAttempt{
 			Ref: "j-2", Task: 7, Number: 2<<attemptBits | 99, Machine: "m-2", RunStartMS: 1,
 		}}
 	})
@@ -120,10 +123,10 @@
 	}
 	b.pass(2*time.Second, true)
 	if n := b.e.jobs.get("j-1").Count(pipeline.Waiting); n != 0 {
-		t.Fatal("the task is placed again on the word of the warm state")
+		t.Fatal("the task was placed again because the warm state doesn't name its attempt")
 	}
 	if n := b.e.machines.get("m-1").ActiveAttempts(); n != 1 {
-		t.Fatalf("%d attempts on the machine of which the start log tells otherwise", n)
+		t.Fatalf("%d attempts on the machine on which start log and warm state disagree", n)
 	}
 	if n := b.e.machines.get("m-2").ActiveAttempts(); n != 8 {
 		t.Fatalf("%d attempts on the expected machine, which takes 8", n)
@@ -131,12 +134,12 @@
 	b.heartbeat("m-1", 2, running(c))
 	b.heartbeat("m-1", 3, running(c))
 	if a := b.e.machines.get("m-1").Attempt(fleet.TaskID{Ref: "j-1"}); a == nil || a.Number != c.Attempt {
-		t.Fatal("the attempt isn't taken up")
+		t.Fatal("the reported attempt isn't the known one")
 	}
 }
 
-// What was placed on an expected machine that is never heard of goes elsewhere, and nothing has
-// been started twice: the start hasn't left.
+// An expected machine never sends a heartbeat. What was placed there goes elsewhere, and nothing is
+// started twice, since the start hasn't been sent.
 func TestExpectedMachineNeverHeardOf(t *testing.T) {
 	b, _ := newWarmSuccessor(t, []StoredJob{job("j-1", 1), job("j-2", 14)}, nil)
 	b.pass(time.Second, true)
@@ -156,8 +159,8 @@
 	}
 }
 
-// What a leader has learnt outlives it: faulty machines, run times and arrivals of classes,
-// refused offers, machines that a job avoids, and since when tasks run.
+// What a leader has learned survives a takeover: faulty machines, run times and arrivals of
+// classes, refused offers, machines that a job avoids, and since when tasks run.
 func TestWarmStateIsTakenOver(t *testing.T) {
 	offer := fleet.PoolKey{Type: "big", Zone: "a"}
 	b, c := newWarmSuccessor(t, []StoredJob{job("j-1", 1), job("j-2", 1)}, func(state warmTable) {
@@ -200,8 +203,8 @@
 	}
 }
 
-// The records of the warm state follow every change: replayed one by one, they are what a
-// leader would tell of itself from the beginning.
+// The records of the warm state follow every change: applied one by one, they equal what the leader
+// would say of itself from the beginning.
 func TestWarmChangesAreComplete(t *testing.T) {
 	b := newWarmHarness(t, 2, Snapshot{Jobs: []StoredJob{job("j-1", 6), job("j-2", 3)}})
 	state := warmTable{}
@@ -223,7 +226,7 @@
 	}
 }
 
-// someFail has tasks fail by chance.
+// someFail makes running tasks fail at random.
 func someFail(rng *rand.Rand, tasks []fleet.TaskStatus) {
 	for i := range tasks {
 		if tasks[i].State == fleet.Running && rng.IntN(6) == 0 {
@@ -232,7 +235,7 @@
 	}
 }
 
-// obeyed is a worker's tasks after a command.
+// obeyed returns a worker's tasks after a command.
 func obeyed(tasks []fleet.TaskStatus, c fleet.Command) []fleet.TaskStatus {
 	switch c.Kind {
 	case fleet.Start:
@@ -243,7 +246,8 @@
 	return tasks
 }
 
-// compare holds the replicated records against what the engine would tell of itself now.
+// compare fails the test if the replicated records differ from what the engine would say of itself
+// now.
 func (w warmTable) compare(t *testing.T, e *Engine) {
 	t.Helper()
 	busy, attempts := 0, 0
@@ -262,8 +266,8 @@
 			continue
 		}
 		attempts++
-		if now := e.warmAttempt(fleet.TaskID{Ref: key.Name, Task: key.Task}); now == nil || *now != *r.Attempt {
-			t.Fatalf("%+v: replicated %+v, is %+v", key, r.Attempt, now)
+		if want := e.warmAttempt(fleet.TaskID{Ref: key.Name, Task: key.Task}); want == nil || *want != *r.Attempt {
+			t.Fatalf("%+v: replicated %+v, is %+v", key, r.Attempt, want)
 		}
 	}
 	if attempts != busy {
