--- a/internal/core/drain_round.go
+++ b/internal/core/drain_round.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// machinesComplete reports whether all existing machines are known: the cloud's list was read so
-// long after the start of this term that even the newest machine is on it.
+// machinesComplete reports whether all existing machines are known: the takeover is over, and the
+// cloud's list was read so long after the start of this term that even the newest machine is on it.
 func (e *Engine) machinesComplete(now time.Time) bool {
 	wait := 2*e.cfg.InstanceListLag + e.cfg.HeartbeatInterval
 	return e.machines.everListed() && e.machines.lastListed().Sub(e.started) > wait && e.settled(now)
@@ -89,9 +89,9 @@
 	}
 }
 
-// mayCordon returns whether it makes sense to cordon a machine now. It doesn't while a gang is
-// starting there, or if some of its tasks can't leave by the plan's deadline or have to wait long
-// for a closed window to end.
+// mayCordon returns whether it makes sense to cordon a machine now. The machine must be live and
+// not draining already, and no gang may be starting there. None of its tasks may be unable to leave
+// by the plan's deadline, or have to wait long for a closed window to end.
 func (e *Engine) mayCordon(now time.Time, m *fleet.Machine, deadline time.Time) drain.Verdict {
 	if m.State() != fleet.Live || m.Draining() {
 		return drain.Verdict{Kind: drain.NotYet, Cause: drain.CauseAwaitingHeartbeat}
@@ -198,7 +198,7 @@
 }
 
 // earliestLeave returns the earliest time at which a group may leave, as far as is known: when it
-// is expected to finish, or when its verdict allows it.
+// is expected to finish, unless it is a service, or when its verdict allows it.
 func (e *Engine) earliestLeave(now time.Time, g *evictionGroup, v drain.Verdict) time.Time {
 	allowed, ends := v.Until, e.expectedEnd(now, g.attempts[0])
 	switch {
--- a/internal/core/estimates.go
+++ b/internal/core/estimates.go
@@ -12,8 +12,9 @@
 const (
 	// defaultStartWithin is the time within which a job without objectives should start.
 	defaultStartWithin = 5 * time.Minute
-	// lateFactor multiplies the latest objective of a job that can't meet any objective: it counts
-	// as due only then. Jobs that can still meet one go first, but it isn't put off for good.
+	// lateFactor delays a job that can't meet any of its objectives: it counts as due at lateFactor
+	// times the latest of them. Jobs that can still meet one go first, but it isn't put off for
+	// good.
 	lateFactor = 2
 )
 
--- a/internal/core/fair_order.go
+++ b/internal/core/fair_order.go
@@ -32,8 +32,8 @@
 	used    float64 // dominant share over the team's weight, counting what is ordered already
 }
 
-// orderFairly reorders the entries within each group of neighbours whose order fairness between
-// teams decides. A team's own entries keep their order.
+// orderFairly reorders each run of adjacent entries that are equal in urgency, starvation and
+// repeated failure by fairness between teams. A team's own entries keep their order.
 func (e *Engine) orderFairly(out []prioritized) {
 	if !e.fairOrder.On {
 		return
@@ -94,7 +94,7 @@
 	return 1
 }
 
-// needOf returns what the waiting tasks of a job need, of so many at most.
+// needOf returns what the waiting tasks of a job need, at most limit of them.
 func needOf(j *pipeline.Job, limit int) fleet.Amount {
 	n := float64(min(limit, j.Count(pipeline.Waiting)))
 	return fleet.Amount{CPUs: n * j.CPUs, GPUs: n * j.GPUs, MemGB: n * j.MemGB}
--- a/internal/core/priority_order.go
+++ b/internal/core/priority_order.go
@@ -167,8 +167,7 @@
 // that it needs, divided by the number of machines that are up, which is taken to be at least
 // minFleetSize. When not all jobs can be in time, more of them are if the small ones go first. Size
 // counts less once the job has waited for sizePenaltyFade, and not at all after twice that. Of an
-// array past its starvation bound, one task in starvingDivisor and one more come before all other
-// work.
+// array past its starvation bound, one task and one in starvingDivisor come before all other work.
 const (
 	minFleetSize    = 36
 	sizePenaltyFade = 4 * time.Minute
--- a/internal/core/scale_in.go
+++ b/internal/core/scale_in.go
@@ -30,8 +30,7 @@
 // maxScaleIn is how many machines one request for release may name (PROTOCOL).
 const maxScaleIn = 100
 
-// recentClassWindow is how long after its latest job a class counts as one of which more jobs may
-// come.
+// recentClassWindow is how long after its latest job a class of jobs is expected to have more.
 const recentClassWindow = 4 * time.Minute
 
 // idleTimeoutUnused is how long an idle machine is kept that no recent class of jobs fits. Other
--- a/internal/core/warm_state.go
+++ b/internal/core/warm_state.go
@@ -56,7 +56,7 @@
 	Type          string      `cbor:"t"`
 	Zone          string      `cbor:"z"`
 	Spot          bool        `cbor:"p,omitempty"`
-	Reporting     bool        `cbor:"r,omitempty"` // live, and its answers arrive
+	Reporting     bool        `cbor:"r,omitempty"` // live, and responses reach it
 	Booting       bool        `cbor:"b,omitempty"`
 	Quarantined   bool        `cbor:"s,omitempty"`
 	Draining      bool        `cbor:"d,omitempty"`
