--- a/internal/core/image_log.go
+++ b/internal/core/image_log.go
@@ -83,12 +83,14 @@
 	}
 }
 
+// newPage adds an empty page.
 func (l *imageLog) newPage(name string) *imagePage {
 	p := &imagePage{name: name, machines: map[string]bool{}}
 	l.pages[name] = p
 	return p
 }
 
+// put puts a machine on a page.
 func (l *imageLog) put(machine string, p *imagePage) {
 	l.byMachine[machine] = p
 	p.machines[machine] = true
--- a/internal/core/warm_start_test.go
+++ b/internal/core/warm_start_test.go
@@ -134,7 +134,7 @@
 	b.heartbeat("m-1", 2, running(c))
 	b.heartbeat("m-1", 3, running(c))
 	if a := b.e.machines.get("m-1").Attempt(fleet.TaskID{Ref: "j-1"}); a == nil || a.Number != c.Attempt {
-		t.Fatal("the reported attempt isn't the known one")
+		t.Fatal("the reported attempt isn't known on its machine")
 	}
 }
 
--- a/internal/core/warm_state.go
+++ b/internal/core/warm_state.go
@@ -134,6 +134,7 @@
 
 func newWarmChangeSet() *warmChangeSet { return &warmChangeSet{changed: map[WarmKey]bool{}} }
 
+// note records that a record has changed.
 func (f *warmChangeSet) note(key WarmKey) {
 	if f != nil {
 		f.changed[key] = true
