--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -12,7 +12,7 @@
 	m.SetImages(e.images.takeInherited(m.Name))
 	e.recovery.AddUnrecordedMachine(m.Name)
 	e.capacityChanged(m)
-	e.drainMachineKnown(now, m)
+	e.drainMachineAdded(now, m)
 }
 
 // moveMachine changes the state of a known machine. No other function does. It returns false if
@@ -80,7 +80,7 @@
 		e.checkResponsiveness(now, m)
 		e.scaleInUnreachable(now, m)
 		if m.HeartbeatExpected() && now.Sub(m.LastHeartbeat()) > e.unresponsiveAfter() {
-			e.expectNoLonger(now, m)
+			e.stopExpectingHeartbeat(now, m)
 		}
 		switch {
 		case m.State() == fleet.Live && !m.ToBeReleased() && !m.OneWayLoss.Unreachable():
--- a/internal/core/placement_adapter.go
+++ b/internal/core/placement_adapter.go
@@ -46,7 +46,7 @@
 func (b *placementAdapter) ActiveAttempts(ref string) int { return b.engine.usage.ofJob(ref).active() }
 
 // EndOf implements placement.Cluster.
-func (b *placementAdapter) EndOf(a *fleet.Attempt) time.Time { return b.engine.endOf(b.now, a) }
+func (b *placementAdapter) EndOf(a *fleet.Attempt) time.Time { return b.engine.expectedEnd(b.now, a) }
 
 // NeedsCapacityBy implements placement.Cluster.
 func (b *placementAdapter) NeedsCapacityBy(j *pipeline.Job) time.Time {
