--- a/internal/drain/budget.go
+++ b/internal/drain/budget.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Unlimited is the value of a limit that bounds nothing.
+// Unlimited is the value of a limit that isn't set.
 const Unlimited = -1
 
 // Budget is the voluntary disruption that a team, or a class of a team's jobs, tolerates. A task
@@ -14,20 +14,20 @@
 type Budget struct {
 	// TaskInterruptions limits the interruptions of one task over its life, or is Unlimited.
 	TaskInterruptions int
-	// WindowInterruptions limits the interruptions of all tasks in scope within any time as long
-	// as Window, or is Unlimited.
+	// WindowInterruptions limits the interruptions of all tasks in scope within any period of
+	// length Window, or is Unlimited.
 	WindowInterruptions int
 	Window              time.Duration
 	// MaxUnavailable limits how many tasks of one job may be down at a time, or is Unlimited.
 	MaxUnavailable int
-	// Closed are times of day during which nothing in scope may be evicted.
+	// Closed holds the times of day during which nothing in scope may be evicted.
 	Closed []ClosedWindow
 	// FinishWait is how long tasks without checkpoints are left to finish by themselves before
-	// they are evicted; 0 stands for the policy's default.
+	// they are evicted; 0 means that this budget sets no wait.
 	FinishWait time.Duration
 }
 
-// NewBudget makes a budget that limits nothing.
+// NewBudget returns a budget that limits nothing.
 func NewBudget() Budget {
 	return Budget{TaskInterruptions: Unlimited, WindowInterruptions: Unlimited, MaxUnavailable: Unlimited}
 }
@@ -46,15 +46,15 @@
 	return s.Team + "/" + s.Class
 }
 
-// Compare orders scopes by their text, which is that of the team, then the class.
+// Compare orders scopes by the text that String returns.
 func (s Scope) Compare(o Scope) int { return strings.Compare(s.String(), o.String()) }
 
-// Policy holds the budgets of all scopes, and the defaults beside them.
+// Policy holds the budgets of all scopes and the settings that aren't specific to a scope.
 type Policy struct {
 	Budgets map[Scope]Budget
-	// FinishWait applies where no budget has a FinishWait of its own.
+	// FinishWait is the wait for tasks to which no budget with a FinishWait of its own applies.
 	FinishWait time.Duration
-	// Skew bounds how far a controller's time of day is off.
+	// Skew is the largest error of a controller's clock.
 	Skew time.Duration
 }
 
@@ -64,9 +64,9 @@
 	budget Budget
 }
 
-// applying returns the budgets that apply to a team's jobs of a class: the budget of the whole team
-// first. A job without a class is in the team's scope only, which counts once.
-func (p *Policy) applying(team, class string) []scopedBudget {
+// budgetsFor returns the budgets that apply to jobs of a team and class, that of the whole team
+// first. A job without a class is only in the team's scope, whose budget is returned once.
+func (p *Policy) budgetsFor(team, class string) []scopedBudget {
 	var out []scopedBudget
 	for _, scope := range []Scope{{Team: team}, {Team: team, Class: class}} {
 		budget, set := p.Budgets[scope]
@@ -77,13 +77,13 @@
 	return out
 }
 
-// Limits reports whether any budget applies to a team's jobs of a class.
-func (p *Policy) Limits(team, class string) bool { return len(p.applying(team, class)) > 0 }
+// Limits reports whether any budget applies to jobs of a team and class.
+func (p *Policy) Limits(team, class string) bool { return len(p.budgetsFor(team, class)) > 0 }
 
-// LimitsUnavailable reports whether any budget that applies to a team's jobs of a class limits how
+// LimitsUnavailable reports whether any budget that applies to jobs of a team and class limits how
 // many tasks of a job may be down at a time.
 func (p *Policy) LimitsUnavailable(team, class string) bool {
-	for _, b := range p.applying(team, class) {
+	for _, b := range p.budgetsFor(team, class) {
 		if b.budget.MaxUnavailable != Unlimited {
 			return true
 		}
@@ -91,7 +91,8 @@
 	return false
 }
 
-// longestWindow returns the longest window of all budgets: a charge older than that counts in none.
+// longestWindow returns the longest window of all budgets. An interruption that ended longer ago
+// than that, plus clockMargin, counts in no window.
 func (p *Policy) longestWindow() time.Duration {
 	longest := time.Duration(0)
 	for _, b := range p.Budgets {
@@ -100,8 +101,8 @@
 	return longest
 }
 
-// clockMargin returns how much longer than its window an interruption counts. The leader that
-// recorded it and the leader that judges by it may have clocks that are off in opposite directions.
+// clockMargin returns how much longer than the window's length an interruption counts. The clocks of
+// the leader that recorded it and of the leader that counts it may be off in opposite directions.
 func (p *Policy) clockMargin() time.Duration { return 2 * p.Skew }
 
 // finishWait returns how long a task without checkpoints is left to finish by itself: the longest
--- a/internal/drain/charge_index.go
+++ b/internal/drain/charge_index.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Totals count the interruptions of a team's jobs of a class that this leader knows of.
+// Totals holds how many interruptions of a scope's jobs this leader knows of, by kind.
 type Totals struct {
 	Voluntary   int `json:"voluntary"`
 	Involuntary int `json:"involuntary"`
@@ -49,7 +49,7 @@
 	}
 }
 
-// find returns the charge of an attempt; nil if it has none.
+// find returns the charge of an attempt, or nil if it has none.
 func (x *chargeIndex) find(task TaskKey, attempt uint64) *Charge {
 	for _, c := range x.byTask[task] {
 		if c.Attempt == attempt {
@@ -70,7 +70,7 @@
 	return n
 }
 
-// open lists the open charges by job, task and attempt.
+// open lists the open charges, sorted by job, task and attempt.
 func (x *chargeIndex) open() []*Charge {
 	var out []*Charge
 	for _, charges := range x.byTask {
@@ -90,7 +90,7 @@
 
 func (x *chargeIndex) tasks(job string) []int { return slices.Sorted(maps.Keys(x.tasksByJob[job])) }
 
-// jobFinished notes that the tasks of a job can't be interrupted again.
+// jobFinished records that the tasks of a job can't be interrupted again.
 func (x *chargeIndex) jobFinished(job string) {
 	if x.tasksByJob[job] != nil {
 		x.finishedJobs[job] = true
--- a/internal/drain/charge_page.go
+++ b/internal/drain/charge_page.go
@@ -12,7 +12,7 @@
 	EndMS   int64
 }
 
-// JobCharges are the charges of one job in a stored page.
+// JobCharges holds charges of one job in a stored page.
 type JobCharges struct {
 	_           struct{} `cbor:",toarray"`
 	Job         string
@@ -32,22 +32,21 @@
 	Record  ChargePage
 }
 
-// Upper bounds of the stored size, in the JSON form that the state service counts in: of a charge
-// without its names, and of a page without entries.
+// Upper bounds of stored sizes. The state service measures values in their JSON form.
 const (
-	chargeBytes = 84
-	pageBytes   = 24
+	chargeBytes = 84 // of a charge without its job, team and class
+	pageBytes   = 24 // of a page without entries, be it of charges or of machines
 )
 
-// bytes bounds what the charge takes of a page.
+// bytes returns an upper bound of the space that the charge takes on a page.
 func (c *Charge) bytes() int { return chargeBytes + len(c.Job) + len(c.Team) + len(c.Class) }
 
-// chargePage is one page of charges with the state of its writes.
+// chargePage is one page of charges and the state of its writes.
 type chargePage struct {
 	pageState
 	charges        []*Charge
-	chargesInWrite int         // how many of charges the write under way contains
-	writtenAfter   *chargePage // has to be stored before this page; nil: none
+	chargesInWrite int         // how many of charges, from the first, are in the write under way
+	writtenAfter   *chargePage // has to be stored before this page is written; nil: none
 }
 
 func newChargePage(name string) *chargePage {
@@ -67,7 +66,7 @@
 	p.bytes -= c.bytes()
 }
 
-// record returns the stored form of the page. Successive charges of a job share an entry.
+// record returns the stored form of the page. Consecutive charges of a job share a JobCharges.
 func (p *chargePage) record() ChargePage {
 	var out ChargePage
 	for _, c := range p.charges {
--- a/internal/drain/charge_pages.go
+++ b/internal/drain/charge_pages.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// prunePause is the time between two searches for pages that are no longer needed.
-const prunePause = 30 * time.Second
+// pruneInterval is the least time between two searches for obsolete pages.
+const pruneInterval = 30 * time.Second
 
 // chargePages divides the ledger's charges into pages that fit a value of the state service, and
 // keeps track of which pages have to be written.
 type chargePages struct {
-	newName   func() string // returns a name that no page has had
-	pageLimit func() int    // bytes that a page may have
+	newName   func() string // returns a page name that was never used before
+	pageLimit func() int    // returns how many bytes a page may have
 	byName    map[string]*chargePage
-	filling   *chargePage // takes new charges; nil: the next charge begins a page
+	filling   *chargePage // takes new charges; nil: the next charge starts a new page
 	dirty     map[*chargePage]bool
-	prunedAt  time.Time // when pages that are no longer needed were last searched for
+	prunedAt  time.Time // when obsolete pages were last searched for
 }
 
 func newChargePages(newName func() string, pageLimit func() int) chargePages {
@@ -29,15 +29,15 @@
 	}
 }
 
-// newPage makes an empty page.
+// newPage adds an empty page.
 func (s *chargePages) newPage(name string) *chargePage {
 	p := newChargePage(name)
 	s.byName[name] = p
 	return p
 }
 
-// append puts a new charge on the page that is being filled. A page whose write is under way takes
-// no more: the write wouldn't contain the charge.
+// append puts a new charge on the page that is being filled, or on a new page if that one is full or
+// its write is under way: that write wouldn't contain the charge.
 func (s *chargePages) append(c *Charge) {
 	if s.filling == nil || s.filling.writing || s.filling.bytes+c.bytes() > s.pageLimit() {
 		s.filling = s.newPage(s.newName())
@@ -46,10 +46,11 @@
 	s.dirty[s.filling] = true
 }
 
-// changed notes that the page of a charge has to be written.
+// changed marks the page of a charge as having to be written.
 func (s *chargePages) changed(c *Charge) { s.dirty[c.page] = true }
 
-// dirtyWrites lists writes of pages that have changed, by name and no more than the limit.
+// dirtyWrites lists the writes of changed pages that may start now, sorted by name and no more than
+// the limit.
 func (s *chargePages) dirtyWrites(limit int) []ChargePageWrite {
 	var due []*chargePage
 	for p := range s.dirty {
@@ -65,8 +66,8 @@
 	return out
 }
 
-// obsolete returns the first page by name of which no charge is needed any more; nil if there is
-// none.
+// obsolete returns the first page by name on which no charge is needed any more, or nil if there is
+// none. The page that is being filled and pages whose writes are under way don't count.
 func (s *chargePages) obsolete(needed func(*Charge) bool) *chargePage {
 	var first *chargePage
 	for _, p := range s.byName {
@@ -80,7 +81,7 @@
 	return first
 }
 
-// writeStarted notes that a write of a page is under way, with the charges that it has now.
+// writeStarted records that a write of a page is under way, with the charges that it has now.
 func (s *chargePages) writeStarted(name string) {
 	if p := s.byName[name]; p != nil {
 		p.writing, p.chargesInWrite = true, len(p.charges)
@@ -88,7 +89,8 @@
 	}
 }
 
-// written takes in that the state service holds a page as it was sent.
+// written records that the state service holds a page as it was sent: the charges in that write are
+// stored, and pages that had to be written after it may be written.
 func (s *chargePages) written(p *chargePage) {
 	for _, c := range p.charges[:p.chargesInWrite] {
 		c.stored = true
@@ -100,8 +102,9 @@
 	}
 }
 
-// split moves half of a page that the state service rejects to a new page. The new page is written
-// first, so that every charge is on a stored page at any time.
+// split moves half of the charges of a page that the state service has rejected to a new page. The
+// new page is written first, so that a stored charge is on some stored page at any time. A page with
+// a single charge is only marked to be written again.
 func (s *chargePages) split(name string) {
 	p := s.byName[name]
 	if p == nil {
--- a/internal/drain/closed_window.go
+++ b/internal/drain/closed_window.go
@@ -4,17 +4,17 @@
 
 // ClosedWindow is a time of day during which tasks must not be evicted, for example opening hours.
 type ClosedWindow struct {
-	Days     [7]bool       // on which weekdays it begins, by time.Weekday
+	Days     [7]bool       // weekdays on which the window begins, indexed by time.Weekday
 	From, To time.Duration // time of day; if To isn't after From, it is on the next day
 	Location *time.Location
 }
 
-// searchDays is how many days ahead an open time is searched for: more than a week, so that every
-// weekday is covered, whatever day the search begins on.
+// searchDays is how many days ahead openFrom searches: more than a week, so that every weekday is
+// covered, whatever day the search begins on.
 const searchDays = 9
 
-// startingOn returns the window that begins on the day of a moment or some days after it; ok is
-// false if none begins on that weekday.
+// startingOn returns the begin and end of the window that begins daysAfter days after the given day
+// in the window's time zone; ok is false if none begins on that weekday.
 func (w *ClosedWindow) startingOn(day time.Time, daysAfter int) (from, to time.Time, ok bool) {
 	local := day.In(w.Location)
 	year, month, date := local.Date()
@@ -29,15 +29,16 @@
 	return w.wallClock(year, month, first, w.From), w.wallClock(year, month, last, w.To), true
 }
 
-// wallClock returns the moment at which clocks at the window's location show a time of a day. It
-// isn't that much after midnight on days on which summer time begins or ends.
+// wallClock returns the time at which clocks at the window's location show the time of day at. On
+// days on which summer time begins or ends, adding at to midnight would be an hour off.
 func (w *ClosedWindow) wallClock(year int, month time.Month, day int, at time.Duration) time.Time {
 	hour, minute, second := at/time.Hour, at%time.Hour/time.Minute, at%time.Minute/time.Second
 	return time.Date(year, month, day, int(hour), int(minute), int(second), 0, w.Location)
 }
 
-// overlapping returns the end of the latest window that overlaps an interval; ok is false if none
-// does. The window may begin on the day before the interval, or on the day after its beginning.
+// overlapping returns the latest end of the windows that overlap an interval; ok is false if none
+// does. It considers the windows that begin on the day on which the interval begins, on the day
+// before and on the day after.
 func (w *ClosedWindow) overlapping(begin, end time.Time) (until time.Time, ok bool) {
 	for daysAfter := -1; daysAfter <= 1; daysAfter++ {
 		from, to, exists := w.startingOn(begin, daysAfter)
@@ -48,9 +49,9 @@
 	return until, ok
 }
 
-// openFrom returns the first moment, now or later, at which an eviction that takes a given time can
-// begin and end outside all windows, even if the clock is off by the skew; ok is false if there is
-// none within searchDays.
+// openFrom returns the earliest time, not before now, from which an eviction that takes the given
+// time begins and ends outside all windows, even if the clock is off by the skew; ok is false if
+// there is none within searchDays.
 func openFrom(windows []ClosedWindow, now time.Time, takes, skew time.Duration) (open time.Time, ok bool) {
 	latest := now.Add(searchDays * 24 * time.Hour)
 	for at := now; at.Before(latest); {
--- a/internal/drain/coordinator.go
+++ b/internal/drain/coordinator.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Coordinator is a leader's view of all plans for one term: which machines are to be cordoned next,
-// which are being drained, and how far each is.
+// Coordinator tracks all plans during one term of a leader: which machines are to be cordoned next,
+// which are being drained, and the state of each.
 type Coordinator struct {
 	Policy *Policy
 	Ledger *Ledger
@@ -18,15 +18,16 @@
 	Version uint64
 }
 
-// Stored is all that the state service holds of drains.
+// Stored holds everything about drains that the state service has.
 type Stored struct {
 	Plans    []StoredPlan
 	Machines []StoredMachines
 	Charges  []StoredCharges
 }
 
-// NewCoordinator goes on from what the state service holds. The function newName returns a name
-// that no page has had; pageLimit returns how many bytes a page may have.
+// NewCoordinator returns a coordinator that continues from what the state service holds. The function
+// newName returns a page name that was never used before; pageLimit returns how many bytes a page
+// may have.
 func NewCoordinator(
 	now time.Time, policy *Policy, stored Stored, newName func() string, pageLimit func() int,
 ) *Coordinator {
@@ -49,13 +50,13 @@
 		c.adopt(m)
 	}
 	for _, p := range c.plans.finished() {
-		c.scaleInMachines(p)
+		c.endPlan(p)
 	}
 	return c
 }
 
-// adopt takes a recovered machine into its plan's counts. One whose plan no longer exists, was
-// cancelled or is completed is no longer claimed.
+// adopt counts a recovered machine among those that its plan is draining, if it is. A machine whose
+// plan no longer exists, was cancelled or is completed is removed: no plan claims it any more.
 func (c *Coordinator) adopt(m *Machine) {
 	p := c.plans.byID[m.Plan]
 	switch {
@@ -66,9 +67,10 @@
 	}
 }
 
-// PlanStored takes in a plan's record as the state service holds it. It returns the machines that are
-// uncordoned thereby. If needsMachines is true, the caller has to Add all machines: the plan can
-// now say which of them it applies to.
+// PlanStored updates a plan to the record that the state service holds, unless this or a newer
+// version is known already. It returns the machines that are uncordoned as a result. If needsMachines
+// is true, the caller has to call MachineAdded for all machines: only now does the plan say to which
+// of them it applies.
 func (c *Coordinator) PlanStored(now time.Time, stored StoredPlan) (uncordoned []string, needsMachines bool) {
 	p := c.plans.byID[stored.Plan.ID]
 	if p != nil && stored.Version <= p.version {
@@ -77,15 +79,15 @@
 	needsMachines = stored.Plan.Through != "" && (p == nil || p.Through == "")
 	p = c.plans.put(now, stored)
 	if p.Phase.Final() {
-		uncordoned = c.scaleInMachines(p)
+		uncordoned = c.endPlan(p)
 	}
 	return uncordoned, needsMachines
 }
 
-// scaleInMachines ends the work of a plan that is over. Its queue is cleared and its machines are
-// uncordoned; if it has expired and says so, they stay cordoned instead. Machines that are empty
-// already go on to be scaled in.
-func (c *Coordinator) scaleInMachines(p *planProgress) (uncordoned []string) {
+// endPlan ends the work of a plan that is over: it clears the plan's queue, uncordons its machines
+// and returns them. If the plan has expired and has KeepCordoned set, its machines become Failed
+// instead and stay cordoned. Machines that are already empty are still scaled in.
+func (c *Coordinator) endPlan(p *planProgress) (uncordoned []string) {
 	p.queue.clear()
 	end := Uncordoned
 	if p.Phase == Expired && p.KeepCordoned {
@@ -102,10 +104,11 @@
 	return uncordoned
 }
 
-// Move changes a machine's state; false if its present state doesn't allow that.
+// Move changes a machine's state, or returns false if its present state doesn't allow that.
 func (c *Coordinator) Move(m *Machine, to MachineState) bool { return c.machines.move(m, to) }
 
-// MachineAdded tells of a machine that exists: it is queued for all plans that select it.
+// MachineAdded reports that a machine exists. It is queued for every unfinished plan that
+// selects it and hasn't claimed it yet.
 func (c *Coordinator) MachineAdded(id MachineID) {
 	for _, p := range c.plans.byAge {
 		if p.takesMachines() && !p.queue.queued[id.Name] && p.Selects(id) && !c.machines.claimed(id.Name, p.ID) {
@@ -114,7 +117,8 @@
 	}
 }
 
-// MachineRemoved tells that a machine no longer exists.
+// MachineRemoved reports that a machine no longer exists: it is taken out of all queues, and is
+// Released if a plan has claimed it.
 func (c *Coordinator) MachineRemoved(name string) {
 	if m := c.machines.byName[name]; m != nil {
 		c.machines.move(m, Released)
@@ -124,40 +128,43 @@
 	}
 }
 
-// Cordoned reports whether a machine gets no starts. One that was uncordoned here gets none until
-// the state service holds that, since a leader that takes over earlier would still find it cordoned.
+// Cordoned reports whether no task may be started on a machine. That holds for a machine that was
+// uncordoned until the state service has stored that, since a leader that takes over before would
+// still find it cordoned.
 func (c *Coordinator) Cordoned(name string) bool {
 	m := c.machines.byName[name]
 	return m != nil && m.state.cordoned() || c.machines.pages.mayBeStored(name)
 }
 
-// Emptied reports whether a machine was emptied: if it still exists, it has to be scaled in.
+// Emptied reports whether a plan has emptied a machine. If it still exists, it has to be scaled in.
 func (c *Coordinator) Emptied(name string) bool {
 	m := c.machines.byName[name]
 	return m != nil && (m.state == Empty || m.state == Released)
 }
 
-// Queued reports whether a machine is in the queue of a plan.
+// Queued reports whether a machine is in the queue of any plan.
 func (c *Coordinator) Queued(name string) bool { return c.plans.queued(name) }
 
-// Machine returns the machine of a name if a plan has claimed it, and else nil.
+// Machine returns the machine with a name, or nil if no plan has claimed it.
 func (c *Coordinator) Machine(name string) *Machine { return c.machines.byName[name] }
 
-// PlanPhase returns the phase of a machine's plan.
+// PlanPhase returns the phase of the plan that has claimed a machine.
 func (c *Coordinator) PlanPhase(m *Machine) Phase { return c.plans.byID[m.Plan].Phase }
 
-// Surge returns how many replacements a machine's plan may have created ahead.
+// Surge returns the Surge of the plan that has claimed a machine.
 func (c *Coordinator) Surge(m *Machine) int { return c.plans.byID[m.Plan].Surge }
 
-// PlanDeadline returns the deadline of a plan; zero if it has none.
+// PlanDeadline returns the deadline of a plan, or the zero time if it has none.
 func (c *Coordinator) PlanDeadline(plan string) time.Time { return c.plans.byID[plan].DeadlineAt() }
 
-// NextActive lists machines that are being drained, no more than the limit. Successive calls go
-// through all of them in turn.
+// NextActive returns machines that are being drained, no more than the limit. Successive calls go
+// through all of them round-robin.
 func (c *Coordinator) NextActive(limit int) []*Machine { return c.machines.nextActive(limit) }
 
-// NextToCordon proposes a machine to be cordoned, and the plan that it is for; both are empty if no plan
-// can take another machine now. The caller answers each proposal by Cordon or Defer.
+// NextToCordon proposes a machine to be cordoned, and the plan that it is for; both are empty if no
+// plan can take another machine now. The caller answers each proposal with Cordon, DeferMachine or,
+// if the machine no longer exists, MachineRemoved. A plan whose queue holds no machine that it could
+// claim is passed over for queueRetryInterval.
 func (c *Coordinator) NextToCordon(now time.Time) (name, plan string) {
 	for _, p := range c.plans.byAge {
 		hasRoom := c.machines.activeByPlan[p.ID] < p.MaxAtOnce
@@ -174,7 +181,7 @@
 	return "", ""
 }
 
-// Cordon has a plan claim the machine that was proposed for it.
+// Cordon claims a proposed machine for its plan and cordons it.
 func (c *Coordinator) Cordon(now time.Time, name, plan string) *Machine {
 	queue := &c.plans.byID[plan].queue
 	queue.deferredInRow = 0
@@ -182,8 +189,8 @@
 	return c.machines.cordon(now, name, plan)
 }
 
-// DeferMachine puts a machine behind all others of its plan, since it can't be emptied now. It may be one
-// that was proposed, or one that the plan has cordoned already.
+// DeferMachine puts a machine at the end of its plan's queue, since it can't be emptied now. It may
+// be one that was proposed, or one that the plan has cordoned already; that one is uncordoned.
 func (c *Coordinator) DeferMachine(now time.Time, name, plan string, reason Verdict) {
 	if m := c.machines.byName[name]; m != nil {
 		c.machines.move(m, Planned)
@@ -191,23 +198,24 @@
 	c.plans.byID[plan].queue.deferMachine(now, name, reason)
 }
 
-// MachinePageWrites lists writes of pages of machines that are due now, no more than the limit.
+// MachinePageWrites lists the writes of pages of machines that are due, no more than the limit.
 func (c *Coordinator) MachinePageWrites(limit int) []MachinePageWrite {
 	return c.machines.pages.writes(limit)
 }
 
-// Pending reports whether any page of machines or charges has changed since it was last written.
+// Pending reports whether any page of machines or charges has changed since its last write started,
+// or has to be written again.
 func (c *Coordinator) Pending() bool { return len(c.machines.pages.dirty) > 0 || c.Ledger.Pending() }
 
-// MachinePageWriteStarted notes that a write of a page of machines is under way.
+// MachinePageWriteStarted records that a write of a page of machines is under way.
 func (c *Coordinator) MachinePageWriteStarted(name string) { c.machines.pages.writeStarted(name) }
 
-// MachinePageRejected takes in that the state service rejects a page of machines whatever its version: it is
-// too large and is split in two.
+// MachinePageRejected splits a page of machines in two. The caller reports that the state service has
+// rejected it for a reason other than its version, which means that the page is too large.
 func (c *Coordinator) MachinePageRejected(name string) { c.machines.pages.split(name) }
 
-// MachinePageWritten takes in the outcome of a write of a page of machines, and returns the machines that the
-// stored page no longer names.
+// MachinePageWritten records the outcome of a write of a page of machines, and returns the machines
+// that the stored page no longer names.
 func (c *Coordinator) MachinePageWritten(name string, outcome PageWriteOutcome) []string {
 	return c.machines.pages.writeEnded(name, outcome)
 }
--- a/internal/drain/coordinator_test.go
+++ b/internal/drain/coordinator_test.go
@@ -308,8 +308,8 @@
 	leader *Coordinator
 }
 
-// smallPages is a limit of pages that fits a few charges.
-const smallPages = 1200
+// smallPageLimit is a limit of pages that fits a few charges.
+const smallPageLimit = 1200
 
 func (c *chargingLeaders) charge(attempt int) {
 	task := TaskKey{fmt.Sprintf("j-%d", c.rng.IntN(5)), c.rng.IntN(9)}
@@ -328,7 +328,7 @@
 	}
 }
 
-func (c *chargingLeaders) refuse() {
+func (c *chargingLeaders) rejectPage() {
 	for _, w := range c.leader.Ledger.Writes(c.now, 1) {
 		c.leader.Ledger.WriteStarted(w.Name)
 		c.leader.Ledger.PageRejected(w.Name)
@@ -336,7 +336,7 @@
 }
 
 func (c *chargingLeaders) takeOver(term int) {
-	c.leader = newTestCoordinator(c.now, c.store.stored(), term, smallPages)
+	c.leader = newTestCoordinator(c.now, c.store.stored(), term, smallPageLimit)
 	for task := range c.stored {
 		if charge := c.leader.Ledger.Find(task.TaskKey, task.Attempt); charge == nil || !charge.Stored() {
 			c.t.Fatalf("seed %d: the charge of %v is lost", c.seed, task)
@@ -360,7 +360,7 @@
 			case 3:
 				c.write()
 			case 4:
-				c.refuse()
+				c.rejectPage()
 			case 5:
 				c.takeOver(step + 2)
 			}
@@ -384,7 +384,7 @@
 	if open := l.OpenCharges(); len(open) != 1 {
 		t.Fatalf("%d open charges", len(open))
 	}
-	if n, _ := l.windows.use(Scope{Team: "red"}, time.Minute, testStart, nil); n != 1 {
+	if n, _ := l.windows.count(Scope{Team: "red"}, time.Minute, testStart, nil); n != 1 {
 		t.Errorf("counted %d times", n)
 	}
 	expect(t, "interrupted once", p.Judge(testStart, l, candidate("j-1", 0, 8)), NotYet, CauseTaskBudget)
--- a/internal/drain/ledger.go
+++ b/internal/drain/ledger.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Ledger records what interruptions are charged to. It is stored in pages that only the leader
-// writes, under its term, and a voluntary interruption may begin only once the page with its
-// charge is stored: a leader that ends in between leaves a charge too many, never one too few
-// (docs/draining.md, "Proof").
+// Ledger records the charges: the interruptions of tasks that count against budgets. It is stored in
+// pages that only the leader writes, under its term, and a voluntary interruption may begin only once
+// the page with its charge is stored: a leader that ends in between leaves a charge too many, never
+// one too few (docs/draining.md, "Proof").
 type Ledger struct {
 	policy  *Policy
 	pages   chargePages
@@ -14,14 +14,14 @@
 	totals  map[Scope]*Totals
 }
 
-// NewLedger makes an empty ledger. The function newName returns a name that no page has had;
-// pageLimit returns how many bytes a page may have.
+// NewLedger returns an empty ledger. The function newName returns a page name that was never used
+// before; pageLimit returns how many bytes a page may have.
 func NewLedger(policy *Policy, newName func() string, pageLimit func() int) *Ledger {
 	return &Ledger{policy: policy, pages: newChargePages(newName, pageLimit), index: newChargeIndex(),
 		windows: newBudgetWindows(policy), totals: map[Scope]*Totals{}}
 }
 
-// Recover takes in a page that the state service holds.
+// Recover adds the charges of a page that the state service holds.
 func (l *Ledger) Recover(stored StoredCharges) {
 	p := l.pages.newPage(stored.Name)
 	p.version = stored.Version
@@ -33,8 +33,9 @@
 	}
 }
 
-// recoverCharge takes in a charge of a stored page. Two pages have the same charge if a leader
-// ended after it split a page and before both halves were written; then the first one stands.
+// recoverCharge adds a charge of a stored page. Two pages have the same charge if a leader split a
+// page and ended before it had written both halves. Then the charge stays on the page that was
+// recovered first, and the other page has to be written without it.
 func (l *Ledger) recoverCharge(p *chargePage, c *Charge) {
 	if known := l.Find(c.TaskKey, c.Attempt); known != nil {
 		l.merge(known, c)
@@ -45,8 +46,8 @@
 	l.add(c)
 }
 
-// merge combines a charge with its duplicate on another page. If either is open the result is, and
-// else it has the later end: that counts the interruption for the longer time.
+// merge combines a charge with its duplicate on another page. If either is open, so is the result;
+// else it has the later end. Either way the interruption counts for the longer time.
 func (l *Ledger) merge(c, duplicate *Charge) {
 	end := max(c.EndMS, duplicate.EndMS)
 	if c.Open() || duplicate.Open() {
@@ -58,7 +59,7 @@
 	}
 }
 
-// add counts a charge.
+// add adds a charge to the index, the windows and the totals.
 func (l *Ledger) add(c *Charge) {
 	l.index.add(c)
 	l.windows.add(c)
@@ -73,8 +74,8 @@
 	}
 }
 
-// Charge charges an interruption of an attempt. An attempt is interrupted once: if it has a charge
-// already, that one is used.
+// Charge charges an interruption of an attempt and returns the charge. An attempt is interrupted only
+// once: if it has a charge already, that one is returned, reopened if it had ended.
 func (l *Ledger) Charge(now time.Time, team, class string, task TaskKey, attempt uint64, kind InterruptionKind) *Charge {
 	if c := l.Find(task, attempt); c != nil {
 		l.reopen(now, c)
@@ -86,8 +87,8 @@
 	return c
 }
 
-// reopen opens the charge of an attempt that was taken for gone and has turned up again. What is
-// stored says that it has ended, so it has to be stored again.
+// reopen opens the charge of an attempt that was taken for gone and has turned up again. The state
+// service may hold it as ended, so it has to be stored again.
 func (l *Ledger) reopen(now time.Time, c *Charge) {
 	if !c.Open() {
 		c.AtMS, c.EndMS, c.stored = now.UnixMilli(), 0, false
@@ -95,10 +96,10 @@
 	}
 }
 
-// Find returns the charge of an attempt; nil if it has none.
+// Find returns the charge of an attempt, or nil if it has none.
 func (l *Ledger) Find(task TaskKey, attempt uint64) *Charge { return l.index.find(task, attempt) }
 
-// End notes that an attempt is known to be gone, and ends its charge if it has one.
+// End records that an attempt is known to be gone, and ends its charge if it has an open one.
 func (l *Ledger) End(now time.Time, task TaskKey, attempt uint64) {
 	if c := l.Find(task, attempt); c != nil && c.Open() {
 		c.EndMS = now.UnixMilli()
@@ -106,8 +107,9 @@
 	}
 }
 
-// Withdraw withdraws a voluntary charge that certainly won't be used: no leader can stop the attempt
-// on its account any more. While its page is being written it can't be withdrawn.
+// Withdraw removes the open voluntary charge of an attempt, if it has one. The caller has made sure
+// that no leader can still stop the attempt because of that charge. Withdraw does nothing while the
+// charge's page is being written.
 func (l *Ledger) Withdraw(task TaskKey, attempt uint64) {
 	c := l.Find(task, attempt)
 	if c == nil || !c.Open() || c.Kind != Voluntary || c.page.writing {
@@ -120,23 +122,24 @@
 	l.index.remove(c)
 }
 
-// OpenCharges lists the charges of attempts that aren't known to be gone, by job and task.
+// OpenCharges lists the charges of attempts that aren't known to be gone, sorted by job, task and
+// attempt.
 func (l *Ledger) OpenCharges() []*Charge { return l.index.open() }
 
-// ChargedTasks lists the tasks of a job that have charges.
+// ChargedTasks lists the tasks of a job that have charges, in order.
 func (l *Ledger) ChargedTasks(job string) []int { return l.index.tasks(job) }
 
-// ChargedJobs lists the jobs that have charges.
+// ChargedJobs lists the jobs that have charges, in order.
 func (l *Ledger) ChargedJobs() []string { return l.index.jobs() }
 
-// JobFinished notes that a job is over: its tasks can't be interrupted again.
+// JobFinished records that a job is over: its tasks can't be interrupted again.
 func (l *Ledger) JobFinished(job string) { l.index.jobFinished(job) }
 
-// Writes lists writes of pages that are due now, no more than the limit. Once in a while, if
-// nothing else is to be written, a page is deleted that is no longer needed.
+// Writes lists the writes of pages that are due now, no more than the limit. If there are none, it
+// searches for an obsolete page to delete instead, at most once per pruneInterval.
 func (l *Ledger) Writes(now time.Time, limit int) []ChargePageWrite {
 	out := l.pages.dirtyWrites(limit)
-	if len(out) > 0 || limit <= 0 || now.Sub(l.pages.prunedAt) < prunePause {
+	if len(out) > 0 || limit <= 0 || now.Sub(l.pages.prunedAt) < pruneInterval {
 		return out
 	}
 	l.pages.prunedAt = now
@@ -152,13 +155,14 @@
 	return c.Open() || !l.index.finishedJobs[c.Job] || now.Before(l.windows.leavesAt(c, l.policy.longestWindow()))
 }
 
-// Pending reports whether any page has changed since it was last written.
+// Pending reports whether any page has changed since its last write started, or has to be written
+// again.
 func (l *Ledger) Pending() bool { return len(l.pages.dirty) > 0 }
 
-// WriteStarted notes that a write of a page is under way.
+// WriteStarted records that a write of a page is under way.
 func (l *Ledger) WriteStarted(name string) { l.pages.writeStarted(name) }
 
-// Written takes in the outcome of a write of a page.
+// Written records the outcome of a write of a page.
 func (l *Ledger) Written(w ChargePageWrite, outcome PageWriteOutcome) {
 	p := l.pages.byName[w.Name]
 	if p == nil {
@@ -168,7 +172,7 @@
 	switch {
 	case w.Delete && outcome.OK:
 		l.forget(p)
-	case w.Delete: // the next search for pages that are no longer needed finds it again
+	case w.Delete: // the next search for obsolete pages finds it again
 	case outcome.OK:
 		l.pages.written(p)
 	default:
@@ -176,11 +180,11 @@
 	}
 }
 
-// PageRejected takes in that the state service rejects a page whatever its version: it is too large and
-// is split in two.
+// PageRejected splits a page in two. The caller reports that the state service has rejected it for a
+// reason other than its version, which means that the page is too large.
 func (l *Ledger) PageRejected(name string) { l.pages.split(name) }
 
-// forget removes a page that the state service no longer holds.
+// forget removes a page that the state service no longer holds, with its charges.
 func (l *Ledger) forget(p *chargePage) {
 	delete(l.pages.byName, p.name)
 	for _, c := range p.charges {
--- a/internal/drain/machine.go
+++ b/internal/drain/machine.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// MachineState says how far a machine of a plan is.
+// MachineState is the progress of a machine in a plan.
 type MachineState uint8
 
 // States of a machine in a plan.
 const (
 	Planned    MachineState = iota // in the plan's queue
-	Cordoned                       // gets no more starts
-	Replacing                      // waits until a replacement has been created and has booted
-	Emptying                       // its tasks finish or are evicted
+	Cordoned                       // no more tasks are started on it
+	Replacing                      // waits for a replacement to be created and to boot
+	Emptying                       // waits for its tasks to finish or to be evicted
 	Empty                          // has no tasks any more and will be scaled in
 	Released                       // no longer exists
 	Uncordoned                     // the plan was cancelled, or its deadline has passed
@@ -24,11 +24,11 @@
 	"planned", "cordoned", "replacing", "emptying", "empty", "released", "uncordoned", "failed",
 }
 
-// String returns the state's name, as operators see it.
+// String returns the state's name as shown to operators.
 func (s MachineState) String() string { return machineStateNames[s] }
 
-// machineChanges lists the states that may follow each state.
-var machineChanges = map[MachineState][]MachineState{
+// machineTransitions lists, for each state, the states that may follow it.
+var machineTransitions = map[MachineState][]MachineState{
 	Planned:   {Cordoned, Released, Uncordoned, Failed},
 	Cordoned:  {Planned, Replacing, Emptying, Empty, Released, Uncordoned, Failed},
 	Replacing: {Planned, Cordoned, Emptying, Empty, Released, Uncordoned, Failed},
@@ -42,29 +42,29 @@
 	Name, Plan string
 	CordonedAt time.Time // when it was cordoned
 	Verdict    Verdict   // why it isn't empty yet
-	Checked    time.Time // when it was last looked at
+	Checked    time.Time // when it was last examined
 
 	state  MachineState
-	stored MachineState // the state that the state service is known to hold
+	stored MachineState // the state that the state service is known to hold; Planned if it holds none
 	page   *machinePage // nil: it is on no page
 }
 
 // State returns the machine's state.
 func (m *Machine) State() MachineState { return m.state }
 
-// CordonStored reports whether the state service is known to hold that the machine is cordoned.
+// CordonStored reports whether the state service is known to hold the machine as cordoned.
 func (m *Machine) CordonStored() bool { return m.stored.cordoned() }
 
-// cordoned reports whether a machine in this state gets no starts.
+// cordoned reports whether no tasks are started on a machine in this state.
 func (s MachineState) cordoned() bool { return s != Planned && s != Uncordoned }
 
 // active reports whether a machine in this state counts against its plan's MaxAtOnce.
 func (s MachineState) active() bool { return s >= Cordoned && s <= Empty }
 
-// move changes the machine's state, unless the present state doesn't allow that; then it returns
-// false. No other function changes it.
+// move changes the machine's state, or returns false if the present state doesn't allow that. The
+// state is changed in no other way.
 func (m *Machine) move(to MachineState) bool {
-	if !slices.Contains(machineChanges[m.state], to) {
+	if !slices.Contains(machineTransitions[m.state], to) {
 		return false
 	}
 	m.state = to
--- a/internal/drain/machine_page.go
+++ b/internal/drain/machine_page.go
@@ -5,14 +5,13 @@
 	"strings"
 )
 
-// MachineEntry is one machine in a stored page. Machines that are only planned, or were uncordoned,
-// have none.
+// MachineEntry is one machine in a stored page. Machines that are Planned or Uncordoned have none.
 type MachineEntry struct {
 	_       struct{} `cbor:",toarray"`
 	Name    string
 	Plan    string
 	State   MachineState
-	SinceMS int64
+	SinceMS int64 // when the machine was cordoned, in Unix milliseconds
 }
 
 // MachinePage is the stored form of one page of machines.
@@ -27,24 +26,25 @@
 	Record  MachinePage
 }
 
-// entryBytes is an upper bound of the stored size of an entry without its names, in the JSON form
-// that the state service counts in.
+// entryBytes is an upper bound of the stored size of an entry without the names of its machine and
+// plan. The state service measures values in their JSON form.
 const entryBytes = 28
 
-// bytes bounds what the machine takes of a page.
+// bytes returns an upper bound of the space that the machine takes on a page.
 func (m *Machine) bytes() int { return entryBytes + len(m.Name) + len(m.Plan) }
 
-// machinePage is one page of machines with the state of its writes.
+// machinePage is one page of machines and the state of its writes.
 type machinePage struct {
 	pageState
 	machines      map[*Machine]bool
 	mayExist      bool                      // the state service may hold the page
-	statesInWrite map[*Machine]MachineState // what the write under way contains
-	// removed are machines that were taken off the page and that the stored page may still name,
-	// in the order of their removal. The write under way is without the first removedInWrite.
+	statesInWrite map[*Machine]MachineState // the states that the write under way contains
+	// removed holds the machines that were taken off the page and that the stored page may still
+	// name, in the order of their removal. The write under way lacks the first removedInWrite of
+	// them.
 	removed        []string
 	removedInWrite int
-	writtenAfter   *machinePage // has to be stored before this page; nil: none
+	writtenAfter   *machinePage // has to be stored before this page is written; nil: none
 }
 
 // add puts a machine on the page.
--- a/internal/drain/machine_pages.go
+++ b/internal/drain/machine_pages.go
@@ -5,13 +5,13 @@
 // machinePages divides the machines of plans into pages that fit a value of the state service, and
 // keeps track of which pages have to be written. Only the leader writes them, under its term.
 type machinePages struct {
-	newName   func() string // returns a name that no page has had
-	pageLimit func() int    // bytes that a page may have
+	newName   func() string // returns a page name that was never used before
+	pageLimit func() int    // returns how many bytes a page may have
 	byName    map[string]*machinePage
-	filling   *machinePage // takes new machines; nil: the next machine begins a page
+	filling   *machinePage // takes new machines; nil: the next machine starts a new page
 	dirty     map[*machinePage]bool
-	// removed counts, by machine, the pages that it was taken off and that may still name it in
-	// the state service.
+	// removed holds, by machine, the number of pages that it was taken off and whose stored form
+	// may still name it.
 	removed map[string]int
 }
 
@@ -20,14 +20,14 @@
 		dirty: map[*machinePage]bool{}, removed: map[string]int{}}
 }
 
-// newPage makes an empty page.
+// newPage adds an empty page.
 func (s *machinePages) newPage(name string) *machinePage {
 	p := &machinePage{pageState: pageState{name: name, bytes: pageBytes}, machines: map[*Machine]bool{}}
 	s.byName[name] = p
 	return p
 }
 
-// recover takes in a page that the state service holds, and returns its machines.
+// recover adds a page that the state service holds, and returns its machines.
 func (s *machinePages) recover(stored StoredMachines) []*Machine {
 	p := s.newPage(stored.Name)
 	p.mayExist, p.version = true, stored.Version
@@ -40,7 +40,8 @@
 	return out
 }
 
-// changed notes that a machine's state has to be written.
+// changed marks a machine's page as having to be written. A machine that is on no page is put on the
+// one that is being filled.
 func (s *machinePages) changed(m *Machine) {
 	if m.page == nil {
 		if s.filling == nil || s.filling.bytes+m.bytes() > s.pageLimit() {
@@ -51,7 +52,8 @@
 	s.dirty[m.page] = true
 }
 
-// remove takes a machine off its page. Until that is stored, the next leader may still find it there.
+// remove takes a machine off its page. Until the page is written without it, a new leader may still
+// find it there.
 func (s *machinePages) remove(m *Machine) {
 	p := m.page
 	if p == nil {
@@ -66,11 +68,11 @@
 	m.page, m.stored = nil, Planned
 }
 
-// mayBeStored reports whether a machine was taken off a page that may still name it in the state
-// service.
+// mayBeStored reports whether a machine was taken off a page whose stored form may still name it.
 func (s *machinePages) mayBeStored(machine string) bool { return s.removed[machine] > 0 }
 
-// writes lists writes of pages that have changed, by name and no more than the limit.
+// writes lists the writes of changed pages that may start now, sorted by name and no more than the
+// limit. A page without machines is deleted if it may exist.
 func (s *machinePages) writes(limit int) []MachinePageWrite {
 	var names []string
 	for p := range s.dirty {
@@ -91,7 +93,8 @@
 	return out
 }
 
-// writeStarted notes that a write of a page is under way, with the states that its machines have now.
+// writeStarted records that a write of a page is under way, with the states that its machines have
+// now.
 func (s *machinePages) writeStarted(name string) {
 	p := s.byName[name]
 	if p == nil {
@@ -104,9 +107,9 @@
 	}
 }
 
-// writeEnded takes in the outcome of a write of a page, and returns the machines that the stored
-// page no longer names. After a write that isn't known to be carried out, the state service may
-// hold what was sent all the same.
+// writeEnded records the outcome of a write of a page, and returns the machines that the stored page
+// no longer names. Even if the write isn't known to have been carried out, the state service may hold
+// what was sent.
 func (s *machinePages) writeEnded(name string, outcome PageWriteOutcome) []string {
 	p := s.byName[name]
 	if p == nil {
@@ -121,8 +124,8 @@
 	return s.written(p)
 }
 
-// written takes in that the state service holds a page as it was sent; a page without machines was
-// deleted. It returns the machines that the stored page no longer names.
+// written records that the state service holds a page as it was sent, or has deleted it if it was
+// sent without machines. It returns the machines that the stored page no longer names.
 func (s *machinePages) written(p *machinePage) []string {
 	noLongerStored := p.removed[:p.removedInWrite:p.removedInWrite]
 	p.removed = p.removed[p.removedInWrite:]
@@ -150,8 +153,9 @@
 	return noLongerStored
 }
 
-// split moves half of the machines of a page that the state service rejects to a new page. The new
-// page is written first, so that every machine is on a stored page at any time.
+// split moves half of the machines of a page that the state service has rejected to a new page. The
+// new page is written first, so that a stored machine is on some stored page at any time. A page with
+// a single machine is only marked to be written again.
 func (s *machinePages) split(name string) {
 	p := s.byName[name]
 	if p == nil {
--- a/internal/drain/machine_queue.go
+++ b/internal/drain/machine_queue.go
@@ -6,33 +6,34 @@
 )
 
 // queueRetryInterval is the pause after all machines of a queue were proposed and none could be
-// cordoned.
+// cordoned, or none of them could be proposed.
 const queueRetryInterval = 2 * time.Second
 
 // machineQueue holds the machines that a plan has yet to cordon, in the order in which they are
-// proposed: by name, and behind them those that were deferred.
+// proposed: by name, followed by those that were deferred.
 type machineQueue struct {
 	names         []string
 	queued        map[string]bool
 	deferredFor   map[string]Verdict // why a machine was last deferred
-	deferredInRow int                // machines deferred since one was last cordoned
-	retryAt       time.Time          // nothing is proposed before
-	plansQueuing  map[string]int     // by machine, in how many plans' queues it is; shared by all queues
+	deferredInRow int                // deferrals since one was last cordoned, or since the last pause
+	retryAt       time.Time          // nothing is proposed before that
+	plansQueuing  map[string]int     // number of queues by machine; shared by all queues
 }
 
 func newMachineQueue(plansQueuing map[string]int) machineQueue {
 	return machineQueue{queued: map[string]bool{}, deferredFor: map[string]Verdict{}, plansQueuing: plansQueuing}
 }
 
-// insert queues a machine before the first one whose name is larger.
+// insert queues a machine by its name. The deferred machines at the end aren't sorted in, so that the
+// place is only approximate while there are any.
 func (q *machineQueue) insert(name string) {
 	at, _ := slices.BinarySearch(q.names, name)
 	q.names = slices.Insert(q.names, at, name)
 	q.markQueued(name)
 }
 
-// deferMachine puts a machine at the end. Once every machine of the queue was deferred in a row,
-// nothing is proposed for a while.
+// deferMachine puts a machine at the end. Once there were as many deferrals in a row as the queue has
+// machines, nothing is proposed for queueRetryInterval.
 func (q *machineQueue) deferMachine(now time.Time, name string, reason Verdict) {
 	q.names = append(q.without(name), name)
 	q.markQueued(name)
@@ -42,7 +43,7 @@
 	}
 }
 
-// remove takes a machine out of the queue, if it is there.
+// remove takes a machine out of the queue, if it is in it.
 func (q *machineQueue) remove(name string) {
 	if q.queued[name] {
 		q.names = q.without(name)
--- a/internal/drain/machine_set.go
+++ b/internal/drain/machine_set.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// machineSet holds the machines that plans have claimed, and the pages that they are stored in.
+// machineSet holds the machines that plans have claimed and the pages in which they are stored.
 type machineSet struct {
 	byName       map[string]*Machine
-	active       []*Machine     // those that are being drained, by name
-	activeByPlan map[string]int // how many of them each plan has
-	lastReturned int            // position in active up to which nextActive has come
+	active       []*Machine     // those that are being drained, sorted by name
+	activeByPlan map[string]int // by plan, how many machines it is draining
+	cursor       int            // round-robin position of nextActive, taken modulo len(active)
 	pages        machinePages
 }
 
@@ -20,14 +20,14 @@
 	return machineSet{byName: map[string]*Machine{}, activeByPlan: map[string]int{}, pages: pages}
 }
 
-// recover takes in the machines of a page that the state service holds.
+// recover adds the machines of a page that the state service holds.
 func (s *machineSet) recover(stored StoredMachines) {
 	for _, m := range s.pages.recover(stored) {
 		s.byName[m.Name] = m
 	}
 }
 
-// activate counts a machine among those that are being drained.
+// activate adds a machine to those that are being drained.
 func (s *machineSet) activate(m *Machine) {
 	at, _ := slices.BinarySearchFunc(s.active, m, compareNames)
 	s.active = slices.Insert(s.active, at, m)
@@ -41,7 +41,7 @@
 	}
 }
 
-// cordon has a plan claim a machine.
+// cordon claims a machine for a plan, in state Cordoned.
 func (s *machineSet) cordon(now time.Time, name, plan string) *Machine {
 	m := &Machine{Name: name, Plan: plan, CordonedAt: now}
 	s.byName[name] = m
@@ -51,8 +51,8 @@
 	return m
 }
 
-// move changes a machine's state; false if its present state doesn't allow that. A machine that is
-// put back into the queue or uncordoned is no longer claimed.
+// move changes a machine's state, or returns false if its present state doesn't allow that. A machine
+// that becomes Planned or Uncordoned is removed: its plan no longer claims it.
 func (s *machineSet) move(m *Machine, to MachineState) bool {
 	wasActive := m.state.active()
 	if !m.move(to) {
@@ -69,13 +69,13 @@
 	return true
 }
 
-// remove forgets a machine.
+// remove removes a machine that its plan no longer claims, also from its page.
 func (s *machineSet) remove(m *Machine) {
 	delete(s.byName, m.Name)
 	s.pages.remove(m)
 }
 
-// of lists the machines that a plan has claimed, by name.
+// of lists the machines that a plan has claimed, sorted by name.
 func (s *machineSet) of(plan string) []*Machine {
 	var out []*Machine
 	for _, m := range s.byName {
@@ -87,24 +87,25 @@
 	return out
 }
 
-// all lists all machines by name.
+// all lists all machines, sorted by name.
 func (s *machineSet) all() []*Machine {
 	return slices.SortedFunc(maps.Values(s.byName), compareNames)
 }
 
-// claimed reports whether a plan has claimed a machine.
+// claimed reports whether the given plan has claimed a machine.
 func (s *machineSet) claimed(name, plan string) bool {
 	m := s.byName[name]
 	return m != nil && m.Plan == plan
 }
 
-// nextActive lists machines that are being drained, in turns, each at most once.
+// nextActive lists machines that are being drained, each at most once and no more than the limit.
+// Successive calls go through all of them round-robin.
 func (s *machineSet) nextActive(limit int) []*Machine {
 	n := min(limit, len(s.active))
 	out := make([]*Machine, 0, n)
 	for range n {
-		s.lastReturned++
-		out = append(out, s.active[s.lastReturned%len(s.active)])
+		s.cursor++
+		out = append(out, s.active[s.cursor%len(s.active)])
 	}
 	return out
 }
--- a/internal/drain/plan.go
+++ b/internal/drain/plan.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// Phase says where a plan is in its life.
+// Phase is the stage of a plan's life cycle.
 type Phase uint8
 
-// Phases of a plan. The last three are final.
+// Phases of a plan. In the last three it is over; an expired plan can still be cancelled.
 const (
 	Running Phase = iota
 	Paused
@@ -22,20 +22,20 @@
 
 var phaseNames = [...]string{"running", "paused", "completed", "cancelled", "expired"}
 
-// String returns the phase's name, as operators see it.
+// String returns the phase's name as shown to operators.
 func (p Phase) String() string { return phaseNames[p] }
 
 // Final reports whether a plan in this phase is over.
 func (p Phase) Final() bool { return p >= Completed }
 
-// phaseChanges lists the phases that may follow each phase.
-var phaseChanges = map[Phase][]Phase{
+// phaseTransitions lists, for each phase, the phases that may follow it.
+var phaseTransitions = map[Phase][]Phase{
 	Running: {Paused, Completed, Cancelled, Expired},
 	Paused:  {Running, Cancelled, Expired},
-	Expired: {Cancelled}, // which uncordons what was left
+	Expired: {Cancelled}, // which uncordons machines that stayed cordoned
 }
 
-// Selector says which machines a plan applies to: those that fit all fields that are set.
+// Selector says which machines a plan applies to: those that match all fields that are set.
 type Selector struct {
 	Machines []string `cbor:"m,omitempty" json:"machines,omitempty"`
 	Type     string   `cbor:"t,omitempty" json:"type,omitempty"`
@@ -43,28 +43,30 @@
 	All      bool     `cbor:"a,omitempty" json:"all,omitempty"`
 }
 
-// Plan is an operators' request to empty machines and scale them in. Any controller may write a new
+// Plan is an operator's request to empty machines and scale them in. Any controller may write a new
 // one; the leader carries it out.
 type Plan struct {
 	// ID is chosen by the client, so that a repeated request changes nothing.
 	ID       string   `cbor:"id" json:"id"`
 	Selector Selector `cbor:"s" json:"selector"`
-	// MaxAtOnce limits how many machines are cordoned at a time.
+	// MaxAtOnce limits how many machines are being drained at a time.
 	MaxAtOnce int `cbor:"n" json:"max_at_once"`
-	// Surge limits how many replacements are created ahead at a time.
+	// Surge limits how many replacements are created at a time before the machines that they
+	// replace are empty.
 	Surge     int   `cbor:"su" json:"surge"`
 	CreatedMS int64 `cbor:"at" json:"created_ms"`
-	// Deadline is the time from the plan's creation after which it expires; 0: it doesn't.
+	// Deadline is how long after its creation the plan expires; 0: it doesn't expire.
 	Deadline time.Duration `cbor:"dl,omitempty" json:"deadline,omitempty"`
-	// KeepCordoned says that machines which aren't empty at the deadline stay cordoned.
+	// KeepCordoned says that machines that aren't empty at the deadline stay cordoned.
 	KeepCordoned bool  `cbor:"k,omitempty" json:"keep_cordoned,omitempty"`
 	Phase        Phase `cbor:"p" json:"phase"`
-	// Through is the last machine by name that the plan applies to. Machines that came later are
-	// replacements. The leader sets it when it takes the plan in; until then it is empty.
+	// Through is the last machine by name that the plan applies to. Machines with later names were
+	// created after the plan, for example as replacements. The leader sets Through once it knows
+	// all machines; until then it is empty and the plan applies to none.
 	Through string `cbor:"th,omitempty" json:"through,omitempty"`
 }
 
-// Bounds of a plan.
+// Bounds of a plan's fields.
 const (
 	maxIDBytes  = 60
 	maxNames    = 100 // so that the plan fits the smallest value that the state service may allow
@@ -101,27 +103,28 @@
 	return (r < 'a' || r > 'z') && (r < 'A' || r > 'Z') && (r < '0' || r > '9') && r != '-' && r != '_' && r != '.'
 }
 
-// MoveTo changes the plan's phase, unless the present phase doesn't allow that; then it returns
-// false. No other function changes it.
+// MoveTo changes the plan's phase, or returns false if the present phase doesn't allow that. The
+// phase of an existing plan is changed in no other way.
 func (p *Plan) MoveTo(to Phase) bool {
-	if !slices.Contains(phaseChanges[p.Phase], to) {
+	if !slices.Contains(phaseTransitions[p.Phase], to) {
 		return false
 	}
 	p.Phase = to
 	return true
 }
 
-// SameRequest reports whether two plans request the same. A repeated request with the same ID has to.
+// SameRequest reports whether two plans request the same, whatever their IDs and progress. A repeated
+// request with the same ID has to.
 func (p *Plan) SameRequest(o *Plan) bool {
-	return p.Selector.same(&o.Selector) && p.MaxAtOnce == o.MaxAtOnce && p.Surge == o.Surge &&
+	return p.Selector.equal(&o.Selector) && p.MaxAtOnce == o.MaxAtOnce && p.Surge == o.Surge &&
 		p.Deadline == o.Deadline && p.KeepCordoned == o.KeepCordoned
 }
 
-func (s *Selector) same(o *Selector) bool {
+func (s *Selector) equal(o *Selector) bool {
 	return slices.Equal(s.Machines, o.Machines) && s.Type == o.Type && s.Zone == o.Zone && s.All == o.All
 }
 
-// DeadlineAt returns the moment of the plan's deadline; zero if it has none.
+// DeadlineAt returns the time of the plan's deadline, or the zero time if it has none.
 func (p *Plan) DeadlineAt() time.Time {
 	if p.Deadline == 0 {
 		return time.Time{}
@@ -129,13 +132,13 @@
 	return time.UnixMilli(p.CreatedMS).Add(p.Deadline)
 }
 
-// MachineID is what a selector knows of a machine.
+// MachineID holds the name of a machine and the attributes by which plans select it.
 type MachineID struct{ Name, Type, Zone string }
 
 // Selects reports whether the plan applies to a machine.
-func (p *Plan) Selects(m MachineID) bool { return m.Name <= p.Through && p.Selector.fits(m) }
+func (p *Plan) Selects(m MachineID) bool { return m.Name <= p.Through && p.Selector.matches(m) }
 
-func (s *Selector) fits(m MachineID) bool {
+func (s *Selector) matches(m MachineID) bool {
 	return (len(s.Machines) == 0 || slices.Contains(s.Machines, m.Name)) &&
 		(s.Type == "" || s.Type == m.Type) &&
 		(s.Zone == "" || s.Zone == m.Zone)
--- a/internal/drain/plan_set.go
+++ b/internal/drain/plan_set.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// planProgress is a plan with how far it is.
+// planProgress is a plan with the leader's progress in carrying it out.
 type planProgress struct {
 	Plan
 	version       uint64
-	knownSince    time.Time
+	knownSince    time.Time // when this leader first read the plan
 	queue         machineQueue
 	recordWriting bool      // a write of the plan's record is under way
-	recordRetryAt time.Time // the record isn't written before
+	recordRetryAt time.Time // the record isn't written before that
 }
 
-// compareAge orders plans by their creation.
+// compareAge orders plans by their time of creation, then by ID.
 func (p *planProgress) compareAge(o *planProgress) int {
 	return cmp.Or(cmp.Compare(p.CreatedMS, o.CreatedMS), cmp.Compare(p.ID, o.ID))
 }
@@ -29,14 +29,14 @@
 type planSet struct {
 	byID         map[string]*planProgress
 	byAge        []*planProgress // the oldest first
-	plansQueuing map[string]int  // by machine, in how many plans' queues it is
+	plansQueuing map[string]int  // by machine, the number of queues that hold it
 }
 
 func newPlanSet() planSet {
 	return planSet{byID: map[string]*planProgress{}, plansQueuing: map[string]int{}}
 }
 
-// put takes in a plan's record in place of what was known of the plan. Its queue is looked at again
+// put adds a plan, or updates its record. A pause of its queue ends, so that machines may be proposed
 // at once.
 func (s *planSet) put(now time.Time, stored StoredPlan) *planProgress {
 	p := s.byID[stored.Plan.ID]
--- a/internal/drain/plan_writes.go
+++ b/internal/drain/plan_writes.go
@@ -6,27 +6,28 @@
 )
 
 const (
-	// planRetryInterval is the pause after a write of a plan's record.
+	// planRetryInterval is the pause between two writes of a plan's record.
 	planRetryInterval = 2 * time.Second
-	// keptPlans is how many plans that are over are kept for operators to look at.
+	// keptPlans is how many finished plans are kept for operators to look at.
 	keptPlans = 20
-	// settleTime is how long a leader has to know a plan before it may conclude that none of its
-	// machines is left.
+	// settleTime is how long a leader has to have known a plan before it may conclude that none of
+	// the plan's machines is left.
 	settleTime = 10 * time.Second
 )
 
-// PlanWrite is a plan's record that has to be written in place of a version of it; with Drop, it
-// has to be deleted.
+// PlanWrite is a write of a plan's record, or with Delete, its deletion. It is conditional on the
+// state service holding Version of the record.
 type PlanWrite struct {
 	Plan    Plan
 	Version uint64
 	Delete  bool
 }
 
-// PlanWrites lists writes of plans' records that follow from what this leader knows: the last
-// machine that a new plan applies to, the end of a plan whose machines are all gone or whose
-// deadline has passed, and the deletion of plans that have long been over. The argument newest is
-// the last machine known; complete says that all machines that exist are known.
+// PlanWrites lists the writes of plans' records that are due: they set the last machine that a new
+// plan applies to, end a plan whose machines are all gone or whose deadline has passed, or delete the
+// oldest finished plan if too many are kept. The argument newest is the last machine known, by name;
+// complete says that all machines that exist are known. The caller reports the outcome of each write
+// by PlanWritten; until then no other write of that plan is listed.
 func (c *Coordinator) PlanWrites(now time.Time, newest string, complete bool) []PlanWrite {
 	var out []PlanWrite
 	for _, p := range c.plans.byAge {
@@ -49,7 +50,7 @@
 	switch end := p.DeadlineAt(); {
 	case p.Phase.Final():
 		write.Delete = true
-		return write, c.isNextForgotten(p)
+		return write, c.isNextDeleted(p)
 	case !end.IsZero() && now.After(end):
 		return write, write.Plan.MoveTo(Expired)
 	case p.Through == "" && newest != "" && complete:
@@ -61,16 +62,16 @@
 	return write, false
 }
 
-// isEmptied reports whether none of a plan's machines is left to be drained, provided that all
-// machines that exist are known.
+// isEmptied reports whether no machine of a plan is left to be drained. The caller has made sure that
+// all machines that exist are known.
 func (c *Coordinator) isEmptied(now time.Time, p *planProgress) bool {
 	return p.Through != "" && len(p.queue.names) == 0 && c.machines.activeByPlan[p.ID] == 0 &&
 		now.Sub(p.knownSince) > settleTime
 }
 
-// isNextForgotten reports whether a plan is the oldest of more finished plans than are kept. A plan
-// that has machines which stay cordoned isn't forgotten.
-func (c *Coordinator) isNextForgotten(p *planProgress) bool {
+// isNextDeleted reports whether there are more finished plans than are kept and this one is the first
+// to be deleted: the oldest that has no machines left. One whose machines stay cordoned is kept.
+func (c *Coordinator) isNextDeleted(p *planProgress) bool {
 	finished := c.plans.finished()
 	if len(finished) <= keptPlans {
 		return false
@@ -79,8 +80,8 @@
 	return oldest >= 0 && finished[oldest] == p
 }
 
-// PlanWritten notes that a write of a plan's record has ended. The new record arrives by PlanStored;
-// a plan whose record was deleted is forgotten here.
+// PlanWritten records that a write of a plan's record has ended. The new record arrives by
+// PlanStored; a plan whose record was deleted is removed here.
 func (c *Coordinator) PlanWritten(now time.Time, w PlanWrite, ok bool) {
 	p := c.plans.byID[w.Plan.ID]
 	if p == nil {
--- a/internal/drain/preview.go
+++ b/internal/drain/preview.go
@@ -4,18 +4,17 @@
 type Preview struct {
 	Machines    int              `json:"machines"`
 	Stages      int              `json:"stages"`
-	Interrupted []PreviewScope   `json:"interrupted,omitempty"` // at most: no task finishes by itself before
+	Interrupted []PreviewScope   `json:"interrupted,omitempty"` // upper bounds: tasks may finish before
 	Listed      []PreviewMachine `json:"listed,omitempty"`      // the first of the machines
 }
 
-// PreviewScope says how many tasks of a team's jobs of a class run on the machines.
+// PreviewScope says how many tasks of a scope's jobs would be interrupted.
 type PreviewScope struct {
 	Scope
 	Tasks int `json:"tasks"`
 }
 
-// PreviewMachine is a machine of a plan, the stage in which it would be drained, and what runs
-// on it.
+// PreviewMachine is a machine of a plan, the stage in which it would be drained, and what runs on it.
 type PreviewMachine struct {
 	Name    string        `json:"name"`
 	Stage   int           `json:"stage"`
--- a/internal/drain/status.go
+++ b/internal/drain/status.go
@@ -5,39 +5,39 @@
 	"time"
 )
 
-// Status is what operators see of drains.
+// Status is the state of all drains as shown to operators.
 type Status struct {
 	Plans  []PlanStatus   `json:"plans"` // the oldest first
 	Scopes []ScopeStatus  `json:"interruptions,omitempty"`
-	States map[string]int `json:"machines"` // of all plans, by state
+	States map[string]int `json:"machines"` // number of machines of all plans, by state
 }
 
 // PlanStatus is a plan with its progress.
 type PlanStatus struct {
 	Plan
 	PhaseName string          `json:"phase_name"`
-	Machines  map[string]int  `json:"machines"` // by state
+	Machines  map[string]int  `json:"machines"` // number by state
 	Waiting   []MachineStatus `json:"waiting,omitempty"`
-	More      int             `json:"more,omitempty"` // further machines that wait and aren't listed
+	More      int             `json:"more,omitempty"` // how many machines Waiting leaves out
 }
 
-// MachineStatus is a machine that isn't empty yet, with the reason.
+// MachineStatus is the state of a machine that still exists, and the reason why it isn't empty.
 type MachineStatus struct {
 	Name   string `json:"name"`
 	State  string `json:"state"`
 	Reason string `json:"reason,omitempty"`
 }
 
-// ScopeStatus says how often a team or class was interrupted, and what its budget allows.
+// ScopeStatus says how often tasks in a scope were interrupted, and what its budget allows.
 type ScopeStatus struct {
 	Scope
 	Totals
 	InWindow int           `json:"in_window"`
-	Limit    int           `json:"limit"` // in the window, or Unlimited
+	Limit    int           `json:"limit"` // of interruptions in the window, or Unlimited
 	Window   time.Duration `json:"window,omitempty"`
 }
 
-// maxListedMachines is how many machines of a plan a status lists.
+// maxListedMachines is how many machines of a plan a status lists at most.
 const maxListedMachines = 100
 
 // Status returns the status of all plans and budgets.
@@ -76,8 +76,8 @@
 	return out
 }
 
-// scopeStatus lists every scope that has a budget or was interrupted. An interruption counts in the
-// scope of the class and in that of the whole team.
+// scopeStatus lists, sorted, every scope that has a budget or was interrupted. An interruption counts
+// in the scope of the class and in that of the whole team.
 func (c *Coordinator) scopeStatus(now time.Time) []ScopeStatus {
 	byScope := map[Scope]*ScopeStatus{}
 	statusOf := func(scope Scope) *ScopeStatus {
@@ -90,7 +90,7 @@
 		s := statusOf(scope)
 		s.Limit, s.Window = budget.WindowInterruptions, budget.Window
 		if budget.Window > 0 {
-			s.InWindow, _ = c.Ledger.windows.use(scope, budget.Window, now, nil)
+			s.InWindow, _ = c.Ledger.windows.count(scope, budget.Window, now, nil)
 		}
 	}
 	for scope, totals := range c.Ledger.totals {
--- a/internal/drain/verdict.go
+++ b/internal/drain/verdict.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// TaskAttempt names an attempt of a task.
+// TaskAttempt identifies an attempt of a task.
 type TaskAttempt struct {
 	TaskKey
 	Attempt uint64
 }
 
-// Candidate is what would be evicted together to empty a machine: one task, or all tasks of a gang.
+// Candidate is what would be evicted together to empty a machine: one task or a whole gang.
 type Candidate struct {
 	Team, Class  string
 	Job          string
 	Tasks        []TaskAttempt
-	Down         int           // other tasks of the job that don't run
-	Replicas     int           // of a service; 0: the job isn't one, and its tasks finish by themselves
+	Down         int           // number of the job's other tasks that are down
+	Replicas     int           // of a service; 0: a job whose tasks finish by themselves
 	Checkpoints  bool          // tasks save their progress when they are stopped
-	EvictionTime time.Duration // at most, from the decision until the last task is gone
+	EvictionTime time.Duration // upper bound, from the decision until the last task is gone
 	CordonedAt   time.Time     // when its machine was cordoned
 }
 
-// isService reports whether the candidate runs until its job is cancelled.
+// isService reports whether the candidate belongs to a service, which runs until it is cancelled.
 func (c *Candidate) isService() bool { return c.Replicas > 0 }
 
 // VerdictKind says whether something may be evicted.
@@ -32,14 +32,14 @@
 // Kinds of verdicts.
 const (
 	Allowed VerdictKind = iota
-	NotYet              // it may be later
-	Never               // nothing that lies ahead will allow it
+	NotYet              // it may be possible later
+	Never               // it won't become possible
 )
 
 // Cause is the reason why something may not be evicted, or why a machine isn't empty yet.
 type Cause uint8
 
-// Causes.
+// Causes. Judge returns those up to CauseFinishing; its callers set the others.
 const (
 	CauseNone Cause = iota
 	CauseTaskBudget
@@ -74,21 +74,21 @@
 	CausePaused:            "the plan is paused",
 }
 
-// String returns the cause as operators see it.
+// String returns the cause as shown to operators.
 func (c Cause) String() string { return causeTexts[c] }
 
-// Verdict says whether something may be evicted, and if not, for what reason.
+// Verdict says whether something may be evicted or a machine emptied, and if not, why.
 type Verdict struct {
 	Kind  VerdictKind
 	Cause Cause
 	Scope Scope     // of the budget that forbids it; empty: no budget does
-	Job   string    // of the tasks that are judged
+	Job   string    // whose tasks are judged
 	Until time.Time // when the cause ends; zero: not known
-	// OnlyEnds says that no budget will ever allow the eviction: the tasks have to finish.
+	// OnlyEnds says that a budget will never allow the eviction: the tasks have to finish.
 	OnlyEnds bool
 }
 
-// String returns the verdict as operators see it.
+// String returns the verdict as shown to operators: empty if it is Allowed.
 func (v Verdict) String() string {
 	if v.Kind == Allowed {
 		return ""
@@ -106,14 +106,14 @@
 	return text
 }
 
-// serviceUnavailableDivisor: of a service without a budget, a tenth of the replicas may be down at a
-// time, and at least one.
+// serviceUnavailableDivisor is the part of a service's replicas, a tenth, that may be down at a time
+// where no budget sets MaxUnavailable. One may be down in any case.
 const serviceUnavailableDivisor = 10
 
-// Judge returns whether a candidate may be evicted now, as far as budgets are concerned. Of several
-// causes, the verdict names the one that forbids the most.
+// Judge decides whether a candidate may be evicted now: by the budgets, by how many replicas a service
+// needs, and by how long tasks are left to finish. Of several causes, the verdict names the strictest.
 func (p *Policy) Judge(now time.Time, ledger *Ledger, c *Candidate) Verdict {
-	budgets := p.applying(c.Team, c.Class)
+	budgets := p.budgetsFor(c.Team, c.Class)
 	worst := Verdict{Job: c.Job}
 	for _, b := range budgets {
 		worst = worse(worst, judgeLimits(now, ledger, c, b))
@@ -128,8 +128,8 @@
 	return worst
 }
 
-// maxReplicasDown returns how many of a service's replicas may be down at a time. Whatever a budget
-// says, one stays up.
+// maxReplicasDown returns how many replicas may be down at a time of a service that has several.
+// Whatever a budget says, one stays up.
 func (p *Policy) maxReplicasDown(c *Candidate) int {
 	if p.LimitsUnavailable(c.Team, c.Class) {
 		return c.Replicas - 1 // the budget's own limit is judged by judgeLimits
@@ -137,7 +137,8 @@
 	return max(1, c.Replicas/serviceUnavailableDivisor)
 }
 
-// worse returns the verdict that forbids more, or else for longer.
+// worse returns the stricter of two verdicts: by their kind, then by OnlyEnds, then, if they are
+// NotYet, by the later Until. If none is stricter, it returns a.
 func worse(a, b Verdict) Verdict {
 	switch {
 	case a.Kind != b.Kind:
@@ -154,7 +155,8 @@
 	return a
 }
 
-// judgeLimits judges a candidate by one budget's limits, of which the first that forbids it counts.
+// judgeLimits judges a candidate by one budget's limits, and returns the verdict of the first limit
+// that forbids the eviction.
 func judgeLimits(now time.Time, ledger *Ledger, c *Candidate, b scopedBudget) Verdict {
 	if v := judgeTasks(ledger, c, b); v.Kind != Allowed {
 		return v
@@ -188,7 +190,7 @@
 	if len(c.Tasks) > limit {
 		return c.exhausted(b.scope, CauseWindowBudget)
 	}
-	if used, until := ledger.windows.use(b.scope, b.budget.Window, now, c.Tasks); used+len(c.Tasks) > limit {
+	if used, until := ledger.windows.count(b.scope, b.budget.Window, now, c.Tasks); used+len(c.Tasks) > limit {
 		return Verdict{Kind: NotYet, Cause: CauseWindowBudget, Scope: b.scope, Job: c.Job, Until: until}
 	}
 	return Verdict{}
@@ -208,8 +210,8 @@
 	return Verdict{}
 }
 
-// exhausted returns the verdict on what no budget will ever allow. Tasks that finish by themselves
-// are left to do so; the machine of a service's replica can't be emptied.
+// exhausted returns the verdict on a candidate that a budget will never allow to be evicted. Tasks
+// that finish by themselves are left to do so; the machine of a service's replica can't be emptied.
 func (c *Candidate) exhausted(scope Scope, cause Cause) Verdict {
 	kind := NotYet
 	if c.isService() {
@@ -218,7 +220,8 @@
 	return Verdict{Kind: kind, Cause: cause, Scope: scope, Job: c.Job, OnlyEnds: true}
 }
 
-// judgeClosed judges by whether a candidate would be gone before any closed window of a budget begins.
+// judgeClosed judges by a budget's closed windows: none may overlap the time from now until the
+// candidate would be gone.
 func (p *Policy) judgeClosed(now time.Time, c *Candidate, b scopedBudget) Verdict {
 	open, ok := openFrom(b.budget.Closed, now, c.EvictionTime, p.Skew)
 	switch {
@@ -230,10 +233,10 @@
 	return Verdict{Job: c.Job}
 }
 
-// MayMoveNow reports whether tasks of a team's jobs of a class may leave their machine within a given
-// time from now, as far as closed windows are concerned.
+// MayMoveNow reports whether the closed windows allow tasks of jobs of a team and class to be moved
+// now, if that takes the given time.
 func (p *Policy) MayMoveNow(now time.Time, team, class string, takes time.Duration) bool {
-	for _, b := range p.applying(team, class) {
+	for _, b := range p.budgetsFor(team, class) {
 		if open, ok := openFrom(b.budget.Closed, now, takes, p.Skew); !ok || open.After(now) {
 			return false
 		}
