--- a/internal/drain/coordinator_test.go
+++ b/internal/drain/coordinator_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// testStore stands in for the state service: it holds pages by name and checks that each write names
-// the version that it replaces.
+// testStore stands in for the state service: it holds pages by name, and fails the test if a write
+// doesn't name the version that it replaces.
 type testStore struct {
 	charges  map[string]StoredCharges
 	machines map[string]StoredMachines
@@ -20,7 +20,7 @@
 	return &testStore{charges: map[string]StoredCharges{}, machines: map[string]StoredMachines{}}
 }
 
-// writeAll carries out all writes that a coordinator proposes, until it proposes none.
+// writeAll carries out the writes that a coordinator proposes, until it proposes no more.
 func (s *testStore) writeAll(t *testing.T, now time.Time, c *Coordinator) {
 	t.Helper()
 	for range 50 {
@@ -35,13 +35,13 @@
 			s.writeMachines(t, c, w)
 		}
 	}
-	t.Fatal("writes are proposed without end")
+	t.Fatal("the coordinator keeps proposing writes")
 }
 
 func (s *testStore) writeCharges(t *testing.T, c *Coordinator, w ChargePageWrite) {
 	t.Helper()
 	if s.charges[w.Name].Version != w.Version {
-		t.Fatalf("page %s has version %d, written over %d", w.Name, s.charges[w.Name].Version, w.Version)
+		t.Fatalf("page %s has version %d, but the write replaces version %d", w.Name, s.charges[w.Name].Version, w.Version)
 	}
 	c.Ledger.WriteStarted(w.Name)
 	s.revision++
@@ -57,7 +57,7 @@
 func (s *testStore) writeMachines(t *testing.T, c *Coordinator, w MachinePageWrite) {
 	t.Helper()
 	if s.machines[w.Name].Version != w.Version {
-		t.Fatalf("page %s has version %d, written over %d", w.Name, s.machines[w.Name].Version, w.Version)
+		t.Fatalf("page %s has version %d, but the write replaces version %d", w.Name, s.machines[w.Name].Version, w.Version)
 	}
 	c.MachinePageWriteStarted(w.Name)
 	s.revision++
@@ -70,7 +70,7 @@
 	c.MachinePageWritten(w.Name, outcome)
 }
 
-// stored returns what a leader that takes over reads.
+// stored returns what a leader that takes over reads: the pages that were written, and the plans.
 func (s *testStore) stored(plans ...StoredPlan) Stored {
 	out := Stored{Plans: plans}
 	for _, p := range s.charges {
@@ -82,13 +82,14 @@
 	return out
 }
 
+// newTestCoordinator returns the coordinator of a new leader. Its pages have at most limit bytes.
 func newTestCoordinator(now time.Time, stored Stored, term int, limit int) *Coordinator {
 	n := 0
 	newName := func() string { n++; return fmt.Sprintf("%d-%d", term, n) }
 	return NewCoordinator(now, testPolicy(nil), stored, newName, func() int { return limit })
 }
 
-// planOf returns a running plan for all machines.
+// planOf returns a running plan for all machines that machineID can name.
 func planOf(id string, maxAtOnce int, version uint64) StoredPlan {
 	return StoredPlan{Version: version, Plan: Plan{ID: id, Selector: Selector{All: true}, MaxAtOnce: maxAtOnce,
 		Through: "m-999999", CreatedMS: testStart.UnixMilli()}}
@@ -98,9 +99,9 @@
 	return MachineID{Name: fmt.Sprintf("m-%06d", i), Type: "t", Zone: "z"}
 }
 
-// A plan of 4,000 machines, ten at a time, with a takeover after each 500, drains each machine once,
-// keeps its pages within the limit and completes. It guards against machines that are forgotten or
-// drained again by a new leader, and against pages that stay in the state service for good.
+// A plan for 4,000 machines, ten at a time, with a takeover after every 500, drains each machine once,
+// keeps its pages within the limit and completes. It guards against a new leader that forgets
+// machines or drains them again, and against pages that are never deleted from the state service.
 func TestFourThousandMachinesInOnePlan(t *testing.T) {
 	const machines, atOnce, limit = 4000, 10, 4000
 	store, now := newTestStore(), testStart
@@ -142,13 +143,13 @@
 	}
 	for _, p := range store.machines {
 		if size := len(p.Record.Machines) * (entryBytes + len("m-000000") + len("all")); size > limit {
-			t.Errorf("a page of %d bytes", size)
+			t.Errorf("a page of %d bytes is over the limit", size)
 		}
 	}
 	now = now.Add(2 * settleTime)
 	writes := c.PlanWrites(now, "m-999999", true)
 	if len(writes) != 1 || writes[0].Plan.Phase != Completed {
-		t.Fatalf("not completed: %+v", writes)
+		t.Fatalf("the plan isn't completed, writes: %+v", writes)
 	}
 	c.PlanWritten(now, writes[0], true)
 	c.PlanStored(now, StoredPlan{Plan: writes[0].Plan, Version: 2})
@@ -158,8 +159,9 @@
 	}
 }
 
-// A machine stays cordoned over a takeover, and after its plan's end until the state service holds
-// that. It guards against starts on a machine that the next leader finds cordoned and empties.
+// A machine stays cordoned over a takeover, and after its plan was cancelled until the state service
+// has stored that. It guards against starting tasks on a machine that the next leader would find
+// cordoned and empty.
 func TestCordonOutlivesItsLeader(t *testing.T) {
 	store, plan := newTestStore(), planOf("p", 1, 1)
 	c := newTestCoordinator(testStart, store.stored(plan), 1, 4000)
@@ -167,34 +169,34 @@
 	name, id := c.NextToCordon(testStart)
 	m := c.Cordon(testStart, name, id)
 	if m.CordonStored() {
-		t.Error("stored before it was written")
+		t.Error("the cordon counts as stored before it was written")
 	}
 	store.writeAll(t, testStart, c)
 	if !m.CordonStored() {
-		t.Error("not stored")
+		t.Error("the cordon doesn't count as stored after it was written")
 	}
 	next := newTestCoordinator(testStart, store.stored(plan), 2, 4000)
 	if !next.Cordoned(name) {
-		t.Error("forgotten by the next leader")
+		t.Error("the next leader has forgotten the cordon")
 	}
 	plan.Version, plan.Plan.Phase = 2, Cancelled
 	if uncordoned, _ := next.PlanStored(testStart, plan); !slices.Equal(uncordoned, []string{name}) {
-		t.Errorf("uncordoned: %v", uncordoned)
+		t.Errorf("uncordoned by the cancellation: %v", uncordoned)
 	}
 	if !next.Cordoned(name) {
-		t.Error("given starts while the state service has it cordoned")
+		t.Error("uncordoned while the state service still holds it as cordoned")
 	}
 	store.writeAll(t, testStart, next)
 	if next.Cordoned(name) || len(store.machines) != 0 {
-		t.Error("still cordoned")
+		t.Error("still cordoned after the page was deleted, or the page is left")
 	}
 	if last := newTestCoordinator(testStart, store.stored(plan), 3, 4000); last.Cordoned(name) {
-		t.Error("cordoned by a cancelled plan")
+		t.Error("the last leader has it cordoned by a cancelled plan")
 	}
 }
 
-// Of two plans that select a machine, the older one claims it, and the other takes it once it is
-// given up. It guards against a machine that two plans drain, or that neither does.
+// Of two plans that select a machine, the older one claims it, and the other may claim it once the
+// first is cancelled. It guards against a machine that both plans drain, or neither.
 func TestTwoPlansForOneMachine(t *testing.T) {
 	store := newTestStore()
 	first, second := planOf("a", 1, 1), planOf("b", 1, 2)
@@ -202,21 +204,21 @@
 	c.MachineAdded(machineID(1))
 	name, id := c.NextToCordon(testStart)
 	if id != "a" {
-		t.Fatalf("%s goes to %q", name, id)
+		t.Fatalf("%s is proposed for plan %q", name, id)
 	}
 	c.Cordon(testStart, name, id)
 	if name, id := c.NextToCordon(testStart); name != "" {
-		t.Fatalf("%s goes to %q as well", name, id)
+		t.Fatalf("%s is also proposed for plan %q", name, id)
 	}
 	first.Version, first.Plan.Phase = 3, Cancelled
 	c.PlanStored(testStart, first)
 	if name, id := c.NextToCordon(testStart.Add(queueRetryInterval)); name == "" || id != "b" {
-		t.Fatalf("%q goes to %q", name, id)
+		t.Fatalf("%q is proposed for plan %q after the first was cancelled", name, id)
 	}
 }
 
-// Every machine of a queue is proposed before one that was deferred is proposed again, after a pause.
-// It guards against a plan that stops at its first machine that can't be drained.
+// Every machine of a queue is proposed before one that was deferred is proposed again, which is after
+// a pause. It guards against a plan that gets stuck at the first machine that can't be drained.
 func TestBlockedMachinesAreBypassed(t *testing.T) {
 	c := newTestCoordinator(testStart, newTestStore().stored(planOf("p", 1, 1)), 1, 4000)
 	for i := range 5 {
@@ -226,22 +228,23 @@
 	for i := range 4 {
 		name, id := c.NextToCordon(testStart)
 		if name != machineID(i).Name {
-			t.Fatalf("%q comes after %d that are blocked", name, i)
+			t.Fatalf("%q is proposed after %d machines were deferred", name, i)
 		}
 		c.DeferMachine(testStart, name, id, why)
 	}
 	last, id := c.NextToCordon(testStart)
 	c.DeferMachine(testStart, last, id, why)
 	if name, _ := c.NextToCordon(testStart); last != machineID(4).Name || name != "" {
-		t.Fatalf("%q, then %q", last, name)
+		t.Fatalf("%q is proposed last, then %q without a pause", last, name)
 	}
 	if name, _ := c.NextToCordon(testStart.Add(queueRetryInterval)); name != machineID(0).Name {
-		t.Errorf("%q after the pause", name)
+		t.Errorf("%q is proposed after the pause", name)
 	}
 }
 
-// At its deadline a plan expires, and its machines are uncordoned, or stay cordoned until an operator
-// cancels it. It guards against machines that no plan drains and that get no starts.
+// After its deadline a plan expires, and its machines are uncordoned or, with KeepCordoned, stay
+// cordoned until an operator cancels the plan. It guards against machines on which no task is started
+// although no plan drains them.
 func TestDeadline(t *testing.T) {
 	for _, keep := range []bool{false, true} {
 		store, plan := newTestStore(), planOf("p", 1, 1)
@@ -252,20 +255,20 @@
 		name, id := c.NextToCordon(testStart)
 		c.Cordon(testStart, name, id)
 		if w := c.PlanWrites(testStart.Add(59*time.Second), "", true); len(w) != 0 {
-			t.Fatalf("before the deadline: %+v", w)
+			t.Fatalf("writes before the deadline: %+v", w)
 		}
 		writes := c.PlanWrites(testStart.Add(61*time.Second), "", true)
 		if len(writes) != 1 || writes[0].Plan.Phase != Expired {
-			t.Fatalf("at the deadline: %+v", writes)
+			t.Fatalf("writes after the deadline: %+v", writes)
 		}
 		c.PlanStored(testStart, StoredPlan{Plan: writes[0].Plan, Version: 2})
 		store.writeAll(t, testStart, c)
 		if c.Cordoned(name) != keep || c.Queued(machineID(2).Name) {
-			t.Errorf("keep %v: cordoned %v, planned %v", keep, c.Cordoned(name), c.Queued(machineID(2).Name))
+			t.Errorf("KeepCordoned %v: cordoned %v, other machine queued %v", keep, c.Cordoned(name), c.Queued(machineID(2).Name))
 		}
 		cancelled := writes[0].Plan
 		if cancelled.MoveTo(Running) || !cancelled.MoveTo(Cancelled) {
-			t.Error("an expired plan can be cancelled, and nothing else")
+			t.Error("an expired plan must be cancellable, and must not run again")
 		}
 		c.PlanStored(testStart, StoredPlan{Plan: cancelled, Version: 3})
 		store.writeAll(t, testStart, c)
@@ -275,8 +278,8 @@
 	}
 }
 
-// Of more finished plans than are kept, the oldest is deleted. It guards against records of plans
-// that fill the state service, and against the loss of recent ones.
+// While there are more finished plans than are kept, the oldest is deleted. It guards against records
+// of plans that fill the state service, and against the loss of recent ones.
 func TestOldPlansAreForgotten(t *testing.T) {
 	c := newTestCoordinator(testStart, Stored{}, 1, 4000)
 	for i := range keptPlans + 2 {
@@ -288,46 +291,50 @@
 		now := testStart.Add(time.Duration(i) * time.Minute)
 		w := c.PlanWrites(now, "", true)
 		if len(w) != 1 || !w[0].Delete || w[0].Plan.ID != fmt.Sprintf("p-%02d", i) {
-			t.Fatalf("%+v", w)
+			t.Fatalf("writes: %+v", w)
 		}
 		c.PlanWritten(now, w[0], true)
 	}
 	if w := c.PlanWrites(testStart.Add(time.Hour), "", true); len(w) != 0 {
-		t.Errorf("%d are kept, and %+v is to go", keptPlans, w)
+		t.Errorf("with %d finished plans left, writes: %+v", keptPlans, w)
 	}
 }
 
-// chargingLeaders is a succession of leaders that charge at random and end at random.
+// chargingLeaders is a succession of leaders that make charges, write them and are replaced, all at
+// random.
 type chargingLeaders struct {
 	t      *testing.T
 	seed   uint64
 	rng    *rand.Rand
 	store  *testStore
 	now    time.Time
-	stored map[TaskAttempt]bool // charges that the state service was seen to hold
+	stored map[TaskAttempt]bool // charges that the state service holds
 	leader *Coordinator
 }
 
-// smallPageLimit is a limit of pages that fits a few charges.
+// smallPageLimit is a page size in bytes into which only a few charges fit.
 const smallPageLimit = 1200
 
+// charge charges an interruption of a random task.
 func (c *chargingLeaders) charge(attempt int) {
 	task := TaskKey{fmt.Sprintf("j-%d", c.rng.IntN(5)), c.rng.IntN(9)}
 	if charge := c.leader.Ledger.Charge(c.now, "red", "c", task, uint64(attempt), Voluntary); charge.Stored() {
-		c.t.Fatal("stored at once")
+		c.t.Fatal("a new charge counts as stored")
 	}
 }
 
+// write stores all charges.
 func (c *chargingLeaders) write() {
 	c.store.writeAll(c.t, c.now, c.leader)
 	for _, open := range c.leader.Ledger.OpenCharges() {
 		if !open.Stored() {
-			c.t.Fatalf("seed %d: %v isn't stored after all was written", c.seed, open.TaskKey)
+			c.t.Fatalf("seed %d: the charge of %v isn't stored after all pages were written", c.seed, open.TaskKey)
 		}
 		c.stored[TaskAttempt{open.TaskKey, open.Attempt}] = true
 	}
 }
 
+// rejectPage has the state service reject the first page that is to be written, if there is one.
 func (c *chargingLeaders) rejectPage() {
 	for _, w := range c.leader.Ledger.Writes(c.now, 1) {
 		c.leader.Ledger.WriteStarted(w.Name)
@@ -335,6 +342,7 @@
 	}
 }
 
+// takeOver replaces the leader by one that reads the stored pages.
 func (c *chargingLeaders) takeOver(term int) {
 	c.leader = newTestCoordinator(c.now, c.store.stored(), term, smallPageLimit)
 	for task := range c.stored {
@@ -344,9 +352,9 @@
 	}
 }
 
-// A charge that was stored is found by every later leader, whenever leaders end between a charge and
-// its write, and whichever pages the state service rejects. It guards against interruptions that a
-// takeover forgets, so that a budget is exceeded.
+// Every later leader finds a charge that was stored, whenever leaders end between a charge and its
+// write, and whichever pages the state service rejects. It guards against takeovers that lose
+// charges, so that budgets are exceeded.
 func TestLedgerOverTakeovers(t *testing.T) {
 	for seed := range uint64(50) {
 		c := &chargingLeaders{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 1)), store: newTestStore(), now: testStart,
@@ -368,8 +376,9 @@
 	}
 }
 
-// A charge that is on both pages of a split counts once, and is open if either page says so. It guards
-// against an interruption that counts twice after a leader has ended between the writes of the two.
+// A charge that is on both halves of a split page counts once, and is open if either page says so. It
+// guards against an interruption that counts twice after a leader ended between the writes of the
+// two.
 func TestChargeOnTwoPages(t *testing.T) {
 	p := testPolicy(map[Scope]Budget{{Team: "red"}: budget(func(b *Budget) {
 		b.TaskInterruptions, b.WindowInterruptions, b.Window = 1, 2, time.Minute
@@ -390,8 +399,8 @@
 	expect(t, "interrupted once", p.Judge(testStart, l, candidate("j-1", 0, 8)), NotYet, CauseTaskBudget)
 }
 
-// A charge can be withdrawn, but not while its page is being written. It guards against a write that
-// stores a charge after it was withdrawn, which no leader would ever end.
+// A charge can be withdrawn, but not while its page is being written. It guards against a charge that
+// is stored after it was withdrawn, and that no leader would ever end.
 func TestVoidCharge(t *testing.T) {
 	store := newTestStore()
 	c := newTestCoordinator(testStart, store.stored(), 1, 4000)
@@ -400,21 +409,21 @@
 	w := c.Ledger.Writes(testStart, 1)
 	c.Ledger.WriteStarted(w[0].Name)
 	if c.Ledger.Withdraw(task, 1); c.Ledger.Find(task, 1) == nil {
-		t.Fatal("void while it is written")
+		t.Fatal("withdrawn while its page is being written")
 	}
 	c.Ledger.Written(w[0], PageWriteOutcome{OK: true, Version: 1})
 	store.charges[w[0].Name], store.revision = StoredCharges{Name: w[0].Name, Version: 1, Record: w[0].Record}, 1
 	if c.Ledger.Withdraw(task, 1); c.Ledger.Find(task, 1) != nil {
-		t.Fatal("not void")
+		t.Fatal("not withdrawn")
 	}
 	store.writeAll(t, testStart, c)
 	if next := newTestCoordinator(testStart, store.stored(), 2, 4000); next.Ledger.Find(task, 1) != nil {
-		t.Error("the next leader finds it")
+		t.Error("the next leader finds the withdrawn charge")
 	}
 }
 
 // A machine and a plan change state only as docs/draining.md says. It guards against a machine that
-// is emptied or released twice, and against a plan that goes on after its end.
+// is emptied or released twice, and against a plan that continues after its end.
 func TestStateChanges(t *testing.T) {
 	m := &Machine{}
 	for _, c := range []struct {
@@ -434,7 +443,7 @@
 		{Planned, false},
 	} {
 		if m.move(c.to) != c.ok {
-			t.Errorf("to %s: %v expected, is %s", c.to, c.ok, m.state)
+			t.Errorf("change to %s: expected allowed %v, state afterwards %s", c.to, c.ok, m.state)
 		}
 	}
 	p := Plan{}
@@ -451,7 +460,7 @@
 		{Cancelled, false},
 	} {
 		if p.MoveTo(c.to) != c.ok {
-			t.Errorf("to %s: %v expected, is %s", c.to, c.ok, p.Phase)
+			t.Errorf("change to %s: expected allowed %v, phase afterwards %s", c.to, c.ok, p.Phase)
 		}
 	}
 }
--- a/internal/drain/plan_test.go
+++ b/internal/drain/plan_test.go
@@ -7,13 +7,14 @@
 	"time"
 )
 
-// A plan that can't be carried out is rejected with the field that is wrong, and one at the bounds is
-// accepted. It guards against plans that select nothing, or that don't fit a value of the state service.
+// A plan that can't be carried out is rejected with an error that names the field, and one at the
+// bounds is accepted. It guards against plans that select nothing, and against plans that don't fit a
+// value of the state service.
 func TestPlanCheck(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*Plan)
-		field  string // that the error names; empty: the plan is accepted
+		field  string // that the error has to name; empty: the plan is accepted
 	}{
 		{"the least", func(*Plan) {}, ""},
 		{"no id", func(p *Plan) { p.ID = "" }, "id"},
@@ -39,9 +40,9 @@
 			err := p.Check()
 			switch {
 			case c.field == "" && err != nil:
-				t.Errorf("rejected: %v", err)
+				t.Errorf("the plan is rejected: %v", err)
 			case c.field != "" && (!errors.Is(err, ErrBadPlan) || !strings.HasPrefix(err.Error(), "bad plan: "+c.field+": ")):
-				t.Errorf("%v, expected an error of the field %s", err, c.field)
+				t.Errorf("error %v, expected one that names field %s", err, c.field)
 			}
 		})
 	}
--- a/internal/drain/verdict_test.go
+++ b/internal/drain/verdict_test.go
@@ -8,7 +8,7 @@
 
 var testStart = time.Date(2026, 12, 2, 10, 0, 0, 0, time.UTC)
 
-// newTestLedger returns an empty ledger whose pages fit a few charges each.
+// newTestLedger returns an empty ledger whose pages fit only a few charges each.
 func newTestLedger(p *Policy) *Ledger {
 	n := 0
 	return NewLedger(p, func() string { n++; return fmt.Sprintf("1-%d", n) }, func() int { return 400 })
@@ -18,18 +18,20 @@
 	return &Policy{Budgets: budgets, FinishWait: time.Minute, Skew: time.Second}
 }
 
+// budget returns a budget that limits nothing but what the change sets.
 func budget(change func(*Budget)) Budget {
 	b := NewBudget()
 	change(&b)
 	return b
 }
 
-// candidate returns a task, with checkpoints, of a job of team red.
+// candidate returns a single task, with checkpoints, of a job of team red and class c.
 func candidate(job string, task int, attempt uint64) *Candidate {
 	return &Candidate{Team: "red", Class: "c", Job: job, Checkpoints: true, EvictionTime: 5 * time.Second, CordonedAt: testStart,
 		Tasks: []TaskAttempt{{TaskKey{job, task}, attempt}}}
 }
 
+// chargeAll charges a voluntary interruption of all of the candidate's tasks.
 func (c *Candidate) chargeAll(l *Ledger, now time.Time) {
 	for _, t := range c.Tasks {
 		l.Charge(now, c.Team, c.Class, t.TaskKey, t.Attempt, Voluntary)
@@ -39,32 +41,32 @@
 func expect(t *testing.T, what string, v Verdict, kind VerdictKind, cause Cause) {
 	t.Helper()
 	if v.Kind != kind || v.Cause != cause {
-		t.Errorf("%s: %d %q, expected %d %q", what, v.Kind, v.Cause, kind, cause)
+		t.Errorf("%s: verdict %d %q, expected %d %q", what, v.Kind, v.Cause, kind, cause)
 	}
 }
 
-// A task that has used up its interruptions is left to finish, and a service's replica in its place
-// makes its machine impossible to empty. The attempt's own charge doesn't count against it: otherwise
-// a leader that takes over couldn't carry out an eviction that was charged.
+// A task that has used up its interruptions is left to finish; a service's replica that has makes its
+// machine impossible to empty. An attempt's own charge doesn't count against it: otherwise a leader
+// that takes over couldn't carry out an eviction that was already charged.
 func TestTaskBudget(t *testing.T) {
 	p := testPolicy(map[Scope]Budget{{Team: "red"}: budget(func(b *Budget) { b.TaskInterruptions = 1 })})
 	l := newTestLedger(p)
 	first := candidate("j-1", 0, 7)
 	expect(t, "none yet", p.Judge(testStart, l, first), Allowed, CauseNone)
 	first.chargeAll(l, testStart)
-	expect(t, "charged itself", p.Judge(testStart, l, first), Allowed, CauseNone)
+	expect(t, "after its own charge", p.Judge(testStart, l, first), Allowed, CauseNone)
 	second := candidate("j-1", 0, 8)
 	expect(t, "a second time", p.Judge(testStart, l, second), NotYet, CauseTaskBudget)
 	second.Replicas = 3
-	expect(t, "of a service", p.Judge(testStart, l, second), Never, CauseTaskBudget)
+	expect(t, "a second time, of a service", p.Judge(testStart, l, second), Never, CauseTaskBudget)
 	expect(t, "another task", p.Judge(testStart, l, candidate("j-1", 1, 8)), Allowed, CauseNone)
 	l.Charge(testStart, "red", "c", TaskKey{"j-1", 2}, 5, Involuntary)
 	expect(t, "after an involuntary one", p.Judge(testStart, l, candidate("j-1", 2, 9)), NotYet, CauseTaskBudget)
 }
 
-// An interruption counts in a window from its charge until the window's length and twice the skew
-// after its attempt is known to be gone, and a gang counts with all its tasks. It guards against
-// windows that are exceeded because an eviction took long, or because clocks differ.
+// An interruption counts from its charge until its attempt has been known to be gone for the window's
+// length plus twice the skew, and a gang counts with all its tasks. It guards against windows that
+// are exceeded because an eviction takes long or because clocks differ.
 func TestWindowBudget(t *testing.T) {
 	p := testPolicy(map[Scope]Budget{{Team: "red"}: budget(func(b *Budget) {
 		b.WindowInterruptions, b.Window = 2, time.Minute
@@ -94,8 +96,8 @@
 	expect(t, "more at once than ever allowed", p.Judge(at.Add(time.Hour), l, gang), Never, CauseWindowBudget)
 }
 
-// Both the team's budget and that of the class have to allow an eviction. It guards against a budget
-// of a class that replaces its team's.
+// Both the team's budget and that of the class have to allow an eviction. It guards against a class's
+// budget that replaces that of its team instead of applying as well.
 func TestBudgetsAgree(t *testing.T) {
 	p := testPolicy(map[Scope]Budget{
 		{Team: "red"}:             budget(func(b *Budget) { b.MaxUnavailable = 2 }),
@@ -113,8 +115,8 @@
 	expect(t, "no budget", p.Judge(testStart, l, blue), Allowed, CauseNone)
 }
 
-// A task without checkpoints is left to finish for a while, and a service keeps a replica up whatever
-// its budget allows. It guards against lost work and against services that are down.
+// A task without checkpoints is given time to finish, and a service keeps one replica up whatever its
+// budget allows. It guards against lost work and against services that are down.
 func TestWaitsAndReplicas(t *testing.T) {
 	p := testPolicy(map[Scope]Budget{{Team: "red"}: budget(func(b *Budget) { b.MaxUnavailable = 9 })})
 	l := newTestLedger(p)
@@ -127,11 +129,12 @@
 	c.Down = 0
 	expect(t, "one of two", p.Judge(testStart, l, c), Allowed, CauseNone)
 	c.Team, c.Replicas, c.Down = "blue", 20, 2
-	expect(t, "a third of twenty, no budget", p.Judge(testStart, l, c), NotYet, CauseUnavailable)
+	expect(t, "the third replica of twenty, no budget", p.Judge(testStart, l, c), NotYet, CauseUnavailable)
 }
 
-// A closed window forbids what might not be over when it begins, and ends only when it is over by the
-// worst clock. It guards against evictions within the window by a leader whose clock is off.
+// A closed window forbids evictions that might not be over when it begins, and it lasts until it is
+// over by the slowest clock that the skew allows. It guards against evictions within the window by a
+// leader whose clock is off.
 func TestClosedWindowWithSkew(t *testing.T) {
 	closed := ClosedWindow{From: 12 * time.Hour, To: 13 * time.Hour, Location: time.UTC}
 	closed.Days = [7]bool{true, true, true, true, true, true, true}
@@ -151,7 +154,7 @@
 	} {
 		v := p.Judge(c.at, l, candidate("j-1", 0, 1))
 		if (v.Kind == Allowed) != c.allowed || p.MayMoveNow(c.at, "red", "c", 5*time.Second) != c.allowed {
-			t.Errorf("at %s: %+v", c.at, v)
+			t.Errorf("at %s: verdict %+v", c.at, v)
 		}
 		if until := noon.Add(time.Hour + time.Second); !c.allowed && !v.Until.Equal(until) {
 			t.Errorf("at %s: until %s, expected %s", c.at, v.Until, until)
@@ -159,9 +162,9 @@
 	}
 }
 
-// The next open time is found over windows that adjoin, that pass midnight, and on days on which summer
-// time begins or ends; if windows cover all time, none is found. It guards against evictions an hour
-// inside a window, and against a search without end.
+// The next open time is found for windows that adjoin or pass midnight, and on days on which summer
+// time begins or ends; if windows cover all time, none is found. It guards against evictions up to an
+// hour inside a window, and against a search that doesn't end.
 func TestClosedWindows(t *testing.T) {
 	zone, err := time.LoadLocation("Europe/Berlin")
 	if err != nil {
@@ -187,7 +190,7 @@
 	for _, c := range []struct {
 		name      string
 		windows   []ClosedWindow
-		now, open string // open: empty for never
+		now, open string // open is empty if there is no open time
 	}{
 		{"open", []ClosedWindow{window(daily, 8, 10)}, "2026-12-02 11:00", "2026-12-02 11:00"},
 		{"adjoining", []ClosedWindow{window(daily, 8, 10), window(daily, 10, 12)}, "2026-12-02 09:00", "2026-12-02 12:00"},
@@ -200,7 +203,7 @@
 	} {
 		open, ok := openFrom(c.windows, at(c.now), time.Second, 0)
 		if ok != (c.open != "") || ok && !open.Equal(at(c.open)) {
-			t.Errorf("%s: %s %v", c.name, open, ok)
+			t.Errorf("%s: open from %s, found %v", c.name, open, ok)
 		}
 	}
 }
