--- a/internal/drain/charge.go
+++ b/internal/drain/charge.go
@@ -5,7 +5,7 @@
 // InterruptionKind tells interruptions that budgets can forbid from those that they can't.
 type InterruptionKind uint8
 
-// Kinds of interruptions.
+// Kinds of interruptions. If one task of a gang is interrupted, so is the whole gang.
 const (
 	Voluntary   InterruptionKind = iota // by a drain, or by the scheduler to consolidate machines
 	Involuntary                         // by preemption, the cloud's notice or the loss of a machine
@@ -37,8 +37,8 @@
 	stored bool // see Stored
 }
 
-// Stored reports whether the state service is known to hold the charge. A charge that is reopened
-// counts as not stored until its page is written again.
+// Stored reports whether the state service is known to hold the charge. A charge that was reopened
+// isn't stored until a write of its page has succeeded.
 func (c *Charge) Stored() bool { return c.stored }
 
 // Open reports whether the attempt isn't known to be gone.
--- a/internal/drain/closed_window.go
+++ b/internal/drain/closed_window.go
@@ -29,8 +29,8 @@
 	return w.wallClock(year, month, first, w.From), w.wallClock(year, month, last, w.To), true
 }
 
-// wallClock returns the time at which clocks at the window's location show the time of day at. On
-// days on which summer time begins or ends, adding at to midnight would be an hour off.
+// wallClock returns the time at which clocks at the window's location show the given time of day. On
+// days on which summer time begins or ends, that isn't midnight plus the time of day.
 func (w *ClosedWindow) wallClock(year int, month time.Month, day int, at time.Duration) time.Time {
 	hour, minute, second := at/time.Hour, at%time.Hour/time.Minute, at%time.Minute/time.Second
 	return time.Date(year, month, day, int(hour), int(minute), int(second), 0, w.Location)
--- a/internal/drain/plan.go
+++ b/internal/drain/plan.go
@@ -113,8 +113,8 @@
 	return true
 }
 
-// SameRequest reports whether two plans request the same, whatever their IDs and progress. A repeated
-// request with the same ID has to.
+// SameRequest reports whether two plans request the same, whatever their IDs and progress. A request
+// with the ID of an existing plan is a repetition if it does, and else an error.
 func (p *Plan) SameRequest(o *Plan) bool {
 	return p.Selector.equal(&o.Selector) && p.MaxAtOnce == o.MaxAtOnce && p.Surge == o.Surge &&
 		p.Deadline == o.Deadline && p.KeepCordoned == o.KeepCordoned
--- a/internal/drain/verdict.go
+++ b/internal/drain/verdict.go
@@ -106,8 +106,8 @@
 	return text
 }
 
-// serviceUnavailableDivisor is the part of a service's replicas, a tenth, that may be down at a time
-// where no budget sets MaxUnavailable. One may be down in any case.
+// serviceUnavailableDivisor sets how many of a service's replicas may be down at a time where no budget
+// sets MaxUnavailable: a tenth, but at least one.
 const serviceUnavailableDivisor = 10
 
 // Judge decides whether a candidate may be evicted now: by the budgets, by how many replicas a service
