--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -1,6 +1,7 @@
 package wire
 
-// This file mirrors the cloud's interface (PROTOCOL: Controller nodes -> cloud).
+// This file mirrors the cloud's interface (PROTOCOL: Controller nodes -> cloud). Package cloud
+// converts its messages to the terms that other packages use.
 
 // Paths of the cloud's interface.
 const (
@@ -9,16 +10,16 @@
 	ReleasePath = "/rentals/release"
 )
 
-// ErrorNoCapacity is the text of the ErrorMessage by which the cloud says, with status 503, that it has no machines
-// of the type, zone and kind that were asked for.
+// ErrorNoCapacity is the text of the ErrorMessage, sent with status 503, by which the cloud says that
+// it has no machines of the type, zone and kind (spot or not) that were requested.
 const ErrorNoCapacity = "no capacity"
 
-// Flavors is the body of the answer to GET /flavors.
+// Flavors is the body of the response to GET /flavors.
 type Flavors struct {
 	Builds []Flavor `cbor:"builds"`
 }
 
-// Flavor is a machine type with its present prices.
+// Flavor is a machine type with its current prices.
 type Flavor struct {
 	Label      string   `cbor:"label"`
 	VCPUs      float64  `cbor:"vcpus"`
@@ -32,7 +33,8 @@
 	Yards      []string `cbor:"yards"`
 }
 
-// RentalRequest is the body of POST /rentals. Hire names the request: a repeated name creates nothing more.
+// RentalRequest is the body of POST /rentals, which creates machines. Hire is the request's
+// idempotency key: a request with the same Hire as an earlier one creates no further machines.
 type RentalRequest struct {
 	Hire    string `cbor:"hire"`
 	Build   string `cbor:"build"`
@@ -41,19 +43,19 @@
 	Count   int    `cbor:"count"`
 }
 
-// Stalls has the names of machines. It is the body of the answer to a RentalRequest, and of POST
-// /rentals/release.
+// Stalls holds names of machines. It is the body of the response to a RentalRequest, and of POST
+// /rentals/release, which deletes machines.
 type Stalls struct {
 	Stalls []string `cbor:"stalls"`
 }
 
-// RentalPage is the body of the answer to GET /rentals, one page of the list of machines.
+// RentalPage is the body of the response to GET /rentals: one page of the list of machines.
 type RentalPage struct {
 	Stalls  []Rental `cbor:"stalls"`
 	HasNext bool     `cbor:"has_next"`
 }
 
-// Rental is one machine of the list.
+// Rental is a machine in the list.
 type Rental struct {
 	Ref      string  `cbor:"ref"`
 	Endpoint string  `cbor:"endpoint"`
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -11,8 +11,8 @@
 	"gingertally/internal/goldentest"
 )
 
-// addMessage adds the encoded form of a message in which every field is set, and checks that it is
-// read and written again bit for bit.
+// addMessage adds the encoded form of a message in which every field is set, and checks that decoding
+// it and encoding the result gives the same bytes.
 func addMessage[T any](t *testing.T, lines *goldentest.Lines, name string) {
 	t.Helper()
 	encoded := codec.MustMarshal(goldentest.Filled[T]())
@@ -22,11 +22,12 @@
 		t.Errorf("%s: %v", name, err)
 	}
 	if again := codec.MustMarshal(read); !bytes.Equal(again, encoded) {
-		t.Errorf("%s: read and written again it is %x, not %x", name, again, encoded)
+		t.Errorf("%s: decoded and encoded again: %x, want %x", name, again, encoded)
 	}
 }
 
-// The encoded form of every message of the outside interfaces.
+// The encoded form of the messages of the external interfaces mustn't change: users, workers, the
+// cloud and the state service couldn't read them any more.
 func TestMessagesGolden(t *testing.T) {
 	var lines goldentest.Lines
 	addMessage[Heartbeat](t, &lines, "heartbeat")
@@ -48,7 +49,8 @@
 	lines.Check(t, "messages.txt")
 }
 
-// The protocol's words, and the commands as workers get them.
+// The protocol's words for states, causes, shapes and priorities, and the encoded form of each kind of
+// command, mustn't change.
 func TestWordsGolden(t *testing.T) {
 	var lines goldentest.Lines
 	for _, word := range slices.Sorted(maps.Keys(taskStates)) {
@@ -70,9 +72,9 @@
 	lines.Check(t, "words.txt")
 }
 
-// What a submission becomes.
+// A submission must always be parsed to the same spec and the same dependencies, without duplicates.
 func TestParseSubmissionGolden(t *testing.T) {
-	body := good()
+	body := validSubmission()
 	body["awaits"] = []string{"j-000001", "j-000002", "j-000001"}
 	spec, dependencies, err := ParseSubmission(codec.MustMarshal(body))
 	if err != nil {
--- a/internal/wire/users.go
+++ b/internal/wire/users.go
@@ -10,16 +10,17 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// Paths of the users' interface. A job's own path is RunsPath, a slash and the job's name.
+// Paths of the users' interface. The path of a job is RunsPath, a slash and the job's ref.
 const (
 	RunsPath     = "/v2/runs"
-	CancelSuffix = "/withdraw" // after a job's path
+	CancelSuffix = "/withdraw" // follows the path of a job
 )
 
 // MaxTasks is the largest number of tasks that a job may have.
 const MaxTasks = 100_000
 
-// submission is the body of POST /v2/runs. Its fields are pointers to tell an absent field from a zero.
+// submission is the body of POST /v2/runs. Its fields are pointers to distinguish an absent field
+// from a zero value.
 type submission struct {
 	Ref     *string          `cbor:"ref"`
 	Class   *string          `cbor:"lot_kind"`
@@ -44,23 +45,24 @@
 	Awaits  codec.RawMessage `cbor:"awaits"`
 }
 
-// Bounds of a submission's fields. Amounts and durations in seconds are bounded so that sums of them, and
-// their conversion to time.Duration, don't overflow or lose precision that matters.
+// Upper bounds of a submission's fields: of amounts and durations in seconds, and of texts in bytes.
+// maxAmount keeps sums of amounts, and the conversion of seconds to time.Duration, from overflowing or
+// losing precision that matters.
 const (
 	maxAmount = 1e8
 	maxText   = 200
 )
 
-// shapes are the protocol's words for the shapes of jobs.
+// shapes maps the protocol's words to the shapes of jobs.
 var shapes = map[string]pipeline.Shape{"sweep": pipeline.Array, "ensemble": pipeline.Gang, "service": pipeline.Service}
 
-// priorities are the protocol's words for priorities.
+// priorities maps the protocol's words to priorities.
 var priorities = map[string]pipeline.Priority{
 	"production": pipeline.Production, "urgent": pipeline.High, "normal": pipeline.Normal, "idle": pipeline.Low,
 }
 
-// ParseSubmission decodes and checks a submission: the job, and the names of the jobs that have to be done
-// before it. Every error is a codec.ErrMalformed.
+// ParseSubmission decodes and validates a submission. It returns the job's spec, and the refs of the
+// jobs that have to be done before it, each once. Every error wraps codec.ErrMalformed.
 func ParseSubmission(body []byte) (spec pipeline.Spec, dependencies []string, err error) {
 	var message submission
 	if err := unmarshalMap(body, &message); err != nil {
@@ -79,17 +81,18 @@
 	return spec, dependencies, nil
 }
 
-// fieldReader reads the fields of a submission and keeps the first error, so that reading the fields needs no
-// check after each of them.
+// fieldReader reads the fields of a submission and keeps the first error, so that callers needn't
+// check for an error after each field.
 type fieldReader struct{ err error }
 
+// note keeps an error if it is the first.
 func (f *fieldReader) note(err error) {
 	if f.err == nil {
 		f.err = err
 	}
 }
 
-// identity reads the job's name, what it belongs to, and its shape and priority.
+// identity reads the job's ref, class, team, image, shape and priority.
 func (f *fieldReader) identity(spec *pipeline.Spec, message *submission) {
 	spec.Ref = f.text("ref", message.Ref)
 	if spec.Ref != "" && !pipeline.ValidRef(spec.Ref) {
@@ -107,7 +110,7 @@
 	}
 }
 
-// resources reads the number of tasks and the resources that each of them takes.
+// resources reads the number of tasks, the resources that each of them takes, and the image's size.
 func (f *fieldReader) resources(spec *pipeline.Spec, message *submission) {
 	if message.Lots == nil || *message.Lots == 0 || *message.Lots > MaxTasks {
 		f.note(malformed("lots is missing or out of range"))
@@ -120,13 +123,14 @@
 	spec.ImageGB = f.amount("pull_gb", message.PullGB)
 }
 
-// placement reads the constraints on the machines and zones of the tasks.
+// placement reads the constraints on the machine types and zones that the tasks may run in, and whether
+// they may run on spot instances.
 func (f *fieldReader) placement(spec *pipeline.Spec, message *submission) {
 	for _, build := range message.Builds {
 		spec.Types = append(spec.Types, f.text("builds", build))
 	}
 	if message.Builds != nil && len(message.Builds) == 0 {
-		spec.Types = []string{} // none is allowed, while nil allows all
+		spec.Types = []string{} // allows no type, whereas nil allows all
 	}
 	if message.Yard != nil {
 		spec.Zone = f.text("yard", message.Yard)
@@ -136,7 +140,7 @@
 	spec.Spot = f.flag("loaners", message.Loaners)
 }
 
-// times reads the estimated run time, the checkpoints and the deadline.
+// times reads the estimated run time, the interval and duration of checkpoints, and the deadline.
 func (f *fieldReader) times(spec *pipeline.Spec, message *submission) {
 	spec.Estimate = f.duration("guess_s", message.GuessS)
 	spec.CheckpointInterval = f.duration("mark_s", message.MarkS)
@@ -146,7 +150,7 @@
 	}
 }
 
-// present reports whether a field is there, and notes an error if it isn't.
+// present reports whether a field is present, and notes an error if it isn't.
 func present[T any](f *fieldReader, name string, field *T) bool {
 	if field == nil {
 		f.note(malformed("%s is missing", name))
@@ -154,6 +158,7 @@
 	return field != nil
 }
 
+// text returns a field that has to be a text of 1 to maxText bytes; empty after an error.
 func (f *fieldReader) text(name string, field *string) string {
 	if !present(f, name, field) {
 		return ""
@@ -165,6 +170,7 @@
 	return *field
 }
 
+// amount returns a field that has to be a number from 0 to maxAmount; 0 after an error.
 func (f *fieldReader) amount(name string, field *float64) float64 {
 	if !present(f, name, field) {
 		return 0
@@ -180,11 +186,12 @@
 	return present(f, name, field) && *field
 }
 
+// duration returns a field that has to be a number of seconds from 0 to maxAmount; 0 after an error.
 func (f *fieldReader) duration(name string, field *float64) time.Duration {
 	return time.Duration(f.amount(name, field) * float64(time.Second))
 }
 
-// parseDependencies reads the names of the jobs that have to be done first, each once.
+// parseDependencies returns the refs of the jobs that have to be done first, without duplicates.
 func parseDependencies(value codec.RawMessage) ([]string, error) {
 	if len(value) == 0 {
 		return nil, nil
@@ -215,7 +222,8 @@
 	StatusCancelled = "aborted"
 )
 
-// RunState is the body of the answer to a submission that is accepted, and of GET /v2/runs/{id}.
+// RunState is the body of the responses to an accepted submission and to GET /v2/runs/{id}: a job's
+// status and how many of its tasks are done and running.
 type RunState struct {
 	Ref     string `cbor:"ref"`
 	Status  string `cbor:"status"`
@@ -223,7 +231,7 @@
 	Running int    `cbor:"running"`
 }
 
-// StatusOf is the status of a job in a phase, of whose tasks so many are running.
+// StatusOf returns the status of a job in the given phase with the given number of running tasks.
 func StatusOf(phase pipeline.Phase, running int) string {
 	switch phase {
 	case pipeline.Done:
@@ -237,18 +245,19 @@
 	return StatusQueued
 }
 
-// RunStateOf is the RunState of a job, of whose tasks so many are done and running.
+// RunStateOf returns the RunState of a job in the given phase with the given numbers of done and
+// running tasks.
 func RunStateOf(ref string, phase pipeline.Phase, done, running int) RunState {
 	return RunState{Ref: ref, Status: StatusOf(phase, running), Done: done, Running: running}
 }
 
-// CancelResult is the body of the answer to POST /v2/runs/{id}/withdraw.
+// CancelResult is the body of the response to POST /v2/runs/{id}/withdraw.
 type CancelResult struct {
 	Ref    string `cbor:"ref"`
 	Status string `cbor:"status"`
 }
 
-// OverloadRefusal is the body of the answer to a submission that is refused under overload.
+// OverloadRefusal is the body of the response to a submission that is refused under overload.
 type OverloadRefusal struct {
 	Error       string  `cbor:"error"`
 	RetryAfterS float64 `cbor:"retry_after_s"`
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -14,8 +14,8 @@
 	"gingertally/internal/core/fleet"
 )
 
-// good is a submission in which every field is set.
-func good() map[string]any {
+// validSubmission returns a submission with all fields except awaits; its yard is null.
+func validSubmission() map[string]any {
 	return map[string]any{
 		"ref": "j-000412", "lot_kind": "train", "owner": "vision", "shape": "ensemble", "urgency": "urgent",
 		"lots": 16, "vcpus": 8.0, "cards": 1.0, "mem_gb": 64.0, "kit": "img-07", "pull_gb": 6.2, "builds": []string{"g8"},
@@ -24,20 +24,21 @@
 	}
 }
 
-// A submission is accepted or found malformed as the protocol says. Each row changes or leaves out one field of a
-// good one: a malformed job that is accepted has to be kept for ever, and a good one that is refused isn't retried.
+// A submission is accepted or rejected as malformed as the protocol says. Most rows change or leave
+// out one field of a valid submission. A malformed job that is accepted can't be refused later, and a
+// valid one that is rejected isn't submitted again.
 func TestParseSubmission(t *testing.T) {
-	spec, _, err := ParseSubmission(codec.MustMarshal(good()))
+	spec, _, err := ParseSubmission(codec.MustMarshal(validSubmission()))
 	if err != nil || spec.Tasks != 16 || spec.Types[0] != "g8" || spec.Deadline.Seconds() != 900 {
-		t.Fatalf("good submission: %+v, %v", spec, err)
+		t.Fatalf("valid submission: %+v, error %v", spec, err)
 	}
 	change := func(field string, v any) []byte {
-		m := good()
+		m := validSubmission()
 		m[field] = v
 		return codec.MustMarshal(m)
 	}
 	without := func(field string) []byte {
-		m := good()
+		m := validSubmission()
 		delete(m, field)
 		return codec.MustMarshal(m)
 	}
@@ -50,7 +51,7 @@
 		"long reference": change("ref", "j-1234567"),
 	} {
 		if _, _, err := ParseSubmission(body); err != nil {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error %v", name, err)
 		}
 	}
 	for name, body := range map[string][]byte{
@@ -58,7 +59,7 @@
 		"not CBOR":         []byte("{\"ref\":1}"),
 		"null":             codec.MustMarshal(nil),
 		"a list":           codec.MustMarshal([]int{1}),
-		"more than one":    append(codec.MustMarshal(good()), 0),
+		"more than one":    append(codec.MustMarshal(validSubmission()), 0),
 		"too long":         change("kit", strings.Repeat("x", MaxBody)),
 		"no ref":           without("ref"),
 		"no one_zone":      without("one_zone"),
@@ -81,33 +82,33 @@
 		"type null":        change("builds", []any{nil}),
 	} {
 		if _, _, err := ParseSubmission(body); !errors.Is(err, codec.ErrMalformed) {
-			t.Errorf("%s: error %v", name, err)
+			t.Errorf("%s: error %v, want ErrMalformed", name, err)
 		}
 	}
 }
 
-// goodHeartbeat is a heartbeat with a running task and an exited one.
-func goodHeartbeat() map[string]any {
+// validHeartbeat returns a heartbeat with a running task and an exited one.
+func validHeartbeat() map[string]any {
 	return map[string]any{"stall": "m-000231", "endpoint": "10.1.0.232:9000", "build": "g8", "yard": "a", "loaners": true,
 		"shift": 1, "tick": 88, "gavel": 41, "warning_s": nil, "lots": []any{
 			map[string]any{"lot": "j-000412/3", "try": 2, "status": "running"},
 			map[string]any{"lot": "j-000398/0", "try": uint64(1) << 63, "status": "ended", "cause": "stopped", "kept": true}}}
 }
 
-// A heartbeat is read whole or not at all: what is missing or malformed must not be taken for an empty machine, on
-// which tasks would be started a second time.
+// A heartbeat with a missing or malformed part is rejected as a whole. If such a part were ignored,
+// the machine could seem to have no tasks, and its tasks would be started a second time.
 func TestParseHeartbeat(t *testing.T) {
-	heartbeat, err := ParseHeartbeat(codec.MustMarshal(goodHeartbeat()))
+	heartbeat, err := ParseHeartbeat(codec.MustMarshal(validHeartbeat()))
 	if err != nil || len(heartbeat.Tasks) != 2 || heartbeat.InterruptionIn >= 0 || heartbeat.Tasks[0].State != fleet.Running ||
 		heartbeat.Tasks[1].Cause != fleet.CauseStopped || !heartbeat.Tasks[1].Checkpointed || heartbeat.Tasks[1].Attempt != 1<<63 {
-		t.Fatalf("good heartbeat: %+v, %v", heartbeat, err)
+		t.Fatalf("valid heartbeat: %+v, error %v", heartbeat, err)
 	}
 	for field, v := range map[string]any{"stall": nil, "shift": -1, "tick": "x", "gavel": nil, "warning_s": math.NaN(),
 		"lots": []any{map[string]any{"lot": "j-000412", "try": 2, "status": "running"}}} {
-		m := goodHeartbeat()
+		m := validHeartbeat()
 		m[field] = v
 		if _, err := ParseHeartbeat(codec.MustMarshal(m)); !errors.Is(err, codec.ErrMalformed) {
-			t.Errorf("%s = %v: error %v", field, v, err)
+			t.Errorf("%s = %v: error %v, want ErrMalformed", field, v, err)
 		}
 	}
 	for _, lot := range []any{
@@ -117,24 +118,24 @@
 		map[string]any{"lot": "j-1/1", "try": 2, "status": "resting"},
 		map[string]any{"lot": "j-1/1", "try": 2, "status": "ended"},
 	} {
-		m := goodHeartbeat()
+		m := validHeartbeat()
 		m["lots"] = []any{lot}
 		if _, err := ParseHeartbeat(codec.MustMarshal(m)); !errors.Is(err, codec.ErrMalformed) {
-			t.Errorf("%v: error %v", lot, err)
+			t.Errorf("%v: error %v, want ErrMalformed", lot, err)
 		}
 	}
 }
 
-// A stand-in of a worker says in its heartbeats what it means, and understands the commands that controllers send: tests
-// against it would else hold for another protocol.
+// HeartbeatOf and CommandsOf, which emulated workers use, are the inverses of ParseHeartbeat and
+// OrdersOf, which controllers use. Otherwise tests with emulated workers would test another protocol.
 func TestStandInsSpeakTheProtocol(t *testing.T) {
-	heartbeat, err := ParseHeartbeat(codec.MustMarshal(goodHeartbeat()))
+	heartbeat, err := ParseHeartbeat(codec.MustMarshal(validHeartbeat()))
 	if err != nil {
 		t.Fatal(err)
 	}
 	again, err := ParseHeartbeat(codec.MustMarshal(HeartbeatOf(heartbeat)))
 	if err != nil || !reflect.DeepEqual(again, heartbeat) {
-		t.Errorf("heartbeat %+v, want %+v, %v", again, heartbeat, err)
+		t.Errorf("heartbeat %+v, want %+v, error %v", again, heartbeat, err)
 	}
 	commands := []fleet.Command{
 		{Kind: fleet.Start, Ref: "j-000412", Task: 4, Attempt: 2},
@@ -142,16 +143,16 @@
 		{Kind: fleet.Forget, Ref: "j-000398", Attempt: 1 << 63},
 	}
 	if got, err := CommandsOf(OrdersOf(commands)); err != nil || !slices.Equal(got, commands) {
-		t.Errorf("commands %+v, want %+v, %v", got, commands, err)
+		t.Errorf("commands %+v, want %+v, error %v", got, commands, err)
 	}
 	for _, order := range []Order{{Verb: "burn", Lot: "j-000412/4"}, {Verb: VerbStart, Lot: "j-000412"}} {
 		if _, err := CommandsOf([]Order{order}); !errors.Is(err, codec.ErrMalformed) {
-			t.Errorf("%+v: error %v", order, err)
+			t.Errorf("%+v: error %v, want ErrMalformed", order, err)
 		}
 	}
 }
 
-// The bodies of answers to users that the golden files don't hold: users read these names.
+// The responses to users that the golden files don't cover have the field names that users expect.
 func TestAnswersToUsers(t *testing.T) {
 	for _, c := range []struct {
 		message any
@@ -163,7 +164,7 @@
 	} {
 		var got map[string]any
 		if err := codec.Unmarshal(codec.MustMarshal(c.message), &got); err != nil || !maps.Equal(got, c.want) {
-			t.Errorf("%T: %v, want %v, %v", c.message, got, c.want, err)
+			t.Errorf("%T: %v, want %v, error %v", c.message, got, c.want, err)
 		}
 	}
 }
--- a/internal/wire/workers.go
+++ b/internal/wire/workers.go
@@ -1,6 +1,7 @@
 package wire
 
-// This file mirrors the workers' interface (PROTOCOL: Workers -> controller nodes; Controller nodes -> workers).
+// This file mirrors the workers' interface (PROTOCOL: Workers -> controller nodes; Controller nodes
+// -> workers).
 
 import (
 	"math"
@@ -11,7 +12,7 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// Paths of the workers' interface: HeartbeatPath at a controller, the others at a worker.
+// Paths of the workers' interface: controllers serve HeartbeatPath, workers serve the others.
 const (
 	HeartbeatPath    = "/agent/beat"
 	OrdersPath       = "/orders"
@@ -46,8 +47,10 @@
 	VerbForget = "clear"
 )
 
-// Heartbeat is the body of POST /agent/beat, and of a worker's answers to direct commands and status requests.
-// Its fields are pointers to tell an absent field from a zero.
+// Heartbeat is the body of POST /agent/beat, and of a worker's responses to direct commands and status
+// requests. Shift is the worker's incarnation, Tick the heartbeat's sequence number, and Gavel the
+// fencing token that the worker knows. Its fields are pointers to distinguish an absent field from a
+// zero value.
 type Heartbeat struct {
 	Stall    *string         `cbor:"stall"`
 	Endpoint *string         `cbor:"endpoint"`
@@ -61,7 +64,8 @@
 	Lots     []HeartbeatTask `cbor:"lots"`
 }
 
-// HeartbeatTask is a task on the machine of a heartbeat.
+// HeartbeatTask is the status of one task on a worker's machine. Cause and Kept only count for a task
+// that has exited; Kept says that it saved a checkpoint.
 type HeartbeatTask struct {
 	Lot    *string `cbor:"lot"`
 	Try    *uint64 `cbor:"try"`
@@ -70,6 +74,7 @@
 	Kept   *bool   `cbor:"kept"`
 }
 
+// taskStates maps the protocol's words to the states of tasks.
 var taskStates = map[string]fleet.AttemptState{
 	TaskFetching:       fleet.Fetching,
 	TaskWaitingForGang: fleet.WaitingForGang,
@@ -78,6 +83,7 @@
 	TaskExited:         fleet.Exited,
 }
 
+// exitCauses maps the protocol's words to the causes of exits.
 var exitCauses = map[string]fleet.ExitCause{
 	CauseDone:                  fleet.CauseDone,
 	CauseStopped:               fleet.CauseStopped,
@@ -89,7 +95,7 @@
 	CauseUnknownTask:           fleet.CauseUnknownTask,
 }
 
-// ParseHeartbeat decodes and checks a worker's heartbeat. Every error is a codec.ErrMalformed.
+// ParseHeartbeat decodes and validates a worker's heartbeat. Every error wraps codec.ErrMalformed.
 func ParseHeartbeat(body []byte) (fleet.Heartbeat, error) {
 	var message Heartbeat
 	if err := unmarshalMap(body, &message); err != nil {
@@ -109,10 +115,11 @@
 	return heartbeat, nil
 }
 
-// noInterruption is fleet.Heartbeat.InterruptionIn of a machine without an interruption notice.
+// noInterruption is the value of fleet.Heartbeat.InterruptionIn for a machine without an interruption
+// notice.
 const noInterruption = -1
 
-// parseMachineStatus reads what a heartbeat says of the machine itself.
+// parseMachineStatus returns what a heartbeat says about the machine itself, without its tasks.
 func parseMachineStatus(message *Heartbeat) (fleet.Heartbeat, error) {
 	if field := message.missingField(); field != "" {
 		return fleet.Heartbeat{}, malformed("%s of the heartbeat is missing", field)
@@ -132,7 +139,7 @@
 	return heartbeat, nil
 }
 
-// missingField names the first required field that is absent; empty means that all are there.
+// missingField returns the name of the first required field that is absent; empty if all are present.
 func (m *Heartbeat) missingField() string {
 	switch {
 	case m.Stall == nil || *m.Stall == "":
@@ -155,7 +162,7 @@
 	return ""
 }
 
-// parseTaskStatus reads what a heartbeat says of one task.
+// parseTaskStatus returns what a heartbeat says about one task.
 func parseTaskStatus(message *HeartbeatTask) (fleet.TaskStatus, error) {
 	if message.Lot == nil || message.Try == nil || message.Status == nil {
 		return fleet.TaskStatus{}, malformed("a field of a task in the heartbeat is missing")
@@ -176,21 +183,22 @@
 		return task, malformed("exit without a cause")
 	}
 	if task.Cause, known = exitCauses[*message.Cause]; !known {
-		task.Cause = fleet.CauseError // a cause that a later protocol may add is no success
+		task.Cause = fleet.CauseError // a cause added by a later protocol version isn't taken for success
 	}
 	task.Checkpointed = message.Kept != nil && *message.Kept
 	return task, nil
 }
 
-// Orders is the body of the answer to a heartbeat. With the worker's incarnation in Shift it is also the body of
-// POST /orders, which sends direct commands.
+// Orders is the body of the response to a heartbeat. With the worker's incarnation in Shift it is also
+// the body of POST /orders, which sends direct commands. Gavel is the leader's fencing token.
 type Orders struct {
 	Gavel  uint64  `cbor:"gavel"`
 	Shift  uint64  `cbor:"shift,omitempty"`
 	Orders []Order `cbor:"orders"`
 }
 
-// Order is one command to a worker.
+// Order is one command to a worker. Leeway, which only VerbStop has, is the time in seconds that the
+// task is given to save a checkpoint.
 type Order struct {
 	Verb   string   `cbor:"verb"`
 	Lot    string   `cbor:"lot"`
@@ -198,7 +206,8 @@
 	Leeway *float64 `cbor:"leeway_s,omitempty"`
 }
 
-// Redirect is the body of an answer 421 to a heartbeat: the name of the controller that the worker should go to.
+// Redirect is the body of a response with status 421 to a heartbeat. Clerk is the name of the
+// controller to which the worker should send its heartbeats.
 type Redirect struct {
 	Clerk string `cbor:"clerk,omitempty"`
 }
@@ -227,12 +236,13 @@
 	return order
 }
 
-// taskStateWords and exitCauseWords are taskStates and exitCauses the other way round.
+// taskStateWords and exitCauseWords are the inverses of taskStates and exitCauses.
 var (
 	taskStateWords = inverse(taskStates)
 	exitCauseWords = inverse(exitCauses)
 )
 
+// inverse returns the inverse of a one-to-one map.
 func inverse[V comparable](byWord map[string]V) map[V]string {
 	words := make(map[V]string, len(byWord))
 	for word, value := range byWord {
@@ -241,7 +251,8 @@
 	return words
 }
 
-// HeartbeatOf converts a heartbeat to its wire form. Controllers don't send heartbeats; stand-ins of workers do.
+// HeartbeatOf converts a heartbeat to its wire form. Only emulated workers and tests use it, since
+// controllers don't send heartbeats.
 func HeartbeatOf(heartbeat fleet.Heartbeat) Heartbeat {
 	message := Heartbeat{
 		Stall: &heartbeat.Machine, Endpoint: &heartbeat.Addr, Build: &heartbeat.Type, Yard: &heartbeat.Zone,
@@ -269,8 +280,8 @@
 	return message
 }
 
-// CommandsOf converts commands from their wire form, as stand-ins of workers do. Every error is a
-// codec.ErrMalformed.
+// CommandsOf converts commands from their wire form. Only emulated workers and tests use it. Every
+// error wraps codec.ErrMalformed.
 func CommandsOf(orders []Order) ([]fleet.Command, error) {
 	commands := make([]fleet.Command, 0, len(orders))
 	for _, order := range orders {
@@ -300,8 +311,8 @@
 // maxTaskDigits is the largest number of digits of a task's number.
 const maxTaskDigits = 9
 
-// ParseTaskName splits the name of a task, such as j-000412/3, into its job's name and its number. Every error
-// is a codec.ErrMalformed.
+// ParseTaskName splits the name of a task, such as j-000412/3, into its job's ref and its number.
+// Every error wraps codec.ErrMalformed.
 func ParseTaskName(name string) (ref string, task int, err error) {
 	ref, digits, ok := strings.Cut(name, "/")
 	if !ok || !pipeline.ValidRef(ref) {
@@ -313,7 +324,8 @@
 	return ref, task, nil
 }
 
-// parseTaskNumber reads a number without sign and leading zeros, so that each task has one name only.
+// parseTaskNumber parses a decimal number. It accepts no sign and no leading zeros, so that each task
+// has only one name.
 func parseTaskNumber(digits string) (number int, ok bool) {
 	leadingZero := len(digits) > 1 && digits[0] == '0'
 	if digits == "" || len(digits) > maxTaskDigits || leadingZero {
