--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,11 +1,11 @@
-// Package cloud is the client of the cloud's interface (PROTOCOL: Controller nodes -> cloud). It
-// creates, deletes and lists machines, and maps the protocol's messages to the field's terms, so that
-// nothing above it knows them.
+// Package cloud is a client of the cloud's interface (PROTOCOL: Controller nodes -> cloud). It
+// creates, deletes and lists machines and reads the machine types. It converts the protocol's messages
+// to the usual terms of the field, so that its callers don't depend on the protocol's words.
 //
-// A Client owns its connections and the limit of its rate, and nothing else: it doesn't repeat
-// requests, and it doesn't remember what it created. The leader calls it from the goroutines that
-// carry out the engine's effects, and every controller from the one that refreshes the machine types;
-// a Client may be used by any number of goroutines.
+// A Client owns only its connections and its rate limiter: it doesn't retry requests, and it doesn't
+// remember which machines it created. The leader calls it from the goroutines that carry out the
+// engine's effects, and every controller from the goroutine that refreshes the machine types. A Client
+// is safe for concurrent use.
 package cloud
 
 import (
@@ -22,36 +22,37 @@
 	"gingertally/internal/wire"
 )
 
-// Client is a client of the cloud's interface. All its errors are *RequestError.
+// Client is a client of the cloud's interface. Its methods return errors of type *RequestError.
 type Client struct {
 	http     *fasthttp.HostClient
-	requests *rate.Limiter
+	requests *rate.Limiter // limits the rate of all requests
 }
 
 const (
-	callTimeout = 4 * time.Second
-	idleConn    = time.Minute
-	maxConns    = 6
-	maxResponse = 4 << 20
-	// burstSeconds is how many seconds' worth of requests may be sent at once; the cloud allows 2.
+	// callTimeout bounds one request, without the wait for the rate limiter.
+	callTimeout      = 4 * time.Second
+	idleConnTimeout  = time.Minute
+	maxConns         = 6
+	maxResponseBytes = 4 << 20
+	// burstSeconds is the burst of the rate limiter, in seconds at its rate; the cloud allows 2.
 	burstSeconds = 1.5
-	// pageSize is how many machines are read with one request; the cloud allows 500.
+	// pageSize is how many machines are listed per request; the cloud allows up to 500.
 	pageSize = 500
 )
 
-// New makes a client that sends at most so many requests a second.
+// New returns a client that sends at most perSecond requests per second, apart from short bursts.
 func New(addr string, perSecond float64) *Client {
 	return &Client{
 		http: &fasthttp.HostClient{
 			Addr: addr, MaxConns: maxConns, ReadTimeout: callTimeout, WriteTimeout: callTimeout,
-			MaxIdleConnDuration: idleConn, MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true,
-			MaxResponseBodySize: maxResponse,
+			MaxIdleConnDuration: idleConnTimeout, MaxIdemponentCallAttempts: 1, NoDefaultUserAgentHeader: true,
+			MaxResponseBodySize: maxResponseBytes,
 		},
 		requests: rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond*burstSeconds))),
 	}
 }
 
-// Names of the operations in errors.
+// Names of the operations, for RequestError.Operation.
 const (
 	operationMachineTypes = "read machine types"
 	operationScaleOut     = "scale out"
@@ -59,41 +60,44 @@
 	operationList         = "list instances"
 )
 
-// MachineTypes reads the machine types with their present prices.
+// MachineTypes reads the machine types with their current prices.
 func (c *Client) MachineTypes(ctx context.Context) (MachineTypes, error) {
 	var flavors wire.Flavors
 	err := c.do(ctx, call{
-		operation: operationMachineTypes, method: fasthttp.MethodGet, uri: wire.FlavorsPath, answer: &flavors,
+		operation: operationMachineTypes, method: fasthttp.MethodGet, uri: wire.FlavorsPath, result: &flavors,
 	})
 	return MachineTypes{flavors.Builds}, err
 }
 
-// ScaleOut asks for machines, and returns the names of those that were created: at most as many as
-// were asked for. The same request may be repeated until it is answered; it creates machines once.
+// ScaleOut creates machines and returns their names. There may be fewer than requested, but not more.
+// It is idempotent: requests with the same name create machines only once, so a request may be
+// repeated until there is a response.
 func (c *Client) ScaleOut(ctx context.Context, request core.ScaleOut) ([]string, error) {
 	var created wire.Stalls
 	err := c.do(ctx, call{
 		operation: operationScaleOut, method: fasthttp.MethodPost, uri: wire.RentalsPath,
-		body: ScaleOutBody(request), answer: &created,
+		body: ScaleOutBody(request), result: &created,
 	})
 	return created.Stalls, err
 }
 
-// ScaleIn deletes machines. Without an error they, and all tasks on them, no longer exist.
+// ScaleIn deletes machines. If it returns no error, the machines and all tasks on them no longer
+// exist.
 func (c *Client) ScaleIn(ctx context.Context, names []string) error {
 	return c.do(ctx, call{
 		operation: operationScaleIn, method: fasthttp.MethodPost, uri: wire.ReleasePath, body: ScaleInBody(names),
 	})
 }
 
-// ListInstances reads the whole list of machines. The list lags behind creations and deletions.
+// ListInstances reads the whole list of machines, except those with an unknown status. The list lags
+// behind creations and deletions.
 func (c *Client) ListInstances(ctx context.Context) ([]core.Instance, error) {
 	instances := []core.Instance{}
 	after := ""
 	for {
 		var page wire.RentalPage
 		uri := fmt.Sprintf("%s?since=%s&most=%d", wire.RentalsPath, url.QueryEscape(after), pageSize)
-		request := call{operation: operationList, method: fasthttp.MethodGet, uri: uri, answer: &page}
+		request := call{operation: operationList, method: fasthttp.MethodGet, uri: uri, result: &page}
 		if err := c.do(ctx, request); err != nil {
 			return nil, err
 		}
@@ -105,15 +109,16 @@
 	}
 }
 
-// call is one request to the cloud. A nil body sends none, and a nil answer reads none.
+// call is one request to the cloud. Its response is decoded into result, unless that is nil. If body
+// is nil, none is sent.
 type call struct {
 	operation   string
 	method, uri string
 	body        []byte
-	answer      any
+	result      any
 }
 
-// do makes a call and decodes its answer.
+// do makes a call and decodes its response. Errors are of type *RequestError.
 func (c *Client) do(ctx context.Context, call call) error {
 	if err := c.send(ctx, call); err != nil {
 		return &RequestError{call.operation, err}
@@ -121,6 +126,7 @@
 	return nil
 }
 
+// send makes a call and decodes its response. It returns the causes of do's errors.
 func (c *Client) send(ctx context.Context, call call) error {
 	if err := c.requests.Wait(ctx); err != nil {
 		return fmt.Errorf("%w: %w", ErrUnavailable, err)
@@ -140,8 +146,8 @@
 	if err := statusError(response); err != nil {
 		return err
 	}
-	if call.answer == nil {
+	if call.result == nil {
 		return nil
 	}
-	return codec.Unmarshal(response.Body(), call.answer)
+	return codec.Unmarshal(response.Body(), call.result)
 }
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -15,18 +15,18 @@
 	"gingertally/internal/wire"
 )
 
-// ampleRate is a rate that no test reaches.
+// ampleRate is a limit of requests per second that no test reaches.
 const ampleRate = 1000
 
-// serve is a client of a cloud that answers with a handler.
+// serve starts an HTTP server with a handler in place of the cloud, and returns a client of it.
 func serve(t *testing.T, handler fasthttp.RequestHandler) *Client {
 	t.Helper()
 	return New(testserver.Start(t, handler), ampleRate)
 }
 
-// Callers decide by the cause of an error: a scale-out of unknown outcome may have created machines,
-// one without capacity or that the cloud didn't execute hasn't. A status taken for another cause would
-// lose machines, or have them created twice.
+// Callers act on the cause of an error: a scale-out of unknown outcome may have created machines, one
+// for which there is no capacity, or that the cloud didn't execute, hasn't. If a status were mapped to
+// the wrong cause, machines would be lost or created twice.
 func TestErrorsSayWhetherExecuted(t *testing.T) {
 	noCapacity := codec.MustMarshal(wire.ErrorMessage{Error: wire.ErrorNoCapacity})
 	outage := codec.MustMarshal(wire.ErrorMessage{Error: "trouble"})
@@ -49,37 +49,39 @@
 		_, err := client.ScaleOut(t.Context(), core.ScaleOut{Name: "r-1"})
 		var failed *RequestError
 		if !errors.Is(err, c.want) || !errors.As(err, &failed) || failed.Operation != operationScaleOut {
-			t.Errorf("%s: %v, want %v of %s", c.name, err, c.want, operationScaleOut)
+			t.Errorf("%s: error %v, want %v for operation %q", c.name, err, c.want, operationScaleOut)
 		}
 	}
 }
 
-// A status that the protocol doesn't have is none of the known causes, and is told with the error.
+// A status that the protocol doesn't define isn't mapped to a known cause; the error contains the
+// status.
 func TestUnexpectedStatus(t *testing.T) {
 	client := serve(t, func(request *fasthttp.RequestCtx) { request.SetStatusCode(fasthttp.StatusTeapot) })
 	err := client.ScaleIn(t.Context(), []string{"m-000001"})
 	var unexpected *UnexpectedStatusError
 	if !errors.As(err, &unexpected) || unexpected.Status != fasthttp.StatusTeapot {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want an *UnexpectedStatusError with the response's status", err)
 	}
 }
 
-// Without an answer the request may have been executed; a request that was never sent has not been.
+// The outcome of a request without a response is unknown; a request that was never sent was certainly
+// not executed.
 func TestRequestsWithoutAnswer(t *testing.T) {
-	client := serve(t, func(request *fasthttp.RequestCtx) { _ = request.Conn().Close() }) // no answer
+	client := serve(t, func(request *fasthttp.RequestCtx) { _ = request.Conn().Close() }) // no response
 	if err := client.ScaleIn(t.Context(), nil); !errors.Is(err, ErrUnknownOutcome) {
-		t.Errorf("connection closed: %v", err)
+		t.Errorf("connection closed without a response: error %v", err)
 	}
 	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
 	if err := client.ScaleIn(cancelled, nil); !errors.Is(err, ErrUnavailable) || errors.Is(err, ErrUnknownOutcome) {
-		t.Errorf("never sent: %v", err)
+		t.Errorf("request never sent: error %v", err)
 	}
 }
 
-// The list is read page by page until its end: machines of a page that isn't read would be taken for
-// deleted ones. Machines whose status isn't known are left out, and the next page still begins after
-// them.
+// All pages of the list are read: the machines of a page that isn't read would be taken for deleted
+// ones. Machines with an unknown status are left out, but the next page still starts after the last
+// machine of the page, whatever its status.
 func TestListInstancesReadsAllPages(t *testing.T) {
 	pages := map[string]wire.RentalPage{
 		"": {HasNext: true, Stalls: []wire.Rental{
@@ -97,11 +99,12 @@
 		{Name: "m-000003", Status: core.InstanceFailed},
 	}
 	if err != nil || !slices.Equal(got, want) {
-		t.Errorf("%+v, %v, want %+v", got, err, want)
+		t.Errorf("instances %+v, error %v, want %+v", got, err, want)
 	}
 }
 
-// Stored machine types are read as the cloud told them: a follower plans with the leader's copy.
+// Machine types have the values that the cloud reported also after encoding and decoding: a follower
+// plans with the copy that the leader has stored.
 func TestMachineTypesStored(t *testing.T) {
 	flavor := wire.Flavor{Label: "g8", VCPUs: 96, Cards: 8, MemGB: 768, SpotPrice: 4.5, ReadyS: 45, Yards: []string{"a", "b"}}
 	client := serve(t, func(request *fasthttp.RequestCtx) {
@@ -118,6 +121,6 @@
 	got := stored.Catalog()["g8"]
 	if got == nil || got.CPUs != 96 || got.GPUs != 8 || got.SpotHour != 4.5 || got.Boot != 45*time.Second ||
 		!slices.Equal(got.Zones, flavor.Yards) {
-		t.Errorf("%+v", got)
+		t.Errorf("machine type after encoding and decoding: %+v", got)
 	}
 }
--- a/internal/cloud/errors.go
+++ b/internal/cloud/errors.go
@@ -10,18 +10,21 @@
 	"gingertally/internal/wire"
 )
 
-// Causes of a RequestError that callers tell apart.
+// Causes of a RequestError that callers distinguish, to be tested for with errors.Is.
 var (
-	// ErrNoCapacity says that the cloud has no such machines at the moment. Nothing was created.
+	// ErrNoCapacity says that the cloud has no machines of the requested type, zone and kind at
+	// the moment. Nothing was created.
 	ErrNoCapacity = errors.New("no capacity")
-	// ErrUnavailable says that the request was certainly not executed.
+	// ErrUnavailable says that the request was certainly not executed: it wasn't sent, or the cloud
+	// couldn't serve it.
 	ErrUnavailable = errors.New("unavailable")
-	// ErrUnknownOutcome says that the request may have been executed, or may yet be.
+	// ErrUnknownOutcome says that the request may have been executed, or may still be: there was no
+	// response.
 	ErrUnknownOutcome = errors.New("unknown outcome")
 )
 
-// RequestError says which operation failed, and why. Err is one of the causes above, an
-// *UnexpectedStatusError, or an error of codec for an answer that couldn't be read.
+// RequestError says which operation failed and why. Err wraps one of the causes above or, for a
+// response that can't be decoded, codec.ErrMalformed, or it is an *UnexpectedStatusError.
 type RequestError struct {
 	Operation string
 	Err       error
@@ -32,12 +35,12 @@
 // Unwrap returns the cause.
 func (e *RequestError) Unwrap() error { return e.Err }
 
-// UnexpectedStatusError is an answer with a status that the protocol doesn't have.
+// UnexpectedStatusError says that a response has a status that the protocol doesn't define.
 type UnexpectedStatusError struct{ Status int }
 
 func (e *UnexpectedStatusError) Error() string { return fmt.Sprintf("unexpected status %d", e.Status) }
 
-// statusError is the cause that an answer's status stands for; nil if the request was executed.
+// statusError returns the cause for a response's status; nil if the request was executed.
 func statusError(response *fasthttp.Response) error {
 	switch status := response.StatusCode(); status {
 	case fasthttp.StatusOK:
--- a/internal/cloud/messages.go
+++ b/internal/cloud/messages.go
@@ -9,13 +9,13 @@
 	"gingertally/internal/wire"
 )
 
-// This file maps the protocol's messages to the field's terms.
+// This file converts between the protocol's messages and the types that other packages use.
 
-// MachineTypes are the machine types that the cloud offers, with their prices, in the cloud's own form: that is
-// the form in which they are stored.
+// MachineTypes holds the machine types that the cloud offers, with their prices, as the protocol's
+// messages, which is also their stored form.
 type MachineTypes struct{ flavors []wire.Flavor }
 
-// Catalog converts the types to what placement needs of them.
+// Catalog converts the machine types to the catalog that placement uses.
 func (t MachineTypes) Catalog() placement.Catalog {
 	catalog := placement.Catalog{}
 	for _, flavor := range t.flavors {
@@ -28,35 +28,35 @@
 	return catalog
 }
 
-// Encode returns the types in their stored form.
+// Encode returns the machine types in their stored form.
 func (t MachineTypes) Encode() []byte { return codec.MustMarshal(wire.Flavors{Builds: t.flavors}) }
 
-// DecodeMachineTypes reads types in their stored form.
+// DecodeMachineTypes decodes machine types from their stored form.
 func DecodeMachineTypes(value []byte) (MachineTypes, error) {
 	var message wire.Flavors
 	err := codec.Unmarshal(value, &message)
 	return MachineTypes{message.Builds}, err
 }
 
-// ScaleOutBody is the encoded body of a request that creates machines.
+// ScaleOutBody returns the encoded body of a request that creates machines.
 func ScaleOutBody(request core.ScaleOut) []byte {
 	return codec.MustMarshal(wire.RentalRequest{
 		Hire: request.Name, Build: request.Type, Yard: request.Zone, Loaners: request.Spot, Count: request.Count,
 	})
 }
 
-// ScaleInBody is the encoded body of a request that deletes machines.
+// ScaleInBody returns the encoded body of a request that deletes machines.
 func ScaleInBody(names []string) []byte { return codec.MustMarshal(wire.Stalls{Stalls: names}) }
 
-// instanceStatuses maps the cloud's words for the status of an instance.
+// instanceStatuses maps the protocol's words to the statuses of instances.
 var instanceStatuses = map[string]core.InstanceStatus{
 	wire.RentalStarting: core.InstanceStarting,
 	wire.RentalRunning:  core.InstanceRunning,
 	wire.RentalFailed:   core.InstanceFailed,
 }
 
-// appendInstances appends a page of the cloud's list. An instance with a status that isn't known here is left
-// out: nothing is concluded from it.
+// appendInstances appends the instances on a page of the cloud's list. It leaves out those with an
+// unknown status, as if the cloud didn't list them.
 func appendInstances(instances []core.Instance, page []wire.Rental) []core.Instance {
 	for _, rental := range page {
 		status, known := instanceStatuses[rental.Status]
