--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,9 +1,9 @@
-// Package client is the side of those who call a controller: users, who submit, query and cancel jobs
-// (PROTOCOL: Users -> controller nodes), and operators, who drain machines (the controllers' own
-// interface in JSON). A user's call is repeated as the protocol says until an answer settles it; an
-// operator's call is tried once.
+// Package client is a client of the controllers, for users, who submit, query and cancel jobs
+// (PROTOCOL: Users -> controller nodes), and for operators, who drain machines (through the
+// controllers' own JSON interface). A user's call is retried as the protocol says, until a response
+// settles it or its time is used up. An operator's call is tried once.
 //
-// The command line uses it, and so do the emulator's users and the tools that measure.
+// The command line, the emulator's users and the measuring tools use it.
 package client
 
 import (
@@ -14,33 +14,35 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Client calls a controller, or the load balancer before the controllers. All fields but Addr have usable
-// zero values, and none is changed after the first call; then the client may be used by many goroutines.
+// Client calls a controller, or a load balancer in front of the controllers. All fields but Addr have
+// usable zero values. A Client is safe for concurrent use, provided that its fields aren't changed
+// after the first call.
 type Client struct {
-	// Addr is the address that is called, as host:port.
+	// Addr is the address of the controller or load balancer, as host:port.
 	Addr string
-	// Budget bounds the time for all tries of a user's call; 0 stands for a minute.
+	// Budget limits the time for all tries of a user's call and the pauses between them; 0 stands
+	// for a minute.
 	Budget time.Duration
-	// Pause waits between two tries; nil waits in real time.
+	// Pause waits for d, or until ctx ends; nil stands for a wait in real time.
 	Pause func(ctx context.Context, d time.Duration) error
-	// Dial opens connections; nil opens them over TCP.
+	// Dial opens connections; nil stands for TCP.
 	Dial fasthttp.DialFunc
 
 	makeHTTP sync.Once
 	http     *fasthttp.Client
 }
 
-// answerTimeout bounds the wait for the answer to one try. It leaves a controller time to ask the state
-// service or the leader.
+// answerTimeout bounds the wait for the response to one try. It leaves a controller time to ask the
+// state service or the leader.
 const answerTimeout = 5 * time.Second
 
-// Content types of the bodies.
+// Content types of request bodies.
 const (
-	contentTypeCBOR = "application/cbor" // of users' calls
-	contentTypeJSON = "application/json" // of operators' calls
+	contentTypeCBOR = "application/cbor" // in users' calls
+	contentTypeJSON = "application/json" // in operators' calls
 )
 
-// request is one request to a controller; a nil body sends none.
+// request is a request to a controller. If body is nil, none is sent.
 type request struct {
 	operation    string // for errors
 	method, path string
@@ -48,7 +50,9 @@
 	body         []byte
 }
 
-// send sends a request once and hands its answer, which is valid until handle returns, to a function.
+// send sends a request once and passes the response, which is valid only until handle returns, to
+// handle. It returns the error of handle, or a *noAnswerError if there is no response. If ctx has
+// already ended, nothing is sent; later it isn't taken into account.
 func (c *Client) send(ctx context.Context, request request, handle func(*fasthttp.Response) error) error {
 	if err := ctx.Err(); err != nil {
 		return err
@@ -69,7 +73,7 @@
 	return handle(resp)
 }
 
-// pause waits between two tries.
+// pause waits for d before the next try. It returns an error if ctx ends before.
 func (c *Client) pause(ctx context.Context, d time.Duration) error {
 	if c.Pause != nil {
 		return c.Pause(ctx, d)
--- a/internal/client/drains.go
+++ b/internal/client/drains.go
@@ -11,34 +11,38 @@
 	"gingertally/internal/drain"
 )
 
-// Paths of the operators' interface to drains.
+// Paths of the operators' interface for drains. The path of a change is drainsPath, a slash, the
+// plan's ID, a slash and the verb.
 const (
 	drainsPath  = "/drains"
 	previewPath = drainsPath + "/preview"
 )
 
-// StartDrain starts a plan, and returns it as it now is: a repeat changes nothing. It tries once.
+// StartDrain starts a plan and returns it in its current state. It is tried once. If it is repeated
+// with a plan that was already started, nothing changes.
 func (c *Client) StartDrain(ctx context.Context, plan drain.Plan) (drain.Plan, error) {
 	var started drain.Plan
 	err := c.callDrains(ctx, "start drain plan "+plan.ID, drainsPath, plan, &started)
 	return started, err
 }
 
-// ChangeDrain pauses, resumes or cancels a plan, and returns it as it now is. It tries once.
+// ChangeDrain pauses, resumes or cancels a plan, as verb says, and returns it in its current state. It
+// is tried once.
 func (c *Client) ChangeDrain(ctx context.Context, id, verb string) (drain.Plan, error) {
 	var changed drain.Plan
 	err := c.callDrains(ctx, fmt.Sprintf("%s drain plan %s", verb, id), drainsPath+"/"+id+"/"+verb, nil, &changed)
 	return changed, err
 }
 
-// PreviewDrain returns what a plan would do, and changes nothing. It tries once.
+// PreviewDrain returns what a plan would do, without starting it. It is tried once.
 func (c *Client) PreviewDrain(ctx context.Context, plan drain.Plan) (drain.Preview, error) {
 	var preview drain.Preview
 	err := c.callDrains(ctx, "preview drain plan "+plan.ID, previewPath, plan, &preview)
 	return preview, err
 }
 
-// callDrains makes a call about drains, with its message and its answer in JSON.
+// callDrains makes a call about drains: it sends message as JSON, and decodes the JSON response into
+// answer.
 func (c *Client) callDrains(ctx context.Context, operation, path string, message, answer any) error {
 	body, err := json.Marshal(message)
 	if err != nil {
@@ -67,7 +71,7 @@
 	return nil
 }
 
-// drainStatusError is the cause that the status of an answer stands for; nil if the call was carried out.
+// drainStatusError returns the error for a response's status; nil if the call was carried out.
 func drainStatusError(response *fasthttp.Response) error {
 	switch status := response.StatusCode(); status {
 	case fasthttp.StatusOK:
@@ -83,7 +87,8 @@
 	}
 }
 
-// drainErrorText is what an answer says is wrong: the text of its error message, or else the whole body.
+// drainErrorText returns what a response with an error says is wrong: the text of its error message,
+// or the whole body if it isn't such a message.
 func drainErrorText(body []byte) string {
 	var message struct {
 		Error string `json:"error"`
--- a/internal/client/drains_test.go
+++ b/internal/client/drains_test.go
@@ -10,8 +10,8 @@
 	"gingertally/internal/drain"
 )
 
-// A call about drains is tried once, and its status tells the cause: an operator who takes a conflict for a plan that
-// was started would wait for it in vain.
+// A call about drains is tried once, and each status is mapped to its cause and keeps the response's
+// text. An operator who isn't told of a conflict would wait in vain for a plan that wasn't started.
 func TestDrainCallsTellTheCause(t *testing.T) {
 	for _, c := range []struct {
 		status int
@@ -30,15 +30,15 @@
 		})
 		_, err := client.StartDrain(t.Context(), drain.Plan{ID: "p"})
 		if !errors.Is(err, c.want) || !strings.HasSuffix(err.Error(), c.text) || len(*pauses) != 0 {
-			t.Errorf("%d: %v after pauses %v, want %v", c.status, err, *pauses, c.want)
+			t.Errorf("status %d: error %v after pauses %v, want %v and no pauses", c.status, err, *pauses, c.want)
 		}
 	}
 }
 
-// A call that got no answer may have been carried out, of which the caller is told as of one that gave up.
+// A drain call without a response fails with ErrGaveUp, which says that it may have been carried out.
 func TestDrainCallWithoutAnswer(t *testing.T) {
 	client, _ := serve(t, func(request *fasthttp.RequestCtx) { _ = request.Conn().Close() })
 	if _, err := client.PreviewDrain(t.Context(), drain.Plan{ID: "p"}); !errors.Is(err, ErrGaveUp) {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want ErrGaveUp", err)
 	}
 }
--- a/internal/client/errors.go
+++ b/internal/client/errors.go
@@ -6,25 +6,27 @@
 	"time"
 )
 
-// Causes of a CallError that callers tell apart.
+// Causes of a CallError that callers distinguish, to be tested for with errors.Is.
 var (
 	// ErrRefused says that the controllers will never accept the job or the plan as it is.
 	ErrRefused = errors.New("refused")
-	// ErrNotFound says that no such job was accepted, or that there is no such plan.
+	// ErrNotFound says that no such job was accepted, that there is no such plan, or that drains
+	// are off.
 	ErrNotFound = errors.New("not found")
-	// ErrConflict says that a plan can't be changed like this, or that its name is taken.
+	// ErrConflict says that a plan can't be changed this way, or that its ID is taken.
 	ErrConflict = errors.New("conflict")
-	// ErrGaveUp says that no usable answer came in time.
+	// ErrGaveUp says that there was no usable response in time. The call may have been carried out.
 	ErrGaveUp = errors.New("gave up")
 )
 
-// CallError says which call of which controller failed, and why.
+// CallError says which call to which controller failed and why.
 type CallError struct {
-	// Operation is what was asked, such as "cancel job j-000412".
+	// Operation is what was requested, such as "cancel job j-000412".
 	Operation string
-	// Addr is whom it was asked of.
+	// Addr is the address that was called.
 	Addr string
-	// Err is the cause: one of those above, the context's error, or an error of the answer's form.
+	// Err is the cause: one of those above, the context's error, or that of a response that can't be
+	// decoded.
 	Err error
 }
 
@@ -33,17 +35,17 @@
 // Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Err }
 
-// noAnswerError says that a try got no answer.
+// noAnswerError says that there was no response to a try.
 type noAnswerError struct{ err error }
 
 func (e *noAnswerError) Error() string { return fmt.Sprintf("no answer: %v", e.err) }
 
 func (e *noAnswerError) Unwrap() error { return e.err }
 
-// undecidedError is an answer that leaves a user's call undecided.
-type undecidedError struct {
+// retryableError says that a response doesn't settle a user's call, which then has to be retried.
+type retryableError struct {
 	status     int
-	retryAfter time.Duration // when to try again
+	retryAfter time.Duration // how long to wait before the next try
 }
 
-func (e *undecidedError) Error() string { return fmt.Sprintf("status %d", e.status) }
+func (e *retryableError) Error() string { return fmt.Sprintf("status %d", e.status) }
--- a/internal/client/job_json.go
+++ b/internal/client/job_json.go
@@ -6,8 +6,8 @@
 	"errors"
 )
 
-// decodeJob reads a job's description in JSON. Whole numbers stay whole, since the protocol tells them
-// from others.
+// decodeJob decodes a job that is described in JSON. Integers become int64 rather than float64, since
+// the protocol distinguishes them from other numbers.
 func decodeJob(text []byte) (map[string]any, error) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.UseNumber()
@@ -22,7 +22,8 @@
 	return fields, nil
 }
 
-// convertNumbers replaces the numbers in a value, at any depth, by integers or floats.
+// convertNumbers returns a value in which every json.Number, at any depth, is replaced as by
+// convertNumber. It changes maps and slices in place.
 func convertNumbers(value any) any {
 	switch value := value.(type) {
 	case json.Number:
@@ -39,13 +40,14 @@
 	return value
 }
 
+// convertNumber returns a number as an int64 or, if it isn't an integer of that size, as a float64.
 func convertNumber(number json.Number) any {
 	if integer, err := number.Int64(); err == nil {
 		return integer
 	}
 	float, err := number.Float64()
 	if err != nil {
-		return number.String() // out of range: the controller says what is wrong
+		return number.String() // out of range: sent as text, for the controller to refuse
 	}
 	return float
 }
--- a/internal/client/jobs.go
+++ b/internal/client/jobs.go
@@ -13,15 +13,16 @@
 	"gingertally/internal/wire"
 )
 
-// How users' calls are repeated.
+// Timing of the retries of users' calls and of the queries of Wait.
 const (
-	defaultBudget = time.Minute // for all tries of a call
-	retryAfter    = time.Second // unless the controller asks for a longer pause
-	maxRetryAfter = 30 * time.Second
-	pollInterval  = 5 * time.Second // between two queries of a job that isn't over
+	defaultBudget = time.Minute // for all tries of a call and the pauses between them
+	minRetryPause = time.Second // also the pause if the controller doesn't ask for one
+	maxRetryPause = 30 * time.Second
+	pollInterval  = 5 * time.Second // between two queries of Wait
 )
 
-// Run is a job's state as the controllers tell it.
+// Run is the state of a job as a controller reports it: its status and how many of its tasks are done
+// and running.
 type Run struct {
 	Ref     string `cbor:"ref" json:"ref"`
 	Status  string `cbor:"status" json:"status"`
@@ -35,7 +36,7 @@
 // Over reports whether the job's state is final.
 func (r Run) Over() bool { return r.Status == wire.StatusDone || r.Cancelled() }
 
-// Submit submits a job that is described in JSON, with the fields of the protocol.
+// Submit submits a job that is described in JSON with the protocol's field names.
 func (c *Client) Submit(ctx context.Context, job []byte) (Run, error) {
 	fields, err := decodeJob(job)
 	if err != nil {
@@ -51,12 +52,12 @@
 	})
 }
 
-// Get asks for a job's state.
+// Get returns a job's state.
 func (c *Client) Get(ctx context.Context, ref string) (Run, error) {
 	return c.callJob(ctx, request{operation: "get job " + ref, method: fasthttp.MethodGet, path: jobPath(ref)})
 }
 
-// Cancel cancels a job, unless it is done already. The state that it returns says which.
+// Cancel cancels a job, unless it is already done. The returned state says which is the case.
 func (c *Client) Cancel(ctx context.Context, ref string) (Run, error) {
 	return c.callJob(ctx, request{
 		operation: "cancel job " + ref, method: fasthttp.MethodPost, path: jobPath(ref) + wire.CancelSuffix,
@@ -65,7 +66,8 @@
 
 func jobPath(ref string) string { return wire.RunsPath + "/" + ref }
 
-// Wait asks for a job's state until it is final, however long no controller answers.
+// Wait queries a job's state until it is final. It goes on, without a limit, while no controller gives
+// a usable response (ErrGaveUp); any other error ends it.
 func (c *Client) Wait(ctx context.Context, ref string) (Run, error) {
 	for {
 		run, err := c.Get(ctx, ref)
@@ -78,7 +80,8 @@
 	}
 }
 
-// callJob sends a request about a job until an answer settles it, or the budget is used up.
+// callJob sends a request about a job until a response settles it or the budget is used up. Errors are
+// of type *CallError.
 func (c *Client) callJob(ctx context.Context, request request) (Run, error) {
 	run, err := c.retry(ctx, request)
 	if err != nil {
@@ -87,6 +90,8 @@
 	return run, nil
 }
 
+// retry sends a request about a job until a response settles it. The error wraps ErrGaveUp if the
+// budget doesn't allow for the pause before a further try.
 func (c *Client) retry(ctx context.Context, request request) (Run, error) {
 	left := c.Budget
 	if left == 0 {
@@ -108,22 +113,22 @@
 	}
 }
 
-// retryPause is how long to wait after a try with an error before the next; repeat is false if the try
-// settled the call.
+// retryPause returns how long to wait before the next try, given the error of the last one; repeat is
+// false if that one settled the call.
 func retryPause(err error) (pause time.Duration, repeat bool) {
-	var undecided *undecidedError
+	var retryable *retryableError
 	var noAnswer *noAnswerError
 	switch {
-	case errors.As(err, &undecided):
-		return undecided.retryAfter, true
+	case errors.As(err, &retryable):
+		return retryable.retryAfter, true
 	case errors.As(err, &noAnswer):
-		return retryAfter, true
+		return minRetryPause, true
 	}
 	return 0, false
 }
 
-// tryJob sends a request about a job once. If the answer doesn't settle the call, the error is a
-// *noAnswerError or an *undecidedError.
+// tryJob sends a request about a job once. If that doesn't settle the call, the error is a
+// *noAnswerError or a *retryableError.
 func (c *Client) tryJob(ctx context.Context, request request) (run Run, err error) {
 	err = c.send(ctx, request, func(response *fasthttp.Response) error {
 		switch status := response.StatusCode(); status {
@@ -134,13 +139,13 @@
 		case fasthttp.StatusNotFound:
 			return ErrNotFound
 		default:
-			return &undecidedError{status: status, retryAfter: requestedPause(response)}
+			return &retryableError{status: status, retryAfter: requestedPause(response)}
 		}
 	})
 	return run, err
 }
 
-// refusalReason is why the controllers refuse a job; empty if they don't say.
+// refusalReason returns the reason that a response gives for refusing a job; empty if it gives none.
 func refusalReason(body []byte) string {
 	var refusal wire.ErrorMessage
 	if codec.Unmarshal(body, &refusal) != nil {
@@ -149,11 +154,12 @@
 	return refusal.Error
 }
 
-// requestedPause is the pause that an answer asks for, within the bounds of the protocol.
+// requestedPause returns the pause that a response asks for (Retry-After), within the protocol's
+// bounds: from minRetryPause to maxRetryPause.
 func requestedPause(response *fasthttp.Response) time.Duration {
 	seconds, err := strconv.Atoi(string(response.Header.Peek(fasthttp.HeaderRetryAfter)))
 	if err != nil {
-		return retryAfter
+		return minRetryPause
 	}
-	return min(max(retryAfter, time.Duration(seconds)*time.Second), maxRetryAfter)
+	return min(max(minRetryPause, time.Duration(seconds)*time.Second), maxRetryPause)
 }
--- a/internal/client/jobs_test.go
+++ b/internal/client/jobs_test.go
@@ -15,15 +15,16 @@
 	"gingertally/internal/wire"
 )
 
-// job is a submission as a user writes it.
+// job is a job in JSON, as a user submits it.
 const job = `{"ref":"j-000412","lot_kind":"train","owner":"vision","shape":"sweep","urgency":"normal","lots":16,
 "vcpus":8.0,"cards":1,"mem_gb":64.5,"kit":"img-07","pull_gb":6.2,"builds":["g8"],"yard":null,"one_zone":true,
 "apart":false,"loaners":true,"guess_s":240.0,"mark_s":30.0,"stash_s":4.0,"due_s":900.0,"awaits":["j-000398","j-000405"]}`
 
-// submittedRef is the job's name.
+// submittedRef is the ref of job.
 const submittedRef = "j-000412"
 
-// serve is a client of a controller that answers with a handler, and the pauses that the client made.
+// serve starts an HTTP server with a handler in place of a controller. It returns a client of it and
+// the pauses that the client makes, which are recorded instead of waited for.
 func serve(t *testing.T, handler fasthttp.RequestHandler) (c *Client, pauses *[]time.Duration) {
 	t.Helper()
 	pauses = new([]time.Duration)
@@ -37,7 +38,8 @@
 	return c, pauses
 }
 
-// serveStatuses answers users' calls with one status after the other, and repeats the last.
+// serveStatuses is like serve with a handler that responds with the given statuses in turn, and with
+// the last one from then on.
 func serveStatuses(t *testing.T, statuses ...int) (c *Client, pauses *[]time.Duration) {
 	t.Helper()
 	call := 0
@@ -58,22 +60,22 @@
 	})
 }
 
-// checkSubmission checks that a body is the job above.
+// checkSubmission checks that a request body is the encoded form of job.
 func checkSubmission(t *testing.T, body []byte) {
 	t.Helper()
 	spec, dependencies, err := wire.ParseSubmission(body)
 	if err != nil || spec.Tasks != 16 || spec.MemGB != 64.5 || len(dependencies) != 2 {
-		t.Errorf("submitted %+v after %v, %v", spec, dependencies, err)
+		t.Errorf("submitted spec %+v with dependencies %v, error %v", spec, dependencies, err)
 	}
 }
 
-// A submission is repeated after the pause that the answer asks for until it is accepted: one that gives up early
-// loses the job, and one that comes back too soon adds to an overload.
+// A submission is retried, after the pause that the response asks for, until it is accepted. A client
+// that gives up early loses the job, and one that retries too soon adds to an overload.
 func TestSubmitRetries(t *testing.T) {
 	c, pauses := serveStatuses(t, 503, 429, 500, 201)
 	run, err := c.Submit(t.Context(), []byte(job))
 	if err != nil || run.Status != wire.StatusQueued {
-		t.Fatalf("%+v, %v", run, err)
+		t.Fatalf("run %+v, error %v", run, err)
 	}
 	want := []time.Duration{time.Second, 7 * time.Second, time.Second}
 	if !slices.Equal(*pauses, want) {
@@ -81,24 +83,26 @@
 	}
 }
 
-// An answer that settles a call isn't asked for again, and each is told apart by its cause.
+// A call isn't retried after a response that settles it, and the error tells the cause. A call that no
+// response settles is retried until its budget is used up. A malformed job isn't sent.
 func TestAnswersThatSettle(t *testing.T) {
 	for status, want := range map[int]error{400: ErrRefused, 422: ErrRefused, 404: ErrNotFound} {
 		c, pauses := serveStatuses(t, status)
 		if _, err := c.Submit(t.Context(), []byte(job)); !errors.Is(err, want) || len(*pauses) != 0 {
-			t.Errorf("%d: %v after pauses %v", status, err, *pauses)
+			t.Errorf("status %d: error %v after pauses %v", status, err, *pauses)
 		}
 	}
 	c, pauses := serveStatuses(t, 503)
 	if _, err := c.Cancel(t.Context(), submittedRef); !errors.Is(err, ErrGaveUp) || len(*pauses) < 50 {
-		t.Errorf("always 503: %v after %d pauses", err, len(*pauses))
+		t.Errorf("always status 503: error %v after %d pauses", err, len(*pauses))
 	}
 	if _, err := c.Submit(t.Context(), []byte(`{"ref":`)); err == nil || errors.Is(err, ErrGaveUp) {
-		t.Errorf("half a job: %v", err)
+		t.Errorf("truncated job: error %v", err)
 	}
 }
 
-// An error says what was asked of whom, so that an operator with several clusters sees which one refused what.
+// An error names the operation and the address, so that an operator with several clusters sees which
+// one refused what.
 func TestErrorSaysWhatWasAskedOfWhom(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -128,30 +132,31 @@
 		want := fmt.Sprintf(c.want, client.Addr)
 		var failed *CallError
 		if !errors.As(err, &failed) || failed.Addr != client.Addr || err.Error() != want {
-			t.Errorf("%s: %v, want %s", c.name, err, want)
+			t.Errorf("%s: error %v, want %s", c.name, err, want)
 		}
 	}
 }
 
-// A job is asked about until its state is final, also while no answer is usable; an unknown job isn't waited for.
+// Wait queries a job until its state is final, also through responses that aren't usable, but doesn't
+// wait for an unknown job.
 func TestWait(t *testing.T) {
 	c, _ := serveStatuses(t, 201, 503, 201, 200)
 	run, err := c.Wait(t.Context(), submittedRef)
 	if err != nil || run.Status != wire.StatusDone {
-		t.Fatalf("%+v, %v", run, err)
+		t.Fatalf("run %+v, error %v", run, err)
 	}
 	c, _ = serveStatuses(t, 404)
 	if _, err := c.Wait(t.Context(), submittedRef); !errors.Is(err, ErrNotFound) {
-		t.Fatalf("unknown job: %v", err)
+		t.Fatalf("unknown job: error %v", err)
 	}
 }
 
-// A call whose context is over isn't sent, nor repeated.
+// A call whose context has ended is neither sent nor retried.
 func TestCancelledContext(t *testing.T) {
 	c, pauses := serveStatuses(t, 503)
 	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, err := c.Get(cancelled, submittedRef); !errors.Is(err, context.Canceled) || len(*pauses) != 0 {
-		t.Errorf("%v after pauses %v", err, *pauses)
+		t.Errorf("error %v after pauses %v", err, *pauses)
 	}
 }
