--- a/internal/recovery/findings.go
+++ b/internal/recovery/findings.go
@@ -1,39 +1,43 @@
 package recovery
 
-// Reason says in which way a reported attempt and the records differ.
+// Reason classifies how a machine's report of an attempt differs from the records.
 type Reason uint8
 
-// Reasons.
+// Reasons of a Finding.
 const (
-	// RunningRecorded is no difference: the attempt that is reported is recorded.
+	// RunningRecorded means that there is no difference: the reported attempt is recorded.
 	RunningRecorded Reason = iota
-	// RunningUnrecorded is an attempt that is reported under this term and isn't recorded.
+	// RunningUnrecorded is an attempt that isn't recorded and that a heartbeat with this term's fencing
+	// token reports as running.
 	RunningUnrecorded
-	// RecordedUnreported is a recorded attempt that a heartbeat of its machine lacks.
+	// RecordedUnreported is a recorded attempt that a heartbeat of its machine doesn't list.
 	RecordedUnreported
-	// DoneUnrecorded is a reported result that the job's record lacks.
+	// DoneUnrecorded is a reported result that the job's record doesn't contain yet.
 	DoneUnrecorded
-	// DoneJobOver is a reported result of a job that is over, cancelled or unknown, or of a task
-	// that is done already.
+	// DoneJobOver is a reported result that isn't needed: its job is over, cancelled or unknown, or
+	// its task is already done.
 	DoneJobOver
-	// RunningJobOver is an attempt that still runs for such a job or task.
+	// RunningJobOver is an attempt that is still running although its job is over, cancelled or
+	// unknown, or its task is already done.
 	RunningJobOver
-	// OlderHeartbeat is an attempt in a heartbeat without this term's fencing token. The heartbeat
-	// may have been delayed or duplicated on its way.
+	// OlderHeartbeat is an unrecorded attempt in a heartbeat without this term's fencing token. The
+	// heartbeat may have been delayed or duplicated in transit.
 	OlderHeartbeat
-	// NewerAttemptReported says that a machine reports a later attempt of a task than is recorded.
+	// NewerAttemptReported means that a machine reports a later attempt of a task than the one recorded
+	// on it, which an earlier term started.
 	NewerAttemptReported
-	// OlderAttemptReported says that a machine reports an earlier attempt of a task than is
-	// recorded, or about to be sent.
+	// OlderAttemptReported means that a machine reports another attempt of a task than the one that is
+	// recorded on it or is about to be sent to it. As a rule the reported one is earlier; one that is
+	// later than what this term started there is classified in the same way.
 	OlderAttemptReported
-	// HeldElsewhere says that another machine holds the task, or may hold it.
+	// HeldElsewhere means that another machine holds the task, may hold it or is about to be sent it.
 	HeldElsewhere
-	// Failed is an attempt that has exited without a result.
+	// Failed is an attempt that exited without a result.
 	Failed
-	reasons
+	reasonCount
 )
 
-// reasonNames are shown to operators; other programs may look for them, too.
+// reasonNames are shown to operators, and other programs may match them.
 var reasonNames = [...]string{
 	"running and recorded",
 	"running and never recorded",
@@ -48,37 +52,37 @@
 	"exited without a result",
 }
 
-// String returns the name by which operators know the reason.
+// String returns the name of the reason that operators see.
 func (r Reason) String() string { return reasonNames[r] }
 
 // Reasons returns all reasons.
 func Reasons() []Reason {
-	all := make([]Reason, 0, reasons)
-	for r := RunningRecorded; r < reasons; r++ {
+	all := make([]Reason, 0, reasonCount)
+	for r := RunningRecorded; r < reasonCount; r++ {
 		all = append(all, r)
 	}
 	return all
 }
 
-// Action says what is done about a difference.
+// Action is what is done about a difference.
 type Action uint8
 
-// Actions.
+// Actions of a Finding.
 const (
-	// Keep takes the reported status for that of the recorded attempt.
+	// Keep updates the recorded attempt with the reported status.
 	Keep Action = iota
-	// Adopt records the attempt as it runs, so that its task isn't placed again.
+	// Adopt records the running attempt, so that its task isn't placed again.
 	Adopt
-	// Stop makes the worker end the attempt, which counts as running until it is proven gone.
+	// Stop has the worker end the attempt, which counts as running until it is proven gone.
 	Stop
-	// Ignore concludes nothing from the report.
+	// Ignore draws no conclusion from the report.
 	Ignore
-	// Wait assumes that the attempt may run until a heartbeat under this term's fencing token, the
-	// expiry of the worker's lease or the machine's deletion proves that it is gone.
+	// Wait assumes that the attempt may be running until it is proven gone by a heartbeat with this
+	// term's fencing token, by the expiry of the worker's lease or by the machine's deletion.
 	Wait
-	// MarkLost takes the recorded attempt for gone, so that its task may be placed again.
+	// MarkLost treats the recorded attempt as gone, so that its task may be placed again.
 	MarkLost
-	// TakeResult stores the result, and lets the worker forget the attempt only then.
+	// TakeResult stores the result, and only then lets the worker forget the attempt.
 	TakeResult
 	// Forget lets the worker forget the attempt.
 	Forget
@@ -89,20 +93,20 @@
 )
 
 var actionNames = [...]string{
-	"keep", "adopt", "stop", "ignore", "wait", "prove gone", "take the result", "forget", "withdraw first", "requeue",
+	"keep", "adopt", "stop", "ignore", "wait", "mark lost", "take the result", "forget", "withdraw first", "requeue",
 }
 
 // String returns the name of the action.
 func (a Action) String() string { return actionNames[a] }
 
-// Finding is the classification of a reported or recorded attempt.
+// Finding is how an attempt's report differs from the records, and what is done about it.
 type Finding struct {
 	Reason Reason
 	Action Action
 }
 
-// Holder says which attempt of a reported task the records name, and whether on the machine that
-// reports it ("here") or on another one ("elsewhere").
+// Holder says which attempt of a reported task is recorded, and whether it is on the machine that
+// reports the task ("here") or on another one ("elsewhere").
 type Holder uint8
 
 // Holders.
@@ -110,32 +114,32 @@
 	HolderNone            Holder = iota // no attempt of the task is recorded
 	HolderThisAttempt                   // the reported attempt, here
 	HolderOlderHere                     // an earlier attempt, here
-	HolderNewerHere                     // a later attempt, here; its start was sent
-	HolderUnsentHere                    // a later attempt, here; its start hasn't been sent
+	HolderNewerHere                     // a later attempt, here; its start may have been sent
+	HolderUnsentHere                    // another attempt, here; its start hasn't been sent
 	HolderUnsentElsewhere               // another attempt, elsewhere; its start hasn't been sent
-	HolderElsewhere                     // another attempt, elsewhere
+	HolderElsewhere                     // another attempt, elsewhere; its start may have been sent
 )
 
-// ObservedTask is a task as a heartbeat reports it, and what is recorded of it.
+// ObservedTask is a task as a heartbeat reports it, compared with what is recorded of it.
 type ObservedTask struct {
 	Holder       Holder
-	Inherited    bool // the holder's attempt is from an earlier term, and no heartbeat has confirmed it
+	Inherited    bool // the attempt recorded here is from an earlier term, and no heartbeat has reported it
 	Exited       bool // the attempt has ended
 	Done         bool // the attempt has ended with a result
 	JobOpen      bool // the job is known and is neither over nor cancelled
 	ResultWanted bool // the task isn't done yet
 	Confirmed    bool // the heartbeat carries this term's fencing token
-	Gang         bool // the task belongs to a gang of several, which runs whole or not at all
+	Gang         bool // the task belongs to a gang of several tasks, which run all together or not at all
 }
 
-// Classify decides what a reported task is and what is done about it.
+// Classify returns how a reported task differs from the records, and what to do about it.
 func Classify(r ObservedTask) Finding {
 	switch r.Holder {
 	case HolderThisAttempt:
 		return classifyRecorded(r)
 	case HolderOlderHere:
 		if r.Inherited {
-			return Finding{NewerAttemptReported, MarkLost} // proven gone, or the later one wouldn't have been placed
+			return Finding{NewerAttemptReported, MarkLost} // it was proven gone before the later one was placed
 		}
 		return Finding{OlderAttemptReported, Ignore}
 	case HolderUnsentHere:
@@ -182,17 +186,17 @@
 	return Finding{RunningUnrecorded, Adopt}
 }
 
-// UnreportedAttempt is a recorded attempt that a later heartbeat of its machine lacks.
+// UnreportedAttempt is a recorded attempt that a later heartbeat of its machine doesn't list.
 type UnreportedAttempt struct {
 	Inherited bool // the attempt is from an earlier term
-	Confirmed bool // the heartbeat carries this term's fencing token
-	Answered  bool // the start went with the response to an earlier heartbeat than this one
-	Seen      bool // an earlier heartbeat of this term reported the attempt
+	Confirmed bool // the worker has this term's fencing token, or never held a task of an earlier term
+	Answered  bool // the start was in the response to an earlier heartbeat, so it was executed or dropped
+	Seen      bool // an earlier heartbeat in this term reported the attempt
 }
 
-// ClassifyUnreported decides what an unreported attempt is and what is done about it. An attempt
-// of this term is gone once the worker has seen it or its start; one of an earlier term is gone
-// if the heartbeat shows that the worker knows of this term, since it then drops late starts.
+// ClassifyUnreported returns what to do about an unreported attempt. An attempt of this term is gone
+// if the worker has reported it before, or has executed or dropped its start. One of an earlier term
+// is gone if the worker has this term's fencing token, since it then drops late starts.
 func ClassifyUnreported(u UnreportedAttempt) Finding {
 	gone := u.Seen || u.Answered
 	if u.Inherited {
--- a/internal/recovery/findings_test.go
+++ b/internal/recovery/findings_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// taskWith returns a running task of an open job that isn't recorded and is reported under this term,
-// with a change.
+// taskWith returns a running, unrecorded task of an open job in a heartbeat with this term's fencing
+// token, after applying change to it.
 func taskWith(change func(*ObservedTask)) ObservedTask {
 	task := ObservedTask{JobOpen: true, ResultWanted: true, Confirmed: true}
 	if change != nil {
@@ -12,7 +12,7 @@
 	return task
 }
 
-// reportedCases are the rows of the table about attempts that are reported.
+// reportedCases are the rows of the table in docs/recovery.md about reported attempts.
 var reportedCases = []struct {
 	name string
 	task ObservedTask
@@ -24,7 +24,7 @@
 		Finding{RunningRecorded, Keep},
 	},
 	{
-		"running and recorded, by a late copy",
+		"running and recorded, in a delayed or duplicated heartbeat",
 		taskWith(func(r *ObservedTask) { r.Holder, r.Confirmed, r.Inherited = HolderThisAttempt, false, true }),
 		Finding{RunningRecorded, Keep},
 	},
@@ -34,12 +34,12 @@
 		Finding{RunningUnrecorded, Adopt},
 	},
 	{
-		"running and never recorded, a gang's",
+		"running and never recorded, of a gang",
 		taskWith(func(r *ObservedTask) { r.Gang = true }),
 		Finding{RunningUnrecorded, Stop},
 	},
 	{
-		"running and never recorded, by a late copy",
+		"running and never recorded, in a delayed or duplicated heartbeat",
 		taskWith(func(r *ObservedTask) { r.Confirmed = false }),
 		Finding{OlderHeartbeat, Ignore},
 	},
@@ -54,7 +54,7 @@
 		Finding{HeldElsewhere, WithdrawFirst},
 	},
 	{
-		"running, another machine's start hasn't been sent, a gang's",
+		"running, another machine's start hasn't been sent, of a gang",
 		taskWith(func(r *ObservedTask) { r.Holder, r.Gang = HolderUnsentElsewhere, true }),
 		Finding{RunningUnrecorded, Stop},
 	},
@@ -69,7 +69,7 @@
 		Finding{RunningJobOver, Stop},
 	},
 	{
-		"a newer attempt than its record",
+		"a newer attempt than the recorded one",
 		taskWith(func(r *ObservedTask) { r.Holder, r.Inherited = HolderOlderHere, true }),
 		Finding{NewerAttemptReported, MarkLost},
 	},
@@ -79,7 +79,7 @@
 		Finding{OlderAttemptReported, Ignore},
 	},
 	{
-		"an older attempt than its record",
+		"an older attempt than the recorded one",
 		taskWith(func(r *ObservedTask) { r.Holder, r.Inherited = HolderNewerHere, true }),
 		Finding{OlderAttemptReported, Ignore},
 	},
@@ -89,7 +89,7 @@
 		Finding{OlderAttemptReported, WithdrawFirst},
 	},
 	{
-		"done, and the record isn't",
+		"done, and the result isn't recorded",
 		taskWith(func(r *ObservedTask) { r.Holder, r.Exited, r.Done = HolderThisAttempt, true, true }),
 		Finding{DoneUnrecorded, TakeResult},
 	},
@@ -109,7 +109,7 @@
 		Finding{DoneJobOver, Forget},
 	},
 	{
-		"done, the task is done already",
+		"done, the task is already done",
 		taskWith(func(r *ObservedTask) {
 			r.Holder, r.Exited, r.Done, r.ResultWanted = HolderThisAttempt, true, true, false
 		}),
@@ -127,42 +127,43 @@
 	},
 }
 
-// unreportedCases are the rows of the table about recorded attempts that aren't reported.
+// unreportedCases are the rows of the table in docs/recovery.md about recorded attempts that aren't
+// reported.
 var unreportedCases = []struct {
 	name    string
 	attempt UnreportedAttempt
 	want    Action
 }{
 	{
-		"recorded by an earlier leader, missing from a heartbeat under this term",
+		"recorded by an earlier leader, missing from a heartbeat with this term's token",
 		UnreportedAttempt{Inherited: true, Confirmed: true}, MarkLost,
 	},
-	{"recorded by an earlier leader, missing from what may be a late copy", UnreportedAttempt{Inherited: true}, Wait},
-	{"the start was answered or dropped", UnreportedAttempt{Answered: true, Confirmed: true}, MarkLost},
-	{"seen before", UnreportedAttempt{Seen: true, Confirmed: true}, MarkLost},
-	{"the start hasn't left, or may still be on its way", UnreportedAttempt{Confirmed: true}, Wait},
+	{"recorded by an earlier leader, missing from a heartbeat without the token", UnreportedAttempt{Inherited: true}, Wait},
+	{"the start was executed or dropped", UnreportedAttempt{Answered: true, Confirmed: true}, MarkLost},
+	{"reported before", UnreportedAttempt{Seen: true, Confirmed: true}, MarkLost},
+	{"the start hasn't been sent, or may still be in transit", UnreportedAttempt{Confirmed: true}, Wait},
 }
 
-// Each row of the table of differences in docs/recovery.md is classified as it says there. A wrong
+// Each row of the table of differences in docs/recovery.md is classified as stated there. A wrong
 // action either runs a task twice or loses it.
 func TestTableOfDifferences(t *testing.T) {
 	for _, c := range reportedCases {
 		if got := Classify(c.task); got != c.want {
-			t.Errorf("%s: %v, %v", c.name, got.Reason, got.Action)
+			t.Errorf("%s: classified as %v, %v", c.name, got.Reason, got.Action)
 		}
 	}
 	for _, c := range unreportedCases {
 		if got := ClassifyUnreported(c.attempt); got != (Finding{RecordedUnreported, c.want}) {
-			t.Errorf("%s: %v, %v", c.name, got.Reason, got.Action)
+			t.Errorf("%s: classified as %v, %v", c.name, got.Reason, got.Action)
 		}
 	}
 }
 
-// Over all combinations of what may be known of a reported task, nothing is adopted, stopped, taken
-// for gone, withdrawn, stored or forgotten that mustn't be, and each reason has a case: rows of the
-// table that overlap would show only here.
+// For every combination of what may be known of a reported task, nothing is adopted, stopped, marked
+// lost, withdrawn, stored or forgotten that mustn't be, and each reason occurs. Rows of the table that
+// overlap and are checked in the wrong order would show only here.
 func TestEveryCombination(t *testing.T) {
-	seen := map[Reason]bool{RecordedUnreported: true} // that of ClassifyUnreported
+	seen := map[Reason]bool{RecordedUnreported: true} // only ClassifyUnreported returns it
 	for holder := HolderNone; holder <= HolderElsewhere; holder++ {
 		for bits := range 128 {
 			bit := func(i int) bool { return bits>>i&1 == 1 }
@@ -178,19 +179,19 @@
 			case f.Action == Stop && (r.Exited || !r.Confirmed):
 				t.Errorf("stopped: %+v", r)
 			case f.Action == MarkLost && (holder != HolderOlderHere || !r.Inherited):
-				t.Errorf("taken for gone: %+v", r)
+				t.Errorf("marked lost: %+v", r)
 			case f.Action == WithdrawFirst && holder != HolderUnsentHere && holder != HolderUnsentElsewhere:
 				t.Errorf("withdrawn: %+v", r)
 			case f.Action == TakeResult && (!r.Done || !r.JobOpen || !r.ResultWanted):
-				t.Errorf("taken as a result: %+v", r)
+				t.Errorf("result taken: %+v", r)
 			case f.Action == Forget && r.Done && r.JobOpen && r.ResultWanted:
-				t.Errorf("a result is forgotten: %+v", r)
+				t.Errorf("result forgotten: %+v", r)
 			}
 		}
 	}
 	for _, reason := range Reasons() {
 		if !seen[reason] {
-			t.Errorf("%v has no case", reason)
+			t.Errorf("reason never occurs: %v", reason)
 		}
 	}
 }
--- a/internal/recovery/pacer.go
+++ b/internal/recovery/pacer.go
@@ -4,39 +4,41 @@
 
 // PaceOptions are the settings of a Pacer.
 type PaceOptions struct {
-	Enabled bool    // else starts aren't limited
+	Enabled bool    // whether starts are limited at all
 	Initial float64 // starts per second at the beginning of a term
-	Highest float64 // starts per second from which on they aren't limited any more
+	Highest float64 // starts per second at which the limit is lifted
 }
 
 // Pacer limits the rate at which starts are sent at the beginning of a term, so that they don't
-// overload workers and state service. It is a token bucket whose rate begins low, rises while
-// answers and the state service keep up, and is lowered while they don't. Starts of urgent tasks are
-// never held back, but use the rate up first; stops and cancellations don't pass through it. Once
-// the highest rate is reached, starts aren't limited any more in this term. A Pacer isn't safe for
-// concurrent use.
+// overload the workers and the state service. It is a token bucket whose rate begins low, rises while
+// this controller's answers to workers and the state service keep up, and is lowered while they
+// don't. Starts of urgent tasks are never held back, but they take tokens too, so that other starts
+// have to wait for them. Stops and cancellations don't pass through the Pacer. Once the highest rate
+// is reached, starts are unlimited for the rest of the term. A Pacer isn't safe for concurrent use.
 type Pacer struct {
 	options    PaceOptions
 	rate       float64 // starts per second
-	tokens     float64 // starts that may be sent at once; below 0 after urgent ones
+	tokens     float64 // starts that may be sent at once; may be negative after urgent starts
 	refilledAt time.Time
 	changedAt  time.Time // when the rate was last raised or lowered
-	loweredAt  time.Time
-	unlimited  bool
+	loweredAt  time.Time // when the rate was last lowered
+	unlimited  bool      // pacing is off, or the highest rate was reached
 }
 
 const (
-	// raiseInterval is how long the rate stays the same before it is raised by raiseFactor.
+	// raiseInterval is how long the rate stays unchanged before it is multiplied by raiseFactor.
 	raiseInterval = time.Second
 	raiseFactor   = 1.5
-	// lowerInterval is how long the rate isn't lowered again once it was lowered by lowerFactor.
+	// lowerInterval is the shortest time between two reductions, which multiply the rate by
+	// lowerFactor. The rate never falls below lowerFactor times the initial one.
 	lowerInterval = time.Second
 	lowerFactor   = 0.5
-	// burstSeconds is for how many seconds' starts the bucket has room.
+	// burstSeconds is the capacity of the bucket, in seconds at the current rate. The bucket always
+	// has room for one start.
 	burstSeconds = 0.5
 )
 
-// NewPacer returns the limiter of a term that begins now.
+// NewPacer returns the Pacer of a term that begins now.
 func NewPacer(now time.Time, options PaceOptions) *Pacer {
 	return &Pacer{
 		options: options, rate: options.Initial, tokens: options.Initial * burstSeconds,
@@ -44,10 +46,11 @@
 	}
 }
 
-// Unlimited returns whether starts aren't limited, or not any more.
+// Unlimited reports whether starts aren't limited, because pacing is off or the highest rate was
+// reached.
 func (p *Pacer) Unlimited() bool { return p.unlimited }
 
-// Rate returns how many starts per second are sent; 0 if they aren't limited.
+// Rate returns the limit in starts per second, or 0 if starts are unlimited.
 func (p *Pacer) Rate() float64 {
 	if p.unlimited {
 		return 0
@@ -55,13 +58,14 @@
 	return p.rate
 }
 
-// Advance lets time pass up to now. Healthy says that workers and state service keep up.
+// Advance refills the bucket and adjusts the rate for the time up to now. Healthy says that this
+// controller's answers to workers and the state service keep up.
 func (p *Pacer) Advance(now time.Time, healthy bool) {
 	if p.unlimited {
 		return
 	}
-	room := max(1, p.rate*burstSeconds)
-	p.tokens = min(p.tokens+p.rate*now.Sub(p.refilledAt).Seconds(), room)
+	capacity := max(1, p.rate*burstSeconds)
+	p.tokens = min(p.tokens+p.rate*now.Sub(p.refilledAt).Seconds(), capacity)
 	p.refilledAt = now
 	switch {
 	case !healthy && now.Sub(p.loweredAt) >= lowerInterval:
@@ -73,13 +77,14 @@
 	}
 }
 
-// Allow returns whether a start may be sent now, and counts it if so. An urgent one always may.
+// Allow reports whether a start may be sent now and, if so, takes a token for it. An urgent start is
+// always allowed.
 func (p *Pacer) Allow(urgent bool) bool {
 	switch {
 	case p.unlimited:
 		return true
 	case urgent:
-		p.tokens = max(p.tokens-1, -p.rate) // other starts wait for it, but no more than a second
+		p.tokens = max(p.tokens-1, -p.rate) // others wait for urgent ones, but no more than a second
 		return true
 	case p.tokens < 1:
 		return false
--- a/internal/recovery/reconciler.go
+++ b/internal/recovery/reconciler.go
@@ -4,61 +4,63 @@
 
 // Options are the settings of a recovery.
 type Options struct {
+	// HeartbeatInterval is the interval of the workers' heartbeats.
 	HeartbeatInterval time.Duration
-	// RestoredBound is for how long nothing is placed if the state service was restored from an
-	// older copy: after it each worker has sent a heartbeat to this leader, or its lease has expired.
+	// RestoredBound is how long nothing is placed if the state service was restored from an older
+	// copy. After that time each worker has sent a heartbeat to this leader, or its lease has expired.
 	RestoredBound time.Duration
-	// FirstTerm says that there was no leader before, so that nothing can be missing from the records.
+	// FirstTerm says that there was no earlier leader, so that nothing can be missing from the records.
 	FirstTerm bool
-	Pace      PaceOptions
+	// Pace are the settings of the term's Pacer.
+	Pace PaceOptions
 }
 
-// collectSlack is added to the time within which all machines should have sent a heartbeat.
+// collectSlack is added to the time after which all machines should have sent a heartbeat.
 const collectSlack = time.Second
 
-// maxAwaitedShare is the share of the machines, one in this many, that may still be awaited when
-// placing begins.
-const maxAwaitedShare = 5
+// maxAwaitedDivisor is the number by which the known machines are divided to get the most machines
+// that may still be awaited when placing begins (MayPlace).
+const maxAwaitedDivisor = 5
 
-// Reconciler follows the recovery of one term. It isn't safe for concurrent use.
+// Reconciler tracks the recovery of one term. It isn't safe for concurrent use.
 type Reconciler struct {
 	options               Options
 	started               time.Time // the start of the term
-	finished              time.Time // the end of the recovery; zero: it isn't over
+	finished              time.Time // the end of the recovery; zero if it isn't over
 	state                 TermState
 	machines              map[string]*machine
-	counts                [machineStates]int // machines by state
-	expectedByWarmState   int                // Expected machines that the warm state confirms
-	recorded              bool               // at least one machine was recorded
-	previousTermConfirmed bool               // a worker has shown that the records aren't older than it is
-	restored              bool               // the state service was restored from an older copy
-	findings              [reasons]int       // findings by reason
+	counts                [machineStateCount]int // machines by state
+	confirmedByWarmState  int                    // machines in state Expected that the warm state confirms
+	anyRecorded           bool                   // at least one machine was recorded
+	previousTermConfirmed bool                   // see ConfirmPreviousTerm
+	restored              bool                   // the state service was restored from an older copy
+	findings              [reasonCount]int       // findings by reason
 	pacer                 *Pacer
 }
 
 // machine is the state of one machine's recovery.
 type machine struct {
-	state               MachineState
-	expectedByWarmState bool   // the warm state confirms what is recorded of it
-	differs             bool   // a difference was found on it
-	lastDifference      Reason // if differs
+	state                MachineState
+	confirmedByWarmState bool   // the warm state agrees with its records (SetConfirmedByWarmState)
+	differs              bool   // a difference was found on the machine
+	lastDifference       Reason // the last difference found; valid if differs is set
 }
 
-// New begins the recovery of a term that starts now.
+// New returns the Reconciler of a term that starts now.
 func New(now time.Time, options Options) *Reconciler {
 	return &Reconciler{
 		options: options, started: now, machines: map[string]*machine{}, pacer: NewPacer(now, options.Pace),
 	}
 }
 
-// Pacer returns the limiter of the term's starts.
+// Pacer returns the Pacer of the term's starts.
 func (r *Reconciler) Pacer() *Pacer { return r.pacer }
 
 // State returns how far the recovery of the term has come.
 func (r *Reconciler) State() TermState { return r.state }
 
-// move changes the term's state; nothing else does.
-func (r *Reconciler) move(now time.Time, to TermState) {
+// setState changes the term's state. Nothing else writes that field.
+func (r *Reconciler) setState(now time.Time, to TermState) {
 	if r.state == to {
 		return
 	}
@@ -68,8 +70,9 @@
 	}
 }
 
-// moveMachine changes a machine's state, and adds the machine if it is new; nothing else does.
-func (r *Reconciler) moveMachine(name string, to MachineState) *machine {
+// setMachineState changes a machine's state, or adds the machine in that state if it is new. Nothing
+// else writes that field.
+func (r *Reconciler) setMachineState(name string, to MachineState) *machine {
 	m := r.machines[name]
 	if m == nil {
 		m = &machine{state: to}
@@ -84,53 +87,53 @@
 	r.counts[to]++
 	m.state = to
 	if to != Expected {
-		r.setExpectedByWarmState(m, false)
+		r.setWarmConfirmation(m, false)
 	}
 	return m
 }
 
-// setExpectedByWarmState changes whether the warm state confirms a machine; nothing else does.
-func (r *Reconciler) setExpectedByWarmState(m *machine, confirmed bool) {
-	if m.expectedByWarmState == confirmed {
+// setWarmConfirmation sets whether the warm state confirms a machine. Nothing else writes that field.
+func (r *Reconciler) setWarmConfirmation(m *machine, confirmed bool) {
+	if m.confirmedByWarmState == confirmed {
 		return
 	}
-	m.expectedByWarmState = confirmed
+	m.confirmedByWarmState = confirmed
 	if confirmed {
-		r.expectedByWarmState++
+		r.confirmedByWarmState++
 	} else {
-		r.expectedByWarmState--
+		r.confirmedByWarmState--
 	}
 }
 
-// AddRecordedMachine adds a machine that is recorded.
+// AddRecordedMachine adds a machine that is recorded, and expects a heartbeat from it.
 func (r *Reconciler) AddRecordedMachine(name string) {
-	r.recorded = true
-	r.moveMachine(name, Expected)
+	r.anyRecorded = true
+	r.setMachineState(name, Expected)
 }
 
-// SetConfirmedByWarmState sets whether the warm state of the leader before, which the state service has
-// confirmed, says the same of an expected machine as the records. Such a machine needn't be
-// awaited.
+// SetConfirmedByWarmState sets whether the previous leader's warm state, which the state service has
+// confirmed, agrees with the records about an expected machine. Placing needn't wait for a heartbeat
+// of such a machine.
 func (r *Reconciler) SetConfirmedByWarmState(name string, confirmed bool) {
 	if m := r.machines[name]; m != nil && m.state == Expected {
-		r.setExpectedByWarmState(m, confirmed)
+		r.setWarmConfirmation(m, confirmed)
 	}
 }
 
-// AddUnrecordedMachine adds a machine that isn't recorded, unless it is known.
+// AddUnrecordedMachine adds a machine that isn't recorded, unless it was added before.
 func (r *Reconciler) AddUnrecordedMachine(name string) {
 	if r.machines[name] == nil {
-		r.moveMachine(name, Unknown)
+		r.setMachineState(name, Unknown)
 	}
 }
 
-// ObservedHeartbeat is what a heartbeat says of its machine as a whole.
+// ObservedHeartbeat is what a heartbeat shows about its machine as a whole.
 type ObservedHeartbeat struct {
-	TermConfirmed bool // it carries this term's fencing token
-	HasUnrecorded bool // an attempt that nobody recorded still has to be ended there
+	TermConfirmed bool // the heartbeat carries this term's fencing token
+	HasUnrecorded bool // an attempt that wasn't recorded still has to be ended on the machine
 }
 
-// HeartbeatReceived moves a machine on after a heartbeat.
+// HeartbeatReceived updates a machine's state after a heartbeat, and adds the machine if it is new.
 func (r *Reconciler) HeartbeatReceived(name string, heartbeat ObservedHeartbeat) {
 	m := r.machines[name]
 	if m != nil && m.state == Settled && !heartbeat.HasUnrecorded {
@@ -138,19 +141,20 @@
 	}
 	switch {
 	case heartbeat.TermConfirmed && heartbeat.HasUnrecorded:
-		r.moveMachine(name, Differing)
+		r.setMachineState(name, Differing)
 	case heartbeat.TermConfirmed:
-		r.moveMachine(name, Settled)
+		r.setMachineState(name, Settled)
 	case m != nil && m.state == Unknown: // it stays unknown until a heartbeat carries the token
 	default:
-		r.moveMachine(name, Reported)
+		r.setMachineState(name, Reported)
 	}
 }
 
-// MachineGivenUp takes in that the lease of a machine has expired or that the machine is being deleted.
+// MachineGivenUp marks a machine as missing because it has become unresponsive, its worker's lease has
+// expired or it is being deleted.
 func (r *Reconciler) MachineGivenUp(name string) {
 	if r.machines[name] != nil {
-		r.moveMachine(name, Missing)
+		r.setMachineState(name, Missing)
 	}
 }
 
@@ -160,12 +164,13 @@
 	if m == nil {
 		return
 	}
-	r.setExpectedByWarmState(m, false)
+	r.setWarmConfirmation(m, false)
 	r.counts[m.state]--
 	delete(r.machines, name)
 }
 
-// AddFinding counts a finding, and remembers it as the machine's last difference.
+// AddFinding counts a finding. Until the recovery is over, a finding other than Keep is also remembered
+// as the machine's last difference.
 func (r *Reconciler) AddFinding(name string, f Finding) {
 	r.findings[f.Reason]++
 	if f.Action == Keep || r.state == Normal {
@@ -176,25 +181,26 @@
 	}
 }
 
-// StateServiceRestored takes in that the state service was restored from an older copy: workers have seen
-// higher terms than the state service has.
+// StateServiceRestored records that the state service was restored from an older copy, which shows in
+// workers that have seen higher terms than the state service has.
 func (r *Reconciler) StateServiceRestored() { r.restored = true }
 
-// awaitingHeartbeat returns how many recorded machines have neither sent a heartbeat nor are
-// confirmed by the warm state.
-func (r *Reconciler) awaitingHeartbeat() int { return r.counts[Expected] - r.expectedByWarmState }
+// awaitingHeartbeat returns the number of expected machines that the warm state doesn't confirm.
+func (r *Reconciler) awaitingHeartbeat() int { return r.counts[Expected] - r.confirmedByWarmState }
 
-// MayPlace returns whether enough is known to place tasks. Listed says that the cloud's list of
-// machines was read.
+// MayPlace reports whether enough is known to place tasks. Listed says that the cloud's list of
+// machines was read in this term.
 //
-// Placing early isn't unsafe, since tasks are placed only on what is proven free; but with few
-// machines known they would be placed badly. So placing begins once nearly all recorded machines
-// have sent a heartbeat, or half of them if the warm state confirms others, or once all should
-// have sent one.
+// Placing early isn't unsafe, since tasks are placed only on capacity that is proven free, but with
+// few machines known they would be placed badly. So placing begins once few machines are still
+// awaited (maxAwaitedDivisor), once no more than half are if the warm state confirms any, or once all
+// of them should have sent a heartbeat. A machine is awaited while it is in state Expected and the
+// warm state doesn't confirm it.
 //
-// If no machine is recorded, the state service may have been restored from a copy without any, and
+// If no machine is recorded, the state service may have been restored from a copy that has none, and
 // only the fencing tokens of workers can show that. Placing then waits for a worker that has served
-// an earlier leader (ConfirmPreviousTerm), except in the first term of all.
+// an earlier leader (ConfirmPreviousTerm), or until all machines should have sent a heartbeat, except
+// in the very first term.
 func (r *Reconciler) MayPlace(now time.Time, listed bool) bool {
 	if r.restored {
 		return r.RestoreSettled(now)
@@ -203,40 +209,40 @@
 		return true
 	}
 	known := len(r.machines)
-	if r.expectedByWarmState > 0 && 2*r.awaitingHeartbeat() <= known {
+	if r.confirmedByWarmState > 0 && 2*r.awaitingHeartbeat() <= known {
 		return true
 	}
-	if !r.recorded && !r.previousTermConfirmed && !r.options.FirstTerm {
+	if !r.anyRecorded && !r.previousTermConfirmed && !r.options.FirstTerm {
 		return false
 	}
-	return known > 0 && listed && r.awaitingHeartbeat() <= known/maxAwaitedShare
+	return known > 0 && listed && r.awaitingHeartbeat() <= known/maxAwaitedDivisor
 }
 
-// RestoreSettled returns whether nothing can run any more that a restored state service has
-// forgotten and that isn't known again: what was reported in this term was adopted, and the leases
-// of all other workers have expired. Having heard from all listed machines wouldn't prove that,
-// since the cloud's list lags behind. Without a restore it is true.
+// RestoreSettled reports whether each attempt that the state service lost in a restore is known again
+// or can't be running any more: what was reported in this term was adopted, and the leases of all
+// other workers have expired. Heartbeats from all listed machines wouldn't prove that, since the
+// cloud's list lags behind. It is true if there was no restore.
 func (r *Reconciler) RestoreSettled(now time.Time) bool {
 	return !r.restored || now.Sub(r.started) > r.options.RestoredBound
 }
 
-// ConfirmPreviousTerm takes in that a worker which has served an earlier leader knows of no term
-// later than the one that the state service has: the records are no older than the worker.
+// ConfirmPreviousTerm records that a worker which has served an earlier leader knows of no later term
+// than the state service has, so that the records are at least as recent as what the worker knows.
 func (r *Reconciler) ConfirmPreviousTerm() { r.previousTermConfirmed = true }
 
-// Advance moves the term on to the next states that it has reached. Listed says that the cloud's
-// list of machines was read.
+// Advance moves the term to the latest state whose conditions are met. Listed says that the cloud's
+// list of machines was read in this term.
 func (r *Reconciler) Advance(now time.Time, listed bool) {
 	if r.state == Normal {
 		return
 	}
 	if r.state == Collecting && r.MayPlace(now, listed) {
-		r.move(now, Settling)
+		r.setState(now, Settling)
 	}
 	if r.state == Settling && r.counts[Expected]+r.counts[Reported]+r.counts[Differing] == 0 {
-		r.move(now, Paced)
+		r.setState(now, Paced)
 	}
 	if r.state == Paced && r.pacer.Unlimited() {
-		r.move(now, Normal)
+		r.setState(now, Normal)
 	}
 }
--- a/internal/recovery/reconciler_test.go
+++ b/internal/recovery/reconciler_test.go
@@ -17,8 +17,8 @@
 }
 
 // Placing begins once four fifths of the recorded machines have sent a heartbeat, once half of them
-// have where the warm state confirms the others, or once all should have. Before that tasks would
-// be placed on the few machines known; without a bound one machine that hangs would hold up all.
+// have or are confirmed by the warm state, or once all should have. Placing earlier would crowd tasks
+// onto the few known machines; without a time bound, one hanging machine would delay all work.
 func TestMayPlace(t *testing.T) {
 	fleet := func(n int) *Reconciler {
 		r := New(start, options(PaceOptions{}))
@@ -57,13 +57,13 @@
 	r.SetConfirmedByWarmState("m-0", true)
 	r.MachineGivenUp("m-1")
 	r.MachineRemoved("m-2")
-	if s := r.Status(at(0)); s.Machines["expected"] != 8 || s.Machines["missing"] != 1 || r.expectedByWarmState != 3 {
-		t.Fatalf("%+v, %d confirmed", s.Machines, r.expectedByWarmState)
+	if s := r.Status(at(0)); s.Machines["expected"] != 8 || s.Machines["missing"] != 1 || r.confirmedByWarmState != 3 {
+		t.Fatalf("%+v, %d confirmed", s.Machines, r.confirmedByWarmState)
 	}
 }
 
-// After a restore of the state service nothing is placed before the leases of all workers that
-// haven't sent a heartbeat have expired: attempts that the state service has forgotten may run on
+// After a restore of the state service, nothing is placed before the leases of all workers that
+// haven't sent a heartbeat have expired. Attempts that the state service has lost may be running on
 // any of them, and would run twice.
 func TestRestored(t *testing.T) {
 	r := New(start, options(PaceOptions{}))
@@ -71,22 +71,22 @@
 	r.AddUnrecordedMachine("m-1")
 	r.HeartbeatReceived("m-1", ObservedHeartbeat{TermConfirmed: true})
 	if r.MayPlace(at(29*time.Second), true) || r.RestoreSettled(at(29*time.Second)) {
-		t.Fatal("may place while a machine that isn't listed may run something")
+		t.Fatal("may place while an unlisted machine may be running an attempt")
 	}
 	if !r.MayPlace(at(31*time.Second), true) || !r.RestoreSettled(at(31*time.Second)) {
 		t.Fatal("may not place after all leases have expired")
 	}
 }
 
-// If no machine is recorded, placing waits until a worker shows by its fencing token that the records
-// aren't older than the machines, or for a heartbeat interval, except in the first term of all. The
-// records of a restored state service may lack machines on which tasks run.
+// If no machine is recorded, placing waits until a worker's fencing token shows that the records are
+// current, or until all machines should have sent a heartbeat; the very first term doesn't wait. The
+// records of a restored state service may lack machines on which tasks are running.
 func TestNoMachineOnRecord(t *testing.T) {
 	r := New(start, options(PaceOptions{}))
 	r.AddUnrecordedMachine("m-1")
 	r.HeartbeatReceived("m-1", ObservedHeartbeat{})
 	if r.MayPlace(at(time.Second), true) {
-		t.Fatal("may place, and no worker has confirmed the records")
+		t.Fatal("may place although no worker has confirmed the records")
 	}
 	if !r.MayPlace(at(5*time.Second), true) {
 		t.Fatal("may not place after a heartbeat interval")
@@ -104,8 +104,8 @@
 	}
 }
 
-// Whatever is observed in whatever order, a term never goes back to an earlier state, doesn't stay in
-// the first one, and the counts by state are those of the machines: a count that drifts would keep a
+// Whatever is observed, and in whatever order, a term never returns to an earlier state and doesn't
+// stay in the first one, and the counts by state match the machines. A count that drifts would keep a
 // recovery from ever ending.
 func TestStatesFollow(t *testing.T) {
 	for seed := range uint64(300) {
@@ -119,7 +119,7 @@
 			r.Pacer().Advance(now, true)
 			r.Advance(now, true)
 			if r.State() < last {
-				t.Fatalf("seed %d: from %v back to %v", seed, last, r.State())
+				t.Fatalf("seed %d: moved back from %v to %v", seed, last, r.State())
 			}
 			last = r.State()
 			checkCounts(t, r)
@@ -130,7 +130,8 @@
 	}
 }
 
-// observeAtRandom reports a random observation of a machine. Machines are recorded only early on.
+// observeAtRandom passes a random observation of a machine to r. Recorded machines are added only if
+// early is set, as at the start of a term.
 func observeAtRandom(rng *rand.Rand, r *Reconciler, name string, early bool) {
 	switch rng.IntN(7) {
 	case 0:
@@ -148,22 +149,22 @@
 	case 5:
 		r.SetConfirmedByWarmState(name, rng.IntN(2) == 0)
 	case 6:
-		r.AddFinding(name, Finding{Reason(rng.IntN(int(reasons))), Stop})
+		r.AddFinding(name, Finding{Reason(rng.IntN(int(reasonCount))), Stop})
 	}
 }
 
-// checkCounts compares the counts by state with the machines.
+// checkCounts checks the counts by state against the machines.
 func checkCounts(t *testing.T, r *Reconciler) {
 	t.Helper()
-	counts := [machineStates]int{}
+	counts := [machineStateCount]int{}
 	confirmed := 0
 	for _, m := range r.machines {
 		counts[m.state]++
-		if m.expectedByWarmState {
+		if m.confirmedByWarmState {
 			confirmed++
 		}
 	}
-	if counts != r.counts || confirmed != r.expectedByWarmState {
-		t.Fatalf("counts are %v and %d, want %v and %d", r.counts, r.expectedByWarmState, counts, confirmed)
+	if counts != r.counts || confirmed != r.confirmedByWarmState {
+		t.Fatalf("counts are %v and %d, want %v and %d", r.counts, r.confirmedByWarmState, counts, confirmed)
 	}
 }
--- a/internal/recovery/states.go
+++ b/internal/recovery/states.go
@@ -1,38 +1,38 @@
 package recovery
 
-// MachineState is how far the differences of a machine are settled.
+// MachineState is how far the recovery of a machine has come.
 type MachineState uint8
 
 // States of a machine.
 const (
-	Expected  MachineState = iota // it is recorded, and hasn't sent a heartbeat in this term
-	Reported                      // it has sent a heartbeat, but none with this term's fencing token
-	Differing                     // it has sent one with the token, and an attempt on it still has to be ended
-	Settled                       // all that is on it is known
-	Missing                       // it was given up: its lease has expired, or it is being deleted
-	Unknown                       // it isn't recorded, and hasn't sent a heartbeat with this term's fencing token
-	machineStates
+	Expected  MachineState = iota // recorded, and hasn't sent a heartbeat in this term
+	Reported                      // has sent a heartbeat without this term's fencing token
+	Differing                     // has sent one with the token; an unrecorded attempt has to be ended
+	Settled                       // has sent one with the token; all attempts on it are recorded
+	Missing                       // given up: unresponsive, its lease expired, or being deleted
+	Unknown                       // not recorded, and hasn't sent a heartbeat with this term's fencing token
+	machineStateCount
 )
 
-// machineStateNames are shown to operators; other programs may look for them, too.
+// machineStateNames are shown to operators, and other programs may match them.
 var machineStateNames = [...]string{"expected", "reported", "differing", "settled", "missing", "unknown"}
 
-// String returns the name by which operators know the state.
+// String returns the name of the state that operators see.
 func (s MachineState) String() string { return machineStateNames[s] }
 
 // TermState is how far the recovery of a term has come.
 type TermState uint8
 
-// States of a term, in their order.
+// States of a term, in the order in which they are reached.
 const (
-	Collecting TermState = iota // too few machines have sent a heartbeat to place anything
-	Settling                    // tasks are placed; some machines aren't settled
-	Paced                       // all machines are settled; the rate of starts is still limited
+	Collecting TermState = iota // too little is known of the machines to place tasks
+	Settling                    // tasks are placed; machines are still Expected, Reported or Differing
+	Paced                       // no machine is in these states any more; the rate of starts is still limited
 	Normal                      // the recovery is over
 )
 
-// termStateNames are shown to operators; other programs may look for them, too.
+// termStateNames are shown to operators, and other programs may match them.
 var termStateNames = [...]string{"collecting", "settling", "paced", "normal"}
 
-// String returns the name by which operators know the state.
+// String returns the name of the state that operators see.
 func (s TermState) String() string { return termStateNames[s] }
--- a/internal/recovery/status.go
+++ b/internal/recovery/status.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// Status is the recovery as operators see it.
+// Status is the state of a recovery as operators see it.
 type Status struct {
 	State     string         `json:"state"`
 	Since     time.Duration  `json:"since_ns"` // since the term's start
-	Took      time.Duration  `json:"took_ns"`  // from the term's start to the end of the recovery; 0: it isn't over
+	Took      time.Duration  `json:"took_ns"`  // from the term's start to the recovery's end; 0 if it isn't over
 	Machines  map[string]int `json:"machines"` // number of machines by state
 	Findings  map[string]int `json:"findings"` // number of findings by reason
 	Unsettled []Unsettled    `json:"unsettled,omitempty"`
 	Restored  bool           `json:"restored,omitempty"` // the state service was restored from an older copy
-	Pace      float64        `json:"pace"`               // starts per second; 0: not limited
+	Pace      float64        `json:"pace"`               // limit in starts per second; 0 if there is none
 }
 
 // Unsettled is a machine that isn't settled yet.
 type Unsettled struct {
 	Machine string `json:"machine"`
 	State   string `json:"state"`
-	Why     string `json:"why,omitempty"` // the last difference that was found; empty if none was
+	Why     string `json:"why,omitempty"` // reason of the last difference found on it; empty if there is none
 }
 
-// maxUnsettled is how many machines a Status names.
+// maxUnsettled is the largest number of machines in Status.Unsettled.
 const maxUnsettled = 100
 
 // Status returns the state of the recovery for operators.
@@ -53,7 +53,7 @@
 	return s
 }
 
-// unsettled returns the machines that aren't settled, by name and no more than maxUnsettled.
+// unsettled returns the machines that aren't settled, sorted by name, and at most maxUnsettled of them.
 func (r *Reconciler) unsettled() []Unsettled {
 	var list []Unsettled
 	for _, name := range slices.Sorted(maps.Keys(r.machines)) {
