--- a/internal/standby/codec.go
+++ b/internal/standby/codec.go
@@ -7,8 +7,9 @@
 	"gingertally/internal/core"
 )
 
-// keyForm is the form in which a record's key is replicated.
-type keyForm struct {
+// replicatedKey is a core.WarmKey in the form in which it is replicated. It is encoded as an array, so
+// the order and types of its fields are part of the format.
+type replicatedKey struct {
 	_    struct{} `cbor:",toarray"`
 	Kind core.WarmKind
 	Name string
@@ -18,13 +19,13 @@
 }
 
 // Encode encodes records of the warm state as entries. A record without a value becomes an entry
-// without one, by which the record is deleted.
+// without one, which deletes the record.
 func Encode(records []core.WarmRecord) []Entry {
 	entries := make([]Entry, 0, len(records))
 	for i := range records {
 		key := &records[i].Key
-		form := keyForm{Kind: key.Kind, Name: key.Name, Task: key.Task, Zone: key.Zone, Spot: key.Spot}
-		entries = append(entries, Entry{Key: string(codec.MustMarshal(form)), Value: encodeValue(&records[i])})
+		replicated := replicatedKey{Kind: key.Kind, Name: key.Name, Task: key.Task, Zone: key.Zone, Spot: key.Spot}
+		entries = append(entries, Entry{Key: string(codec.MustMarshal(replicated)), Value: encodeValue(&records[i])})
 	}
 	return entries
 }
@@ -46,22 +47,22 @@
 	return nil
 }
 
-// Decode decodes entries of a whole state. Records of kinds that this version doesn't know are left
-// out. The first entry that can't be decoded is the error, which wraps codec.ErrMalformed: a state
-// that is known in part only would be misleading.
+// Decode decodes the entries of a whole state. Records of kinds that this version doesn't know are
+// left out. If an entry can't be decoded, Decode returns no records and an error that wraps
+// codec.ErrMalformed: a partial state would be misleading.
 func Decode(entries []Entry) ([]core.WarmRecord, error) {
 	records := make([]core.WarmRecord, 0, len(entries))
 	for _, e := range entries {
-		var key keyForm
+		var key replicatedKey
 		if err := codec.Unmarshal([]byte(e.Key), &key); err != nil {
-			return nil, fmt.Errorf("decode key %x of the warm state: %w", e.Key, err)
+			return nil, fmt.Errorf("decode warm state: key %x: %w", e.Key, err)
 		}
 		record := core.WarmRecord{
 			Key: core.WarmKey{Kind: key.Kind, Name: key.Name, Task: key.Task, Zone: key.Zone, Spot: key.Spot},
 		}
 		known, err := decodeValue(e.Value, &record)
 		if err != nil {
-			return nil, fmt.Errorf("decode warm state of %q: %w", key.Name, err)
+			return nil, fmt.Errorf("decode warm state: value of %q: %w", key.Name, err)
 		}
 		if known {
 			records = append(records, record)
@@ -70,8 +71,8 @@
 	return records, nil
 }
 
-// decodeValue decodes the value of a record according to the kind in its key. Known is false for a
-// kind that only a later version has.
+// decodeValue decodes the value of a record according to the kind in its key. Known is false if this
+// version doesn't know the kind.
 func decodeValue(value []byte, record *core.WarmRecord) (known bool, err error) {
 	switch record.Key.Kind {
 	case core.WarmMachineKind:
--- a/internal/standby/codec_test.go
+++ b/internal/standby/codec_test.go
@@ -8,8 +8,8 @@
 	"gingertally/internal/core"
 )
 
-// Records of kinds that only a later version has are left out, and nothing is decoded if any record
-// is malformed: a copy that loses records unnoticed would be taken for the leader's whole state.
+// Records of kinds that only a later version knows are left out, and no records are returned if any is
+// malformed. A copy that lost records unnoticed would be used as the leader's whole state.
 func TestDecodeUnknownAndMalformed(t *testing.T) {
 	class := core.WarmClass{}
 	known := core.WarmRecord{Key: core.WarmKey{Kind: core.WarmClassKind, Name: "c"}, Class: &class}
--- a/internal/standby/entries.go
+++ b/internal/standby/entries.go
@@ -9,8 +9,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Entry is a record of the warm state in the form in which it is replicated, or a change of one. A
-// nil Value says that the record was deleted.
+// Entry is a record of the warm state in its encoded form, or a change to one. A nil Value means that
+// the record was deleted.
 type Entry struct {
 	Key   string
 	Value []byte
@@ -27,9 +27,9 @@
 	return digest.Sum64()
 }
 
-// entrySet is the whole warm state as a set of entries with a digest. The digest is the exclusive or
-// of the entries' hashes, so that it can be kept up to date with each change and doesn't depend on
-// the order of changes. Values are never modified in place.
+// entrySet is the whole warm state as a set of entries, with a digest. The digest is the XOR of the
+// entries' hashes, so that it can be updated with each change and doesn't depend on the order of the
+// changes. Values are never modified in place.
 type entrySet struct {
 	values map[string][]byte
 	digest uint64
@@ -37,7 +37,7 @@
 
 func newEntrySet() entrySet { return entrySet{values: map[string][]byte{}} }
 
-// set applies a change, and returns whether it changed anything.
+// set applies a change, and reports whether it changed anything.
 func (s *entrySet) set(e Entry) bool {
 	old, known := s.values[e.Key]
 	if known == (e.Value != nil) && bytes.Equal(old, e.Value) {
@@ -64,7 +64,7 @@
 	return sorted
 }
 
-// snapshot returns the whole set as one frame.
+// snapshot returns the whole set as one Snapshot frame with a digest.
 func (s *entrySet) snapshot(at Position) Frame {
 	return Frame{
 		Kind: Snapshot, Term: at.Term, Sequence: at.Sequence, Newest: at.Sequence,
--- a/internal/standby/frame.go
+++ b/internal/standby/frame.go
@@ -1,17 +1,17 @@
 package standby
 
-// FrameKind says what a frame of the stream holds.
+// FrameKind is the kind of a frame.
 type FrameKind uint8
 
 // Kinds of frames.
 const (
-	// Snapshot holds one part of the whole state as of a sequence number.
+	// Snapshot holds one part of the whole state at a sequence number.
 	Snapshot FrameKind = iota + 1
-	// Changes holds changes that follow each other, up to a sequence number.
+	// Changes holds consecutive changes, the last of which has the frame's sequence number.
 	Changes
-	// Heartbeat holds no entries: it shows that the leader is there, and how far it is.
+	// Heartbeat holds no entries. It shows that the leader is alive, and the number of its newest change.
 	Heartbeat
-	// HandOver says that the leader is about to give up its lease, and names its successor.
+	// HandOver announces that the leader is about to give up its lease, and names its successor.
 	HandOver
 )
 
@@ -19,19 +19,19 @@
 type Frame struct {
 	Kind     FrameKind
 	Term     uint64
-	Sequence uint64 // number of the newest change that the follower's copy has after this frame
-	Newest   uint64 // number of the newest change that the leader had made
+	Sequence uint64 // number of the newest change in the follower's copy once it has applied this frame
+	Newest   uint64 // number of the leader's newest change when it made the frame
 	Entries  []Entry
 
-	Part int  // of a snapshot: number of the part, from 0
-	Last bool // of a snapshot: this part completes it
+	Part int  // of a Snapshot: number of the part, from 0
+	Last bool // of a Snapshot: whether this is the last part
 
 	HasDigest bool
-	Digest    uint64 // if HasDigest: of the whole state as of Sequence
+	Digest    uint64 // digest of the whole state at Sequence; valid if HasDigest is set
 
-	Successor string // of a hand-over: name of the follower that is to claim first
+	Successor string // of a HandOver: name of the follower that is to claim the next term first
 }
 
-// Position says what a follower's copy has: the changes of a term up to a sequence number. The zero
-// Position is that of a follower without a copy.
+// Position says which changes a follower's copy contains: those of a term up to a sequence number. The
+// zero Position is that of a follower without a complete copy.
 type Position struct{ Term, Sequence uint64 }
--- a/internal/standby/golden_test.go
+++ b/internal/standby/golden_test.go
@@ -7,7 +7,7 @@
 	"gingertally/internal/goldentest"
 )
 
-// warmRecords returns a record of each kind in which every field is set, and a deleted one.
+// warmRecords returns a record of each kind with every field set, and a deleted record.
 func warmRecords() []core.WarmRecord {
 	machine, attempt := goldentest.Filled[core.WarmMachine](), goldentest.Filled[core.WarmAttempt]()
 	class, offer := goldentest.Filled[core.WarmClass](), goldentest.Filled[core.WarmOffer]()
@@ -22,8 +22,8 @@
 	}
 }
 
-// The form in which the warm state is replicated and logged: controllers of another version, during
-// an upgrade, and this one after a restart have to be able to read it.
+// The encoded form in which the warm state is replicated and logged doesn't change. Controllers of
+// other versions have to read it during an upgrade, and this one after a restart.
 func TestWarmRecordsGolden(t *testing.T) {
 	var lines goldentest.Lines
 	entries := Encode(warmRecords())
@@ -37,7 +37,7 @@
 	}
 	for i, e := range Encode(read) {
 		if e.Key != entries[i].Key || string(e.Value) != string(entries[i].Value) {
-			t.Errorf("record %d read and written again is %x %x", i, e.Key, e.Value)
+			t.Errorf("record %d is %x %x after decoding and encoding it again", i, e.Key, e.Value)
 		}
 	}
 }
--- a/internal/standby/publisher.go
+++ b/internal/standby/publisher.go
@@ -7,8 +7,8 @@
 
 // Options are the settings of the stream.
 type Options struct {
-	// QueueBound is how many changes a leader keeps for followers that are behind. A follower that
-	// is further behind is sent a snapshot.
+	// QueueBound is the largest number of changes that a leader keeps for followers that are behind. A
+	// follower that is further behind is sent a snapshot.
 	QueueBound int
 	// SnapshotInterval is the shortest time between two snapshots to one follower.
 	SnapshotInterval time.Duration
@@ -16,39 +16,39 @@
 	Heartbeat time.Duration
 }
 
-// Publisher is the leader's end of the stream in one term. It numbers the changes of the warm state
-// from 1 on, and decides for each follower which frame is sent next; it never waits for a follower.
+// Publisher is the leader's end of the stream in one term. It numbers the changes of the warm state,
+// starting at 1, and decides which frame to send next to each follower. It never waits for a follower.
 // It isn't safe for concurrent use.
 type Publisher struct {
 	term      uint64
 	options   Options
 	state     entrySet
 	newest    uint64  // number of the newest change
-	recent    []Entry // the newest changes, the last of them numbered newest
+	recent    []Entry // the newest changes, at most QueueBound; the number of the last one is newest
 	followers map[string]*follower
-	successor string // empty unless the leader hands over
+	successor string // follower that HandOver has chosen; empty if none
 }
 
-// follower is what the leader knows of one follower.
+// follower is the leader's state for one follower.
 type follower struct {
-	sent          uint64 // number of the newest change that was sent
-	acknowledged  uint64 // number of the newest change that the follower is known to have
-	needsSnapshot bool
-	snapshot      []Entry // what is left to send of a snapshot; nil: none is being sent
-	nextPart      int     // number of the snapshot's next part
-	snapshotAt    time.Time
-	snapshots     int // that were begun
-	frameAt       time.Time
-	lastDigest    uint64 // sequence number of the last frame with a digest
-	handOverSent  bool
+	sent               uint64    // number of the newest change sent, also in a snapshot
+	acknowledged       uint64    // number of the newest change that the follower is known to have
+	needsSnapshot      bool      // a snapshot has to be sent before any changes
+	snapshot           []Entry   // entries left to send of a snapshot; nil if none is being sent
+	nextPart           int       // number of the snapshot's next part
+	lastSnapshotAt     time.Time // when the last snapshot was begun
+	snapshotsBegun     int
+	lastFrameAt        time.Time
+	lastDigestSequence uint64 // sequence number from which digestInterval counts
+	handOverSent       bool
 }
 
-// NewPublisher returns the leader's end of the stream of a term.
+// NewPublisher returns the Publisher of a term, with an empty state and no followers.
 func NewPublisher(term uint64, options Options) *Publisher {
 	return &Publisher{term: term, options: options, state: newEntrySet(), followers: map[string]*follower{}}
 }
 
-// Publish applies changes to the state and numbers them. One that changes nothing gets no number.
+// Publish applies changes to the state and numbers them. An entry that changes nothing gets no number.
 func (p *Publisher) Publish(entries []Entry) {
 	for _, e := range entries {
 		if !p.state.set(e) {
@@ -70,8 +70,8 @@
 // Newest returns the number of the newest change.
 func (p *Publisher) Newest() uint64 { return p.newest }
 
-// Follow begins to serve a follower, or serves it anew, from a position on. If the position is of
-// another term or too far back, the follower is sent a snapshot first.
+// Follow starts or restarts serving a follower from its position. If the position is of another term,
+// or the kept changes don't continue from it, the follower is sent a snapshot first.
 func (p *Publisher) Follow(name string, from Position) {
 	f := p.followers[name]
 	if f == nil {
@@ -79,28 +79,29 @@
 		p.followers[name] = f
 	}
 	f.snapshot, f.nextPart, f.handOverSent = nil, 0, false
-	f.sent, f.acknowledged, f.lastDigest = from.Sequence, from.Sequence, from.Sequence
+	f.sent, f.acknowledged, f.lastDigestSequence = from.Sequence, from.Sequence, from.Sequence
 	f.needsSnapshot = from.Term != p.term || from.Sequence > p.newest || !p.keepsAfter(from.Sequence)
 	if f.needsSnapshot {
 		f.acknowledged = 0
 	}
-	f.frameAt = time.Time{}
+	f.lastFrameAt = time.Time{}
 }
 
-// Leave ends the serving of a follower. The time of its last snapshot is kept, so that a follower
-// which comes back at once doesn't get snapshots more often.
+// Leave stops serving a follower. The time of its last snapshot is kept, so that a follower which
+// reconnects at once doesn't get snapshots more often.
 func (p *Publisher) Leave(name string) {
 	if f := p.followers[name]; f != nil {
 		f.acknowledged, f.snapshot, f.needsSnapshot = 0, nil, true
 	}
 }
 
-// keepsAfter returns whether all changes after a number are still kept.
+// keepsAfter reports whether all changes after a sequence number are still kept.
 func (p *Publisher) keepsAfter(sequence uint64) bool {
 	return p.newest-sequence <= uint64(len(p.recent))
 }
 
-// Acknowledge takes in which changes a follower has.
+// Acknowledge records which changes a follower has. It ignores a position of another term, or one
+// after the newest change.
 func (p *Publisher) Acknowledge(name string, at Position) {
 	if f := p.followers[name]; f != nil && at.Term == p.term && at.Sequence <= p.newest {
 		f.acknowledged = max(f.acknowledged, at.Sequence)
@@ -116,26 +117,27 @@
 	return acknowledged
 }
 
-// CaughtUp returns whether a follower has acknowledged all changes.
+// CaughtUp reports whether a follower has acknowledged all changes.
 func (p *Publisher) CaughtUp(name string) bool {
 	f := p.followers[name]
 	return f != nil && f.hasState() && f.acknowledged == p.newest
 }
 
-// hasState returns whether the follower was sent the whole state, so that it needs only changes.
+// hasState reports whether the follower was sent the whole state, so that it needs only changes.
 func (f *follower) hasState() bool { return !f.needsSnapshot && f.snapshot == nil }
 
-// Snapshots returns how many snapshots were begun for a follower.
+// Snapshots returns the number of snapshots begun for a follower.
 func (p *Publisher) Snapshots(name string) int {
 	if f := p.followers[name]; f != nil {
-		return f.snapshots
+		return f.snapshotsBegun
 	}
 	return 0
 }
 
 // HandOver chooses the successor of a leader that is about to give up its lease: the candidate that
-// has acknowledged the most changes of this term, and the first by name of several. All followers
-// are sent its name, which is returned; empty if no candidate has any state of this term.
+// has acknowledged the most changes of this term, or the first of these by name. It returns the
+// successor's name, which Next then sends to all followers, or an empty string if no candidate has
+// any state of this term.
 func (p *Publisher) HandOver(candidates []string) string {
 	var best *follower
 	for _, name := range slices.Sorted(slices.Values(candidates)) {
--- a/internal/standby/publisher_frames.go
+++ b/internal/standby/publisher_frames.go
@@ -6,79 +6,82 @@
 )
 
 const (
-	// maxFrameBytes bounds the entries of a frame, unless a single one is larger.
+	// maxFrameBytes is the largest size of a frame's entries. A single larger entry gets a frame of its
+	// own.
 	maxFrameBytes = 48 << 10
-	// digestInterval is after how many changes the next frame that can have a digest has one.
+	// digestInterval is the number of changes after which the next Changes frame that can have a digest
+	// gets one.
 	digestInterval = 64
 )
 
-// Next returns the frame that is to be sent to a follower now; false if there is none.
+// Next returns the next frame to send to a follower. Ok is false if there is none now.
 func (p *Publisher) Next(now time.Time, name string) (frame Frame, ok bool) {
 	f := p.followers[name]
 	if f == nil {
 		return Frame{}, false
 	}
 	if f.snapshot == nil && !f.needsSnapshot && !p.keepsAfter(f.sent) {
-		f.needsSnapshot = true // it has fallen too far behind
+		f.needsSnapshot = true // the follower has fallen too far behind
 	}
 	switch {
 	case f.snapshot != nil:
 		return p.snapshotPart(now, f), true
-	case f.needsSnapshot && (f.snapshotAt.IsZero() || now.Sub(f.snapshotAt) >= p.options.SnapshotInterval):
+	case f.needsSnapshot && (f.lastSnapshotAt.IsZero() || now.Sub(f.lastSnapshotAt) >= p.options.SnapshotInterval):
 		p.beginSnapshot(now, f)
 		return p.snapshotPart(now, f), true
 	case !f.needsSnapshot && f.sent < p.newest:
 		return p.changes(now, f), true
 	case p.successor != "" && !f.handOverSent:
 		f.handOverSent = true
-		return p.frame(now, f, Frame{Kind: HandOver, Successor: p.successor}), true
-	case now.Sub(f.frameAt) >= p.options.Heartbeat:
+		return p.completeFrame(now, f, Frame{Kind: HandOver, Successor: p.successor}), true
+	case now.Sub(f.lastFrameAt) >= p.options.Heartbeat:
 		return p.heartbeat(now, f), true
 	}
 	return Frame{}, false
 }
 
-// frame completes a frame with the fields that all kinds have, and notes that it is sent now.
-func (p *Publisher) frame(now time.Time, f *follower, frame Frame) Frame {
-	f.frameAt = now
+// completeFrame sets the fields that all kinds of frames have, and the time of the follower's last
+// frame.
+func (p *Publisher) completeFrame(now time.Time, f *follower, frame Frame) Frame {
+	f.lastFrameAt = now
 	frame.Term, frame.Sequence, frame.Newest = p.term, f.sent, p.newest
 	return frame
 }
 
-// addDigest adds the digest of the present state to a frame as of the newest change.
+// addDigest adds the digest of the current state to a frame whose Sequence is the newest change.
 func (p *Publisher) addDigest(frame *Frame) {
 	frame.HasDigest, frame.Digest = true, p.state.digest
 }
 
-// heartbeat returns a heartbeat. It has a digest if the follower was sent all changes, as there is
-// otherwise nothing to send.
+// heartbeat returns a heartbeat. It has a digest unless the follower needs a snapshot: Next sends
+// a heartbeat only if no changes are left to send, so that its Sequence is the newest change.
 func (p *Publisher) heartbeat(now time.Time, f *follower) Frame {
-	frame := p.frame(now, f, Frame{Kind: Heartbeat})
+	frame := p.completeFrame(now, f, Frame{Kind: Heartbeat})
 	if !f.needsSnapshot {
 		p.addDigest(&frame)
 	}
 	return frame
 }
 
-// beginSnapshot begins to send the present state. It stays as it is while it is sent: values are
-// never modified in place, so that a list of them is enough.
+// beginSnapshot begins to send the current state to a follower. A list of the entries is a consistent
+// copy, since values are never modified in place.
 func (p *Publisher) beginSnapshot(now time.Time, f *follower) {
 	f.snapshot, f.nextPart, f.needsSnapshot = p.state.entries(), 0, false
-	f.sent, f.snapshotAt = p.newest, now
-	f.snapshots++
+	f.sent, f.lastSnapshotAt = p.newest, now
+	f.snapshotsBegun++
 }
 
-// snapshotPart returns the next part of the snapshot that is being sent. If the changes made since it
-// was begun aren't kept any more when it is complete, Next begins another one.
+// snapshotPart returns the next part of the snapshot that is being sent. If, by the time it is
+// complete, the changes made since it was begun aren't all kept, Next begins another one.
 func (p *Publisher) snapshotPart(now time.Time, f *follower) Frame {
-	count := entriesOfFrame(f.snapshot)
+	count := entriesThatFit(f.snapshot)
 	last := count == len(f.snapshot)
-	frame := p.frame(now, f, Frame{Kind: Snapshot, Part: f.nextPart, Entries: f.snapshot[:count], Last: last})
+	frame := p.completeFrame(now, f, Frame{Kind: Snapshot, Part: f.nextPart, Entries: f.snapshot[:count], Last: last})
 	f.nextPart++
 	f.snapshot = f.snapshot[count:]
 	if last {
 		f.snapshot = nil
-		f.lastDigest = f.sent
+		f.lastDigestSequence = f.sent
 		if f.sent == p.newest {
 			p.addDigest(&frame)
 		}
@@ -86,23 +89,23 @@
 	return frame
 }
 
-// changes returns the next changes for a follower. Only a frame that brings it up to the newest
+// changes returns a frame with the next changes for a follower. Only a frame that ends with the newest
 // change can have a digest, since no earlier state is kept.
 func (p *Publisher) changes(now time.Time, f *follower) Frame {
 	pending := p.recent[uint64(len(p.recent))-(p.newest-f.sent):]
-	count := entriesOfFrame(pending)
+	count := entriesThatFit(pending)
 	f.sent += uint64(count)
-	frame := p.frame(now, f, Frame{Kind: Changes, Entries: slices.Clone(pending[:count])})
-	if f.sent == p.newest && f.sent-f.lastDigest >= digestInterval {
+	frame := p.completeFrame(now, f, Frame{Kind: Changes, Entries: slices.Clone(pending[:count])})
+	if f.sent == p.newest && f.sent-f.lastDigestSequence >= digestInterval {
 		p.addDigest(&frame)
-		f.lastDigest = f.sent
+		f.lastDigestSequence = f.sent
 	}
 	return frame
 }
 
-// entriesOfFrame returns how many of some entries make up the next frame: as many as fit, and one
-// at least if there are any.
-func entriesOfFrame(entries []Entry) int {
+// entriesThatFit returns how many of the first entries fit into one frame, but at least one if there
+// are any.
+func entriesThatFit(entries []Entry) int {
 	size := 0
 	for i, e := range entries {
 		size += len(e.Key) + len(e.Value)
--- a/internal/standby/standby.go
+++ b/internal/standby/standby.go
@@ -2,58 +2,59 @@
 
 import "time"
 
-// State is the state of a controller with regard to the leader's warm state.
+// State is the state of a controller with respect to the leader's warm state.
 //
-// A controller begins in CatchingUp and goes back and forth between that and Following as frames
-// come (Receive). A claim takes it to Confirming (Claimed), the decision on its copy to Active
-// (Confirm), and the end of its term from either to SteppedDown (TermEnded). From there the next
-// frame leads back to Following or CatchingUp.
+// A controller begins in CatchingUp, and frames move it between that and Following (Receive). Claiming
+// a term moves it to Confirming (Claimed), and the decision on its copy to Active (ConfirmCopy). The
+// end of its term moves it from either of these to SteppedDown (TermEnded), and the next frame moves
+// it back to Following or CatchingUp.
 type State uint8
 
 // States of a standby.
 const (
-	// CatchingUp has no complete copy, or one that is known to lack changes.
+	// CatchingUp means that the copy isn't complete, or is known to lack changes.
 	CatchingUp State = iota
-	// Following has a complete copy with all changes that it knows of.
+	// Following means that the copy is complete and lacks no change that is known of.
 	Following
-	// Confirming has claimed a term and is reading the records from the state service.
+	// Confirming means that the controller has claimed a term and is reading the records from the
+	// state service.
 	Confirming
-	// Active leads.
+	// Active means that the controller leads.
 	Active
-	// SteppedDown has led, and hasn't received a frame of another leader since.
+	// SteppedDown means that the controller's term has ended, and that it has received no frame since.
 	SteppedDown
 )
 
-// stateNames are shown to operators; other programs may look for them, too.
+// stateNames are shown to operators, and other programs may match them.
 var stateNames = [...]string{"catching up", "following", "confirming", "active", "stepped down"}
 
-// String returns the name by which operators know the state.
+// String returns the name of the state that operators see.
 func (s State) String() string { return stateNames[s] }
 
-// Standby is a controller's copy of the leader's warm state, and the state machine that says what the
-// copy may be used for. It isn't safe for concurrent use.
+// Standby is a controller's copy of the leader's warm state, with the state machine that determines
+// what the copy may be used for. It isn't safe for concurrent use.
 type Standby struct {
-	name     string
-	timeouts Timeouts
-	state    State
-	replica  *Replica
-	claim    Claim     // the last term that this controller has claimed
-	heardAt  time.Time // when the last frame of the replica's term came
-	resyncAt time.Time // when a snapshot was last requested
-	counts   Counts
-
-	successor   string // whom the leader has named to claim after it; empty: nobody
-	successorAt time.Time
+	name         string
+	timeouts     Timeouts
+	state        State
+	replica      *Replica
+	claim        Claim     // the last term that this controller has claimed
+	lastFrameAt  time.Time // when the last frame of the replica's term was received
+	lastResyncAt time.Time // when a snapshot was last requested
+	counts       Counts
+
+	successor   string    // controller that the leader has named to claim next; empty if none
+	successorAt time.Time // when the successor was named
 }
 
-// Counts counts what a standby has gone through.
+// Counts are counts of a standby's events.
 type Counts struct {
-	Frames, Ignored, Gaps, Mismatches uint64 // frames received, and those with the named outcomes
-	Snapshots                         uint64 // snapshots completed
-	Confirmed, Unconfirmed            uint64 // takeovers with and without the copy
+	Frames, Ignored, Gaps, Mismatches uint64 // all frames received, and those by outcome
+	Snapshots                         uint64 // snapshots received in full
+	Confirmed, Unconfirmed            uint64 // takeovers with the copy confirmed, and without
 }
 
-// New returns the standby of a controller, which is known to others by name.
+// New returns the standby of the controller with the given name.
 func New(name string, timeouts Timeouts) *Standby {
 	return &Standby{name: name, timeouts: timeouts, replica: NewReplica()}
 }
@@ -61,23 +62,24 @@
 // State returns the standby's state.
 func (s *Standby) State() State { return s.state }
 
-// Counts returns what the standby has gone through.
+// Counts returns the counts of the standby's events.
 func (s *Standby) Counts() Counts { return s.counts }
 
-// move changes the state; nothing else does.
-func (s *Standby) move(to State) { s.state = to }
+// setState changes the state. Nothing else writes that field.
+func (s *Standby) setState(to State) { s.state = to }
 
-// Restore uses a copy that was kept on disk, unless frames have come already. Such a copy is as good
-// as any other: a leader of the same term continues it, and one of a later term replaces it.
+// Restore installs a copy that was read from disk, unless frames have already been received. Such a
+// copy is as good as any other: a leader of the same term continues it, and one of a later term
+// replaces it.
 func (s *Standby) Restore(replica *Replica) {
 	if s.state == CatchingUp && s.replica.Term() == 0 {
 		s.replica = replica
 	}
 }
 
-// Receive takes in a frame of a leader's stream. From its claim to the end of its term a controller
-// ignores all frames: they are of a leader that is over, or of one that follows this controller and
-// will be received once this term has ended.
+// Receive applies a frame from a leader's stream to the copy. A controller ignores all frames from its
+// claim to the end of its term: they are from an earlier leader, or from a later one, whose state
+// it will receive once its own term has ended.
 func (s *Standby) Receive(now time.Time, f Frame) Outcome {
 	s.counts.Frames++
 	if s.state == Confirming || s.state == Active {
@@ -87,16 +89,16 @@
 	outcome := s.replica.Apply(f)
 	s.count(f, outcome)
 	if f.Term == s.replica.Term() {
-		s.heardAt = now
+		s.lastFrameAt = now
 		if f.Kind == HandOver {
 			s.successor, s.successorAt = f.Successor, now
 		}
 	}
-	s.moveByReplica()
+	s.updateState()
 	return outcome
 }
 
-// count counts the outcome of a frame.
+// count updates the counts for the outcome of a frame.
 func (s *Standby) count(f Frame, outcome Outcome) {
 	switch outcome {
 	case Gap:
@@ -112,43 +114,43 @@
 	}
 }
 
-// moveByReplica moves to Following if the copy has all changes, else to CatchingUp.
-func (s *Standby) moveByReplica() {
+// updateState moves to Following if the copy is current, else to CatchingUp.
+func (s *Standby) updateState() {
 	if s.replicaIsCurrent() {
-		s.move(Following)
+		s.setState(Following)
 	} else {
-		s.move(CatchingUp)
+		s.setState(CatchingUp)
 	}
 }
 
-// replicaIsCurrent returns whether the copy is complete and lacks no change that is known.
+// replicaIsCurrent reports whether the copy is complete and lacks no change that is known of.
 func (s *Standby) replicaIsCurrent() bool {
 	behind, complete := s.replica.Behind()
 	return complete && behind == 0
 }
 
-// Position returns what the copy has.
+// Position returns the copy's position.
 func (s *Standby) Position() Position { return s.replica.Position() }
 
-// Replica returns the copy, which the decision log keeps on disk.
+// Replica returns the copy. The decision log stores it on disk.
 func (s *Standby) Replica() *Replica { return s.replica }
 
-// MayResync returns whether a snapshot may be requested now. If so, the caller requests one: the next
-// is counted from now on.
+// MayResync reports whether a snapshot may be requested now. If it returns true, the caller has to
+// request one: the next request is allowed only Timeouts.ResyncInterval later.
 func (s *Standby) MayResync(now time.Time) bool {
-	if !s.resyncAt.IsZero() && now.Sub(s.resyncAt) < s.timeouts.Resync {
+	if !s.lastResyncAt.IsZero() && now.Sub(s.lastResyncAt) < s.timeouts.ResyncInterval {
 		return false
 	}
-	s.resyncAt = now
+	s.lastResyncAt = now
 	return true
 }
 
 // Lag returns how many changes the copy is known to lack, and the time since the last frame of its
-// leader; 0 if none has come.
+// leader, or 0 if none was received.
 func (s *Standby) Lag(now time.Time) (changes uint64, age time.Duration) {
 	changes, _ = s.replica.Behind()
-	if !s.heardAt.IsZero() {
-		age = now.Sub(s.heardAt)
+	if !s.lastFrameAt.IsZero() {
+		age = now.Sub(s.lastFrameAt)
 	}
 	return changes, age
 }
--- a/internal/standby/timeouts.go
+++ b/internal/standby/timeouts.go
@@ -2,36 +2,37 @@
 
 import "time"
 
-// Timeouts are the time bounds of a standby, derived from the deployment's settings.
+// Timeouts are the time limits of a Standby.
 type Timeouts struct {
-	// Recent is for how long after the last frame of a leader its knowledge of machines is taken to
-	// hold, and its choice of a successor is respected.
-	Recent time.Duration
-	// ClaimDelay is how long a standby without a current copy lets others claim first.
+	// Freshness is how long after a leader's last frame what it knew of machines still counts as
+	// current, and how long after its hand-over its choice of a successor is respected.
+	Freshness time.Duration
+	// ClaimDelay is how long a standby without a current copy waits for others to claim first.
 	ClaimDelay time.Duration
-	// HandOver is how long a standby lets the successor that a leader has named claim first.
-	HandOver time.Duration
-	// Resync is the shortest time between two requests for a snapshot.
-	Resync time.Duration
+	// HandOverDelay is how long a standby waits for the successor named by the leader to claim first.
+	HandOverDelay time.Duration
+	// ResyncInterval is the shortest time between two requests for a snapshot.
+	ResyncInterval time.Duration
 }
 
 const (
-	// recentSlack is by how much the last frame of a leader may be older than two heartbeat
-	// intervals, since the lease of a leader that has died has to expire first. A leader takes a
-	// machine for unresponsive after the same time.
-	recentSlack = 5 * time.Second
-	// claimDelay leaves time for a claim, which takes about 0.1 s.
+	// freshnessSlack is added to two heartbeat intervals in Timeouts.Freshness, since the lease of a
+	// leader that has died has to expire before another can take over. A leader considers a machine
+	// unresponsive after the same time.
+	freshnessSlack = 5 * time.Second
+	// claimDelay leaves a standby with a current copy time to claim, which takes about 0.1 s.
 	claimDelay = 400 * time.Millisecond
-	// handOverDelay leaves the successor time to learn that the lease was given up.
+	// handOverDelay leaves the successor time to learn that the lease was given up, and to claim.
 	handOverDelay = time.Second
 )
 
-// TimeoutsFor derives the time bounds of a standby from a deployment's settings.
+// TimeoutsFor returns the time limits of a standby for a deployment's worker heartbeat interval and
+// the shortest interval of snapshots to one follower.
 func TimeoutsFor(heartbeatInterval, snapshotInterval time.Duration) Timeouts {
 	return Timeouts{
-		Recent:     2*heartbeatInterval + recentSlack,
-		ClaimDelay: claimDelay,
-		HandOver:   handOverDelay,
-		Resync:     snapshotInterval,
+		Freshness:      2*heartbeatInterval + freshnessSlack,
+		ClaimDelay:     claimDelay,
+		HandOverDelay:  handOverDelay,
+		ResyncInterval: snapshotInterval,
 	}
 }
