--- a/internal/standbyrpc/client.go
+++ b/internal/standbyrpc/client.go
@@ -13,18 +13,18 @@
 	"gingertally/internal/standby/standbypb"
 )
 
-// ErrUnsupported says that the leader's version doesn't have the stream.
-var ErrUnsupported = errors.New("the leader has no warm state to follow")
+// ErrUnsupported reports that the leader's version doesn't have the stream.
+var ErrUnsupported = errors.New("the leader's version has no stream of the warm state")
 
-// Acknowledgement is what a follower answers to a frame.
+// Acknowledgement is a follower's answer to a frame.
 type Acknowledgement struct {
-	At     standby.Position // what its copy has
-	Resync bool             // it has dropped its copy and requests a snapshot
+	At     standby.Position // the position of its copy
+	Resync bool             // it has dropped its copy, and requests that the stream restart from At
 }
 
-// Follow receives the frames of a leader, from a position on, and passes each to receive, whose
-// result is sent back. It returns once the stream or ctx ends, always with an error: ErrUnsupported,
-// or one that says how the stream ended.
+// Follow receives a leader's frames from a position on and passes each to receive. It sends the result
+// back, unless that repeats the last one and doesn't set Resync. It returns once the stream or ctx
+// ends, always with an error: ErrUnsupported, or one that says how the stream ended.
 func Follow(
 	ctx context.Context, connection grpc.ClientConnInterface, self string, from standby.Position,
 	receive func(standby.Frame) Acknowledgement,
@@ -35,8 +35,8 @@
 	if err != nil {
 		return followError(err)
 	}
-	last := Acknowledgement{At: from}
-	if err := stream.Send(followRequest(self, last)); err != nil {
+	lastSent := Acknowledgement{At: from}
+	if err := stream.Send(followRequest(self, lastSent)); err != nil {
 		return followError(err)
 	}
 	for {
@@ -44,25 +44,25 @@
 		if err != nil {
 			return followError(err)
 		}
-		received := receive(fromWire(message))
-		if received == last && !received.Resync {
-			continue // the leader knows
+		acknowledgement := receive(fromWire(message))
+		if acknowledgement == lastSent && !acknowledgement.Resync {
+			continue // the leader already has this acknowledgement
 		}
-		last = received
-		if err := stream.Send(followRequest(self, received)); err != nil {
+		lastSent = acknowledgement
+		if err := stream.Send(followRequest(self, acknowledgement)); err != nil {
 			return followError(err)
 		}
 	}
 }
 
-// followRequest returns the message that tells the leader what a follower has.
-func followRequest(self string, received Acknowledgement) *standbypb.FollowRequest {
+// followRequest returns the message that tells the leader a follower's position.
+func followRequest(self string, acknowledgement Acknowledgement) *standbypb.FollowRequest {
 	return &standbypb.FollowRequest{
-		From: self, Term: received.At.Term, Sequence: received.At.Sequence, Resync: received.Resync,
+		From: self, Term: acknowledgement.At.Term, Sequence: acknowledgement.At.Sequence, Resync: acknowledgement.Resync,
 	}
 }
 
-// followError returns the error by which a stream has ended.
+// followError returns the error of Follow for the error with which the stream ended.
 func followError(err error) error {
 	if status.Code(err) == codes.Unimplemented {
 		return ErrUnsupported
--- a/internal/standbyrpc/convert.go
+++ b/internal/standbyrpc/convert.go
@@ -5,7 +5,7 @@
 	"gingertally/internal/standby/standbypb"
 )
 
-// toWire converts a frame to its message.
+// toWire converts a frame to its protobuf message.
 func toWire(f standby.Frame) *standbypb.Frame {
 	message := &standbypb.Frame{
 		Kind: kindToWire(f.Kind), Term: f.Term, Sequence: f.Sequence, Newest: f.Newest,
@@ -21,7 +21,7 @@
 	return message
 }
 
-// fromWire converts a message to its frame.
+// fromWire converts a protobuf message to its frame.
 func fromWire(message *standbypb.Frame) standby.Frame {
 	f := standby.Frame{
 		Kind: kindFromWire(message.Kind), Term: message.Term, Sequence: message.Sequence, Newest: message.Newest,
@@ -36,6 +36,7 @@
 	return f
 }
 
+// kindToWire returns the protobuf value of a kind of frame.
 func kindToWire(kind standby.FrameKind) standbypb.Frame_Kind {
 	switch kind {
 	case standby.Snapshot:
@@ -50,8 +51,9 @@
 	return standbypb.Frame_UNKNOWN
 }
 
-// kindFromWire takes a kind that only a later version has for a heartbeat. If such a frame brings
-// changes, the follower's copy lacks them, which the next digest shows.
+// kindFromWire returns the kind of frame for a protobuf value. It returns Heartbeat for a kind that
+// only a later version knows. If such a frame holds changes, the follower's copy lacks them, which the
+// next digest shows.
 func kindFromWire(kind standbypb.Frame_Kind) standby.FrameKind {
 	switch kind {
 	case standbypb.Frame_SNAPSHOT:
--- a/internal/standbyrpc/golden_test.go
+++ b/internal/standbyrpc/golden_test.go
@@ -11,8 +11,8 @@
 	"gingertally/internal/standby/standbypb"
 )
 
-// The encoded form of the stream's messages, by which controllers of different versions understand
-// each other during an upgrade.
+// The encoded form of the stream's messages doesn't change: controllers of different versions exchange
+// them during an upgrade.
 func TestFramesGolden(t *testing.T) {
 	var lines goldentest.Lines
 	marshal := proto.MarshalOptions{Deterministic: true}
@@ -29,7 +29,7 @@
 			t.Fatal(err)
 		}
 		if read := fromWire(&message); !reflect.DeepEqual(read, frame) {
-			t.Errorf("read again it is %+v, not %+v", read, frame)
+			t.Errorf("decoded frame is %+v, want %+v", read, frame)
 		}
 	}
 	encoded, err := marshal.Marshal(&standbypb.FollowRequest{From: "node-1", Term: 2, Sequence: 3, Resync: true})
--- a/internal/standbyrpc/server.go
+++ b/internal/standbyrpc/server.go
@@ -12,39 +12,41 @@
 	"gingertally/internal/standby/standbypb"
 )
 
-// Source is the leader's end of the stream. Its methods are called concurrently.
+// Source is the leader's end of the stream. Its methods may be called concurrently.
 type Source interface {
-	// Join begins to serve a follower from a position on. The channel is signalled when there may
-	// be another frame. The error says that this controller doesn't lead.
+	// Join starts serving a follower from its position. The channel receives a value when there may
+	// be another frame. The error reports that this controller doesn't lead.
 	Join(follower string, from standby.Position) (wake <-chan struct{}, err error)
-	// Next returns the next frame for a follower; false if there is none now. The error says that
-	// this controller doesn't lead any more.
+	// Next returns the next frame for a follower. Ok is false if there is none now. The error reports
+	// that this controller doesn't lead any more.
 	Next(follower string) (frame standby.Frame, ok bool, err error)
-	// Acknowledge takes in what a follower has; resync requests a snapshot for it.
+	// Acknowledge records a follower's position. Resync says that the follower has dropped its copy,
+	// and requests that the stream restart from the position.
 	Acknowledge(follower string, at standby.Position, resync bool)
-	// Leave ends the serving of a follower, unless it has joined again since and so has another
-	// channel.
+	// Leave stops serving a follower. It does nothing if the follower has joined again since, and so
+	// has another channel.
 	Leave(follower string, wake <-chan struct{})
 }
 
-// server implements the gRPC service.
+// server implements the gRPC service for a Source.
 type server struct {
 	standbypb.UnimplementedStandbyServer
 	source Source
 }
 
-// Register adds the stream of a source to a gRPC server.
+// Register registers the gRPC service that streams the frames of a source.
 func Register(registrar grpc.ServiceRegistrar, source Source) {
 	standbypb.RegisterStandbyServer(registrar, &server{source: source})
 }
 
-// pollInterval is how often a stream asks for a frame that no signal announces, such as a heartbeat.
+// pollInterval is how often a stream asks its source for a frame without a signal, as for heartbeats,
+// which become due as time passes.
 const pollInterval = 100 * time.Millisecond
 
 // Follow serves one follower until its stream or the leader's term ends.
 //
-// The goroutine that receives isn't waited for: gRPC lets its Recv return only once this method has
-// returned.
+// It doesn't wait for the goroutine that receives, whose Recv may return only after this method has
+// returned and so ended the stream.
 func (s *server) Follow(stream standbypb.Standby_FollowServer) error {
 	first, err := stream.Recv()
 	if err != nil {
@@ -64,12 +66,12 @@
 	return s.send(ctx, stream, first.From, wake)
 }
 
-// positionOf returns the position in a follower's message.
+// positionOf returns the follower's position in a request.
 func positionOf(request *standbypb.FollowRequest) standby.Position {
 	return standby.Position{Term: request.Term, Sequence: request.Sequence}
 }
 
-// receive passes the follower's messages to the source until the stream ends.
+// receive passes the follower's positions to the source until the stream ends.
 func (s *server) receive(stream standbypb.Standby_FollowServer) {
 	for {
 		request, err := stream.Recv()
--- a/internal/standbyrpc/standbyrpc_test.go
+++ b/internal/standbyrpc/standbyrpc_test.go
@@ -15,18 +15,19 @@
 	"gingertally/internal/standby"
 )
 
-// source is a Source with a real publisher; without one it is that of a controller that doesn't lead.
-type source struct {
-	mu        sync.Mutex
-	publisher *standby.Publisher // nil: it doesn't lead
-	wake      chan struct{}
-	left      int // calls of Leave
+// testSource is a Source with a real Publisher. Without one, it is that of a controller that doesn't
+// lead.
+type testSource struct {
+	mu         sync.Mutex
+	publisher  *standby.Publisher // nil if this controller doesn't lead
+	wake       chan struct{}
+	leaveCalls int // number of calls of Leave
 }
 
 var errNotLeading = errors.New("not leading")
 
 // Join implements Source.
-func (s *source) Join(follower string, from standby.Position) (<-chan struct{}, error) {
+func (s *testSource) Join(follower string, from standby.Position) (<-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.publisher == nil {
@@ -37,7 +38,7 @@
 }
 
 // Next implements Source.
-func (s *source) Next(follower string) (standby.Frame, bool, error) {
+func (s *testSource) Next(follower string) (standby.Frame, bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.publisher == nil {
@@ -48,7 +49,7 @@
 }
 
 // Acknowledge implements Source.
-func (s *source) Acknowledge(follower string, at standby.Position, resync bool) {
+func (s *testSource) Acknowledge(follower string, at standby.Position, resync bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
@@ -61,14 +62,15 @@
 }
 
 // Leave implements Source.
-func (s *source) Leave(string, <-chan struct{}) {
+func (s *testSource) Leave(string, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.left++
+	s.leaveCalls++
 }
 
-// change publishes the changes with numbers from up to to, and signals them.
-func (s *source) change(from, to int) {
+// publishChanges publishes a change for each number from from up to, not including, to, and signals
+// them.
+func (s *testSource) publishChanges(from, to int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := from; i < to; i++ {
@@ -80,16 +82,16 @@
 	}
 }
 
-// caughtUp returns whether follower b has all changes.
-func (s *source) caughtUp() bool {
+// caughtUp reports whether follower b has all changes.
+func (s *testSource) caughtUp() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.publisher.CaughtUp("b")
 }
 
-// serve serves a source on the loopback interface and returns a connection to it. A nil source stands
-// for a version without the stream.
-func serve(t *testing.T, s *source) *grpc.ClientConn {
+// serve serves a source on the loopback interface and returns a connection to the server. A nil source
+// means a version without the stream.
+func serve(t *testing.T, s *testSource) *grpc.ClientConn {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -99,7 +101,7 @@
 	if s != nil {
 		Register(server, s)
 	}
-	go func() { _ = server.Serve(listener) }() // ends with Stop
+	go func() { _ = server.Serve(listener) }() // returns after Stop
 	t.Cleanup(server.Stop)
 	connection, err := grpc.NewClient(listener.Addr().String(), grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
@@ -109,18 +111,18 @@
 	return connection
 }
 
-// leading returns the source of a leader in term 3.
-func leading() *source {
+// newLeader returns the Source of a leader in term 3.
+func newLeader() *testSource {
 	options := standby.Options{QueueBound: 1000, SnapshotInterval: time.Millisecond, Heartbeat: 20 * time.Millisecond}
-	return &source{publisher: standby.NewPublisher(3, options), wake: make(chan struct{}, 1)}
+	return &testSource{publisher: standby.NewPublisher(3, options), wake: make(chan struct{}, 1)}
 }
 
-// A follower receives a snapshot and then each change, requests a snapshot when it has dropped its
-// copy, and has the leader's state in the end. Otherwise every takeover would be a cold one.
+// A follower receives a snapshot and then each change, requests a snapshot after it has dropped its
+// copy, and ends up with the leader's state. Otherwise every takeover would be a cold one.
 func TestFollow(t *testing.T) {
-	s := leading()
+	s := newLeader()
 	connection := serve(t, s)
-	s.change(0, 200)
+	s.publishChanges(0, 200)
 	replica := standby.NewReplica()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -129,7 +131,7 @@
 	go func() {
 		ended <- Follow(ctx, connection, "b", replica.Position(), func(f standby.Frame) Acknowledgement {
 			if frames++; frames == 4 {
-				replica.Reset() // as if it had been found to differ
+				replica.Reset() // as after a digest that differs
 				return Acknowledgement{Resync: true}
 			}
 			outcome := replica.Apply(f)
@@ -137,17 +139,17 @@
 		})
 	}()
 	for i := range 20 {
-		s.change(200+20*i, 220+20*i)
+		s.publishChanges(200+20*i, 220+20*i)
 		time.Sleep(2 * time.Millisecond)
 	}
 	for deadline := time.Now().Add(20 * time.Second); !s.caughtUp(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("the follower never caught up")
+			t.Fatal("the follower didn't catch up")
 		}
 	}
 	cancel()
 	if err := <-ended; err == nil {
-		t.Fatal("no error at the stream's end")
+		t.Fatal("no error when the stream ended")
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -155,25 +157,25 @@
 		t.Fatalf("the follower has %s, the leader %s", got, want)
 	}
 	if s.publisher.Snapshots("b") < 2 {
-		t.Fatalf("%d snapshots", s.publisher.Snapshots("b"))
+		t.Fatalf("%d snapshots, want at least 2", s.publisher.Snapshots("b"))
 	}
 }
 
 // A controller that doesn't lead refuses followers, and one whose version doesn't have the stream is
-// told apart by ErrUnsupported: it would otherwise be asked again all the time.
+// distinguished by ErrUnsupported. Otherwise followers would keep asking it without a long pause.
 func TestNobodyToFollow(t *testing.T) {
 	receive := func(standby.Frame) Acknowledgement { return Acknowledgement{} }
-	err := Follow(t.Context(), serve(t, &source{}), "b", standby.Position{}, receive)
+	err := Follow(t.Context(), serve(t, &testSource{}), "b", standby.Position{}, receive)
 	if err == nil || errors.Is(err, ErrUnsupported) {
-		t.Fatalf("from a controller that doesn't lead: %v", err)
+		t.Fatalf("error from a controller that doesn't lead: %v", err)
 	}
 	if err := Follow(t.Context(), serve(t, nil), "b", standby.Position{}, receive); !errors.Is(err, ErrUnsupported) {
-		t.Fatalf("from a version without the stream: %v", err)
+		t.Fatalf("error from a version without the stream: %v", err)
 	}
 }
 
-// A frame is the same after it was sent and received, and one of a kind that only a later version has
-// is taken for a heartbeat: it must neither end the stream nor change the copy.
+// Frames don't change when they are sent and received, and a frame of a kind that only a later version
+// knows is treated as a heartbeat. It must neither end the stream nor change the copy.
 func TestFramesOnTheWire(t *testing.T) {
 	for _, f := range []standby.Frame{
 		{
@@ -198,12 +200,12 @@
 	}
 }
 
-// The stream ends with the leader's term, though nothing closes the connection, so that the follower
-// can follow the next leader, which may be the same controller. It once waited for good.
+// The stream ends with the leader's term although nothing closes the connection, so that the follower
+// can follow the next leader, which may be the same controller. The stream once stayed open forever.
 func TestStreamEndsWithTheTerm(t *testing.T) {
-	s := leading()
+	s := newLeader()
 	connection := serve(t, s)
-	s.change(0, 10)
+	s.publishChanges(0, 10)
 	ended := make(chan error, 1)
 	received := make(chan struct{}, 1000)
 	replica := standby.NewReplica()
@@ -224,11 +226,11 @@
 			t.Fatalf("the stream ended with %v", err)
 		}
 	case <-time.After(20 * time.Second):
-		t.Fatal("the stream goes on after the term")
+		t.Fatal("the stream didn't end with the term")
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.left != 1 {
-		t.Fatalf("Leave was called %d times", s.left)
+	if s.leaveCalls != 1 {
+		t.Fatalf("Leave was called %d times, want 1", s.leaveCalls)
 	}
 }
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,4 +1,5 @@
-// Package wait has the waits that can be ended. It owns no state; any goroutine may call it.
+// Package wait has a sleep that a context can cut short. It has no state, and is safe for concurrent
+// use.
 package wait
 
 import (
@@ -6,8 +7,7 @@
 	"time"
 )
 
-// Sleep waits for some time, and reports whether that has passed: false means that ctx has ended
-// before.
+// Sleep waits until d has passed or ctx has ended, and reports whether d has passed.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
