--- a/internal/recovery/reconciler.go
+++ b/internal/recovery/reconciler.go
@@ -169,8 +169,8 @@
 	delete(r.machines, name)
 }
 
-// AddFinding counts a finding. Until the recovery is over, a finding other than Keep is also remembered
-// as the machine's last difference.
+// AddFinding counts a finding. Until the recovery is over, it also remembers a finding whose action
+// isn't Keep as the machine's last difference.
 func (r *Reconciler) AddFinding(name string, f Finding) {
 	r.findings[f.Reason]++
 	if f.Action == Keep || r.state == Normal {
@@ -230,8 +230,8 @@
 // than the state service has, so that the records are at least as recent as what the worker knows.
 func (r *Reconciler) ConfirmPreviousTerm() { r.previousTermConfirmed = true }
 
-// Advance moves the term to the latest state whose conditions are met. Listed says that the cloud's
-// list of machines was read in this term.
+// Advance moves the term through the next states whose conditions are met. Listed says that the
+// cloud's list of machines was read in this term.
 func (r *Reconciler) Advance(now time.Time, listed bool) {
 	if r.state == Normal {
 		return
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -48,9 +48,9 @@
 			c.prepare(p)
 		}
 		p.follower.Claimed(c.claim)
-		view, err := p.follower.ConfirmCopy(p.now, c.read)
-		if !errors.Is(err, c.want) || view.Recent != c.recent {
-			t.Errorf("%s: recent %v, error %v", c.name, view.Recent, err)
+		confirmed, err := p.follower.ConfirmCopy(p.now, c.read)
+		if !errors.Is(err, c.want) || confirmed.Recent != c.recent {
+			t.Errorf("%s: recent %v, error %v", c.name, confirmed.Recent, err)
 		}
 		if errors.Is(c.want, ErrBehindClaim) {
 			if p.follower.State() != Confirming {
@@ -61,8 +61,8 @@
 		if p.follower.State() != Active {
 			t.Errorf("%s: follower %v after the decision, want active", c.name, p.follower.State())
 		}
-		if (len(view.Entries) > 0) != (c.want == nil) {
-			t.Errorf("%s: %d entries", c.name, len(view.Entries))
+		if (len(confirmed.Entries) > 0) != (c.want == nil) {
+			t.Errorf("%s: %d entries", c.name, len(confirmed.Entries))
 		}
 	}
 }
--- a/internal/standby/takeover.go
+++ b/internal/standby/takeover.go
@@ -71,14 +71,14 @@
 	if readRevision < s.claim.Revision {
 		return ConfirmedCopy{}, ErrBehindClaim
 	}
-	view, err := s.confirmedCopy(now)
+	confirmed, err := s.confirmedCopy(now)
 	if err == nil {
 		s.counts.Confirmed++
 	} else {
 		s.counts.Unconfirmed++
 	}
 	s.setState(Active)
-	return view, err
+	return confirmed, err
 }
 
 // confirmedCopy returns the copy if it is the last known state of the leader of the term right before
