--- a/internal/emulator/cloud.go
+++ b/internal/emulator/cloud.go
@@ -11,7 +11,7 @@
 	"gingertally/internal/wire"
 )
 
-// Properties of the one machine type.
+// Properties of the cloud's only machine type.
 const (
 	MachineType = "c8"
 	MachineCPUs = 8
@@ -24,40 +24,40 @@
 	bootSeconds       = 5
 )
 
-// machineAddr stands for the address of a machine in the cloud's list; the address in its worker's heartbeats
-// is the one that counts.
+// machineAddr is the address of every machine in the cloud's list. It is a placeholder: the address
+// of a worker is the one in its heartbeats.
 const machineAddr = "127.0.0.1:1"
 
-// Cloud is a cloud with one machine type and no spot instances. Without Boot and Delete its machines are there
-// from the start and stay.
+// Cloud emulates a cloud that has one machine type and no spot capacity. If Boot and Delete are nil,
+// the set of machines is fixed: requests to create or delete machines are answered with status 503.
 type Cloud struct {
 	Zones []string
-	// Boot starts a machine that was created, and Delete ends one that was deleted. Both are called while
-	// the cloud is locked.
+	// Boot starts a machine that has been created, and Delete ends one that is being deleted. Both
+	// are called with mu held.
 	Boot   func(name, zone string)
 	Delete func(name string)
 
-	mu       sync.Mutex
-	machines []machine           // that exist, in the order of their creation
-	created  int                 // machines so far
-	answered map[string][]string // the machines created, by the name of the request
+	mu                sync.Mutex
+	machines          []machine           // existing ones, in the order of their creation
+	createdCount      int                 // machines ever created
+	machinesByRequest map[string][]string // names of the machines created, by idempotency key
 }
 
-// machine is a machine of the cloud.
+// machine is one machine of the cloud.
 type machine struct{ name, zone string }
 
-// MachineName is the name of the n-th machine.
+// MachineName returns the name of the machine that was created after n others.
 func MachineName(n int) string { return fmt.Sprintf("m-%06d", n) }
 
-// add creates a machine, which is up at once, and returns its name.
+// add adds a machine, which counts as running at once, and returns its name.
 func (c *Cloud) add(zone string) string {
-	name := MachineName(c.created)
-	c.created++
+	name := MachineName(c.createdCount)
+	c.createdCount++
 	c.machines = append(c.machines, machine{name, zone})
 	return name
 }
 
-// Machines lists the names of the machines that exist.
+// Machines returns the names of the existing machines, oldest first.
 func (c *Cloud) Machines() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -68,7 +68,7 @@
 	return names
 }
 
-// Handle serves a request (PROTOCOL: Controller nodes -> cloud).
+// Handle serves a request of a controller (PROTOCOL: Controller nodes -> cloud).
 func (c *Cloud) Handle(request *fasthttp.RequestCtx) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,7 +92,7 @@
 	}}})
 }
 
-// handleList lists the machines after one of them, on a single page.
+// handleList lists the machines whose names sort after the query parameter since, all on one page.
 func (c *Cloud) handleList(request *fasthttp.RequestCtx) {
 	after := string(request.QueryArgs().Peek("since"))
 	page := wire.RentalPage{}
@@ -107,25 +107,26 @@
 	reply(request, fasthttp.StatusOK, page)
 }
 
-// handleScaleOut creates machines, once for each name of a request.
+// handleScaleOut creates the requested machines, once for each idempotency key: a repeated request is
+// answered with the names of the machines that the first one created.
 func (c *Cloud) handleScaleOut(request *fasthttp.RequestCtx) {
 	var message wire.RentalRequest
 	if c.Boot == nil || codec.Unmarshal(request.PostBody(), &message) != nil || message.Loaners {
 		reply(request, fasthttp.StatusServiceUnavailable, wire.ErrorMessage{Error: wire.ErrorNoCapacity})
 		return
 	}
-	names, repeated := c.answered[message.Hire]
+	names, repeated := c.machinesByRequest[message.Hire]
 	if !repeated {
 		names = c.create(message.Count, message.Yard)
-		if c.answered == nil {
-			c.answered = map[string][]string{}
+		if c.machinesByRequest == nil {
+			c.machinesByRequest = map[string][]string{}
 		}
-		c.answered[message.Hire] = names
+		c.machinesByRequest[message.Hire] = names
 	}
 	reply(request, fasthttp.StatusOK, wire.Stalls{Stalls: names})
 }
 
-// create creates and boots machines, and returns their names.
+// create creates and boots count machines and returns their names.
 func (c *Cloud) create(count int, zone string) []string {
 	var names []string
 	for range count {
@@ -136,7 +137,8 @@
 	return names
 }
 
-// handleScaleIn deletes machines. Where machines stay, it answers as if it couldn't be served.
+// handleScaleIn deletes machines. If the set of machines is fixed, or the request is malformed, it
+// answers with status 503.
 func (c *Cloud) handleScaleIn(request *fasthttp.RequestCtx) {
 	var message wire.Stalls
 	if c.Delete == nil || codec.Unmarshal(request.PostBody(), &message) != nil {
@@ -149,7 +151,7 @@
 	request.SetStatusCode(fasthttp.StatusOK)
 }
 
-// remove deletes a machine, if it exists.
+// remove deletes a machine if it exists.
 func (c *Cloud) remove(name string) {
 	i := slices.IndexFunc(c.machines, func(m machine) bool { return m.name == name })
 	if i < 0 {
--- a/internal/emulator/cluster.go
+++ b/internal/emulator/cluster.go
@@ -9,55 +9,58 @@
 	"gingertally/internal/controller/operatorapi"
 )
 
-// ClusterOptions say what a cluster on loopback is like.
+// ClusterOptions are the options of StartCluster.
 type ClusterOptions struct {
-	Directory   string // for settings files and logs
+	Directory   string // for the controllers' settings files and logs
 	Controllers int
 	Machines    int
 	Timings     Timings
-	// Elastic has the cloud create and delete machines; else they stay as they are.
+	// Elastic lets the cloud create and delete machines; otherwise the set of machines is fixed.
 	Elastic bool
-	// Teams are the teams; none stands for one without guarantee or limit.
+	// Teams are the teams in the controllers' settings; if there are none, the cluster gets one
+	// team without a guarantee or limit.
 	Teams []config.Team
-	// OperatorSettings is the text of the operators' file; empty for none.
+	// OperatorSettings is the content of the operators' settings file; if it is empty, controllers
+	// run without one.
 	OperatorSettings string
-	// Command makes a controller's command from the paths of its settings files; the second is empty
-	// without operators' settings.
+	// Command returns the command that runs a controller with the given settings files. The path
+	// operatorSettings is empty if there are no operators' settings.
 	Command func(settings, operatorSettings string) *exec.Cmd
 }
 
-// Cluster is a deployment on loopback: real controller processes against stand-ins of all else.
+// Cluster is a deployment on loopback: real controller processes, and emulated services and workers.
 type Cluster struct {
 	State       *StateService
 	Cloud       *Cloud
 	History     *History
 	Controllers []*Controller
 
-	options ClusterOptions
-	stop    chan struct{}  // closed by Stop
-	servers sync.WaitGroup // goroutines of the stand-ins' servers
-	workers sync.WaitGroup
+	options     ClusterOptions
+	stop        chan struct{}  // closed by Stop
+	serverGroup sync.WaitGroup // goroutines of the emulated services and of the workers' servers
+	workerGroup sync.WaitGroup // goroutines that run workers
 
 	mu      sync.Mutex
-	running map[string]*Worker // by machine
+	workers map[string]*Worker // of the machines that exist, by machine
 }
 
-// defaultTeam is the only team where the options name none.
+// defaultTeam is the name of the team that a cluster gets if its options have no teams.
 const defaultTeam = "t"
 
 var zones = []string{"a", "b", "c"}
 
-// zoneOf spreads controllers and machines over the zones.
+// zoneOf returns the zone of the i-th controller or machine. They are spread evenly over the zones.
 func zoneOf(i int) string { return zones[i%len(zones)] }
 
-// StartCluster starts stand-ins, controllers and workers. The caller ends them with Stop.
+// StartCluster starts the emulated services, the controllers and the workers. The caller stops them
+// with Stop.
 func StartCluster(options ClusterOptions) (*Cluster, error) {
 	if len(options.Teams) == 0 {
 		options.Teams = []config.Team{{Name: defaultTeam}}
 	}
 	c := &Cluster{
 		State: newStateService(), Cloud: &Cloud{Zones: zones}, History: NewHistory(), options: options,
-		stop: make(chan struct{}), running: map[string]*Worker{},
+		stop: make(chan struct{}), workers: map[string]*Worker{},
 	}
 	if err := c.start(); err != nil {
 		c.Stop()
@@ -67,8 +70,8 @@
 }
 
 func (c *Cluster) start() error {
-	c.servers.Go(func() { c.State.expireLeases(c.stop) })
-	stateAddr, err := serve(c.State.Handle, c.stop, &c.servers)
+	c.serverGroup.Go(func() { c.State.expireLeases(c.stop) })
+	stateAddr, err := serve(c.State.Handle, c.stop, &c.serverGroup)
 	if err != nil {
 		return err
 	}
@@ -76,9 +79,9 @@
 		c.Cloud.add(zoneOf(i))
 	}
 	if c.options.Elastic {
-		c.Cloud.Boot, c.Cloud.Delete = c.startWorker, c.endWorker
+		c.Cloud.Boot, c.Cloud.Delete = c.startWorker, c.deleteWorker
 	}
-	cloudAddr, err := serve(c.Cloud.Handle, c.stop, &c.servers)
+	cloudAddr, err := serve(c.Cloud.Handle, c.stop, &c.serverGroup)
 	if err != nil {
 		return err
 	}
@@ -91,21 +94,21 @@
 	return nil
 }
 
-// Stop ends controllers, workers and stand-ins, and waits for them.
+// Stop stops the controllers, the workers and the emulated services, and waits until they have ended.
 func (c *Cluster) Stop() {
 	for _, controller := range c.Controllers {
 		if controller.process == nil {
 			continue
 		}
-		_ = controller.Resume() // a paused process ends only when it goes on
+		_ = controller.Resume() // in case it is paused; an error doesn't matter, since Kill ends it
 		controller.Kill()
 	}
 	close(c.stop)
-	c.workers.Wait()
-	c.servers.Wait()
+	c.workerGroup.Wait()
+	c.serverGroup.Wait()
 }
 
-// startWorker starts the worker of a machine, which sends heartbeats from now on.
+// startWorker starts the worker of a machine, which begins to send heartbeats.
 func (c *Cluster) startWorker(name, zone string) {
 	var controllers []controllerAddr
 	for _, controller := range c.Controllers {
@@ -114,26 +117,27 @@
 	worker := newWorker(name, zone, c.options.Timings, controllers, c.History)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.running[name] = worker
-	c.workers.Go(func() {
-		if err := worker.run(c.stop, &c.servers); err != nil {
-			c.History.fail("worker %s: %v", name, err)
+	c.workers[name] = worker
+	c.workerGroup.Go(func() {
+		if err := worker.run(c.stop, &c.serverGroup); err != nil {
+			c.History.recordViolation("worker %s: %v", name, err)
 		}
 	})
 }
 
-// endWorker ends the worker of a machine and all on it.
-func (c *Cluster) endWorker(name string) {
+// deleteWorker ends the worker of a machine that is being deleted, and its tasks.
+func (c *Cluster) deleteWorker(name string) {
 	c.mu.Lock()
-	worker := c.running[name]
-	delete(c.running, name)
+	worker := c.workers[name]
+	delete(c.workers, name)
 	c.mu.Unlock()
 	if worker != nil {
 		worker.delete()
 	}
 }
 
-// Users are users of the cluster, of its first team.
+// Users returns users of the cluster's first team, who keep openJobs jobs open, each of up to maxTasks
+// tasks. The caller runs them.
 func (c *Cluster) Users(openJobs, maxTasks int) *Users {
 	users := &Users{
 		OpenJobs: openJobs, MaxTasks: maxTasks, Team: c.options.Teams[0].Name, Class: "c", Urgency: "normal",
@@ -145,7 +149,8 @@
 	return users
 }
 
-// Leader is the controller that says of itself that it leads, with its status; nil if none does.
+// Leader returns the first controller that reports itself as the leader, and its status; nil if none
+// does.
 func (c *Cluster) Leader() (*Controller, operatorapi.Status) {
 	for _, controller := range c.Controllers {
 		status, err := controller.Status()
@@ -156,8 +161,8 @@
 	return nil, operatorapi.Status{}
 }
 
-// controllerTimings are the workers' timings as controllers are told them.
-func controllerTimings(timings Timings) config.Workers {
+// workerSettings returns the settings by which controllers know the workers' timings.
+func workerSettings(timings Timings) config.Workers {
 	seconds := func(d time.Duration) config.Seconds { return config.Seconds(d.Seconds()) }
 	return config.Workers{
 		HeartbeatInterval: seconds(timings.Heartbeat), Lease: seconds(timings.Lease),
--- a/internal/emulator/cluster_settings.go
+++ b/internal/emulator/cluster_settings.go
@@ -11,7 +11,7 @@
 	"gingertally/internal/config"
 )
 
-// startControllers writes the controllers' files and starts their processes.
+// startControllers writes the controllers' settings files and starts their processes.
 func (c *Cluster) startControllers(endpoints config.Endpoints) error {
 	count := c.options.Controllers
 	addrs, err := freeAddrs(2 * count)
@@ -32,9 +32,9 @@
 	return nil
 }
 
-// freeAddrs finds addresses on which nothing listens, of a loopback address of the cluster's own: a controller
-// that is away for a while finds its port free when it is back, whatever the stand-ins of other clusters listen
-// on.
+// freeAddrs returns addresses on which nothing listens. Their host is a random loopback address, which
+// in practice no other cluster uses: while a controller is down, no server of another cluster takes its
+// port.
 func freeAddrs(count int) ([]string, error) {
 	host := fmt.Sprintf("127.%d.%d.%d", 1+rand.IntN(250), rand.IntN(250), 1+rand.IntN(250))
 	var listeners []net.Listener
@@ -56,14 +56,14 @@
 
 func controllerName(i int) string { return fmt.Sprintf("n-%d", i) }
 
-// settings are a controller's settings, as the platform would hand them over.
+// settings returns the settings that the platform would give to the i-th controller.
 func (c *Cluster) settings(i int, clientAddr string, peerAddrs []string, endpoints config.Endpoints) *config.Settings {
 	settings := &config.Settings{
 		Member: controllerName(i), Zone: zoneOf(i), ClientListen: clientAddr, PeerListen: peerAddrs[i],
 		Endpoints: endpoints,
 		Params: config.Params{
 			Zones: zones, Teams: c.options.Teams,
-			Workers:   controllerTimings(c.options.Timings),
+			Workers:   workerSettings(c.options.Timings),
 			State:     config.State{RPS: 500, WriteRPS: 200, ValueKB: 16, TxnOps: 32},
 			Cloud:     config.Cloud{RPS: 20, ListLag: 0.5},
 			Resources: config.Resources{CPUShare: 1, MemoryMB: 200, MaxSockets: 2000},
@@ -78,7 +78,8 @@
 	return settings
 }
 
-// newController writes a controller's settings files.
+// newController writes the settings files of a controller and returns the controller, which isn't
+// started.
 func (c *Cluster) newController(settings *config.Settings) (*Controller, error) {
 	file := func(suffix string) string { return filepath.Join(c.options.Directory, settings.Member+suffix) }
 	controller := &Controller{
--- a/internal/emulator/cluster_test.go
+++ b/internal/emulator/cluster_test.go
@@ -17,13 +17,15 @@
 	"gingertally/internal/operator"
 )
 
-// Variables by which the test's program runs as a controller.
+// Environment variables that make the test binary run as a controller; their values are the paths
+// of its settings files.
 const (
 	settingsVariable = "EMULATOR_CONTROLLER_SETTINGS"
 	operatorVariable = "EMULATOR_OPERATOR_SETTINGS"
 )
 
-// TestMain runs a controller where the variables ask for one, and else the tests.
+// TestMain runs a controller or keeps threads busy if an environment variable asks for that, and
+// otherwise the tests.
 func TestMain(m *testing.M) {
 	if os.Getenv(busyVariable) != "" {
 		keepBusy()
@@ -57,13 +59,14 @@
 	return node.Run(ctx)
 }
 
-// startTestCluster starts three real controllers of this program, and machines that stay.
+// startTestCluster starts a cluster with three controllers, which run the test binary, and a fixed set
+// of machines.
 func startTestCluster(t *testing.T, operatorSettings string) *Cluster {
 	t.Helper()
 	return startCluster(t, ClusterOptions{Machines: 6, OperatorSettings: operatorSettings})
 }
 
-// startElasticCluster is the same with machines that the cloud creates and deletes.
+// startElasticCluster starts such a cluster, but with machines that the cloud can create and delete.
 func startElasticCluster(t *testing.T, operatorSettings string) *Cluster {
 	t.Helper()
 	return startCluster(t, ClusterOptions{Machines: 4, OperatorSettings: operatorSettings, Elastic: true})
@@ -86,8 +89,9 @@
 	return cluster
 }
 
-// leaderOf waits until a controller leads in whose term a task was started, and returns it with its status.
-func leaderOf(t *testing.T, cluster *Cluster) (*Controller, operatorapi.Status) {
+// waitForLeader waits until there is a leader in whose term a task was started, and returns it and its
+// status.
+func waitForLeader(t *testing.T, cluster *Cluster) (*Controller, operatorapi.Status) {
 	t.Helper()
 	for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		leader, status := cluster.Leader()
@@ -98,13 +102,14 @@
 			return leader, status
 		}
 	}
-	t.Fatal("no controller leads and gives starts")
+	t.Fatal("no leader in whose term a task was started")
 	return nil, operatorapi.Status{}
 }
 
-// Real controllers on loopback, with the warm standby on: under load, the leader is killed, paused until another
-// leads, and told to end. However long that takes on a busy machine, no start is commanded twice, no job forgotten,
-// and every accepted job comes to its end.
+// Real controllers run on loopback with the warm standby enabled. Under load, the leader is killed,
+// then the next one is paused until another leads, then one is terminated by SIGTERM. Guards
+// against faults of a takeover: an attempt that is started twice, a lost job, or an accepted job
+// that never ends. The time that takeovers take isn't checked, since the machine may be busy.
 func TestLeadersEndUnderLoad(t *testing.T) {
 	cluster := startTestCluster(t, "standby { enabled: true }")
 	load, stop := context.WithCancel(t.Context())
@@ -114,26 +119,26 @@
 		cluster.Users(8, 3).Run(load, 2*time.Minute)
 		close(over)
 	}()
-	for _, sent := range []syscall.Signal{syscall.SIGKILL, syscall.SIGSTOP, syscall.SIGTERM} {
-		leader, s := leaderOf(t, cluster)
-		end := func() error { return leader.Signal(sent) }
-		if sent == syscall.SIGSTOP {
+	for _, sig := range []syscall.Signal{syscall.SIGKILL, syscall.SIGSTOP, syscall.SIGTERM} {
+		leader, s := waitForLeader(t, cluster)
+		end := func() error { return leader.Signal(sig) }
+		if sig == syscall.SIGSTOP {
 			end = leader.Pause
 		}
 		if err := end(); err != nil {
 			t.Fatal(err)
 		}
-		if sent != syscall.SIGSTOP && !leader.WaitEnd(time.Minute) {
-			t.Fatalf("%s doesn't end by %v", leader.Name, sent)
+		if sig != syscall.SIGSTOP && !leader.WaitEnd(time.Minute) {
+			t.Fatalf("%s hasn't ended after %v", leader.Name, sig)
 		}
-		next, after := leaderOf(t, cluster)
+		next, after := waitForLeader(t, cluster)
 		if next == leader || after.Leading.Term <= s.Leading.Term {
-			t.Fatalf("%s leads term %d after %s of term %d", next.Name, after.Leading.Term, leader.Name, s.Leading.Term)
+			t.Fatalf("%s leads in term %d after %s in term %d", next.Name, after.Leading.Term, leader.Name, s.Leading.Term)
 		}
 		if takeover := after.Standby.LastTakeover; takeover != nil {
-			t.Logf("%v: warm %v, %v", sent, takeover.Warm, takeover.Phases)
+			t.Logf("%v: warm %v, %v", sig, takeover.Warm, takeover.Phases)
 		}
-		if sent == syscall.SIGSTOP {
+		if sig == syscall.SIGSTOP {
 			if err := leader.Resume(); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/emulator/controller.go
+++ b/internal/emulator/controller.go
@@ -16,23 +16,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// Controller is one controller process. Its methods may be called from any goroutine, but Start only while
-// no process runs.
+// Controller is a controller that runs as a process of its own. Its methods may be called from any
+// goroutine, with one exception: Start may be called only while no process runs, and not at the same
+// time as Kill or WaitEnd.
 type Controller struct {
 	Name string
 	Addr string // for users and workers
 
-	settings string // path of the platform's settings
-	operator string // path of the operators' settings; empty: none
-	log      string // path of the log, to which each process appends
+	settings string // path of the platform's settings file
+	operator string // path of the operators' settings file; empty if there is none
+	log      string // path of the log file, to which each process appends
 	command  func(settings, operatorSettings string) *exec.Cmd
 
 	mu      sync.Mutex
-	process *exec.Cmd
+	process *exec.Cmd     // the latest; nil before the first Start
 	ended   chan struct{} // closed when the process has ended
 }
 
-// Start starts the controller's process. It ends by Kill, or by a signal.
+// Start starts the controller's process, which runs until it ends on its own or by a signal, such as
+// that of Kill.
 func (c *Controller) Start() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -49,27 +51,27 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		_ = process.Wait() // fails, since the process is killed sooner or later
+		_ = process.Wait() // the exit status doesn't matter; processes are often killed
 		_ = log.Close()
 	}()
 	c.process, c.ended = process, ended
 	return nil
 }
 
-// Signal sends the controller's process a signal.
+// Signal sends a signal to the controller's process.
 func (c *Controller) Signal(signal syscall.Signal) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.process.Process.Signal(signal)
 }
 
-// Kill kills the controller and waits for its end.
+// Kill kills the controller's process and waits until it has ended.
 func (c *Controller) Kill() {
-	_ = c.Signal(syscall.SIGKILL) // it may have ended already
+	_ = c.Signal(syscall.SIGKILL) // fails if the process has ended already
 	<-c.ended
 }
 
-// WaitEnd waits for the process's end, and reports whether it came within a bound.
+// WaitEnd waits until the process has ended, for at most bound, and reports whether it has.
 func (c *Controller) WaitEnd(bound time.Duration) bool {
 	select {
 	case <-c.ended:
@@ -79,7 +81,7 @@
 	}
 }
 
-// Program makes the commands of controllers (ClusterOptions.Command) whose program is a file.
+// Program returns a ClusterOptions.Command that runs the given binary as the controller.
 func Program(binary string) func(settings, operatorSettings string) *exec.Cmd {
 	return func(settings, operatorSettings string) *exec.Cmd {
 		arguments := []string{"--config", settings}
@@ -90,10 +92,11 @@
 	}
 }
 
-// statusTimeout bounds the wait for a controller's status, which asks the others.
+// statusTimeout limits the wait for a controller's status. To answer, a controller asks the leader.
 const statusTimeout = 2 * time.Second
 
-// Get reads a path of the controller's.
+// Get sends a GET request for a path to the controller and returns the body of the response. A status
+// other than 200 is an error.
 func (c *Controller) Get(path string, timeout time.Duration) ([]byte, error) {
 	status, body, err := fasthttp.GetTimeout(nil, "http://"+c.Addr+path, timeout)
 	if err == nil && status != fasthttp.StatusOK {
@@ -105,7 +108,8 @@
 	return body, nil
 }
 
-// Status is the controller's status, with the leader's part if the leader can be asked.
+// Status returns the status that the controller reports. It includes the leader's part if the
+// controller can reach the leader.
 func (c *Controller) Status() (operatorapi.Status, error) {
 	var status operatorapi.Status
 	body, err := c.Get(operatorapi.StatusPath, statusTimeout)
@@ -116,23 +120,23 @@
 }
 
 const (
-	// pauseBound bounds the wait until a process has stopped.
-	pauseBound = 30 * time.Second
-	// pausePoll is how often the kernel is asked whether it has.
-	pausePoll = time.Millisecond
+	// stopTimeout limits how long Pause waits until the process has stopped.
+	stopTimeout = 30 * time.Second
+	// stopPollInterval is the time between two checks whether it has.
+	stopPollInterval = time.Millisecond
 )
 
-// errNotStopped says that a process still runs long after SIGSTOP.
-var errNotStopped = errors.New("the process doesn't stop")
+// errNotStopped means that a process was still running stopTimeout after SIGSTOP.
+var errNotStopped = errors.New("process has not stopped after SIGSTOP")
 
-// Pause stops the controller's process, and returns once none of its threads runs any more. The signal alone
-// doesn't ensure that: on a busy machine, threads go on for tens of milliseconds after it was sent, and the
-// process still answers as the leader that it was.
+// Pause suspends the controller's process with SIGSTOP and returns when all of its threads have
+// stopped. Sending the signal isn't enough: on a busy machine, threads run on for tens of milliseconds
+// afterwards, in which the process can still answer as the leader.
 func (c *Controller) Pause() error {
 	if err := c.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
-	for end := time.Now().Add(pauseBound); time.Now().Before(end); time.Sleep(pausePoll) {
+	for end := time.Now().Add(stopTimeout); time.Now().Before(end); time.Sleep(stopPollInterval) {
 		stopped, err := c.hasStopped()
 		if err != nil || stopped {
 			return err
@@ -141,8 +145,8 @@
 	return fmt.Errorf("%s: %w", c.Name, errNotStopped)
 }
 
-// hasStopped reports whether all threads of the process have stopped. The kernel says so only once for each
-// stop.
+// hasStopped reports whether all threads of the process have stopped. It reports true only once for
+// each stop, because Waitid consumes the notification.
 func (c *Controller) hasStopped() (bool, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -157,5 +161,5 @@
 	return info.Signo == int32(unix.SIGCHLD), nil
 }
 
-// Resume has a paused process go on.
+// Resume continues a process that Pause has suspended.
 func (c *Controller) Resume() error { return c.Signal(syscall.SIGCONT) }
--- a/internal/emulator/drain_test.go
+++ b/internal/emulator/drain_test.go
@@ -9,11 +9,13 @@
 	"gingertally/internal/drain"
 )
 
-// drainSettings allow one interruption of each task.
+// drainSettings are operators' settings whose budget allows one interruption of each task.
 const drainSettings = `draining { enabled: true finish_wait { seconds: 2 } budgets { team: "t" task_interruptions: 1 } }`
 
-// Every worker of a cluster on loopback is replaced under load while leaders are killed and paused. However long that
-// takes on a busy machine, the budget holds, no task is dropped or runs twice, and every accepted job comes to its end.
+// A drain plan replaces every worker of a cluster on loopback, under load, while leaders are killed
+// and paused. Guards against faults of draining across takeovers: a task that is interrupted more
+// often than the budget allows, is lost or runs twice, or an accepted job that never ends. The time
+// that the replacement takes isn't checked, since the machine may be busy.
 func TestEveryWorkerIsReplaced(t *testing.T) {
 	cluster := startElasticCluster(t, drainSettings)
 	load, stop := context.WithCancel(t.Context())
@@ -26,11 +28,11 @@
 		close(over)
 	}()
 	old := cluster.Cloud.Machines()
-	leader, _ := leaderOf(t, cluster)
+	leader, _ := waitForLeader(t, cluster)
 	previewDrain(t, cluster, len(old))
 	requestDrain(t, leader)
-	for fault := 0; !replaced(cluster, old); fault++ {
-		leader, _ := leaderOf(t, cluster)
+	for fault := 0; !allReplaced(cluster, old); fault++ {
+		leader, _ := waitForLeader(t, cluster)
 		if fault%2 == 0 {
 			leader.Kill()
 			if err := leader.Start(); err != nil {
@@ -63,8 +65,8 @@
 	t.Logf("%d starts, %d interruptions", cluster.History.Started(), len(interrupted))
 }
 
-// previewDrain asks every controller for the preview of a plan for all machines: each gets it from the leader, and none
-// starts the plan.
+// previewDrain asks every controller for the preview of a plan for all machines, and checks that each
+// returns the leader's answer and that no plan is started.
 func previewDrain(t *testing.T, cluster *Cluster, machines int) {
 	t.Helper()
 	plan := drain.Plan{ID: "preview", Selector: drain.Selector{All: true}, MaxAtOnce: 3}
@@ -73,20 +75,21 @@
 		var err error
 		for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 			if preview, err = (&client.Client{Addr: c.Addr}).PreviewDrain(t.Context(), plan); err == nil {
-				break // else no leader is known there for the moment
+				break // an error means that the controller knows of no leader at the moment
 			}
 		}
 		if err != nil || preview.Machines != machines || preview.Stages != (machines+2)/3 || len(preview.Listed) != machines {
 			t.Fatalf("%s: %+v, %v", c.Name, preview, err)
 		}
 	}
-	_, status := leaderOf(t, cluster)
+	_, status := waitForLeader(t, cluster)
 	if len(status.Leading.Drains.Plans) != 0 {
-		t.Errorf("a preview has left %+v", status.Leading.Drains.Plans)
+		t.Errorf("a preview has started plans: %+v", status.Leading.Drains.Plans)
 	}
 }
 
-// requestDrain starts a plan that replaces all machines, two at a time. A repeat of the request changes nothing.
+// requestDrain starts a plan that replaces all machines, two at a time. It sends the request twice,
+// since a repeated request must change nothing.
 func requestDrain(t *testing.T, c *Controller) {
 	t.Helper()
 	plan := drain.Plan{ID: "all", Selector: drain.Selector{All: true}, MaxAtOnce: 2, Surge: 2}
@@ -97,14 +100,14 @@
 	}
 }
 
-// replaced reports whether none of some machines is left.
-func replaced(cluster *Cluster, old []string) bool {
-	there := map[string]bool{}
+// allReplaced reports whether none of the old machines exists any more.
+func allReplaced(cluster *Cluster, old []string) bool {
+	exists := map[string]bool{}
 	for _, name := range cluster.Cloud.Machines() {
-		there[name] = true
+		exists[name] = true
 	}
 	for _, name := range old {
-		if there[name] {
+		if exists[name] {
 			return false
 		}
 	}
--- a/internal/emulator/history.go
+++ b/internal/emulator/history.go
@@ -10,58 +10,59 @@
 	"gingertally/internal/core/fleet"
 )
 
-// History notes what workers were told and did, and holds the protocol's rules against it. What users heard
-// is in history_jobs.go.
+// History records what workers were commanded and did, and checks it against the protocol's rules. Its
+// methods for what users were told are in history_jobs.go.
 type History struct {
-	mu     sync.Mutex
-	broken []string // rules
+	mu         sync.Mutex
+	violations []string // broken rules, oldest first
 
-	// What workers were told.
-	highestTerm  uint64               // that a worker has accepted an answer of
-	firstAnswers map[uint64]time.Time // accepted by a worker, by term
-	firstStarts  map[uint64]time.Time // by term
-	startTimes   []time.Time
-	startsOn     map[string]int       // by machine
-	startedOn    map[attemptID]string // the machine of each attempt that was ever started
+	// What workers were commanded.
+	highestTerm   uint64               // the highest of which a worker accepted an answer
+	firstAnswers  map[uint64]time.Time // when a worker first accepted an answer, by term
+	firstStarts   map[uint64]time.Time // when a worker first started a task, by term
+	startTimes    []time.Time          // of all tasks started
+	startCounts   map[string]int       // number of tasks started, by machine
+	startMachines map[attemptID]string // machine of each attempt ever started
 
 	// What became of tasks.
-	machineOf     map[fleet.TaskID]string // of tasks that are on one
-	done          map[string]map[int]bool // tasks by job
+	runningOn     map[fleet.TaskID]string // machine of each running task
+	done          map[string]map[int]bool // finished tasks, by job
 	interruptions []Interruption
 
-	jobs map[string]*jobHistory
+	jobs map[string]*jobHistory // by job reference
 }
 
-// NewHistory makes an empty history.
+// NewHistory returns an empty history.
 func NewHistory() *History {
 	return &History{
 		firstAnswers: map[uint64]time.Time{}, firstStarts: map[uint64]time.Time{},
-		startsOn: map[string]int{}, startedOn: map[attemptID]string{},
-		machineOf: map[fleet.TaskID]string{}, done: map[string]map[int]bool{},
+		startCounts: map[string]int{}, startMachines: map[attemptID]string{},
+		runningOn: map[fleet.TaskID]string{}, done: map[string]map[int]bool{},
 		jobs: map[string]*jobHistory{},
 	}
 }
 
-// fail notes that a rule was broken.
-func (h *History) fail(format string, args ...any) {
+// recordViolation records that a rule was broken.
+func (h *History) recordViolation(format string, args ...any) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.failLocked(format, args...)
+	h.recordViolationLocked(format, args...)
 }
 
-func (h *History) failLocked(format string, args ...any) {
-	h.broken = append(h.broken, fmt.Sprintf(format, args...))
+// recordViolationLocked is recordViolation for callers that hold mu.
+func (h *History) recordViolationLocked(format string, args ...any) {
+	h.violations = append(h.violations, fmt.Sprintf(format, args...))
 }
 
-// Broken lists the rules that were broken.
+// Broken returns a description of each time a rule was broken, oldest first.
 func (h *History) Broken() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return slices.Clone(h.broken)
+	return slices.Clone(h.violations)
 }
 
-// answered notes that a worker accepted an answer of a term.
-func (h *History) answered(term uint64, at time.Time) {
+// answerAccepted records that a worker accepted the answer to a heartbeat from a term's leader.
+func (h *History) answerAccepted(term uint64, at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.highestTerm = max(h.highestTerm, term)
@@ -70,27 +71,29 @@
 	}
 }
 
-// startCommanded notes a start that a worker was commanded and carries out.
-func (h *History) startCommanded(machine string, id attemptID, term uint64) {
+// taskStarted records that a worker starts an attempt at the command of a term's leader. It checks
+// that the attempt hasn't been started before, that the task isn't running, and that a user submitted
+// the job.
+func (h *History) taskStarted(machine string, id attemptID, term uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
 	if h.firstStarts[term].IsZero() {
 		h.firstStarts[term] = now
 	}
-	h.startsOn[machine]++
+	h.startCounts[machine]++
 	h.startTimes = append(h.startTimes, now)
-	if earlier, used := h.startedOn[id]; used {
-		h.failLocked("start commanded twice: %s#%d on %s and %s", id.TaskID, id.attempt, earlier, machine)
+	if earlier, used := h.startMachines[id]; used {
+		h.recordViolationLocked("start commanded twice: %s#%d on %s and %s", id.TaskID, id.attempt, earlier, machine)
 	}
-	h.startedOn[id] = machine
-	if other, there := h.machineOf[id.TaskID]; there {
-		h.failLocked("ran_twice: %s starts on %s while on %s", id.TaskID, machine, other)
+	h.startMachines[id] = machine
+	if other, running := h.runningOn[id.TaskID]; running {
+		h.recordViolationLocked("ran_twice: %s starts on %s while on %s", id.TaskID, machine, other)
 	}
-	h.machineOf[id.TaskID] = machine
+	h.runningOn[id.TaskID] = machine
 	job := h.jobs[id.Ref]
 	if job == nil {
-		h.failLocked("start of %s, which nobody submitted", id.TaskID)
+		h.recordViolationLocked("start of %s, which nobody submitted", id.TaskID)
 		return
 	}
 	if job.started.IsZero() {
@@ -98,11 +101,11 @@
 	}
 }
 
-// left notes that a task runs on its machine no more.
-func (h *History) left(id fleet.TaskID, done bool) {
+// taskEnded records that a task no longer runs on its machine, and whether it is done.
+func (h *History) taskEnded(id fleet.TaskID, done bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	delete(h.machineOf, id)
+	delete(h.runningOn, id)
 	if !done {
 		return
 	}
@@ -112,22 +115,22 @@
 	h.done[id.Ref][id.Task] = true
 }
 
-// Interruption is the end of a task by a command.
+// Interruption is an end of a task by a stop command.
 type Interruption struct {
 	At            time.Time
 	Team          string
 	Task, Machine string
-	Lost          time.Duration // work that has to be repeated
+	Lost          time.Duration // run time that has to be repeated
 }
 
-// interrupted notes that a task was commanded to stop after it had run for a while, and reports whether its
-// progress is saved.
-func (h *History) interrupted(id fleet.TaskID, machine string, ran time.Duration) bool {
+// taskInterrupted records that a task was stopped by a command after it had run for the time ran, and
+// reports whether its progress was saved.
+func (h *History) taskInterrupted(id fleet.TaskID, machine string, ran time.Duration) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	job := h.jobs[id.Ref]
 	if job == nil || h.done[id.Ref][id.Task] {
-		return false // its result is known, so that it isn't needed
+		return false // nobody needs this attempt: its job is unknown, or another attempt has finished the task
 	}
 	interruption := Interruption{At: time.Now(), Team: job.team, Task: id.String(), Machine: machine}
 	if job.profile.Saves {
@@ -139,42 +142,43 @@
 	return job.profile.Saves
 }
 
-// Interruptions lists the ends of tasks by commands, oldest first.
+// Interruptions returns the interruptions of tasks, oldest first.
 func (h *History) Interruptions() []Interruption {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Clone(h.interruptions)
 }
 
-// minRunTime is how long a task runs at the least.
+// minRunTime is the least run time of a task whose job profile sets one.
 const minRunTime = 100 * time.Millisecond
 
-// runTime is how long a task runs on from now, given how long it runs if its job doesn't say.
-func (h *History) runTime(id fleet.TaskID, otherwise time.Duration) time.Duration {
+// runTime returns how long a task that starts now runs: by its job's profile, half to one and a half
+// times JobProfile.Run, less the progress saved; defaultRunTime if the profile sets no run time.
+func (h *History) runTime(id fleet.TaskID, defaultRunTime time.Duration) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	job := h.jobs[id.Ref]
 	if job == nil || job.profile.Run == 0 {
-		return otherwise
+		return defaultRunTime
 	}
 	return max(job.profile.Run/2+rand.N(job.profile.Run)-job.progress[id.Task], minRunTime)
 }
 
-// Started is how many tasks were started.
+// Started returns how many times a task was started.
 func (h *History) Started() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.startTimes)
 }
 
-// StartsOn is how many tasks were started on a machine.
+// StartsOn returns how many times a task was started on a machine.
 func (h *History) StartsOn(machine string) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.startsOn[machine]
+	return h.startCounts[machine]
 }
 
-// Starts lists when tasks were started within a time.
+// Starts returns the times at which tasks were started, from the time from until just before to.
 func (h *History) Starts(from, to time.Time) []time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -187,14 +191,15 @@
 	return times
 }
 
-// Term is the highest term that a worker has accepted an answer of.
+// Term returns the highest term of which a worker has accepted the answer to a heartbeat.
 func (h *History) Term() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.highestTerm
 }
 
-// FirstOf is when a worker first accepted an answer and a start of a term; zero if none did.
+// FirstOf returns when a worker first accepted the answer to a heartbeat from a term's leader, and when
+// one first started a task at its command. A time is zero if that hasn't happened.
 func (h *History) FirstOf(term uint64) (answer, start time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/emulator/history_jobs.go
+++ b/internal/emulator/history_jobs.go
@@ -6,26 +6,26 @@
 	"gingertally/internal/wire"
 )
 
-// JobProfile is what the tasks of a user's jobs are like.
+// JobProfile describes the tasks of a user's jobs.
 type JobProfile struct {
-	Run   time.Duration // of a task, give or take a half; 0: as the workers' timings say
-	Saves bool          // a task that is commanded to stop saves its progress
+	Run   time.Duration // mean run time of a task (half to one and a half times that); 0: Timings.RunTime applies
+	Saves bool          // whether a task that is stopped by a command saves its progress
 }
 
-// jobHistory is what a job's user knows.
+// jobHistory is what is recorded of a job.
 type jobHistory struct {
 	team       string
 	tasks      int
 	profile    JobProfile
-	progress   map[int]time.Duration // saved, by task
-	submitted  time.Time
-	accepted   time.Time
-	started    time.Time
-	lastStatus string // that its user was told
+	progress   map[int]time.Duration // run time saved, by task
+	submitted  time.Time             // when the user first sent the submission
+	accepted   time.Time             // when its user was told that it is accepted; zero: not yet
+	started    time.Time             // when its first task was started; zero: not yet
+	lastStatus string                // the one that its user was told last
 }
 
-// submitted notes that a user begins to submit a job.
-func (h *History) submitted(ref, team string, tasks int, profile JobProfile) {
+// jobSubmitted records that a user begins to submit a job.
+func (h *History) jobSubmitted(ref, team string, tasks int, profile JobProfile) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.jobs[ref] = &jobHistory{
@@ -33,33 +33,36 @@
 	}
 }
 
-// accepted notes that a user was told that a job is accepted.
-func (h *History) accepted(ref string) {
+// jobAccepted records that a user was told that a job is accepted.
+func (h *History) jobAccepted(ref string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.jobs[ref].accepted = time.Now()
 }
 
-// forgotten notes that a user was told that an accepted job doesn't exist, or is refused.
-func (h *History) forgotten(ref string) { h.fail("forgotten: %s", ref) }
+// jobLost records a violation: a user was told that an accepted job doesn't exist, or that a valid
+// submission is refused.
+func (h *History) jobLost(ref string) { h.recordViolation("forgotten: %s", ref) }
 
-// told notes the status that a user was told of an accepted job.
-func (h *History) told(ref, status string) {
+// statusReceived records the status that a user was told of an accepted job. It checks that a job is
+// done only after all of its tasks are, that it stays done, and that it isn't cancelled, since these
+// users never cancel jobs.
+func (h *History) statusReceived(ref, status string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	job := h.jobs[ref]
 	switch {
 	case status == wire.StatusDone && len(h.done[ref]) < job.tasks:
-		h.failLocked("not_done: %s with %d of %d tasks", ref, len(h.done[ref]), job.tasks)
+		h.recordViolationLocked("not_done: %s with %d of %d tasks", ref, len(h.done[ref]), job.tasks)
 	case job.lastStatus == wire.StatusDone && status != job.lastStatus:
-		h.failLocked("went_back: %s from %s to %s", ref, job.lastStatus, status)
+		h.recordViolationLocked("went_back: %s from %s to %s", ref, job.lastStatus, status)
 	case status == wire.StatusCancelled:
-		h.failLocked("went_back: %s is cancelled, and nobody has asked for it", ref)
+		h.recordViolationLocked("went_back: %s is cancelled, and nobody has asked for it", ref)
 	}
 	job.lastStatus = status
 }
 
-// Open lists the accepted jobs that aren't over as far as their users know.
+// Open returns the accepted jobs whose users haven't been told that they are done.
 func (h *History) Open() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -72,14 +75,15 @@
 	return open
 }
 
-// JobTimes is how long after its first submission a job was accepted and started; negative: it wasn't.
+// JobTimes holds how long after its first submission a job was accepted, and its first task started;
+// -1 if that hasn't happened.
 type JobTimes struct {
 	Team               string
 	Tasks              int
 	Admission, Started time.Duration
 }
 
-// Jobs lists the times of all jobs.
+// Jobs returns the times of all jobs, in no particular order.
 func (h *History) Jobs() []JobTimes {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/emulator/pause_test.go
+++ b/internal/emulator/pause_test.go
@@ -10,10 +10,11 @@
 	"time"
 )
 
-// busyVariable is the variable by which the test's program keeps several threads busy until it is killed.
+// busyVariable is the environment variable that makes the test binary keep several threads busy, for a
+// minute or until it is killed.
 const busyVariable = "EMULATOR_BUSY"
 
-// busyThreads is how many threads it keeps busy.
+// busyThreads is the number of threads that it keeps busy.
 const busyThreads = 4
 
 func keepBusy() {
@@ -29,12 +30,12 @@
 	time.Sleep(time.Minute)
 }
 
-// threadStates are the states of a process's threads, a letter each.
+// threadStates returns the states of a process's threads, one letter for each, as in /proc.
 func threadStates(t *testing.T, pid int) string {
 	t.Helper()
 	files, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", pid))
 	if err != nil || len(files) == 0 {
-		t.Fatalf("threads of %d: %v, %v", pid, files, err)
+		t.Fatalf("threads of process %d: files %v, error %v", pid, files, err)
 	}
 	states := ""
 	for _, file := range files {
@@ -48,8 +49,8 @@
 	return states
 }
 
-// A paused controller does nothing. SIGSTOP alone leaves its threads running for a while:
-// TestLeadersEndUnderLoad once found the stopped leader still answering.
+// No thread of a paused controller runs. After SIGSTOP alone, threads run on for a while:
+// TestLeadersEndUnderLoad once got an answer from a leader that was meant to be stopped.
 func TestPauseStopsAllThreads(t *testing.T) {
 	c := &Controller{Name: "busy", log: filepath.Join(t.TempDir(), "log"), command: func(string, string) *exec.Cmd {
 		command := exec.Command(os.Args[0])
@@ -60,13 +61,13 @@
 		t.Fatal(err)
 	}
 	defer c.Kill()
-	time.Sleep(100 * time.Millisecond) // until its threads are busy
+	time.Sleep(100 * time.Millisecond) // lets its threads become busy
 	for i := range 50 {
 		if err := c.Pause(); err != nil {
 			t.Fatal(err)
 		}
 		if states := threadStates(t, c.process.Process.Pid); strings.Trim(states, "T") != "" {
-			t.Fatalf("pause %d: threads still run: %s", i, states)
+			t.Fatalf("pause %d: some threads still run; states: %s", i, states)
 		}
 		if err := c.Resume(); err != nil {
 			t.Fatal(err)
--- a/internal/emulator/state_service.go
+++ b/internal/emulator/state_service.go
@@ -9,23 +9,23 @@
 	"gingertally/internal/codec"
 )
 
-// StateService is a key-value store in memory, with transactions, leases and watches, that is always up.
-// Its requests are in state_service_http.go.
+// StateService emulates the state service: a key-value store in memory with transactions, leases and
+// watches. It is always available. Its HTTP handlers are in state_service_http.go.
 type StateService struct {
-	mu        sync.Mutex
-	revision  uint64 // counts the transactions that changed something
-	lastLease uint64 // the newest lease's number
-	keys      map[string]storedValue
-	leases    map[uint64]*lease
-	events    []event       // the latest changes, oldest first
-	changed   chan struct{} // closed at the next change
+	mu         sync.Mutex
+	revision   uint64 // number of times that keys were changed
+	lastLease  uint64 // number of the newest lease
+	keys       map[string]storedValue
+	leases     map[uint64]*lease
+	events     []event       // the latest, oldest first
+	nextChange chan struct{} // closed at the next change
 }
 
-// storedValue is a key's value.
+// storedValue is the value of a key.
 type storedValue struct {
 	value       codec.RawMessage
-	modRevision uint64
-	lease       uint64 // that the key is attached to; 0: none
+	modRevision uint64 // at which the key was last put
+	lease       uint64 // the lease to which the key is attached; 0: none
 }
 
 // change puts a key or deletes it.
@@ -36,31 +36,32 @@
 	delete bool
 }
 
-// event is a change that was made.
+// event is a change that was applied, and its revision.
 type event struct {
 	change
 	revision uint64
 }
 
-// lease ends unless it is renewed for as long as it lasts.
+// lease expires unless it is renewed before expiry; a renewal extends it to duration from then on.
 type lease struct {
 	expiry   time.Time
 	duration time.Duration
 }
 
 const (
-	// keptEvents is how many changes a watch may look back.
-	keptEvents = 10_000
-	// leaseCheckInterval is the time between two looks for expired leases.
+	// minKeptEvents is the least number of events that are kept once there are as many. A watch from
+	// an earlier revision than those kept is answered with status 410.
+	minKeptEvents = 10_000
+	// leaseCheckInterval is the time between two checks for expired leases.
 	leaseCheckInterval = 20 * time.Millisecond
 )
 
-// newStateService makes an empty state service.
+// newStateService returns an empty state service.
 func newStateService() *StateService {
-	return &StateService{keys: map[string]storedValue{}, leases: map[uint64]*lease{}, changed: make(chan struct{})}
+	return &StateService{keys: map[string]storedValue{}, leases: map[uint64]*lease{}, nextChange: make(chan struct{})}
 }
 
-// expireLeases ends leases that weren't renewed, until stop is closed.
+// expireLeases ends expired leases until stop is closed.
 func (s *StateService) expireLeases(stop <-chan struct{}) {
 	ticker := time.NewTicker(leaseCheckInterval)
 	defer ticker.Stop()
@@ -84,7 +85,8 @@
 	}
 }
 
-// endLease ends a lease and deletes the keys that are attached to it.
+// endLease ends a lease and deletes the keys that are attached to it, each at a revision of its own.
+// The caller holds mu.
 func (s *StateService) endLease(number uint64) {
 	delete(s.leases, number)
 	for key, stored := range s.keys {
@@ -94,7 +96,7 @@
 	}
 }
 
-// apply makes changes under one revision and wakes the watches.
+// apply applies changes at a single new revision and wakes the waiting watches. The caller holds mu.
 func (s *StateService) apply(changes []change) {
 	s.revision++
 	for _, change := range changes {
@@ -105,36 +107,36 @@
 		}
 		s.events = append(s.events, event{change, s.revision})
 	}
-	if len(s.events) > 2*keptEvents {
-		s.events = slices.Clone(s.events[len(s.events)-keptEvents:])
+	if len(s.events) > 2*minKeptEvents {
+		s.events = slices.Clone(s.events[len(s.events)-minKeptEvents:])
 	}
-	close(s.changed)
-	s.changed = make(chan struct{})
+	close(s.nextChange)
+	s.nextChange = make(chan struct{})
 }
 
-// changes are the events of keys with a prefix since a revision.
-type changes struct {
+// watchResult holds the events of keys with a prefix after a revision.
+type watchResult struct {
 	events   []event
-	revision uint64          // up to which they reach
+	revision uint64          // the latest that the events take into account
 	next     <-chan struct{} // closed at the next change
 }
 
-// changesSince returns the changes of keys with a prefix after a revision; ok is false if they aren't all
-// kept any more.
-func (s *StateService) changesSince(prefix string, revision uint64) (since changes, ok bool) {
+// changesSince returns the changes of keys with a prefix after a revision; ok is false if some of them
+// are no longer kept.
+func (s *StateService) changesSince(prefix string, revision uint64) (result watchResult, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	since = changes{revision: s.revision, next: s.changed}
-	if len(s.events) >= keptEvents && revision+1 < s.events[0].revision {
-		return since, false
+	result = watchResult{revision: s.revision, next: s.nextChange}
+	if len(s.events) >= minKeptEvents && revision+1 < s.events[0].revision {
+		return result, false
 	}
 	first, _ := slices.BinarySearchFunc(s.events, revision+1, func(e event, revision uint64) int {
 		return int(e.revision) - int(revision)
 	})
 	for _, event := range s.events[first:] {
 		if strings.HasPrefix(event.key, prefix) {
-			since.events = append(since.events, event)
+			result.events = append(result.events, event)
 		}
 	}
-	return since, true
+	return result, true
 }
--- a/internal/emulator/state_service_http.go
+++ b/internal/emulator/state_service_http.go
@@ -12,7 +12,7 @@
 	"gingertally/internal/wire"
 )
 
-// Handle serves a request (PROTOCOL: Controller nodes -> state service).
+// Handle serves a request of a controller (PROTOCOL: Controller nodes -> state service).
 func (s *StateService) Handle(request *fasthttp.RequestCtx) {
 	path := string(request.Path())
 	if path == wire.WatchPath {
@@ -35,8 +35,8 @@
 	}
 }
 
-// itemOf is a key in its wire form.
-func itemOf(key string, stored storedValue) wire.StoreItem {
+// storeItem returns a key and its value as they are sent.
+func storeItem(key string, stored storedValue) wire.StoreItem {
 	return wire.StoreItem{Path: key, V: stored.value, Stamp: stored.modRevision, Hold: stored.lease}
 }
 
@@ -46,10 +46,11 @@
 		reply(request, fasthttp.StatusNotFound, wire.CommitResult{Ledger: s.revision})
 		return
 	}
-	reply(request, fasthttp.StatusOK, itemOf(key, stored))
+	reply(request, fasthttp.StatusOK, storeItem(key, stored))
 }
 
-// handleList reads the keys with a prefix after another key, in order and up to a number.
+// handleList lists the keys that have the prefix starts and sort after the key since, in order and at
+// most as many as the query parameter most says.
 func (s *StateService) handleList(request *fasthttp.RequestCtx) {
 	prefix, after := string(request.QueryArgs().Peek("starts")), string(request.QueryArgs().Peek("since"))
 	limit := request.QueryArgs().GetUintOrZero("most")
@@ -62,12 +63,13 @@
 	slices.Sort(keys)
 	page := wire.StorePage{Ledger: s.revision, HasNext: len(keys) > limit}
 	for _, key := range keys[:min(limit, len(keys))] {
-		page.Rows = append(page.Rows, itemOf(key, s.keys[key]))
+		page.Rows = append(page.Rows, storeItem(key, s.keys[key]))
 	}
 	reply(request, fasthttp.StatusOK, page)
 }
 
-// handleCommit carries out a transaction, unless one of its conditions fails.
+// handleCommit carries out a transaction. If a condition fails, it changes nothing and answers with the
+// keys of the conditions that failed.
 func (s *StateService) handleCommit(request *fasthttp.RequestCtx) {
 	var commit wire.Commit
 	if codec.Unmarshal(request.PostBody(), &commit) != nil {
@@ -106,7 +108,7 @@
 	return change{key: message.Put, value: message.V, lease: message.Hold}
 }
 
-// handleGrant makes a lease.
+// handleGrant creates a lease.
 func (s *StateService) handleGrant(request *fasthttp.RequestCtx) {
 	var message wire.LeaseRequest
 	if codec.Unmarshal(request.PostBody(), &message) != nil {
@@ -119,7 +121,8 @@
 	reply(request, fasthttp.StatusOK, wire.LeaseGrant{Hold: s.lastLease})
 }
 
-// handleLease renews a lease or ends it. The path is what follows the leases' own.
+// handleLease renews or ends a lease. The path is the part after wire.LeasesPath and a slash: the
+// lease's number, followed by wire.KeepAliveSuffix if it is to be renewed.
 func (s *StateService) handleLease(request *fasthttp.RequestCtx, path string) {
 	digits, keepAlive := strings.CutSuffix(path, wire.KeepAliveSuffix)
 	number, err := strconv.ParseUint(digits, 10, 64)
@@ -134,7 +137,9 @@
 	}
 }
 
-// handleWatch waits until a key with a prefix has changed after a revision, or until the time is over.
+// handleWatch waits until a key with the prefix starts has changed after the revision since, or until
+// block_ms milliseconds have passed, and answers with the changes. If they are no longer all kept, it
+// answers with status 410.
 func (s *StateService) handleWatch(request *fasthttp.RequestCtx) {
 	prefix := string(request.QueryArgs().Peek("starts"))
 	revision, err := strconv.ParseUint(string(request.QueryArgs().Peek("since")), 10, 64)
@@ -144,27 +149,27 @@
 	}
 	timeout := time.After(time.Duration(request.QueryArgs().GetUintOrZero("block_ms")) * time.Millisecond)
 	for waiting := true; ; {
-		since, ok := s.changesSince(prefix, revision)
+		result, ok := s.changesSince(prefix, revision)
 		if !ok {
 			request.SetStatusCode(fasthttp.StatusGone)
 			return
 		}
-		if len(since.events) > 0 || !waiting {
-			reply(request, fasthttp.StatusOK, eventsOf(since))
+		if len(result.events) > 0 || !waiting {
+			reply(request, fasthttp.StatusOK, watchAnswer(result))
 			return
 		}
 		select {
-		case <-since.next:
+		case <-result.next:
 		case <-timeout:
 			waiting = false
 		}
 	}
 }
 
-// eventsOf is the answer to a watch.
-func eventsOf(since changes) wire.News {
-	news := wire.News{Ledger: since.revision}
-	for _, event := range since.events {
+// watchAnswer returns the answer to a watch.
+func watchAnswer(result watchResult) wire.News {
+	news := wire.News{Ledger: result.revision}
+	for _, event := range result.events {
 		message := wire.NewsEvent{Put: event.key, V: event.value, Stamp: event.revision}
 		if event.delete {
 			message = wire.NewsEvent{Drop: event.key, Stamp: event.revision}
--- a/internal/emulator/users.go
+++ b/internal/emulator/users.go
@@ -12,39 +12,42 @@
 	"gingertally/internal/wait"
 )
 
-// Users keep a number of jobs open: as soon as one is over, its user submits the next (PROTOCOL: Users ->
-// controller nodes). The fields are set before Run.
+// Users emulates users who keep a number of jobs open: each user submits a job, queries it until it is
+// over, and then submits the next (PROTOCOL: Users -> controller nodes). The fields are set before Run.
 type Users struct {
 	Controllers []string // addresses
-	OpenJobs    int      // and so many users
-	MaxTasks    int      // of a job
+	OpenJobs    int      // number of jobs kept open, which is the number of users
+	MaxTasks    int      // the most tasks of a job; each job has a random number of them
 	Team        string
 	Class       string
-	Urgency     string // in the protocol's words
-	First       int    // number of the first user, so that the users of one history differ
+	Urgency     string // as on the wire
+	First       int    // number of the first user; the users that share a history must not overlap
 	History     *History
-	RunTime     time.Duration // that they give as their estimate
+	RunTime     time.Duration // the estimate that users submit, not how long tasks run
 	Profile     JobProfile
 }
 
 const (
-	// callBudget bounds the tries of one query at one controller; then another is tried.
+	// callBudget limits the time for a query's tries at one controller, after which another one is
+	// asked.
 	callBudget = 1500 * time.Millisecond
-	// submitBudget is the same for a submission: long enough to try again once when told to.
+	// submitBudget is the same for a submission. It is longer than the longest pause that a controller
+	// may ask for before another try (30 s), so that there is time for that try.
 	submitBudget = 35 * time.Second
 	// queryPause is the pause between two queries of a job.
 	queryPause = time.Second
 	// resubmitPause is the pause before a submission goes to another controller.
 	resubmitPause = queryPause / 4
-	// checkpointInterval and checkpointTime are what users say of tasks that save.
+	// checkpointInterval and checkpointTime are submitted for jobs whose tasks save their progress.
 	checkpointInterval = time.Second
 	checkpointTime     = 100 * time.Millisecond
-	// firstRef begins the numbers of the users' jobs.
+	// firstRef is the number of user 0 in the references of its jobs.
 	firstRef = 100_000
 )
 
-// Run submits and queries until ctx ends, and then queries until all jobs are over or the grace time has passed. It
-// returns when no user is left.
+// Run runs the users: they submit and query jobs until ctx ends, and then only query until all jobs are
+// over or the time grace has passed. A submission that has begun goes on in that time too. Run returns
+// when all users have ended.
 func (u *Users) Run(ctx context.Context, grace time.Duration) {
 	var users sync.WaitGroup
 	for i := range u.OpenJobs {
@@ -53,7 +56,7 @@
 	users.Wait()
 }
 
-// runUser is one user, whose jobs follow each other.
+// runUser runs one user, who submits one job after the other.
 func (u *Users) runUser(ctx context.Context, user int, grace time.Duration) {
 	querying, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -66,23 +69,24 @@
 	}
 }
 
-// anyController is a client of a controller chosen at random.
-func (u *Users) anyController(budget time.Duration) *client.Client {
+// randomClient returns a client of a controller chosen at random.
+func (u *Users) randomClient(budget time.Duration) *client.Client {
 	return &client.Client{Addr: u.Controllers[rand.IntN(len(u.Controllers))], Budget: budget}
 }
 
-// submit submits a job until it is accepted; false if it is refused or ctx ends before.
+// submit submits a job, again and again until it is accepted. It returns false if the job is refused or
+// ctx ends before.
 func (u *Users) submit(ctx context.Context, ref string, tasks int) bool {
-	u.History.submitted(ref, u.Team, tasks, u.Profile)
+	u.History.jobSubmitted(ref, u.Team, tasks, u.Profile)
 	job := u.submission(ref, tasks)
 	for ctx.Err() == nil {
-		_, err := u.anyController(submitBudget).Submit(ctx, job)
+		_, err := u.randomClient(submitBudget).Submit(ctx, job)
 		switch {
 		case err == nil:
-			u.History.accepted(ref)
+			u.History.jobAccepted(ref)
 			return true
 		case errors.Is(err, client.ErrRefused):
-			u.History.forgotten(ref)
+			u.History.jobLost(ref)
 			return false
 		}
 		wait.Sleep(ctx, resubmitPause)
@@ -90,7 +94,7 @@
 	return false
 }
 
-// submission is a job array in JSON, in the protocol's words.
+// submission returns the submission of a job array in JSON, with the names used on the wire.
 func (u *Users) submission(ref string, tasks int) []byte {
 	interval, save := 0.0, 0.0
 	if u.Profile.Saves {
@@ -105,13 +109,13 @@
 // pollUntilEnd queries a job until it is over.
 func (u *Users) pollUntilEnd(ctx context.Context, ref string) {
 	for ctx.Err() == nil {
-		run, err := u.anyController(callBudget).Get(ctx, ref)
+		run, err := u.randomClient(callBudget).Get(ctx, ref)
 		switch {
 		case errors.Is(err, client.ErrNotFound):
-			u.History.forgotten(ref)
+			u.History.jobLost(ref)
 			return
 		case err == nil:
-			u.History.told(ref, run.Status)
+			u.History.statusReceived(ref, run.Status)
 			if run.Over() {
 				return
 			}
--- a/internal/emulator/worker_tasks.go
+++ b/internal/emulator/worker_tasks.go
@@ -7,23 +7,23 @@
 	"gingertally/internal/core/fleet"
 )
 
-// attemptID names an attempt at a task.
+// attemptID identifies an attempt at a task.
 type attemptID struct {
 	fleet.TaskID
 	attempt uint64
 }
 
-// task is an attempt on the machine, running or exited.
+// task is an attempt on the worker's machine, running or exited.
 type task struct {
 	id           attemptID
 	exited       bool
 	cause        fleet.ExitCause
 	checkpointed bool
-	began        time.Time
-	left         chan struct{} // closed when it runs no more
+	startedAt    time.Time
+	stopped      chan struct{} // closed when the task no longer runs
 }
 
-// status is the task as a heartbeat has it.
+// status returns the task's status for a heartbeat.
 func (t *task) status() fleet.TaskStatus {
 	status := fleet.TaskStatus{Ref: t.id.Ref, Task: t.id.Task, Attempt: t.id.attempt, State: fleet.Running}
 	if t.exited {
@@ -33,31 +33,32 @@
 	return status
 }
 
-// carryOut carries out a command.
-func (w *Worker) carryOut(command fleet.Command) {
+// execute executes a command. It ignores a start of a known attempt, a stop of an attempt that doesn't
+// run, and a forget of one that hasn't exited.
+func (w *Worker) execute(command fleet.Command) {
 	id := attemptID{fleet.TaskID{Ref: command.Ref, Task: command.Task}, command.Attempt}
-	known := w.onMachine[id]
+	known := w.attempts[id]
 	switch {
 	case command.Kind == fleet.Start && known == nil:
 		w.start(id)
 	case command.Kind == fleet.Stop && known != nil && !known.exited:
-		known.checkpointed = w.history.interrupted(id.TaskID, w.name, time.Since(known.began))
+		known.checkpointed = w.history.taskInterrupted(id.TaskID, w.name, time.Since(known.startedAt))
 		w.exit(known, fleet.CauseStopped)
 	case command.Kind == fleet.Forget && known != nil && known.exited:
-		delete(w.onMachine, id)
+		delete(w.attempts, id)
 	}
 }
 
-// start starts a task, which runs for a while and is then done.
+// start starts a task, which is done when its run time has passed.
 func (w *Worker) start(id attemptID) {
-	started := &task{id: id, began: time.Now(), left: make(chan struct{})}
-	w.onMachine[id] = started
-	w.history.startCommanded(w.name, id, w.fencingToken)
-	w.noteChange()
+	started := &task{id: id, startedAt: time.Now(), stopped: make(chan struct{})}
+	w.attempts[id] = started
+	w.history.taskStarted(w.name, id, w.fencingToken)
+	w.requestHeartbeat()
 	runTime := w.history.runTime(id.TaskID, w.timings.RunTime/2+rand.N(w.timings.RunTime))
-	w.tasks.Go(func() {
+	w.taskGroup.Go(func() {
 		select {
-		case <-started.left:
+		case <-started.stopped:
 		case <-w.ended:
 		case <-time.After(runTime):
 			w.finish(started)
@@ -65,30 +66,30 @@
 	})
 }
 
-// finish ends a task whose run time is over, unless it has left the machine.
+// finish ends a task whose run time has passed, unless it has exited or was dropped meanwhile.
 func (w *Worker) finish(t *task) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.onMachine[t.id] == t && !t.exited {
+	if w.attempts[t.id] == t && !t.exited {
 		w.exit(t, fleet.CauseDone)
 	}
 }
 
-// exit ends a running task, which stays in the heartbeats until a command forgets it.
+// exit ends a running task. Heartbeats report it until a forget command removes it.
 func (w *Worker) exit(t *task, cause fleet.ExitCause) {
 	t.exited, t.cause = true, cause
-	close(t.left)
-	w.history.left(t.id.TaskID, cause == fleet.CauseDone)
-	w.noteChange()
+	close(t.stopped)
+	w.history.taskEnded(t.id.TaskID, cause == fleet.CauseDone)
+	w.requestHeartbeat()
 }
 
-// loseTasks removes all tasks without a heartbeat about them.
-func (w *Worker) loseTasks() {
-	for id, t := range w.onMachine {
+// dropTasks ends and removes all tasks without reporting them.
+func (w *Worker) dropTasks() {
+	for id, t := range w.attempts {
 		if !t.exited {
-			close(t.left)
-			w.history.left(id.TaskID, false)
+			close(t.stopped)
+			w.history.taskEnded(id.TaskID, false)
 		}
-		delete(w.onMachine, id)
+		delete(w.attempts, id)
 	}
 }
