--- a/internal/goldentest/fill.go
+++ b/internal/goldentest/fill.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Filled returns a value of a type in which every exported field is set, each to another value, so that
-// the encoded form shows the name and type of every field. The same type always gets the same value.
+// Filled returns a value of type T in which every exported field is set, down to maxDepth, so that the
+// encoded form shows the name and type of every field. Fields get different values where their type
+// allows it. The result for a type is always the same.
 func Filled[T any]() T {
 	var value T
 	var f filler
@@ -15,17 +16,17 @@
 	return value
 }
 
-// maxDepth bounds how deep values are filled whose types contain themselves.
+// maxDepth limits the depth to which values are filled, since a type may contain itself.
 const maxDepth = 12
 
-// fillTime is the first of the times that values are filled with.
+// fillTime is the time to which seconds are added for the times that values are filled with.
 var fillTime = time.Unix(1_800_000_000, 0).UTC()
 
-// smallIntegers is how many integers CBOR encodes in one byte. Bytes are filled with one of them, since
-// a field of bytes may be a value that is encoded already.
-const smallIntegers = 24
+// cborSmallIntegers is the number of integers, from 0 on, that CBOR encodes in a single byte. A byte
+// slice is filled with one such byte, because it may be meant for a value that is already encoded.
+const cborSmallIntegers = 24
 
-// filler fills values with numbers that count up, or what is made of them.
+// filler fills values with ascending numbers, or with what is derived from them.
 type filler struct{ count int }
 
 // next returns the next number.
@@ -34,7 +35,7 @@
 	return f.count
 }
 
-// fill sets a value, and all values in it down to maxDepth.
+// fill sets a value and all values in it, down to maxDepth. Unexported fields stay as they are.
 func (f *filler) fill(v reflect.Value, depth int) {
 	if depth > maxDepth || !v.CanSet() {
 		return
@@ -59,7 +60,7 @@
 	}
 }
 
-// fillCompound fills a value that consists of others. Slices and maps get one element.
+// fillCompound fills a value that contains other values. Slices and maps get one element.
 func (f *filler) fillCompound(v reflect.Value, depth int) {
 	switch v.Kind() {
 	case reflect.Pointer:
@@ -67,7 +68,7 @@
 		f.fill(v.Elem(), depth+1)
 	case reflect.Slice:
 		if v.Type().Elem().Kind() == reflect.Uint8 {
-			v.SetBytes([]byte{byte(f.next() % smallIntegers)})
+			v.SetBytes([]byte{byte(f.next() % cborSmallIntegers)})
 			return
 		}
 		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -1,9 +1,9 @@
-// Package goldentest compares what tests produce with golden files, which hold what an earlier version
-// of the program produced. They are for forms that must not change by accident, such as stored values,
-// messages and names that operators see.
+// Package goldentest compares the output of tests with golden files, which hold the output of an
+// earlier version of the program. They guard formats that must not change by accident, such as stored
+// values, messages and names that operators see.
 //
-// A golden file stands in the testdata of the package whose test checks it, and is written by running
-// that test with -update. Only tests import this package.
+// A golden file is in the testdata directory of the package whose test checks it, and is written by
+// running that test with -update. Only tests import this package.
 package goldentest
 
 import (
@@ -19,17 +19,17 @@
 
 var update = flag.Bool("update", false, "write golden files instead of comparing with them")
 
-// Lines collects the lines of a golden file. The zero Lines has none.
+// Lines collects the lines that are compared with a golden file. The zero value is empty.
 type Lines struct{ text strings.Builder }
 
-// Add adds a line, formatted like by fmt.Sprintf.
+// Add adds a line, formatted as by fmt.Sprintf.
 func (l *Lines) Add(format string, args ...any) {
 	fmt.Fprintf(&l.text, format, args...)
 	l.text.WriteByte('\n')
 }
 
-// Check compares the lines with a golden file, which is named relative to the package's testdata, and
-// fails the test if they differ.
+// Check compares the lines with the golden file of the given name in the package's testdata directory,
+// and fails the test for each line that differs. With -update, it writes the file instead.
 func (l *Lines) Check(t *testing.T, name string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -50,7 +50,7 @@
 	}
 }
 
-// write writes a golden file and the directories to it.
+// write writes a golden file and creates its directory if necessary.
 func write(t *testing.T, path, content string) {
 	t.Helper()
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
@@ -61,7 +61,7 @@
 	}
 }
 
-// differences returns the lines that differ, each after its number.
+// differences describes each line that differs; a description begins with the line's number.
 func differences(want, got string) []string {
 	var found []string
 	wantLines, gotLines := strings.Split(want, "\n"), strings.Split(got, "\n")
@@ -76,7 +76,7 @@
 	return found
 }
 
-// lineAt returns a line; empty if there are fewer.
+// lineAt returns the i-th line, or an empty one if there are fewer lines.
 func lineAt(lines []string, i int) string {
 	if i < len(lines) {
 		return lines[i]
--- a/internal/goldentest/goldentest_test.go
+++ b/internal/goldentest/goldentest_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Each line that differs is found, also one that is missing or added: a change of a stored form that is
-// overlooked here reaches production.
+// Every line that differs is found, as is a line that is missing or added. Otherwise a change of a
+// stored format would pass the golden tests and reach production.
 func TestDifferences(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -36,8 +36,8 @@
 	}
 }
 
-// Filled sets every exported field, to another value each and always the same: a field that stays
-// empty could be lost from its encoded form without any test noticing.
+// Filled sets every exported field, fields of the same type differently, and always in the same way. If
+// a field stayed empty, it could disappear from its type's encoded form without a test noticing.
 func TestFilledSetsEveryField(t *testing.T) {
 	type inner struct {
 		Text string
@@ -59,7 +59,7 @@
 	v := reflect.ValueOf(value)
 	for i := range v.NumField() {
 		if field := v.Type().Field(i); field.IsExported() && v.Field(i).IsZero() {
-			t.Errorf("%s isn't set", field.Name)
+			t.Errorf("field %s isn't set", field.Name)
 		}
 	}
 	if value.hidden != 0 {
@@ -69,6 +69,6 @@
 		t.Errorf("two fields have the same value: %+v", value)
 	}
 	if again := Filled[outer](); !reflect.DeepEqual(again, value) {
-		t.Errorf("%+v, and again %+v", value, again)
+		t.Errorf("first call: %+v, second call: %+v", value, again)
 	}
 }
--- a/internal/pagecheck/doc.go
+++ b/internal/pagecheck/doc.go
@@ -1,3 +1,3 @@
-// Package pagecheck has only tests: they hold the pages in docs against the code, so that a name
-// that a reader finds there can be found here too.
+// Package pagecheck contains only tests. They check the pages in docs against the code: names,
+// paths and tests on a page must exist, and the operators' page must have every log line.
 package pagecheck
--- a/internal/pagecheck/log_test.go
+++ b/internal/pagecheck/log_test.go
@@ -10,22 +10,24 @@
 	"testing"
 )
 
-// logPage lists every line of the log at level info and above.
+// logPage is the page that must list the text of every log line at level info and above.
 const logPage = "docs/operating.md"
 
-// notLogged are the directories whose code doesn't run in a controller.
+// notLogged lists the directories whose code doesn't run in a controller, so that their log lines
+// needn't be on the page.
 var notLogged = []string{
 	"internal/simulation", "internal/emulator", "internal/surge", "internal/goldentest", "internal/pagecheck",
 	"tools",
 }
 
-// logLines collects the texts that are logged at level info and above: the first argument of Info,
-// Warn and Error, and the events that the core logs.
+// logLines returns the texts that controllers log at level info and above, each with where it is
+// logged. They are the first arguments of calls of Info, Warn and Error, and the events that the
+// core logs.
 func logLines(t *testing.T) map[string]string {
 	t.Helper()
 	lines, events := map[string]string{}, map[string]string{}
 	var logged []string
-	eachGoFile(t, func(path string, file *ast.File) {
+	forEachGoFile(t, func(path string, file *ast.File) {
 		path = strings.TrimPrefix(filepath.ToSlash(path), "../../")
 		if strings.HasSuffix(path, "_test.go") || isNotLogged(path) {
 			return
@@ -33,7 +35,7 @@
 		ast.Inspect(file, func(n ast.Node) bool {
 			switch n := n.(type) {
 			case *ast.ValueSpec:
-				noteEvent(events, n)
+				addEvent(events, n)
 			case *ast.CallExpr:
 				if text, ok := loggedText(n); ok {
 					lines[text] = path
@@ -47,13 +49,14 @@
 	})
 	for _, event := range logged {
 		if events[event] == "" {
-			t.Errorf("log event %s isn't a constant", event)
+			t.Errorf("log event %s isn't a constant with a string literal", event)
 		}
 		lines[events[event]] = "internal/core"
 	}
 	return lines
 }
 
+// isNotLogged reports whether a file is in one of the directories notLogged.
 func isNotLogged(path string) bool {
 	for _, directory := range notLogged {
 		if strings.HasPrefix(path, directory+"/") {
@@ -63,8 +66,8 @@
 	return false
 }
 
-// noteEvent notes the text of a constant that names a log event.
-func noteEvent(events map[string]string, spec *ast.ValueSpec) {
+// addEvent adds the text of each constant in spec that is a log event to events.
+func addEvent(events map[string]string, spec *ast.ValueSpec) {
 	for i, name := range spec.Names {
 		if !strings.HasPrefix(name.Name, "Log") || i >= len(spec.Values) {
 			continue
@@ -75,7 +78,7 @@
 	}
 }
 
-// loggedText is the text of a call such as log.Info("text", …).
+// loggedText returns the text of a call such as log.Info("text", …).
 func loggedText(call *ast.CallExpr) (string, bool) {
 	method, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || len(call.Args) == 0 {
@@ -88,7 +91,7 @@
 	return "", false
 }
 
-// loggedEvent is the event of a call such as e.log(LogEvent, …).
+// loggedEvent returns the name of the event in a call such as e.log(LogEvent, …).
 func loggedEvent(call *ast.CallExpr) (string, bool) {
 	method, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || method.Sel.Name != "log" || len(call.Args) == 0 {
@@ -98,6 +101,7 @@
 	return event.String(), ok && strings.HasPrefix(event.Name, "Log")
 }
 
+// literal returns the value of a string literal, and false for any other expression.
 func literal(expression ast.Expr) (string, bool) {
 	value, ok := expression.(*ast.BasicLit)
 	if !ok || value.Kind != token.STRING {
@@ -107,7 +111,9 @@
 	return text, err == nil
 }
 
-// An on-call engineer who finds a line in the log finds on the page what it means and what to do.
+// Every log line at level info and above is on the page, so that an on-call engineer who sees it in
+// the log can look up what it means and what to do. A line that was added or reworded only in the
+// code fails.
 func TestEveryLogLineIsOnThePage(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join(root, logPage))
 	if err != nil {
@@ -115,7 +121,7 @@
 	}
 	lines := logLines(t)
 	if len(lines) < 50 {
-		t.Errorf("only %d log lines were found", len(lines))
+		t.Errorf("only %d log lines were found in the code; want at least 50", len(lines))
 	}
 	for line, path := range lines {
 		if !strings.Contains(string(text), "`"+line+"`") {
--- a/internal/pagecheck/names_test.go
+++ b/internal/pagecheck/names_test.go
@@ -12,21 +12,21 @@
 	"testing"
 )
 
-// root is the repository's root.
+// root is the path of the repository's root.
 var root = filepath.Join("..", "..")
 
-// declared are the names that the repository's Go code declares: pkg.Name, pkg.Type.Member, and the
-// tests' names alone.
+// declared holds the names that the repository's Go code declares: as pkg.Name, as pkg.Type.Member for
+// methods and fields, and tests also without their package.
 type declared struct {
 	packages map[string]bool
 	names    map[string]bool
 }
 
-// readDeclared parses all Go code.
+// readDeclared parses all Go code and returns the names that it declares.
 func readDeclared(t *testing.T) declared {
 	t.Helper()
 	d := declared{packages: map[string]bool{}, names: map[string]bool{}}
-	eachGoFile(t, func(_ string, file *ast.File) {
+	forEachGoFile(t, func(_ string, file *ast.File) {
 		pkg := strings.TrimSuffix(file.Name.Name, "_test")
 		d.packages[pkg] = true
 		for _, declaration := range file.Decls {
@@ -36,8 +36,8 @@
 	return d
 }
 
-// eachGoFile calls fn with each parsed file below cmd, internal and tools.
-func eachGoFile(t *testing.T, fn func(path string, file *ast.File)) {
+// forEachGoFile calls fn with the path and the syntax tree of each Go file in cmd, internal and tools.
+func forEachGoFile(t *testing.T, fn func(path string, file *ast.File)) {
 	t.Helper()
 	files := token.NewFileSet()
 	for _, directory := range []string{"cmd", "internal", "tools"} {
@@ -57,6 +57,7 @@
 	}
 }
 
+// add adds the names of a top-level declaration of package pkg.
 func (d *declared) add(pkg string, declaration ast.Decl) {
 	switch declaration := declaration.(type) {
 	case *ast.FuncDecl:
@@ -74,6 +75,7 @@
 	}
 }
 
+// addSpec adds the names that a spec declares, and the fields or methods of a struct or interface type.
 func (d *declared) addSpec(pkg string, spec ast.Spec) {
 	switch spec := spec.(type) {
 	case *ast.ValueSpec:
@@ -99,7 +101,7 @@
 	}
 }
 
-// receiver names a method's type.
+// receiver returns the name of a method's receiver type; empty if the type is generic.
 func receiver(method *ast.FuncDecl) string {
 	expression := method.Recv.List[0].Type
 	if star, ok := expression.(*ast.StarExpr); ok {
@@ -118,8 +120,9 @@
 	repoPath = regexp.MustCompile(`^(internal|cmd|tools|docs|deploy)/[\w./-]+$`)
 )
 
-// checkNames reports each name in backquotes on a page that the code doesn't have: pkg.Name for a
-// package of the repository, Test…, and paths from the root.
+// checkNames fails the test for each name in backquotes on a page that doesn't exist, and returns how
+// many names it checked. It checks pkg.Name for packages of the repository, names of tests, and paths
+// from the repository's root.
 func checkNames(t *testing.T, page string, d declared) (checked int) {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(root, page))
@@ -132,11 +135,11 @@
 		switch {
 		case repoPath.MatchString(name):
 			if _, err := os.Stat(filepath.Join(root, name)); err != nil {
-				t.Errorf("%s: there is no %s", page, name)
+				t.Errorf("%s: path %s doesn't exist", page, name)
 			}
 		case testName.MatchString(name):
 			if !d.names[name] {
-				t.Errorf("%s: there is no test %s", page, name)
+				t.Errorf("%s: test %s doesn't exist", page, name)
 			}
 		case goName.MatchString(name) && d.packages[pkg] && !strings.HasSuffix(name, ".go"):
 			if !d.names[name] {
@@ -150,8 +153,8 @@
 	return checked
 }
 
-// A reader who follows a page to a name that was renamed finds nothing: every name on the pages
-// that show the code exists.
+// Every name on the pages that describe the code exists. Otherwise a rename that leaves out the pages
+// sends readers to names that are no longer there.
 func TestNamesOnPagesExist(t *testing.T) {
 	d := readDeclared(t)
 	for page, least := range map[string]int{
@@ -159,7 +162,7 @@
 		"docs/standby.md": 3, "docs/recovery.md": 3, "docs/admission.md": 3, "docs/draining.md": 3, "README.md": 10,
 	} {
 		if checked := checkNames(t, page, d); checked < least {
-			t.Errorf("%s: only %d names were found to check", page, checked)
+			t.Errorf("%s: found only %d names to check", page, checked)
 		}
 	}
 }
--- a/internal/testserver/testserver.go
+++ b/internal/testserver/testserver.go
@@ -1,4 +1,4 @@
-// Package testserver serves HTTP to the clients under test. Only tests call it.
+// Package testserver runs HTTP servers for tests of clients. Only tests import it.
 package testserver
 
 import (
@@ -8,7 +8,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Start serves a handler on a loopback address until the test ends, and returns the address.
+// Start serves requests with a handler on a free loopback port until the test ends, and returns the
+// address.
 func Start(t testing.TB, handler fasthttp.RequestHandler) (addr string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -19,7 +20,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		_ = server.Serve(listener) // ends with the listener
+		_ = server.Serve(listener) // returns when the listener is closed
 	}()
 	t.Cleanup(func() {
 		_ = listener.Close()
