--- a/internal/emulator/users.go
+++ b/internal/emulator/users.go
@@ -21,22 +21,22 @@
 	Team        string
 	Class       string
 	Urgency     string // as on the wire
-	First       int    // number of the first user; the users that share a history must not overlap
+	First       int    // number of the first user; numbers must not overlap among users of one history
 	History     *History
 	RunTime     time.Duration // the estimate that users submit, not how long tasks run
 	Profile     JobProfile
 }
 
 const (
-	// callBudget limits the time for a query's tries at one controller, after which another one is
-	// asked.
+	// callBudget limits the time for a query's tries at one controller. The next query goes to a
+	// controller chosen anew.
 	callBudget = 1500 * time.Millisecond
 	// submitBudget is the same for a submission. It is longer than the longest pause that a controller
 	// may ask for before another try (30 s), so that there is time for that try.
 	submitBudget = 35 * time.Second
 	// queryPause is the pause between two queries of a job.
 	queryPause = time.Second
-	// resubmitPause is the pause before a submission goes to another controller.
+	// resubmitPause is the pause before a submission goes to a controller chosen anew.
 	resubmitPause = queryPause / 4
 	// checkpointInterval and checkpointTime are submitted for jobs whose tasks save their progress.
 	checkpointInterval = time.Second
@@ -106,7 +106,7 @@
 		ref, u.Class, u.Team, u.Urgency, tasks, u.RunTime.Seconds(), interval, save)
 }
 
-// pollUntilEnd queries a job until it is over.
+// pollUntilEnd queries a job until it is over or unknown, or ctx ends.
 func (u *Users) pollUntilEnd(ctx context.Context, ref string) {
 	for ctx.Err() == nil {
 		run, err := u.randomClient(callBudget).Get(ctx, ref)
