--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -24,7 +24,7 @@
 	return total
 }
 
-// randomDemands returns demands of a few teams, and the teams' shares.
+// randomDemands returns random demands of a few teams, and the teams' shares.
 func randomDemands(rng *rand.Rand) (map[string]TeamShare, []Demand) {
 	teams := map[string]TeamShare{}
 	var demands []Demand
@@ -43,7 +43,7 @@
 	return teams, demands
 }
 
-// teamSums returns what each team asks for and what it is given.
+// teamSums returns each team's total demand and what it is given in total.
 func teamSums(demands []Demand, given []float64) (want, got map[string]float64) {
 	want, got = map[string]float64{}, map[string]float64{}
 	for i, d := range demands {
@@ -59,23 +59,24 @@
 	tolerance = 1e-6
 )
 
-// allocated is what Allocate has given for random demands of a seed.
-type allocated struct {
+// allocationResult holds the random demands of a seed and what Allocate gave them.
+type allocationResult struct {
 	*testing.T
 	seed      uint64
 	teams     map[string]TeamShare
 	demands   []Demand
 	given     []float64
-	want, got map[string]float64 // by team
+	want, got map[string]float64 // totals by team
 }
 
-// An allocation gives nobody more than it asks for, leaves nothing while somebody asks for it, gives
-// floors and guarantees first and the higher priorities of a team first, and gives no team more for
-// its weight, beyond guarantee and floors, than one whose demand isn't met. It guards against a team
-// that floods the others, and against capacity that is left unused under overload.
+// Checks the rules of Allocate on random demands: no demand gets more than it asks for, no capacity is
+// left while a demand is unmet, floors and guarantees come first, and higher priorities come first
+// within a team. Beyond guarantee and floors, no team gets more in proportion to its weight than one
+// with unmet demand. Guards against one team crowding out the others, and against unused capacity
+// under overload.
 func TestAllocate(t *testing.T) {
 	for seed := range uint64(3000) {
-		a := &allocated{T: t, seed: seed}
+		a := &allocationResult{T: t, seed: seed}
 		a.teams, a.demands = randomDemands(rand.New(rand.NewPCG(seed, 9)))
 		a.given = Allocate(1, testFloor, a.teams, a.demands)
 		a.want, a.got = teamSums(a.demands, a.given)
@@ -86,79 +87,81 @@
 	}
 }
 
-// checkAmounts checks that nobody gets more than it asks for or less than its floor, and nothing is left.
-func (a *allocated) checkAmounts() {
+// checkAmounts checks that no demand gets more than it asks for or less than its floor, and that no
+// capacity is left while a demand is unmet.
+func (a *allocationResult) checkAmounts() {
 	a.Helper()
 	total := 0.0
 	for i, d := range a.demands {
 		total += d.Rate
 		if a.given[i] > d.Rate+tolerance || a.given[i] < min(testFloor, d.Rate)-tolerance {
-			a.Fatalf("seed %d: %+v is given %g", a.seed, d, a.given[i])
+			a.Fatalf("seed %d: demand %+v is given %g", a.seed, d, a.given[i])
 		}
 	}
 	if s := sum(a.given); s > 1+tolerance || s < min(1, total)-tolerance {
-		a.Fatalf("seed %d: %g given of a demand of %g", a.seed, s, total)
+		a.Fatalf("seed %d: a total of %g is given for a total demand of %g", a.seed, s, total)
 	}
 }
 
-// checkGuarantees checks that all guarantees are kept if they fit together with the floors.
-func (a *allocated) checkGuarantees() {
+// checkGuarantees checks that every team gets its guarantee if all guarantees and floors fit into the
+// capacity.
+func (a *allocationResult) checkGuarantees() {
 	a.Helper()
 	floors := map[string]float64{}
 	for _, d := range a.demands {
 		floors[d.Team] += min(testFloor, d.Rate)
 	}
-	promised := 0.0
+	guaranteed := 0.0
 	for name, share := range a.teams {
-		promised += max(floors[name], min(share.Guarantee, a.want[name]))
+		guaranteed += max(floors[name], min(share.Guarantee, a.want[name]))
 	}
 	for name, share := range a.teams {
-		if promised <= 1 && a.got[name] < min(share.Guarantee, a.want[name])-tolerance {
+		if guaranteed <= 1 && a.got[name] < min(share.Guarantee, a.want[name])-tolerance {
 			a.Fatalf("seed %d: %s is given %g of its guarantee %g", a.seed, name, a.got[name], share.Guarantee)
 		}
 	}
 }
 
-// checkWeights checks that no team has more for its weight than one whose demand isn't met, except by
-// its guarantee and floors.
-func (a *allocated) checkWeights() {
+// checkWeights checks that no team gets more in proportion to its weight than one with unmet demand,
+// except through its guarantee and floors.
+func (a *allocationResult) checkWeights() {
 	a.Helper()
 	for name, share := range a.teams {
 		if a.want[name]-a.got[name] < tolerance {
-			continue // it has all it wants
+			continue // its demand is met
 		}
 		for other, o := range a.teams {
 			beyond := a.got[other] - max(o.Guarantee, 4*testFloor)
 			if beyond > tolerance && a.got[other]/o.Weight > a.got[name]/share.Weight+tolerance {
-				a.Fatalf("seed %d: %s has %g for its weight, and %s, which asks for more, %g",
+				a.Fatalf("seed %d: %s has %g per unit of weight, but %s, which has unmet demand, only %g",
 					a.seed, other, a.got[other]/o.Weight, name, a.got[name]/share.Weight)
 			}
 		}
 	}
 }
 
-// checkPriorities checks that within a team only floors go to a lower priority while the demand of a
-// higher one isn't met.
-func (a *allocated) checkPriorities() {
+// checkPriorities checks that within a team a lower priority gets only its floor while a higher one
+// has unmet demand.
+func (a *allocationResult) checkPriorities() {
 	a.Helper()
 	for i, x := range a.demands {
 		for k, y := range a.demands {
 			if x.Team == y.Team && x.Priority < y.Priority && x.Rate-a.given[i] > tolerance && a.given[k] > testFloor+tolerance {
-				a.Fatalf("seed %d: %+v is given %g while %+v lacks some", a.seed, y, a.given[k], x)
+				a.Fatalf("seed %d: %+v is given %g while %+v has unmet demand", a.seed, y, a.given[k], x)
 			}
 		}
 	}
 }
 
-// overloaded returns a policy that admits a fraction of one key.
-func overloaded(number uint64, fraction, offset float64) Policy {
+// overloadPolicy returns a policy under overload with one share.
+func overloadPolicy(number uint64, fraction, offset float64) Policy {
 	return Policy{Term: 1, Number: number, Reason: Backlog, Interval: time.Second,
 		Shares: []Share{{Key: Key{"a", "c", pipeline.Normal}, Fraction: fraction, Offset: offset}}}
 }
 
-// Every job has its turn within as many policies as the fraction goes into 1, the turn lasts windowSpan
-// policies, and Retry-After names it while the fraction stays. It guards against jobs that are refused
-// for good, and against users who are told to come at the wrong time.
+// Every job gets its turn within 1/fraction policies, the turn lasts about windowSpan policies, and
+// Retry-After points at it while the fraction stays the same. Guards against jobs that are refused
+// forever, and against a Retry-After that misses the turn.
 func TestEveryJobHasItsTurn(t *testing.T) {
 	for _, fraction := range []float64{0.3, 0.1, 0.0137, 0.002} {
 		bound := int(math.Ceil(1/fraction)) + 1
@@ -166,28 +169,28 @@
 			job := fmt.Sprint("j-", i)
 			turns := turnsOf(job, fraction, float64(i)/40, bound)
 			if turns.first < 0 || turns.admitted < windowSpan-1 {
-				t.Fatalf("fraction %g: %s had %d turns in %d policies", fraction, job, turns.admitted, bound)
+				t.Fatalf("fraction %g: %s was admitted by %d of %d policies", fraction, job, turns.admitted, bound)
 			}
-			if turns.promised >= 0 && (turns.first < turns.promised-1 || turns.first > turns.promised+1) {
-				t.Fatalf("fraction %g: %s was told to come at policy %d, and had its turn at %d",
-					fraction, job, turns.promised, turns.first)
+			if turns.predicted >= 0 && (turns.first < turns.predicted-1 || turns.first > turns.predicted+1) {
+				t.Fatalf("fraction %g: Retry-After told %s to come at policy %d, but its turn was at %d",
+					fraction, job, turns.predicted, turns.first)
 			}
 		}
 	}
 }
 
-// turns are the policies under which a job was admitted.
-type turns struct {
-	admitted int // how many
-	first    int // the first of them; -1: none
-	promised int // the one that Retry-After first pointed at; -1: none
+// admittedTurns records which of a series of policies admitted a job.
+type admittedTurns struct {
+	admitted  int // number of policies
+	first     int // index of the first one; -1: none
+	predicted int // index of the policy at which the first usable Retry-After points; -1: none
 }
 
 // turnsOf submits a job under successive policies with the same fraction.
-func turnsOf(job string, fraction, offset float64, policies int) turns {
-	t := turns{first: -1, promised: -1}
+func turnsOf(job string, fraction, offset float64, policies int) admittedTurns {
+	t := admittedTurns{first: -1, predicted: -1}
 	for n := range policies {
-		p := overloaded(uint64(n+1), fraction, offset)
+		p := overloadPolicy(uint64(n+1), fraction, offset)
 		d := p.Decide(Key{"a", "c", pipeline.Normal}, job)
 		switch {
 		case d.Admitted && t.first < 0:
@@ -195,18 +198,18 @@
 			t.admitted++
 		case d.Admitted:
 			t.admitted++
-		case t.promised < 0 && t.first < 0 && d.RetryAfter < maxRetryAfter:
-			t.promised = n + int(d.RetryAfter/time.Second)
+		case t.predicted < 0 && t.first < 0 && d.RetryAfter < maxRetryAfter:
+			t.predicted = n + int(d.RetryAfter/time.Second)
 		}
 		offset = wrap(offset + fraction)
 	}
 	return t
 }
 
-// A policy admits about windowSpan times the fraction of the jobs, whatever their ids. It guards against
-// positions that aren't spread evenly over the circle.
+// A policy admits about windowSpan times the fraction of the jobs. Guards against a hash of job ids
+// that isn't spread evenly over the circle.
 func TestFractionOfJobs(t *testing.T) {
-	p := overloaded(1, 0.05, 0.9)
+	p := overloadPolicy(1, 0.05, 0.9)
 	admitted := 0
 	for i := range 20_000 {
 		if p.Decide(Key{"a", "c", pipeline.Normal}, fmt.Sprintf("j-%06d", i)).Admitted {
@@ -214,14 +217,14 @@
 		}
 	}
 	if part := float64(admitted) / 20_000; part < 0.05*windowSpan*0.9 || part > 0.05*windowSpan*1.1 {
-		t.Fatalf("%g of the jobs are admitted", part)
+		t.Fatalf("a part of %g of the jobs is admitted", part)
 	}
 }
 
-// A class that the policy doesn't know has the smallest share of its team, and a team that it doesn't
-// know is admitted. It guards against users who evade a refusal by new names.
+// A class without a share gets the smallest one of its team, and a team without shares is admitted.
+// Guards against users who evade a refusal by new class names.
 func TestUnknownKeys(t *testing.T) {
-	p := overloaded(1, 0.002, 0)
+	p := overloadPolicy(1, 0.002, 0)
 	refused := 0
 	for i := range 200 {
 		k := Key{"a", fmt.Sprint("new-", i), pipeline.High}
@@ -237,15 +240,16 @@
 	}
 }
 
-func gate(age time.Duration) *Gate {
+// testGate returns the gate of a controller that can have 5 jobs per second stored.
+func testGate(age time.Duration) *Gate {
 	weights := map[string]float64{"b": 2}
 	return NewGate(start, GateOptions{Teams: []string{"a", "b", "c"}, Weights: weights, Jobs: 5, PolicyAge: age})
 }
 
-// A policy that arrives late or twice, or comes from a leader of an older term, doesn't replace a newer
-// one. It guards against controllers that give different answers.
+// A policy that arrives late or twice, or comes from the leader of an older term, doesn't replace a
+// newer one. Guards against controllers that keep giving different answers.
 func TestOlderPoliciesAreNotTaken(t *testing.T) {
-	g := gate(time.Minute)
+	g := testGate(time.Minute)
 	for i, c := range []struct {
 		policy Policy
 		taken  bool
@@ -259,45 +263,47 @@
 		{Policy{Term: 4, Number: 4}, true},
 	} {
 		if taken := g.Apply(at(time.Duration(i)), c.policy); taken != c.taken {
-			t.Errorf("policy %d.%d: taken %v", c.policy.Term, c.policy.Number, taken)
+			t.Errorf("term %d, policy %d: Apply returned %v", c.policy.Term, c.policy.Number, taken)
 		}
 	}
 	if p := g.Policy(); p.Term != 4 || p.Number != 4 {
-		t.Errorf("%+v is applied", p)
+		t.Errorf("the current policy is %+v", p)
 	}
 }
 
-// A policy that wasn't confirmed for longer than its age is moved on by the controller's own clock, until
-// it is confirmed again. It guards against jobs that a controller refuses for good while it is cut off.
+// If no leader confirms the policy for PolicyAge, the gate moves its windows by the controller's own
+// clock until the policy is confirmed again. Guards against jobs that a controller refuses for as long
+// as it is cut off from the leader.
 func TestFallback(t *testing.T) {
-	g := gate(10 * time.Second)
-	g.Apply(start, overloaded(1, 0.02, 0))
+	g := testGate(10 * time.Second)
+	g.Apply(start, overloadPolicy(1, 0.02, 0))
 	spec := &pipeline.Spec{Team: "a", Class: "c", Priority: pipeline.Normal, Tasks: 1, CPUs: 1}
 	if g.Fallback(at(9 * time.Second)) {
-		t.Fatal("too early")
+		t.Fatal("the fallback begins too early")
 	}
 	turns := 0
 	for second := range 70 {
 		now := at(11*time.Second + time.Duration(second)*time.Second)
 		if !g.Fallback(now) {
-			t.Fatal("the policy is still relied on")
+			t.Fatal("no fallback although the policy is too old")
 		}
-		if g.effective(now).Decide(Key{spec.Team, spec.Class, spec.Priority}, "j-1").Admitted {
+		if g.effectivePolicy(now).Decide(Key{spec.Team, spec.Class, spec.Priority}, "j-1").Admitted {
 			turns++
 		}
 	}
 	if turns < windowSpan {
-		t.Fatalf("the job had %d turns within 70 s at 2%% each second", turns)
+		t.Fatalf("the job was admitted in %d of 70 s at a fraction of 2%% per second", turns)
 	}
-	if g.Apply(at(90*time.Second), overloaded(1, 0.02, 0)); g.Fallback(at(91 * time.Second)) {
-		t.Fatal("news of the same policy doesn't end the fallback")
+	if g.Apply(at(90*time.Second), overloadPolicy(1, 0.02, 0)); g.Fallback(at(91 * time.Second)) {
+		t.Fatal("a confirmation of the policy doesn't end the fallback")
 	}
 }
 
-// A thousand jobs of one team in a second at one controller leave the other teams their part before any
-// policy knows of the surge. It guards against a queue that one team fills within a second.
+// When one team submits a thousand jobs per second to one controller, the other teams keep their part
+// before any policy takes the surge into account. Guards against one team filling the queue within a
+// second.
 func TestThousandJobsInASecond(t *testing.T) {
-	g := gate(time.Minute)
+	g := testGate(time.Minute)
 	admitted := map[string]int{}
 	submit := func(now time.Time, team string, n int) {
 		for i := range n {
@@ -316,20 +322,20 @@
 		}
 	}
 	if admitted["b"] != 40 || admitted["c"] != 40 {
-		t.Errorf("the small teams got %d and %d of 40 jobs", admitted["b"], admitted["c"])
+		t.Errorf("%d and %d of 40 jobs of the small teams are admitted", admitted["b"], admitted["c"])
 	}
 	if limit := 20*5 + 2*20; admitted["a"] < 20 || admitted["a"] > limit {
-		t.Errorf("the flood got %d jobs in, in 20 s at 5 a second", admitted["a"])
+		t.Errorf("%d jobs of the surge are admitted in 20 s at 5 jobs per second", admitted["a"])
 	}
 	if n := len(g.CollectCounts(at(time.Minute)).Counts); n != 3 {
-		t.Errorf("%d counts", n)
+		t.Errorf("%d counts for 3 keys", n)
 	}
 }
 
-// The number of counts is bounded by teams and classes, and no submission is missing. It guards against
-// memory and messages that grow with the names that users choose.
+// The number of counts stays bounded when each job has a class of its own, and no submission is left
+// out. Guards against memory and messages that grow with the class names that users choose.
 func TestCountsAreBounded(t *testing.T) {
-	g := gate(time.Minute)
+	g := testGate(time.Minute)
 	for i := range 5000 {
 		spec := &pipeline.Spec{Team: []string{"a", "b"}[i%2], Class: fmt.Sprint("class-", i), Tasks: 1}
 		g.Decide(start, Submission{Job: fmt.Sprint("j-", i), Spec: spec})
@@ -340,22 +346,22 @@
 		offered += c.Offered
 	}
 	if len(counts) > 2*(maxClassesPerTeam+1) || offered != 5000 {
-		t.Fatalf("%d counts of %d jobs", len(counts), offered)
+		t.Fatalf("%d counts with a total of %d jobs", len(counts), offered)
 	}
 }
 
-// plannerOptions returns options of a deployment with one team.
+// plannerOptions returns the options for a deployment with one team.
 func plannerOptions(enter, exit time.Duration) PlannerOptions {
 	return PlannerOptions{Teams: map[string]placement.Quota{"a": {}}, EnterBacklog: enter, ExitBacklog: exit,
 		Interval: time.Second, Floor: 0.02}
 }
 
-// oneSecond returns what one controller has counted in a second.
+// oneSecond returns the batch of one controller over a second with a single count.
 func oneSecond(count Count) []Batch { return []Batch{{Period: time.Second, Counts: []Count{count}}} }
 
-// A new leader goes on from the stored policy, a policy is stored once a term without overload, and
-// overload begins and ends at different marks. It guards against a takeover that admits everything, and
-// against writes and refusals that come and go with every measurement.
+// A new leader continues from the stored policy, only one policy per term is stored without overload,
+// and overload begins and ends at different thresholds. Guards against a takeover that admits
+// everything, against needless writes, and against refusals that flap with every measurement.
 func TestPlannerTermsAndMarks(t *testing.T) {
 	options := plannerOptions(2*time.Minute, time.Minute)
 	p := NewPlanner(start, options, 1, Policy{})
@@ -381,16 +387,16 @@
 		plan(90*time.Second, 3)
 	}
 	if policy := p.Policy(); policy.Overloaded() {
-		t.Fatal("overloaded below the mark")
+		t.Fatal("overloaded below the threshold")
 	}
 	if first, second := plan(121*time.Second, 3), plan(90*time.Second, 3); !first.Overloaded() || !second.Overloaded() {
-		t.Fatal("not overloaded at the mark, or left above the lower one")
+		t.Fatal("overload doesn't begin above the upper threshold, or ends above the lower one")
 	}
 	last := p.Policy()
 	p = NewPlanner(now, options, 2, last)
 	next := plan(90*time.Second, 3)
 	if !next.Overloaded() || !next.Newer(&last) || next.Number != last.Number+1 || len(next.Shares) != 1 {
-		t.Fatalf("the next leader goes on from %+v with %+v", last, next)
+		t.Fatalf("the next leader continues from %+v with %+v", last, next)
 	}
 	for range 60 {
 		plan(10*time.Second, 0.1)
@@ -400,8 +406,8 @@
 	}
 }
 
-// The rate of submissions alone can overload the deployment. It guards against a state service that is
-// flooded by jobs for which there are machines enough.
+// The rate of submissions alone can cause overload. Guards against flooding the state service with
+// jobs for which there are enough machines.
 func TestOverloadByWrites(t *testing.T) {
 	options := plannerOptions(time.Hour, time.Minute)
 	options.Floor = 0
@@ -413,12 +419,12 @@
 	}
 	policy := p.Policy()
 	if policy.Reason != Writes || !slices.ContainsFunc(policy.Shares, func(s Share) bool { return s.Fraction < 1 }) {
-		t.Fatalf("%+v", policy)
+		t.Fatalf("the policy after 20 s at 100 jobs per second, with a limit of 10: %+v", policy)
 	}
 }
 
-// Under overload each window begins where the one before ends, also over a takeover. It guards against
-// jobs in a gap between windows, which would never have their turn.
+// Under overload each window begins where the previous one ends, also across a takeover. Guards
+// against gaps between windows: jobs in them wouldn't get their turn.
 func TestWindowsFollowEachOther(t *testing.T) {
 	options := plannerOptions(time.Minute, time.Second)
 	rng := rand.New(rand.NewPCG(5, 5))
@@ -435,18 +441,18 @@
 		load := Load{Rates: Rates{CPUs: 100}, Backlog: 2 * time.Minute, Batches: oneSecond(count)}
 		policy, _ := p.Plan(at(time.Duration(second+1)*time.Second), load)
 		if len(policy.Shares) != 1 {
-			t.Fatalf("second %d: %+v", second, policy)
+			t.Fatalf("second %d: not one share: %+v", second, policy)
 		}
 		next := policy.Shares[0]
 		if last.Fraction > 0 && last.Fraction < 1 {
 			if want := wrap(last.Offset + last.Fraction); math.Abs(next.Offset-want) > 1e-9 {
-				t.Fatalf("second %d: a window of %g at %g is followed by one at %g", second, last.Fraction, last.Offset, next.Offset)
+				t.Fatalf("second %d: a window of length %g at %g is followed by one at %g", second, last.Fraction, last.Offset, next.Offset)
 			}
 			moved += last.Fraction
 		}
 		last = next
 	}
 	if moved < 1 {
-		t.Errorf("the windows went round %g times only", moved)
+		t.Errorf("the windows went round the circle only %g times", moved)
 	}
 }
--- a/internal/admission/allocate.go
+++ b/internal/admission/allocate.go
@@ -6,26 +6,27 @@
 	"strings"
 )
 
-// negligible is a part of the capacity that is too small to be shared out.
+// negligible is the part of the capacity below which an amount counts as zero: it absorbs rounding
+// errors, and ends the rounds of shareRest.
 const negligible = 1e-9
 
-// Demand is what the jobs of a key ask for, as a part of the capacity.
+// Demand is the load that the jobs of a key request, as a part of the capacity.
 type Demand struct {
 	Key
 	Rate float64
 }
 
-// TeamShare is a team's claim to the capacity.
+// TeamShare is a team's entitlement to the capacity.
 type TeamShare struct {
-	Weight    float64
+	Weight    float64 // for what is left after floors and guarantees
 	Guarantee float64 // part of the capacity
 }
 
-// Allocate shares the capacity out. Every key is given its floor first, and every team its
-// guarantee next; what is left is shared by weighted max-min fairness between teams. Within a team
-// the higher priorities come first, and classes of one priority share by max-min fairness. No key
-// is given more than it asks for, and all together no more than the capacity, unless the floors
-// alone are more. The result has the order of the demands.
+// Allocate divides the capacity among the demands and returns the amounts in the same order. Every
+// key gets its floor first, then every team its guarantee; the rest is divided between teams by
+// weighted max-min fairness. Within a team, higher priorities come first, and classes of the same
+// priority share by max-min fairness. No key gets more than its demand, and the sum doesn't exceed
+// the capacity unless the floors alone do.
 func Allocate(capacity, floor float64, teams map[string]TeamShare, demands []Demand) []float64 {
 	a := &allocation{given: make([]float64, len(demands)), demands: demands, left: capacity}
 	a.groupByTeam()
@@ -37,12 +38,12 @@
 	return a.given
 }
 
-// allocation is an allocation that is being computed.
+// allocation is the state of a call of Allocate.
 type allocation struct {
 	demands []Demand
-	given   []float64 // by demand
+	given   []float64 // amount per demand, in the order of demands
 	teams   []*teamAllocation
-	left    float64 // of the capacity
+	left    float64 // capacity that isn't given yet
 }
 
 // teamAllocation is a team's part of an allocation.
@@ -52,7 +53,7 @@
 	given   float64
 }
 
-// groupByTeam lists the teams by name, each with its demands.
+// groupByTeam fills a.teams, sorted by name, each with its demands sorted by priority.
 func (a *allocation) groupByTeam() {
 	byName := map[string]*teamAllocation{}
 	for i, d := range a.demands {
@@ -72,17 +73,17 @@
 	}
 }
 
-// give gives an amount to one of a team's demands.
+// give adds an amount to what one of a team's demands is given.
 func (a *allocation) give(t *teamAllocation, demand int, amount float64) {
 	a.given[demand] += amount
 	t.given += amount
 	a.left -= amount
 }
 
-// unmet returns what a demand lacks.
+// unmet returns the part of a demand that isn't given yet.
 func (a *allocation) unmet(demand int) float64 { return a.demands[demand].Rate - a.given[demand] }
 
-// unmetOfTeam returns what a team's demands lack together.
+// unmetOfTeam returns the sum of what a team's demands aren't given yet.
 func (a *allocation) unmetOfTeam(t *teamAllocation) float64 {
 	sum := 0.0
 	for _, demand := range t.demands {
@@ -91,7 +92,8 @@
 	return sum
 }
 
-// giveFloors gives each demand the floor, or all that it asks for if that is less.
+// giveFloors gives each demand the floor, or the whole demand if that is less. Floors are given even
+// if they exceed the capacity.
 func (a *allocation) giveFloors(floor float64) {
 	for _, t := range a.teams {
 		for _, demand := range t.demands {
@@ -101,7 +103,7 @@
 	a.left = max(a.left, 0)
 }
 
-// giveTeam gives an amount to a team, to its higher priorities first.
+// giveTeam gives an amount to a team's demands, higher priorities first.
 func (a *allocation) giveTeam(t *teamAllocation, amount float64) {
 	for first := 0; first < len(t.demands) && amount > 0; {
 		end := first
@@ -113,9 +115,9 @@
 	}
 }
 
-// giveEqually shares an amount among demands of one priority by max-min fairness, and returns how
-// much of it they took. Those that lack the least come first: what they leave of an equal part
-// goes to the others.
+// giveEqually divides an amount among demands of one priority by max-min fairness, and returns how
+// much of it they took. The demands with the least unmet come first, so that what they leave of an
+// equal part is divided among the others.
 func (a *allocation) giveEqually(t *teamAllocation, demands []int, amount float64) float64 {
 	byUnmet := slices.Clone(demands)
 	slices.SortStableFunc(byUnmet, func(x, y int) int { return cmp.Compare(a.unmet(x), a.unmet(y)) })
@@ -130,8 +132,9 @@
 	return taken
 }
 
-// shareRest shares what is left by weighted max-min fairness of what the teams are given in all:
-// those with the least for their weight are raised together, until their demands are met.
+// shareRest divides what is left by weighted max-min fairness (water-filling). Fairness applies to a
+// team's total, floors and guarantee included: the teams with the least in proportion to their weight
+// are raised together, until their demands are met.
 func (a *allocation) shareRest(teams map[string]TeamShare) {
 	weight := func(t *teamAllocation) float64 { return max(teams[t.name].Weight, negligible) }
 	for a.left > negligible {
@@ -155,8 +158,9 @@
 	}
 }
 
-// waterLevel returns the level, in capacity for a weight of 1, up to which the teams could be raised
-// with what is left if none of them were satisfied before. Teams that are above it aren't raised.
+// waterLevel returns the level, as capacity per unit of weight, to which what is left would raise
+// the teams if their demands were unlimited. Teams that are above the level already get nothing
+// more. It sorts teams by their present level.
 func (a *allocation) waterLevel(teams []*teamAllocation, weight func(*teamAllocation) float64) float64 {
 	levelOf := func(t *teamAllocation) float64 { return t.given / weight(t) }
 	slices.SortStableFunc(teams, func(x, y *teamAllocation) int { return cmp.Compare(levelOf(x), levelOf(y)) })
--- a/internal/admission/counter.go
+++ b/internal/admission/counter.go
@@ -5,53 +5,55 @@
 	"time"
 )
 
-// Count is what a controller has counted of a key since it was last asked.
+// Count holds a controller's counts of a key's submissions since the counts were last collected.
 type Count struct {
 	Key
-	Offered  int `cbor:"o"` // submissions, including those that were refused before
+	Offered  int `cbor:"o"` // submissions; a job that is submitted again after a refusal counts again
 	Admitted int `cbor:"a"`
 	Refused  int `cbor:"r"`
-	// OfferedCost and AdmittedCost are the costs of these jobs, see JobCost.
+	// OfferedCost and AdmittedCost are the summed costs of these submissions, see JobCost.
 	OfferedCost  float64 `cbor:"x"`
 	AdmittedCost float64 `cbor:"k"`
 }
 
-// Batch is what a controller has counted in a period.
+// Batch holds the counts of one controller over a period.
 type Batch struct {
 	Period time.Duration `cbor:"p"`
 	Counts []Count       `cbor:"c"`
 }
 
-// Bounds of what is counted. A team's further classes are counted together as otherClass, so that
-// new names don't take up memory without bound. Teams are those of the settings.
+// Once maxClassesPerTeam keys of a team are counted, its further classes are counted together as
+// otherClass, so that new class names can't use unbounded memory. Teams need no such limit: they come
+// from the settings.
 const (
 	maxClassesPerTeam = 32
 	otherClass        = "(other)"
 )
 
-// counter counts by key. Its size is bounded by teams and classes, not by jobs.
+// counter holds counts by key. Its size is bounded by teams and classes, not by jobs.
 type counter struct {
-	counts     map[Key]*Count
-	keysOfTeam map[string]int // how many keys are counted
+	counts      map[Key]*Count
+	keysPerTeam map[string]int // number of keys with a count
 }
 
-func newCounter() counter { return counter{counts: map[Key]*Count{}, keysOfTeam: map[string]int{}} }
+func newCounter() counter { return counter{counts: map[Key]*Count{}, keysPerTeam: map[string]int{}} }
 
-// countOf returns the count of a key, or that of its team's other classes.
+// countOf returns the count of a key, which it creates if needed, or the count of otherClass if the
+// team has too many keys.
 func (c *counter) countOf(k Key) *Count {
 	if count := c.counts[k]; count != nil {
 		return count
 	}
-	if c.keysOfTeam[k.Team] >= maxClassesPerTeam && k.Class != otherClass {
+	if c.keysPerTeam[k.Team] >= maxClassesPerTeam && k.Class != otherClass {
 		return c.countOf(Key{Team: k.Team, Class: otherClass, Priority: k.Priority})
 	}
-	c.keysOfTeam[k.Team]++
+	c.keysPerTeam[k.Team]++
 	count := &Count{Key: k}
 	c.counts[k] = count
 	return count
 }
 
-// collect returns all counts by key, and resets them.
+// collect returns all counts, sorted by key, and resets the counter.
 func (c *counter) collect() []Count {
 	out := make([]Count, 0, len(c.counts))
 	for _, count := range c.counts {
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -7,42 +7,44 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// GateOptions configure a controller's gate.
+// GateOptions configures a controller's gate.
 type GateOptions struct {
-	Weights map[string]float64 // by team; 1 where none is set
-	Teams   []string           // of the settings
-	// Jobs is how many jobs a second this controller can have stored; 0: no local bound.
+	Weights map[string]float64 // by team; the default is 1
+	Teams   []string           // all teams of the settings
+	// Jobs is how many jobs per second this controller can have stored; 0 means no local bound.
 	Jobs float64
-	// PolicyAge is how long after a leader last confirmed it a policy is applied as it is.
+	// PolicyAge is how long a policy is applied unchanged after a leader last confirmed it, see
+	// Fallback.
 	PolicyAge time.Duration
 }
 
-// Gate decides about the submissions at one controller. A decision takes constant time and needs no
-// other controller. A gate isn't safe for concurrent use.
+// Gate admits or refuses the submissions at one controller. A decision needs no other controller,
+// and its cost doesn't depend on the number of jobs. A gate isn't safe for concurrent use.
 type Gate struct {
 	options     GateOptions
 	policy      Policy
-	appliedAt   time.Time // when the policy was taken over
-	confirmedAt time.Time // when a leader last sent it
+	appliedAt   time.Time // when the policy replaced the previous one
+	confirmedAt time.Time // when the policy was last passed to Apply; at first, when the gate was made
 	local       localBound
 	counter     counter
 	collectedAt time.Time // when the counts were last collected
 }
 
-// NewGate makes the gate of a controller that has no policy yet: it admits all jobs within the
+// NewGate returns the gate of a controller that has no policy yet: it admits all jobs within the
 // local bound.
 func NewGate(now time.Time, options GateOptions) *Gate {
 	return &Gate{options: options, confirmedAt: now, collectedAt: now, counter: newCounter(), local: newLocalBound(options)}
 }
 
-// Policy returns the policy that is applied.
+// Policy returns the current policy. The caller must not change it.
 func (g *Gate) Policy() *Policy { return &g.policy }
 
-// ConfirmedAt returns when the policy was last confirmed or taken over.
+// ConfirmedAt returns when the current policy was last passed to Apply, or when the gate was made if
+// it has had none.
 func (g *Gate) ConfirmedAt() time.Time { return g.confirmedAt }
 
-// Apply takes a policy over if it is newer than the present one, and returns whether it did. The
-// present one, if it comes again, is confirmed.
+// Apply makes p the current policy if it is newer, and reports whether it did. If p is the current
+// policy, it is confirmed; an older one is ignored.
 func (g *Gate) Apply(now time.Time, p Policy) bool {
 	switch {
 	case p.Newer(&g.policy):
@@ -55,14 +57,16 @@
 	return false
 }
 
-// Fallback reports whether the policy refuses jobs and is too old to be applied as it is.
+// Fallback reports whether the gate is in fallback: the policy may refuse jobs, but no leader has
+// confirmed it for PolicyAge, so it is no longer applied unchanged.
 func (g *Gate) Fallback(now time.Time) bool {
 	return g.policy.Overloaded() && now.Sub(g.confirmedAt) > g.options.PolicyAge
 }
 
-// effective returns the policy as it is applied now. If it is too old, its windows are moved on by
-// this controller's own clock, so that every job still has its turn; the fractions stay.
-func (g *Gate) effective(now time.Time) *Policy {
+// effectivePolicy returns the policy that decisions follow now. In fallback, its windows are moved by
+// one step for each interval since the policy was applied, by this controller's clock, so that every
+// job still gets its turn; the fractions stay.
+func (g *Gate) effectivePolicy(now time.Time) *Policy {
 	if !g.Fallback(now) || g.policy.Interval <= 0 {
 		return &g.policy
 	}
@@ -76,21 +80,22 @@
 	return &p
 }
 
-// Submission is a submission that the gate decides about.
+// Submission is a job that a user submits.
 type Submission struct {
-	Job  string
+	Job  string // the job's id
 	Spec *pipeline.Spec
 }
 
-// Decide decides about a submission and counts it. The policy decides first, as at every controller,
-// and then the local bound, for a surge that the policy doesn't know of yet.
-func (g *Gate) Decide(now time.Time, o Submission) Decision {
-	k := Key{Team: o.Spec.Team, Class: o.Spec.Class, Priority: o.Spec.Priority}
-	cost := JobCost(o.Spec, o.Spec.Estimate, g.policy.Rate)
+// Decide admits or refuses a submission and counts it. The policy, which is the same at every
+// controller, decides first; then the local bound, which contains a surge that the policy doesn't
+// take into account yet.
+func (g *Gate) Decide(now time.Time, submission Submission) Decision {
+	k := Key{Team: submission.Spec.Team, Class: submission.Spec.Class, Priority: submission.Spec.Priority}
+	cost := JobCost(submission.Spec, submission.Spec.Estimate, g.policy.Capacity)
 	count := g.counter.countOf(k)
 	count.Offered++
 	count.OfferedCost += cost
-	d := g.effective(now).Decide(k, o.Job)
+	d := g.effectivePolicy(now).Decide(k, submission.Job)
 	if d.Admitted && !g.local.admit(now, k.Team) {
 		d = Decision{RetryAfter: minRetryAfter, Reason: Writes}
 	}
@@ -103,7 +108,7 @@
 	return d
 }
 
-// CollectCounts returns what was counted since the last call.
+// CollectCounts returns the counts since the last call and resets them.
 func (g *Gate) CollectCounts(now time.Time) Batch {
 	batch := Batch{Period: now.Sub(g.collectedAt), Counts: g.counter.collect()}
 	g.collectedAt = now
--- a/internal/admission/local_bound.go
+++ b/internal/admission/local_bound.go
@@ -2,34 +2,37 @@
 
 import "time"
 
-// localWindow is the length of a window of the local bound: as many jobs as the controller can have
-// stored in that time may come at once.
+// localWindow is the length of a window of the local bound. As many jobs as the controller can have
+// stored in that time may arrive in one burst.
 const localWindow = 4 * time.Second
 
-// localBound limits the jobs that a controller admits in a window to what it can have stored, and
-// shares them among teams. What a team asked for in the last window is reserved for it in this one,
-// up to its weighted part; the rest goes to whoever comes first. So a surge of one team leaves the
-// others what they are used to, before any policy knows of it.
+// localBound is a fixed-window rate limiter: it limits the jobs that a controller admits in a window
+// to what it can have stored, and divides them among teams. As many jobs as a team submitted in the
+// last window are reserved for it in this one, up to its weighted part; the rest is first come, first
+// served. So a surge of one team leaves the others their usual rate, before any policy takes the
+// surge into account. A team below its weighted part is always admitted, even where others have used
+// up the window; jobs of teams that submitted less in the last window may thus exceed the limit.
 type localBound struct {
-	perSecond float64            // jobs that the controller can have stored; 0: no bound
-	parts     map[string]float64 // jobs a second by team
-	teams     map[string]*teamWindow
-	windowAt  time.Time // when the present window began
-	admitted  float64   // jobs in this window
-	reserved  float64   // jobs of this window that are reserved for teams and not admitted yet
+	jobsPerSecond float64            // jobs that the controller can have stored; 0: no bound
+	teamRates     map[string]float64 // a team's weighted part of jobsPerSecond
+	teams         map[string]*teamWindow
+	windowStart   time.Time // of the current window
+	admitted      float64   // jobs admitted in the current window
+	reserved      float64   // jobs that are reserved for teams in the current window and not admitted yet
 }
 
-// teamWindow counts a team's jobs in the present window, and those that it asked for in the last one.
+// teamWindow counts the jobs of a team that the policy admits: those offered and admitted in the
+// current window, and those offered in the last one.
 type teamWindow struct{ admitted, offered, offeredBefore float64 }
 
 func newLocalBound(o GateOptions) localBound {
-	b := localBound{perSecond: o.Jobs, parts: map[string]float64{}, teams: map[string]*teamWindow{}}
+	b := localBound{jobsPerSecond: o.Jobs, teamRates: map[string]float64{}, teams: map[string]*teamWindow{}}
 	sum := 0.0
 	for _, team := range o.Teams {
 		sum += weightOf(o.Weights, team)
 	}
 	for _, team := range o.Teams {
-		b.parts[team] = o.Jobs * weightOf(o.Weights, team) / sum
+		b.teamRates[team] = o.Jobs * weightOf(o.Weights, team) / sum
 		b.teams[team] = &teamWindow{}
 	}
 	return b
@@ -43,13 +46,13 @@
 	return 1
 }
 
-// admit counts a job in the present window; it returns false if the team has had its part and the
-// rest is admitted or reserved for others.
+// admit counts a job in the current window and reports whether it is admitted. It isn't if the team
+// has used up its part and the rest of the window is admitted or reserved for others.
 func (b *localBound) admit(now time.Time, team string) bool {
-	if b.perSecond <= 0 {
+	if b.jobsPerSecond <= 0 {
 		return true
 	}
-	if now.Sub(b.windowAt) >= localWindow {
+	if now.Sub(b.windowStart) >= localWindow {
 		b.beginWindow(now)
 	}
 	t := b.teams[team]
@@ -57,7 +60,7 @@
 		return true // submissions of unknown teams are refused before they get here
 	}
 	t.offered++
-	limit := b.perSecond * localWindow.Seconds()
+	limit := b.jobsPerSecond * localWindow.Seconds()
 	part := b.partOfWindow(team)
 	reservedForTeam := min(t.offeredBefore, part)
 	reservedForOthers := b.reserved - max(0, reservedForTeam-t.admitted)
@@ -72,17 +75,17 @@
 	return true
 }
 
-// beginWindow begins a window, with what each team asked for in the last one reserved for it, up to
-// its part.
+// beginWindow begins a window and reserves for each team what it offered in the last one, up to its
+// part.
 func (b *localBound) beginWindow(now time.Time) {
-	b.windowAt, b.admitted, b.reserved = now, 0, 0
+	b.windowStart, b.admitted, b.reserved = now, 0, 0
 	for team, t := range b.teams {
 		t.offeredBefore, t.offered, t.admitted = t.offered, 0, 0
 		b.reserved += min(t.offeredBefore, b.partOfWindow(team))
 	}
 }
 
-// partOfWindow returns how many jobs of a window are a team's own, which is at least one.
+// partOfWindow returns a team's weighted part of a window in jobs, at least one.
 func (b *localBound) partOfWindow(team string) float64 {
-	return max(1, b.parts[team]*localWindow.Seconds())
+	return max(1, b.teamRates[team]*localWindow.Seconds())
 }
--- a/internal/admission/planner.go
+++ b/internal/admission/planner.go
@@ -7,11 +7,11 @@
 	"gingertally/internal/core/placement"
 )
 
-// PlannerOptions configure the leader's planner.
+// PlannerOptions configures the leader's planner.
 type PlannerOptions struct {
 	Teams   map[string]placement.Quota
-	Weights map[string]float64 // by team; 1 where none is set
-	// Floor is the part of the capacity that each class is given first.
+	Weights map[string]float64 // by team; the default is 1
+	// Floor is the part of the capacity that each key gets before anything else is allocated.
 	Floor float64
 	// EnterBacklog and ExitBacklog are the backlogs at which overload begins and ends.
 	EnterBacklog, ExitBacklog time.Duration
@@ -19,48 +19,49 @@
 	Interval time.Duration
 }
 
-// Load is what the leader has measured.
+// Load is the input of Planner.Plan: the present capacity and backlog, and the counts since the last
+// call.
 type Load struct {
 	Rates   Rates
-	Backlog time.Duration // how long the machines need for the tasks that wait
-	Batches []Batch       // of all controllers that answered, since each was last asked
+	Backlog time.Duration // how long the machines need for the waiting tasks
+	Batches []Batch       // one of each controller that answered
 }
 
-// Marks of overload. It begins and ends at different ones, so that it doesn't come and go with
-// every measurement.
+// Thresholds of overload. They differ for its begin and its end (hysteresis), so that small changes
+// in the measurements don't switch it on and off.
 const (
-	// enterWritesPart and exitWritesPart are the parts of the state service's rate of jobs that are
-	// asked for when overload by writes begins and ends.
-	enterWritesPart, exitWritesPart = 0.9, 0.6
-	// demandPart is the part of the capacity that has to be asked for while there is overload by
-	// backlog. With less, the backlog shrinks by itself.
-	demandPart = 0.9
-	// inflowPartAboveMark is the part of the capacity that is admitted while the backlog is above
-	// the mark at which overload began, so that it shrinks.
-	inflowPartAboveMark = 0.8
+	// enterWriteLoad and exitWriteLoad are the thresholds of overload by writes, as parts of the rate
+	// of jobs that the state service can take.
+	enterWriteLoad, exitWriteLoad = 0.9, 0.6
+	// minBacklogDemand is the demand, as a part of the capacity, above which overload by backlog can
+	// begin, and to which demand must fall for it to end. With less, the backlog shrinks by itself.
+	minBacklogDemand = 0.9
+	// capacityWhileBacklogged is the part of the capacity that is allocated while the backlog is above
+	// the threshold at which overload begins, so that the backlog shrinks.
+	capacityWhileBacklogged = 0.8
 	// forgetAfter is how long after its last submission a key is forgotten.
 	forgetAfter = time.Minute
-	// similarPart is by which factor two measurements of the capacity may differ and still count as
-	// the same.
-	similarPart = 0.8
+	// minSimilarRatio is the ratio down to which two measurements of the capacity count as equal.
+	minSimilarRatio = 0.8
 )
 
-// Planner measures load and makes the policies of a leader's term. It isn't safe for concurrent use.
+// Planner measures the load and makes the policies of a leader's term. It isn't safe for concurrent
+// use.
 type Planner struct {
 	options   PlannerOptions
 	term      uint64
-	policy    Policy
+	policy    Policy // the newest
 	keys      map[Key]*keyControl
-	jobRate   float64 // jobs offered in a second, smoothed
+	jobRate   float64 // jobs offered per second, smoothed
 	plannedAt time.Time
 }
 
-// NewPlanner makes the planner of a term. It goes on from the policy that the state service holds;
-// a deployment that never had one starts with the zero policy.
+// NewPlanner returns the planner of a term. It continues from the policy that the state service
+// holds, which is the zero policy if none was ever stored.
 func NewPlanner(now time.Time, options PlannerOptions, term uint64, stored Policy) *Planner {
 	p := &Planner{options: options, term: term, policy: stored, keys: map[Key]*keyControl{}, plannedAt: now}
 	for _, s := range stored.Shares {
-		p.keys[s.Key] = &keyControl{share: s, due: s.FairShare, offered: s.FairShare, offeredAt: now}
+		p.keys[s.Key] = &keyControl{share: s, fairShare: s.FairShare, offered: s.FairShare, offeredAt: now}
 	}
 	return p
 }
@@ -68,25 +69,26 @@
 // Policy returns the newest policy.
 func (p *Planner) Policy() Policy { return p.policy }
 
-// Measured is what the planner has measured of a key, in parts of the capacity.
-type Measured struct {
+// Measurement holds the measured load of a key and its fair share, as parts of the capacity.
+type Measurement struct {
 	Key
 	Offered, FairShare float64
-	Admitted           float64 // what was admitted; 0 without overload, or where nothing is refused
+	Admitted           float64 // 0 without overload, or if the key isn't limited
 }
 
-// Measured lists what was measured, by key.
-func (p *Planner) Measured() []Measured {
-	var out []Measured
+// Measurements returns the measurements of all keys, sorted by key.
+func (p *Planner) Measurements() []Measurement {
+	var out []Measurement
 	for _, k := range p.sortedKeys() {
 		control := p.keys[k]
-		out = append(out, Measured{Key: k, Offered: control.offered, FairShare: control.due, Admitted: control.admitted})
+		out = append(out, Measurement{Key: k, Offered: control.offered, FairShare: control.fairShare, Admitted: control.admitted})
 	}
 	return out
 }
 
-// Plan takes in what was measured since the last call and makes the next policy. If changed is true
-// it has to be stored. Without overload a policy stands for the whole term, unless the capacity changes.
+// Plan processes the load since the last call and returns the newest policy. If changed is true, the
+// policy is a new one and the caller must store it. Under overload, every call makes a new policy;
+// otherwise one policy lasts for the whole term, unless the capacity changes.
 func (p *Planner) Plan(now time.Time, load Load) (policy Policy, changed bool) {
 	elapsed := now.Sub(p.plannedAt).Seconds()
 	p.plannedAt = now
@@ -96,10 +98,10 @@
 	p.measure(now, load.Batches, elapsed)
 	last := p.policy
 	reason := p.nextReason(load)
-	if reason == NotOverloaded && !last.Overloaded() && last.Term == p.term && last.Rate.similar(load.Rates) {
+	if reason == NotOverloaded && !last.Overloaded() && last.Term == p.term && last.Capacity.similar(load.Rates) {
 		return p.policy, false
 	}
-	p.policy = Policy{Term: p.term, Number: last.Number + 1, Reason: reason, Interval: p.options.Interval, Rate: load.Rates}
+	p.policy = Policy{Term: p.term, Number: last.Number + 1, Reason: reason, Interval: p.options.Interval, Capacity: load.Rates}
 	if reason == NotOverloaded {
 		for _, control := range p.keys {
 			control.reset()
@@ -110,13 +112,14 @@
 	return p.policy, true
 }
 
-// similar reports whether two measurements of the capacity are about the same.
-func (r Rates) similar(o Rates) bool {
-	near := func(x, y float64) bool { return x == y || x > y*similarPart && x < y*(1/similarPart) }
-	return near(r.CPUs, o.CPUs) && near(r.GPUs, o.GPUs) && near(r.MemGB, o.MemGB) && near(r.Jobs, o.Jobs)
+// similar reports whether no rate differs by more than minSimilarRatio allows.
+func (r Rates) similar(other Rates) bool {
+	near := func(x, y float64) bool { return x == y || x > y*minSimilarRatio && x < y*(1/minSimilarRatio) }
+	return near(r.CPUs, other.CPUs) && near(r.GPUs, other.GPUs) && near(r.MemGB, other.MemGB) && near(r.Jobs, other.Jobs)
 }
 
-// measure takes in the controllers' counts.
+// measure updates the keys' averages with the controllers' counts, adds keys that are new and removes
+// those without submissions for forgetAfter.
 func (p *Planner) measure(now time.Time, batches []Batch, elapsed float64) {
 	costs := map[Key]costRate{}
 	jobs := 0.0
@@ -149,31 +152,32 @@
 	}
 }
 
-// nextReason decides whether the deployment is overloaded. Overload by backlog begins only if more
-// is asked for than can be done, and ends when backlog and demand are both below their marks.
+// nextReason returns why the deployment is overloaded now, or NotOverloaded. Overload by backlog
+// begins only if the demand also exceeds minBacklogDemand, and ends when both backlog and demand have
+// fallen to their thresholds.
 func (p *Planner) nextReason(load Load) Reason {
 	demand := 0.0
 	for _, control := range p.keys {
 		demand += control.offered
 	}
-	writesPart := 0.0
+	writeLoad := 0.0
 	if load.Rates.Jobs > 0 {
-		writesPart = p.jobRate / load.Rates.Jobs
+		writeLoad = p.jobRate / load.Rates.Jobs
 	}
 	switch p.policy.Reason {
 	case Backlog:
-		if load.Backlog > p.options.ExitBacklog || demand > demandPart {
+		if load.Backlog > p.options.ExitBacklog || demand > minBacklogDemand {
 			return Backlog
 		}
 	case Writes:
-		if writesPart > exitWritesPart {
+		if writeLoad > exitWriteLoad {
 			return Writes
 		}
 	}
 	switch {
-	case load.Backlog >= p.options.EnterBacklog && demand > demandPart:
+	case load.Backlog >= p.options.EnterBacklog && demand > minBacklogDemand:
 		return Backlog
-	case writesPart >= enterWritesPart:
+	case writeLoad >= enterWriteLoad:
 		return Writes
 	}
 	return NotOverloaded
@@ -188,24 +192,25 @@
 		demands[i] = Demand{Key: k, Rate: p.keys[k].offered}
 		teams[k.Team] = TeamShare{Weight: weightOf(p.options.Weights, k.Team), Guarantee: p.guarantee(k.Team, load.Rates)}
 	}
-	due := Allocate(p.inflow(load), p.options.Floor, teams, demands)
+	fairShares := Allocate(p.allocatableCapacity(load), p.options.Floor, teams, demands)
 	var out []Share
 	for i, k := range keys {
-		out = append(out, p.keys[k].nextShare(due[i], elapsed))
+		out = append(out, p.keys[k].nextShare(fairShares[i], elapsed))
 	}
 	return out
 }
 
-// inflow returns the part of the capacity that is shared out: less than all while the backlog is
-// above the mark at which overload began.
-func (p *Planner) inflow(load Load) float64 {
+// allocatableCapacity returns the part of the capacity to be allocated: all of it, or less while the
+// backlog has to shrink, see capacityWhileBacklogged.
+func (p *Planner) allocatableCapacity(load Load) float64 {
 	if p.policy.Reason == Backlog && load.Backlog > p.options.EnterBacklog {
-		return inflowPartAboveMark
+		return capacityWhileBacklogged
 	}
 	return 1
 }
 
-// guarantee returns a team's guarantee as a part of the capacity: the larger one of its resources.
+// guarantee returns a team's guarantee as a part of the capacity: that of CPUs or that of GPUs,
+// whichever is larger.
 func (p *Planner) guarantee(team string, r Rates) float64 {
 	quota, part := p.options.Teams[team], 0.0
 	if r.CPUs > 0 {
@@ -217,6 +222,7 @@
 	return min(part, 1)
 }
 
+// sortedKeys returns the keys with a keyControl, sorted.
 func (p *Planner) sortedKeys() []Key {
 	keys := make([]Key, 0, len(p.keys))
 	for k := range p.keys {
--- a/internal/admission/policy.go
+++ b/internal/admission/policy.go
@@ -11,7 +11,8 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// Key names the jobs that are counted and decided together: those of a team, class and priority.
+// Key identifies the jobs that are counted and admitted together: those of one team, class and
+// priority.
 type Key struct {
 	Team     string            `cbor:"t"`
 	Class    string            `cbor:"c"`
@@ -23,13 +24,13 @@
 	return cmp.Or(cmp.Compare(k.Team, o.Team), cmp.Compare(k.Priority, o.Priority), cmp.Compare(k.Class, o.Class))
 }
 
-// Reason says why a policy refuses jobs.
+// Reason is the reason for which a policy refuses jobs.
 type Reason uint8
 
 // Reasons of overload.
 const (
 	NotOverloaded Reason = iota
-	Backlog              // the machines need too long for the tasks that wait
+	Backlog              // the machines need too long for the waiting tasks
 	Writes               // more jobs are submitted than the state service can take
 )
 
@@ -38,46 +39,51 @@
 // String returns the reason's name.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Share says which jobs of a key a policy admits: those with a position in a window on the unit
-// circle.
+// Share determines which jobs of a key a policy admits. Job ids are hashed to positions on a circle
+// of length 1, on which a window moves with each policy. A job has its turn, and is admitted, while
+// its position is in the window of the policy or in one of the last windowSpan-1 windows.
 type Share struct {
 	Key
-	// Fraction is by how much each policy moves the window on; at 1 all jobs are admitted.
+	// Fraction is the length of the window, and how far each policy moves it. From 1/windowSpan on,
+	// all jobs are admitted.
 	Fraction  float64 `cbor:"f"`
-	Offset    float64 `cbor:"o"` // where the window begins
+	Offset    float64 `cbor:"o"` // position at which the window begins
 	FairShare float64 `cbor:"d"` // the key's fair share, as a part of the capacity
 }
 
-// Policy is what all gates decide by, until a newer one replaces it. It is never changed.
+// Policy contains all that gates need to admit or refuse jobs. All gates apply the same policy until
+// a newer one replaces it. A policy is immutable.
 type Policy struct {
 	Term     uint64        `cbor:"m"`
-	Number   uint64        `cbor:"n"` // rises with each policy, across terms
+	Number   uint64        `cbor:"n"` // increases with each policy, across terms
 	Reason   Reason        `cbor:"r"`
 	Interval time.Duration `cbor:"i"` // between two policies under overload
-	Shares   []Share       `cbor:"s"` // by key; empty without overload
-	Rate     Rates         `cbor:"c"`
+	Shares   []Share       `cbor:"s"` // sorted by key; empty without overload
+	Capacity Rates         `cbor:"c"` // as measured when the policy was made
 }
 
-// Rates is what the deployment can do in a second: its capacity.
+// Rates is the deployment's capacity per second; that of the machines is in CPU-, GPU- and GB-seconds.
 type Rates struct {
 	CPUs  float64 `cbor:"c"`
 	GPUs  float64 `cbor:"g"`
 	MemGB float64 `cbor:"m"`
-	Jobs  float64 `cbor:"j"` // that the state service can take
+	Jobs  float64 `cbor:"j"` // new jobs that the state service can take
 }
 
 // Overloaded reports whether the policy may refuse jobs.
 func (p *Policy) Overloaded() bool { return p.Reason != NotOverloaded }
 
-// Newer reports whether the policy replaces another. One of an older term never does.
-func (p *Policy) Newer(o *Policy) bool {
-	if p.Term != o.Term {
-		return p.Term > o.Term
+// Newer reports whether the policy replaces other: whether it has a higher term, or a higher number
+// in the same term.
+func (p *Policy) Newer(other *Policy) bool {
+	if p.Term != other.Term {
+		return p.Term > other.Term
 	}
-	return p.Number > o.Number
+	return p.Number > other.Number
 }
 
-// SharesWithoutWidest returns the shares without the one that refuses the smallest part of its jobs.
+// SharesWithoutWidest returns the shares without the one with the largest fraction, which refuses the
+// smallest part of its jobs. There must be at least one share.
 func (p *Policy) SharesWithoutWidest() []Share {
 	widest := 0
 	for i := range p.Shares {
@@ -88,10 +94,10 @@
 	return slices.Delete(slices.Clone(p.Shares), widest, widest+1)
 }
 
-// Bounds of a decision.
+// Constants of decisions.
 const (
-	// windowSpan is how many policies a job's turn lasts. A job that comes a little late, or at a
-	// controller with the policy before, still has its turn.
+	// windowSpan is the number of successive policies that a job's turn lasts. A job that is submitted
+	// a little late, or at a controller that still has the previous policy, doesn't miss its turn.
 	windowSpan = 3
 	// maxRetryAfter is the longest pause that users obey (PROTOCOL).
 	maxRetryAfter = 30 * time.Second
@@ -101,14 +107,15 @@
 // Decision is the answer to a submission.
 type Decision struct {
 	Admitted   bool
-	RetryAfter time.Duration // of a refusal
-	Reason     Reason
+	RetryAfter time.Duration // of a refusal: when the user may submit the job again
+	Reason     Reason        // of a refusal
 }
 
 // Admit is the decision to admit a job.
 var Admit = Decision{Admitted: true}
 
-// Decide decides about a job by the policy alone.
+// Decide admits or refuses a job of a key by the policy alone. A refusal's RetryAfter is the time
+// until the job's turn if the fraction stays the same, limited to minRetryAfter and maxRetryAfter.
 func (p *Policy) Decide(k Key, job string) Decision {
 	if !p.Overloaded() {
 		return Admit
@@ -117,7 +124,7 @@
 	if share.Fraction >= 1.0/windowSpan {
 		return Admit // the windows of windowSpan policies cover the whole circle
 	}
-	ahead := wrap(position(job) - share.Offset) // how far the window has to move to reach the job
+	ahead := wrap(position(job) - share.Offset) // distance from the begin of the window to the job
 	if ahead < share.Fraction || passedRecently(ahead, share.Fraction) {
 		return Admit
 	}
@@ -126,13 +133,13 @@
 	return Decision{RetryAfter: min(max(wait, minRetryAfter), maxRetryAfter), Reason: p.Reason}
 }
 
-// passedRecently reports whether a job was in the window of one of the windowSpan-1 policies before,
-// if the fraction was the same.
+// passedRecently reports whether a job was in the window of one of the windowSpan-1 previous
+// policies, assuming that they had the same fraction.
 func passedRecently(ahead, fraction float64) bool { return ahead >= 1-(windowSpan-1)*fraction }
 
-// shareOf returns the share of a key. A class that the policy doesn't know has the smallest one of
-// its team, so that new names gain nothing. A team that it doesn't know is admitted in full: it
-// asked for little until now.
+// shareOf returns the share that applies to a key. Without one of its own, that is the share of the
+// key's team with the smallest fraction, so that users gain nothing by new class names. If the team
+// has no share at all, all its jobs are admitted: it has submitted little until now.
 func (p *Policy) shareOf(k Key) Share {
 	i, known := slices.BinarySearchFunc(p.Shares, k, func(s Share, k Key) int { return s.Key.compare(k) })
 	if known {
@@ -153,13 +160,13 @@
 	return smallest
 }
 
-// position returns a job's place on the circle that the windows move along, from 0 to 1.
+// position returns the position of a job on the circle that the windows move along, in [0, 1).
 func position(job string) float64 {
-	const bits = 53 // what a float64 represents exactly
+	const bits = 53 // integers of this size are exact in a float64
 	return float64(xxhash.Sum64String(job)>>(64-bits)) / (1 << bits)
 }
 
-// wrap returns the place on the circle that a number stands for: its fractional part.
+// wrap reduces a number to a position on the circle: its fractional part, in [0, 1).
 func wrap(x float64) float64 {
 	x -= math.Floor(x)
 	if x >= 1 {
@@ -168,12 +175,13 @@
 	return x
 }
 
-// serviceSeconds is for how many seconds a service's replica counts, which runs until its job is
-// cancelled.
+// serviceSeconds is the run time, in seconds, that is assumed for each replica of a service, because
+// it has no end of its own: it runs until the job is cancelled.
 const serviceSeconds = 600
 
-// JobCost returns what a job takes of the capacity, as a time in seconds: for how long it would
-// have all of its dominant resource, or of the state service's rate of jobs, for itself.
+// JobCost returns the cost of a job: for how many seconds it would use the whole capacity of its
+// dominant resource, where the state service's rate of jobs counts as a resource too. run is the
+// expected run time of a task.
 func JobCost(s *pipeline.Spec, run time.Duration, r Rates) float64 {
 	seconds := run.Seconds() * float64(s.Tasks)
 	if s.Shape == pipeline.Service {
--- a/internal/controller/overload/leader.go
+++ b/internal/controller/overload/leader.go
@@ -15,20 +15,20 @@
 const (
 	// exchangeTimeout bounds the exchange with one controller.
 	exchangeTimeout = 700 * time.Millisecond
-	// readRetry is the pause after a policy that couldn't be read.
-	readRetry = 200 * time.Millisecond
+	// readRetryPause is the pause after a policy that couldn't be read.
+	readRetryPause = 200 * time.Millisecond
 )
 
 // RunLeader implements Controller: measure, plan, store, send.
 func (n *Node) RunLeader(ctx context.Context, term Term) error {
-	latest, err := n.storedPolicy(ctx)
+	latest, err := n.waitForStoredPolicy(ctx)
 	if err != nil {
 		return err
 	}
-	planner := admission.NewPlanner(time.Now(), n.planner, term.Number(), latest)
+	planner := admission.NewPlanner(time.Now(), n.plannerOptions, term.Number(), latest)
 	n.apply(latest)
-	defer n.setMeasured(nil)
-	for wait.Sleep(ctx, n.planner.Interval) {
+	defer n.setMeasurements(nil)
+	for wait.Sleep(ctx, n.plannerOptions.Interval) {
 		if term.HoldsLease() {
 			latest = n.planRound(ctx, term, planner, latest)
 		}
@@ -48,9 +48,9 @@
 		return latest
 	}
 	policy, changed := planner.Plan(time.Now(), load)
-	n.setMeasured(planner.Measured())
+	n.setMeasurements(planner.Measurements())
 	if changed {
-		policy = n.fitting(policy)
+		policy = n.truncateToFit(policy)
 		if err := term.StoreValue(ctx, PolicyKey, codec.MustMarshal(policy)); err != nil {
 			n.log.Debug("admission policy not stored", "error", err)
 			return latest
@@ -62,22 +62,22 @@
 	return latest
 }
 
-// setMeasured notes what the leader has measured, for the status.
-func (n *Node) setMeasured(measured []admission.Measured) {
+// setMeasurements notes what the leader has measured, for the status.
+func (n *Node) setMeasurements(measurements []admission.Measurement) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.measured = measured
+	n.measurements = measurements
 }
 
-// storedPolicy reads the policy that the state service holds, until it can be had.
-func (n *Node) storedPolicy(ctx context.Context) (admission.Policy, error) {
+// waitForStoredPolicy reads the policy that the state service holds, until it can be had.
+func (n *Node) waitForStoredPolicy(ctx context.Context) (admission.Policy, error) {
 	for {
 		policy, err := n.readPolicy(ctx)
 		if err == nil {
 			return policy, nil
 		}
 		n.log.Debug("admission policy not read", "error", err)
-		if !wait.Sleep(ctx, readRetry) {
+		if !wait.Sleep(ctx, readRetryPause) {
 			return policy, ctx.Err()
 		}
 	}
@@ -86,7 +86,7 @@
 // exchange sends all controllers the policy and gathers their counts. Those that can't be reached,
 // or are of a version without admission control, count nothing.
 func (n *Node) exchange(ctx context.Context, policy admission.Policy) []admission.Batch {
-	batches := []admission.Batch{n.takeCounts()}
+	batches := []admission.Batch{n.collectCounts()}
 	request := peer.Request{Method: http.MethodPost, Path: ExchangePath, Body: codec.MustMarshal(policy)}
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
@@ -108,9 +108,9 @@
 	return batches
 }
 
-// fitting leaves the shares out for which a value of the state service is too small, those
+// truncateToFit leaves the shares out for which a value of the state service is too small, those
 // that refuse least first: classes without a share count like the least of their team's.
-func (n *Node) fitting(policy admission.Policy) admission.Policy {
+func (n *Node) truncateToFit(policy admission.Policy) admission.Policy {
 	for len(policy.Shares) > 0 {
 		size, err := codec.JSONSize(codec.MustMarshal(policy))
 		if err == nil && size <= n.options.Limits.MaxValueBytes() {
--- a/internal/controller/overload/node.go
+++ b/internal/controller/overload/node.go
@@ -21,12 +21,12 @@
 )
 
 const (
-	// statusNoPart answers a leader that sends its policy to a controller without admission control.
-	statusNoPart = http.StatusNotFound
-	// knownTimeout bounds the look at whether a refused job is known: it must not be held up.
-	knownTimeout = 150 * time.Millisecond
-	// maxKeptCounts bounds the classes of work whose totals are kept.
-	maxKeptCounts = 5000
+	// statusExchangeRefused answers a leader that sends its policy to a controller without admission control.
+	statusExchangeRefused = http.StatusNotFound
+	// knownJobTimeout bounds the look at whether a refused job is known: it must not be held up.
+	knownJobTimeout = 150 * time.Millisecond
+	// maxTotals bounds the classes of work whose totals are kept.
+	maxTotals = 5000
 )
 
 // Peers reaches the other controllers.
@@ -50,14 +50,14 @@
 
 // Node is the Controller where admission control is on.
 type Node struct {
-	options Options
-	planner admission.PlannerOptions
-	log     *slog.Logger
-
-	mu       sync.Mutex
-	gate     *admission.Gate
-	totals   map[admission.Key]*admission.Count // since the start
-	measured []admission.Measured               // by the leader, while this controller leads
+	options        Options
+	plannerOptions admission.PlannerOptions
+	log            *slog.Logger
+
+	mu           sync.Mutex
+	gate         *admission.Gate
+	totals       map[admission.Key]*admission.Count // since the start
+	measurements []admission.Measurement            // by the leader, while this controller leads
 }
 
 // New makes a controller's part in admission control, which is on.
@@ -66,7 +66,7 @@
 	users, _ := options.Limits.Users()
 	return &Node{
 		options: options, totals: map[admission.Key]*admission.Count{}, log: slog.With("component", "admission"),
-		planner: admission.PlannerOptions{Teams: options.Quotas, Weights: settings.Weights, Floor: settings.Floor,
+		plannerOptions: admission.PlannerOptions{Teams: options.Quotas, Weights: settings.Weights, Floor: settings.Floor,
 			EnterBacklog: settings.EnterBacklog, ExitBacklog: settings.ExitBacklog, Interval: options.Limits.PolicyInterval()},
 		gate: admission.NewGate(time.Now(), admission.GateOptions{Weights: settings.Weights, Teams: options.Teams,
 			Jobs: users.Writes, PolicyAge: settings.PolicyAge}),
@@ -85,7 +85,7 @@
 // Known tells whether a job that was refused had been accepted before, as far as can be
 // found out at once (userapi.Admission).
 func (n *Node) Known(ctx context.Context, ref string) bool {
-	ctx, cancel := context.WithTimeout(ctx, knownTimeout)
+	ctx, cancel := context.WithTimeout(ctx, knownJobTimeout)
 	defer cancel()
 	state, err := n.options.Jobs.Load(ctx, ref)
 	return err == nil && state.Found
@@ -104,8 +104,8 @@
 	n.options.Metrics.PolicyApplied(n.gate.Policy().Number)
 }
 
-// takeCounts returns what was counted since the last time.
-func (n *Node) takeCounts() admission.Batch {
+// collectCounts returns what was counted since the last time.
+func (n *Node) collectCounts() admission.Batch {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	batch := n.gate.CollectCounts(time.Now())
@@ -119,7 +119,7 @@
 func (n *Node) addToTotals(count admission.Count) {
 	total := n.totals[count.Key]
 	if total == nil {
-		if len(n.totals) >= maxKeptCounts {
+		if len(n.totals) >= maxTotals {
 			return
 		}
 		total = &admission.Count{Key: count.Key}
@@ -134,10 +134,10 @@
 func (n *Node) ServeExchange(body []byte) peer.Response {
 	var policy admission.Policy
 	if codec.Unmarshal(body, &policy) != nil {
-		return peer.Response{Status: statusNoPart}
+		return peer.Response{Status: statusExchangeRefused}
 	}
 	n.apply(policy)
-	return peer.Response{Status: http.StatusOK, Body: codec.MustMarshal(n.takeCounts())}
+	return peer.Response{Status: http.StatusOK, Body: codec.MustMarshal(n.collectCounts())}
 }
 
 // readPolicy reads the policy that the state service holds; the zero policy if there is none.
--- a/internal/controller/overload/node_test.go
+++ b/internal/controller/overload/node_test.go
@@ -94,7 +94,7 @@
 			Fraction: float64(i+1) / 200,
 		})
 	}
-	fits := n.fitting(p)
+	fits := n.truncateToFit(p)
 	size, err := codec.JSONSize(codec.MustMarshal(fits))
 	if err != nil || size > n.options.Limits.MaxValueBytes() || len(fits.Shares) < 20 {
 		t.Fatalf("%d bytes with %d shares, %v", size, len(fits.Shares), err)
--- a/internal/controller/overload/overload.go
+++ b/internal/controller/overload/overload.go
@@ -45,7 +45,7 @@
 
 // ServeExchange implements Controller: the leader is told that this controller takes no part.
 func (Disabled) ServeExchange([]byte) peer.Response {
-	return peer.Response{Status: statusNoPart}
+	return peer.Response{Status: statusExchangeRefused}
 }
 
 // Status implements Controller.
--- a/internal/controller/overload/status.go
+++ b/internal/controller/overload/status.go
@@ -45,32 +45,32 @@
 	policy := n.gate.Policy()
 	status := &Status{Term: policy.Term, Number: policy.Number, Reason: policy.Reason.String(),
 		Age: now.Sub(n.gate.ConfirmedAt()), Fallback: n.gate.Fallback(now)}
-	for _, class := range n.classes(policy) {
+	for _, class := range n.classStatuses(policy) {
 		status.Classes = append(status.Classes, *class)
 	}
 	slices.SortFunc(status.Classes, compareClasses)
 	return status
 }
 
-// classes brings together what is known of each class; n.mu is held.
-func (n *Node) classes(policy *admission.Policy) map[admission.Key]*ClassStatus {
+// classStatuses brings together what is known of each class; n.mu is held.
+func (n *Node) classStatuses(policy *admission.Policy) map[admission.Key]*ClassStatus {
 	classes := map[admission.Key]*ClassStatus{}
-	of := func(key admission.Key) *ClassStatus {
+	statusOf := func(key admission.Key) *ClassStatus {
 		if classes[key] == nil {
 			classes[key] = &ClassStatus{Team: key.Team, Class: key.Class, Priority: int(key.Priority), Fraction: 1}
 		}
 		return classes[key]
 	}
 	for _, share := range policy.Shares {
-		class := of(share.Key)
+		class := statusOf(share.Key)
 		class.Due, class.Fraction = share.FairShare, share.Fraction
 	}
-	for _, measured := range n.measured {
-		class := of(measured.Key)
+	for _, measured := range n.measurements {
+		class := statusOf(measured.Key)
 		class.Asked, class.Got = measured.Offered, measured.Admitted
 	}
 	for key, total := range n.totals {
-		class := of(key)
+		class := statusOf(key)
 		class.Offered, class.Admitted, class.Refused = total.Offered, total.Admitted, total.Refused
 	}
 	return classes
--- a/internal/controller/usercalls/forward.go
+++ b/internal/controller/usercalls/forward.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// nextPeerAfter is how long one controller is waited for before the next is asked too.
-	nextPeerAfter = 250 * time.Millisecond
+	// hedgeDelay is how long one controller is waited for before the next is asked too.
+	hedgeDelay = 250 * time.Millisecond
 	// forwardPause is how long no peer is asked after none could serve a call.
 	forwardPause = time.Second
 )
@@ -64,7 +64,7 @@
 			if asked < len(names) {
 				go func(name string) { answers <- f.request(ctx, name, call) }(names[asked])
 				asked++
-				next.Reset(nextPeerAfter)
+				next.Reset(hedgeDelay)
 			}
 		}
 	}
--- a/internal/controller/usercalls/forward_test.go
+++ b/internal/controller/usercalls/forward_test.go
@@ -13,13 +13,13 @@
 	"gingertally/internal/userapi"
 )
 
-// nodes answers for the other nodes by name; one that isn't named hangs.
-type nodes struct {
+// fakePeers answers for the other fakePeers by name; one that isn't named hangs.
+type fakePeers struct {
 	status map[string]int
 	asked  atomic.Int32
 }
 
-func (n *nodes) Relay(ctx context.Context, to string, _ peer.Request) (peer.Response, error) {
+func (n *fakePeers) Relay(ctx context.Context, to string, _ peer.Request) (peer.Response, error) {
 	n.asked.Add(1)
 	if st, ok := n.status[to]; ok {
 		if st == 0 {
@@ -44,21 +44,21 @@
 		asked  int32
 	}{
 		{"the first serves", map[string]int{"n-1": 200}, 200, 0, 1},
-		{"all but the last hang", map[string]int{"n-6": 404}, 404, 5 * nextPeerAfter, 6},
+		{"all but the last hang", map[string]int{"n-6": 404}, 404, 5 * hedgeDelay, 6},
 		{"refused, then served", map[string]int{"n-1": 0, "n-2": 0, "n-3": 200}, 200, 0, 3},
 		{"all hang", nil, 0, pollTimeout, 6},
 		{"an outage", map[string]int{"n-1": 503, "n-2": 503, "n-3": 503, "n-4": 503, "n-5": 503, "n-6": 503}, 0, 0, 6},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			n := &nodes{status: c.status}
+			n := &fakePeers{status: c.status}
 			f := NewForwarder(n, func() {})
 			ctx, cancel := context.WithTimeout(context.Background(), pollTimeout)
 			defer cancel()
-			begun := time.Now()
+			start := time.Now()
 			answer, ok := f.forward(ctx, names, peer.Request{Method: "GET", Path: userapi.RunsPath + "/j-1"})
-			if ok != (c.want != 0) || answer.Status != c.want || time.Since(begun) > c.within ||
+			if ok != (c.want != 0) || answer.Status != c.want || time.Since(start) > c.within ||
 				n.asked.Load() != c.asked {
-				t.Errorf("%s: %d, %v after %s, %d asked", c.name, answer.Status, ok, time.Since(begun), n.asked.Load())
+				t.Errorf("%s: %d, %v after %s, %d asked", c.name, answer.Status, ok, time.Since(start), n.asked.Load())
 			}
 		})
 	}
@@ -68,7 +68,7 @@
 // call of each user.
 func TestForwardingPausesInOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := &nodes{status: map[string]int{"n-1": 503}}
+		n := &fakePeers{status: map[string]int{"n-1": 503}}
 		f := NewForwarder(n, func() {})
 		forward := func() {
 			f.forward(context.Background(), []string{"n-1"}, peer.Request{Method: "GET", Path: userapi.RunsPath + "/j-1"})
--- a/internal/controller/usercalls/usercalls.go
+++ b/internal/controller/usercalls/usercalls.go
@@ -20,13 +20,13 @@
 )
 
 // How long a call is worked on in all: a user waits 5 s for a submission and 2 s
-// for a poll. Of that, ownPart of it is this controller's own try, or, while the state
-// service doesn't serve it, no more than ownTryInOutage.
+// for a poll. Of that, localAttemptFraction of it is this controller's own try, or, while the state
+// service doesn't serve it, no more than localTimeoutInOutage.
 const (
-	submitTimeout  = 4 * time.Second
-	pollTimeout    = 1700 * time.Millisecond
-	ownPart        = 0.5
-	ownTryInOutage = 300 * time.Millisecond
+	submitTimeout        = 4 * time.Second
+	pollTimeout          = 1700 * time.Millisecond
+	localAttemptFraction = 0.5
+	localTimeoutInOutage = 300 * time.Millisecond
 )
 
 // StoreFresh is how recently the state service must have served this controller for it to be worth
@@ -52,13 +52,13 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	own := time.Duration(float64(limit) * ownPart)
+	localTimeout := time.Duration(float64(limit) * localAttemptFraction)
 	fresh := s.Health.StoreFresh(time.Now(), StoreFresh)
 	if !fresh {
-		own = ownTryInOutage
+		localTimeout = localTimeoutInOutage
 	}
 	body := request.PostBody()
-	answer := s.serveWithin(ctx, own, method, path, body)
+	answer := s.serveWithin(ctx, localTimeout, method, path, body)
 	if answer.Status != fasthttp.StatusServiceUnavailable {
 		writeAnswer(request, answer)
 		return
@@ -95,13 +95,13 @@
 // serve serves a user's call at this controller.
 func (s *Service) serve(ctx context.Context, method, path string, body []byte) userapi.Answer {
 	rest := strings.TrimPrefix(path, userapi.RunsPath)
-	job, named := strings.CutPrefix(rest, "/")
+	job, hasRef := strings.CutPrefix(rest, "/")
 	switch {
 	case method == fasthttp.MethodPost && rest == "":
 		return s.Users.Submit(ctx, body)
-	case method == fasthttp.MethodGet && named:
+	case method == fasthttp.MethodGet && hasRef:
 		return s.Users.Get(ctx, job)
-	case method == fasthttp.MethodPost && named && strings.HasSuffix(rest, userapi.CancelSuffix):
+	case method == fasthttp.MethodPost && hasRef && strings.HasSuffix(rest, userapi.CancelSuffix):
 		return s.Users.Cancel(ctx, strings.TrimSuffix(job, userapi.CancelSuffix))
 	}
 	return userapi.Answer{Status: fasthttp.StatusNotFound}
