--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -271,9 +271,9 @@
 	}
 }
 
-// If no leader confirms the policy for PolicyAge, the gate moves its windows by the controller's own
-// clock until the policy is confirmed again. Guards against jobs that a controller refuses for as long
-// as it is cut off from the leader.
+// If the policy isn't confirmed for PolicyAge, the gate moves its windows by the controller's own clock
+// until the policy is confirmed again. Guards against jobs that a controller refuses for as long as it
+// is cut off.
 func TestFallback(t *testing.T) {
 	g := testGate(10 * time.Second)
 	g.Apply(start, overloadPolicy(1, 0.02, 0))
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -13,8 +13,7 @@
 	Teams   []string           // all teams of the settings
 	// Jobs is how many jobs per second this controller can have stored; 0 means no local bound.
 	Jobs float64
-	// PolicyAge is how long a policy is applied unchanged after a leader last confirmed it, see
-	// Fallback.
+	// PolicyAge is how long a policy is applied unchanged after it was last confirmed, see Fallback.
 	PolicyAge time.Duration
 }
 
@@ -57,8 +56,8 @@
 	return false
 }
 
-// Fallback reports whether the gate is in fallback: the policy may refuse jobs, but no leader has
-// confirmed it for PolicyAge, so it is no longer applied unchanged.
+// Fallback reports whether the gate is in fallback: the policy may refuse jobs, but was last confirmed
+// more than PolicyAge ago, so it is no longer applied unchanged.
 func (g *Gate) Fallback(now time.Time) bool {
 	return g.policy.Overloaded() && now.Sub(g.confirmedAt) > g.options.PolicyAge
 }
--- a/internal/controller/overload/leader.go
+++ b/internal/controller/overload/leader.go
@@ -13,13 +13,14 @@
 )
 
 const (
-	// exchangeTimeout bounds the exchange with one controller.
+	// exchangeTimeout bounds the exchange with the other controllers, which are all asked at once.
 	exchangeTimeout = 700 * time.Millisecond
-	// readRetryPause is the pause after a policy that couldn't be read.
+	// readRetryPause is the pause between attempts to read the stored policy.
 	readRetryPause = 200 * time.Millisecond
 )
 
-// RunLeader implements Controller: measure, plan, store, send.
+// RunLeader implements Controller. Once per planning interval it collects the counts, plans a policy
+// and stores it; the next exchange sends it to the other controllers.
 func (n *Node) RunLeader(ctx context.Context, term Term) error {
 	latest, err := n.waitForStoredPolicy(ctx)
 	if err != nil {
@@ -36,8 +37,8 @@
 	return ctx.Err()
 }
 
-// planRound gathers the counts of all controllers and makes the next policy. It returns the newest
-// policy that is stored: nobody hears of one that isn't.
+// planRound collects the counts of all controllers and plans the next policy. It returns the newest
+// policy that is stored; one that couldn't be stored is neither applied nor sent.
 func (n *Node) planRound(
 	ctx context.Context, term Term, planner *admission.Planner, latest admission.Policy,
 ) admission.Policy {
@@ -62,14 +63,16 @@
 	return latest
 }
 
-// setMeasurements notes what the leader has measured, for the status.
+// setMeasurements sets the planner's measurements, which Status shows; nil if this controller
+// doesn't lead.
 func (n *Node) setMeasurements(measurements []admission.Measurement) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.measurements = measurements
 }
 
-// waitForStoredPolicy reads the policy that the state service holds, until it can be had.
+// waitForStoredPolicy returns the policy that the state service holds. It retries until the read
+// succeeds or ctx ends.
 func (n *Node) waitForStoredPolicy(ctx context.Context) (admission.Policy, error) {
 	for {
 		policy, err := n.readPolicy(ctx)
@@ -83,8 +86,9 @@
 	}
 }
 
-// exchange sends all controllers the policy and gathers their counts. Those that can't be reached,
-// or are of a version without admission control, count nothing.
+// exchange sends the policy to all other controllers and returns the batches of all, this one
+// included. There is none of a controller that can't be reached or takes no part in admission
+// control.
 func (n *Node) exchange(ctx context.Context, policy admission.Policy) []admission.Batch {
 	batches := []admission.Batch{n.collectCounts()}
 	request := peer.Request{Method: http.MethodPost, Path: ExchangePath, Body: codec.MustMarshal(policy)}
@@ -108,8 +112,9 @@
 	return batches
 }
 
-// truncateToFit leaves the shares out for which a value of the state service is too small, those
-// that refuse least first: classes without a share count like the least of their team's.
+// truncateToFit removes shares until the policy fits into a value of the state service. It removes
+// those with the largest fraction first, because keys without a share of their own fall back to the
+// smallest one of their team.
 func (n *Node) truncateToFit(policy admission.Policy) admission.Policy {
 	for len(policy.Shares) > 0 {
 		size, err := codec.JSONSize(codec.MustMarshal(policy))
--- a/internal/controller/overload/node.go
+++ b/internal/controller/overload/node.go
@@ -21,34 +21,35 @@
 )
 
 const (
-	// statusExchangeRefused answers a leader that sends its policy to a controller without admission control.
+	// statusExchangeRefused is the answer to the leader's policy if this controller's admission control
+	// is off, or if the policy can't be decoded.
 	statusExchangeRefused = http.StatusNotFound
-	// knownJobTimeout bounds the look at whether a refused job is known: it must not be held up.
+	// knownJobTimeout bounds the lookup of a refused job, which must not delay the refusal for long.
 	knownJobTimeout = 150 * time.Millisecond
-	// maxTotals bounds the classes of work whose totals are kept.
+	// maxTotals bounds the number of keys with totals, and so the memory that they use.
 	maxTotals = 5000
 )
 
-// Peers reaches the other controllers.
+// Peers sends calls to the other controllers.
 type Peers interface {
-	// Relay carries a call to another controller.
+	// Relay sends a call to another controller and returns the answer.
 	Relay(ctx context.Context, to string, request peer.Request) (peer.Response, error)
 }
 
-// Options are what a Node works with.
+// Options are the settings and dependencies of a Node.
 type Options struct {
 	Settings operator.Admission
-	Teams    []string // in the settings' order
+	Teams    []string // in the order of the settings
 	Quotas   map[string]placement.Quota
 	Limits   limits.Limits
 	Store    *statestore.Client
-	Jobs     *jobstore.Jobs // for the look at refused jobs, with requests of its own
+	Jobs     *jobstore.Jobs // for lookups of refused jobs; it has a request budget of its own
 	Peers    Peers
 	Members  []string // the other controllers
 	Metrics  *metrics.Admission
 }
 
-// Node is the Controller where admission control is on.
+// Node is the Controller if admission control is on.
 type Node struct {
 	options        Options
 	plannerOptions admission.PlannerOptions
@@ -57,10 +58,10 @@
 	mu           sync.Mutex
 	gate         *admission.Gate
 	totals       map[admission.Key]*admission.Count // since the start
-	measurements []admission.Measurement            // by the leader, while this controller leads
+	measurements []admission.Measurement            // of the planner; nil unless this controller leads
 }
 
-// New makes a controller's part in admission control, which is on.
+// New returns a Node that has no policy yet.
 func New(options Options) *Node {
 	settings := options.Settings
 	users, _ := options.Limits.Users()
@@ -73,7 +74,7 @@
 	}
 }
 
-// Decide decides about a submission (userapi.Admission).
+// Decide implements userapi.Admission: it admits or refuses a submission and counts the decision.
 func (n *Node) Decide(spec *pipeline.Spec) admission.Decision {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -82,8 +83,8 @@
 	return decision
 }
 
-// Known tells whether a job that was refused had been accepted before, as far as can be
-// found out at once (userapi.Admission).
+// Known implements userapi.Admission: it reports whether a refused job was accepted earlier. It
+// returns false if the state service doesn't answer within knownJobTimeout.
 func (n *Node) Known(ctx context.Context, ref string) bool {
 	ctx, cancel := context.WithTimeout(ctx, knownJobTimeout)
 	defer cancel()
@@ -91,7 +92,7 @@
 	return err == nil && state.Found
 }
 
-// apply takes a policy over, unless it is older than the present one.
+// apply passes a policy to the gate, which ignores it if it is older than the current one.
 func (n *Node) apply(policy admission.Policy) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -104,7 +105,7 @@
 	n.options.Metrics.PolicyApplied(n.gate.Policy().Number)
 }
 
-// collectCounts returns what was counted since the last time.
+// collectCounts returns the gate's counts since the last call, and adds them to the totals.
 func (n *Node) collectCounts() admission.Batch {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -115,7 +116,8 @@
 	return batch
 }
 
-// addToTotals adds to what was counted since the start; n.mu is held.
+// addToTotals adds a count to its key's totals since the start, unless there are totals of maxTotals
+// other keys already. The caller holds n.mu.
 func (n *Node) addToTotals(count admission.Count) {
 	total := n.totals[count.Key]
 	if total == nil {
@@ -140,7 +142,7 @@
 	return peer.Response{Status: http.StatusOK, Body: codec.MustMarshal(n.collectCounts())}
 }
 
-// readPolicy reads the policy that the state service holds; the zero policy if there is none.
+// readPolicy returns the policy that the state service holds, or the zero policy if there is none.
 func (n *Node) readPolicy(ctx context.Context) (admission.Policy, error) {
 	var policy admission.Policy
 	item, found, err := n.options.Store.Get(ctx, PolicyKey)
@@ -150,7 +152,8 @@
 	return policy, codec.Unmarshal(item.Value, &policy)
 }
 
-// Run implements Controller: where no leader is heard, the policy is read from the state service.
+// Run implements Controller. Three times per PolicyAge it checks when the policy was last confirmed; if
+// that is half of PolicyAge ago, it reads the policy from the state service, which confirms it too.
 func (n *Node) Run(ctx context.Context) error {
 	maxAge := n.options.Settings.PolicyAge
 	for wait.Sleep(ctx, maxAge/3) {
@@ -164,7 +167,7 @@
 	return ctx.Err()
 }
 
-// policyAge is how long ago a leader last confirmed the policy.
+// policyAge returns the time since the policy was last confirmed.
 func (n *Node) policyAge() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/controller/overload/node_test.go
+++ b/internal/controller/overload/node_test.go
@@ -16,7 +16,7 @@
 	"gingertally/internal/operator"
 )
 
-// testNode is a controller's part in admission control, which isn't running.
+// testNode returns a Node with one team, whose loops aren't running.
 func testNode() *Node {
 	settings := &config.Settings{Peers: []config.Peer{{Member: "n-2", Zone: "a", Addr: "127.0.0.1:1"}}}
 	settings.Params.State = config.State{RPS: 500, WriteRPS: 200, ValueKB: 4, TxnOps: 12}
@@ -29,8 +29,9 @@
 	})
 }
 
-// A controller takes the leader's policy and answers with what it has counted since the last time;
-// an older policy changes nothing. Its status says what it applies, and why.
+// A controller applies the leader's policy and answers with its counts since the last exchange; an
+// older policy changes nothing. The status shows the policy and the reason for it. Guards against
+// counts that are lost, reported twice or reported under another key.
 func TestExchange(t *testing.T) {
 	n := testNode()
 	key := admission.Key{Team: "t", Class: "c", Priority: pipeline.Normal}
@@ -38,7 +39,7 @@
 		response := n.ServeExchange(codec.MustMarshal(p))
 		var batch admission.Batch
 		if err := codec.Unmarshal(response.Body, &batch); response.Status != http.StatusOK || err != nil {
-			t.Fatalf("status %d, %v", response.Status, err)
+			t.Fatalf("exchange: status %d, %v", response.Status, err)
 		}
 		return batch
 	}
@@ -66,25 +67,25 @@
 	older := newest
 	older.Term, older.Number, older.Shares = 2, 9, nil
 	batch := exchange(older)
-	// The counts once lost the class on their way, since two fields had one name.
+	// The class was once lost in encoding because two fields of the count had the same name.
 	if refused < 45 || len(batch.Counts) != 1 || batch.Counts[0].Key != key ||
 		batch.Counts[0].Refused != refused || batch.Counts[0].Offered != 50 {
-		t.Fatalf("%d refused, counted %+v", refused, batch)
+		t.Fatalf("%d jobs refused, but the counts are %+v", refused, batch)
 	}
 	if again := exchange(newest); len(again.Counts) != 0 {
-		t.Fatalf("counted twice: %+v", again)
+		t.Fatalf("counts reported twice: %+v", again)
 	}
 	s := n.Status(time.Now())
 	if s == nil || s.Term != 3 || s.Number != 7 || s.Reason != "backlog" || s.Fallback || len(s.Classes) != 1 {
-		t.Fatalf("%+v", s)
+		t.Fatalf("status: %+v", s)
 	}
 	if c := s.Classes[0]; c.Due != 0.25 || c.Offered != 50 || c.Refused != refused {
-		t.Fatalf("%+v", c)
+		t.Fatalf("status of the class: %+v", c)
 	}
 }
 
-// A policy with more classes than fit a value is stored without those that it
-// refuses least.
+// A policy that is too large for a value of the state service loses its largest fractions, those of
+// the classes that it refuses least. Guards against policies that can't be stored.
 func TestPolicyFitsItsValue(t *testing.T) {
 	n := testNode()
 	p := admission.Policy{Term: 1, Number: 1, Reason: admission.Backlog}
@@ -97,11 +98,11 @@
 	fits := n.truncateToFit(p)
 	size, err := codec.JSONSize(codec.MustMarshal(fits))
 	if err != nil || size > n.options.Limits.MaxValueBytes() || len(fits.Shares) < 20 {
-		t.Fatalf("%d bytes with %d shares, %v", size, len(fits.Shares), err)
+		t.Fatalf("the truncated policy has %d bytes and %d shares, %v", size, len(fits.Shares), err)
 	}
 	for _, share := range fits.Shares {
 		if share.Fraction > float64(len(fits.Shares)+1)/200 {
-			t.Fatalf("%+v is kept", share)
+			t.Fatalf("%+v is kept instead of a smaller fraction", share)
 		}
 	}
 }
--- a/internal/controller/overload/overload.go
+++ b/internal/controller/overload/overload.go
@@ -1,10 +1,10 @@
-// Package overload is a controller's part in admission control. Every controller decides about
-// submissions by its gate; the leader gathers the counts of all, plans the policy, stores it and sends
-// it to all.
+// Package overload runs admission control in a controller. Every controller admits or refuses
+// submissions by its gate; the leader collects the counts of all controllers, plans the policy, stores
+// it and sends it to all.
 //
-// It owns the key adm/policy, written by the leader under its term, the gate and the counts. What a
-// policy says is decided in package admission. All methods may be called from any goroutine; RunLeader
-// runs once for each term.
+// It owns the gate, the counts, and the key adm/policy in the state service, which the leader writes
+// under its term. Package admission computes the policy and the decisions. All methods may be called
+// from any goroutine; RunLeader runs once per term.
 package overload
 
 import (
@@ -15,35 +15,35 @@
 	"gingertally/internal/peer"
 )
 
-// PolicyKey holds the policy in the state service.
+// PolicyKey is the key of the policy in the state service.
 const PolicyKey = "adm/policy"
 
-// ExchangePath is where the leader sends a controller the policy and gets its counts.
+// ExchangePath is the path of the call by which the leader sends the policy to another controller and
+// receives its counts.
 const ExchangePath = "/admission"
 
-// Controller is a controller's part in admission control: a *Node, or Disabled.
+// Controller runs admission control in a controller. It is a *Node, or Disabled.
 type Controller interface {
-	// Run keeps the policy up to date where no leader is heard, until ctx ends.
+	// Run keeps the policy up to date while no leader sends it, until ctx ends.
 	Run(ctx context.Context) error
-	// RunLeader is the leader's part of one term, until ctx ends.
+	// RunLeader plans, stores and sends policies as the leader of a term, until ctx ends.
 	RunLeader(ctx context.Context, term Term) error
-	// ServeExchange takes the leader's policy, and answers with this controller's counts.
+	// ServeExchange applies the policy that the leader sent, and answers with this controller's counts.
 	ServeExchange(body []byte) peer.Response
-	// Status is what operators are shown; nil if admission control is off.
+	// Status returns the status that operators see; nil if admission control is off.
 	Status(now time.Time) *Status
 }
 
-// Disabled is the Controller where operators haven't switched admission control on: all jobs are
-// taken.
+// Disabled is the Controller if admission control is off: all jobs are admitted.
 type Disabled struct{}
 
-// Run implements Controller.
+// Run implements Controller. It returns at once.
 func (Disabled) Run(context.Context) error { return nil }
 
-// RunLeader implements Controller.
+// RunLeader implements Controller. It returns at once.
 func (Disabled) RunLeader(context.Context, Term) error { return nil }
 
-// ServeExchange implements Controller: the leader is told that this controller takes no part.
+// ServeExchange implements Controller. It tells the leader that admission control is off here.
 func (Disabled) ServeExchange([]byte) peer.Response {
 	return peer.Response{Status: statusExchangeRefused}
 }
@@ -51,17 +51,18 @@
 // Status implements Controller.
 func (Disabled) Status(time.Time) *Status { return nil }
 
-// Term is the leader's term, as the planning of policies needs it.
+// Term is what the planning of policies uses of the leader's term.
 type Term interface {
-	// Number is the term's number.
+	// Number returns the term's number.
 	Number() uint64
-	// HoldsLease tells whether this controller may act.
+	// HoldsLease reports whether this controller still holds a valid leader's lease, and so may act.
 	HoldsLease() bool
-	// Load is what the engine tells of capacity and backlog; settled is false while a new
-	// leader doesn't know enough.
+	// Load returns the engine's capacity and backlog; settled is false while a new leader doesn't know
+	// the capacity yet.
 	Load(now time.Time) (load admission.Load, settled bool)
-	// StoreValue writes a value of the leader's own under its term.
+	// StoreValue writes a value to the state service under the leader's term.
 	StoreValue(ctx context.Context, key string, value []byte) error
-	// SetFairOrder has jobs ordered by their teams' fair shares, or not.
+	// SetFairOrder sets whether waiting jobs are ordered by their teams' fair shares, and by which
+	// weights.
 	SetFairOrder(on bool, weights map[string]float64)
 }
--- a/internal/controller/overload/status.go
+++ b/internal/controller/overload/status.go
@@ -8,26 +8,26 @@
 	"gingertally/internal/admission"
 )
 
-// Status is what a controller applies, as operators are shown it. Its JSON is part of their interface.
+// Status describes the policy that a controller applies. Its JSON is part of the operators' interface.
 type Status struct {
 	Term     uint64        `json:"term"`
 	Number   uint64        `json:"number"`
 	Reason   string        `json:"reason"`
-	Age      time.Duration `json:"age_ns"` // since a leader last confirmed the policy
+	Age      time.Duration `json:"age_ns"` // since the policy was last confirmed
 	Fallback bool          `json:"fallback"`
 	Classes  []ClassStatus `json:"classes"`
 }
 
-// ClassStatus is what a controller applies to a class of a team's jobs, and has counted of it
-// since its start.
+// ClassStatus describes how a controller treats the jobs of one team, class and priority, and holds
+// its counts of them since its start.
 type ClassStatus struct {
 	Team     string  `json:"team"`
 	Class    string  `json:"class"`
 	Priority int     `json:"priority"`
-	Due      float64 `json:"due"`      // part of the capacity; 0 without overload
-	Asked    float64 `json:"asked"`    // part of the capacity that is asked for, as the leader measures it
-	Got      float64 `json:"got"`      // part of the capacity that is admitted, likewise; 0 where nothing is refused
-	Fraction float64 `json:"fraction"` // of its jobs whose turn comes with each policy; 1: all are taken
+	Due      float64 `json:"due"`      // fair share, as a part of the capacity; 0 without overload
+	Asked    float64 `json:"asked"`    // demand as the leader measures it, as a part of the capacity
+	Got      float64 `json:"got"`      // admitted demand, likewise; 0 if the class isn't limited
+	Fraction float64 `json:"fraction"` // part of the jobs whose turn begins with each policy; 1: all are admitted
 	Offered  int     `json:"offered"`
 	Admitted int     `json:"admitted"`
 	Refused  int     `json:"refused"`
@@ -52,7 +52,7 @@
 	return status
 }
 
-// classStatuses brings together what is known of each class; n.mu is held.
+// classStatuses joins shares, measurements and totals by key. The caller holds n.mu.
 func (n *Node) classStatuses(policy *admission.Policy) map[admission.Key]*ClassStatus {
 	classes := map[admission.Key]*ClassStatus{}
 	statusOf := func(key admission.Key) *ClassStatus {
--- a/internal/controller/usercalls/forward.go
+++ b/internal/controller/usercalls/forward.go
@@ -11,40 +11,43 @@
 )
 
 const (
-	// hedgeDelay is how long one controller is waited for before the next is asked too.
+	// hedgeDelay is how long a call waits for a controller's answer before it is sent to the next one
+	// as well (hedged requests).
 	hedgeDelay = 250 * time.Millisecond
-	// forwardPause is how long no peer is asked after none could serve a call.
+	// forwardPause is how long no call is forwarded after one that no peer could serve.
 	forwardPause = time.Second
 )
 
-// Relayer carries a call to another controller. *peer.Client implements it.
+// Relayer sends calls to other controllers. *peer.Client implements it.
 type Relayer interface {
-	// Relay sends a call and returns the answer.
+	// Relay sends a call to a controller and returns the answer.
 	Relay(ctx context.Context, to string, request peer.Request) (peer.Response, error)
 }
 
 // Forwarder forwards calls to the other controllers.
 type Forwarder struct {
 	peers        Relayer
-	peerAnswered func()       // is told that another controller has answered
-	pausedUntil  atomic.Int64 // until when no peer is asked, in Unix nanoseconds
+	peerAnswered func()       // is called whenever another controller has answered
+	pausedUntil  atomic.Int64 // end of the last forwardPause, in Unix nanoseconds
 }
 
-// NewForwarder makes a forwarder.
+// NewForwarder returns a Forwarder that sends calls by peers and calls peerAnswered for each answer.
+// peerAnswered must be safe for concurrent use.
 func NewForwarder(peers Relayer, peerAnswered func()) *Forwarder {
 	return &Forwarder{peers: peers, peerAnswered: peerAnswered}
 }
 
-// forward asks the named controllers to serve a call, one a little after the other,
-// and takes the first answer that settles it. When none could a moment ago, as in
-// an outage that all see, they aren't asked.
+// forward sends a call to the named controllers and returns the first answer other than 503, if there
+// is one. It sends to the first controller at once and to each further one after hedgeDelay, or
+// earlier if all that were asked have failed. While a forwardPause lasts, as in an outage that affects
+// all controllers, it asks none of them.
 func (f *Forwarder) forward(ctx context.Context, names []string, call peer.Request) (peer.Response, bool) {
 	if time.Now().UnixNano() < f.pausedUntil.Load() {
 		return peer.Response{}, false
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	call.Body = bytes.Clone(call.Body) // the server reuses its buffer
+	call.Body = bytes.Clone(call.Body) // the server reuses its buffer while late requests still run
 	answers := make(chan peer.Response, len(names))
 	next := time.NewTimer(0)
 	defer next.Stop()
@@ -72,7 +75,7 @@
 	return peer.Response{}, false
 }
 
-// request has one controller serve a call; one that can't be reached can't serve it.
+// request sends a call to one controller. If it can't be reached, the result has status 503.
 func (f *Forwarder) request(ctx context.Context, name string, call peer.Request) peer.Response {
 	response, err := f.peers.Relay(ctx, name, call)
 	if err != nil {
--- a/internal/controller/usercalls/forward_test.go
+++ b/internal/controller/usercalls/forward_test.go
@@ -13,9 +13,9 @@
 	"gingertally/internal/userapi"
 )
 
-// fakePeers answers for the other fakePeers by name; one that isn't named hangs.
+// fakePeers is a Relayer that answers for the other controllers. A controller without a status hangs.
 type fakePeers struct {
-	status map[string]int
+	status map[string]int // by name; 0: the connection is refused
 	asked  atomic.Int32
 }
 
@@ -31,15 +31,15 @@
 	return peer.Response{}, ctx.Err()
 }
 
-// A call that a node can't serve is forwarded within the time that its user
-// waits, however many other nodes hang: asked one after the other for a second
-// each, seven nodes once took longer than the two seconds of a poll.
+// Forwarding ends within the time that the user waits, however many controllers hang. Guards against
+// asking them strictly one after the other: with a second for each, seven controllers once took longer
+// than the two seconds of a poll.
 func TestForwardingIsBounded(t *testing.T) {
 	names := []string{"n-1", "n-2", "n-3", "n-4", "n-5", "n-6"}
 	for _, c := range []struct {
 		name   string
 		status map[string]int
-		want   int // 0: nobody
+		want   int // status; 0: no answer
 		within time.Duration
 		asked  int32
 	}{
@@ -58,14 +58,14 @@
 			answer, ok := f.forward(ctx, names, peer.Request{Method: "GET", Path: userapi.RunsPath + "/j-1"})
 			if ok != (c.want != 0) || answer.Status != c.want || time.Since(start) > c.within ||
 				n.asked.Load() != c.asked {
-				t.Errorf("%s: %d, %v after %s, %d asked", c.name, answer.Status, ok, time.Since(start), n.asked.Load())
+				t.Errorf("%s: status %d, %v after %s, %d controllers asked", c.name, answer.Status, ok, time.Since(start), n.asked.Load())
 			}
 		})
 	}
 }
 
-// In an outage that all see, the nodes don't go on asking each other for each
-// call of each user.
+// After a call that no controller could serve, none are asked for forwardPause. Guards against
+// controllers that send each other every user's call during an outage that affects all of them.
 func TestForwardingPausesInOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := &fakePeers{status: map[string]int{"n-1": 503}}
@@ -76,24 +76,24 @@
 		forward()
 		forward()
 		if n.asked.Load() != 1 {
-			t.Errorf("asked %d times at once", n.asked.Load())
+			t.Errorf("asked %d times before the pause is over", n.asked.Load())
 		}
 		time.Sleep(forwardPause)
 		forward()
 		if n.asked.Load() != 2 {
-			t.Errorf("asked %d times after a rest", n.asked.Load())
+			t.Errorf("asked %d times after the pause", n.asked.Load())
 		}
 	})
 }
 
-// A refusal of another controller keeps its time to come back, although answers between controllers have
-// no header.
+// A forwarded refusal keeps its Retry-After. Guards against losing it on the way: answers between
+// controllers have no headers, so it must be taken from the body.
 func TestForwardedRetryAfter(t *testing.T) {
 	body := codec.MustMarshal(map[string]any{"error": "overloaded: backlog", "retry_after_s": 7.0})
 	if got := forwardedRetryAfter(peer.Response{Status: 429, Body: body}); got != 7*time.Second {
-		t.Errorf("%s", got)
+		t.Errorf("Retry-After of a refusal: %s", got)
 	}
 	if got := forwardedRetryAfter(peer.Response{Status: 200, Body: body}); got != 0 {
-		t.Errorf("%s for an answer that is no refusal", got)
+		t.Errorf("Retry-After of an answer that is no refusal: %s", got)
 	}
 }
--- a/internal/controller/usercalls/usercalls.go
+++ b/internal/controller/usercalls/usercalls.go
@@ -1,7 +1,8 @@
-// Package usercalls serves users' calls at a controller: by itself, or, where it can't, by forwarding them
-// to another one, always within the time that the user waits.
+// Package usercalls serves users' calls at a controller. A call that the controller can't serve itself
+// is forwarded to others, within the time that the user waits.
 //
-// It owns nothing but the pause after forwarding in vain. All methods may be called from any goroutine.
+// Its only state is the pause after a call that no controller could serve. All methods may be called
+// from any goroutine.
 package usercalls
 
 import (
@@ -19,9 +20,9 @@
 	"gingertally/internal/userapi"
 )
 
-// How long a call is worked on in all: a user waits 5 s for a submission and 2 s
-// for a poll. Of that, localAttemptFraction of it is this controller's own try, or, while the state
-// service doesn't serve it, no more than localTimeoutInOutage.
+// submitTimeout and pollTimeout bound the handling of a call, forwarding included: a user waits 5 s
+// for a submission and 2 s for a poll. The attempt to serve the call here gets localAttemptFraction
+// of that, or only localTimeoutInOutage while the state service doesn't serve this controller.
 const (
 	submitTimeout        = 4 * time.Second
 	pollTimeout          = 1700 * time.Millisecond
@@ -29,8 +30,8 @@
 	localTimeoutInOutage = 300 * time.Millisecond
 )
 
-// StoreFresh is how recently the state service must have served this controller for it to be worth
-// waiting for.
+// StoreFresh is how recently the state service must have served this controller for it to count as
+// available, so that calls wait for it.
 const StoreFresh = 2 * time.Second
 
 const contentTypeCBOR = "application/cbor"
@@ -40,11 +41,11 @@
 	Users     *userapi.Service
 	Health    *health.Tracker
 	Forwarder *Forwarder
-	// PeersFirst lists the other controllers, the leader before the rest.
+	// PeersFirst returns the names of the other controllers, the leader's first.
 	PeersFirst func() []string
 }
 
-// Handle serves a user's call here, or has another controller serve it.
+// Handle serves a user's call here, or forwards it if this controller can't serve it (503).
 func (s *Service) Handle(ctx context.Context, request *fasthttp.RequestCtx, method, path string) {
 	limit := submitTimeout
 	if method == fasthttp.MethodGet {
@@ -69,12 +70,12 @@
 		return
 	}
 	if !fresh {
-		request.SetConnectionClose() // the next try may reach a controller that is better off
+		request.SetConnectionClose() // the user's next attempt may reach a controller that can serve it
 	}
 	writeAnswer(request, answer)
 }
 
-// Forwarded serves a call that another controller has forwarded. It never goes further.
+// Forwarded serves a call that another controller forwarded. It never forwards it again.
 func (s *Service) Forwarded(ctx context.Context, request peer.Request) peer.Response {
 	answer := s.serveWithin(ctx, submitTimeout, request.Method, request.Path, request.Body)
 	if answer.Body == nil {
@@ -83,7 +84,7 @@
 	return peer.Response{Status: answer.Status, Body: codec.MustMarshal(answer.Body)}
 }
 
-// serveWithin serves a user's call at this controller within a time.
+// serveWithin is serve with a time limit.
 func (s *Service) serveWithin(
 	ctx context.Context, limit time.Duration, method, path string, body []byte,
 ) userapi.Answer {
@@ -92,7 +93,7 @@
 	return s.serve(ctx, method, path, body)
 }
 
-// serve serves a user's call at this controller.
+// serve serves a user's call at this controller; an unknown path or method gets status 404.
 func (s *Service) serve(ctx context.Context, method, path string, body []byte) userapi.Answer {
 	rest := strings.TrimPrefix(path, userapi.RunsPath)
 	job, hasRef := strings.CutPrefix(rest, "/")
@@ -107,7 +108,7 @@
 	return userapi.Answer{Status: fasthttp.StatusNotFound}
 }
 
-// writeAnswer puts this controller's answer to a user's call on the wire.
+// writeAnswer writes this controller's answer to the response.
 func writeAnswer(request *fasthttp.RequestCtx, answer userapi.Answer) {
 	request.SetStatusCode(answer.Status)
 	setRetryAfter(request, answer.RetryAfter)
@@ -117,7 +118,7 @@
 	}
 }
 
-// writeForwarded puts another controller's answer to a user's call on the wire.
+// writeForwarded writes another controller's answer to the response.
 func writeForwarded(request *fasthttp.RequestCtx, answer peer.Response) {
 	request.SetStatusCode(answer.Status)
 	request.SetContentType(contentTypeCBOR)
@@ -125,15 +126,15 @@
 	setRetryAfter(request, forwardedRetryAfter(answer))
 }
 
-// setRetryAfter tells a user when to come back, in whole seconds.
+// setRetryAfter sets the header Retry-After, rounded up to whole seconds, if wait isn't 0.
 func setRetryAfter(request *fasthttp.RequestCtx, wait time.Duration) {
 	if wait > 0 {
 		request.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.Itoa(int(math.Ceil(wait.Seconds()))))
 	}
 }
 
-// forwardedRetryAfter is the wait that another controller's refusal asks for: between controllers an
-// answer has no header.
+// forwardedRetryAfter returns the pause that another controller's refusal under overload asks for, or
+// 0 if the answer is none. It is in the body because answers between controllers have no headers.
 func forwardedRetryAfter(answer peer.Response) time.Duration {
 	var refusal userapi.Refusal
 	if answer.Status != fasthttp.StatusTooManyRequests || codec.Unmarshal(answer.Body, &refusal) != nil {
