--- a/internal/admission/key_control.go
+++ b/internal/admission/key_control.go
@@ -39,7 +39,8 @@
 func smooth(average *float64, newest float64) { *average += (newest - *average) * smoothing }
 
 // measure updates the averages with the key's rates of the last period. The admitted rate is used
-// under overload only: without it, nothing is refused and the rate says nothing about the fraction.
+// under overload only: without it, the policy refuses nothing and the rate says nothing about the
+// fraction.
 func (c *keyControl) measure(rate costRate, elapsed float64, overloaded bool) {
 	smooth(&c.offered, rate.offered)
 	if overloaded {
--- a/internal/admission/local_bound.go
+++ b/internal/admission/local_bound.go
@@ -7,11 +7,11 @@
 const localWindow = 4 * time.Second
 
 // localBound is a fixed-window rate limiter: it limits the jobs that a controller admits in a window
-// to what it can have stored, and divides them among teams. As many jobs as a team submitted in the
+// to what it can have stored, and divides them among teams. As many jobs as a team offered in the
 // last window are reserved for it in this one, up to its weighted part; the rest is first come, first
 // served. So a surge of one team leaves the others their usual rate, before any policy takes the
 // surge into account. A team below its weighted part is always admitted, even where others have used
-// up the window; jobs of teams that submitted less in the last window may thus exceed the limit.
+// up the window; jobs of teams that offered less in the last window may thus exceed the limit.
 type localBound struct {
 	jobsPerSecond float64            // jobs that the controller can have stored; 0: no bound
 	teamRates     map[string]float64 // a team's weighted part of jobsPerSecond
--- a/internal/admission/planner.go
+++ b/internal/admission/planner.go
@@ -27,7 +27,7 @@
 	Batches []Batch       // one of each controller that answered
 }
 
-// Thresholds of overload. They differ for its begin and its end (hysteresis), so that small changes
+// Thresholds of overload. They differ for its start and its end (hysteresis), so that small changes
 // in the measurements don't switch it on and off.
 const (
 	// enterWriteLoad and exitWriteLoad are the thresholds of overload by writes, as parts of the rate
--- a/internal/admission/policy.go
+++ b/internal/admission/policy.go
@@ -124,7 +124,7 @@
 	if share.Fraction >= 1.0/windowSpan {
 		return Admit // the windows of windowSpan policies cover the whole circle
 	}
-	ahead := wrap(position(job) - share.Offset) // distance from the begin of the window to the job
+	ahead := wrap(position(job) - share.Offset) // distance from the start of the window to the job
 	if ahead < share.Fraction || passedRecently(ahead, share.Fraction) {
 		return Admit
 	}
@@ -181,7 +181,7 @@
 
 // JobCost returns the cost of a job: for how many seconds it would use the whole capacity of its
 // dominant resource, where the state service's rate of jobs counts as a resource too. run is the
-// expected run time of a task.
+// expected run time of a task; services are charged serviceSeconds instead.
 func JobCost(s *pipeline.Spec, run time.Duration, r Rates) float64 {
 	seconds := run.Seconds() * float64(s.Tasks)
 	if s.Shape == pipeline.Service {
