--- a/internal/controller/replication/follow.go
+++ b/internal/controller/replication/follow.go
@@ -14,9 +14,10 @@
 )
 
 const (
-	// followRetry is the pause after a stream that has ended, or while nobody leads.
+	// followRetry is the pause before the next try after a stream has ended, or while no other node
+	// is known to lead. An open stream is checked for a change of leader at the same interval.
 	followRetry = 200 * time.Millisecond
-	// unsupportedRetry is the pause where the leader is of a version without the stream.
+	// unsupportedRetry is the pause before the next try if the leader's version lacks the stream.
 	unsupportedRetry = 10 * time.Second
 )
 
@@ -30,7 +31,8 @@
 	return group.Wait()
 }
 
-// followLeaders follows whoever leads.
+// followLeaders follows the node that is believed to lead, whenever that is another node, until ctx
+// ends.
 func (n *Node) followLeaders(ctx context.Context, peers Peers) error {
 	for ctx.Err() == nil {
 		leader := peers.Leader()
@@ -39,7 +41,7 @@
 			continue
 		}
 		err := n.follow(ctx, peers, leader)
-		n.logger.Debug("stream ended", "leader", leader, "error", err)
+		n.logger.Debug("leader's stream ended", "leader", leader, "error", err)
 		if errors.Is(err, standbyrpc.ErrUnsupported) {
 			wait.Sleep(ctx, unsupportedRetry)
 			continue
@@ -49,7 +51,8 @@
 	return ctx.Err()
 }
 
-// follow follows one leader until its stream ends, or another is known to lead.
+// follow follows one leader until its stream ends or that leader is no longer the one believed to
+// lead.
 func (n *Node) follow(ctx context.Context, peers Peers, leader string) error {
 	connection, err := peers.Connection(leader)
 	if err != nil {
@@ -72,33 +75,36 @@
 	return group.Wait()
 }
 
-// Reasons for which a stream ends.
+// Reasons why follow stops following a leader.
 var (
-	errLeaderChanged = errors.New("another node leads")
+	errLeaderChanged = errors.New("the leader has changed or is unknown")
 	errStreamEnded   = errors.New("the leader ended the stream")
 )
 
-// position is what the copy has.
+// position returns the position of the copy.
 func (n *Node) position() standby.Position {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.standby.Position()
 }
 
-// receive takes a frame in, and tells what to answer.
+// receive applies a frame to the copy, hands it to the decision log, and returns the
+// acknowledgement for the leader.
 func (n *Node) receive(frame standby.Frame) standbyrpc.Acknowledgement {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
-	verdict := n.standby.Receive(now, frame)
-	if verdict.NeedsSnapshot() {
+	outcome := n.standby.Receive(now, frame)
+	if outcome.NeedsSnapshot() {
 		n.logger.Info("warm state copy dropped",
-			"reason", verdict.String(), "term", frame.Term, "sequence", frame.Sequence)
+			"reason", outcome.String(), "term", frame.Term, "sequence", frame.Sequence)
 	}
-	if verdict == standby.Applied && n.log != nil {
+	if outcome == standby.Applied && n.log != nil {
 		n.log.offer(frame)
 	}
-	empty := n.standby.State() == standby.CatchingUp && n.standby.Position() == (standby.Position{})
-	resync := verdict.NeedsSnapshot() || empty && frame.Kind == standby.Heartbeat
+	// A request for a snapshot is suppressed if it comes too soon after the last one (MayResync),
+	// so heartbeats repeat it while there is no copy.
+	noCopy := n.standby.State() == standby.CatchingUp && n.standby.Position() == (standby.Position{})
+	resync := outcome.NeedsSnapshot() || noCopy && frame.Kind == standby.Heartbeat
 	return standbyrpc.Acknowledgement{At: n.standby.Position(), Resync: resync && n.standby.MayResync(now)}
 }
--- a/internal/controller/replication/log_writer.go
+++ b/internal/controller/replication/log_writer.go
@@ -11,22 +11,23 @@
 	"gingertally/internal/standby"
 )
 
-// logQueue is how many frames may wait for the disk. A slow disk holds nothing up: what
-// finds no space is left out, and made up for by a snapshot.
-const logQueue = 256
+// logQueueSize is the number of frames that may wait to be written. A slow disk must not block
+// replication: a frame that finds the queue full is dropped, and a later snapshot replaces it.
+const logQueueSize = 256
 
-// logWriter writes the decision log in the background.
+// logWriter writes frames to the decision log in the background.
 type logWriter struct {
-	log       *decisionlog.Log
-	queue     chan standby.Frame
-	snapshot  func() (standby.Frame, bool) // the whole state, as of now
-	onFailure func()                       // is called once the disk has failed
-	logger    *slog.Logger
-	stale     atomic.Bool // frames were left out
-	broken    atomic.Bool // the disk has failed; nothing more is written
+	log           *decisionlog.Log
+	queue         chan standby.Frame
+	snapshot      func() (standby.Frame, bool) // returns the whole present state; false if there is none
+	onFailure     func()                       // called when a write has failed
+	logger        *slog.Logger
+	needsSnapshot atomic.Bool // a frame was dropped since the last snapshot was written
+	failed        atomic.Bool // a write has failed; nothing more is written
 }
 
-// newLogWriter opens the log that the settings name.
+// newLogWriter opens the decision log in the configured directory, and returns its writer and what
+// was read from it.
 func newLogWriter(
 	settings operator.Standby, snapshot func() (standby.Frame, bool),
 ) (*logWriter, decisionlog.Recovered, error) {
@@ -35,29 +36,30 @@
 		return nil, recovered, err
 	}
 	writer := &logWriter{
-		log: log, queue: make(chan standby.Frame, logQueue), snapshot: snapshot, onFailure: func() {},
+		log: log, queue: make(chan standby.Frame, logQueueSize), snapshot: snapshot, onFailure: func() {},
 		logger: slog.With("component", "decision log"),
 	}
 	return writer, recovered, nil
 }
 
-// offer has a frame written, if there is space in the queue.
+// offer queues a frame to be written, or drops it if the queue is full. Heartbeats and
+// hand-overs, which hold no changes, aren't logged.
 func (w *logWriter) offer(frame standby.Frame) {
-	if w.broken.Load() || frame.Kind == standby.Heartbeat || frame.Kind == standby.HandOver {
+	if w.failed.Load() || frame.Kind == standby.Heartbeat || frame.Kind == standby.HandOver {
 		return
 	}
 	select {
 	case w.queue <- frame:
 	default:
-		w.stale.Store(true)
+		w.needsSnapshot.Store(true)
 	}
 }
 
-// run writes until ctx ends.
+// run writes the queued frames until ctx ends, and closes the log.
 func (w *logWriter) run(ctx context.Context) error {
 	defer func() {
 		if err := w.log.Close(); err != nil {
-			w.logger.Debug("decision log not closed", "error", err)
+			w.logger.Debug("can't close the decision log", "error", err)
 		}
 	}()
 	for {
@@ -70,43 +72,44 @@
 	}
 }
 
-// write writes a frame, or begins a segment with the whole state, which holds the frame too.
+// write appends a frame to the log. If the segment is full or a frame was dropped, it instead
+// begins a new segment with a snapshot of the whole state, which includes the frame's changes.
 func (w *logWriter) write(frame standby.Frame) {
-	if w.broken.Load() {
+	if w.failed.Load() {
 		return
 	}
 	var err error
 	switch {
-	case !w.log.Full() && !w.stale.Load():
+	case !w.log.Full() && !w.needsSnapshot.Load():
 		err = w.log.Append(frame)
 	default:
 		whole, ok := w.snapshot()
 		if !ok {
-			return // half of a snapshot is of no use yet
+			return // the copy is incomplete; a later frame tries again
 		}
-		w.stale.Store(false)
+		w.needsSnapshot.Store(false)
 		err = w.log.Begin(whole)
 	}
 	if err != nil {
-		w.broken.Store(true)
+		w.failed.Store(true)
 		w.onFailure()
-		w.logger.Error("decision log failed", "error", err)
+		w.logger.Error("decision log write failed; the log is no longer written", "error", err)
 	}
 }
 
-// keepsUp tells whether the disk keeps up.
-func (w *logWriter) keepsUp() bool { return len(w.queue) < cap(w.queue) }
+// hasRoom reports whether the queue has room for another frame.
+func (w *logWriter) hasRoom() bool { return len(w.queue) < cap(w.queue) }
 
-// logFollower is the follower as which the leader's own log is served.
+// logFollower is the name of the follower that stands for the leader's own decision log.
 const logFollower = "(log)"
 
-// logPublished has the leader's own changes written; n.mu is held. The leader's log is a follower like any
-// other: one that is too far behind gets a snapshot.
+// logPublished queues the leader's published changes for its own decision log. To the publisher the
+// log is a follower: one that is too far behind is sent a snapshot. The caller holds n.mu.
 func (n *Node) logPublished() {
-	if n.log == nil || n.log.broken.Load() {
+	if n.log == nil || n.log.failed.Load() {
 		return
 	}
-	for n.log.keepsUp() {
+	for n.log.hasRoom() {
 		frame, ok := n.publisher.Next(time.Now(), logFollower)
 		if !ok {
 			return
--- a/internal/controller/replication/node.go
+++ b/internal/controller/replication/node.go
@@ -16,41 +16,43 @@
 	"gingertally/internal/standbyrpc"
 )
 
-// heartbeatInterval is how often a follower hears of its leader at the least.
+// heartbeatInterval is the longest time between two frames that a leader sends to a follower.
 const heartbeatInterval = 500 * time.Millisecond
 
-// errNotLeading refuses followers.
+// errNotLeading is returned to the streams of followers if this node doesn't lead, or no longer.
 var errNotLeading = errors.New("this node doesn't lead")
 
-// Node is the Replicator of a controller with the warm standby on.
+// Node is the Replicator of a controller with the warm standby enabled.
 type Node struct {
 	self    string
 	options standby.Options
 	metrics *metrics.Standby
 	logger  *slog.Logger
-	log     *logWriter // nil: no decision log
+	log     *logWriter // nil if there is no decision log, or it couldn't be opened
 
 	mu        sync.Mutex
 	standby   *standby.Standby
 	publisher *standby.Publisher       // nil unless this node leads
-	term      uint64                   // that the publisher is of
-	streams   map[string]chan struct{} // wakes the stream to each follower
-	takeover  standby.Takeover         // the last one, or the one under way
-	nextPhase standby.TakeoverPhase    // of the takeover, that is to be noted
+	term      uint64                   // of the publisher, or of the last one
+	streams   map[string]chan struct{} // by follower: signals its stream that a frame may be due
+	takeover  standby.Takeover         // what was recorded since the last loss of a leader
+	minPhase  standby.TakeoverPhase    // phases of the takeover before this one aren't recorded any more
 }
 
-// New makes a controller's part in the warm standby, with what its decision log holds.
+// New returns the Replicator of a controller, known to others by the name self: a Node that starts
+// with the copy restored from its decision log, or Disabled if the settings don't enable the warm
+// standby.
 func New(
-	self string, settings operator.Standby, workerHeartbeats time.Duration, standbyMetrics *metrics.Standby,
+	self string, settings operator.Standby, workerHeartbeatInterval time.Duration, standbyMetrics *metrics.Standby,
 ) Replicator {
 	if !settings.Enabled {
 		return Disabled{}
 	}
-	return newNode(self, settings, workerHeartbeats, standbyMetrics)
+	return newNode(self, settings, workerHeartbeatInterval, standbyMetrics)
 }
 
 func newNode(
-	self string, settings operator.Standby, workerHeartbeats time.Duration, standbyMetrics *metrics.Standby,
+	self string, settings operator.Standby, workerHeartbeatInterval time.Duration, standbyMetrics *metrics.Standby,
 ) *Node {
 	n := &Node{
 		self: self, metrics: standbyMetrics, streams: map[string]chan struct{}{}, logger: slog.With("component", "standby"),
@@ -59,21 +61,22 @@
 			SnapshotInterval: settings.SnapshotInterval,
 			Heartbeat:        heartbeatInterval,
 		},
-		standby: standby.New(self, standby.TimeoutsFor(workerHeartbeats, settings.SnapshotInterval)),
+		standby: standby.New(self, standby.TimeoutsFor(workerHeartbeatInterval, settings.SnapshotInterval)),
 	}
 	n.openLog(settings)
 	standbyMetrics.Watch(n.metricsState)
 	return n
 }
 
-// openLog opens the decision log. A disk that fails is reported and done without.
+// openLog opens the decision log, if one is configured, and restores the copy from it. If that
+// fails, the error is logged, the metrics show the failure, and the node runs without a log.
 func (n *Node) openLog(settings operator.Standby) {
 	if settings.LogDirectory == "" {
 		return
 	}
 	writer, recovered, err := newLogWriter(settings, n.snapshot)
 	if err != nil {
-		n.logger.Error("decision log unusable", "error", err)
+		n.logger.Error("can't open the decision log; running without it", "error", err)
 		n.metrics.DecisionLogFailed()
 		return
 	}
@@ -84,7 +87,8 @@
 		"records", recovered.Records, "torn_bytes", recovered.TornBytes, "entries", recovered.Replica.Size())
 }
 
-// snapshot is the whole state that this node knows: its own as the leader, or its copy.
+// snapshot returns the whole warm state that this node has: its own if it leads, else its copy;
+// false if the copy is incomplete.
 func (n *Node) snapshot() (standby.Frame, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -107,12 +111,12 @@
 	return n.standby.ClaimDelay(time.Now())
 }
 
-// LeaderLost implements Replicator: a takeover begins.
+// LeaderLost implements Replicator. It begins to record a takeover.
 func (n *Node) LeaderLost() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
-	n.takeover, n.nextPhase = standby.Takeover{}, standby.Vacant
+	n.takeover, n.minPhase = standby.Takeover{}, standby.Vacant
 	if _, age := n.standby.Lag(now); age > 0 {
 		n.takeover.Reached(standby.LastHeard, now.Add(-age))
 	}
@@ -128,13 +132,14 @@
 	n.standby.Claimed(standby.Claim{Term: term.Number, Revision: term.Revision})
 }
 
-// Confirm implements Replicator. The copy counts only if it is of the term before this one and
-// complete; else the leader starts from the records alone.
+// Confirm implements Replicator. The copy is used only if it is complete, lacks no known change, is
+// of the term right before this one, and can be decoded. Unless the records have to be read again,
+// this node publishes its own warm state from now on.
 func (n *Node) Confirm(term leadership.Term, revision uint64) (*core.WarmStart, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
-	view, err := n.standby.ConfirmCopy(now, revision)
+	warmCopy, err := n.standby.ConfirmCopy(now, revision)
 	if errors.Is(err, standby.ErrBehindClaim) {
 		return nil, err
 	}
@@ -145,7 +150,7 @@
 	n.phaseReached(standby.ViewCurrent, now)
 	var records []core.WarmRecord
 	if err == nil {
-		records, err = standby.Decode(view.Entries)
+		records, err = standby.Decode(warmCopy.Entries)
 	}
 	if err != nil {
 		n.logger.Info("cold takeover", "term", term.Number, "reason", err)
@@ -153,8 +158,8 @@
 	}
 	n.takeover.Warm = true
 	n.logger.Info("warm takeover",
-		"term", term.Number, "entries", len(view.Entries), "age", view.Age, "recent", view.Recent)
-	return &core.WarmStart{Records: records, Confirmed: view.Recent}, nil
+		"term", term.Number, "entries", len(warmCopy.Entries), "age", warmCopy.Age, "recent", warmCopy.Recent)
+	return &core.WarmStart{Records: records, Confirmed: warmCopy.Recent}, nil
 }
 
 // TermEnded implements Replicator.
@@ -192,9 +197,11 @@
 	n.phaseReached(phase, time.Now())
 }
 
-// phaseReached notes that a phase of the takeover is reached; n.mu is held.
+// phaseReached records the first time at which a phase of the takeover is reached, and from
+// ClaimStored on logs how long after the loss of the leader that was and adds it to the metrics, if
+// the time of the loss is known. The caller holds n.mu.
 func (n *Node) phaseReached(phase standby.TakeoverPhase, at time.Time) {
-	if phase < n.nextPhase || !n.takeover.Reached(phase, at) {
+	if phase < n.minPhase || !n.takeover.Reached(phase, at) {
 		return
 	}
 	if since, known := n.takeover.Since(phase); known && phase > standby.Vacant {
@@ -203,7 +210,7 @@
 			"term", n.takeover.Term, "phase", phase.String(), "warm", n.takeover.Warm, "after", since)
 	}
 	if phase == standby.FirstStart {
-		n.nextPhase = standby.FirstStart + 1 // nothing is left to note
+		n.minPhase = standby.FirstStart + 1 // the takeover is complete: no phase is left to record
 	}
 }
 
--- a/internal/controller/replication/node_test.go
+++ b/internal/controller/replication/node_test.go
@@ -14,8 +14,9 @@
 	"gingertally/internal/standby"
 )
 
-// testStandby is a node's part in the warm standby.
-func testStandby(t *testing.T, name string, alter func(*operator.Standby)) *Node {
+// newTestNode returns a Node with default settings, except that the warm standby is enabled,
+// snapshots may follow each other at once, and alter, unless nil, changes further settings.
+func newTestNode(t *testing.T, name string, alter func(*operator.Standby)) *Node {
 	t.Helper()
 	settings := operator.Default().Standby
 	settings.Enabled, settings.SnapshotInterval = true, time.Millisecond
@@ -25,17 +26,18 @@
 	return newNode(name, settings, time.Second, metrics.New().Standby)
 }
 
-// lead has a node claim a term and begin it.
+// lead has a node claim a term and confirm its copy, and returns what its engine would start from.
+// It checks that records read before the claim are rejected.
 func lead(t *testing.T, n *Node, term uint64) *core.WarmStart {
 	t.Helper()
 	n.LeaderLost()
 	n.TermClaimed(leadership.Term{Number: term, Revision: 10 * term})
 	if _, err := n.Confirm(leadership.Term{Number: term}, 10*term-1); !errors.Is(err, standby.ErrBehindClaim) {
-		t.Fatalf("records from before the claim are taken: %v", err)
+		t.Fatalf("records read before the claim: error %v, want ErrBehindClaim", err)
 	}
 	start, err := n.Confirm(leadership.Term{Number: term}, 10*term)
 	if err != nil {
-		t.Fatalf("records as of the claim aren't taken: %v", err)
+		t.Fatalf("records read as of the claim: error %v, want none", err)
 	}
 	return start
 }
@@ -48,7 +50,8 @@
 	}
 }
 
-// pumpFrames brings a follower what its leader has for it.
+// pumpFrames passes all frames that a leader has for a follower to it, and its acknowledgements
+// back.
 func pumpFrames(t *testing.T, leader, follower *Node) {
 	t.Helper()
 	for {
@@ -64,12 +67,14 @@
 	}
 }
 
-// A takeover goes on from the copy of the leader before, and tells its phases; a node whose
-// term is over serves nobody any more.
+// A new leader starts from its copy of the previous leader's warm state, and its status shows when
+// each phase of the takeover was reached. A node whose term is over sends no more frames, and
+// ending that term again doesn't affect the new leader. Otherwise takeovers would be slow, or
+// followers would copy the state of a deposed leader.
 func TestTakeoverFromTheCopy(t *testing.T) {
-	a, b := testStandby(t, "a", nil), testStandby(t, "b", nil)
+	a, b := newTestNode(t, "a", nil), newTestNode(t, "b", nil)
 	if start := lead(t, a, 1); start != nil {
-		t.Fatal("the first leader has a copy")
+		t.Fatal("the first leader starts from a copy, though there was no leader before")
 	}
 	if _, err := a.Join("b", b.position()); err != nil {
 		t.Fatal(err)
@@ -77,37 +82,39 @@
 	for i := range 50 {
 		a.Publish(1, []core.WarmRecord{classRecord(i)})
 	}
-	a.Publish(7, []core.WarmRecord{classRecord(99)}) // of a term that isn't this one
+	a.Publish(7, []core.WarmRecord{classRecord(99)}) // ignored: the current term is 1
 	pumpFrames(t, a, b)
 	if s := a.Status(time.Now()); s.State != "active" || s.Followers["b"] != 0 || s.Sequence != 50 {
-		t.Fatalf("the leader's status: %+v", s)
+		t.Fatalf("leader's status: %+v; want active at change 50 with no lag of b", s)
 	}
 	if s := b.Status(time.Now()); s.State != "following" || s.Entries != 20 || s.LagChanges != 0 {
-		t.Fatalf("the follower's status: %+v", s)
+		t.Fatalf("follower's status: %+v; want following with 20 entries and no lag", s)
 	}
 	a.TermEnded(1)
 	if _, _, err := a.Next("b"); !errors.Is(err, errNotLeading) {
-		t.Fatalf("a node whose term is over: %v", err)
+		t.Fatalf("next frame of a node whose term is over: error %v, want errNotLeading", err)
 	}
 	start := lead(t, b, 2)
 	if start == nil || len(start.Records) != 20 || !start.Confirmed {
-		t.Fatalf("the next leader starts from %+v", start)
+		t.Fatalf("the next leader starts from %+v, want 20 confirmed records", start)
 	}
 	b.PhaseReached(standby.FirstAnswer)
 	b.PhaseReached(standby.FirstStart)
 	taken := b.Status(time.Now()).LastTakeover
 	if taken == nil || !taken.Warm || taken.Term != 2 || len(taken.Phases) != int(standby.FirstStart)+1 {
-		t.Fatalf("the takeover's phases: %+v", taken)
+		t.Fatalf("last takeover: %+v; want a warm one of term 2 with all phases", taken)
 	}
-	a.TermEnded(1) // late news of the old term
+	a.TermEnded(1) // ending the old term again doesn't affect the new leader
 	if s := b.Status(time.Now()); s.State != "active" {
-		t.Fatalf("%s", s.State)
+		t.Fatalf("new leader's state after the old term ended again: %s, want active", s.State)
 	}
 }
 
-// A hand-over names the follower that has the most, and waits for it to have all.
+// A leader that hands over names the follower with the most changes as its successor. Once the
+// successor has caught up, it may claim at once while the others wait, so that no less current node
+// wins the claim.
 func TestNamesTheMostCurrent(t *testing.T) {
-	a, b, c := testStandby(t, "a", nil), testStandby(t, "b", nil), testStandby(t, "c", nil)
+	a, b, c := newTestNode(t, "a", nil), newTestNode(t, "b", nil), newTestNode(t, "c", nil)
 	lead(t, a, 1)
 	for _, n := range []*Node{b, c} {
 		if _, err := a.Join(n.self, n.position()); err != nil {
@@ -119,21 +126,21 @@
 	a.Publish(1, []core.WarmRecord{classRecord(2)})
 	pumpFrames(t, a, c)
 	if named := a.NameSuccessor([]string{"b", "c"}); named != "c" {
-		t.Fatalf("%q is to take over", named)
+		t.Fatalf("successor %q, want \"c\"", named)
 	}
 	pumpFrames(t, a, b)
 	pumpFrames(t, a, c)
 	if !a.CaughtUp("c") || c.ClaimDelay() != 0 || b.ClaimDelay() == 0 {
-		t.Fatalf("the successor waits %s, the other %s", c.ClaimDelay(), b.ClaimDelay())
+		t.Fatalf("successor not caught up, or wrong claim delays: successor %s, other %s", c.ClaimDelay(), b.ClaimDelay())
 	}
 }
 
-// The copy outlives the process where there is a disk, the leader's own and a follower's. A
-// disk that fails is reported and done without.
+// After a restart, a leader and a follower restore their copies from their decision logs. A
+// directory that can't be opened doesn't keep a node from starting: it then runs without a log.
 func TestDecisionLogOutlivesTheProcess(t *testing.T) {
 	directories := map[string]string{"a": t.TempDir(), "b": t.TempDir()}
 	start := func(name string) *Node {
-		return testStandby(t, name, func(s *operator.Standby) { s.LogDirectory = directories[name] })
+		return newTestNode(t, name, func(s *operator.Standby) { s.LogDirectory = directories[name] })
 	}
 	a, b := start("a"), start("b")
 	lead(t, a, 1)
@@ -150,7 +157,7 @@
 		pumpFrames(t, a, b)
 	}
 	waitUntil(t, "both logs written", func() bool { return len(a.log.queue) == 0 && len(b.log.queue) == 0 })
-	// What was taken off the queue last is written before the loop looks at ctx again.
+	// run writes the frame that it took off the queue last before it checks ctx again.
 	cancel()
 	for range 2 {
 		if err := <-written; !errors.Is(err, context.Canceled) {
@@ -158,42 +165,43 @@
 		}
 	}
 	for _, name := range []string{"a", "b"} {
-		again := start(name)
-		if at := again.position(); at.Term != 1 || at.Sequence == 0 || at.Sequence > 60 {
-			t.Errorf("%s goes on from %+v", name, at)
+		restarted := start(name)
+		if at := restarted.position(); at.Term != 1 || at.Sequence == 0 || at.Sequence > 60 {
+			t.Errorf("%s restored position %+v, want term 1 and sequence 1 to 60", name, at)
 		}
-		if s := again.Status(time.Now()); s.Log != "ok" || s.State != "catching up" {
-			t.Errorf("%s: %+v", name, s)
+		if s := restarted.Status(time.Now()); s.Log != "ok" || s.State != "catching up" {
+			t.Errorf("%s after its restart: status %+v, want log ok and state catching up", name, s)
 		}
 	}
-	broken := testStandby(t, "c", func(s *operator.Standby) { s.LogDirectory = "/does/not/exist" })
-	if broken.log != nil || broken.position() != (standby.Position{}) {
-		t.Error("a log that can't be opened is used")
+	withoutLog := newTestNode(t, "c", func(s *operator.Standby) { s.LogDirectory = "/does/not/exist" })
+	if withoutLog.log != nil || withoutLog.position() != (standby.Position{}) {
+		t.Error("a log that can't be opened is used, or a copy is restored from it")
 	}
 }
 
-// A slow disk holds nothing up: what finds no room is left out, and the next write begins
-// anew with the whole state.
+// A slow disk must not block replication: when the queue of the decision log is full, frames are
+// dropped, and the next write begins a segment with a snapshot of the whole state. Without the
+// snapshot, the log would lack the dropped changes.
 func TestSlowDisk(t *testing.T) {
-	n := testStandby(t, "a", func(s *operator.Standby) { s.LogDirectory = t.TempDir() })
+	n := newTestNode(t, "a", func(s *operator.Standby) { s.LogDirectory = t.TempDir() })
 	lead(t, n, 1)
-	for i := range 5 * logQueue {
-		n.Publish(1, []core.WarmRecord{classRecord(i)}) // nobody takes them off the queue
+	for i := range 5 * logQueueSize {
+		n.Publish(1, []core.WarmRecord{classRecord(i)}) // run isn't started, so nothing takes frames off the queue
 	}
 	if len(n.log.queue) != cap(n.log.queue) {
-		t.Fatalf("%d frames wait for the disk", len(n.log.queue))
+		t.Fatalf("%d frames are queued, want a full queue", len(n.log.queue))
 	}
 	n.log.offer(standby.Frame{Kind: standby.Changes, Term: 1})
-	if !n.log.stale.Load() {
-		t.Fatal("what was left out isn't made up for")
+	if !n.log.needsSnapshot.Load() {
+		t.Fatal("a dropped frame doesn't make the next write a snapshot")
 	}
 	n.log.write(<-n.log.queue)
-	if n.log.stale.Load() || n.log.broken.Load() || n.log.log.Full() {
-		t.Fatal("no segment was begun")
+	if n.log.needsSnapshot.Load() || n.log.failed.Load() || n.log.log.Full() {
+		t.Fatal("the write didn't begin a new segment")
 	}
 }
 
-// waitUntil waits until something holds.
+// waitUntil waits until a condition holds, for 20 s at most.
 func waitUntil(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
@@ -201,5 +209,5 @@
 			return
 		}
 	}
-	t.Fatalf("never: %s", what)
+	t.Fatalf("not within 20 s: %s", what)
 }
--- a/internal/controller/replication/replication.go
+++ b/internal/controller/replication/replication.go
@@ -1,10 +1,11 @@
-// Package replication is a controller's part in the warm standby. As the leader it streams the engine's
-// warm state to the other controllers; as a follower it keeps a copy, in memory and if wished on disk;
-// and at a takeover it says from what the next leader goes on.
+// Package replication is a controller's part in the warm standby. A leader streams its engine's
+// warm state to the other controllers. A follower keeps a copy of that state, in memory and, if
+// configured, in the decision log on disk. At a takeover the package decides whether the new
+// leader's engine may start from the copy.
 //
 // It owns the follower's copy and the leader's publisher (package standby), the streams between
-// controllers (standbyrpc) and the decision log. What it holds saves time and proves nothing: the state
-// service alone says what is true. All methods may be called from any goroutine.
+// controllers (package standbyrpc) and the decision log. The replicated state only saves time: the
+// state service remains the source of truth. A Replicator is safe for concurrent use.
 package replication
 
 import (
@@ -20,49 +21,52 @@
 
 // Replicator is a controller's part in the warm standby: a *Node, or Disabled.
 type Replicator interface {
-	// Enabled tells whether the operators have switched the warm standby on.
+	// Enabled reports whether the operators have enabled the warm standby.
 	Enabled() bool
-	// Run follows whoever leads and writes the decision log, until ctx ends.
+	// Run follows the current leader and writes the decision log, until ctx ends.
 	Run(ctx context.Context, peers Peers) error
-	// Register adds the stream to what is served to the other controllers.
+	// Register registers the gRPC service that streams warm state to the other controllers.
 	Register(registrar grpc.ServiceRegistrar)
 
-	// LeaderLost notes that nobody leads any more.
+	// LeaderLost records that there is no leader any more, which begins a takeover.
 	LeaderLost()
-	// ClaimDelay is for how long this node lets others claim first.
+	// ClaimDelay returns how long after the loss of the leader this node lets others claim first.
 	ClaimDelay() time.Duration
 
-	// TermClaimed notes that this node has claimed a term.
+	// TermClaimed records that this node has claimed a term.
 	TermClaimed(term leadership.Term)
-	// Confirm says, once the state service was read as of a revision, from what the engine starts
-	// besides the records; nil if from nothing. standby.ErrBehindClaim: they have to be read again.
+	// Confirm decides, after the records were read from the state service as of a revision, whether
+	// the engine may also start from the copy of the previous leader's warm state. It returns that
+	// state, or nil if the engine starts from the records alone. The only error is
+	// standby.ErrBehindClaim: the records have to be read again.
 	Confirm(term leadership.Term, revision uint64) (*core.WarmStart, error)
-	// Publish streams changes of the engine's warm state.
+	// Publish streams changes of the engine's warm state to the followers, if the term is still
+	// this node's.
 	Publish(term uint64, records []core.WarmRecord)
-	// PhaseReached notes that a phase of the takeover is reached.
+	// PhaseReached records that a phase of the takeover was reached.
 	PhaseReached(phase standby.TakeoverPhase)
-	// NameSuccessor has the followers told who is to lead next, and returns its name; empty if
-	// none of the candidates has the state.
+	// NameSuccessor chooses which of the candidates is to lead next, announces it to the followers
+	// and returns its name; empty if none of the candidates has any of the term's state.
 	NameSuccessor(candidates []string) string
-	// CaughtUp tells whether a follower has all changes.
+	// CaughtUp reports whether a follower has acknowledged all changes; true, too, if this node
+	// doesn't lead.
 	CaughtUp(follower string) bool
-	// TermEnded notes that a term of this node is over.
+	// TermEnded records that a term of this node is over.
 	TermEnded(term uint64)
 
-	// Status is what operators are shown; nil if the warm standby is off.
+	// Status returns the status that operators are shown; nil if the warm standby is disabled.
 	Status(now time.Time) *Status
 }
 
-// Peers is what following needs of the other controllers.
+// Peers gives access to the other controllers.
 type Peers interface {
-	// Leader names the node believed to lead; empty if unknown.
+	// Leader returns the name of the node that is believed to lead; empty if unknown.
 	Leader() string
-	// Connection is the connection to a controller.
+	// Connection returns the connection to a controller.
 	Connection(name string) (grpc.ClientConnInterface, error)
 }
 
-// Disabled is the Replicator of a controller whose operators haven't switched the warm standby on. It
-// does nothing.
+// Disabled is the Replicator of a controller without the warm standby. It does nothing.
 type Disabled struct{}
 
 // Enabled implements Replicator.
--- a/internal/controller/replication/status.go
+++ b/internal/controller/replication/status.go
@@ -7,37 +7,43 @@
 	"gingertally/internal/standby"
 )
 
-// Status is a controller's part in the warm standby, as operators are shown it. Its JSON is part of
-// their interface.
+// Status is the state of a controller's part in the warm standby, as shown to operators. Its JSON
+// form is part of the operators' interface.
 type Status struct {
 	State    string `json:"state"`
-	Term     uint64 `json:"term"`     // that the copy is of, or, of a leader, its own
-	Sequence uint64 `json:"sequence"` // of the newest change in it
-	Entries  int    `json:"entries"`
+	Term     uint64 `json:"term"`     // the leader's own term; on a follower, that of its complete copy, else 0
+	Sequence uint64 `json:"sequence"` // number of that term's newest change, or of the newest in the copy
+	Entries  int    `json:"entries"`  // in the copy, which a leader keeps as it was at the takeover
 
-	// Of a follower.
-	LagChanges uint64        `json:"lag_changes"`
-	LagTime    time.Duration `json:"lag_ns"` // since its leader was last heard
-	Snapshots  uint64        `json:"snapshots"`
-	Gaps       uint64        `json:"gaps"`
-	Mismatches uint64        `json:"mismatches"`
+	// Set unless this controller leads.
+	LagChanges uint64        `json:"lag_changes"` // changes that the copy is known to lack
+	LagTime    time.Duration `json:"lag_ns"`      // since the last frame of the copy's leader; 0 if none has come
 
-	// Of the leader: how many changes each follower lacks.
+	// Counts since the controller's start.
+	Snapshots  uint64 `json:"snapshots"`  // snapshots received completely
+	Gaps       uint64 `json:"gaps"`       // frames that showed that changes or parts of a snapshot are missing
+	Mismatches uint64 `json:"mismatches"` // copies dropped because their digest differed from the leader's
+
+	// Followers is set on the leader: how many changes each follower hasn't acknowledged. The
+	// leader's own decision log is listed as logFollower; it acknowledges nothing.
 	Followers map[string]uint64 `json:"followers,omitempty"`
 
+	// LastTakeover is nil unless this controller has claimed leadership since it last saw a leader
+	// lost.
 	LastTakeover *TakeoverStatus `json:"last_takeover,omitempty"`
-	Log          string          `json:"log"` // "off", "ok" or "failed"
+	Log          string          `json:"log"` // state of the decision log: logOff, logOK or logFailed
 }
 
-// TakeoverStatus is the last takeover of a controller: how long after it saw that nobody led each
-// phase was reached.
+// TakeoverStatus describes the last takeover by a controller.
 type TakeoverStatus struct {
-	Term   uint64                   `json:"term"`
-	Warm   bool                     `json:"warm"`
+	Term uint64 `json:"term"`
+	Warm bool   `json:"warm"` // the engine started from the copy
+	// Phases holds, by name of a phase that was reached, the time from when the controller saw the
+	// leader's lease gone until then; it is negative for the previous leader's last frame.
 	Phases map[string]time.Duration `json:"phases_ns"`
 }
 
-// States of the decision log.
+// States of the decision log (Status.Log).
 const (
 	logOff    = "off"
 	logOK     = "ok"
@@ -67,12 +73,12 @@
 	return s
 }
 
-// logState tells of the decision log.
+// logState returns the state of the decision log. A log that couldn't be opened counts as off.
 func (n *Node) logState() string {
 	switch {
 	case n.log == nil:
 		return logOff
-	case n.log.broken.Load():
+	case n.log.failed.Load():
 		return logFailed
 	}
 	return logOK
@@ -88,7 +94,7 @@
 	return s
 }
 
-// metricsState is the present state as the metrics show it.
+// metricsState returns the present state for the metrics.
 func (n *Node) metricsState() metrics.StandbyState {
 	s := n.Status(time.Now())
 	current := s.State == standby.Following.String() || s.State == standby.Active.String()
--- a/internal/controller/replication/stream.go
+++ b/internal/controller/replication/stream.go
@@ -6,9 +6,9 @@
 	"gingertally/internal/standby"
 )
 
-// The leader's side of the streams: Node implements standbyrpc.Source.
+// This file is the leader's end of the streams: Node implements standbyrpc.Source.
 
-// wakeStreams has all streams look for a next frame; n.mu is held.
+// wakeStreams signals all streams to ask for their next frame. The caller holds n.mu.
 func (n *Node) wakeStreams() {
 	for _, wake := range n.streams {
 		select {
@@ -18,7 +18,7 @@
 	}
 }
 
-// Join has a follower served (standbyrpc.Source).
+// Join implements standbyrpc.Source: it begins to serve a follower.
 func (n *Node) Join(follower string, from standby.Position) (<-chan struct{}, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -32,7 +32,7 @@
 	return wake, nil
 }
 
-// Next is the next frame for a follower (standbyrpc.Source).
+// Next implements standbyrpc.Source: it returns the next frame for a follower, if there is one.
 func (n *Node) Next(follower string) (standby.Frame, bool, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -43,7 +43,8 @@
 	return frame, ok, nil
 }
 
-// Acknowledge notes a follower's position (standbyrpc.Source).
+// Acknowledge implements standbyrpc.Source: it records a follower's position, or serves the
+// follower anew from there if it requests a snapshot.
 func (n *Node) Acknowledge(follower string, at standby.Position, resync bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -57,12 +58,12 @@
 	n.publisher.Acknowledge(follower, at)
 }
 
-// Leave forgets a follower (standbyrpc.Source).
+// Leave implements standbyrpc.Source: it ends the serving of a follower.
 func (n *Node) Leave(follower string, wake <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.streams[follower] != wake {
-		return // it has joined anew
+		return // the follower has joined again since
 	}
 	delete(n.streams, follower)
 	if n.publisher != nil {
