--- a/internal/controller/operatorapi/drains.go
+++ b/internal/controller/operatorapi/drains.go
@@ -16,30 +16,30 @@
 	"gingertally/internal/peer"
 )
 
-// Paths of the operators' interface to drains.
+// Paths of the operators' interface for drains. All calls are POST requests.
 const (
-	// DrainsPath takes new plans (POST, a drain.Plan). A plan's name and a verb behind it change
-	// its phase: DrainsPath/NAME/pause, resume or cancel (POST).
+	// DrainsPath is the path to create a plan; the body is a drain.Plan. A plan's ID and a verb
+	// after it change the plan's phase: DrainsPath/ID/pause, resume or cancel.
 	DrainsPath = "/drains"
-	// DrainPreviewPath tells what a plan would do (POST, a drain.Plan).
+	// DrainPreviewPath is the path to ask what a plan would do; the body is a drain.Plan.
 	DrainPreviewPath = DrainsPath + "/preview"
 )
 
-// drainVerbs are the phases that operators may take a plan to.
+// drainVerbs maps the verbs of calls to the phases to which operators can change a plan.
 var drainVerbs = map[string]drain.Phase{"pause": drain.Paused, "resume": drain.Running, "cancel": drain.Cancelled}
 
-// drainCallTimeout bounds an operator's call, which reaches the state service or the leader.
+// drainCallTimeout bounds the handling of a call, which asks the state service or the leader.
 const drainCallTimeout = 3 * time.Second
 
-// drainRetryAfter is when an operator whose call couldn't be served may come again, in seconds.
+// drainRetryAfter is the Retry-After header of an answer with status 503, in seconds.
 const drainRetryAfter = "1"
 
-// drainError is the body of an answer that isn't 200.
+// drainError is the body of an answer with another status than 200.
 type drainError struct {
 	Error string `json:"error"`
 }
 
-// drainAnswer is the answer to a call about drains.
+// drainAnswer is the answer to a call about drains; body is its JSON body.
 type drainAnswer struct {
 	status int
 	body   []byte
@@ -49,7 +49,7 @@
 	return drainAnswer{status, encodeJSON(drainError{message})}
 }
 
-// HandleDrain serves a call about drains.
+// HandleDrain serves a call whose path is DrainsPath or below it.
 func (s *Service) HandleDrain(ctx context.Context, request *fasthttp.RequestCtx, method, path string) {
 	ctx, cancel := context.WithTimeout(ctx, drainCallTimeout)
 	defer cancel()
@@ -72,14 +72,14 @@
 	case path == DrainsPath:
 		return s.createDrain(ctx, body)
 	case path == DrainPreviewPath:
-		return s.previewAnywhere(ctx, body)
+		return s.previewOrRelay(ctx, body)
 	case changes:
 		return s.changeDrain(ctx, plan, verb)
 	}
 	return drainFailure(http.StatusNotFound, "no such call")
 }
 
-// createDrain writes a new plan. A repeat of the call changes nothing.
+// createDrain stores a new plan. Repeating the call changes nothing and returns the stored plan.
 func (s *Service) createDrain(ctx context.Context, body []byte) drainAnswer {
 	var plan drain.Plan
 	if err := json.Unmarshal(body, &plan); err != nil {
@@ -89,7 +89,7 @@
 	return drainOutcome(stored, err)
 }
 
-// changeDrain takes a plan to another phase.
+// changeDrain changes a plan's phase to that of a verb.
 func (s *Service) changeDrain(ctx context.Context, id, verb string) drainAnswer {
 	phase, known := drainVerbs[verb]
 	if !known {
@@ -99,7 +99,8 @@
 	return drainOutcome(stored, err)
 }
 
-// drainOutcome is the answer to a call that changes a plan.
+// drainOutcome returns the answer to a call that creates or changes a plan: the stored plan, or the
+// error.
 func drainOutcome(stored drain.StoredPlan, err error) drainAnswer {
 	status := http.StatusServiceUnavailable
 	switch {
@@ -115,8 +116,9 @@
 	return drainFailure(status, err.Error())
 }
 
-// previewAnywhere tells what a plan would do, as the leader sees it.
-func (s *Service) previewAnywhere(ctx context.Context, body []byte) drainAnswer {
+// previewOrRelay previews a plan if this controller leads or the plan is invalid, and otherwise
+// relays the call to the leader, if one is known.
+func (s *Service) previewOrRelay(ctx context.Context, body []byte) drainAnswer {
 	answer := s.preview(body)
 	leader := s.Peers.Leader()
 	if answer.status != http.StatusServiceUnavailable || leader == "" || leader == s.Self {
@@ -130,13 +132,15 @@
 	return drainAnswer{response.Status, response.Body}
 }
 
-// PreviewDrain tells another controller what a plan would do, if this one leads.
+// PreviewDrain answers a preview that another controller relayed to this one. It isn't relayed
+// again.
 func (s *Service) PreviewDrain(body []byte) peer.Response {
 	answer := s.preview(body)
 	return peer.Response{Status: answer.status, Body: answer.body}
 }
 
-// preview tells what a plan would do, if this controller leads.
+// preview returns what a plan would do. The status is 503 if this controller doesn't lead, and 400
+// if the plan is invalid, which any controller can tell.
 func (s *Service) preview(body []byte) drainAnswer {
 	var plan drain.Plan
 	err := json.Unmarshal(body, &plan)
--- a/internal/controller/operatorapi/golden_test.go
+++ b/internal/controller/operatorapi/golden_test.go
@@ -10,7 +10,8 @@
 	"gingertally/internal/goldentest"
 )
 
-// The JSON that operators get.
+// The JSON form of the messages to operators, and the verbs of drains. Operators' tools and the
+// gingertally commands read them, so an unintended change would break those.
 func TestOperatorMessagesGolden(t *testing.T) {
 	var lines goldentest.Lines
 	for _, m := range []struct {
--- a/internal/controller/operatorapi/operatorapi.go
+++ b/internal/controller/operatorapi/operatorapi.go
@@ -1,9 +1,9 @@
-// Package operatorapi serves the operators' interface of a controller: its status and that of the
-// deployment, and drains. Bodies are JSON. Any controller may be asked; what only the leader knows is
-// asked of the leader.
+// Package operatorapi serves the operators' interface of a controller: the status of the controller
+// and of the deployment, and drains. Bodies are JSON. Operators may call any controller, which asks
+// the leader for what only the leader knows.
 //
-// It owns no state: plans lie in the state service (jobstore), all else is the leader's. All methods may
-// be called from any goroutine.
+// The package keeps no state: plans are stored in the state service (package jobstore), and the
+// rest is the leader's. A Service is safe for concurrent use.
 package operatorapi
 
 import (
@@ -19,49 +19,52 @@
 
 const contentTypeJSON = "application/json"
 
-// Peers reaches the other controllers.
+// Peers gives access to the other controllers.
 type Peers interface {
-	// Leader names the controller believed to lead; empty if unknown.
+	// Leader returns the name of the controller that is believed to lead; empty if unknown.
 	Leader() string
-	// PeersFirst lists the other controllers, the leader before the rest.
+	// PeersFirst returns the names of the other controllers, the leader's first if it is among
+	// them.
 	PeersFirst() []string
-	// Relay carries a call to another controller.
+	// Relay sends a call to another controller and returns its response.
 	Relay(ctx context.Context, to string, request peer.Request) (peer.Response, error)
 }
 
-// Term is what operators ask of the leader's term.
+// Term is a term of this controller as the leader.
 type Term interface {
-	// HoldsLease tells whether this controller may act.
+	// HoldsLease reports whether this controller's lease as the leader is valid.
 	HoldsLease() bool
-	// Status is what operators are shown of the deployment.
+	// Status returns the deployment's status.
 	Status(now time.Time) core.Status
-	// PreviewDrain tells what a drain plan would do.
+	// PreviewDrain returns what a drain plan would do if it were created now.
 	PreviewDrain(now time.Time, plan drain.Plan) *drain.Preview
 }
 
-// Service serves operators.
+// Service answers the calls of operators. Its fields are set before its first use and not changed
+// later.
 type Service struct {
-	Self   string
+	Self   string // name of this controller
 	Peers  Peers
 	Jobs   *jobstore.Jobs
-	Drains bool // whether the operators have switched drains on
-	// Term is this controller's term; false unless it leads.
+	Drains bool // whether drains are enabled
+	// Term returns this controller's present term; false if it has none. The lease may have expired
+	// during the term (Term.HoldsLease).
 	Term func() (Term, bool)
-	// Own is the status of this controller alone.
+	// Own returns the status of this controller alone.
 	Own func(now time.Time) Status
 }
 
-// leading is this controller's term, if it holds the lease.
+// leading returns this controller's term; false unless its lease is valid.
 func (s *Service) leading() (Term, bool) {
 	term, ok := s.Term()
 	return term, ok && term.HoldsLease()
 }
 
-// encodeJSON is a message in JSON.
+// encodeJSON returns the JSON form of a message.
 func encodeJSON(message any) []byte {
 	body, err := json.Marshal(message)
 	if err != nil {
-		return []byte("{}") // plain data; can't happen
+		return []byte("{}") // can't happen: all messages are plain data
 	}
 	return body
 }
--- a/internal/controller/operatorapi/status.go
+++ b/internal/controller/operatorapi/status.go
@@ -15,47 +15,54 @@
 	"gingertally/internal/peer"
 )
 
-// StatusPath is where operators ask any controller for the status.
+// StatusPath is the path at which any controller answers with the status.
 const StatusPath = "/statusz"
 
-// What is shown for controllers whose version isn't known.
+// Texts shown in place of the versions of controllers whose version isn't known.
 const (
-	olderVersion = "before 0.3.0"
-	noAnswer     = "no answer"
+	olderVersion = "before 0.3.0" // its status has no version
+	noAnswer     = "no answer"    // its status couldn't be read
 )
 
-// Status is what an operator is shown. Its JSON is part of the operators' interface.
+// Status is the status of a controller and, if it leads, of the deployment. Its JSON form is part
+// of the operators' interface.
 type Status struct {
-	Node      string              `json:"node"`             // the controller that tells
-	Version   string              `json:"version"`          // its version
-	Role      string              `json:"role"`             // its part in leader election
-	Leader    string              `json:"leader,omitempty"` // as far as it knows
-	Serves    bool                `json:"serves_users"`
-	Leading   *core.Status        `json:"leading,omitempty"`   // what it knows as the leader, while its lease is valid
-	Standby   *replication.Status `json:"standby,omitempty"`   // its part in the warm standby
-	Admission *overload.Status    `json:"admission,omitempty"` // what it applies
-	// Policies are the numbers of the admission policies that the controllers apply.
+	Node      string              `json:"node"`                // name of the controller whose status this is
+	Version   string              `json:"version"`             // of the controller
+	Role      string              `json:"role"`                // its role in leader election
+	Leader    string              `json:"leader,omitempty"`    // name of the leader that it knows of
+	Serves    bool                `json:"serves_users"`        // whether it serves users, as its health check says
+	Leading   *core.Status        `json:"leading,omitempty"`   // the deployment; nil unless it leads with a valid lease
+	Standby   *replication.Status `json:"standby,omitempty"`   // nil if the warm standby is disabled
+	Admission *overload.Status    `json:"admission,omitempty"` // nil if admission control is disabled
+
+	// These maps are by name of a controller. They are set only in answers to operators.
+
+	// Policies holds the number of the admission policy that each controller applies, unless its
+	// status couldn't be read or it has admission control disabled.
 	Policies map[string]uint64 `json:"policies,omitempty"`
-	// Standbys are those of all controllers that could be asked.
+	// Standbys holds each controller's status of the warm standby, unless its status couldn't be
+	// read or it has the warm standby disabled.
 	Standbys map[string]*replication.Status `json:"standbys,omitempty"`
-	// Versions of all controllers, as far as the one that was asked could find out.
+	// Versions holds the version of each controller, or noAnswer or olderVersion in its place.
 	Versions map[string]string `json:"versions,omitempty"`
 }
 
-// statusTimeout bounds the wait for the other controllers' status.
+// statusTimeout bounds the wait for the status of the other controllers, which are asked
+// concurrently.
 const statusTimeout = time.Second
 
 // HandleStatus answers an operator with the deployment's status.
 func (s *Service) HandleStatus(ctx context.Context, request *fasthttp.RequestCtx) {
 	request.SetContentType(contentTypeJSON)
-	request.SetBody(encodeJSON(s.deployment(ctx)))
+	request.SetBody(encodeJSON(s.deploymentStatus(ctx)))
 }
 
-// PeerStatus answers another controller with this one's status.
-func (s *Service) PeerStatus() []byte { return encodeJSON(s.own(time.Now())) }
+// PeerStatus returns the body of the answer to another controller that asks for this one's status.
+func (s *Service) PeerStatus() []byte { return encodeJSON(s.ownStatus(time.Now())) }
 
-// own is the status of this controller, and of the deployment if it leads.
-func (s *Service) own(now time.Time) Status {
+// ownStatus returns the status of this controller and, if it leads, of the deployment.
+func (s *Service) ownStatus(now time.Time) Status {
 	status := s.Own(now)
 	if term, ok := s.leading(); ok {
 		leading := term.Status(now)
@@ -64,13 +71,13 @@
 	return status
 }
 
-// deployment is the leader's status if it can be had, else this controller's, with
-// the versions of all controllers.
-func (s *Service) deployment(ctx context.Context) Status {
-	own := s.own(time.Now())
+// deploymentStatus returns the leader's status if that can be read, else this controller's,
+// together with what is known of each controller's version, standby and admission policy.
+func (s *Service) deploymentStatus(ctx context.Context) Status {
+	own := s.ownStatus(time.Now())
 	names := s.Peers.PeersFirst()
 	shown := own
-	all := summary{
+	all := controllersSummary{
 		versions: map[string]string{},
 		standbys: map[string]*replication.Status{},
 		policies: map[string]uint64{},
@@ -86,34 +93,34 @@
 	return shown
 }
 
-// summary is what is shown of each controller.
-type summary struct {
+// controllersSummary collects what a status shows of each controller, by name.
+type controllersSummary struct {
 	versions map[string]string
 	standbys map[string]*replication.Status
 	policies map[string]uint64
 }
 
-// add adds a controller; nil stands for one that doesn't answer.
-func (a *summary) add(name string, status *Status) {
+// add adds a controller; status is nil if it couldn't be read.
+func (c *controllersSummary) add(name string, status *Status) {
 	switch {
 	case status == nil:
-		a.versions[name] = noAnswer
+		c.versions[name] = noAnswer
 		return
 	case status.Version == "":
-		a.versions[name] = olderVersion
+		c.versions[name] = olderVersion
 	default:
-		a.versions[name] = status.Version
+		c.versions[name] = status.Version
 	}
 	if status.Standby != nil {
-		a.standbys[name] = status.Standby
+		c.standbys[name] = status.Standby
 	}
 	if status.Admission != nil {
-		a.policies[name] = status.Admission.Number
+		c.policies[name] = status.Admission.Number
 	}
 }
 
-// peersStatus asks the other controllers for their status, in the order of their names; nil
-// stands for no answer.
+// peersStatus asks other controllers for their status. The results are in the order of names; nil
+// stands for a controller whose status couldn't be read.
 func (s *Service) peersStatus(ctx context.Context, names []string) []*Status {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
