--- a/internal/userapi/answers.go
+++ b/internal/userapi/answers.go
@@ -23,31 +23,32 @@
 	Status int
 	// Body is the message to encode; nil means that there is no body.
 	Body any
-	// RetryAfter is when the user should call again; 0 says nothing about it.
+	// RetryAfter is how long the user should wait before calling again; 0 means that the answer
+	// doesn't say.
 	RetryAfter time.Duration
 }
 
-// tryAgainPause is when a user whose call is undecided should call again.
+// tryAgainPause is how long a user should wait before repeating a call whose outcome is undecided.
 const tryAgainPause = time.Second
 
-// acceptedAnswer says that a new job is stored.
+// acceptedAnswer says that a new job was stored.
 func acceptedAnswer(ref string) Answer {
 	return Answer{Status: http.StatusCreated, Body: wire.RunStateOf(ref, pipeline.Active, 0, 0)}
 }
 
-// JobStateAnswer tells the state of a job that exists.
+// JobStateAnswer returns the answer with the state of a job that exists.
 func JobStateAnswer(ref string, view core.JobView) Answer {
 	return Answer{Status: http.StatusOK, Body: wire.RunStateOf(ref, view.Phase, view.Done, view.Running)}
 }
 
-// CancelledAnswer answers a cancellation with the phase that the job now has: it is cancelled, or was done
-// before.
+// CancelledAnswer returns the answer to a cancellation, with the phase that the job now has: it is
+// cancelled, or was done before.
 func CancelledAnswer(ref string, phase pipeline.Phase) Answer {
 	return Answer{Status: http.StatusOK, Body: wire.CancelResult{Ref: ref, Status: wire.StatusOf(phase, 0)}}
 }
 
-// tryAgainAnswer says that the call is undecided: it may or may not have been carried out, and may be
-// repeated.
+// tryAgainAnswer says that the outcome of a call is undecided: it may or may not have been carried
+// out, and may be repeated.
 func tryAgainAnswer() Answer {
 	return Answer{Status: http.StatusServiceUnavailable, RetryAfter: tryAgainPause}
 }
--- a/internal/userapi/userapi.go
+++ b/internal/userapi/userapi.go
@@ -1,11 +1,12 @@
 // Package userapi is the controller's side of the users' interface (PROTOCOL: Users -> controller
-// nodes). Any node accepts jobs by writing them to the state service itself. What it says of a job
-// comes from the leader, or from the store if the leader can't be asked. Only the leader cancels.
+// nodes). Any node accepts jobs by writing them to the state service itself. It answers queries of
+// a job with the leader's state of it, or with that in the store if the leader can't be asked. Only
+// the leader cancels jobs.
 //
 // The package keeps no state. It may assume that its caller has bounded the context's time and the
 // body's size (MaxBody). Its callers are the node's HTTP server, for users, and its server for
-// peers, for calls that they forwarded; each call runs in the goroutine of its request, so that a
-// Service is used by many goroutines at once.
+// peers, for calls that they forwarded. Each call runs in the goroutine of its request; a Service
+// is safe for concurrent use.
 package userapi
 
 import (
@@ -28,8 +29,8 @@
 	// CheckDependencies returns nil if a job may wait for others: all of them exist. Else the error
 	// is jobstore.ErrBadDependency, or jobstore.ErrExists if the job itself exists already.
 	CheckDependencies(ctx context.Context, ref string, dependencies []string) error
-	// Create stores a new job. The error is jobstore.ErrExists if there is a job with this name, and
-	// jobstore.ErrTooLarge if its record exceeds what the state service takes.
+	// Create stores a new job. The error is jobstore.ErrExists if there is a job with this name,
+	// and jobstore.ErrTooLarge if its record exceeds what the state service takes.
 	Create(ctx context.Context, spec pipeline.Spec, dependencies []string, now time.Time) error
 	// Load reads a job's state; a job that doesn't exist is no error.
 	Load(ctx context.Context, ref string) (jobstore.State, error)
@@ -38,27 +39,29 @@
 	DependencyCancelled(ctx context.Context, state jobstore.State, now time.Time) (bool, error)
 }
 
-// Leader is the leading node, be it this node or another. The controller implements it; it is called
-// from the goroutines of requests.
+// Leader is the leading node, be it this node or another. The controller implements it; it is
+// called from the goroutines of requests.
 type Leader interface {
-	// View is what this node knows of a job; ok is false if this node doesn't hold the leader's
-	// lease, or doesn't know the job.
+	// View returns what this node knows of a job; ok is false if this node doesn't hold the
+	// leader's lease, or doesn't know the job.
 	View(ref string) (view core.JobView, ok bool)
-	// ViewFromLeader asks the leading node; ok is false if that can't be asked or doesn't know the job.
+	// ViewFromLeader asks another node that leads; ok is false if there is none, or it can't be
+	// asked or doesn't know the job.
 	ViewFromLeader(ctx context.Context, ref string) (view core.JobView, ok bool)
-	// Cancel cancels a job and returns the phase that the job then has, which is pipeline.Done if it
-	// was done already. Only the leader may: after another node's cancellation, the leader would go
-	// on telling users the older state (docs/design.md, "The bound of a cancellation"). The error is
-	// jobstore.ErrUnknownJob if there is no such job.
+	// Cancel cancels a job and returns the phase that the job then has, which is pipeline.Done if
+	// it was done already. Only the leader may: after another node's cancellation, the leader would
+	// go on telling users the older state (docs/design.md, "The bound of a cancellation"). The
+	// error is jobstore.ErrUnknownJob if there is no such job.
 	Cancel(ctx context.Context, ref string) (pipeline.Phase, error)
 }
 
 // Admission decides which jobs are refused under overload. The controller's admission control
 // implements it; it is called from the goroutines of requests.
 type Admission interface {
-	// Decide decides about a submission without waiting for anything.
+	// Decide decides whether a submission is admitted. It doesn't block.
 	Decide(spec *pipeline.Spec) admission.Decision
-	// Known reports whether a job that was refused had been accepted before.
+	// Known reports whether a job that was refused had been accepted before, as far as that can be
+	// found out quickly.
 	Known(ctx context.Context, ref string) bool
 }
 
@@ -71,7 +74,7 @@
 	Leader Leader
 	// Catalog returns the machine types that the cloud offers; it is empty until they are known.
 	Catalog func() placement.Catalog
-	// Teams are the quotas by team.
+	// Teams holds the quota of each team, by the team's name.
 	Teams map[string]placement.Quota
 	// Admission is nil while admission control is off: then every job is admitted.
 	Admission Admission
@@ -111,8 +114,8 @@
 	return tryAgainAnswer()
 }
 
-// answerOverload answers a submission that admission control refuses; refused is false if it doesn't.
-// A job that was accepted before is never refused: it is answered with its state.
+// answerOverload answers a submission that admission control refuses; refused is false if it
+// doesn't. A job that was accepted before is never refused: it is answered with its state.
 func (s *Service) answerOverload(ctx context.Context, spec *pipeline.Spec) (answer Answer, refused bool) {
 	if s.Admission == nil {
 		return Answer{}, false
@@ -130,8 +133,8 @@
 	return overloadedAnswer(decision), true
 }
 
-// answerImpossible answers the submission of a job that can never be placed. A job that was accepted
-// earlier is never rejected, whatever became of its team and of the machine types since.
+// answerImpossible answers the submission of a job that can never be placed. A job that was
+// accepted earlier is never rejected, whatever became of its team and of the machine types since.
 func (s *Service) answerImpossible(ctx context.Context, ref string) Answer {
 	state, err := s.Jobs.Load(ctx, ref)
 	switch {
@@ -143,8 +146,9 @@
 	return rejectedAnswer(errNeverPlaced)
 }
 
-// knownTypes returns those of the names that are machine types, each once. The others allow nothing,
-// and a job's record has to stay small. Nil allows all types and stays nil.
+// knownTypes returns those of the names that are machine types, each once. Other names and repeated
+// ones allow no further machines, and would only make the job's record larger. Nil allows all types
+// and stays nil.
 func knownTypes(types []string, catalog placement.Catalog) []string {
 	if types == nil {
 		return nil
@@ -184,13 +188,15 @@
 	if !state.Found {
 		return unknownJobAnswer()
 	}
+	// A job with a cancelled dependency will be cancelled, too, but the store may not show that
+	// yet.
 	if cancelled, err := s.Jobs.DependencyCancelled(ctx, state, time.Now()); err != nil || cancelled {
 		return tryAgainAnswer()
 	}
 	return JobStateAnswer(ref, core.JobView{Phase: state.Phase, Done: state.Done})
 }
 
-// Cancel cancels a job, unless it is done.
+// Cancel cancels a job, unless it is done, and answers with the phase that it then has.
 func (s *Service) Cancel(ctx context.Context, ref string) Answer {
 	if !pipeline.ValidRef(ref) {
 		return unknownJobAnswer()
--- a/internal/userapi/userapi_test.go
+++ b/internal/userapi/userapi_test.go
@@ -15,10 +15,10 @@
 	"gingertally/internal/wire"
 )
 
-// fakeBackend is the job store and the leader in one.
+// fakeBackend implements both Jobs and Leader.
 type fakeBackend struct {
 	jobs      map[string]jobstore.State
-	down      bool                    // the store answers nothing
+	down      bool                    // CheckDependencies, Create and Load fail
 	view      map[string]core.JobView // what this node knows as the leader
 	created   []pipeline.Spec
 	cancelErr error // the result of cancellations
@@ -73,7 +73,7 @@
 	return pipeline.Cancelled, b.cancelErr
 }
 
-// encodedSubmission is a good submission with some fields changed.
+// encodedSubmission returns an encoded submission: a valid one with some fields changed.
 func encodedSubmission(change map[string]any) []byte {
 	m := map[string]any{"ref": "j-000001", "lot_kind": "c", "owner": "t", "shape": "sweep", "urgency": "normal", "lots": 2, "vcpus": 4.0,
 		"cards": 0.0, "mem_gb": 8.0, "kit": "i", "pull_gb": 1.0, "builds": []string{"cpu", "old", "cpu"}, "one_zone": false, "apart": false,
@@ -84,21 +84,22 @@
 	return codec.MustMarshal(m)
 }
 
-// service has one team and one machine type.
-func service(b *fakeBackend) *Service {
+// newService returns a Service with one team and one machine type.
+func newService(b *fakeBackend) *Service {
 	return &Service{Jobs: b, Leader: b, Teams: map[string]placement.Quota{"t": {CPULimit: 6}},
 		Catalog: func() placement.Catalog {
 			return placement.Catalog{"cpu": {Name: "cpu", CPUs: 8, MemGB: 32, Zones: []string{"a"}}}
 		}}
 }
 
-// What becomes of a submission: the table's rows differ by one field. A job that was accepted once is
-// never refused, and one that can't be stored is never accepted: users rely on both.
+// Each row submits a valid job with some fields changed. A job that was accepted once must never be
+// rejected when it is submitted again, even if it couldn't be accepted now. A job that can't be
+// stored must never be accepted. Users rely on both.
 func TestSubmit(t *testing.T) {
 	ctx := context.Background()
 	known := jobstore.State{Found: true, Over: true, Phase: pipeline.Done, Done: 2}
 	b := &fakeBackend{jobs: map[string]jobstore.State{"j-000002": known}}
-	s := service(b)
+	s := newService(b)
 	for _, c := range []struct {
 		name   string
 		change map[string]any
@@ -121,83 +122,85 @@
 		{"known, now impossible", map[string]any{"ref": "j-000002", "owner": "u"}, 200},
 	} {
 		if a := s.Submit(ctx, encodedSubmission(c.change)); a.Status != c.want {
-			t.Errorf("%s: %d, want %d", c.name, a.Status, c.want)
+			t.Errorf("%s: status %d, want %d", c.name, a.Status, c.want)
 		}
 	}
 	if len(b.created) != 4 || len(b.created[0].Types) != 1 {
-		t.Fatalf("created %+v", b.created)
+		t.Fatalf("created %+v, want 4 jobs, the first with one machine type", b.created)
 	}
-	// What can't be stored isn't accepted, and the user is told when to try again.
+	// A job that can't be stored isn't accepted, and the user is told when to try again.
 	b.down = true
 	for _, change := range []map[string]any{nil, {"owner": "u"}, {"awaits": []string{"j-000002"}}} {
 		if a := s.Submit(ctx, encodedSubmission(change)); a.Status != 503 || a.RetryAfter != time.Second {
-			t.Errorf("store down: %+v", a)
+			t.Errorf("store down: %+v, want status 503 and a retry after 1 s", a)
 		}
 	}
 	s.Catalog = func() placement.Catalog { return nil }
 	b.down = false
 	if a := s.Submit(ctx, encodedSubmission(nil)); a.Status != 503 {
-		t.Errorf("types unknown: %d", a.Status)
+		t.Errorf("machine types unknown: status %d, want 503", a.Status)
 	}
 }
 
-// A state or a cancellation is told only if the leader or the store says so: 404 without asking the
-// store would have a user submit a job twice, and a state that is in doubt may be taken back later.
+// The answer to a query or a cancellation must come from the leader or the store. A 404 without
+// asking the store would make a user submit a job twice, and a state that is in doubt might have to
+// be revoked later.
 func TestGetAndCancel(t *testing.T) {
 	ctx := context.Background()
 	b := &fakeBackend{jobs: map[string]jobstore.State{"j-000002": {Found: true, Phase: pipeline.Cancelled}},
 		view: map[string]core.JobView{"j-000003": {Phase: pipeline.Active, Running: 1, Done: 4}}}
-	s := service(b)
+	s := newService(b)
 	for ref, want := range map[string]string{"j-000002": "aborted", "j-000003": "running"} {
 		a := s.Get(ctx, ref)
 		if st, ok := a.Body.(wire.RunState); a.Status != 200 || !ok || st.Status != want {
-			t.Errorf("%s: %+v", ref, a)
+			t.Errorf("%s: %+v, want status 200 and the job's state", ref, a)
 		}
 	}
 	if a := s.Get(ctx, "j-000009"); a.Status != 404 {
-		t.Errorf("unknown job: %d", a.Status)
+		t.Errorf("unknown job: status %d, want 404", a.Status)
 	}
 	if a := s.Get(ctx, "nonsense"); a.Status != 404 {
-		t.Errorf("malformed id: %d", a.Status)
+		t.Errorf("malformed id: status %d, want 404", a.Status)
 	}
 	b.jobs["j-000004"] = jobstore.State{Found: true, Record: pipeline.Record{Dependencies: []string{"j-000002"}}}
 	if a := s.Get(ctx, "j-000004"); a.Status != 503 || a.RetryAfter != time.Second {
-		t.Errorf("the state of a job behind a cancelled one is told: %+v", a)
+		t.Errorf("job with a cancelled dependency: %+v, want status 503 and a retry after 1 s", a)
 	}
 	b.down = true
 	if a := s.Get(ctx, "j-000009"); a.Status != 503 {
-		t.Errorf("404 without asking the store: %d", a.Status)
+		t.Errorf("unknown job while the store is down: status %d, want 503", a.Status)
 	}
 	for err, want := range map[error]int{nil: 200, jobstore.ErrUnknownJob: 404, jobstore.ErrNotLeader: 503, errDown: 503} {
 		b.cancelErr = err
 		if a := s.Cancel(ctx, "j-000002"); a.Status != want {
-			t.Errorf("cancel with %v: %d, want %d", err, a.Status, want)
+			t.Errorf("cancellation with result %v: status %d, want %d", err, a.Status, want)
 		}
 	}
 }
 
-// refusing refuses every job, for ten seconds, and counts the decisions.
-type refusing struct {
-	known     map[string]bool
+// refusingAdmission is an Admission that refuses every job for ten seconds, and counts its
+// decisions.
+type refusingAdmission struct {
+	known     map[string]bool // results of Known
 	decisions int
 }
 
-func (r *refusing) Decide(*pipeline.Spec) admission.Decision {
+func (r *refusingAdmission) Decide(*pipeline.Spec) admission.Decision {
 	r.decisions++
 	return admission.Decision{RetryAfter: 10 * time.Second, Reason: admission.Backlog}
 }
 
-func (r *refusing) Known(_ context.Context, ref string) bool { return r.known[ref] }
+func (r *refusingAdmission) Known(_ context.Context, ref string) bool { return r.known[ref] }
 
-// Under overload a job is refused with 429 and a time to try again, unless it is to be rejected for
-// good, of which its user has to hear. A known job is always answered with its state; queries are
-// never refused.
+// Under overload, a new job is refused with 429 and a time to try again. A job that can never be
+// accepted must still be rejected for good, or its user would repeat it in vain. A job that was
+// accepted before is answered with its state, and queries are never refused.
 func TestRefusedUnderOverload(t *testing.T) {
 	ctx := context.Background()
 	b := &fakeBackend{jobs: map[string]jobstore.State{"j-000002": {Found: true}, "j-000005": {Found: true}},
 		view: map[string]core.JobView{"j-000005": {Phase: pipeline.Active, Running: 1}}}
-	s := service(b)
-	r := &refusing{known: map[string]bool{"j-000002": true}}
+	s := newService(b)
+	r := &refusingAdmission{known: map[string]bool{"j-000002": true}}
 	s.Admission = r
 	for _, c := range []struct {
 		name   string
@@ -213,13 +216,13 @@
 	} {
 		a := s.Submit(ctx, encodedSubmission(c.change))
 		if a.Status != c.want || (a.Status == 429) != (a.RetryAfter == 10*time.Second) {
-			t.Errorf("%s: %+v", c.name, a)
+			t.Errorf("%s: wrong status, or a RetryAfter of 10 s not exactly with 429: %+v", c.name, a)
 		}
 	}
 	if a := s.Get(ctx, "j-000002"); a.Status != 200 {
-		t.Errorf("a query: %+v", a)
+		t.Errorf("query under overload: %+v, want status 200", a)
 	}
 	if len(b.created) != 0 || r.decisions == 0 {
-		t.Errorf("created %+v after %d decisions", b.created, r.decisions)
+		t.Errorf("created %+v after %d decisions, want no job after at least one decision", b.created, r.decisions)
 	}
 }
