--- a/internal/agentapi/agentapi.go
+++ b/internal/agentapi/agentapi.go
@@ -3,10 +3,10 @@
 // redirects the worker to the leader, or relays the heartbeat for a worker that evidently can't
 // reach the leader.
 //
-// The package owns which workers this node redirected of late, and when a worker last reached it.
-// It keeps nothing that has to survive a restart. Its callers are the node's HTTP server, for
-// workers, and its server for peers, for heartbeats that they relayed; each call runs in the
-// goroutine of its request, so that a Service may be used by many goroutines at once.
+// The package keeps in memory which workers this node has recently redirected, and when a worker
+// last reached it; neither has to survive a restart. Its callers are the node's HTTP server, for
+// workers, and its server for peers, for heartbeats that they relayed. Each call runs in the
+// goroutine of its request; a Service is safe for concurrent use.
 package agentapi
 
 import (
@@ -23,12 +23,13 @@
 // Leader is the leading node as a Service needs it, be it this node or another. The controller
 // implements it. Its methods are called from the goroutines of requests, many at a time.
 type Leader interface {
-	// Heartbeat hands a heartbeat to this node's engine and returns the engine's response. ok is
-	// false, and the engine isn't asked, unless this node holds the leader's lease.
+	// Heartbeat passes a heartbeat to this node's engine and returns the engine's response. ok is
+	// false if this node doesn't hold the leader's lease, or no longer once the engine has
+	// responded.
 	Heartbeat(heartbeat fleet.Heartbeat) (response core.HeartbeatResponse, ok bool)
-	// Name is the name of the node that is believed to lead; it is empty if none is known.
+	// Name returns the name of the node that is believed to lead; it is empty if none is known.
 	Name() string
-	// RelayHeartbeat sends an encoded heartbeat on to the leader, and returns the leader's answer.
+	// RelayHeartbeat forwards an encoded heartbeat to the leader, and returns the leader's answer.
 	RelayHeartbeat(ctx context.Context, body []byte) (Answer, error)
 }
 
@@ -45,11 +46,12 @@
 	lastContact time.Time // when any worker last reached this node
 }
 
-// relayTimeout bounds the wait for the leader's answer to a relayed heartbeat. A worker waits 4 s
-// for the answer to its heartbeat, so that it still gets the relayed one.
+// relayTimeout bounds the wait for the leader's answer to a relayed heartbeat. It is shorter than
+// the 4 s that a worker waits for the answer to its heartbeat, so that the worker still gets the
+// relayed one.
 const relayTimeout = 2500 * time.Millisecond
 
-// LastContact is when any worker last reached this node; the zero time means never.
+// LastContact returns when any worker last reached this node; the zero time means never.
 func (s *Service) LastContact() time.Time {
 	s.contactMu.Lock()
 	defer s.contactMu.Unlock()
@@ -83,7 +85,7 @@
 }
 
 // Relayed answers a heartbeat that another node relayed to this one. It is never relayed again,
-// so that two nodes that take each other for the leader can't pass it to and fro.
+// so that two nodes that take each other for the leader can't pass it back and forth.
 func (s *Service) Relayed(body []byte) Answer {
 	heartbeat, err := wire.ParseHeartbeat(body)
 	if err != nil {
@@ -107,7 +109,8 @@
 	return AcceptedAnswer(response), true
 }
 
-// relay sends a heartbeat on to the leader, and returns the leader's answer.
+// relay forwards a heartbeat to the leader and returns the leader's answer. Unless that is a 200,
+// the worker is told to try another node.
 func (s *Service) relay(ctx context.Context, body []byte) Answer {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
--- a/internal/agentapi/answers.go
+++ b/internal/agentapi/answers.go
@@ -14,20 +14,21 @@
 	Body   []byte
 }
 
-// AcceptedAnswer is the leader's answer to a heartbeat: the fencing token and the commands to the worker.
-// Only this answer renews the worker's lease.
+// AcceptedAnswer returns the leader's answer to a heartbeat: the fencing token and the commands to
+// the worker. Only this answer renews the worker's lease.
 func AcceptedAnswer(response core.HeartbeatResponse) Answer {
 	orders := wire.Orders{Gavel: response.FencingToken, Orders: wire.OrdersOf(response.Commands)}
 	return Answer{Status: http.StatusOK, Body: codec.MustMarshal(orders)}
 }
 
-// RedirectAnswer tells a worker to send its heartbeats to the leader instead.
+// RedirectAnswer returns the answer that tells a worker to send its heartbeats to the leader
+// instead.
 func RedirectAnswer(leader string) Answer {
 	return Answer{Status: http.StatusMisdirectedRequest, Body: codec.MustMarshal(wire.Redirect{Clerk: leader})}
 }
 
-// tryAnotherNodeAnswer tells a worker that this node can't answer its heartbeat, upon which the
-// worker tries the next node.
+// tryAnotherNodeAnswer tells a worker that this node can't answer its heartbeat. The worker then
+// tries the next node.
 func tryAnotherNodeAnswer() Answer { return Answer{Status: http.StatusServiceUnavailable} }
 
 // malformedAnswer says that the heartbeat couldn't be read.
@@ -40,7 +41,7 @@
 	DirectCommandsPath = wire.OrdersPath
 )
 
-// DirectCommandsBody is the encoded body of a request to DirectCommandsPath of a worker.
+// DirectCommandsBody returns the encoded body of a request to DirectCommandsPath of a worker.
 func DirectCommandsBody(direct core.Direct) []byte {
 	return codec.MustMarshal(wire.Orders{
 		Gavel: direct.FencingToken, Shift: direct.Incarnation, Orders: wire.OrdersOf(direct.Commands),
--- a/internal/agentapi/redirects.go
+++ b/internal/agentapi/redirects.go
@@ -7,18 +7,20 @@
 
 const (
 	// returnWithin is how soon after its redirect a worker has to be back for this node to conclude
-	// that it didn't reach the leader: had it reached the leader, it would have stayed there. On its
-	// way back it may have tried several nodes in vain, for 4 s each and with a pause of a second.
+	// that it didn't reach the leader: had it reached the leader, it would have stayed there.
+	// Before coming back it may have tried several nodes in vain, for 4 s each and with a pause of a
+	// second in between.
 	returnWithin = 25 * time.Second
-	// relayFor is how long the heartbeats of such a worker are relayed before it is redirected to the
-	// leader once more.
+	// relayFor is how long the heartbeats of such a worker are relayed before it is redirected to
+	// the leader once more.
 	relayFor = time.Minute
-	// maxRedirects bounds the number of machines that are remembered.
+	// maxRedirects bounds the number of machines that are remembered. Above it, all are forgotten.
 	maxRedirects = 10_000
 )
 
-// redirectHistory remembers which machines this node redirected to a leader, so that it can relay the
-// heartbeats of those that come back. The zero value is empty and ready for use, by any goroutine.
+// redirectHistory remembers which machines this node redirected to a leader, so that it can relay
+// the heartbeats of those that come back. The zero value is empty and ready for use, by any
+// goroutine.
 type redirectHistory struct {
 	mu        sync.Mutex
 	byMachine map[string]redirect
@@ -32,8 +34,8 @@
 	relayUntil time.Time
 }
 
-// shouldRelay decides whether a machine's heartbeat is relayed to the leader. If it isn't, the caller
-// redirects the machine, which is remembered here (docs/design.md, "Safety arguments" 13;
+// shouldRelay decides whether a machine's heartbeat is relayed to the leader. If it isn't, the
+// caller redirects the machine, which is remembered here (docs/design.md, "Safety arguments" 13;
 // TestRelayForWorkersThatComeBack).
 func (h *redirectHistory) shouldRelay(machine, leader string, now time.Time) bool {
 	h.mu.Lock()
