--- a/internal/controller/admission_test.go
+++ b/internal/controller/admission_test.go
@@ -13,7 +13,7 @@
 	"gingertally/internal/peer"
 )
 
-// admissionController is a controller with or without admission control, which isn't running.
+// admissionController returns a controller with or without admission control. It isn't running.
 func admissionController(t *testing.T, on bool) *Controller {
 	t.Helper()
 	settings := operator.Default()
@@ -32,7 +32,7 @@
 	return c
 }
 
-// exchange has the leader send its policy.
+// exchange sends a controller the leader's policy, and returns the response.
 func exchange(t *testing.T, c *Controller, policy admission.Policy) peer.Response {
 	t.Helper()
 	return c.servePeer(t.Context(), peer.Request{
@@ -42,20 +42,22 @@
 	})
 }
 
-// The leader's policy reaches the gate that users' submissions go by, and the status that operators see.
+// The leader's policy must reach the gate that decides about users' submissions, and the status that
+// operators see.
 func TestExchangeWithAdmission(t *testing.T) {
 	c := admissionController(t, true)
 	response := exchange(t, c, admission.Policy{Term: 3, Number: 7})
 	var batch admission.Batch
 	if err := codec.Unmarshal(response.Body, &batch); response.Status != http.StatusOK || err != nil {
-		t.Fatalf("status %d, %v", response.Status, err)
+		t.Fatalf("the exchange has status %d, and its body the error %v", response.Status, err)
 	}
 	if s := c.status(time.Now()).Admission; c.users.Users.Admission == nil || s == nil || s.Term != 3 || s.Number != 7 {
-		t.Fatalf("%+v", s)
+		t.Fatalf("the service for users has no gate, or the status shows another policy: %+v", s)
 	}
 }
 
-// A controller without admission control tells the leader so, admits everything, and shows nothing.
+// A controller without admission control must tell the leader so, admit everything, and show
+// nothing in its status.
 func TestExchangeWithoutAdmission(t *testing.T) {
 	c := admissionController(t, false)
 	response := exchange(t, c, admission.Policy{Term: 1})
--- a/internal/controller/contact.go
+++ b/internal/controller/contact.go
@@ -13,20 +13,20 @@
 	"gingertally/internal/statestore"
 )
 
-// Whom this controller reaches and who reaches it.
+// This file tracks this controller's contact with the state service and the other controllers.
 
 const (
-	// contactEvery is how often a state service that doesn't answer is tried.
-	contactEvery = time.Second
-	// contactTimeout bounds such a try.
-	contactTimeout = time.Second
-	// pingTimeout bounds the wait for another controller's answer to a ping.
+	// probeInterval is how often probeConnectivity checks whether a probe is needed.
+	probeInterval = time.Second
+	// storeProbeTimeout bounds one probe of the state service.
+	storeProbeTimeout = time.Second
+	// pingTimeout bounds the wait for the other controllers' answers to a ping.
 	pingTimeout = 700 * time.Millisecond
 	pingPath    = "/ping"
 )
 
-// storeAnswered notes an answer of the state service.
-func (c *Controller) storeAnswered(contact statestore.Contact) {
+// recordStoreContact records a response of the state service in the health tracker and the metrics.
+func (c *Controller) recordStoreContact(contact statestore.Contact) {
 	served := contact == statestore.Served
 	c.metrics.CountStoreAnswer(served)
 	if served {
@@ -36,10 +36,11 @@
 	}
 }
 
-// keepContact finds out, while the state service doesn't answer, whether it is this
-// controller alone that is cut off.
-func (c *Controller) keepContact(ctx context.Context) error {
-	ticker := time.NewTicker(contactEvery)
+// probeConnectivity probes the state service while it hasn't served this controller lately, and, if
+// the probe fails, pings the other controllers. That shows whether this controller alone is cut off.
+// It runs until ctx ends.
+func (c *Controller) probeConnectivity(ctx context.Context) error {
+	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -50,24 +51,24 @@
 		if c.health.StoreFresh(time.Now(), usercalls.StoreFresh) {
 			continue
 		}
-		if !c.storeServes(ctx, contactTimeout) {
+		if !c.storeServes(ctx, storeProbeTimeout) {
 			c.pingPeers(ctx)
 		}
 	}
 }
 
-// storeServes asks the state service for something small.
+// storeServes reports whether the state service serves this controller now. It reads one small key.
 func (c *Controller) storeServes(ctx context.Context, timeout time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	return c.store.Serves(ctx, leadership.HolderKey)
 }
 
-// pingPeers notes whether any other controller answers.
+// pingPeers pings the other controllers, and records the contact as soon as one answers.
 func (c *Controller) pingPeers(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
-	names := c.peersFirst()
+	names := c.peersLeaderFirst()
 	answers := make(chan bool, len(names))
 	for _, name := range names {
 		go func() {
@@ -83,7 +84,7 @@
 	}
 }
 
-// peerNames lists the other controllers.
+// peerNames returns the names of the other controllers.
 func (c *Controller) peerNames() []string {
 	names := make([]string, 0, len(c.settings.Peers))
 	for _, p := range c.settings.Peers {
@@ -92,9 +93,9 @@
 	return names
 }
 
-// peersFirst lists the other controllers, the leader before the rest, since it can serve
-// all calls.
-func (c *Controller) peersFirst() []string {
+// peersLeaderFirst returns the names of the other controllers. If one of them leads, it comes first,
+// since the leader can serve all calls.
+func (c *Controller) peersLeaderFirst() []string {
 	leader := c.elector.Leader()
 	names := c.peerNames()
 	for i, name := range names {
@@ -105,27 +106,27 @@
 	return names
 }
 
-// standbyPeers are the other controllers as the warm standby sees them (replication.Peers).
+// standbyPeers implements replication.Peers: the warm standby's access to the other controllers.
 type standbyPeers struct{ c *Controller }
 
-// Leader names the controller believed to lead.
+// Leader returns the name of the controller that is believed to lead; it is empty if unknown.
 func (p standbyPeers) Leader() string { return p.c.elector.Leader() }
 
-// Connection is the connection to a controller.
+// Connection returns the connection to another controller.
 func (p standbyPeers) Connection(name string) (grpc.ClientConnInterface, error) {
 	return p.c.peers.Connection(name)
 }
 
-// operatorPeers are the other controllers as operators' calls see them (operatorapi.Peers).
+// operatorPeers implements operatorapi.Peers: the operator API's access to the other controllers.
 type operatorPeers struct{ c *Controller }
 
-// Leader names the controller believed to lead.
+// Leader returns the name of the controller that is believed to lead; it is empty if unknown.
 func (p operatorPeers) Leader() string { return p.c.elector.Leader() }
 
-// PeersFirst lists the other controllers, the leader before the rest.
-func (p operatorPeers) PeersFirst() []string { return p.c.peersFirst() }
+// PeersFirst returns the names of the other controllers, the leader before the rest.
+func (p operatorPeers) PeersFirst() []string { return p.c.peersLeaderFirst() }
 
-// Relay carries a call to another controller.
+// Relay forwards a call to another controller and returns its response.
 func (p operatorPeers) Relay(ctx context.Context, to string, request peer.Request) (peer.Response, error) {
 	return p.c.peers.Relay(ctx, to, request)
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,19 +1,21 @@
-// Package controller joins the parts into the process that every controller runs. Read this file as the
-// table of contents: New makes the parts, Run has them work.
+// Package controller assembles the process that every controller runs. This file is the place to
+// start reading: New creates the components, Run runs them.
 //
-//	leadership     who leads: the leader's lease and term (the only part that says who may act)
+//	leadership     leader election: the leader's lease and term, which alone decide who may act
 //	term           the leader's work during one term: engine, writes, watches, cloud, direct commands
 //	replication    the warm standby: the leader's stream, the followers' copies
 //	overload       admission control: the gate at every controller, the leader's policies
 //	machinetypes   the cloud's machine types and prices
-//	usercalls      users' calls, here or forwarded to another controller
+//	usercalls      users' calls, served here or forwarded to another controller
 //	operatorapi    status and drains for operators
-//	limits         each part's share of rates and sockets
-//	metrics        what /metrics shows
+//	limits         the shares of rate limits and sockets that each use gets
+//	metrics        the metrics that /metrics shows
 //
-// In this package itself: http.go routes what users, workers and operators send, peers.go what other
-// controllers send, node.go is this controller as the election sees it, leader_view.go is the leader as
-// users' and workers' calls see it, contact.go notes whom this controller reaches.
+// In this package itself, http.go routes the requests of users, workers and operators, and peers.go
+// those of other controllers. node.go implements the node interface of leader election,
+// leader_view.go gives the services of users, workers and operators access to the leader, contact.go
+// tracks the contact with the state service and the other controllers, and core_config.go derives
+// the engine's configuration from the settings.
 package controller
 
 import (
@@ -48,15 +50,15 @@
 	"gingertally/internal/userapi"
 )
 
-// Version of the program. Versions before 0.3.0 don't tell theirs.
+// Version is the version of the program. Versions before 0.3.0 don't report theirs.
 const Version = "0.3.0"
 
-// leaseTTL is how long the leader's lease lasts without renewal. Shorter ones
-// give false changes when a controller falls behind, longer ones leave the workers
-// without a leader after a crash.
+// leaseTTL is how long the leader's lease lasts without renewal. A shorter lease would cause
+// needless changes of leader when a controller is slow, and a longer one would leave the workers
+// without a leader for longer after a crash.
 const leaseTTL = 3 * time.Second
 
-// Controller is one controller.
+// Controller is the process of one controller, with its clients and services.
 type Controller struct {
 	settings *config.Settings
 	operator operator.Settings
@@ -65,32 +67,32 @@
 	started  time.Time
 	log      *slog.Logger
 
-	// Clients of the outside services and of the other controllers.
-	store   *statestore.Client
-	jobs    *jobstore.Jobs // with the users' part of the rates
-	records *jobstore.Jobs // with the leader's part of the rates
-	cloud   *cloud.Client
-	peers   *peer.Client
+	// Clients of the external services and of the other controllers.
+	store      *statestore.Client
+	userJobs   *jobstore.Jobs // with the users' share of the rate limits
+	leaderJobs *jobstore.Jobs // with the leader's share of the rate limits
+	cloud      *cloud.Client
+	peers      *peer.Client
 
-	// Who leads, and this controller's term if it does.
+	// Leader election, and this controller's term while it leads.
 	elector *leadership.Elector
 	term    atomic.Pointer[term.Term] // nil unless this controller leads
 	direct  *term.DirectSender
 
-	// What every controller does.
+	// Components that work on every controller, whether it leads or not.
 	health       *health.Tracker
 	metrics      *metrics.Metrics
 	machineTypes *machinetypes.Catalog
 	replicator   replication.Replicator
 	overload     overload.Controller
 
-	// Who is served.
+	// Services for users, workers and operators.
 	users     *usercalls.Service
 	agents    *agentapi.Service
 	operators *operatorapi.Service
 }
 
-// New makes a controller.
+// New creates a controller. Run makes it serve.
 func New(settings *config.Settings, operatorSettings operator.Settings) (*Controller, error) {
 	c := &Controller{
 		settings: settings, operator: operatorSettings, core: coreConfig(settings, operatorSettings),
@@ -107,42 +109,43 @@
 		settings.Member, operatorSettings.Standby, c.core.HeartbeatInterval, c.metrics.Standby,
 	)
 	c.core.WarmState = c.replicator.Enabled()
-	whole := c.limits.Whole() // claims wait for nobody's part of the rates
-	c.elector = leadership.New(c.store.WithRates(whole.Requests, whole.Writes), electionNode{c}, leadership.Options{
+	total := c.limits.Total() // leadership claims mustn't wait because a share is used up
+	c.elector = leadership.New(c.store.WithRates(total.Requests, total.Writes), electionNode{c}, leadership.Options{
 		Member: settings.Member, Others: c.peerNames(), TTL: leaseTTL, PeerExtensions: true,
 	})
-	users := &userapi.Service{Jobs: c.jobs, Leader: userLeader{c}, Catalog: c.machineTypes.Types, Teams: c.core.Teams}
+	users := &userapi.Service{Jobs: c.userJobs, Leader: userLeader{c}, Catalog: c.machineTypes.Types, Teams: c.core.Teams}
 	c.overload = c.newOverload(users)
 	c.users = &usercalls.Service{
-		Users: users, Health: c.health, PeersFirst: c.peersFirst,
+		Users: users, Health: c.health, PeersFirst: c.peersLeaderFirst,
 		Forwarder: usercalls.NewForwarder(c.peers, func() { c.health.PeerAnswered(time.Now()) }),
 	}
 	c.agents = &agentapi.Service{Self: settings.Member, Leader: agentLeader{c}}
 	c.operators = &operatorapi.Service{
-		Self: settings.Member, Peers: operatorPeers{c}, Jobs: c.jobs, Drains: c.core.Drain != nil,
+		Self: settings.Member, Peers: operatorPeers{c}, Jobs: c.userJobs, Drains: c.core.Drain != nil,
 		Term: c.operatorTerm, Own: c.status,
 	}
 	return c, nil
 }
 
-// openStore makes the clients of the state service, each with its part of the rates.
+// openStore creates the clients of the state service for users' calls and for the leader, each with
+// its share of the rate limits.
 func (c *Controller) openStore() {
 	userRate, burst := c.limits.Users()
 	c.store = statestore.New(statestore.Options{
 		Addr: c.settings.Endpoints.State, MaxConns: c.limits.StoreConns(),
 		Requests: userRate.Requests, Writes: userRate.Writes, Burst: burst,
-		Contact: c.storeAnswered,
+		Contact: c.recordStoreContact,
 	})
 	jobLimits := jobstore.Limits{
 		ValueBytes: c.core.MaxValueBytes, TxnOps: c.limits.TxnOps(),
 		NotCancelledFor: limits.NotCancelledFor(c.core.CancelWithin),
 	}
 	leaderRate := c.limits.Leader()
-	c.jobs = jobstore.New(c.store, jobLimits)
-	c.records = jobstore.New(c.store.WithRates(leaderRate.Requests, leaderRate.Writes), jobLimits)
+	c.userJobs = jobstore.New(c.store, jobLimits)
+	c.leaderJobs = jobstore.New(c.store.WithRates(leaderRate.Requests, leaderRate.Writes), jobLimits)
 }
 
-// connectPeers makes the client of the other controllers.
+// connectPeers creates the client of the other controllers.
 func (c *Controller) connectPeers() error {
 	addrs := map[string]string{}
 	for _, p := range c.settings.Peers {
@@ -153,7 +156,8 @@
 	return err
 }
 
-// newOverload makes this controller's part in admission control, and has users' calls go by it.
+// newOverload creates this controller's admission control and attaches it to the service for users.
+// It returns overload.Disabled if the operators haven't enabled admission control.
 func (c *Controller) newOverload(users *userapi.Service) overload.Controller {
 	settings := c.operator.Admission
 	if !settings.Enabled {
@@ -170,17 +174,17 @@
 	return node
 }
 
-// Limits of the Go runtime: the heap's part of the memory, and how far it grows
-// between collections.
+// Settings of the Go runtime: the share of the controller's memory that is the runtime's memory
+// limit, and how far the heap grows between two collections, in percent.
 const (
-	memoryPart    = 0.6
+	memoryShare   = 0.6
 	gcPercent     = 200
 	bytesPerMByte = 1 << 20
 )
 
-// Run serves until ctx ends or something fails that can't be repaired.
+// Run serves until ctx ends or a component fails for good.
 func (c *Controller) Run(ctx context.Context) error {
-	debug.SetMemoryLimit(int64(c.settings.Params.Resources.MemoryMB * memoryPart * bytesPerMByte))
+	debug.SetMemoryLimit(int64(c.settings.Params.Resources.MemoryMB * memoryShare * bytesPerMByte))
 	debug.SetGCPercent(gcPercent)
 	defer c.peers.Close()
 	var listen net.ListenConfig
@@ -193,7 +197,7 @@
 		return fmt.Errorf("peer_listen: %w", err)
 	}
 	if !c.core.CancelKept() {
-		c.log.Warn("cancellations wait for tasks to be gone: lease_s is too long for cancel_s",
+		c.log.Warn("cancellations are confirmed only once the tasks are gone: lease_s is too long for cancel_s",
 			"bound", c.core.CancelBound(), "cancel_within", c.core.CancelWithin)
 	}
 	c.log.Info("controller serving",
@@ -202,7 +206,8 @@
 	return c.serve(ctx, clients, peers)
 }
 
-// serve runs the parts of the process until ctx ends, and then hands over if it leads.
+// serve runs the components until one of them fails or ctx ends. When ctx ends, a leader hands over
+// before the components are stopped.
 func (c *Controller) serve(ctx context.Context, clients, peers net.Listener) error {
 	running, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -211,7 +216,7 @@
 	group.Go(func() error { return peer.Serve(running, peers, c.servePeer, c.replicator.Register) })
 	group.Go(func() error { return c.elector.Run(running) })
 	group.Go(func() error { return c.machineTypes.Run(running) })
-	group.Go(func() error { return c.keepContact(running) })
+	group.Go(func() error { return c.probeConnectivity(running) })
 	group.Go(func() error { return c.replicator.Run(running, standbyPeers{c}) })
 	group.Go(func() error { return c.overload.Run(running) })
 	group.Go(func() error {
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -24,13 +24,13 @@
 	"gingertally/internal/wire"
 )
 
-// runningController is one running controller.
+// runningController is a running controller with the address that it serves.
 type runningController struct {
 	*Controller
 	addr string // for users and workers
 }
 
-// startControllers starts controllers that share the outside services.
+// startControllers starts controllers that share the external services.
 func startControllers(t *testing.T, store *fakeStore, names ...string) []runningController {
 	t.Helper()
 	state, cloud := serveOn(t, store.handle), serveOn(t, handleCloud)
@@ -54,16 +54,16 @@
 				others = append(others, config.Peer{Member: other, Zone: "a", Addr: peers[other].Addr().String()})
 			}
 		}
-		d, err := New(testSettings(name, others, config.Endpoints{Cloud: cloud, State: state}), operator.Default())
+		c, err := New(testSettings(name, others, config.Endpoints{Cloud: cloud, State: state}), operator.Default())
 		if err != nil {
 			t.Fatal(err)
 		}
-		running.Go(func() error { return d.serveHTTP(ctx, clients[name]) })
-		running.Go(func() error { return peer.Serve(ctx, peers[name], d.servePeer) })
-		running.Go(func() error { return d.elector.Run(ctx) })
-		running.Go(func() error { return d.machineTypes.Run(ctx) })
-		running.Go(func() error { return d.keepContact(ctx) })
-		controllers = append(controllers, runningController{d, clients[name].Addr().String()})
+		running.Go(func() error { return c.serveHTTP(ctx, clients[name]) })
+		running.Go(func() error { return peer.Serve(ctx, peers[name], c.servePeer) })
+		running.Go(func() error { return c.elector.Run(ctx) })
+		running.Go(func() error { return c.machineTypes.Run(ctx) })
+		running.Go(func() error { return c.probeConnectivity(ctx) })
+		controllers = append(controllers, runningController{c, clients[name].Addr().String()})
 	}
 	return controllers
 }
@@ -90,7 +90,7 @@
 	}
 }
 
-// eventually waits until something holds.
+// eventually waits until a condition holds, and fails the test if it doesn't within 20 s.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
@@ -98,13 +98,14 @@
 			return
 		}
 	}
-	t.Fatalf("never: %s", what)
+	t.Fatalf("not within the time limit: %s", what)
 }
 
-// leaderFirst waits for a leader that all know, and puts it first.
+// leaderFirst waits until all controllers agree on the leader and are healthy, and returns them
+// with the leader first.
 func leaderFirst(t *testing.T, controllers []runningController) []runningController {
 	t.Helper()
-	eventually(t, "a leader that all know", func() bool {
+	eventually(t, "all controllers agree on the leader", func() bool {
 		for i, c := range controllers {
 			if c.term.Load() != nil && c.elector.HoldsLease(time.Now()) {
 				controllers[0], controllers[i] = controllers[i], controllers[0]
@@ -121,16 +122,16 @@
 	return controllers
 }
 
-func jobText(ref string) []byte {
+func jobJSON(ref string) []byte {
 	return fmt.Appendf(nil, `{"ref":%q,"lot_kind":"c","owner":"t","shape":"sweep","urgency":"normal","lots":1,"vcpus":4,"cards":0,"mem_gb":8,
 		"kit":"i","pull_gb":0.1,"one_zone":false,"apart":false,"loaners":false,"guess_s":10,"mark_s":0,"stash_s":0}`, ref)
 }
 
-// worker reports for the one machine, and does at once what it is told. When its node
-// doesn't serve it, it goes to the next.
+// worker is the worker on the fake cloud's machine, and executes commands at once. If a controller
+// doesn't serve it, it sends its next heartbeat to the next controller.
 type worker struct {
 	addrs        []string
-	at           int // which of them it reports to
+	at           int // index of the address to which it sends heartbeats
 	seq          uint64
 	fencingToken uint64
 	tasks        map[string]map[string]any // by name
@@ -165,12 +166,12 @@
 	}
 	w.fencingToken = orders.Gavel
 	for _, order := range orders.Orders {
-		w.obey(order)
+		w.execute(order)
 	}
 	return fasthttp.StatusOK
 }
 
-func (w *worker) obey(order wire.Order) {
+func (w *worker) execute(order wire.Order) {
 	switch order.Verb {
 	case "start":
 		w.tasks[order.Lot] = map[string]any{"lot": order.Lot, "try": order.Try, "status": "running"}
@@ -192,11 +193,11 @@
 	w.tasks[lot]["status"], w.tasks[lot]["cause"], w.tasks[lot]["kept"] = "ended", "done", true
 }
 
-// TestControllers runs two controllers against outside services in memory: jobs are
-// submitted, run and cancelled by way of the one that doesn't lead, a peer extends the
-// lease in an outage only, and when the leader resigns another term begins. It holds in
-// real time, so also where a busy machine makes the leader change in between. CI's verdict
-// mustn't hang on how busy its machine is, so it runs only where realTimeVariable is set.
+// TestControllers runs two controllers against external services in memory. Jobs are submitted, run
+// and cancelled through the controller that doesn't lead, a peer extends the lease only in an
+// outage, and when the leader resigns another term begins. The test runs in real time, and is
+// written to pass even if a busy machine makes the leader change in between. Since CI's result
+// mustn't depend on how busy its machine is, the test runs only if realTimeVariable is set.
 func TestControllers(t *testing.T) {
 	if os.Getenv(realTimeVariable) == "" {
 		t.Skip(realTimeVariable + " isn't set")
@@ -206,7 +207,7 @@
 	leader, follower := nodes[0], nodes[1]
 	user := &client.Client{Addr: follower.addr}
 	for _, ref := range []string{"j-1", "j-2"} {
-		if run, err := user.Submit(t.Context(), jobText(ref)); err != nil || run.Status != wire.StatusQueued {
+		if run, err := user.Submit(t.Context(), jobJSON(ref)); err != nil || run.Status != wire.StatusQueued {
 			t.Fatalf("submit %s: %+v, %v", ref, run, err)
 		}
 	}
@@ -219,10 +220,10 @@
 		}
 		return run.Status
 	}
-	eventually(t, "both jobs run", func() bool {
+	eventually(t, "both jobs are running", func() bool {
 		return status("j-1") == wire.StatusRunning && status("j-2") == wire.StatusRunning
 	})
-	eventually(t, "a redirect", func() bool {
+	eventually(t, "a heartbeat is redirected", func() bool {
 		atLeader, atFollower := &worker{addrs: []string{leader.addr}}, &worker{addrs: []string{follower.addr}}
 		return atFollower.sendHeartbeat(t) == fasthttp.StatusMisdirectedRequest ||
 			atLeader.sendHeartbeat(t) == fasthttp.StatusMisdirectedRequest
@@ -235,10 +236,10 @@
 	eventually(t, "the second job's task stops", func() bool {
 		return status("j-2") == wire.StatusCancelled && work.stops > 0
 	})
-	eventually(t, "a status of the whole", func() bool { work.sendHeartbeat(t); return showsWhole(t, follower) })
+	eventually(t, "the status is complete", func() bool { work.sendHeartbeat(t); return showsDeployment(t, follower) })
 	checkExtension(t, store, nodes)
 	before := work.fencingToken
-	eventually(t, "another term after a resignation", func() bool {
+	eventually(t, "another term begins after the resignation", func() bool {
 		for _, node := range nodes {
 			if s := node.term.Load(); s != nil && s.Number() == before {
 				node.elector.Resign("test")
@@ -252,11 +253,13 @@
 	}
 }
 
-// realTimeVariable has the tests run that depend on the machine's pace.
+// realTimeVariable is the environment variable that enables the tests that depend on the speed of
+// the machine.
 const realTimeVariable = "CONTROLLER_REAL_TIME"
 
-// showsWhole tells whether a node, by way of the leader, shows the whole deployment.
-func showsWhole(t *testing.T, node runningController) bool {
+// showsDeployment reports whether a node answers with the leader's status of the whole deployment.
+// It also checks that the node serves metrics.
+func showsDeployment(t *testing.T, node runningController) bool {
 	t.Helper()
 	code, body, err := fasthttp.Get(nil, "http://"+node.addr+operatorapi.StatusPath)
 	var shown operatorapi.Status
@@ -271,8 +274,8 @@
 		shown.Versions[node.settings.Member] == Version
 }
 
-// checkExtension asks a node that doesn't lead to extend the lease: it does so in an
-// outage of the state service, and refuses once that serves it again.
+// checkExtension checks that a node that doesn't lead extends the lease during an outage of the
+// state service, and refuses before and after it.
 func checkExtension(t *testing.T, store *fakeStore, nodes []runningController) {
 	t.Helper()
 	extends := func() bool {
@@ -280,10 +283,10 @@
 			electionNode{nodes[1].Controller}.RequestExtension(t.Context(), nodes[0].settings.Member)
 	}
 	if extends() {
-		t.Error("extended although the state service serves all")
+		t.Error("the lease was extended although the state service serves all nodes")
 	}
 	store.setDown(true)
-	eventually(t, "an extension in an outage", extends)
+	eventually(t, "the lease is extended in an outage", extends)
 	store.setDown(false)
-	eventually(t, "no extension after the outage", func() bool { return !extends() })
+	eventually(t, "the lease is not extended after the outage", func() bool { return !extends() })
 }
--- a/internal/controller/core_config.go
+++ b/internal/controller/core_config.go
@@ -12,10 +12,10 @@
 	"gingertally/internal/operator"
 )
 
-// roundBudget is how many tasks one round of decisions looks at.
+// roundBudget limits the jobs considered and tasks placed in one pass of a round of decisions.
 const roundBudget = 2000
 
-// coreConfig is the core's configuration for a deployment.
+// coreConfig returns the engine's configuration for a deployment and its operators' settings.
 func coreConfig(settings *config.Settings, operatorSettings operator.Settings) core.Config {
 	params := &settings.Params
 	shares := limits.Of(settings)
@@ -45,12 +45,13 @@
 	return c
 }
 
-// objectiveKinds are the settings' words for the kinds of objectives.
+// objectiveKinds maps the names of objective kinds in the settings to the core's kinds.
 var objectiveKinds = map[string]core.ObjectiveKind{
 	"wait": core.StartObjective, "finished": core.FinishObjective, "deadline": core.DeadlineObjective,
 }
 
-// objectives are what operators expect of starts and ends, by class. Kinds not known here are ignored.
+// objectives returns the service-level objectives by class of jobs. Objectives of unknown kinds are
+// ignored.
 func objectives(settings []config.Objective) map[string][]core.Objective {
 	byClass := map[string][]core.Objective{}
 	for _, objective := range settings {
--- a/internal/controller/drains_test.go
+++ b/internal/controller/drains_test.go
@@ -15,9 +15,9 @@
 	"gingertally/internal/wire"
 )
 
-// drainDaemon is a controller with drains on, over a state service in memory, that serves
-// operators' calls but leads nothing.
-func drainDaemon(t *testing.T, store *fakeStore) *Controller {
+// drainController returns a controller with drains on and a state service in memory. It serves
+// operators' calls but doesn't take part in elections.
+func drainController(t *testing.T, store *fakeStore) *Controller {
 	t.Helper()
 	settings := testSettings("n-1", nil, config.Endpoints{State: serveOn(t, store.handle)})
 	client := statestore.New(statestore.Options{
@@ -31,8 +31,8 @@
 	return &Controller{settings: settings, operators: &operatorapi.Service{Self: "n-1", Jobs: jobs, Drains: true}}
 }
 
-// drainCall makes an operator's call and returns its status and body.
-func drainCall(t *testing.T, d *Controller, path string, message any) (int, []byte) {
+// drainCall makes an operator's call to a controller, and returns the status and the body.
+func drainCall(t *testing.T, c *Controller, path string, message any) (int, []byte) {
 	t.Helper()
 	var request fasthttp.RequestCtx
 	request.Request.Header.SetMethod(http.MethodPost)
@@ -42,16 +42,16 @@
 		t.Fatal(err)
 	}
 	request.Request.SetBody(body)
-	d.handle(t.Context(), &request)
+	c.handle(t.Context(), &request)
 	return request.Response.StatusCode(), request.Response.Body()
 }
 
-// Operators' requests reach the state service through any controller: a repeat changes nothing,
-// another plan of the same name is refused, phases change only as they may, and nothing is
-// taken while the state service is down.
+// Operators' calls about drains must work at any controller: a repeated call changes nothing,
+// another plan with the same ID is refused, the phase of a plan changes only in the permitted ways,
+// and no call is accepted while the state service is down.
 func TestDrainCalls(t *testing.T) {
 	store := &fakeStore{items: map[string]wire.StoreItem{}}
-	first, second := drainDaemon(t, store), drainDaemon(t, store)
+	first, second := drainController(t, store), drainController(t, store)
 	plan := drain.Plan{ID: "p1", Selector: drain.Selector{All: true}, MaxAtOnce: 2}
 	other := plan
 	other.MaxAtOnce = 3
@@ -82,7 +82,7 @@
 		status, body := drainCall(t, c.at, c.path, c.message)
 		var got drain.Plan
 		if status != c.status || status == 200 && (json.Unmarshal(body, &got) != nil || got.Phase != c.phase) {
-			t.Errorf("%s: %d %s", c.name, status, body)
+			t.Errorf("%s: status %d, body %s", c.name, status, body)
 		}
 	}
 	store.setDown(true)
@@ -91,10 +91,10 @@
 		Selector:  drain.Selector{All: true},
 		MaxAtOnce: 1,
 	}); status != 503 {
-		t.Errorf("while the state service is down: %d %s", status, body)
+		t.Errorf("while the state service is down: status %d, body %s", status, body)
 	}
 	first.operators.Drains = false
 	if status, _ := drainCall(t, first, operatorapi.DrainsPath, plan); status != 404 {
-		t.Errorf("with drains off: %d", status)
+		t.Errorf("with drains off: status %d", status)
 	}
 }
--- a/internal/controller/fake_services_test.go
+++ b/internal/controller/fake_services_test.go
@@ -28,20 +28,20 @@
 	return listener.Addr().String()
 }
 
-// answer writes a message with a status.
+// answer writes a response with a status and an encoded message.
 func answer(request *fasthttp.RequestCtx, status int, message any) {
 	request.SetStatusCode(status)
 	request.SetBody(codec.MustMarshal(message))
 }
 
-// fakeStore is a state service in memory. Its leases end only when they are revoked.
+// fakeStore is an in-memory state service. Its leases end only when they are revoked.
 type fakeStore struct {
 	mu       sync.Mutex
 	revision uint64
 	leases   uint64
 	items    map[string]wire.StoreItem
 	news     []wire.NewsEvent
-	down     bool // answers 503 to all
+	down     bool // answers every request with status 503
 }
 
 func (f *fakeStore) setDown(down bool) {
@@ -141,7 +141,8 @@
 	}
 }
 
-// watch waits for news for a fifth of a second, or until the service is down.
+// watch answers with the changes after a revision. If there are none it waits for some, for a fifth
+// of a second or until the service is down.
 func (f *fakeStore) watch(request *fasthttp.RequestCtx) {
 	prefix := string(request.QueryArgs().Peek("starts"))
 	since, err := strconv.ParseUint(string(request.QueryArgs().Peek("since")), 10, 64)
@@ -169,10 +170,11 @@
 	return news
 }
 
-// machine is the one that the fake cloud has always rented out.
+// machine is the name of the one machine of the fake cloud.
 const machine = "m-1"
 
-// handleCloud is a cloud with one type and one running machine.
+// handleCloud serves a fake cloud with one machine type and one running machine. It has no capacity
+// for more.
 func handleCloud(request *fasthttp.RequestCtx) {
 	switch string(request.Path()) {
 	case "/flavors":
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -20,7 +20,8 @@
 	"gingertally/internal/wire"
 )
 
-// What nodes say to each other beside protobuf messages, and what the leader stores beside jobs.
+// The CBOR messages and paths that controllers, workers and clients use, and what the leader stores
+// besides jobs, must not change.
 func TestNodeMessagesGolden(t *testing.T) {
 	var lines goldentest.Lines
 	lines.Add("view %x", encodeView(goldentest.Filled[core.JobView]()))
@@ -38,7 +39,7 @@
 	lines.Check(t, "node_messages.txt")
 }
 
-// addNames adds the names of states from the first one up to the last.
+// addNames adds a line with the number and the name of each state from first to last.
 func addNames[S interface {
 	~uint8 | ~int
 	String() string
@@ -48,7 +49,7 @@
 	}
 }
 
-// The names of states, phases and reasons that the status and the metrics show.
+// The names of states, phases and reasons that the status and the metrics show must not change.
 func TestStateNamesGolden(t *testing.T) {
 	var lines goldentest.Lines
 	addNames(&lines, "machine", fleet.Booting, fleet.MachineStates-1)
--- a/internal/controller/http.go
+++ b/internal/controller/http.go
@@ -15,7 +15,7 @@
 	"gingertally/internal/userapi"
 )
 
-// Paths of the interfaces to the load balancer and to operators.
+// Paths for the load balancer's health checks and for the collection of metrics.
 const (
 	healthPath  = "/healthz"
 	metricsPath = "/metrics"
@@ -23,9 +23,8 @@
 
 const contentTypeCBOR = "application/cbor"
 
-// idleHeartbeats is for how many heartbeat intervals a connection may be idle, and idleSlack
-// what is added: those of machines that vanish must not take the
-// sockets of others.
+// A connection is closed after it has been idle for idleHeartbeats heartbeat intervals plus
+// idleSlack, so that the connections of machines that have vanished don't use up the sockets.
 const (
 	idleHeartbeats = 4
 	idleSlack      = 10 * time.Second
@@ -36,7 +35,8 @@
 	httpWriteTimeout = 10 * time.Second
 )
 
-// serveHTTP serves users, workers and operators until ctx ends.
+// serveHTTP serves users, workers and operators until ctx ends. When few connections are left, it
+// closes connections once their request is answered.
 func (c *Controller) serveHTTP(ctx context.Context, listener net.Listener) error {
 	var server *fasthttp.Server
 	server = &fasthttp.Server{
@@ -44,7 +44,7 @@
 			c.handle(ctx, request)
 			open := int(server.GetOpenConnectionsCount())
 			isHeartbeat := string(request.Path()) == agentapi.HeartbeatPath
-			if limits.Full(open, server.Concurrency) || limits.Crowded(open, server.Concurrency) && !isHeartbeat {
+			if limits.AlmostFull(open, server.Concurrency) || limits.ReservedForWorkers(open, server.Concurrency) && !isHeartbeat {
 				request.SetConnectionClose()
 			}
 		},
@@ -66,18 +66,19 @@
 	return nil
 }
 
-// discardLogger drops fasthttp's lines about broken connections, which are the clients' affair.
+// discardLogger discards fasthttp's log messages, which are about connections that clients broke.
 type discardLogger struct{}
 
-// Printf takes fasthttp's line.
+// Printf implements fasthttp.Logger.
 func (discardLogger) Printf(string, ...any) {}
 
-// rejectUnreadable answers what fasthttp couldn't read: too large, or not HTTP.
+// rejectUnreadable answers a request that fasthttp couldn't read, for example because it is too
+// large or isn't HTTP.
 func rejectUnreadable(request *fasthttp.RequestCtx, _ error) {
 	request.SetStatusCode(fasthttp.StatusBadRequest)
 }
 
-// handle serves one call by its path.
+// handle routes a request by its path and method.
 func (c *Controller) handle(ctx context.Context, request *fasthttp.RequestCtx) {
 	path, method := string(request.Path()), string(request.Method())
 	switch {
@@ -94,13 +95,13 @@
 	case strings.HasPrefix(path, userapi.RunsPath):
 		began := time.Now()
 		c.users.Handle(ctx, request, method, path)
-		c.metrics.CountCall(knownMethod(method), request.Response.StatusCode(), time.Since(began))
+		c.metrics.CountCall(methodLabel(method), request.Response.StatusCode(), time.Since(began))
 	default:
 		request.SetStatusCode(fasthttp.StatusNotFound)
 	}
 }
 
-// handleHeartbeat serves a worker's heartbeat.
+// handleHeartbeat answers a worker's heartbeat.
 func (c *Controller) handleHeartbeat(ctx context.Context, request *fasthttp.RequestCtx) {
 	answer := c.agents.Heartbeat(ctx, request.PostBody())
 	c.metrics.CountHeartbeat(answer.Status)
@@ -111,8 +112,9 @@
 	}
 }
 
-// healthStatus is 200 once this controller can judge submissions, and while it can serve
-// users or knows a controller that may.
+// healthStatus returns the status for the load balancer: 200 if the machine types are known, without
+// which submissions can't be checked, and the health tracker says that this controller can serve
+// users, itself or by forwarding their calls; else 503.
 func (c *Controller) healthStatus() int {
 	if len(c.machineTypes.Types()) == 0 || !c.health.Serves(time.Now()) {
 		return fasthttp.StatusServiceUnavailable
@@ -120,8 +122,9 @@
 	return fasthttp.StatusOK
 }
 
-// knownMethod keeps what clients make up out of the counters' labels.
-func knownMethod(method string) string {
+// methodLabel returns the value of the metrics' method label. Unusual methods share one value, so
+// that clients can't create any number of time series.
+func methodLabel(method string) string {
 	if method == fasthttp.MethodGet || method == fasthttp.MethodPost {
 		return method
 	}
--- a/internal/controller/leader_view.go
+++ b/internal/controller/leader_view.go
@@ -16,27 +16,31 @@
 	"gingertally/internal/peer"
 )
 
-// The leader, be it this controller or another, as those see it whom a controller serves.
+// This file gives the services for users, workers and operators access to the leader, which may be
+// this controller or another one.
 
-// queryTimeout is short: the state service answers as well.
+// queryTimeout bounds a query to the leader about a job. It is short since the state service can
+// answer instead.
 const queryTimeout = 400 * time.Millisecond
 
-// userLeader is the leader as users' calls see it (userapi.Leader).
+// userLeader implements userapi.Leader: the user API's access to the leader.
 type userLeader struct{ c *Controller }
 
-// View is what this controller, as the leader with a valid lease, knows of a job.
+// View returns what this controller's engine knows of a job. It returns false unless this controller
+// leads with a valid lease and knows the job.
 func (l userLeader) View(ref string) (core.JobView, bool) {
 	t := l.c.term.Load()
 	if t == nil {
 		return core.JobView{}, false
 	}
 	view, ok := t.Lookup(ref)
-	// Checked after the look-up: what was known then may be told only while the lease
-	// is still valid (docs/design.md, "Safety arguments" 9; TestNoAnswerInDoubt).
+	// The lease is checked after the lookup: what the engine knew then may be told only if the lease
+	// is still valid (docs/design.md, "Safety arguments" 9; TestNoAnswerWhileOutcomeUnknown).
 	return view, ok && t.HoldsLease()
 }
 
-// ViewFromLeader asks the leading controller about a job.
+// ViewFromLeader asks the leading controller about a job. It returns false if this controller itself
+// leads, or if the leader is unknown, doesn't answer in time or doesn't know the job.
 func (l userLeader) ViewFromLeader(ctx context.Context, ref string) (core.JobView, bool) {
 	leader := l.c.elector.Leader()
 	if leader == "" || leader == l.c.settings.Member {
@@ -51,17 +55,19 @@
 	return decodeView(response.Body)
 }
 
-// Cancel cancels a job as the leader. Any other controller only tells what is final already.
+// Cancel cancels a job if this controller leads with a valid lease. Otherwise it only returns the
+// phase of a job that is over already.
 func (l userLeader) Cancel(ctx context.Context, ref string) (pipeline.Phase, error) {
 	if t := l.c.term.Load(); t != nil && t.HoldsLease() {
-		return t.Cancel(ctx, l.c.jobs, ref)
+		return t.Cancel(ctx, l.c.userJobs, ref)
 	}
 	return l.finalPhase(ctx, ref)
 }
 
-// finalPhase is a job's phase as the store has it, if that is final.
+// finalPhase returns the stored phase of a job that is over. The error is jobstore.ErrNotLeader if
+// the job is still active, since only the leader may cancel it.
 func (l userLeader) finalPhase(ctx context.Context, ref string) (pipeline.Phase, error) {
-	state, err := l.c.jobs.Load(ctx, ref)
+	state, err := l.c.userJobs.Load(ctx, ref)
 	switch {
 	case err != nil:
 	case !state.Found:
@@ -72,7 +78,7 @@
 	return state.Phase, err
 }
 
-// viewMessage is a job's view between controllers.
+// viewMessage is the form in which controllers send a core.JobView to each other.
 type viewMessage struct {
 	Phase   pipeline.Phase `cbor:"p"`
 	Done    int            `cbor:"Done"`
@@ -89,10 +95,11 @@
 	return core.JobView{Phase: message.Phase, Done: message.Done, Running: message.Running}, err == nil
 }
 
-// agentLeader is the leader as workers' heartbeats see it (agentapi.Leader).
+// agentLeader implements agentapi.Leader: the worker API's access to the leader.
 type agentLeader struct{ c *Controller }
 
-// Heartbeat hands a worker's heartbeat to the engine, if this controller leads.
+// Heartbeat passes a worker's heartbeat to the engine and returns its response. It returns false
+// unless this controller leads with a valid lease.
 func (l agentLeader) Heartbeat(heartbeat fleet.Heartbeat) (core.HeartbeatResponse, bool) {
 	t := l.c.term.Load()
 	if t == nil {
@@ -101,8 +108,9 @@
 	return t.Heartbeat(heartbeat)
 }
 
-// Name is empty on a controller that reaches nobody: what it last knew would send
-// workers round in circles.
+// Name returns the name of the controller that is believed to lead. It is empty if this controller
+// has contact neither with the state service nor with its peers: the last known name may be out of
+// date, and workers would be redirected in circles.
 func (l agentLeader) Name() string {
 	if !l.c.health.Serves(time.Now()) {
 		return ""
@@ -110,20 +118,21 @@
 	return l.c.elector.Leader()
 }
 
-// RelayHeartbeat passes a worker's heartbeat on to the leader.
+// RelayHeartbeat forwards a worker's encoded heartbeat to the leader and returns the leader's
+// answer.
 func (l agentLeader) RelayHeartbeat(ctx context.Context, body []byte) (agentapi.Answer, error) {
 	request := peer.Request{Method: http.MethodPost, Path: agentapi.HeartbeatPath, Body: bytes.Clone(body)}
 	response, err := l.c.peers.Relay(ctx, l.c.elector.Leader(), request)
 	return agentapi.Answer{Status: response.Status, Body: response.Body}, err
 }
 
-// operatorTerm is this controller's term as operators' calls see it.
+// operatorTerm returns this controller's term for the operator API; false unless it leads.
 func (c *Controller) operatorTerm() (operatorapi.Term, bool) {
 	t := c.term.Load()
 	return t, t != nil
 }
 
-// status is what operators are shown of this controller alone.
+// status returns the status of this controller alone, as operators see it.
 func (c *Controller) status(now time.Time) operatorapi.Status {
 	return operatorapi.Status{
 		Node: c.settings.Member, Version: Version, Role: c.elector.Role().String(), Leader: c.elector.Leader(),
--- a/internal/controller/limits/limits_test.go
+++ b/internal/controller/limits/limits_test.go
@@ -7,51 +7,51 @@
 	"gingertally/internal/config"
 )
 
-// The parts that are given out add up to at most the whole: else what has to get through at once, as
-// a lease renewal, would be refused when all are busy.
+// The shares must add up to at most the whole. Otherwise requests that mustn't wait, such as lease
+// renewals, would be refused when every user of the rate limits is busy.
 func TestPartsOfTheRates(t *testing.T) {
-	if sum := leaderPart + userPart + userPart*knownJobsPart; sum > 1 {
-		t.Errorf("%g of the state service's requests are given out", sum)
+	if sum := leaderShare + userShare + userShare*knownJobsShare; sum > 1 {
+		t.Errorf("the shares of the state service's requests add up to %g", sum)
 	}
-	if sum := leaderPart + userPart; sum > 1 {
-		t.Errorf("%g of the state service's writes are given out", sum)
+	if sum := leaderShare + userShare; sum > 1 {
+		t.Errorf("the shares of the state service's writes add up to %g", sum)
 	}
-	if policyWritesPart > leaderPart {
-		t.Error("admission policies may take more writes than the leader has")
+	if policyWritesShare > leaderShare {
+		t.Error("admission policies may use more writes than the leader has")
 	}
-	if cloudPart > 1 {
-		t.Errorf("%g of the cloud's rate is given out", cloudPart)
+	if cloudShare > 1 {
+		t.Errorf("the share of the cloud's rate limit is %g", cloudShare)
 	}
 	for controllers := range 9 {
 		settings := &config.Settings{Peers: make([]config.Peer, controllers)}
 		settings.Params.State = config.State{RPS: 200, WriteRPS: 80, ValueKB: 16, TxnOps: 32}
 		l := Of(settings)
 		users, _ := l.Users()
-		if all := users.Requests / userOvercommit * float64(controllers+1); all > 200*userPart+1e-9 {
-			t.Errorf("%d controllers: users have %g requests a second", controllers+1, all)
+		if all := users.Requests / userOvercommit * float64(controllers+1); all > 200*userShare+1e-9 {
+			t.Errorf("%d controllers: users have %g requests a second at all of them together", controllers+1, all)
 		}
 	}
 }
 
-// Users' writes at all controllers together stay within half of the state service's rate,
-// whatever that is, and a user who submits a pipeline job by job at one controller needn't
-// wait for that controller's part of it. At four writes at once the fifth job of each
-// pipeline took over 200 ms.
+// Users' writes at all controllers together must stay within half of the state service's rate limit,
+// whatever that is, and a user who submits a pipeline job by job at one controller mustn't have to
+// wait for that controller's share. With bursts of four writes, the fifth job of each pipeline took
+// over 200 ms.
 func TestUserWrites(t *testing.T) {
 	for _, c := range []struct {
 		rate, controllers float64
-		pipeline          int // jobs that are taken at once
+		pipeline          int // jobs that must fit into a burst
 	}{{80, 3, 7}, {56, 7, 7}, {20, 5, 4}, {15, 5, 4}, {1, 3, 0}} {
 		each, burst := userWrites(c.rate, c.controllers)
 		if each*c.controllers > c.rate/2+1e-9 || float64(burst) > c.rate/2 || burst < c.pipeline {
-			t.Errorf("%g a second on %g controllers: %g each, %d at once", c.rate, c.controllers, each, burst)
+			t.Errorf("%g writes a second, %g controllers: %g a second each, bursts of %d", c.rate, c.controllers, each, burst)
 		}
 	}
 }
 
-// A leader holds a connection of every worker. Three quarters of the sockets were
-// once the limit, 2,301 for 2,800 workers: the rest would have been turned away for
-// good. All that a controller opens or accepts must still fit its sockets.
+// A leader has a connection from every worker. The limit was once three quarters of the sockets,
+// 2,301 for 2,800 workers, so that the rest would have been refused for good. All connections that a
+// controller opens or accepts must still fit into its sockets.
 func TestClientConnectionsFitTheSockets(t *testing.T) {
 	for _, c := range []struct{ sockets, peers, workers int }{
 		{3068, 6, 2800}, {2747, 4, 1920}, {800, 4, 561}, {800, 2, 51},
@@ -69,8 +69,8 @@
 		if own := l.StoreConns() + MaxDirectCommands + 2*c.peers; got+own >= c.sockets {
 			t.Errorf("%d sockets: %d connections of clients and %d others", c.sockets, got, own)
 		}
-		if Crowded(c.workers*8/10, got) || !Crowded(got, got) {
-			t.Errorf("%d sockets: crowded too early, or never", c.sockets)
+		if ReservedForWorkers(c.workers*8/10, got) || !ReservedForWorkers(got, got) {
+			t.Errorf("%d sockets: connections are reserved for workers too early, or never", c.sockets)
 		}
 	}
 }
--- a/internal/controller/machinetypes/machinetypes.go
+++ b/internal/controller/machinetypes/machinetypes.go
@@ -1,8 +1,9 @@
-// Package machinetypes keeps the cloud's machine types at hand, with their prices: from the cloud, or,
-// while its interface is down, from the state service, where a leader has left them.
+// Package machinetypes caches the cloud's machine types with their prices. It gets them from the
+// cloud or, if none are known yet and the cloud's API is down, from the state service, where a
+// leader has stored them.
 //
-// It owns the key catalog, written by the leader under its term. All methods may be called from any
-// goroutine.
+// The package owns the key "catalog", which only a leader writes, conditional on its term. All
+// methods may be called from any goroutine.
 package machinetypes
 
 import (
@@ -19,15 +20,16 @@
 	"gingertally/internal/wait"
 )
 
-// Key holds the machine types for controllers that start while the cloud's interface is down.
+// Key is the key in the state service that holds the machine types, for controllers that start while
+// the cloud's API is down.
 const Key = "catalog"
 
 const (
-	refreshEvery = 5 * time.Minute
-	refreshRetry = time.Second
+	refreshInterval = 5 * time.Minute
+	refreshRetry    = time.Second
 )
 
-// Catalog is what a controller knows of the machine types.
+// Catalog holds the machine types that a controller knows.
 type Catalog struct {
 	cloud         *cloud.Client
 	store         *statestore.Client
@@ -36,7 +38,8 @@
 	log           *slog.Logger
 }
 
-// New makes a catalog that knows no type yet.
+// New returns a catalog without machine types. StoreIfMissing stores no value larger than
+// maxValueBytes.
 func New(client *cloud.Client, store *statestore.Client, maxValueBytes int) *Catalog {
 	return &Catalog{
 		cloud:         client,
@@ -46,7 +49,8 @@
 	}
 }
 
-// Types are the machine types with their prices, as last learnt; empty if none are known yet.
+// Types returns the machine types with their prices as last fetched; it is nil if none are known
+// yet.
 func (c *Catalog) Types() placement.Catalog {
 	if types := c.current.Load(); types != nil {
 		return *types
@@ -54,7 +58,7 @@
 	return nil
 }
 
-// Fetch learns the machine types from the cloud.
+// Fetch gets the machine types from the cloud.
 func (c *Catalog) Fetch(ctx context.Context) error {
 	types, err := c.cloud.MachineTypes(ctx)
 	if err != nil {
@@ -70,26 +74,26 @@
 	}
 }
 
-// Run learns the machine types, from the cloud or else from the state service,
-// and refreshes them now and then, until ctx ends.
+// Run fetches the machine types and refreshes them regularly until ctx ends. While the cloud can't
+// be asked and none are known, it reads those in the state service.
 func (c *Catalog) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		err := c.Fetch(ctx)
 		if err == nil {
-			wait.Sleep(ctx, refreshEvery)
+			wait.Sleep(ctx, refreshInterval)
 			continue
 		}
 		c.log.Debug("machine types not fetched", "error", err)
 		if len(c.Types()) == 0 {
-			c.readShared(ctx)
+			c.readStored(ctx)
 		}
 		wait.Sleep(ctx, refreshRetry)
 	}
 	return ctx.Err()
 }
 
-// readShared learns the machine types that a leader has left in the state service.
-func (c *Catalog) readShared(ctx context.Context) {
+// readStored reads the machine types that a leader has stored in the state service.
+func (c *Catalog) readStored(ctx context.Context) {
 	item, found, err := c.store.Get(ctx, Key)
 	if err != nil || !found {
 		return
@@ -102,8 +106,9 @@
 	c.set(types)
 }
 
-// Share leaves the machine types in the state service under a term, if they aren't there yet.
-func (c *Catalog) Share(ctx context.Context, term leadership.Term) {
+// StoreIfMissing stores the cloud's machine types in the state service if it has none yet. The write
+// is conditional on the term, which must not be over.
+func (c *Catalog) StoreIfMissing(ctx context.Context, term leadership.Term) {
 	if _, found, err := c.store.Get(ctx, Key); err != nil || found {
 		return
 	}
@@ -113,11 +118,11 @@
 	}
 	value := types.Encode()
 	if size, err := codec.JSONSize(value); err != nil || size > c.maxValueBytes {
-		c.log.Debug("machine types too large to share", "bytes", size, "error", err)
+		c.log.Debug("machine types too large to store", "bytes", size, "error", err)
 		return
 	}
 	underTerm := []statestore.Compare{{Key: leadership.TermKey, ModRevision: term.Revision}}
 	if _, err := c.store.Commit(ctx, underTerm, []statestore.Op{statestore.Put(Key, value)}); err != nil {
-		c.log.Debug("machine types not shared", "error", err)
+		c.log.Debug("machine types not stored", "error", err)
 	}
 }
--- a/internal/controller/metrics/metrics.go
+++ b/internal/controller/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package metrics holds a controller's counters, histograms and gauges, which /metrics shows in the
-// format of Prometheus. Their names and labels are part of the operators' interface
-// (testdata/metrics.txt). All methods may be called from any goroutine.
+// Package metrics holds a controller's counters, histograms and gauges, which /metrics exposes in
+// the Prometheus format. Operators rely on their names and labels, which testdata/metrics.txt
+// lists. All methods may be called from any goroutine.
 package metrics
 
 import (
@@ -15,7 +15,7 @@
 	"gingertally/internal/core/fleet"
 )
 
-// Metrics are all of a controller's metrics.
+// Metrics holds all metrics of a controller.
 type Metrics struct {
 	Standby   *Standby
 	Admission *Admission
@@ -33,13 +33,13 @@
 	term       prometheus.Gauge
 }
 
-// latencyBuckets go from 1 ms to 8 s; a user waits 5 s at the most.
+// latencyBuckets are histogram buckets from 1 ms to 8 s; a user waits at most 5 s.
 var latencyBuckets = prometheus.ExponentialBuckets(0.001, 2, 14)
 
-// commandNames are the commands to workers, as the counter's label has them.
+// commandNames are the values of the command label, by kind of command to a worker.
 var commandNames = [...]string{fleet.Start: "start", fleet.Stop: "stop", fleet.Forget: "forget"}
 
-// New makes a controller's metrics, all at zero.
+// New creates and registers the metrics of a controller, all at zero.
 func New() *Metrics {
 	registry := prometheus.NewRegistry()
 	m := &Metrics{
@@ -79,7 +79,7 @@
 // Handle serves /metrics.
 func (m *Metrics) Handle(request *fasthttp.RequestCtx) { m.handler(request) }
 
-// CountStoreAnswer counts an answer of the state service.
+// CountStoreAnswer counts a response of the state service, by whether the request was served.
 func (m *Metrics) CountStoreAnswer(served bool) {
 	m.store.WithLabelValues(strconv.FormatBool(served)).Inc()
 }
@@ -89,27 +89,27 @@
 	m.heartbeats.WithLabelValues(strconv.Itoa(status)).Inc()
 }
 
-// CountCall counts a user's call.
+// CountCall counts a user's call and records how long it took.
 func (m *Metrics) CountCall(method string, status int, took time.Duration) {
 	m.calls.WithLabelValues(method, strconv.Itoa(status)).Inc()
 	m.callTime.WithLabelValues(method).Observe(took.Seconds())
 }
 
-// CountCommands counts the commands of an answer to a heartbeat.
+// CountCommands counts the commands in the answer to a heartbeat.
 func (m *Metrics) CountCommands(commands []fleet.Command) {
 	for _, command := range commands {
 		m.commands[command.Kind].Inc()
 	}
 }
 
-// ObserveRound notes how long a tick with its round of decisions took.
+// ObserveRound records how long a tick with its round of decisions took.
 func (m *Metrics) ObserveRound(took time.Duration) { m.round.Observe(took.Seconds()) }
 
-// TermStarted notes that this node leads.
+// TermStarted records that this node leads, and its term.
 func (m *Metrics) TermStarted(number uint64) {
 	m.leading.Set(1)
 	m.term.Set(float64(number))
 }
 
-// TermEnded notes that this node leads no longer.
+// TermEnded records that this node no longer leads.
 func (m *Metrics) TermEnded() { m.leading.Set(0) }
--- a/internal/controller/metrics/metrics_test.go
+++ b/internal/controller/metrics/metrics_test.go
@@ -10,13 +10,14 @@
 	"gingertally/internal/goldentest"
 )
 
-// metricName finds the name and labels in a metric's description.
+// metricName matches the name and the labels in a metric's description.
 var metricName = regexp.MustCompile(`fqName: "([^"]*)".*variableLabels: (\{[^}]*\})`)
 
-// Operators' dashboards and alerts hang on the names of all metrics and of their labels.
+// The names of the metrics and of their labels must not change, since operators' dashboards and
+// alerts depend on them.
 func TestMetricNamesGolden(t *testing.T) {
 	m := New()
-	m.Standby.Watch(func() StandbyState { return StandbyState{} }) // registers its own
+	m.Standby.Watch(func() StandbyState { return StandbyState{} }) // registers the standby's gauges
 	descriptions := make(chan *prometheus.Desc)
 	go func() {
 		m.registry.Describe(descriptions)
--- a/internal/controller/metrics/parts.go
+++ b/internal/controller/metrics/parts.go
@@ -11,7 +11,7 @@
 	"gingertally/internal/standby"
 )
 
-// Standby are the metrics of the warm standby.
+// Standby holds the metrics of the warm standby.
 type Standby struct {
 	phases    *prometheus.HistogramVec
 	logFailed prometheus.Gauge
@@ -31,24 +31,26 @@
 	return m
 }
 
-// ObservePhase notes how long after it saw that nobody led a node reached a phase of a takeover.
+// ObservePhase records that a node reached a phase of a takeover, and how long after it had seen
+// that there was no leader. Warm says whether the takeover starts from the copy of the warm state.
 func (m *Standby) ObservePhase(warm bool, phase standby.TakeoverPhase, since time.Duration) {
 	m.phases.WithLabelValues(phase.String(), strconv.FormatBool(warm)).Observe(since.Seconds())
 }
 
-// DecisionLogFailed notes that the decision log has failed.
+// DecisionLogFailed records that the decision log has failed.
 func (m *Standby) DecisionLogFailed() { m.logFailed.Set(1) }
 
-// StandbyState is a node's standby at the moment at which the metrics are read.
+// StandbyState is the state of a node's standby at the time at which the metrics are read.
 type StandbyState struct {
-	Current    bool // it has all changes that it knows of, or leads
+	Current    bool // the copy has all changes that the node knows of, or the node leads
 	LagChanges uint64
 	Lag        time.Duration
 	Snapshots  uint64
 	Drops      uint64
 }
 
-// Watch has the present state of a node's standby shown with the other metrics.
+// Watch registers gauges of the state of a node's standby. They call state whenever the metrics are
+// read.
 func (m *Standby) Watch(state func() StandbyState) {
 	gauge := func(name, help string, value func(StandbyState) float64) {
 		m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help},
@@ -71,7 +73,7 @@
 		func(s StandbyState) float64 { return float64(s.Drops) })
 }
 
-// Admission are the metrics of admission control.
+// Admission holds the metrics of admission control.
 type Admission struct {
 	decisions *prometheus.CounterVec
 	policy    prometheus.Gauge
@@ -88,7 +90,8 @@
 	return m
 }
 
-// CountDecision counts a decision. Teams are those of the settings.
+// CountDecision counts a decision about a submission. Teams are those of the settings, so that the
+// team label has a limited number of values.
 func (m *Admission) CountDecision(team string, decision admission.Decision) {
 	label := "admitted"
 	if !decision.Admitted {
@@ -97,10 +100,10 @@
 	m.decisions.WithLabelValues(team, label).Inc()
 }
 
-// PolicyApplied notes which policy is applied.
+// PolicyApplied records the number of the policy that is applied.
 func (m *Admission) PolicyApplied(number uint64) { m.policy.Set(float64(number)) }
 
-// Drains are the gauges of drains, shown by the leader.
+// Drains holds the gauges of drains, which only the leader sets.
 type Drains struct {
 	machines, interruptions *prometheus.GaugeVec
 }
@@ -116,8 +119,8 @@
 	return m
 }
 
-// Show brings the gauges up to date.
-func (m *Drains) Show(status *drain.Status) {
+// Update sets the gauges to the values of a status, and removes all others.
+func (m *Drains) Update(status *drain.Status) {
 	m.Reset()
 	for state, n := range status.States {
 		m.machines.WithLabelValues(state).Set(float64(n))
@@ -130,7 +133,7 @@
 	}
 }
 
-// Reset removes the gauges, as when this node leads no longer.
+// Reset removes the gauges, for example when this node no longer leads.
 func (m *Drains) Reset() {
 	m.machines.Reset()
 	m.interruptions.Reset()
--- a/internal/controller/more_workers_test.go
+++ b/internal/controller/more_workers_test.go
@@ -16,14 +16,14 @@
 	"gingertally/internal/controller/metrics"
 )
 
-// Where there are more machines than a node has sockets, each is still answered: connections
-// that workers keep open are closed when too few are left. Before, those that came first
-// kept theirs, and all others were turned away for good.
+// If there are more machines than a node has sockets, each worker must still be answered. Once too
+// few connections are left, the node closes those that workers keep open. Before it did, the
+// workers that connected first kept their connections, and all others were refused for good.
 func TestMoreWorkersThanSockets(t *testing.T) {
 	const workers, rounds = 400, 3
 	settings := &config.Settings{}
 	settings.Params.Resources.MaxSockets = 64 // far fewer than workers
-	d := &Controller{
+	c := &Controller{
 		settings: settings,
 		limits:   limits.Of(settings),
 		metrics:  metrics.New(),
@@ -33,7 +33,7 @@
 	defer cancel()
 	listener := listen(t)
 	var serving errgroup.Group
-	serving.Go(func() error { return d.serveHTTP(ctx, listener) })
+	serving.Go(func() error { return c.serveHTTP(ctx, listener) })
 	answered := make([]int, workers)
 	connections := make([]net.Conn, workers)
 	for range rounds {
@@ -45,8 +45,8 @@
 				}
 				connections[i] = connection
 			}
-			status, stays := sendReport(t, connections[i])
-			if status == fasthttp.StatusBadRequest { // the body is no heartbeat, but it was looked at
+			status, stays := sendDummyHeartbeat(t, connections[i])
+			if status == fasthttp.StatusBadRequest { // the body isn't a heartbeat, but the request was handled
 				answered[i]++
 			}
 			if !stays {
@@ -71,9 +71,9 @@
 	}
 }
 
-// sendReport sends something on a connection in place of a heartbeat, and tells the answer's
-// status and whether the connection stays open.
-func sendReport(t *testing.T, connection net.Conn) (status int, stays bool) {
+// sendDummyHeartbeat sends a body that isn't a heartbeat to the path of heartbeats, and returns the
+// status of the answer and whether the connection stays open.
+func sendDummyHeartbeat(t *testing.T, connection net.Conn) (status int, stays bool) {
 	t.Helper()
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -11,19 +11,20 @@
 )
 
 const (
-	// extensionPath is where a leader asks a controller to extend its lease. The name is of
-	// an earlier version, and part of the protocol between controllers.
+	// extensionPath is the path of a leader's request to extend its lease. The path is older than
+	// the term "extension" and is part of the protocol between controllers.
 	extensionPath = "/promise"
-	// probeTimeout bounds the look at whether the state service serves this controller.
-	probeTimeout = 300 * time.Millisecond
-	// missingHeartbeatsSlack is what a worker's heartbeat may be late.
+	// extensionProbeTimeout bounds the check, before an extension is granted, whether the state
+	// service serves this controller.
+	extensionProbeTimeout = 300 * time.Millisecond
+	// missingHeartbeatsSlack is how late a worker's heartbeat may be.
 	missingHeartbeatsSlack = 2 * time.Second
 )
 
-// electionNode is this controller as leader election sees it (leadership.Node).
+// electionNode implements leadership.Node: this controller as a candidate in leader election.
 type electionNode struct{ c *Controller }
 
-// RunTerm does the leader's work of one term.
+// RunTerm does the leader's work of one term. It returns once none of that work is running any more.
 func (n electionNode) RunTerm(ctx context.Context, claimed leadership.Term) {
 	c := n.c
 	c.replicator.TermClaimed(claimed)
@@ -37,31 +38,31 @@
 	t.Wait()
 }
 
-// termDependencies are what a term of this controller works with.
+// termDependencies returns the clients, components and settings that a term works with.
 func (c *Controller) termDependencies() term.Dependencies {
 	return term.Dependencies{
-		Lease: c.elector, Store: c.store, Records: c.records, Cloud: c.cloud, MachineTypes: c.machineTypes,
+		Lease: c.elector, Store: c.store, Records: c.leaderJobs, Cloud: c.cloud, MachineTypes: c.machineTypes,
 		Replicator: c.replicator, Direct: c.direct, Metrics: c.metrics,
 		Config: c.core, RoundBudget: c.operator.RoundBudget, MaxBatch: c.limits.MaxBatch(),
 		Loops: []term.Loop{func(ctx context.Context, t *term.Term) error { return c.overload.RunLeader(ctx, t) }},
 	}
 }
 
-// LeaseResumed tells the term that the leader's lease is valid again.
+// LeaseResumed tells the term that the lease had lapsed and is valid again.
 func (n electionNode) LeaseResumed() {
 	if t := n.c.term.Load(); t != nil {
 		t.LeaseResumed()
 	}
 }
 
-// LeaderLost notes that nobody leads any more.
+// LeaderLost tells the warm standby that there is no leader any more.
 func (n electionNode) LeaderLost() { n.c.replicator.LeaderLost() }
 
-// ClaimDelay is for how long this controller lets others claim first.
+// ClaimDelay returns for how long this controller lets others claim first.
 func (n electionNode) ClaimDelay() time.Duration { return n.c.replicator.ClaimDelay() }
 
-// HeartbeatsMissing tells whether no worker has reached this controller for longer than is normal, as
-// when it is cut off from them: it then lets others lead.
+// HeartbeatsMissing reports whether no worker has reached this controller for longer than is normal,
+// for example because it is cut off from them. It then lets other controllers lead.
 func (n electionNode) HeartbeatsMissing() bool {
 	quiet := term.MissedHeartbeats*n.c.core.HeartbeatInterval + missingHeartbeatsSlack
 	if time.Since(n.c.started) < quiet {
@@ -70,7 +71,7 @@
 	return time.Since(n.c.agents.LastContact()) > quiet
 }
 
-// RequestExtension asks a peer to extend this controller's lease.
+// RequestExtension asks a peer to extend this controller's lease, and reports whether it agreed.
 func (n electionNode) RequestExtension(ctx context.Context, member string) bool {
 	response, err := n.c.peers.Relay(ctx, member, peer.Request{Method: http.MethodPost, Path: extensionPath})
 	if err != nil {
@@ -80,38 +81,38 @@
 	return response.Status == http.StatusOK
 }
 
-// grantExtension is the answer to a leader that can't renew its lease. A controller that the
-// state service serves refuses, for the case that it is the leader alone that isn't
-// served (docs/design.md, "Lease extension"). It looks each time: that it was served a
-// moment ago says nothing about an outage that has just begun, and the leader's lease may
-// be over a moment later.
+// grantExtension answers a leader that can't renew its lease and asks for an extension; it returns
+// the HTTP status. A controller that the state service serves refuses, since then it may be the
+// leader alone that isn't served (docs/design.md, "Lease extension"). Each call asks the state
+// service anew: an earlier response says nothing about an outage that has just begun, and the
+// leader's lease may end before a later check.
 func (c *Controller) grantExtension(ctx context.Context) int {
-	if c.storeServes(ctx, probeTimeout) || !c.elector.GrantExtension() {
+	if c.storeServes(ctx, extensionProbeTimeout) || !c.elector.GrantExtension() {
 		return http.StatusConflict
 	}
 	return http.StatusOK
 }
 
 const (
-	// handOverFlush bounds the wait for the successor to have the last changes.
+	// handOverFlush bounds the wait until the successor has received the last changes.
 	handOverFlush = time.Second
-	// handOverWait bounds the wait for another controller to lead; meanwhile workers are sent to
-	// the successor.
+	// handOverWait bounds the wait until another controller leads. Until then workers are redirected
+	// to the successor.
 	handOverWait = 3 * time.Second
-	// handOverPoll is how often either is looked at.
+	// handOverPoll is how often both conditions are checked.
 	handOverPoll = 20 * time.Millisecond
 )
 
-// handOver has a leader that is told to end give its term up to the most current standby,
-// and waits until that leads. Without the warm standby it ends at once: then its lease
-// has to expire.
+// handOver is called when the process is told to stop. A leader gives up its term in favor of the
+// standby with the most current copy, and waits until another controller leads. Without the warm
+// standby it does nothing: the leader's lease then has to expire before another controller leads.
 func (c *Controller) handOver() {
 	t := c.term.Load()
 	if !c.replicator.Enabled() || t == nil || !t.HoldsLease() {
 		return
 	}
 	t.Replicate()
-	successor := c.replicator.NameSuccessor(c.peersFirst())
+	successor := c.replicator.NameSuccessor(c.peersLeaderFirst())
 	if successor == "" {
 		c.log.Info("no standby to hand over to", "term", t.Number())
 	} else {
@@ -122,7 +123,7 @@
 	waitUntil(handOverWait, func() bool { return !t.HoldsLease() && c.elector.FollowsAnother() })
 }
 
-// waitUntil waits until something holds, but not for longer than a bound.
+// waitUntil waits until a condition holds, but not for longer than bound.
 func waitUntil(bound time.Duration, holds func() bool) {
 	for end := time.Now().Add(bound); time.Now().Before(end) && !holds(); {
 		time.Sleep(handOverPoll)
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -11,10 +11,11 @@
 	"gingertally/internal/peer"
 )
 
-// viewPath is where a controller asks the leader about a job; between controllers only.
+// viewPath is the prefix of the path at which controllers ask the leader about a job. It is followed
+// by the job's reference, and is served to other controllers only.
 const viewPath = "/view/"
 
-// servePeer serves what another controller forwarded or asks.
+// servePeer serves a request of another controller: its own, or one that it forwards.
 func (c *Controller) servePeer(ctx context.Context, request peer.Request) peer.Response {
 	switch request.Path {
 	case agentapi.HeartbeatPath:
@@ -37,7 +38,8 @@
 	return c.users.Forwarded(ctx, request)
 }
 
-// serveView tells another controller what this one, as the leader, knows of a job.
+// serveView answers another controller's query about a job. The status is 404 unless this controller
+// leads with a valid lease and knows the job.
 func (c *Controller) serveView(ref string) peer.Response {
 	view, ok := userLeader{c}.View(ref)
 	if !ok {
--- a/internal/controller/term/cancel.go
+++ b/internal/controller/term/cancel.go
@@ -10,13 +10,14 @@
 	"gingertally/internal/jobstore"
 )
 
-// ErrTasksMayRun says that it isn't certain that a job's tasks are gone in time, so that its
-// cancellation can't be confirmed yet.
+// ErrTasksMayRun says that a cancellation can't be confirmed yet, since tasks of the job may still
+// be running after the time within which a cancellation has to take effect.
 var ErrTasksMayRun = errors.New("the job's tasks aren't proven gone")
 
-// Cancel cancels a job. The engine knows of it before the store does, so that nobody is told of an older
-// state from memory (docs/design.md, "The bound of a cancellation"; TestCancelAskedStopsFirst).
-// Jobs is the job store with users' part of the rates.
+// Cancel cancels a job and returns its phase. The engine is told before the store, so that nobody
+// is given an older state from memory (docs/design.md, "The bound of a cancellation";
+// TestCancelAskedStopsFirst). Jobs is the job store with the users' share of the rate limits. The
+// error is ErrTasksMayRun if the job's tasks first have to be gone.
 func (t *Term) Cancel(ctx context.Context, jobs *jobstore.Jobs, ref string) (pipeline.Phase, error) {
 	t.step(core.CancelRequested{Ref: ref})
 	if !t.deps.Config.CancelKept() && t.mayBeOnMachines(ref) {
@@ -28,7 +29,7 @@
 	return state.Phase, err
 }
 
-// mayBeOnMachines tells whether tasks of a job may still run.
+// mayBeOnMachines reports whether tasks of a job may still be on machines.
 func (t *Term) mayBeOnMachines(ref string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/controller/term/direct.go
+++ b/internal/controller/term/direct.go
@@ -13,20 +13,22 @@
 )
 
 const (
-	// directTimeout bounds one direct command.
+	// directTimeout bounds one request with direct commands.
 	directTimeout = 3 * time.Second
-	// directIdle is how long a connection to a worker is kept for the next one.
+	// directIdle is how long an idle connection to a worker is kept.
 	directIdle = 10 * time.Second
 )
 
-// DirectSender sends direct commands to workers, a few at a time. It is shared by all terms of a
-// controller, and may be used from any goroutine.
+// DirectSender sends direct commands to workers: commands that don't wait for the answer to a
+// heartbeat. It limits the requests in flight. All terms of a controller share it, and it may be
+// used from any goroutine.
 type DirectSender struct {
 	http  *fasthttp.Client
-	slots chan struct{} // of commands under way
+	slots chan struct{} // holds one element per request in flight
 }
 
-// NewDirectSender makes a sender.
+// NewDirectSender returns a sender without connections, for limits.MaxDirectCommands requests at a
+// time.
 func NewDirectSender() *DirectSender {
 	return &DirectSender{
 		http: &fasthttp.Client{MaxConnsPerHost: 1, MaxIdleConnDuration: directIdle, ReadTimeout: directTimeout,
@@ -38,8 +40,9 @@
 // CloseIdleConnections closes the connections to workers that aren't in use.
 func (s *DirectSender) CloseIdleConnections() { s.http.CloseIdleConnections() }
 
-// sendDirectCommands sends commands to a worker, unless too many are under way or the lease isn't
-// valid any more: they are repeated with the worker's next heartbeat anyway.
+// sendDirectCommands sends commands to a worker in the background. It drops them if too many
+// requests are in flight or the lease isn't valid any more: they are repeated with the worker's
+// next heartbeat anyway.
 func (t *Term) sendDirectCommands(commands core.Direct) {
 	select {
 	case t.deps.Direct.slots <- struct{}{}:
@@ -57,8 +60,10 @@
 	}
 }
 
+// release frees the slot of a request.
 func (s *DirectSender) release() { <-s.slots }
 
+// post sends commands to a worker and logs the outcome, which needs no other handling.
 func (s *DirectSender) post(log *slog.Logger, commands core.Direct) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
--- a/internal/controller/term/drains.go
+++ b/internal/controller/term/drains.go
@@ -11,22 +11,22 @@
 	"gingertally/internal/wait"
 )
 
-// Operators' drains: their plans are watched, the leader's changes of plans are written, and the metrics
-// show how far they are.
+// This file handles operators' drains: it watches their plans, writes the leader's changes of
+// plans, and updates the metrics of their progress.
 
 const (
-	// drainMetricsEvery is how often the metrics of drains are brought up to date.
-	drainMetricsEvery = 5 * time.Second
+	// drainMetricsInterval is how often the metrics of drains are updated.
+	drainMetricsInterval = 5 * time.Second
 	// drainPlanTimeout bounds the write of a plan's record.
 	drainPlanTimeout = 3 * time.Second
 )
 
-// watchDrainPlans learns of new and changed plans.
+// watchDrainPlans watches drain plans, for new and changed ones.
 func (t *Term) watchDrainPlans(ctx context.Context) error {
 	if t.deps.Config.Drain == nil {
 		return nil
 	}
-	return t.watch(ctx, watched{
+	return t.watch(ctx, watchHandler{
 		prefix:       jobstore.DrainPlanPrefix,
 		changed:      t.drainPlanChanged,
 		readAll:      t.readAllDrainPlans,
@@ -34,7 +34,7 @@
 	})
 }
 
-// readAllDrainPlans brings the engine all plans.
+// readAllDrainPlans passes all drain plans to the engine.
 func (t *Term) readAllDrainPlans(ctx context.Context) (uint64, error) {
 	plans, revision, err := t.deps.Records.DrainPlans(ctx)
 	if err != nil {
@@ -46,7 +46,7 @@
 	return revision, nil
 }
 
-// drainPlanChanged brings the engine a changed plan.
+// drainPlanChanged passes a changed drain plan to the engine.
 func (t *Term) drainPlanChanged(_ context.Context, event statestore.Event) error {
 	if event.Delete {
 		return nil
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// writeDrainPlan writes the leader's change of a plan. If that fails, the engine asks again;
-// what others have changed comes with the watch.
+// writeDrainPlan writes the leader's change of a drain plan and passes the outcome to the engine,
+// which asks again if the write failed. Changes that others made arrive through the watch.
 func (t *Term) writeDrainPlan(ctx context.Context, write drain.PlanWrite) {
 	ctx, cancel := context.WithTimeout(ctx, drainPlanTimeout)
 	defer cancel()
@@ -72,17 +72,18 @@
 	t.step(core.DrainPlanWritten{Write: write, OK: err == nil})
 }
 
-// showDrains keeps the metrics of drains up to date while the term lasts.
-func (t *Term) showDrains(ctx context.Context) error {
+// updateDrainMetrics keeps the metrics of drains up to date while the term lasts, and removes them
+// at its end.
+func (t *Term) updateDrainMetrics(ctx context.Context) error {
 	if t.deps.Config.Drain == nil {
 		return nil
 	}
 	defer t.deps.Metrics.Drains.Reset()
-	for wait.Sleep(ctx, drainMetricsEvery) {
+	for wait.Sleep(ctx, drainMetricsInterval) {
 		t.mu.Lock()
 		status := t.engine.DrainStatus(time.Now())
 		t.mu.Unlock()
-		t.deps.Metrics.Drains.Show(status)
+		t.deps.Metrics.Drains.Update(status)
 	}
 	return ctx.Err()
 }
--- a/internal/controller/term/instances.go
+++ b/internal/controller/term/instances.go
@@ -11,16 +11,18 @@
 )
 
 const (
-	// scaleOutTries is how often a request for machines is repeated when there is no answer.
+	// scaleOutTries is how many times a request for machines is sent, in all, while it gets no
+	// definite answer.
 	scaleOutTries = 4
 	scaleOutRetry = time.Second
-	// listAtMostEvery is the least time between two reads of the cloud's list.
-	listAtMostEvery = 2 * time.Second
-	// pricesEvery is how often the present prices are read.
-	pricesEvery = 20 * time.Second
+	// minListInterval is the minimum pause between two reads of the cloud's list of machines.
+	minListInterval = 2 * time.Second
+	// priceInterval is the minimum time between two reads of the current prices.
+	priceInterval = 20 * time.Second
 )
 
-// scaleOut asks the cloud for machines, and brings the engine the answer.
+// scaleOut requests machines from the cloud and passes the outcome to the engine. If the requests
+// get no definite answer, or the lease ends, the outcome is unknown.
 func (t *Term) scaleOut(ctx context.Context, request core.ScaleOut) {
 	answer := core.ScaleOutAnswered{Request: request, OutcomeUnknown: true}
 	for try := 0; try < scaleOutTries && t.HoldsLease(); try++ {
@@ -37,7 +39,8 @@
 	t.step(answer)
 }
 
-// scaleIn has the cloud delete machines, and brings the engine the outcome.
+// scaleIn deletes machines in the cloud, unless the lease isn't valid any more, and passes the
+// outcome to the engine.
 func (t *Term) scaleIn(ctx context.Context, names []string) {
 	deleted := false
 	if t.HoldsLease() {
@@ -50,14 +53,15 @@
 	t.step(core.ScaleInAnswered{Machines: names, OK: deleted})
 }
 
-// listInstances reads the cloud's list and the present prices, until ctx ends.
+// listInstances regularly reads the cloud's list of machines and the current prices until ctx ends.
 func (t *Term) listInstances(ctx context.Context) error {
-	// More often than the list's lag says little new, and takes requests from scale-out.
-	every := max(listAtMostEvery, t.deps.Config.InstanceListLag/2)
+	// The list lags behind by InstanceListLag: reading it more often shows little new, and uses up
+	// requests that scale-out needs.
+	every := max(minListInterval, t.deps.Config.InstanceListLag/2)
 	var pricesRead time.Time
 	for {
 		if t.HoldsLease() {
-			if time.Since(pricesRead) > pricesEvery && t.readPrices(ctx) {
+			if time.Since(pricesRead) > priceInterval && t.readPrices(ctx) {
 				pricesRead = time.Now()
 			}
 			t.readInstances(ctx)
@@ -68,19 +72,19 @@
 	}
 }
 
-// readPrices brings the engine the machine types with present prices; false if they
-// can't be had.
+// readPrices passes the machine types with their current prices to the engine, and stores them in
+// the state service if it has none yet. It returns false if they can't be fetched from the cloud.
 func (t *Term) readPrices(ctx context.Context) bool {
 	if err := t.deps.MachineTypes.Fetch(ctx); err != nil {
 		t.log.Debug("prices not read", "error", err)
 		return false
 	}
 	t.step(core.CatalogUpdated{Types: t.deps.MachineTypes.Types()})
-	t.deps.MachineTypes.Share(ctx, t.claimed)
+	t.deps.MachineTypes.StoreIfMissing(ctx, t.claimed)
 	return true
 }
 
-// readInstances brings the engine the cloud's list of machines.
+// readInstances passes the cloud's list of machines to the engine.
 func (t *Term) readInstances(ctx context.Context) {
 	instances, err := t.deps.Cloud.ListInstances(ctx)
 	if err != nil {
--- a/internal/controller/term/step.go
+++ b/internal/controller/term/step.go
@@ -12,7 +12,8 @@
 	"gingertally/internal/leadership"
 )
 
-// step moves the engine on by an event and has its effects carried out.
+// step applies an event to the engine, and carries out the effects. If they end the term, it ends
+// the term instead of carrying out the rest.
 func (t *Term) step(event core.Event) core.Effects {
 	t.mu.Lock()
 	effects := t.engine.Step(time.Now(), event)
@@ -24,7 +25,7 @@
 	t.logRecords(effects.Log)
 	switch {
 	case effects.Deposed():
-		t.deposed(effects.HigherFencingToken)
+		t.stepDown(effects.HigherFencingToken)
 	case effects.AttemptNumbersExhausted:
 		t.deps.Lease.Resign(leadership.ResignAttemptNumbersExhausted)
 	default:
@@ -33,7 +34,7 @@
 	return effects
 }
 
-// carryOut has what the engine asks for done in the background.
+// carryOut starts the work that the engine asks for, in the background.
 func (t *Term) carryOut(effects core.Effects) {
 	for _, commands := range effects.Direct {
 		t.sendDirectCommands(commands)
@@ -49,42 +50,44 @@
 	}
 }
 
-// logRecords logs what the engine has to tell the operators.
+// logRecords logs the engine's log records.
 func (t *Term) logRecords(records []core.LogRecord) {
 	for _, r := range records {
 		t.log.LogAttrs(context.Background(), r.Level, string(r.Event), r.Attrs...)
 	}
 }
 
-// deposed ends the term: a worker has seen a higher fencing token, or this one from another leader.
-func (t *Term) deposed(seen uint64) {
-	t.log.Warn("higher fencing token seen", "fencing_token", seen)
-	t.background.run(func(ctx context.Context) { t.noteRestore(ctx, seen) })
+// stepDown ends the term because a worker has seen a higher fencing token, or this term's token from
+// another leader.
+func (t *Term) stepDown(seen uint64) {
+	t.log.Warn("worker has seen a fencing token of another leader", "fencing_token", seen)
+	t.background.run(func(ctx context.Context) { t.writeRestoredKey(ctx, seen) })
 	t.deps.Lease.EndTerm()
 }
 
-// noteRestoreTimeout bounds the write of noteRestore.
-const noteRestoreTimeout = 2 * time.Second
+// restoredKeyTimeout bounds the write of leadership.RestoredKey.
+const restoredKeyTimeout = 2 * time.Second
 
-// noteRestore notes in the state service, if this term is the newest that it knows, that a
-// worker has seen a higher one, or this one from another leader: then it was restored from an
-// older copy, and the next leader has to know. The term's context has ended by then.
-func (t *Term) noteRestore(ctx context.Context, seen uint64) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), noteRestoreTimeout)
+// writeRestoredKey writes the fencing token that a worker has seen to leadership.RestoredKey. The
+// write succeeds only if this term is the newest that the state service knows: it was then restored
+// from an older copy, which the next leader has to know. The write doesn't depend on the term's
+// context, which ends at the same time.
+func (t *Term) writeRestoredKey(ctx context.Context, seen uint64) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), restoredKeyTimeout)
 	defer cancel()
 	err := t.deps.Records.Put(ctx, t.claimed, leadership.RestoredKey, leadership.RestoredValue(seen))
 	switch {
 	case err == nil:
-		t.log.Error("state service has forgotten terms: restored from an older copy", "fencing_token", seen)
+		t.log.Error("state service was restored from an older copy and has lost terms", "fencing_token", seen)
 	case !errors.Is(err, jobstore.ErrDeposed):
-		t.log.Warn("restore of the state service not noted", "error", err)
+		t.log.Warn("could not record the restore of the state service", "error", err)
 	}
 }
 
-// clearRestore removes the note that the state service was restored, once what it had
-// forgotten is settled.
-func (t *Term) clearRestore(ctx context.Context) {
-	if !t.claimed.Restored || t.restoreCleared {
+// deleteRestoredKey deletes leadership.RestoredKey once the engine has settled what a restore of the
+// state service lost.
+func (t *Term) deleteRestoredKey(ctx context.Context) {
+	if !t.claimed.Restored || t.restoredKeyDeleted {
 		return
 	}
 	t.mu.Lock()
@@ -94,36 +97,37 @@
 		return
 	}
 	if err := t.deps.Records.Delete(ctx, t.claimed, leadership.RestoredKey); err != nil {
-		t.log.Debug("note of the restore not removed", "error", err)
+		t.log.Debug("restored key not deleted", "error", err)
 		return
 	}
-	t.restoreCleared = true
+	t.restoredKeyDeleted = true
 	t.log.Info("restore of the state service settled")
 }
 
-// Lookup is what the engine knows of a job.
+// Lookup returns what the engine knows of a job. It returns false if the state service has to be
+// asked.
 func (t *Term) Lookup(ref string) (core.JobView, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.engine.Lookup(ref)
 }
 
-// Status is what operators are shown.
+// Status returns the engine's status for operators.
 func (t *Term) Status(now time.Time) core.Status {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.engine.Status(now)
 }
 
-// PreviewDrain tells what a drain plan would do.
+// PreviewDrain returns what a drain plan would do.
 func (t *Term) PreviewDrain(now time.Time, plan drain.Plan) *drain.Preview {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.engine.PreviewDrain(now, plan)
 }
 
-// Load is what the engine tells of capacity and backlog; settled is false while a new leader
-// doesn't know enough.
+// Load returns the cluster's capacity and backlog. Settled is false while the takeover isn't over
+// and the capacity therefore isn't known.
 func (t *Term) Load(now time.Time) (load admission.Load, settled bool) {
 	t.mu.Lock()
 	cluster := t.engine.Load(now)
@@ -137,13 +141,13 @@
 	return load, cluster.Settled
 }
 
-// SetFairOrder has jobs ordered by their teams' fair shares, or not.
+// SetFairOrder switches the ordering of jobs by their teams' fair shares on or off.
 func (t *Term) SetFairOrder(on bool, weights map[string]float64) {
 	t.step(core.FairOrderChanged{On: on, Weights: weights})
 }
 
-// StoreValue writes a value of the leader's own under the term. If another controller has claimed a higher
-// one, this term ends.
+// StoreValue writes a value that belongs to the leader, conditional on the term. If another
+// controller has claimed a higher term, this one ends.
 func (t *Term) StoreValue(ctx context.Context, key string, value []byte) error {
 	err := t.deps.Records.Put(ctx, t.claimed, key, value)
 	if errors.Is(err, jobstore.ErrDeposed) {
--- a/internal/controller/term/takeover.go
+++ b/internal/controller/term/takeover.go
@@ -9,17 +9,18 @@
 	"gingertally/internal/wait"
 )
 
-// snapshotRetry is the pause after records that couldn't be read.
+// snapshotRetry is the pause after the records couldn't be read.
 const snapshotRetry = 200 * time.Millisecond
 
-// takeOver reads all records and builds the engine from them.
+// takeOver reads all records and builds the engine from them. It retries until that succeeds or ctx
+// ends.
 func (t *Term) takeOver(ctx context.Context) error {
 	for {
 		err := t.readRecords(ctx)
 		if err == nil {
 			return nil
 		}
-		t.log.Warn("records not read", "error", err)
+		t.log.Warn("could not read the stored records, retrying", "error", err)
 		if !wait.Sleep(ctx, snapshotRetry) {
 			return ctx.Err()
 		}
@@ -34,10 +35,10 @@
 	if snapshot.Drains, err = t.readDrains(ctx); err != nil {
 		return err
 	}
-	return t.begin(snapshot, revision)
+	return t.buildEngine(snapshot, revision)
 }
 
-// readDrains reads what is stored of drains; nothing if they are off.
+// readDrains reads the stored state of drains; it returns nothing if drains are off.
 func (t *Term) readDrains(ctx context.Context) (drain.Stored, error) {
 	if t.deps.Config.Drain == nil {
 		return drain.Stored{}, nil
@@ -45,9 +46,10 @@
 	return t.deps.Records.Drains(ctx)
 }
 
-// begin builds the engine from the records, and from the copy of the last leader's warm
-// state if there is one that can be trusted.
-func (t *Term) begin(snapshot core.Snapshot, revision uint64) error {
+// buildEngine creates the engine from the stored records and, if there is one that can be trusted,
+// from the copy of the previous leader's warm state. Revision is that of the records. The error
+// says that they have to be read again.
+func (t *Term) buildEngine(snapshot core.Snapshot, revision uint64) error {
 	warm, err := t.deps.Replicator.Confirm(t.claimed, revision)
 	if err != nil {
 		return err
--- a/internal/controller/term/term.go
+++ b/internal/controller/term/term.go
@@ -1,11 +1,11 @@
-// Package term is a controller's work as the leader during one term: it drives the core's
-// engine by events, and carries out the effects that the engine asks for.
+// Package term does a controller's work as the leader during one term: it passes events to the
+// core's engine and carries out the effects that the engine asks for.
 //
-// A Term owns its engine and all goroutines that work for it. Run takes over from the leader before,
-// runs the loops until the term is over, and Wait returns once nothing of the term is running any more.
-// All other methods may be called from any goroutine, also after the term's end: they then tell that the
-// lease isn't held. Whether this controller may act is decided by the lease alone, which is checked
-// before anything is sent out.
+// A Term owns its engine and all goroutines that work for it. Run takes over from the previous
+// leader and runs the loops until the term is over. Wait then returns once none of the term's work
+// is running any more. All other methods may be called from any goroutine once Run has called
+// ready, also after the end of the term, when the lease is no longer held. The lease alone decides
+// whether this controller may act, and it is checked before anything is sent out.
 package term
 
 import (
@@ -29,57 +29,58 @@
 
 // Lease is the leader's lease. *leadership.Elector implements it.
 type Lease interface {
-	// HoldsLease tells whether this controller may act.
+	// HoldsLease reports whether this controller may act.
 	HoldsLease(now time.Time) bool
-	// Resign gives the lease up.
+	// Resign gives up the lease and lets other controllers claim first.
 	Resign(reason leadership.ResignReason)
-	// EndTerm ends the term at once: another controller has claimed a higher one.
+	// EndTerm ends the term at once, since another controller has claimed a higher one.
 	EndTerm()
 }
 
-// Loop is work that goes on for as long as a term lasts. It returns when ctx ends.
+// Loop is work that goes on while a term lasts. It returns when ctx ends; if it returns an error
+// before, the term ends.
 type Loop func(ctx context.Context, t *Term) error
 
-// Dependencies are what a term works with.
+// Dependencies holds the clients, components and settings that a term works with.
 type Dependencies struct {
 	Lease        Lease
 	Store        *statestore.Client
-	Records      *jobstore.Jobs // with the leader's part of the rates
+	Records      *jobstore.Jobs // with the leader's share of the rate limits
 	Cloud        *cloud.Client
 	MachineTypes *machinetypes.Catalog
 	Replicator   replication.Replicator
 	Direct       *DirectSender
 	Metrics      *metrics.Metrics
-	Loops        []Loop // besides the term's own
+	Loops        []Loop // run in addition to the term's own loops
 
 	Config      core.Config
-	RoundBudget time.Duration // time for one round of decisions
-	MaxBatch    int           // changes that are written at once
+	RoundBudget time.Duration // time limit of one pass of a round of decisions
+	MaxBatch    int           // maximum number of changes in one transaction
 }
 
-// Term is one term of this controller.
+// Term is the work of this controller as the leader during one term.
 type Term struct {
 	deps       Dependencies
 	claimed    leadership.Term
 	log        *slog.Logger
-	wakeWriter chan struct{} // there may be something to write
-	background background    // what effects ask for
+	wakeWriter chan struct{} // tells the write loop that there may be something to write
+	background background    // work that effects ask for
 
-	// Set by Run before anybody else calls.
-	revision uint64          // of the state service, to watch on from
-	over     <-chan struct{} // closed at the term's end
+	// Set by Run before it calls ready.
+	revision uint64          // of the state service, after which the watches start
+	done     <-chan struct{} // closed at the end of the term
 
 	mu     sync.Mutex
 	engine *core.Engine
 
-	startedAny     atomic.Bool // a start was sent in this term
-	restoreCleared bool        // the note of a restore is removed; used by the tick loop alone
+	startSent          atomic.Bool // a start was sent in this term; used only with the warm standby
+	restoredKeyDeleted bool        // leadership.RestoredKey was deleted; used by the tick loop alone
 
 	contactMu   sync.Mutex
-	lastContact time.Time // when a heartbeat last arrived, or the lease last became valid again
+	lastContact time.Time // set by noteContact
 }
 
-// New makes the work of a term that this controller has claimed.
+// New returns the work of a term that this controller has claimed. Run starts it.
 func New(claimed leadership.Term, dependencies Dependencies) *Term {
 	return &Term{
 		deps: dependencies, claimed: claimed, wakeWriter: make(chan struct{}, 1),
@@ -87,28 +88,28 @@
 	}
 }
 
-// Number is the term's number.
+// Number returns the term's number.
 func (t *Term) Number() uint64 { return t.claimed.Number }
 
-// HoldsLease tells whether this controller still holds a valid leader's lease.
+// HoldsLease reports whether this controller holds a valid leader's lease.
 func (t *Term) HoldsLease() bool { return t.deps.Lease.HoldsLease(time.Now()) }
 
-// Run takes over from the leader before, and works until ctx ends or the term is lost. Ready is called
-// once the term can serve others, which may call it from then on.
+// Run takes over from the previous leader, and works until ctx ends or the term is lost. It calls
+// ready when the takeover is complete; from then on the other methods may be called.
 func (t *Term) Run(ctx context.Context, ready func()) error {
 	if err := t.takeOver(ctx); err != nil {
 		return err
 	}
 	t.noteContact()
 	group, ctx := errgroup.WithContext(ctx)
-	t.over = ctx.Done()
+	t.done = ctx.Done()
 	t.background.begin(ctx)
 	ready()
 	group.Go(func() error { return t.tickLoop(ctx) })
 	group.Go(func() error { return t.writeLoop(ctx) })
 	group.Go(func() error { return t.watchJobs(ctx) })
 	group.Go(func() error { return t.watchDrainPlans(ctx) })
-	group.Go(func() error { return t.showDrains(ctx) })
+	group.Go(func() error { return t.updateDrainMetrics(ctx) })
 	group.Go(func() error { return t.listInstances(ctx) })
 	group.Go(func() error { return t.lookUpDependencies(ctx) })
 	for _, loop := range t.deps.Loops {
@@ -117,39 +118,42 @@
 	return group.Wait()
 }
 
-// Wait returns once nothing is running any more that the term has sent out. Calls in flight aren't
-// broken off: each has a timeout of a few seconds.
+// Wait waits until no background work of the term is running any more. Calls in flight aren't
+// aborted: each has a timeout of a few seconds.
 func (t *Term) Wait() { t.background.end() }
 
-// LeaseResumed tells that the lease had lapsed and is valid again.
+// LeaseResumed is called when the lease had lapsed and is valid again. It excuses heartbeats that
+// were missed meanwhile.
 func (t *Term) LeaseResumed() {
 	t.noteContact()
 	t.step(core.LeaseResumed{})
 }
 
-// noteContact notes that a worker has reached this controller.
+// noteContact sets lastContact to the present. Besides heartbeats, the start of the term and a
+// lease that is valid again count as contacts, since heartbeats missing from the time before prove
+// nothing.
 func (t *Term) noteContact() {
 	t.contactMu.Lock()
 	defer t.contactMu.Unlock()
 	t.lastContact = time.Now()
 }
 
-// sinceContact is for how long no worker has reached this controller.
+// sinceContact returns the time since lastContact.
 func (t *Term) sinceContact() time.Duration {
 	t.contactMu.Lock()
 	defer t.contactMu.Unlock()
 	return time.Since(t.lastContact)
 }
 
-// background is the work that a term's effects ask for. Each piece has a goroutine of its own, which
-// ends with the term.
+// background runs the work that a term's effects ask for, each piece in a goroutine of its own with
+// a context that ends with the term.
 type background struct {
 	mu      sync.Mutex
 	start   func(work func(ctx context.Context)) // nil unless the term is running
 	running sync.WaitGroup
 }
 
-// begin has work started from now on, in a context that ends with the term.
+// begin allows run to start work, with the context ctx.
 func (b *background) begin(ctx context.Context) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -158,7 +162,7 @@
 	}
 }
 
-// run starts a piece of work; false after the term's end, when nothing is started any more.
+// run starts a piece of work. It returns false, and starts nothing, unless the term is running.
 func (b *background) run(work func(ctx context.Context)) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -169,7 +173,7 @@
 	return true
 }
 
-// end has no more work started, and waits for what is running.
+// end stops run from starting more work, and waits for the work that is running.
 func (b *background) end() {
 	b.mu.Lock()
 	b.start = nil
--- a/internal/controller/term/tick.go
+++ b/internal/controller/term/tick.go
@@ -10,21 +10,23 @@
 )
 
 const (
-	// tickEvery is how often time passes for the engine.
-	tickEvery = 100 * time.Millisecond
-	// warmChangesAtOnce is how many changes of the warm state are taken from the engine at a time,
-	// so that it isn't held up for long.
-	warmChangesAtOnce = 1000
+	// tickInterval is the pause between two ticks of the engine, and the longest between two checks
+	// for pending writes.
+	tickInterval = 100 * time.Millisecond
+	// maxWarmChanges limits the changes of the warm state that are taken from the engine at a time,
+	// so that its lock isn't held for long.
+	maxWarmChanges = 1000
 )
 
-// MissedHeartbeats is after how many heartbeat intervals without any worker's heartbeat a leader
-// resigns, though machines should send some.
+// MissedHeartbeats is the number of heartbeat intervals after which a leader that has received no
+// heartbeat from any worker resigns, if any machine is believed to be up.
 const MissedHeartbeats = 3
 
-// tickLoop has the engine decide, or resigns if no worker reaches this controller.
+// tickLoop regularly ticks the engine and streams its changes to the standbys while the lease is
+// held. It resigns if no worker reaches this controller.
 func (t *Term) tickLoop(ctx context.Context) error {
 	unreachedAfter := MissedHeartbeats * t.deps.Config.HeartbeatInterval
-	for wait.Sleep(ctx, tickEvery) {
+	for wait.Sleep(ctx, tickInterval) {
 		if !t.HoldsLease() {
 			continue
 		}
@@ -34,19 +36,19 @@
 		}
 		t.decide()
 		t.Replicate()
-		t.clearRestore(ctx)
+		t.deleteRestoredKey(ctx)
 	}
 	return ctx.Err()
 }
 
-// expectsHeartbeats tells whether any machine is believed to send heartbeats.
+// expectsHeartbeats reports whether any machine is believed to be up, and so should send heartbeats.
 func (t *Term) expectsHeartbeats() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.engine.HasLiveMachines()
 }
 
-// decide has the engine run a round of decisions, within its budget of time.
+// decide ticks the engine, which runs its round of decisions within the time limit.
 func (t *Term) decide() {
 	began := time.Now()
 	end := began.Add(t.deps.RoundBudget)
@@ -54,13 +56,14 @@
 	t.step(core.Tick{Spent: func() bool { return time.Now().After(end) }})
 }
 
-// Replicate streams what has changed of the engine's warm state to the standbys.
+// Replicate streams changes of the engine's warm state to the standbys, at most maxWarmChanges of
+// them.
 func (t *Term) Replicate() {
 	if !t.deps.Replicator.Enabled() {
 		return
 	}
 	t.mu.Lock()
-	records := t.engine.WarmChanges(time.Now(), warmChangesAtOnce)
+	records := t.engine.WarmChanges(time.Now(), maxWarmChanges)
 	t.mu.Unlock()
 	if len(records) > 0 {
 		t.deps.Replicator.Publish(t.claimed.Number, records)
--- a/internal/controller/term/watch.go
+++ b/internal/controller/term/watch.go
@@ -13,26 +13,26 @@
 	"gingertally/internal/wait"
 )
 
-// Pauses after reads that failed.
+// Pauses after failed reads.
 const (
 	recordRetry = 200 * time.Millisecond
 	watchRetry  = 150 * time.Millisecond
 )
 
-// watched is what a loop does with the keys that it watches.
-type watched struct {
+// watchHandler says which keys a loop watches and how it handles their changes.
+type watchHandler struct {
 	prefix string
-	// changed takes in what has changed; an error ends the loop.
+	// changed handles one changed key; an error ends the loop.
 	changed func(ctx context.Context, event statestore.Event) error
-	// readAll takes all keys in, for a watch that fell too far behind, and returns the revision
-	// to watch on from.
+	// readAll handles all keys, when the watch has fallen so far behind that the changes it lacks
+	// are compacted. It returns the revision after which the watch continues.
 	readAll func(ctx context.Context) (uint64, error)
-	// readAllRetry is the pause after keys that couldn't be read.
+	// readAllRetry is the pause after readAll failed.
 	readAllRetry time.Duration
 }
 
-// watch follows the changes of keys until ctx ends.
-func (t *Term) watch(ctx context.Context, w watched) error {
+// watch passes the changes of the keys to their handler until ctx ends.
+func (t *Term) watch(ctx context.Context, w watchHandler) error {
 	revision := t.revision
 	for ctx.Err() == nil {
 		response, err := t.deps.Store.Watch(ctx, w.prefix, revision)
@@ -57,9 +57,9 @@
 	return ctx.Err()
 }
 
-// watchJobs learns of new and cancelled jobs.
+// watchJobs watches the records of jobs, for new and cancelled ones.
 func (t *Term) watchJobs(ctx context.Context) error {
-	return t.watch(ctx, watched{
+	return t.watch(ctx, watchHandler{
 		prefix:       jobstore.JobPrefix,
 		changed:      t.jobChanged,
 		readAll:      t.readAllJobs,
@@ -67,7 +67,7 @@
 	})
 }
 
-// readAllJobs brings the engine all jobs.
+// readAllJobs passes all jobs to the engine.
 func (t *Term) readAllJobs(ctx context.Context) (uint64, error) {
 	snapshot, revision, err := t.deps.Records.Snapshot(ctx)
 	if err != nil {
@@ -79,8 +79,9 @@
 	return revision, nil
 }
 
-// jobChanged brings the engine a job's record, or, where that can't be completed any
-// more since the job has moved on, what the store now holds.
+// jobChanged passes a changed job record to the engine. If the rest of the job can't be read, for
+// example because the job has changed again, it passes what the store holds now. It retries until
+// either succeeds, but skips a malformed record.
 func (t *Term) jobChanged(ctx context.Context, event statestore.Event) error {
 	if event.Delete {
 		return nil
@@ -97,19 +98,21 @@
 		case t.refreshJob(ctx, strings.TrimPrefix(event.Key, jobstore.JobPrefix)):
 			return nil
 		}
-		t.log.Warn("job record not read", "key", event.Key, "error", err)
+		t.log.Warn("could not read a job record, retrying", "key", event.Key, "error", err)
 		if !wait.Sleep(ctx, recordRetry) {
 			return ctx.Err()
 		}
 	}
 }
 
-// refreshJob brings the engine what the store holds of a job, if that can be had.
+// refreshJob reads a job and passes it to the engine. It returns false if the job can't be read or
+// doesn't exist.
 func (t *Term) refreshJob(ctx context.Context, ref string) bool {
 	return t.loadJob(ctx, ref, t.deps.Records.Load)
 }
 
-// loadJob loads a job and brings the engine what was found; false if nothing was.
+// loadJob reads a job by load and passes it to the engine. It returns false if the job can't be read
+// or doesn't exist.
 func (t *Term) loadJob(
 	ctx context.Context, ref string, load func(context.Context, string) (jobstore.State, error),
 ) bool {
@@ -125,22 +128,22 @@
 	return true
 }
 
-// How dependencies are looked up: how many at a time, how often, and how
-// long after a time at which some couldn't be had.
+// Lookups of dependencies: how many are made at a time, the pause between them, and the pause after
+// one failed.
 const (
-	maxLookUps  = 3
-	lookUpEvery = 200 * time.Millisecond
-	lookUpRetry = time.Second
+	maxLookUps     = 3
+	lookUpInterval = 200 * time.Millisecond
+	lookUpRetry    = time.Second
 )
 
-// lookUpDependencies finds out what became of jobs that others depend on and that were over
-// before this term.
+// lookUpDependencies looks up jobs that other jobs depend on and that the engine doesn't know, since
+// they were over before this term.
 func (t *Term) lookUpDependencies(ctx context.Context) error {
-	for interval := lookUpEvery; wait.Sleep(ctx, interval); {
+	for interval := lookUpInterval; wait.Sleep(ctx, interval); {
 		t.mu.Lock()
 		refs := t.engine.DependenciesToLookUp(maxLookUps)
 		t.mu.Unlock()
-		interval = lookUpEvery
+		interval = lookUpInterval
 		for _, ref := range refs {
 			if !t.loadJob(ctx, ref, t.deps.Records.LoadFinished) {
 				t.step(core.DependencyLookupFailed{Ref: ref})
--- a/internal/controller/term/write.go
+++ b/internal/controller/term/write.go
@@ -11,14 +11,14 @@
 	"gingertally/internal/wait"
 )
 
-// Pauses after a failed write; in an outage of the state service, in which this controller
-// goes on, a longer one.
+// Pauses after a failed write. The pause is longer in an outage of the state service, during which
+// the leader goes on working.
 const (
 	writeRetry       = 100 * time.Millisecond
 	writeRetryOutage = 300 * time.Millisecond
 )
 
-// wakeWriteLoop has the write loop look at once whether there is something to write.
+// wakeWriteLoop makes the write loop check at once whether there is something to write.
 func (t *Term) wakeWriteLoop() {
 	select {
 	case t.wakeWriter <- struct{}{}:
@@ -26,14 +26,14 @@
 	}
 }
 
-// writeLoop writes what the engine has to write, one transaction at a time.
+// writeLoop writes the engine's pending writes, one transaction at a time.
 func (t *Term) writeLoop(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-t.wakeWriter:
-		case <-time.After(tickEvery):
+		case <-time.After(tickInterval):
 		}
 		if !t.HoldsLease() {
 			continue
@@ -44,7 +44,8 @@
 	}
 }
 
-// writeAll writes until nothing is left or a write fails. An error ends the term.
+// writeAll writes until nothing is left or a write fails. It returns an error only if the term is
+// over.
 func (t *Term) writeAll(ctx context.Context) error {
 	for {
 		more, err := t.writeBatch(ctx)
@@ -68,7 +69,8 @@
 	}
 }
 
-// writeBatch writes one batch, and tells whether there may be more to write.
+// writeBatch writes one batch and reports the outcome to the engine. More says whether there may be
+// more to write now. A write that the state service rejects for good isn't an error.
 func (t *Term) writeBatch(ctx context.Context) (more bool, err error) {
 	batch := t.nextBatch()
 	if len(batch) == 0 {
@@ -88,15 +90,14 @@
 		return true, nil
 	}
 	var versions map[string]uint64
-	if !errors.Is(err, statestore.ErrUnavailable) { // else nothing has changed, and nothing can be read
+	if !errors.Is(err, statestore.ErrUnavailable) { // if unavailable, nothing has changed and nothing can be read
 		versions = t.reread(ctx, sent)
 	}
 	t.step(core.WritesFinished{Batch: sent, CurrentVersions: versions})
 	return false, err
 }
 
-// nextBatch takes the next writes from the engine, which from then on counts them as
-// under way.
+// nextBatch takes the next writes from the engine, which from then on treats them as in flight.
 func (t *Term) nextBatch() []core.Write {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -108,8 +109,8 @@
 	return batch
 }
 
-// reread finds out what the store holds after a failed or unanswered write: the
-// versions of pages by name. Jobs' records go to the engine at once.
+// reread reads what the store holds after a write failed or its outcome is unknown. It returns the
+// versions of pages by name, and passes jobs' records to the engine itself.
 func (t *Term) reread(ctx context.Context, batch []core.Write) map[string]uint64 {
 	versions := map[string]uint64{}
 	for _, write := range batch {
--- a/internal/controller/term_test.go
+++ b/internal/controller/term_test.go
@@ -18,14 +18,14 @@
 	"gingertally/internal/wire"
 )
 
-// heldLease is a leader's lease that is held until it is given up.
+// heldLease is a leader's lease that is valid until it is given up. It implements term.Lease.
 type heldLease struct{ over atomic.Bool }
 
 func (l *heldLease) HoldsLease(time.Time) bool      { return !l.over.Load() }
 func (l *heldLease) Resign(leadership.ResignReason) { l.over.Store(true) }
 func (l *heldLease) EndTerm()                       { l.over.Store(true) }
 
-// termGoroutines are the stacks of all goroutines that run code of package term.
+// termGoroutines returns the stacks of all goroutines that run code of package term.
 func termGoroutines() []string {
 	stacks := make([]byte, 1<<20)
 	stacks = stacks[:runtime.Stack(stacks, true)]
@@ -38,9 +38,9 @@
 	return found
 }
 
-// Writes, scale-outs and direct commands of a term once ran on after its end in goroutines that nobody
-// waited for: that they did no harm hung on conditions alone. A term that has ended leaves none, whatever
-// was under way.
+// A term that has ended must leave no goroutines, whatever was in flight. Its writes, scale-outs
+// and direct commands once went on after its end in goroutines that nothing waited for, and were
+// kept from doing harm only by their conditions.
 func TestNoGoroutineIsLeftAfterATerm(t *testing.T) {
 	var scaleOuts atomic.Int32
 	slowCloud := func(request *fasthttp.RequestCtx) {
@@ -68,7 +68,7 @@
 		Image:    "i",
 		Estimate: time.Minute,
 	}
-	if err := c.jobs.Create(t.Context(), spec, nil, time.Now()); err != nil {
+	if err := c.userJobs.Create(t.Context(), spec, nil, time.Now()); err != nil {
 		t.Fatal(err)
 	}
 	before := len(termGoroutines())
@@ -79,9 +79,9 @@
 	ready, ended := make(chan struct{}), make(chan error, 1)
 	go func() { ended <- leading.Run(ctx, func() { close(ready) }) }()
 	<-ready
-	eventually(t, "a scale-out under way", func() bool { return scaleOuts.Load() > 0 })
+	eventually(t, "a scale-out is in flight", func() bool { return scaleOuts.Load() > 0 })
 	if len(termGoroutines()) <= before {
-		t.Fatal("no goroutine of the term was found: the test shows nothing")
+		t.Fatal("found no goroutine of the running term, so that the test would prove nothing")
 	}
 	cancel()
 	if err := <-ended; err == nil {
