--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -6,17 +6,17 @@
 	"net"
 )
 
-// The lowest limits of the state service with which controllers can work.
+// Lowest limits of the state service with which controllers can work.
 const (
 	minRate    = 1
 	minValueKB = 1
 	minTxnOps  = 2
 )
 
-// minSockets is the lowest number of sockets with which a controller can work.
+// minSockets is the lowest socket limit with which a controller can work.
 const minSockets = 64
 
-// check returns the first thing that is wrong, without its file and line; nil if nothing is.
+// check returns the first problem found, without its file and line, or nil if the settings are valid.
 func (s *Settings) check() *FieldError {
 	var c checker
 	c.node(s)
@@ -35,18 +35,20 @@
 	return c.err
 }
 
-// checker keeps the first thing that is wrong, so that checking needs no branch after each field.
+// checker records the first problem and ignores later ones, so that callers can check field after
+// field without testing for an error in between.
 type checker struct{ err *FieldError }
 
+// node checks the settings of the controller itself and its peers, whose names must be unique.
 func (c *checker) node(s *Settings) {
-	c.text("member", s.Member)
-	c.text("zone", s.Zone)
+	c.required("member", s.Member)
+	c.required("zone", s.Zone)
 	c.addr("client_listen", s.ClientListen)
 	c.addr("peer_listen", s.PeerListen)
 	seen := map[string]bool{s.Member: true}
 	for i, peer := range s.Peers {
 		field := fmt.Sprintf("peers[%d].", i)
-		c.text(field+"member", peer.Member)
+		c.required(field+"member", peer.Member)
 		c.addr(field+"addr", peer.Addr)
 		c.unique(field+"member", peer.Member, seen)
 	}
@@ -64,7 +66,7 @@
 	seen := map[string]bool{}
 	for i, team := range teams {
 		field := fmt.Sprintf("settings.teams[%d].", i)
-		c.text(field+"name", team.Name)
+		c.required(field+"name", team.Name)
 		c.unique(field+"name", team.Name, seen)
 		c.atLeast(field+"cpus", team.GuaranteedCPUs, 0)
 		c.atLeast(field+"cpus_max", team.CPULimit, 0)
@@ -81,6 +83,7 @@
 	c.positive("settings.workers.cancel_s", float64(workers.Cancel))
 }
 
+// state checks the present limits of the state service and those of the next ones that are set.
 func (c *checker) state(state *State) {
 	c.atLeast("settings.state.rps", state.RPS, minRate)
 	c.atLeast("settings.state.write_rps", state.WriteRPS, minRate)
@@ -100,19 +103,21 @@
 	}
 }
 
+// fail records a problem with a field, unless there is an earlier one.
 func (c *checker) fail(field, problem string) {
 	if c.err == nil {
 		c.err = &FieldError{Field: field, Problem: problem}
 	}
 }
 
-func (c *checker) text(field, value string) {
+// required fails if a value is empty.
+func (c *checker) required(field, value string) {
 	if value == "" {
 		c.fail(field, "missing")
 	}
 }
 
-// unique fails if a name was seen before.
+// unique fails if a name is in seen, and adds it.
 func (c *checker) unique(field, name string, seen map[string]bool) {
 	if seen[name] {
 		c.fail(field, "named twice")
@@ -120,6 +125,7 @@
 	seen[name] = true
 }
 
+// addr fails unless a value has the form host:port.
 func (c *checker) addr(field, value string) {
 	if value == "" {
 		c.fail(field, "missing")
@@ -130,14 +136,15 @@
 	}
 }
 
-// positive fails unless a value is finite and above 0; the negated comparison also fails for NaN.
+// positive fails unless a value is finite and above 0. The comparison is negated so that NaN fails too.
 func (c *checker) positive(field string, value float64) {
 	if !(value > 0) || math.IsInf(value, 0) {
 		c.fail(field, "missing or not above 0")
 	}
 }
 
-// atLeast fails unless a value is finite and not below a bound; the negated comparison also fails for NaN.
+// atLeast fails unless a value is finite and not below a lower bound. The comparison is negated so that
+// NaN fails too.
 func (c *checker) atLeast(field string, value, low float64) {
 	if !(value >= low) || math.IsInf(value, 0) {
 		c.fail(field, fmt.Sprintf("missing or below %g", low))
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,10 +1,10 @@
-// Package config reads and checks the settings that the platform hands over at a controller's start, a
-// file in JSON (DEPLOY: The deploy file). Fields that aren't known here are ignored, so that a newer
-// platform can start an older controller. Nothing is filled in: a setting that is needed and missing is
-// an error, a *FieldError that names file, line and field.
+// Package config reads and validates the settings file that the platform passes to a controller at its
+// start, which is in JSON (DEPLOY: The deploy file). Unknown fields are ignored, so that a newer platform
+// can start an older controller. There are no defaults: a required setting that is missing is an error,
+// a *FieldError that names the file and, where known, line and field.
 //
-// The command calls Load once, before anything else runs; afterwards the settings aren't changed and may be
-// read from any goroutine.
+// The command calls Load once, before anything else runs. After that the settings don't change and may
+// be read from any goroutine.
 package config
 
 import (
@@ -15,13 +15,13 @@
 	"time"
 )
 
-// Seconds is a duration as a number of seconds.
+// Seconds is a duration in seconds, with fractions.
 type Seconds float64
 
 // Duration converts the number to a time.Duration.
 func (s Seconds) Duration() time.Duration { return time.Duration(float64(s) * float64(time.Second)) }
 
-// Settings is the content of the platform's file.
+// Settings is the content of the platform's settings file.
 type Settings struct {
 	Member       string    `json:"member"`
 	Zone         string    `json:"zone"`
@@ -32,7 +32,7 @@
 	Params       Params    `json:"settings"`
 }
 
-// TeamNames are the names of all teams.
+// TeamNames returns the names of all teams, in the order of the file.
 func (s *Settings) TeamNames() []string {
 	names := make([]string, 0, len(s.Params.Teams))
 	for _, team := range s.Params.Teams {
@@ -66,7 +66,8 @@
 	SkewMS     float64     `json:"skew_ms"`
 }
 
-// Team is a team's guarantee and its limit, in CPUs and GPUs; 0 means that there is none.
+// Team holds a team's guaranteed capacity and its limit, in CPUs and GPUs; 0 means no guarantee or no
+// limit.
 type Team struct {
 	Name           string  `json:"name"`
 	GuaranteedCPUs float64 `json:"cpus"`
@@ -75,7 +76,7 @@
 	GPULimit       float64 `json:"gpus_max"`
 }
 
-// Objective is a service-level objective for a class of jobs. Kinds that aren't known here are ignored.
+// Objective is a service-level objective for a class of jobs. Objectives of unknown kinds are ignored.
 type Objective struct {
 	Kind   string  `json:"kind"`
 	Class  string  `json:"class"`
@@ -83,7 +84,7 @@
 	Times  float64 `json:"times"`
 }
 
-// Workers are the timings that workers go by.
+// Workers holds the intervals and timeouts that workers use.
 type Workers struct {
 	HeartbeatInterval Seconds `json:"report_s"`
 	Lease             Seconds `json:"lease_s"`
@@ -92,7 +93,8 @@
 	Cancel            Seconds `json:"cancel_s"`
 }
 
-// State is the load that the state service bears.
+// State holds the limits of the state service: requests and writes per second, the size of a value, and
+// operations per transaction.
 type State struct {
 	RPS      float64 `json:"rps"`
 	WriteRPS float64 `json:"write_rps"`
@@ -101,7 +103,8 @@
 	Next     Next    `json:"next"`
 }
 
-// Next is the load that the state service will bear from some moment on. A limit that isn't named stays as it is.
+// Next holds the limits that the state service will have from an unspecified time on. A limit that is nil
+// doesn't change.
 type Next struct {
 	RPS      *float64 `json:"rps"`
 	WriteRPS *float64 `json:"write_rps"`
@@ -109,8 +112,8 @@
 	TxnOps   *int     `json:"txn_ops"`
 }
 
-// Lowest is the lower of the present and the coming limits. Both are kept from the start, since nobody says from
-// when the coming ones hold.
+// Lowest returns the lower one of each present limit and its next value. Controllers keep within both from
+// their start, because the settings don't say when the next limits take effect.
 func (s State) Lowest() State {
 	return State{
 		RPS:      lower(s.RPS, s.Next.RPS),
@@ -120,7 +123,7 @@
 	}
 }
 
-// lower is the lower of two limits, of which the second may be missing.
+// lower returns the lower of two limits; next may be nil.
 func lower[T int | float64](present T, next *T) T {
 	if next == nil {
 		return present
@@ -128,20 +131,20 @@
 	return min(present, *next)
 }
 
-// Cloud is the load that the cloud's interface bears, and how far its list of machines lags.
+// Cloud holds the rate limit of the cloud's API, and how far its list of machines may lag behind.
 type Cloud struct {
 	RPS     float64 `json:"rps"`
 	ListLag Seconds `json:"list_lag_s"`
 }
 
-// Resources are the machine's resources that this process may use.
+// Resources holds the resources of the machine that the controller's process may use.
 type Resources struct {
 	CPUShare   float64 `json:"cpu_share"`
 	MemoryMB   float64 `json:"memory_mb"`
 	MaxSockets int     `json:"max_sockets"`
 }
 
-// Load reads and checks a file of settings. If the file can be read, the error is a *FieldError.
+// Load reads and validates a settings file. If the file can be read, any error is a *FieldError.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -150,7 +153,7 @@
 	return parse(path, text)
 }
 
-// parse reads and checks the text of a file.
+// parse decodes and validates the text of a settings file.
 func parse(file string, text []byte) (*Settings, error) {
 	var settings Settings
 	if err := json.Unmarshal(text, &settings); err != nil {
@@ -163,7 +166,8 @@
 	return &settings, nil
 }
 
-// decodeError says where a text isn't JSON, or a value isn't of its field's type.
+// decodeError converts an error of the JSON decoder, for malformed JSON or a value of the wrong type, to a
+// FieldError with its line.
 func decodeError(file string, text []byte, err error) *FieldError {
 	var wrongType *json.UnmarshalTypeError
 	if errors.As(err, &wrongType) {
@@ -172,10 +176,10 @@
 			Problem: fmt.Sprintf("expected %s, found %s", wrongType.Type, wrongType.Value),
 		}
 	}
-	failed := &FieldError{File: file, Problem: fmt.Sprintf("not valid JSON: %v", err), Err: err}
+	fieldErr := &FieldError{File: file, Problem: fmt.Sprintf("not valid JSON: %v", err), Err: err}
 	var syntax *json.SyntaxError
 	if errors.As(err, &syntax) {
-		failed.Line = lineAt(text, syntax.Offset)
+		fieldErr.Line = lineAt(text, syntax.Offset)
 	}
-	return failed
+	return fieldErr
 }
--- a/internal/config/field_error.go
+++ b/internal/config/field_error.go
@@ -5,22 +5,23 @@
 	"strings"
 )
 
-// FieldError says what is wrong with a file of settings, and where. It is the error of both formats:
-// the platform's settings (this package) and the operators' own (package operator).
+// FieldError describes a problem in a settings file, and where it is. It serves both formats: the
+// platform's settings (this package) and the operators' settings (package operator).
 type FieldError struct {
 	// File is the path of the file.
 	File string
-	// Line is the line in the file, counted from 1; 0 means that it isn't known.
+	// Line is the line number, counted from 1; 0 means unknown.
 	Line int
-	// Field is the name of the setting; it is empty if the file as a whole can't be read.
+	// Field is the name of the setting; empty if the problem can't be assigned to one, as in malformed
+	// text.
 	Field string
-	// Problem says what is wrong.
+	// Problem describes what is wrong.
 	Problem string
-	// Err is the cause, if it was an error.
+	// Err is the decoder's error that caused this one; nil if a value failed its check.
 	Err error
 }
 
-// Error is one line of the form FILE:LINE: FIELD: PROBLEM, without the parts that aren't known.
+// Error returns one line of the form FILE:LINE: FIELD: PROBLEM, without the parts that aren't known.
 func (e *FieldError) Error() string {
 	var text strings.Builder
 	text.WriteString(e.File)
@@ -34,5 +35,5 @@
 	return text.String()
 }
 
-// Unwrap returns the cause, which may be nil.
+// Unwrap returns Err, which may be nil.
 func (e *FieldError) Unwrap() error { return e.Err }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -7,7 +7,8 @@
 	"gingertally/internal/goldentest"
 )
 
-// The names of the platform's settings.
+// Guards against renamed settings: a controller would ignore a value under the old name, or refuse the
+// file because the new name is missing.
 func TestSettingsGolden(t *testing.T) {
 	text, err := json.MarshalIndent(goldentest.Filled[Settings](), "", "  ")
 	if err != nil {
--- a/internal/config/limits_test.go
+++ b/internal/config/limits_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// The lower of the present and the coming limits of the state service holds from the start, since nobody says when
-// the coming ones begin to. Each coming one may be missing; one that is too low is refused by its name.
+// A controller that waited for the next limits of the state service would exceed them, because nothing
+// says when they take effect: the lower one of each present and next limit holds from the start. Any next
+// limit may be missing; one that is too low is refused by name.
 func TestLowestLimits(t *testing.T) {
 	for _, c := range []struct {
 		next, refused string
@@ -20,17 +21,17 @@
 		{`{"txn_ops": 1}`, "settings.state.next.txn_ops", State{}},
 		{`{"write_rps": 0}`, "settings.state.next.write_rps", State{}},
 	} {
-		text := strings.Replace(good, `"txn_ops":12`, `"txn_ops":12,"next":`+c.next, 1)
+		text := strings.Replace(validSettings, `"txn_ops":12`, `"txn_ops":12,"next":`+c.next, 1)
 		s, err := parse("settings.json", []byte(text))
 		switch {
 		case c.refused != "":
 			if err == nil || !strings.Contains(err.Error(), c.refused) {
-				t.Errorf("%s: %v", c.next, err)
+				t.Errorf("%s: error %v, want one that names %s", c.next, err, c.refused)
 			}
 		case err != nil:
 			t.Errorf("%s: %v", c.next, err)
 		case s.Params.State.Lowest() != c.want:
-			t.Errorf("%s: %+v", c.next, s.Params.State.Lowest())
+			t.Errorf("%s: lowest limits %+v, want %+v", c.next, s.Params.State.Lowest(), c.want)
 		}
 	}
 }
--- a/internal/config/lines.go
+++ b/internal/config/lines.go
@@ -6,27 +6,29 @@
 	"fmt"
 )
 
-// lineAt is the line of an offset in a text, counted from 1.
+// lineAt returns the line number of an offset in a text, counted from 1.
 func lineAt(text []byte, offset int64) int {
 	offset = min(max(offset, 0), int64(len(text)))
 	return 1 + bytes.Count(text[:offset], []byte("\n"))
 }
 
-// fieldLines finds the lines on which the fields of a JSON text are set, by path, such as
-// settings.teams[0].name. The text is known to be valid JSON.
+// fieldLines returns the line number of each field in a JSON text, by path, such as
+// settings.teams[0].name. Of a field that is set more than once it is that of the last time, whose value
+// the decoder keeps. The text must be valid JSON.
 func fieldLines(text []byte) map[string]int {
 	walker := fieldWalker{decoder: json.NewDecoder(bytes.NewReader(text)), text: text, lines: map[string]int{}}
 	walker.value("")
 	return walker.lines
 }
 
+// fieldWalker walks over a JSON text and records the line of each field.
 type fieldWalker struct {
 	decoder *json.Decoder
 	text    []byte
 	lines   map[string]int
 }
 
-// value walks over one value. It stops at an error, which a valid text doesn't have.
+// value walks over one value. Like object and array, it ignores errors, which valid JSON doesn't cause.
 func (w *fieldWalker) value(path string) {
 	token, err := w.decoder.Token()
 	if err != nil {
@@ -36,7 +38,7 @@
 	case json.Delim('{'):
 		w.object(path)
 	case json.Delim('['):
-		w.list(path)
+		w.array(path)
 	}
 }
 
@@ -50,21 +52,21 @@
 		if path != "" {
 			field = path + "." + field
 		}
-		w.note(field)
+		w.recordLine(field)
 		w.value(field)
 	}
-	_, _ = w.decoder.Token() // the object's end
+	_, _ = w.decoder.Token() // closing brace
 }
 
-func (w *fieldWalker) list(path string) {
+func (w *fieldWalker) array(path string) {
 	for i := 0; w.decoder.More(); i++ {
 		element := fmt.Sprintf("%s[%d]", path, i)
 		w.value(element)
 	}
-	_, _ = w.decoder.Token() // the list's end
+	_, _ = w.decoder.Token() // closing bracket
 }
 
-// note remembers the line of the name that was just read.
-func (w *fieldWalker) note(field string) {
+// recordLine records the line of the field whose name was just read.
+func (w *fieldWalker) recordLine(field string) {
 	w.lines[field] = lineAt(w.text, w.decoder.InputOffset())
 }
