--- a/internal/operator/admission.go
+++ b/internal/operator/admission.go
@@ -8,18 +8,20 @@
 	"gingertally/internal/operator/operatorpb"
 )
 
-// Admission are the settings of admission control.
+// Admission holds the settings of admission control.
 type Admission struct {
 	Enabled bool
-	// Weights are the teams' weights; a team that isn't named weighs 1.
+	// Weights holds the teams' weights; the weight of a team that isn't named is 1.
 	Weights map[string]float64
-	// Floor is the part of the capacity that each class is left at the least.
+	// Floor is the smallest part of the capacity that is left to each class.
 	Floor float64
-	// EnterBacklog is the backlog at which overload begins: how long the machines would need for all
-	// that waits. ExitBacklog is the one at which it ends.
+	// EnterBacklog is the backlog at which overload begins, if demand is high as well. ExitBacklog, which
+	// must be lower, is the one at which it ends, once demand has dropped as well. The backlog is the
+	// time that the machines would need for all waiting work.
 	EnterBacklog time.Duration
 	ExitBacklog  time.Duration
-	// PolicyAge is the age above which a policy isn't relied on.
+	// PolicyAge is how long after a leader last confirmed it a policy is applied as it is; after that
+	// the fallback replaces it.
 	PolicyAge time.Duration
 }
 
@@ -34,7 +36,7 @@
 	maxPolicyAge  = 10 * time.Minute
 )
 
-// admission checks the settings of admission control and sets those that the file has.
+// admission validates the settings of admission control and sets those that the file has.
 func (c *checker) admission(message *operatorpb.Admission, target *Admission) {
 	if message == nil {
 		return
@@ -54,16 +56,16 @@
 	}
 }
 
-// teamWeight checks the weight of one team and sets it.
+// teamWeight validates the weight of one team and stores it in target.
 func (c *checker) teamWeight(message *operatorpb.TeamWeight, target *Admission) {
 	team, weight := message.GetTeam(), message.GetWeight()
-	line := c.lineOf(team, "weights")
-	switch _, twice := target.Weights[team]; {
+	line := c.valueLine(team, "weights")
+	switch _, duplicate := target.Weights[team]; {
 	case !slices.Contains(c.teams, team):
 		c.failAt(line, "weights", "unknown team %q", team)
 		return
-	case twice:
-		c.failAt(line, "weights", "team %q twice", team)
+	case duplicate:
+		c.failAt(line, "weights", "team %q is listed twice", team)
 		return
 	case message.Weight == nil || math.IsNaN(weight) || weight < minTeamWeight || weight > maxTeamWeight:
 		c.failAt(line, "weight", "of team %q must be from %g to %g", team, minTeamWeight, float64(maxTeamWeight))
--- a/internal/operator/checker.go
+++ b/internal/operator/checker.go
@@ -13,28 +13,29 @@
 	"gingertally/internal/config"
 )
 
-// checker checks the values of a file and keeps the first thing that is wrong, so that checking needs no
-// branch after each field. Teams are those that may be named.
+// checker validates the values of a settings file. It records the first problem and ignores later ones,
+// so that callers can check field after field without testing for an error in between.
 type checker struct {
-	path, text string
-	teams      []string
+	path, text string   // of the file
+	teams      []string // that the file may name
 	err        *config.FieldError
 }
 
-// fail says what is wrong with a field.
+// fail records a problem with a field, on the first line that sets the field.
 func (c *checker) fail(field, format string, args ...any) {
-	c.failAt(c.line(field), field, format, args...)
+	c.failAt(c.fieldLine(field), field, format, args...)
 }
 
-// failAt says what is wrong with a field on a line, 0 for unknown.
+// failAt records a problem with a field on the given line (0: unknown), unless there is an earlier one.
 func (c *checker) failAt(line int, field, format string, args ...any) {
 	if c.err == nil {
 		c.err = &config.FieldError{File: c.path, Line: line, Field: field, Problem: fmt.Sprintf(format, args...)}
 	}
 }
 
-// line finds the first line on which a field is set; 0 if it isn't.
-func (c *checker) line(field string) int {
+// fieldLine returns the first line on which a field of this name is set, 0 if there is none. It doesn't
+// tell apart fields of the same name in different messages.
+func (c *checker) fieldLine(field string) int {
 	at := regexp.MustCompile(`(?m)(^|[^#\w])` + field + `\s*[:{]`).FindStringIndex(c.text)
 	if at == nil {
 		return 0
@@ -42,15 +43,16 @@
 	return 1 + strings.Count(c.text[:at[1]], "\n")
 }
 
-// lineOf finds the last line that has a value in quotes, or else the first on which a field is set.
-func (c *checker) lineOf(value, field string) int {
+// valueLine returns the last line that contains the value in quotes; if there is none, the first one on
+// which the field is set.
+func (c *checker) valueLine(value, field string) int {
 	if at := strings.LastIndex(c.text, strconv.Quote(value)); at >= 0 {
 		return 1 + strings.Count(c.text[:at], "\n")
 	}
-	return c.line(field)
+	return c.fieldLine(field)
 }
 
-// number checks a value against its bounds, and returns it.
+// number fails unless a value is within its bounds, and returns the value in any case.
 func (c *checker) number(field string, value, low, high float64) float64 {
 	if math.IsNaN(value) || value < low || value > high {
 		c.fail(field, "must be from %g to %g, is %g", low, high, value)
@@ -58,7 +60,7 @@
 	return value
 }
 
-// duration checks a duration and sets the target, if the duration is set.
+// duration checks a duration against its bounds and stores it in target, unless value is nil.
 func (c *checker) duration(field string, value *durationpb.Duration, target *time.Duration, low, high time.Duration) {
 	if value == nil {
 		return
@@ -75,21 +77,22 @@
 	fieldName       = regexp.MustCompile(`(\w+)\s*[:{]`)
 )
 
-// decodeError gives an error of the text format its file, line and field. The library mostly names the
-// line, but not always the field, and varies its spaces.
+// decodeError converts an error of the prototext decoder to a FieldError. The decoder usually names the
+// line, not always the field, and varies the spaces in its messages on purpose. The field is taken to be
+// the last one that the line sets.
 func decodeError(path, text string, err error) *config.FieldError {
 	problem := strings.Join(strings.Fields(strings.TrimPrefix(err.Error(), "proto:")), " ")
 	lines := strings.Split(strings.TrimRight(text, "\n"), "\n")
-	line := len(lines) // where a file ends too soon
+	line := len(lines) // an unexpected end of the file is reported without a line
 	if match := positionInError.FindStringSubmatch(problem); match != nil {
 		if number, err := strconv.Atoi(match[1]); err == nil {
 			line = number
 		}
 		problem = strings.Replace(problem, match[0], "", 1)
 	}
-	failed := &config.FieldError{File: path, Line: line, Problem: problem, Err: err}
+	fieldErr := &config.FieldError{File: path, Line: line, Problem: problem, Err: err}
 	if names := fieldName.FindAllStringSubmatch(lines[min(line, len(lines))-1], -1); names != nil {
-		failed.Field = names[len(names)-1][1]
+		fieldErr.Field = names[len(names)-1][1]
 	}
-	return failed
+	return fieldErr
 }
--- a/internal/operator/draining.go
+++ b/internal/operator/draining.go
@@ -5,18 +5,19 @@
 	"strconv"
 	"strings"
 	"time"
-	_ "time/tzdata" // controllers' machines may have no time zone data
+	_ "time/tzdata" // the machines of controllers may lack time zone data
 
 	"gingertally/internal/drain"
 	"gingertally/internal/operator/operatorpb"
 )
 
-// Draining are the settings of operators' drains.
+// Draining holds the settings of operators' drains.
 type Draining struct {
 	Enabled bool
-	// Budgets are the disruption budgets of teams and classes.
+	// Budgets holds the disruption budgets of teams and of single classes of a team.
 	Budgets map[drain.Scope]drain.Budget
-	// FinishWait is how long work without checkpoints is left to finish, where no budget says otherwise.
+	// FinishWait is how long tasks without checkpoints are left to finish before they are evicted, where
+	// no budget sets a wait of its own.
 	FinishWait time.Duration
 }
 
@@ -29,7 +30,7 @@
 	maxFinishWait     = 7 * 24 * time.Hour
 )
 
-// draining checks the settings of drains and sets those that the file has.
+// draining validates the settings of drains and sets those that the file has.
 func (c *checker) draining(message *operatorpb.Draining, target *Draining) {
 	if message == nil {
 		return
@@ -41,23 +42,23 @@
 	}
 }
 
-// budget checks one disruption budget and adds it.
+// budget validates one disruption budget and adds it to target.
 func (c *checker) budget(message *operatorpb.DisruptionBudget, target *Draining) {
 	scope := drain.Scope{Team: message.GetTeam(), Class: message.GetClass()}
-	line := c.lineOf(scope.Team, "budgets")
+	line := c.valueLine(scope.Team, "budgets")
 	if scope.Class != "" {
-		line = c.lineOf(scope.Class, "budgets")
+		line = c.valueLine(scope.Class, "budgets")
 	}
-	_, twice := target.Budgets[scope]
+	_, duplicate := target.Budgets[scope]
 	switch {
 	case !slices.Contains(c.teams, scope.Team):
 		c.failAt(line, "budgets", "unknown team %q", scope.Team)
 		return
-	case twice:
+	case duplicate:
 		c.failAt(line, "budgets", "two budgets of %s", scope)
 		return
 	case (message.WindowInterruptions == nil) != (message.Window == nil):
-		c.failAt(line, "window", "of %s: window_interruptions and window go together", scope)
+		c.failAt(line, "window", "of %s: window_interruptions and window must be set together", scope)
 		return
 	}
 	budget := drain.NewBudget()
@@ -75,17 +76,18 @@
 	target.Budgets[scope] = budget
 }
 
-// limit checks a number of interruptions or tasks and sets the target, if the number is set.
+// limit validates a limit on interruptions or tasks and stores it in target, unless value is nil.
 func (c *checker) limit(field string, value *uint32, target *int, low float64) {
 	if value != nil {
 		*target = int(c.number(field, float64(*value), low, maxInterruptions))
 	}
 }
 
-// weekdays are the days as the settings name them, in the order of time.Weekday.
+// weekdays holds the names of days in the settings, indexed by time.Weekday.
 var weekdays = []string{"sun", "mon", "tue", "wed", "thu", "fri", "sat"}
 
-// closedWindow checks a window of time in which a budget allows no interruption. Without days it is there every day.
+// closedWindow validates and converts a daily window in which a budget allows no interruption. A window
+// without days begins on every day.
 func (c *checker) closedWindow(message *operatorpb.ClosedWindow) drain.ClosedWindow {
 	window := drain.ClosedWindow{From: c.timeOfDay("from", message.GetFrom()), To: c.timeOfDay("to", message.GetTo())}
 	if len(message.Days) == 0 {
@@ -96,7 +98,7 @@
 	for _, day := range message.Days {
 		at := slices.Index(weekdays, strings.ToLower(day))
 		if at < 0 {
-			c.failAt(c.lineOf(day, "days"), "days", "unknown day %q; days are %s", day, strings.Join(weekdays, ", "))
+			c.failAt(c.valueLine(day, "days"), "days", "unknown day %q; days are %s", day, strings.Join(weekdays, ", "))
 			continue
 		}
 		window.Days[at] = true
@@ -104,28 +106,29 @@
 	zone := message.GetTimeZone()
 	location, err := time.LoadLocation(zone)
 	if err != nil {
-		c.failAt(c.lineOf(zone, "time_zone"), "time_zone", "unknown time zone %q", zone)
+		c.failAt(c.valueLine(zone, "time_zone"), "time_zone", "unknown time zone %q", zone)
 		location = time.UTC
 	}
 	window.Location = location
 	return window
 }
 
-// timeOfDay reads a time of day, as "09:30"; "24:00" is the end of the day.
+// timeOfDay parses a time of day such as "09:30" and returns the time since midnight; "24:00" is the
+// end of the day.
 func (c *checker) timeOfDay(field, text string) time.Duration {
 	hours, minutes, ok := strings.Cut(text, ":")
 	hour, hourErr := strconv.ParseUint(hours, 10, 8)
 	minute, minuteErr := strconv.ParseUint(minutes, 10, 8)
 	at := time.Duration(hour)*time.Hour + time.Duration(minute)*time.Minute
 	if !ok || hourErr != nil || minuteErr != nil || minute > 59 || at > 24*time.Hour {
-		c.failAt(c.lineOf(text, field), field, "must be a time of day as \"09:30\", is %q", text)
+		c.failAt(c.valueLine(text, field), field, "must be a time of day such as \"09:30\", is %q", text)
 		return 0
 	}
 	return at
 }
 
-// Policy is what the core needs of the settings; nil if drains are off. Skew bounds how far a controller's clock is
-// off.
+// Policy returns the settings in the core's form, or nil if drains are off. Skew is the largest error of a
+// controller's clock.
 func (d *Draining) Policy(skew time.Duration) *drain.Policy {
 	if !d.Enabled {
 		return nil
--- a/internal/operator/draining_test.go
+++ b/internal/operator/draining_test.go
@@ -7,7 +7,8 @@
 	"gingertally/internal/drain"
 )
 
-// The settings of drains, each with its bounds; off unless switched on.
+// A setting of drains that is lost or misread would leave work without the protection that operators set.
+// Drains are off by default; deploy/draining.txtpb switches them on and leaves the standby off.
 func TestDrainingSettings(t *testing.T) {
 	s, err := parse("op.txt", `draining {
  enabled: true
@@ -24,32 +25,32 @@
 	desk := s.Draining.Budgets[drain.Scope{Team: "red", Class: "desk"}]
 	if red.TaskInterruptions != 1 || red.WindowInterruptions != drain.Unlimited ||
 		red.MaxUnavailable != drain.Unlimited {
-		t.Errorf("%+v", red)
+		t.Errorf("budget of red: %+v", red)
 	}
 	if desk.TaskInterruptions != drain.Unlimited || desk.WindowInterruptions != 3 || desk.Window != time.Hour ||
 		desk.MaxUnavailable != 2 || len(desk.Closed) != 2 {
-		t.Errorf("%+v", desk)
+		t.Errorf("budget of red/desk: %+v", desk)
 	}
 	w := desk.Closed[0]
 	if w.From != 8*time.Hour+30*time.Minute || w.To != 20*time.Hour || w.Location.String() != "Asia/Ulaanbaatar" ||
 		!w.Days[time.Monday] || w.Days[time.Tuesday] {
-		t.Errorf("%+v", w)
+		t.Errorf("first closed window of red/desk: %+v", w)
 	}
 	policy := s.Draining.Policy(time.Second)
 	if policy == nil || policy.FinishWait != time.Minute || policy.Skew != time.Second {
-		t.Errorf("%+v", policy)
+		t.Errorf("policy: %+v", policy)
 	}
 	off := Default().Draining
 	if off.Policy(0) != nil {
-		t.Error("on by default")
+		t.Error("drains are on by default")
 	}
 	if s, err := Load("../../deploy/draining.txtpb", nil); err != nil || !s.Draining.Enabled || s.Standby.Enabled {
-		t.Fatalf("the file that switches it on: %+v, %v", s.Draining, err)
+		t.Fatalf("deploy/draining.txtpb: %+v, %v", s.Draining, err)
 	}
 }
 
-// A budget that isn't understood in full is refused, with the line of what is wrong: drains would interrupt work that
-// operators believe protected.
+// An invalid budget is refused, with the line of the problem: if it were ignored, drains would interrupt
+// work that operators believe to be protected.
 func TestDrainingRefused(t *testing.T) {
 	checkRefused(t, []refusal{
 		{"draining {\n budgets { team: \"green\" }\n}", "op.txt:2: budgets: unknown team \"green\""},
@@ -64,7 +65,7 @@
 		},
 		{
 			"draining {\n budgets { team: \"red\" window_interruptions: 2 }\n}",
-			"op.txt:2: window: of red: window_interruptions and window go together",
+			"op.txt:2: window: of red: window_interruptions and window must be set together",
 		},
 		{
 			"draining {\n budgets { team: \"red\" window_interruptions: 2\n window { seconds: 0 } }\n}",
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,9 +1,9 @@
-// Package operator reads and checks the operators' own settings, a file in protobuf text format that
-// operatorpb/settings.proto describes. Each setting has a default that works, and each has its bounds. A
-// file that isn't understood in full is refused with a *config.FieldError, which names file, line and
-// field: a setting that is misspelt mustn't be ignored.
+// Package operator reads and validates the operators' settings, a file in protobuf text format whose
+// schema is operatorpb/settings.proto. Every setting has a default, and numbers and durations have bounds.
+// A file with unknown fields or invalid values is refused with a *config.FieldError, which names the
+// file and, where known, line and field: a misspelt setting must not be ignored.
 //
-// The command calls Load once, before anything else runs; afterwards the settings aren't changed and may
+// The command calls Load once, before anything else runs. After that the settings don't change and may
 // be read from any goroutine.
 package operator
 
@@ -19,11 +19,11 @@
 	"gingertally/internal/recovery"
 )
 
-// Settings are the operators' settings with defaults filled in.
+// Settings holds the operators' settings; those that the file doesn't set have their defaults.
 type Settings struct {
-	RestartLimit  int
-	BatchInterval time.Duration
-	RoundBudget   time.Duration
+	RestartLimit  int           // failures after which a task is retried less often
+	BatchInterval time.Duration // how often the progress of unfinished jobs is written
+	RoundBudget   time.Duration // time for one round of decisions
 	Weights       core.Weights
 	Standby       Standby
 	Admission     Admission
@@ -47,8 +47,9 @@
 	}
 }
 
-// Load reads and checks a file; an empty path stands for an empty file. Teams are those of the platform's
-// settings, the only ones that may be named. If the file can be read, the error is a *config.FieldError.
+// Load reads and validates a settings file; an empty path stands for an empty file. The file may name
+// only the given teams, which are those of the platform's settings. If the file can be read, any error
+// is a *config.FieldError.
 func Load(path string, teams []string) (Settings, error) {
 	if path == "" {
 		return Default(), nil
@@ -60,18 +61,18 @@
 	return parse(path, string(text), teams)
 }
 
-// Bounds of the settings that belong to no section.
+// Bounds of the top-level settings and of the weights of placement.
 const (
-	maxRestartLimit  = 1000
-	minBatchInterval = 100 * time.Millisecond
-	maxBatchInterval = time.Minute
-	minRoundBudget   = time.Millisecond
-	maxRoundBudget   = 5 * time.Second
-	maxMoneyWeight   = 100  // of weights in seconds or dollars
-	maxPlainWeight   = 1000 // of weights without a unit
+	maxRestartLimit   = 1000
+	minBatchInterval  = 100 * time.Millisecond
+	maxBatchInterval  = time.Minute
+	minRoundBudget    = time.Millisecond
+	maxRoundBudget    = 5 * time.Second
+	maxMoneyWeight    = 100  // of weights that involve dollars
+	maxUnitlessWeight = 1000 // of factors
 )
 
-// parse reads and checks the text of a file.
+// parse decodes and validates the text of a settings file.
 func parse(path, text string, teams []string) (Settings, error) {
 	var message operatorpb.Settings
 	if err := prototext.Unmarshal([]byte(text), &message); err != nil {
@@ -95,18 +96,18 @@
 	return settings, nil
 }
 
-// weights checks the weights of placement and sets those that the file has.
+// weights validates the weights of placement and sets those that the file has.
 func (c *checker) weights(message *operatorpb.Weights, target *core.Weights) {
 	if message == nil {
 		return
 	}
 	c.weight("seconds_per_dollar_hour", message.SecondsPerDollarHour, &target.SecondsPerDollarHour, maxMoneyWeight)
 	c.weight("idle_dollars", message.IdleDollars, &target.IdleDollars, maxMoneyWeight)
-	c.weight("move_gain", message.MoveGain, &target.MoveGain, maxPlainWeight)
-	c.weight("small_first", message.SmallFirst, &target.SmallFirst, maxPlainWeight)
+	c.weight("move_gain", message.MoveGain, &target.MoveGain, maxUnitlessWeight)
+	c.weight("small_first", message.SmallFirst, &target.SmallFirst, maxUnitlessWeight)
 }
 
-// weight checks a weight and sets the target, if the weight is set.
+// weight validates a weight and stores it in target, unless it is nil.
 func (c *checker) weight(field string, value, target *float64, high float64) {
 	if value != nil {
 		*target = c.number(field, *value, 0, high)
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -10,26 +10,27 @@
 	"gingertally/internal/config"
 )
 
-// testTeams are the teams of the platform's settings.
+// testTeams are the teams that the files under test may name.
 var testTeams = []string{"red", "blue"}
 
-// refusal is a file that is refused, and a part of the error that says why.
+// refusal is the text of a file that must be refused, and a part of the error that says why.
 type refusal struct{ text, part string }
 
-// checkRefused checks that files are refused with an error that names the file and says the given part.
+// checkRefused checks that each file is refused with a FieldError that names the file and contains the
+// given part.
 func checkRefused(t *testing.T, refusals []refusal) {
 	t.Helper()
 	for _, r := range refusals {
 		_, err := parse("op.txt", r.text, testTeams)
-		var failed *config.FieldError
-		if !errors.As(err, &failed) || failed.File != "op.txt" || !strings.Contains(err.Error(), r.part) {
-			t.Errorf("%s: %v", r.text, err)
+		var fieldErr *config.FieldError
+		if !errors.As(err, &fieldErr) || fieldErr.File != "op.txt" || !strings.Contains(err.Error(), r.part) {
+			t.Errorf("%s: error %v, want one that contains %q", r.text, err, r.part)
 		}
 	}
 }
 
-// What a file sets is taken over, and all else keeps its default: a default that a file changes in passing would
-// change how every controller decides.
+// Settings that a file doesn't contain keep their defaults. A default that changed along with another
+// setting would change the decisions of every controller unnoticed.
 func TestParse(t *testing.T) {
 	s, err := parse("op.txt", "restart_limit: 5\nbatch_interval { seconds: 3 }\nweights { idle_dollars: 0.2 } # more\n", testTeams)
 	want := Default()
@@ -42,8 +43,8 @@
 	}
 }
 
-// A file that isn't understood in full is refused, with file, line and field: a misspelt setting that is ignored
-// would leave operators with a default that they believe changed.
+// An unknown field or an invalid value is refused, with file, line and field. If a misspelt setting were
+// ignored, its default would stay in force while operators believe it changed.
 func TestRefused(t *testing.T) {
 	for _, c := range []struct{ name, text, file, line, field string }{
 		{"unknown field", "restart_limit: 3\nrestart_limits: 4\n", "op.txt", "2", "restart_limits"},
@@ -60,13 +61,14 @@
 		}
 		for _, part := range []string{c.file, c.line, c.field} {
 			if !strings.Contains(err.Error(), part) {
-				t.Errorf("%s: %q doesn't say %q", c.name, err, part)
+				t.Errorf("%s: error %q doesn't contain %q", c.name, err, part)
 			}
 		}
 	}
 }
 
-// The settings of the warm standby, each with its bounds; it is off unless switched on.
+// Guards against settings of the warm standby that are lost or accepted outside their bounds. The standby
+// is off by default; deploy/standby.txtpb switches it on.
 func TestStandbySettings(t *testing.T) {
 	directory := t.TempDir()
 	s, err := parse("op.txt", `standby {
@@ -84,7 +86,7 @@
 		t.Fatalf("an empty message: %+v, %v", s.Standby, err)
 	}
 	if s, err := Load("../../deploy/standby.txtpb", nil); err != nil || !s.Standby.Enabled {
-		t.Fatalf("the file that switches it on: %+v, %v", s.Standby, err)
+		t.Fatalf("deploy/standby.txtpb: %+v, %v", s.Standby, err)
 	}
 	checkRefused(t, []refusal{
 		{"standby {\n  enabled: true\n  queue_bound: 1\n}", "op.txt:3: queue_bound"},
@@ -97,8 +99,9 @@
 	})
 }
 
-// The settings of admission control, each with its bounds; teams must be those of the
-// platform's settings. It is off unless switched on.
+// Guards against settings of admission control that are lost or accepted outside their bounds, and weights
+// that are accepted for unknown teams. Admission control is off by default; deploy/admission.txtpb
+// switches it on and leaves the standby off.
 func TestAdmissionSettings(t *testing.T) {
 	s, err := parse("op.txt", `admission {
  enabled: true
@@ -113,10 +116,10 @@
 		t.Fatalf("%+v, %v", s.Admission, err)
 	}
 	if s, err := Load("../../deploy/admission.txtpb", nil); err != nil || !s.Admission.Enabled || s.Standby.Enabled {
-		t.Fatalf("the file that switches it on: %+v, %v", s, err)
+		t.Fatalf("deploy/admission.txtpb: %+v, %v", s, err)
 	}
 	if Default().Admission.Enabled {
-		t.Fatal("on by default")
+		t.Fatal("admission control is on by default")
 	}
 	checkRefused(t, []refusal{
 		{"admission {\n floor: 0.9\n}", "op.txt:2: floor"},
@@ -126,20 +129,21 @@
 		{"admission {\n weights { team: \"red\" weight: 0 }\n}", "op.txt:2: weight: of team \"red\""},
 		{
 			"admission {\n weights { team: \"red\" weight: 1 }\n weights { team: \"red\" weight: 2 }\n}",
-			"op.txt:3: weights: team \"red\" twice",
+			"op.txt:3: weights: team \"red\" is listed twice",
 		},
 		{"admission { weight: 1 }", "weight"},
 	})
 }
 
-// The settings of the pace after a takeover; off unless switched on.
+// Guards against settings of the pace after a takeover that are lost or accepted outside their bounds. The
+// pace is not limited by default; deploy/recovery.txtpb switches the limit on.
 func TestRecoverySettings(t *testing.T) {
 	s, err := parse("op.txt", "recovery { paced: true initial_pace: 5 highest_pace: 50 }", nil)
 	if r := s.Recovery; err != nil || !r.Enabled || r.Initial != 5 || r.Highest != 50 {
 		t.Fatalf("%+v, %v", r, err)
 	}
 	if s, err := Load("../../deploy/recovery.txtpb", nil); err != nil || !s.Recovery.Enabled || Default().Recovery.Enabled {
-		t.Fatalf("the file that switches it on: %+v, %v", s.Recovery, err)
+		t.Fatalf("deploy/recovery.txtpb: %+v, %v", s.Recovery, err)
 	}
 	checkRefused(t, []refusal{
 		{"recovery {\n initial_pace: 0\n}", "op.txt:2: initial_pace"},
--- a/internal/operator/operatorpb/doc.go
+++ b/internal/operator/operatorpb/doc.go
@@ -1,4 +1,5 @@
-// Package operatorpb is the generated form of the operators' settings.
+// Package operatorpb holds the protobuf messages of the operators' settings, generated from
+// settings.proto.
 package operatorpb
 
 //go:generate protoc --go_out=. --go_opt=paths=source_relative settings.proto
--- a/internal/operator/recovery.go
+++ b/internal/operator/recovery.go
@@ -5,13 +5,13 @@
 	"gingertally/internal/recovery"
 )
 
-// Bounds of the pace after a takeover, in starts a second.
+// Bounds of the pace after a takeover, in starts per second.
 const (
 	minPace = 1
 	maxPace = 100_000
 )
 
-// recovery checks the settings of the pace after a takeover and sets those that the file has.
+// recovery validates the settings of the pace after a takeover and sets those that the file has.
 func (c *checker) recovery(message *operatorpb.Recovery, target *recovery.PaceOptions) {
 	if message == nil {
 		return
