--- a/cmd/gingertally/admission.go
+++ b/cmd/gingertally/admission.go
@@ -17,7 +17,7 @@
 	Team string `help:"Only this team."`
 }
 
-// Run prints which classes of jobs are refused now, and why.
+// Run prints the admission policy: which classes of jobs are refused now, and why.
 func (c *admissionCmd) Run() error {
 	status, err := c.status()
 	if err != nil {
@@ -26,8 +26,8 @@
 	return printTable(os.Stdout, admissionText(&status, c.Team))
 }
 
-// admissionText is the policy and each class of a team, with cells separated by tabs. An empty name stands for all
-// teams.
+// admissionText returns a table of the admission policy and the classes of a team, with cells separated by
+// tabs. An empty team stands for all teams.
 func admissionText(status *operatorapi.Status, team string) string {
 	policy := status.Admission
 	if policy == nil {
@@ -52,7 +52,7 @@
 	return text.String()
 }
 
-// classText is the line of a class.
+// classText returns the table row of a class.
 func classText(class overload.ClassStatus) string {
 	fraction := "all"
 	if class.Fraction < 1 {
@@ -63,7 +63,7 @@
 		fraction, class.Offered, class.Admitted, class.Refused)
 }
 
-// shareText is a share of the capacity in percent.
+// shareText formats a share of the capacity as a percentage.
 func shareText(share float64) string {
 	if share <= 0 {
 		return "-"
--- a/cmd/gingertally/commands_test.go
+++ b/cmd/gingertally/commands_test.go
@@ -17,7 +17,8 @@
 	"gingertally/internal/testserver"
 )
 
-// Scripts tell by the exit code whether to repeat a command, to give up, or to look for the job elsewhere.
+// Scripts decide by the exit code whether to repeat a command, to give up, or to look for the job
+// elsewhere: every kind of error keeps its code.
 func TestExitCodes(t *testing.T) {
 	for _, c := range []struct {
 		err  error
@@ -37,20 +38,21 @@
 		{fmt.Errorf("j-1: %w", errJobCancelled), exitCancelled},
 	} {
 		if got := exitCode(c.err); got != c.want {
-			t.Errorf("%v: %d, want %d", c.err, got, c.want)
+			t.Errorf("%v: exit code %d, want %d", c.err, got, c.want)
 		}
 	}
 }
 
-// A plan that can't be right is refused before anybody is asked.
+// An invalid plan is refused before any request is sent.
 func TestDrainStartRefusesBadPlan(t *testing.T) {
-	err := (&drainStartCmd{ID: "p", MaxAtOnce: 1}).Run() // no machines are named
+	err := (&drainStartCmd{ID: "p", MaxAtOnce: 1}).Run() // selects no machines
 	if exitCode(err) != exitRefused || !strings.Contains(err.Error(), "drain plan p") {
-		t.Errorf("%v", err)
+		t.Errorf("plan without machines: error %v", err)
 	}
 }
 
-// serveStatus is a controller that answers with a status in JSON.
+// serveStatus starts a server that answers every request with the given code and body, and returns the
+// flag that names it.
 func serveStatus(t *testing.T, code int, body string) serverFlag {
 	t.Helper()
 	return serverFlag{Server: testserver.Start(t, func(request *fasthttp.RequestCtx) {
@@ -59,8 +61,8 @@
 	})}
 }
 
-// Without the leader's status the commands that need it give up, and name the controller that they asked; a status that
-// can't be read is another failure.
+// A command that needs the leader's status ends with exitGaveUp if it can't get it, with exitFailed if it
+// can't decode it. Either way the error names the controller that was asked.
 func TestStatusErrors(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -80,7 +82,8 @@
 	}
 }
 
-// Each text has a line for what an operator looks for at night, and none fails on a part that is missing.
+// Each text contains the rows that operators look for during an incident, and parts that are missing from
+// a status don't make it panic.
 func TestTexts(t *testing.T) {
 	status := goldentest.Filled[operatorapi.Status]()
 	team := status.Admission.Classes[0].Team
@@ -105,6 +108,6 @@
 		}
 	}
 	if text := admissionText(&status, "another team"); strings.Contains(text, "\n"+team+"\t") {
-		t.Errorf("another team's classes:\n%s", text)
+		t.Errorf("admission of another team shows classes of %s:\n%s", team, text)
 	}
 }
--- a/cmd/gingertally/drain.go
+++ b/cmd/gingertally/drain.go
@@ -37,7 +37,7 @@
 	JSON         bool          `name:"json" help:"Print JSON."`
 }
 
-// Run starts a plan, or prints what it would do.
+// Run starts a plan and prints it, or prints what the plan would do.
 func (c *drainStartCmd) Run() error {
 	plan := drain.Plan{
 		ID: c.ID, Selector: drain.Selector{Machines: c.Machine, Type: c.Type, Zone: c.Zone, All: c.All},
@@ -56,7 +56,7 @@
 	return printPlan(started, err, c.JSON)
 }
 
-// preview prints what a plan would do.
+// preview prints what a plan would do, without starting it.
 func (c *drainStartCmd) preview(plan drain.Plan) error {
 	preview, err := c.client().PreviewDrain(context.Background(), plan)
 	switch {
@@ -68,7 +68,7 @@
 	return printTable(os.Stdout, previewText(&preview))
 }
 
-// previewText is a preview with its cells separated by tabs.
+// previewText returns the table of a preview, with cells separated by tabs.
 func previewText(p *drain.Preview) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "machines\t%d\nstages\t%d\n", p.Machines, p.Stages)
@@ -88,14 +88,14 @@
 	return text.String()
 }
 
-// drainPlanArg names a plan.
+// drainPlanArg holds the argument and flags of the commands that change a plan.
 type drainPlanArg struct {
 	serverFlag
 	Plan string `arg:"" help:"Name of the plan."`
 	JSON bool   `name:"json" help:"Print JSON."`
 }
 
-// change pauses, resumes or cancels the plan.
+// change pauses, resumes or cancels the plan, as verb says, and prints the changed plan.
 func (a *drainPlanArg) change(verb string) error {
 	changed, err := a.client().ChangeDrain(context.Background(), a.Plan, verb)
 	return printPlan(changed, err, a.JSON)
@@ -121,7 +121,7 @@
 	JSON bool `name:"json" help:"Print JSON."`
 }
 
-// Run prints the plans, the interruptions, and why machines aren't empty.
+// Run prints the plans, the interruptions, and why machines aren't empty yet.
 func (c *drainStatusCmd) Run() error {
 	leader, err := c.leaderStatus()
 	if err != nil {
@@ -133,7 +133,7 @@
 	return printTable(os.Stdout, drainText(leader.Drains))
 }
 
-// drainText is the status of drains with its cells separated by tabs.
+// drainText returns the tables of the drains' status, with cells separated by tabs.
 func drainText(status *drain.Status) string {
 	if status == nil {
 		return "drains are off\n"
@@ -145,7 +145,7 @@
 	return text.String()
 }
 
-// writePlans writes a line for each plan.
+// writePlans writes the table of the plans.
 func writePlans(text *strings.Builder, status *drain.Status) {
 	fmt.Fprintln(text, "PLAN\tPHASE\tMACHINES\tAT ONCE\tSURGE")
 	for _, plan := range status.Plans {
@@ -158,7 +158,7 @@
 	}
 }
 
-// writeBudgets writes the interruptions of each budget's scope.
+// writeBudgets writes the table of the interruptions in each scope, against its budget.
 func writeBudgets(text *strings.Builder, status *drain.Status) {
 	fmt.Fprintln(text, "\nOF\tVOLUNTARY\tINVOLUNTARY\tIN THE WINDOW\tALLOWED IN IT")
 	for _, scope := range status.Scopes {
@@ -171,7 +171,7 @@
 	}
 }
 
-// writeDrainingMachines writes why machines aren't empty.
+// writeDrainingMachines writes the table of the machines that aren't empty yet, with the reason.
 func writeDrainingMachines(text *strings.Builder, status *drain.Status) {
 	fmt.Fprintln(text, "\nMACHINE\tPLAN\tSTATE\tWAITS FOR")
 	for _, plan := range status.Plans {
@@ -184,7 +184,8 @@
 	}
 }
 
-// printPlan prints a plan as it now is, unless the call that returned it failed.
+// printPlan prints the name and phase of a plan, or the plan in JSON. It takes the results of the call
+// that returned the plan, and returns err if that call failed.
 func printPlan(plan drain.Plan, err error, asJSON bool) error {
 	switch {
 	case err != nil:
--- a/cmd/gingertally/errors.go
+++ b/cmd/gingertally/errors.go
@@ -6,22 +6,22 @@
 	"gingertally/internal/client"
 )
 
-// Exit codes of the commands, besides 0. Scripts rely on them.
+// Exit codes of commands that fail. Scripts rely on them.
 const (
 	exitFailed    = 1 // any other error
-	exitRefused   = 2 // the controllers will never accept the job or the plan as it is
+	exitRefused   = 2 // the job, the plan or the change of a plan will not be accepted as it is
 	exitNotFound  = 3 // there is no such job or plan
 	exitGaveUp    = 4 // no usable answer came in time
 	exitCancelled = 5 // wait: the job was cancelled
 )
 
-// errJobCancelled is the result of waiting for a job that was cancelled.
+// errJobCancelled is the error of the wait command if the job was cancelled.
 var errJobCancelled = errors.New("the job was cancelled")
 
-// errLeaderUnreachable says that the controller that was asked can't ask the leader.
+// errLeaderUnreachable means that the controller that was asked has no status from the leader.
 var errLeaderUnreachable = errors.New("the leader can't be asked")
 
-// exitCode is the exit code for a command's error.
+// exitCode returns the exit code for the error of a command.
 func exitCode(err error) int {
 	switch {
 	case errors.Is(err, client.ErrRefused), errors.Is(err, client.ErrConflict):
--- a/cmd/gingertally/golden_test.go
+++ b/cmd/gingertally/golden_test.go
@@ -9,7 +9,8 @@
 	"gingertally/internal/goldentest"
 )
 
-// The names of commands, arguments and flags.
+// Guards against renamed commands, arguments, flags and environment variables, and against changed
+// defaults: scripts and deployments rely on them.
 func TestCommandLineGolden(t *testing.T) {
 	var commands cli
 	parser, err := kong.New(&commands, kong.Name("gingertally"))
@@ -21,6 +22,7 @@
 	lines.Check(t, "command_line.txt")
 }
 
+// addCommand adds the lines of a command and of its subcommands.
 func addCommand(lines *goldentest.Lines, node *kong.Node) {
 	lines.Add("%s", node.FullPath())
 	for _, argument := range node.Positional {
--- a/cmd/gingertally/jobs.go
+++ b/cmd/gingertally/jobs.go
@@ -14,7 +14,7 @@
 	Job string `arg:"" help:"File with the job in JSON; - for standard input."`
 }
 
-// Run submits the job.
+// Run submits the job and prints its state.
 func (c *submitCmd) Run() error {
 	job, err := readJob(c.Job)
 	if err != nil {
@@ -23,7 +23,7 @@
 	return printRun(c.client().Submit(context.Background(), job))
 }
 
-// readJob reads a job's description from a file, or from standard input if the name is -.
+// readJob reads the file of a job, or standard input if the name is -.
 func readJob(name string) ([]byte, error) {
 	if name == "-" {
 		return io.ReadAll(os.Stdin)
@@ -44,7 +44,7 @@
 	Ref string `arg:"" help:"The job's id."`
 }
 
-// Run cancels the job.
+// Run cancels the job and prints its state.
 func (c *cancelCmd) Run() error { return printRun(c.client().Cancel(context.Background(), c.Ref)) }
 
 type waitCmd struct {
@@ -52,7 +52,8 @@
 	Ref string `arg:"" help:"The job's id."`
 }
 
-// Run waits until the job is done or cancelled.
+// Run waits until the job is done or cancelled and prints its state. It returns errJobCancelled if the
+// job was cancelled.
 func (c *waitCmd) Run() error {
 	run, err := c.client().Wait(context.Background(), c.Ref)
 	if err := printRun(run, err); err != nil {
@@ -64,7 +65,8 @@
 	return nil
 }
 
-// printRun prints a job's state in JSON, unless the call that asked for it failed.
+// printRun prints the state of a job in JSON. It takes the results of the call that returned the state,
+// and returns err if that call failed.
 func printRun(run client.Run, err error) error {
 	if err != nil {
 		return err
--- a/cmd/gingertally/main.go
+++ b/cmd/gingertally/main.go
@@ -1,7 +1,9 @@
-// Command gingertally is the cluster scheduler: the controller's process (serve), the check of its settings, and the
-// commands for users (submit, get, cancel, wait) and operators (status, admission, drain, differences).
+// Command gingertally is the cluster scheduler. It runs a controller (serve), checks a controller's settings
+// (check-config), and has commands for users (submit, get, cancel, wait) and for operators (status,
+// admission, drain, differences).
 //
-// A command that fails prints one line, which says what was asked of whom, and ends with an exit code (errors.go).
+// A command that fails prints one line to standard error. A failed call names its operation and the
+// controller that was asked. The exit codes are in errors.go.
 package main
 
 import (
@@ -35,7 +37,7 @@
 	Differences differencesCmd `cmd:"" help:"Show how machines and records differed in this term, and what isn't settled."`
 }
 
-// settingsFiles are the files that a controller reads at its start.
+// settingsFiles holds the flags that name a controller's settings files or override settings.
 type settingsFiles struct {
 	Config           string `required:"" placeholder:"FILE" help:"The platform's settings (JSON)."`
 	OperatorSettings string `placeholder:"FILE" env:"GINGERTALLY_OPERATOR_SETTINGS" help:"The operators' own settings (protobuf text format)."`
@@ -43,7 +45,7 @@
 	Admission        bool   `help:"Switch admission control on, whatever the operators' settings say."`
 }
 
-// load reads and checks both files.
+// load reads and validates both settings files, and applies the flags that override settings.
 func (f *settingsFiles) load() (*config.Settings, operator.Settings, error) {
 	settings, err := config.Load(f.Config)
 	if err != nil {
@@ -57,7 +59,7 @@
 
 type serveCmd struct{ settingsFiles }
 
-// Run runs a controller until the process is told to end.
+// Run runs a controller until the process receives SIGINT or SIGTERM.
 func (c *serveCmd) Run() error {
 	settings, operatorSettings, err := c.load()
 	if err != nil {
@@ -77,7 +79,7 @@
 
 type checkConfigCmd struct{ settingsFiles }
 
-// Run checks the settings files.
+// Run validates the settings files.
 func (c *checkConfigCmd) Run() error {
 	if _, _, err := c.load(); err != nil {
 		return err
@@ -94,10 +96,10 @@
 	return nil
 }
 
-// logLevelVariable is the variable of the environment that names the log level (DEPLOY: The deploy file).
+// logLevelVariable is the environment variable that sets the log level (DEPLOY: The deploy file).
 const logLevelVariable = "LOG_LEVEL"
 
-// logLevel is the log level that the environment names.
+// logLevel returns the log level that the environment sets: error, debug, or else info.
 func logLevel() slog.Level {
 	switch strings.ToLower(os.Getenv(logLevelVariable)) {
 	case "error":
--- a/cmd/gingertally/output.go
+++ b/cmd/gingertally/output.go
@@ -7,13 +7,13 @@
 	"text/tabwriter"
 )
 
-// The form of tables.
+// Layout of tables.
 const (
 	tabWidth      = 4
 	columnPadding = 2 // spaces between columns
 )
 
-// printTable prints text whose cells are separated by tabs, in aligned columns.
+// printTable prints a text whose cells are separated by tabs, with its columns aligned.
 func printTable(out io.Writer, text string) error {
 	table := tabwriter.NewWriter(out, 0, tabWidth, columnPadding, ' ', 0)
 	if _, err := io.WriteString(table, text); err != nil {
@@ -22,7 +22,7 @@
 	return table.Flush()
 }
 
-// printJSON prints a message in JSON, on a line of its own.
+// printJSON prints a message as one line of JSON.
 func printJSON(out io.Writer, message any) error {
 	text, err := json.Marshal(message)
 	if err != nil {
--- a/cmd/gingertally/recovery.go
+++ b/cmd/gingertally/recovery.go
@@ -15,8 +15,8 @@
 	serverFlag
 }
 
-// Run prints how the machines' heartbeats differed from what is stored in this term, and which machines
-// aren't reconciled yet. It changes nothing.
+// Run prints how often and in which ways the machines' heartbeats differed from the stored records in this
+// term, and which machines aren't reconciled yet. It changes nothing.
 func (c *differencesCmd) Run() error {
 	leader, err := c.leaderStatus()
 	if err != nil {
@@ -25,7 +25,7 @@
 	return printTable(os.Stdout, differencesText(leader.Term, &leader.Recovery))
 }
 
-// differencesText is the status of a recovery with its cells separated by tabs.
+// differencesText returns the tables of a recovery's status, with cells separated by tabs.
 func differencesText(term uint64, status *recovery.Status) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "term\t%d, begun %s ago\n", term, status.Since.Round(time.Second))
@@ -46,7 +46,7 @@
 	return text.String()
 }
 
-// recoveryText is the state of a recovery on one line.
+// recoveryText returns the state of a recovery on one line.
 func recoveryText(status *recovery.Status) string {
 	text := status.State
 	if status.Took > 0 {
--- a/cmd/gingertally/server.go
+++ b/cmd/gingertally/server.go
@@ -12,23 +12,23 @@
 	"gingertally/internal/core"
 )
 
-// serverFlag names the controller that a command asks.
+// serverFlag is the flag that names the controller to which a command sends its requests.
 type serverFlag struct {
 	Server string `required:"" env:"GINGERTALLY_SERVER" placeholder:"HOST:PORT" help:"A controller, or the load balancer before them."`
 }
 
-// client is a client of the controller.
+// client returns a client of the controller.
 func (f *serverFlag) client() *client.Client { return &client.Client{Addr: f.Server} }
 
-// statusTimeout leaves the controller that is asked time to ask the leader.
+// statusTimeout bounds a request for the status. It is long enough for the controller to ask the leader.
 const statusTimeout = 3 * time.Second
 
-// callError says that the status couldn't be got, and why.
+// callError returns the error of a failed request for the status.
 func (f *serverFlag) callError(err error) error {
 	return &client.CallError{Operation: "get status", Addr: f.Server, Err: err}
 }
 
-// statusBody asks the controller for its status, in JSON as the controller sends it.
+// statusBody requests the controller's status and returns the JSON as the controller sent it.
 func (f *serverFlag) statusBody() ([]byte, error) {
 	code, body, err := fasthttp.GetTimeout(nil, "http://"+f.Server+operatorapi.StatusPath, statusTimeout)
 	switch {
@@ -40,7 +40,7 @@
 	return body, nil
 }
 
-// status asks the controller for its status.
+// status requests and decodes the controller's status.
 func (f *serverFlag) status() (operatorapi.Status, error) {
 	body, err := f.statusBody()
 	if err != nil {
@@ -53,7 +53,8 @@
 	return status, nil
 }
 
-// leaderStatus asks the controller for the leader's part of the status.
+// leaderStatus requests the controller's status and returns the leader's part of it. Without that part it
+// returns an error with errLeaderUnreachable.
 func (f *serverFlag) leaderStatus() (*core.Status, error) {
 	status, err := f.status()
 	if err != nil {
--- a/cmd/gingertally/status.go
+++ b/cmd/gingertally/status.go
@@ -19,7 +19,7 @@
 	JSON bool `name:"json" help:"Print JSON as the controller sends it."`
 }
 
-// Run prints the status.
+// Run prints the status, as a table or in JSON.
 func (c *statusCmd) Run() error {
 	if c.JSON {
 		body, err := c.statusBody()
@@ -36,10 +36,10 @@
 	return printTable(os.Stdout, statusText(status))
 }
 
-// statusText is the status with its cells separated by tabs.
+// statusText returns the tables of a status, with cells separated by tabs.
 func statusText(status operatorapi.Status) string {
 	var text strings.Builder
-	writeNodes(&text, status)
+	writeControllers(&text, status)
 	if status.Leading == nil {
 		fmt.Fprintln(&text, "\nThe leader can't be asked.")
 		return text.String()
@@ -49,8 +49,9 @@
 	return text.String()
 }
 
-// writeNodes writes who leads, and the versions and standbys of the controllers.
-func writeNodes(text *strings.Builder, status operatorapi.Status) {
+// writeControllers writes the leader's name, the controller that answered, and the versions and standbys
+// of all controllers.
+func writeControllers(text *strings.Builder, status operatorapi.Status) {
 	leader := status.Leader
 	if leader == "" {
 		leader = "unknown"
@@ -65,7 +66,7 @@
 	}
 }
 
-// standbyText is a controller's part in the warm standby.
+// standbyText returns a controller's part in the warm standby on one line.
 func standbyText(s *replication.Status) string {
 	text := fmt.Sprintf("%s, term %d, change %d", s.State, s.Term, s.Sequence)
 	if s.Followers == nil {
@@ -85,7 +86,7 @@
 	return text
 }
 
-// writePools writes the machines by pool.
+// writePools writes the term, the recovery, the number of jobs, and the table of the machines by pool.
 func writePools(text *strings.Builder, leading *core.Status) {
 	fmt.Fprintf(text, "term\t%d\n", leading.Term)
 	fmt.Fprintf(text, "recovery\t%s\n", recoveryText(&leading.Recovery))
@@ -107,7 +108,8 @@
 	}
 }
 
-// writeWaiting writes which jobs wait and why, and how long jobs waited for their start.
+// writeWaiting writes the table of the waiting jobs, with the reason, and the table of how long jobs waited
+// for their start, by team and class.
 func writeWaiting(text *strings.Builder, leading *core.Status) {
 	if len(leading.Waiting) > 0 {
 		fmt.Fprintln(text, "\nJOB\tCLASS\tTEAM\tWAITING\tFOR\tREASON")
