--- a/internal/surge/leader.go
+++ b/internal/surge/leader.go
@@ -8,32 +8,32 @@
 )
 
 const (
-	// takeoverTime is how long there is no leader after one has failed.
+	// takeoverTime is how long there is no leader after a leader has failed.
 	takeoverTime = 3500 * time.Millisecond
-	// policyLatency is how long a policy takes to arrive at a controller.
+	// policyLatency is how long a policy takes to reach a controller.
 	policyLatency = 20 * time.Millisecond
-	// duplicateDelay is how much later a policy arrives the second time.
+	// duplicateDelay is how much later than a policy its duplicate arrives.
 	duplicateDelay = 5 * time.Second
 )
 
-// leader is the leader's part of a world, with the policy that the state service holds.
+// leader is the state of the leader, with the policy that the state service holds.
 type leader struct {
-	planner   *admission.Planner // nil: there is no leader
-	term      uint64
-	noneUntil time.Duration // there is no leader before
-	nextRound time.Duration
-	stored    admission.Policy
-	inFlight  []policyMessage
+	planner     *admission.Planner // nil while there is no leader
+	term        uint64
+	vacantUntil time.Duration // the earliest time at which the next leader can take over
+	nextRound   time.Duration
+	stored      admission.Policy
+	inFlight    []policyMessage
 }
 
-// policyMessage is a policy that is being sent to a controller.
+// policyMessage is a policy on its way to a controller.
 type policyMessage struct {
 	arrives    time.Duration
 	controller int
 	policy     admission.Policy
 }
 
-// beginTerm makes the planner of a leader, which goes on from the stored policy.
+// beginTerm creates the planner of a new leader, which continues from the stored policy.
 func (w *World) beginTerm() {
 	settings := &w.options.Settings
 	w.leader.planner = admission.NewPlanner(start.Add(w.now), admission.PlannerOptions{
@@ -46,22 +46,22 @@
 	}, w.leader.term, w.leader.stored)
 }
 
-// changeLeader ends the leader if that is a fault at this time, and begins the next term once another
-// controller can lead.
+// changeLeader ends the leader if a fault does so in this step. It begins the next term once
+// takeoverTime is over and the state service has no outage.
 func (w *World) changeLeader() {
 	for i := range w.options.Faults {
 		if f := &w.options.Faults[i]; f.LeaderFails && w.now >= f.From && w.now < f.From+step {
-			w.leader.noneUntil, w.leader.planner = w.now+takeoverTime, nil
+			w.leader.vacantUntil, w.leader.planner = w.now+takeoverTime, nil
 		}
 	}
-	if w.leader.planner == nil && w.now >= w.leader.noneUntil && !w.options.storeOutage(w.now) {
+	if w.leader.planner == nil && w.now >= w.leader.vacantUntil && !w.options.storeOutage(w.now) {
 		w.leader.term++
 		w.beginTerm()
 	}
 }
 
-// leaderRound collects the counts of the controllers that the leader reaches, makes a policy, stores it
-// and sends it to them.
+// leaderRound collects the counts of the controllers that the leader can reach, computes a policy
+// from them, stores it if it changed, and sends the stored policy to these controllers.
 func (w *World) leaderRound() {
 	if w.leader.planner == nil {
 		return
@@ -102,8 +102,8 @@
 	}
 }
 
-// deliverPolicies brings the policies that arrive now to their controllers, and checks that none of
-// them goes back to an older one.
+// deliverPolicies delivers the policies that are due to their controllers, and checks that no
+// controller goes back to an older policy.
 func (w *World) deliverPolicies() {
 	remaining := w.leader.inFlight[:0]
 	for _, message := range w.leader.inFlight {
--- a/internal/surge/machines.go
+++ b/internal/surge/machines.go
@@ -7,15 +7,15 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// starvationBound is how long a job waits before it goes before others that aren't urgent, as in
-// package core.
+// starvationBound is how long a job waits before it is ordered ahead of others that aren't urgent,
+// as in package core.
 const starvationBound = 150 * time.Second
 
-// machines is a model of the machines and of the order in which the core starts tasks. It takes all
-// machines for one with all CPUs.
+// machines models the machines and the order in which package core starts tasks. All machines are
+// modelled as a single one with all CPUs.
 type machines struct {
 	options     *Options
-	queue       []*job // admitted jobs with tasks that wait, in the order of their admission
+	queue       []*job // admitted jobs with waiting tasks, in the order of their admission
 	running     []runningTask
 	usedCPUs    float64
 	usedByClass []float64
@@ -34,11 +34,11 @@
 // classOf returns the class of a job.
 func (m *machines) classOf(j *job) *Class { return &m.options.Classes[j.class] }
 
-// enqueue takes in a job that was admitted.
+// enqueue adds a job that was admitted to the queue.
 func (m *machines) enqueue(j *job) { m.queue = append(m.queue, j) }
 
-// run ends the tasks whose time is over and starts waiting ones while there is room. It calls
-// jobStarted for each job whose first task starts.
+// run ends the tasks whose run time is over and starts waiting tasks while there are free CPUs for
+// them. It calls jobStarted for each job whose first task starts.
 func (m *machines) run(now time.Duration, jobStarted func(time.Duration, *job)) {
 	m.endTasks(now)
 	capacity := m.options.CPUs(now)
@@ -55,7 +55,7 @@
 	}
 }
 
-// endTasks ends the tasks whose time is over.
+// endTasks ends the tasks whose run time is over.
 func (m *machines) endTasks(now time.Duration) {
 	stillRunning := m.running[:0]
 	for _, task := range m.running {
@@ -70,7 +70,8 @@
 	m.running = stillRunning
 }
 
-// startTask starts a task of a job in the queue.
+// startTask starts a task of the job at a position in the queue, and dequeues the job with its last
+// task.
 func (m *machines) startTask(now time.Duration, position int) {
 	j := m.queue[position]
 	c := m.classOf(j)
@@ -82,8 +83,9 @@
 	}
 }
 
-// nextJob returns the position of the job of which a task starts next; -1 if none can start. Room is
-// kept for a job that has waited beyond the starvation bound.
+// nextJob returns the position in the queue of the job whose task starts next, or -1 if none can
+// start. While the first job in the order has waited beyond the starvation bound and doesn't fit,
+// nothing starts, so that CPUs become free for it.
 func (m *machines) nextJob(now time.Duration, freeCPUs float64) int {
 	best := -1
 	seenClasses := map[int]bool{}
@@ -91,7 +93,7 @@
 		if seenClasses[j.class] || m.classOf(j).CPUs > freeCPUs && !starving(now, j) {
 			continue
 		}
-		seenClasses[j.class] = true // the jobs of a class are in the order in which they start
+		seenClasses[j.class] = true // the jobs of a class start in the order of the queue
 		if best < 0 || m.goesBefore(now, j, m.queue[best]) {
 			best = i
 		}
@@ -108,9 +110,10 @@
 // starving reports whether a job has waited beyond the starvation bound.
 func starving(now time.Duration, j *job) bool { return now-j.admitted > starvationBound }
 
-// goesBefore reports whether a job starts before another, in the order of the core: by priority, and
-// then the job whose team uses least for its weight. Without admission control the oldest one starts
-// first among those of a priority.
+// goesBefore reports whether a job starts before another, in the order of package core: urgent jobs
+// first, then starving ones, then by priority. Among jobs of equal priority, the one whose team uses
+// the fewest CPUs for its weight starts first. Jobs of the same team, and all jobs without admission
+// control, start in the order of their admission.
 func (m *machines) goesBefore(now time.Duration, a, b *job) bool {
 	x, y := m.classOf(a), m.classOf(b)
 	urgentX, urgentY := x.Priority <= pipeline.High, y.Priority <= pipeline.High
@@ -138,7 +141,7 @@
 	return sum / m.options.weightOf(team)
 }
 
-// backlog returns how long the machines need for the tasks that wait.
+// backlog returns how long the machines take to run all waiting tasks.
 func (m *machines) backlog(now time.Duration) time.Duration {
 	cpuSeconds := 0.0
 	for _, j := range m.queue {
--- a/internal/surge/result.go
+++ b/internal/surge/result.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// Bounds, in milliseconds, and precision of the histograms of waits.
+	// Bounds, in milliseconds, and precision of the histograms of times.
 	lowestMS, highestMS = 1, 3_600_000
-	digits              = 3
+	significantDigits   = 3
 
-	// maxViolations is how many violations are kept.
+	// maxViolations bounds the violations that are kept.
 	maxViolations = 20
-	// maxKnownDecisions is how many decisions are remembered at a time to be compared.
+	// maxKnownDecisions bounds the decisions that are kept for comparison; beyond it all are dropped.
 	maxKnownDecisions = 100_000
 	// Bounds of Retry-After (PROTOCOL).
 	minRetryAfter, maxRetryAfter = time.Second, 30 * time.Second
@@ -26,26 +26,26 @@
 type Result struct {
 	Options    Options
 	Samples    []Sample
-	Violations []string // of rules of admission control; the first ones
-
-	classes       []classRecord
-	nextSample    time.Duration
-	policies      int           // that were stored
-	storedAt      time.Duration // when the newest one was
-	applied       bool          // all controllers apply it
-	longestSpread time.Duration
-	decisions     map[decisionKey]bool // whether a job is admitted under a policy
+	Violations []string // of rules of admission control; the first maxViolations
+
+	classes            []classRecord
+	nextSample         time.Duration
+	policies           int           // number of stored policies
+	storedAt           time.Duration // when the newest policy was stored
+	newestApplied      bool          // all controllers apply the newest policy
+	longestPropagation time.Duration
+	decisions          map[decisionKey]bool // whether the policy admits the job
 }
 
 // classRecord is what was measured of a class.
 type classRecord struct {
 	offered, admitted, gaveUp int                     // jobs
-	admittedCost              float64                 // CPU seconds that were admitted since the last sample
+	admittedCost              float64                 // CPU seconds admitted since the last sample
 	waits                     *hdrhistogram.Histogram // from the first submission to the first start
 	admissions                *hdrhistogram.Histogram // from the first submission to the admission
 }
 
-// decisionKey names the decision about a job under a policy.
+// decisionKey identifies the decision about a job under a policy, by the policy's term and number.
 type decisionKey struct {
 	job          string
 	term, number uint64
@@ -55,23 +55,23 @@
 	r := &Result{Options: o, decisions: map[decisionKey]bool{}}
 	for range o.Classes {
 		r.classes = append(r.classes, classRecord{
-			waits:      hdrhistogram.New(lowestMS, highestMS, digits),
-			admissions: hdrhistogram.New(lowestMS, highestMS, digits),
+			waits:      hdrhistogram.New(lowestMS, highestMS, significantDigits),
+			admissions: hdrhistogram.New(lowestMS, highestMS, significantDigits),
 		})
 	}
 	return r
 }
 
-// violated notes that a rule was violated.
+// violated records the violation of a rule.
 func (r *Result) violated(format string, args ...any) {
 	if len(r.Violations) < maxViolations {
 		r.Violations = append(r.Violations, fmt.Sprintf(format, args...))
 	}
 }
 
-// checkDecision checks the bounds of Retry-After, and that all controllers with the same policy decide
-// alike. The policies are compared, not the decision itself: a controller's local bound may refuse
-// what the policy admits.
+// checkDecision checks the bounds of Retry-After, and that all controllers with the same policy make
+// the same decision. It compares what their policies decide rather than the gates' decisions, since a
+// controller's local bound may refuse a job that the policy admits.
 func (r *Result) checkDecision(w *World, j *job, d admission.Decision) {
 	if !d.Admitted && (d.RetryAfter < minRetryAfter || d.RetryAfter > maxRetryAfter) {
 		r.violated("Retry-After of %s", d.RetryAfter)
@@ -94,32 +94,34 @@
 	}
 }
 
+// recordWait adds a time, which is moved into the bounds.
 func recordWait(h *hdrhistogram.Histogram, d time.Duration) {
-	_ = h.RecordValue(min(max(d.Milliseconds(), lowestMS), highestMS)) // it can't fail within the bounds
+	_ = h.RecordValue(min(max(d.Milliseconds(), lowestMS), highestMS)) // can't fail within the bounds
 }
 
-// admitted notes that a job was admitted.
-func (r *Result) admitted(now time.Duration, j *job) {
+// jobAdmitted records that a job was admitted.
+func (r *Result) jobAdmitted(now time.Duration, j *job) {
 	record, c := &r.classes[j.class], &r.Options.Classes[j.class]
 	record.admitted++
 	record.admittedCost += float64(c.Tasks) * c.CPUs * c.Run.Seconds()
 	recordWait(record.admissions, now-j.firstSubmitted)
 }
 
-// started notes that the first task of a job has started.
-func (r *Result) started(now time.Duration, j *job) {
+// jobStarted records that the first task of a job has started.
+func (r *Result) jobStarted(now time.Duration, j *job) {
 	recordWait(r.classes[j.class].waits, now-j.firstSubmitted)
 }
 
-// policyStored notes that a policy was stored.
+// policyStored records that a policy was stored.
 func (r *Result) policyStored(now time.Duration) {
 	r.policies++
-	r.storedAt, r.applied = now, false
+	r.storedAt, r.newestApplied = now, false
 }
 
-// notePolicySpread notes how long it took until all controllers applied the newest policy.
-func (r *Result) notePolicySpread(w *World) {
-	if r.applied || r.policies == 0 {
+// recordPropagation records, once all controllers apply the newest policy, how long that took since
+// the policy was stored.
+func (r *Result) recordPropagation(w *World) {
+	if r.newestApplied || r.policies == 0 {
 		return
 	}
 	for _, gate := range w.gates {
@@ -127,31 +129,31 @@
 			return
 		}
 	}
-	r.applied = true
-	r.longestSpread = max(r.longestSpread, w.now-r.storedAt)
+	r.newestApplied = true
+	r.longestPropagation = max(r.longestPropagation, w.now-r.storedAt)
 }
 
-// LongestSpread returns the longest time until all controllers applied a new policy.
-func (r *Result) LongestSpread() time.Duration { return r.longestSpread }
+// LongestPropagation returns the longest time it took until all controllers applied a new policy.
+func (r *Result) LongestPropagation() time.Duration { return r.longestPropagation }
 
-// Policies returns how many policies were stored.
+// Policies returns the number of policies that were stored.
 func (r *Result) Policies() int { return r.policies }
 
-// Waits returns the distribution of a class's waits, in milliseconds.
+// Waits returns the distribution of the times that a class's jobs waited, in milliseconds.
 func (r *Result) Waits(class int) *hdrhistogram.Histogram { return r.classes[class].waits }
 
 // ClassResult is what was measured of a class.
 type ClassResult struct {
 	Class                     Class
-	Offered, Admitted, GaveUp int           // jobs
-	Due, Share                float64       // mean parts of the capacity under overload: due, and admitted
-	LargestGap                float64       // by how much Share fell short of Due in any window
+	Offered, Admitted, GaveUp int           // numbers of jobs
+	Due, Share                float64       // mean fractions of the capacity under overload: due, and admitted
+	LargestGap                float64       // largest shortfall of Share against Due in any window
 	WaitP50, WaitP90, WaitMax time.Duration // from the first submission to the first start
 	AdmissionMax              time.Duration // from the first submission to the admission
 }
 
-// Classes sums the result up by class. Gaps are those of windows of the given length in one stretch of
-// overload, after the stretch's first such window.
+// Classes returns the results of all classes. Gaps are taken over windows of the given length
+// within a period of overload, except the period's first window.
 func (r *Result) Classes(window time.Duration) []ClassResult {
 	out := make([]ClassResult, len(r.classes))
 	for i := range r.classes {
--- a/internal/surge/samples.go
+++ b/internal/surge/samples.go
@@ -5,13 +5,13 @@
 // sampleInterval is the time between two samples.
 const sampleInterval = time.Second
 
-// Sample is the state of a world at a moment, with what was admitted since the last sample.
+// Sample is the state of a world at a time, with what was admitted since the previous sample.
 type Sample struct {
 	At         time.Duration
 	Overloaded bool
 	Backlog    time.Duration
-	Due        []float64 // by class, the part of the capacity that the policy says is due
-	Admitted   []float64 // by class, the part of the capacity that was admitted
+	Due        []float64 // by class, the fraction of the capacity that the policy assigns
+	Admitted   []float64 // by class, the fraction of the capacity that was admitted
 }
 
 // sample takes a sample if one is due.
@@ -33,7 +33,7 @@
 		s.Admitted[i] = r.classes[i].admittedCost / w.options.CPUs(w.now) / sampleInterval.Seconds()
 		r.classes[i].admittedCost = 0
 		if outage {
-			continue // nothing can be accepted, so nothing is due
+			continue // no job can be accepted, so nothing is due
 		}
 		c := &w.options.Classes[i]
 		for _, share := range policy.Shares {
@@ -45,7 +45,8 @@
 	r.Samples = append(r.Samples, s)
 }
 
-// meanShares returns what was due to a class and what was admitted of it, on the mean under overload.
+// meanShares returns the fractions of the capacity that were due to a class and admitted of it,
+// averaged over the samples under overload.
 func (r *Result) meanShares(class int) (due, admitted float64) {
 	n := 0
 	for _, s := range r.Samples {
@@ -59,12 +60,12 @@
 	return due / float64(n), admitted / float64(n)
 }
 
-// largestGap returns by how much what was admitted of a class fell short of what was due, on the mean of
-// any window of so many samples. A window lies in one stretch of overload, and after the first window of
-// it, in which the control has yet to settle.
+// largestGap returns the largest shortfall of what was admitted of a class against what was due to
+// it, averaged over a window of the given number of samples. Every window lies within one period of
+// overload. The first window of a period is left out, since the control loop has yet to settle.
 func (r *Result) largestGap(class, window int) float64 {
 	largest := 0.0
-	var dueSums, admittedSums []float64 // over the samples of the present stretch, from its beginning
+	var dueSums, admittedSums []float64 // prefix sums over the samples of the current period
 	for _, s := range r.Samples {
 		if !s.Overloaded {
 			dueSums, admittedSums = nil, nil
--- a/internal/surge/scenario.go
+++ b/internal/surge/scenario.go
@@ -7,10 +7,10 @@
 	"gingertally/internal/core/placement"
 )
 
-// scenarioCPUs is the capacity of the deployment of NoisyNeighbour.
+// scenarioCPUs is the capacity of the deployment that NoisyNeighbour returns.
 const scenarioCPUs = 200.0
 
-// Teams of NoisyNeighbour, by the names that the measurements are reported under
+// Names of the teams of NoisyNeighbour, under which measurements are reported
 // (docs/admission-measurements.md).
 const (
 	guaranteedTeam                  = "pharmacy"
@@ -18,32 +18,33 @@
 	firstSmallTeam, secondSmallTeam = "small-1", "small-2"
 )
 
-// Positions of classes in the options of NoisyNeighbour. The classes from firstSmallClass on are those of
-// the small teams.
+// Indexes into the Classes of NoisyNeighbour. The classes from firstSmallClass on belong to the small
+// teams.
 const (
 	urgentClass     = 0
 	noisyClass      = 2
 	firstSmallClass = 3
 )
 
-// constantRate returns a rate that doesn't change.
+// constantRate returns a function of time that always returns the same value.
 func constantRate(perSecond float64) func(time.Duration) float64 {
 	return func(time.Duration) float64 { return perSecond }
 }
 
-// scenarioClass returns a class whose jobs ask for a part of the capacity of scenarioCPUs. The run time is in
-// seconds.
-func scenarioClass(team, name string, priority pipeline.Priority, tasks int, taskCPUs, run, part float64) Class {
+// scenarioClass returns a class whose jobs together ask for a share of the capacity scenarioCPUs. The
+// run time is in seconds.
+func scenarioClass(team, name string, priority pipeline.Priority, tasks int, taskCPUs, run, share float64) Class {
 	return Class{
 		Team: team, Name: name, Priority: priority, Tasks: tasks, CPUs: taskCPUs,
 		Run:       time.Duration(run * float64(time.Second)),
-		PerSecond: constantRate(part * scenarioCPUs / (float64(tasks) * taskCPUs * run)),
+		PerSecond: constantRate(share * scenarioCPUs / (float64(tasks) * taskCPUs * run)),
 	}
 }
 
-// NoisyNeighbour returns a deployment in which one team floods the others with bulk work, at a multiple
-// of its normal load. Beside it are a team with a guarantee, for urgent jobs and bulk work at the same
-// multiple, and two small teams, one of which has few jobs with large tasks.
+// NoisyNeighbour returns a deployment in which one team submits bulk work at a multiple of its normal
+// load. The other teams are one with guaranteed CPUs, which has urgent jobs at their normal load and
+// bulk work at the same multiple, and two small ones at their normal load, one of which has few jobs
+// with large tasks.
 func NoisyNeighbour(seed uint64, bulkLoad float64) Options {
 	return Options{
 		Seed: seed, Length: 30 * time.Minute, Controllers: 3, Admission: true, JobsRate: 30,
--- a/internal/surge/users.go
+++ b/internal/surge/users.go
@@ -10,50 +10,52 @@
 
 // Behaviour of users.
 const (
-	// userPatience is how long users submit a job again before they give it up (PROTOCOL).
-	userPatience = time.Minute
-	// minRetryPause is the pause of impatient users, and of all after an error of the service.
+	// retryTimeout is how long users retry a submission before they give up the job (PROTOCOL).
+	retryTimeout = time.Minute
+	// minRetryPause is the pause before a retry of users that ignore Retry-After, and of all users
+	// after an error of the state service.
 	minRetryPause = time.Second
-	// retryJitter bounds the random part of a pause.
+	// retryJitter bounds the random time that is added to a pause.
 	retryJitter = 3 * step
 )
 
-// job is a job of a user.
+// job is a job that a user has created.
 type job struct {
-	class          int // position in Options.Classes
+	class          int // index into Options.Classes
 	spec           pipeline.Spec
 	firstSubmitted time.Duration
 	admitted       time.Duration
 	waitingTasks   int // tasks that haven't started
 }
 
-// users are the users of a world, with the jobs that aren't admitted yet.
+// users holds the jobs of a world that aren't admitted yet, by when their users submit them.
 type users struct {
-	due     map[time.Duration][]*job // by when they are submitted next
-	partial []float64                // by class: the part of the next job that is due already
-	created int                      // jobs
+	due            map[time.Duration][]*job // by the time of the next submission
+	fractionalJobs []float64                // by class: the fraction of the next job that has accrued
+	created        int                      // number of jobs
 }
 
 func newUsers(o *Options) users {
-	return users{due: map[time.Duration][]*job{}, partial: make([]float64, len(o.Classes))}
+	return users{due: map[time.Duration][]*job{}, fractionalJobs: make([]float64, len(o.Classes))}
 }
 
-// submitAt has a job submitted at a time.
+// submitAt schedules the submission of a job.
 func (u *users) submitAt(at time.Duration, j *job) { u.due[at] = append(u.due[at], j) }
 
-// takeDue returns the jobs that are submitted now.
+// takeDue removes and returns the jobs whose submission is scheduled for now.
 func (u *users) takeDue(now time.Duration) []*job {
 	due := u.due[now]
 	delete(u.due, now)
 	return due
 }
 
-// createJobs creates the jobs of this step, as many as each class's rate says.
+// createJobs creates the jobs of this step, by the rate of each class, and schedules their
+// submission.
 func (w *World) createJobs() {
 	for i := range w.options.Classes {
 		c := &w.options.Classes[i]
-		w.users.partial[i] += c.PerSecond(w.now) * step.Seconds()
-		for ; w.users.partial[i] >= 1; w.users.partial[i]-- {
+		w.users.fractionalJobs[i] += c.PerSecond(w.now) * step.Seconds()
+		for ; w.users.fractionalJobs[i] >= 1; w.users.fractionalJobs[i]-- {
 			w.users.created++
 			ref := fmt.Sprintf("j-%09d", w.users.created)
 			w.users.submitAt(w.now, &job{
@@ -66,14 +68,14 @@
 	}
 }
 
-// submitDue submits the jobs whose time has come.
+// submitDue submits the jobs whose submission is scheduled for now.
 func (w *World) submitDue() {
 	for _, j := range w.users.takeDue(w.now) {
 		w.submit(j)
 	}
 }
 
-// submit submits a job to a controller. If it is refused, its user submits it again or gives it up.
+// submit submits a job to a controller. If the job is refused, its user retries later or gives up.
 func (w *World) submit(j *job) {
 	c := &w.options.Classes[j.class]
 	controller := w.rng.IntN(len(w.gates))
@@ -84,16 +86,16 @@
 	if decision.Admitted {
 		j.admitted = w.now
 		w.machines.enqueue(j)
-		w.result.admitted(w.now, j)
+		w.result.jobAdmitted(w.now, j)
 		return
 	}
 	pause := decision.RetryAfter
-	if c.Impatient {
+	if c.IgnoresRetryAfter {
 		pause = minRetryPause
 	}
 	jitter := time.Duration(w.rng.Int64N(int64(retryJitter)))
 	next := (w.now + pause + jitter).Truncate(step) + step
-	if next-j.firstSubmitted > userPatience {
+	if next-j.firstSubmitted > retryTimeout {
 		w.result.classes[j.class].gaveUp++
 		return
 	}
@@ -104,7 +106,7 @@
 func (w *World) decide(controller int, j *job) admission.Decision {
 	switch {
 	case w.options.storeOutage(w.now):
-		return admission.Decision{RetryAfter: minRetryPause} // the service answers by an error
+		return admission.Decision{RetryAfter: minRetryPause} // the service answers with an error
 	case !w.options.Admission:
 		return admission.Admit
 	}
--- a/internal/surge/world.go
+++ b/internal/surge/world.go
@@ -9,13 +9,13 @@
 	"gingertally/internal/admission"
 )
 
-// step is the resolution of the simulated time.
+// step is how far the simulated clock moves at a time.
 const step = 100 * time.Millisecond
 
-// start is the moment at which every world begins.
+// start is the time at which every world begins.
 var start = time.Unix(1_800_000_000, 0)
 
-// World is a deployment under load.
+// World is a simulated deployment under load.
 type World struct {
 	options  Options
 	rng      *rand.Rand
@@ -27,7 +27,7 @@
 	result   *Result
 }
 
-// New makes a world.
+// New returns a world at its start, with a leader in the first term.
 func New(o Options) *World {
 	w := &World{
 		options: o,
@@ -46,7 +46,7 @@
 	return w
 }
 
-// clock returns the time by a controller's clock.
+// clock returns the time that a controller's clock shows.
 func (w *World) clock(controller int) time.Time {
 	skew := w.options.Skew
 	if controller%2 == 1 {
@@ -55,15 +55,15 @@
 	return start.Add(w.now + skew)
 }
 
-// Run simulates the world to its end.
+// Run simulates the world until its end and returns what was measured.
 func (w *World) Run() *Result {
 	for ; w.now < w.options.Length; w.now += step {
 		w.changeLeader()
 		w.deliverPolicies()
-		w.result.notePolicySpread(w)
+		w.result.recordPropagation(w)
 		w.createJobs()
 		w.submitDue()
-		w.machines.run(w.now, w.result.started)
+		w.machines.run(w.now, w.result.jobStarted)
 		if w.options.Admission && w.now >= w.leader.nextRound {
 			w.leader.nextRound = w.now + w.options.Settings.Interval
 			w.leaderRound()
--- a/internal/surge/world_test.go
+++ b/internal/surge/world_test.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// window is the length of the windows in which shares are compared with what is due.
+	// window is the length of the windows in which admitted shares are compared with the due shares.
 	window = 2 * time.Minute
-	// largestGap is the part of the capacity by which a share may fall short in any window
-	// (docs/admission.md).
+	// largestGap is the fraction of the capacity by which an admitted share may fall short of the
+	// due share in any window (docs/admission.md).
 	largestGap = 0.15
 )
 
-// runAndCheck runs a world, checks what holds in every one, and returns what was measured.
+// runAndCheck runs a world, checks what must hold in every world, and returns the results by class.
 func runAndCheck(t *testing.T, o Options) []ClassResult {
 	t.Helper()
 	r := New(o).Run()
@@ -37,16 +37,16 @@
 				c.Class.Name, c.Class.Team, c.LargestGap, window)
 		}
 		if c.Offered > 20 && c.Admitted == 0 {
-			t.Errorf("%s of %s is shut out", c.Class.Name, c.Class.Team)
+			t.Errorf("no job of %s of %s was admitted", c.Class.Name, c.Class.Team)
 		}
 	}
 	t.Log("policies", r.Policies())
 	return classes
 }
 
-// urgentJobsGoFirst checks that the urgent jobs of the team with a guarantee are refused only during an
-// outage of the state service, and start almost at once.
-func urgentJobsGoFirst(t *testing.T, classes []ClassResult, outage time.Duration) {
+// checkUrgentJobs checks that the urgent jobs of the team with guaranteed CPUs are refused only
+// during an outage of the state service, and start almost at once.
+func checkUrgentJobs(t *testing.T, classes []ClassResult, outage time.Duration) {
 	t.Helper()
 	c := classes[urgentClass]
 	admittedInTime := c.GaveUp == 0 && c.AdmissionMax <= outage+time.Second
@@ -57,8 +57,9 @@
 	}
 }
 
-// smallTeamsAreServed checks that the teams that ask for no more than their share get it.
-func smallTeamsAreServed(t *testing.T, classes []ClassResult) {
+// checkSmallTeams checks that the small teams, which ask for no more than their share, give up at
+// most one in 50 jobs.
+func checkSmallTeams(t *testing.T, classes []ClassResult) {
 	t.Helper()
 	for _, c := range classes[firstSmallClass:] {
 		if c.GaveUp*50 > c.Offered {
@@ -67,21 +68,22 @@
 	}
 }
 
-// At ten times the normal bulk work, with two failures of the leader, urgent jobs within a guarantee are
-// never refused and don't wait, small teams get what they ask for, and nobody is shut out. It guards
-// against a noisy neighbour that takes the capacity from the others.
+// At ten times the normal bulk work, with two failures of the leader, urgent jobs within a
+// guarantee are never refused and start almost at once, small teams get what they ask for, and no
+// class is refused altogether. It guards against a noisy neighbour that takes the capacity from the
+// other teams.
 func TestTenTimesLoad(t *testing.T) {
 	for seed := range uint64(5) {
 		o := NoisyNeighbour(seed, 10)
 		o.Faults = []Fault{{From: 8 * time.Minute, LeaderFails: true}, {From: 17 * time.Minute, LeaderFails: true}}
 		classes := runAndCheck(t, o)
-		urgentJobsGoFirst(t, classes, 0)
-		smallTeamsAreServed(t, classes)
+		checkUrgentJobs(t, classes, 0)
+		checkSmallTeams(t, classes)
 	}
 }
 
-// Without overload no job is refused and one policy is stored. It guards against refusals and writes for
-// which there is no cause.
+// Without overload no job is refused and one policy is stored. It guards against needless refusals
+// and writes.
 func TestNormalLoad(t *testing.T) {
 	o := NoisyNeighbour(1, 0.5)
 	r := New(o).Run()
@@ -95,11 +97,11 @@
 	}
 }
 
-// hardCase is a change of a world that makes it harder to share the capacity.
+// hardCase is a change of the options that makes it harder to share the capacity fairly.
 type hardCase struct {
-	name       string
-	change     func(o *Options)
-	smallTeams bool // the small teams get what they ask for all the same
+	name             string
+	change           func(o *Options)
+	smallTeamsServed bool // the small teams still get what they ask for
 }
 
 func minutes(n float64) time.Duration { return time.Duration(n * float64(time.Minute)) }
@@ -151,7 +153,7 @@
 			o.Classes[i].PerSecond = func(at time.Duration) float64 { return 10 * rate(at) }
 		}
 	}, false},
-	{"users who come again at once", func(o *Options) { o.Classes[noisyClass].Impatient = true }, true},
+	{"users who come again at once", func(o *Options) { o.Classes[noisyClass].IgnoresRetryAfter = true }, true},
 	{"clocks apart", func(o *Options) { o.Skew = 250 * time.Millisecond }, true},
 	{"policies that come late and twice", func(o *Options) {
 		late := Fault{From: minutes(3), For: minutes(15), PolicyDelay: 2 * time.Second, DuplicatePolicies: true}
@@ -168,8 +170,9 @@
 	{"a weight", func(o *Options) { o.Weights = map[string]float64{firstSmallTeam: 3} }, true},
 }
 
-// The shares hold in each hard case, at ten times the normal bulk work. It guards against a share that is
-// lost to a fault, to the way in which jobs arrive, or to how users behave.
+// At ten times the normal bulk work, every class is admitted close to its due share in each hard
+// case. It guards against shares that are lost because of a fault, the pattern in which jobs
+// arrive, or the behaviour of users.
 func TestHardCases(t *testing.T) {
 	for _, c := range hardCases {
 		t.Run(c.name, func(t *testing.T) {
@@ -179,26 +182,26 @@
 			var outage time.Duration
 			for _, f := range o.Faults {
 				if f.StoreOutage {
-					outage = f.For + 5*time.Second // users come again within that
+					outage = f.For + 5*time.Second // within which users retry
 				}
 			}
-			urgentJobsGoFirst(t, classes, outage)
-			if c.smallTeams {
-				smallTeamsAreServed(t, classes)
+			checkUrgentJobs(t, classes, outage)
+			if c.smallTeamsServed {
+				checkSmallTeams(t, classes)
 			}
 		})
 	}
 }
 
-// The shares hold in worlds with random teams, weights, loads and faults. It guards against rules that hold
-// only in the worlds that were thought of.
+// Every class is admitted close to its due share with random teams, weights, loads and faults. It
+// guards against rules that hold only in the scenarios written by hand.
 func TestRandomSurges(t *testing.T) {
 	for seed := range uint64(16) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { runAndCheck(t, randomWorld(seed)) })
 	}
 }
 
-// randomWorld returns the random world of a seed.
+// randomWorld returns random options, which depend on the seed alone.
 func randomWorld(seed uint64) Options {
 	o := NoisyNeighbour(seed, 2)
 	o.Length = 15 * time.Minute
@@ -212,13 +215,13 @@
 		for class := range 1 + rng.IntN(3) {
 			run := time.Duration(5+rng.IntN(25)) * time.Second
 			c := Class{
-				Team:      name,
-				Name:      fmt.Sprint("class-", class),
-				Priority:  pipeline.Priority(1 + rng.IntN(3)),
-				Tasks:     1 + rng.IntN(6),
-				CPUs:      1 + float64(rng.IntN(4)),
-				Run:       run,
-				Impatient: rng.IntN(5) == 0,
+				Team:              name,
+				Name:              fmt.Sprint("class-", class),
+				Priority:          pipeline.Priority(1 + rng.IntN(3)),
+				Tasks:             1 + rng.IntN(6),
+				CPUs:              1 + float64(rng.IntN(4)),
+				Run:               run,
+				IgnoresRetryAfter: rng.IntN(5) == 0,
 			}
 			c.PerSecond = constantRate(rng.Float64() * 2 * scenarioCPUs / (float64(c.Tasks) * c.CPUs * run.Seconds()))
 			o.Classes = append(o.Classes, c)
