--- a/tools/plots/plots.go
+++ b/tools/plots/plots.go
@@ -1,5 +1,5 @@
-// Package plots draws the pages of the measurements under tools/: lines on charts, as HTML that a browser shows without
-// this program. The tools call it once, after their measurement.
+// Package plots writes the pages of the measurement tools under tools/: line charts in an HTML file
+// that a browser shows on its own. Each tool calls it once, after its measurement.
 package plots
 
 import (
@@ -13,17 +13,17 @@
 	"github.com/go-echarts/go-echarts/v2/opts"
 )
 
-// Point is a point of a line, X before Y.
+// Point is a point of a line: X, then Y.
 type Point [2]float64
 
-// Chart is a chart of lines.
+// Chart is a line chart.
 type Chart struct {
 	Title, Subtitle string
 	X, Y            string             // names of the axes
 	Lines           map[string][]Point // by name
 }
 
-// Percentiles is the line of a histogram's values by percentile.
+// Percentiles returns a line of a histogram's values by percentile.
 func Percentiles(h *hdrhistogram.Histogram) []Point {
 	var points []Point
 	for _, b := range h.CumulativeDistribution() {
@@ -32,7 +32,7 @@
 	return points
 }
 
-// WritePage writes a page with charts, one below the other.
+// WritePage writes an HTML page to a file, with the charts one below the other.
 func WritePage(path string, all []Chart) error {
 	page := components.NewPage()
 	for _, chart := range all {
@@ -43,13 +43,13 @@
 		return err
 	}
 	if err := page.Render(file); err != nil {
-		_ = file.Close() // the first error is the one that counts
+		_ = file.Close() // the first error is returned
 		return err
 	}
 	return file.Close()
 }
 
-// draw draws a chart.
+// draw returns the chart in the form that the charting library renders.
 func draw(chart Chart) *charts.Line {
 	line := charts.NewLine()
 	line.SetGlobalOptions(
--- a/tools/surge/loopback.go
+++ b/tools/surge/loopback.go
@@ -14,16 +14,16 @@
 	"gingertally/tools/plots"
 )
 
-// The cluster on loopback. Its machines have 8 CPUs, and its tasks ask for 2.
+// Parameters of the cluster on loopback. Its machines have 8 CPUs, and its tasks ask for 2.
 const (
 	loopbackMachines = 12
-	loopbackMaxTasks = 4 // of a job
+	loopbackMaxTasks = 4 // per job
 	loopbackRunTime  = 3 * time.Second
-	// loopbackEndWait is how long, after the load, is waited for admitted jobs to end.
-	loopbackEndWait = 4 * time.Minute
+	// loopbackJobEndTimeout is how long users wait for admitted jobs to end after the load.
+	loopbackJobEndTimeout = 4 * time.Minute
 )
 
-// loopbackTeam is a team with its users, who each submit one job after the other.
+// loopbackTeam is a team with its number of users, each of whom submits one job after the other.
 type loopbackTeam struct {
 	config.Team
 	users   int
@@ -36,18 +36,20 @@
 	{config.Team{Name: "small"}, 4, "normal"},
 }
 
+// loopbackSettings is the format of the operators' settings, with a verb for whether admission
+// control is enabled.
 const loopbackSettings = `admission { enabled: %v enter_backlog { seconds: 20 } exit_backlog { seconds: 8 } }
 standby { enabled: true }
 `
 
-// action is something that is done at a time after the beginning of the load.
+// action is something to do at a time after the start of the load.
 type action struct {
 	after time.Duration
 	do    func()
 }
 
-// runLoopback runs real controllers under overload, ends the leader twice, and prints what each team
-// got.
+// runLoopback runs real controllers on loopback under overload, kills the leader twice, and prints
+// the results of each team.
 func runLoopback(o options) error {
 	return loadtest.InDirectory("", "surge", func(directory string) error {
 		cluster, err := startLoopback(o, directory)
@@ -55,12 +57,12 @@
 			return fmt.Errorf("start the cluster: %w", err)
 		}
 		defer cluster.Stop()
-		loadLoopback(o, cluster)
+		runLoad(o, cluster)
 		return reportLoopback(o, cluster)
 	})
 }
 
-// startLoopback starts the controllers and the stand-ins.
+// startLoopback starts the controllers and the emulated rest of the deployment.
 func startLoopback(o options, directory string) (*emulator.Cluster, error) {
 	var teams []config.Team
 	for _, t := range loopbackTeams {
@@ -74,14 +76,14 @@
 	})
 }
 
-// loadLoopback has the teams' users submit jobs for the length of the load, ends the leader twice
-// meanwhile, and waits for the jobs' ends.
-func loadLoopback(o options, cluster *emulator.Cluster) {
-	load, stop := context.WithTimeout(context.Background(), o.Length)
+// runLoad has the teams' users submit jobs for the length of the load, kills the leader twice
+// meanwhile, prints the policy towards the end, and waits for the jobs to end.
+func runLoad(o options, cluster *emulator.Cluster) {
+	loadCtx, stop := context.WithTimeout(context.Background(), o.Length)
 	defer stop()
 	var running sync.WaitGroup
 	running.Go(func() {
-		runActions(load, []action{
+		runActions(loadCtx, []action{
 			{o.Length / 3, func() { restartLeader(cluster) }},
 			{o.Length * 2 / 3, func() { restartLeader(cluster) }},
 			{o.Length * 9 / 10, func() { printAdmission(cluster) }},
@@ -92,25 +94,26 @@
 		users := cluster.Users(t.users, loopbackMaxTasks)
 		users.Team, users.Urgency, users.First = t.Name, t.urgency, firstUser
 		firstUser += t.users
-		running.Go(func() { users.Run(load, loopbackEndWait) })
+		running.Go(func() { users.Run(loadCtx, loopbackJobEndTimeout) })
 	}
 	running.Wait()
 }
 
-// runActions does each action when its time has come. Those that are left when the load ends aren't done.
-func runActions(load context.Context, actions []action) {
+// runActions runs each action when it is due. The actions are in the order of their times; those
+// that are left when the load ends aren't run.
+func runActions(loadCtx context.Context, actions []action) {
 	begin := time.Now()
 	for _, a := range actions {
 		select {
 		case <-time.After(time.Until(begin.Add(a.after))):
 			a.do()
-		case <-load.Done():
+		case <-loadCtx.Done():
 			return
 		}
 	}
 }
 
-// restartLeader kills the leader and starts it again.
+// restartLeader kills the leader's process and starts it again.
 func restartLeader(cluster *emulator.Cluster) {
 	c, _ := cluster.Leader()
 	if c == nil {
@@ -126,7 +129,8 @@
 	}
 }
 
-// printAdmission prints the policy that the controllers apply, as the first one that answers has it.
+// printAdmission prints the current admission policy and which policy each controller applies, as
+// reported by the first controller whose status has them.
 func printAdmission(cluster *emulator.Cluster) {
 	for _, c := range cluster.Controllers {
 		s, err := c.Status()
@@ -150,7 +154,7 @@
 	admissions            loadtest.Histogram // from the first submission to the acceptance
 }
 
-// measureTeam sums the history of a team's jobs up.
+// measureTeam summarizes the history of a team's jobs.
 func measureTeam(cluster *emulator.Cluster, team string) teamResult {
 	r := teamResult{waits: loadtest.NewHistogram(), admissions: loadtest.NewHistogram()}
 	for _, j := range cluster.History.Jobs() {
@@ -170,7 +174,8 @@
 	return r
 }
 
-// reportLoopback prints what each team got, and fails if a rule was violated.
+// reportLoopback prints the results of each team. It returns an error if a rule was violated or an
+// accepted job hasn't ended.
 func reportLoopback(o options, cluster *emulator.Cluster) error {
 	title := "with admission control"
 	if o.Without {
--- a/tools/surge/main.go
+++ b/tools/surge/main.go
@@ -1,7 +1,8 @@
-// Command surge measures admission control under overload, with two failures of the leader. It simulates
-// teams at many times the normal load, with admission control and without, or runs real controllers on
-// loopback. It prints what share of the capacity each team and class was due and got, and how long its
-// jobs waited, and writes a page with plots.
+// Command surge measures admission control under overload, with two failures of the leader. It
+// simulates teams at many times the normal load, without and with admission control, or runs real
+// controllers on loopback. It prints, by team and class, the due and the admitted share of the
+// capacity and how long jobs waited, and writes a page with plots. On loopback it prints jobs and
+// waits by team, without shares.
 package main
 
 import (
@@ -15,7 +16,7 @@
 	"gingertally/tools/plots"
 )
 
-// options are the command's options.
+// options are the command-line options.
 type options struct {
 	Times  float64       `default:"10" help:"Load of bulk work, in what is normal."`
 	Length time.Duration `default:"30m" help:"Simulated time."`
@@ -41,7 +42,8 @@
 	}
 }
 
-// runSimulations simulates the load with admission control off and on. It fails if a rule was violated.
+// runSimulations simulates the load without and with admission control. It returns an error if a
+// rule was violated.
 func runSimulations(o options) error {
 	var charts []plots.Chart
 	violations := 0
@@ -65,7 +67,7 @@
 	return nil
 }
 
-// title says how a result was measured.
+// title returns the part of a title that says whether admission control was enabled.
 func title(result *surge.Result) string {
 	if result.Options.Admission {
 		return "with admission control"
@@ -73,7 +75,7 @@
 	return "without"
 }
 
-// report prints what was measured of each class.
+// report prints the results of each class.
 func report(o options, result *surge.Result) {
 	fmt.Printf("\n%s: %g times the normal bulk load, %s, seed %d, %d policies stored, %d rules broken\n",
 		title(result), o.Times, o.Length, o.Seed, result.Policies(), len(result.Violations))
@@ -84,7 +86,7 @@
 			c.Class.Team, c.Class.Name, c.Offered, c.Admitted, c.GaveUp, c.Due, c.Share, c.LargestGap,
 			tenths(c.WaitP50), tenths(c.WaitP90), tenths(c.WaitMax), tenths(c.AdmissionMax))
 	}
-	fmt.Printf("until all controllers applied a new policy: at the most %s\n", result.LongestSpread())
+	fmt.Printf("until all controllers applied a new policy: at the most %s\n", result.LongestPropagation())
 	for _, violation := range result.Violations {
 		fmt.Println(" ", violation)
 	}
@@ -93,7 +95,7 @@
 // tenths rounds a time to tenths of a second.
 func tenths(d time.Duration) time.Duration { return d.Round(time.Second / 10) }
 
-// waitsChart draws how long the jobs of each class waited.
+// waitsChart returns a chart of how long the jobs of each class waited.
 func waitsChart(result *surge.Result) plots.Chart {
 	chart := plots.Chart{Title: "Waits " + title(result), Subtitle: "from the first submission to the first start",
 		X: "percentile", Y: "ms", Lines: map[string][]plots.Point{}}
@@ -103,10 +105,11 @@
 	return chart
 }
 
-// samplesPerPoint is over how many samples a point of a share is averaged.
+// samplesPerPoint is the number of samples that are averaged for a point of a line of shares.
 const samplesPerPoint = 30
 
-// sharesChart draws what part of the capacity was admitted of each class.
+// sharesChart returns a chart of the fraction of the capacity that was admitted of each class over
+// time.
 func sharesChart(result *surge.Result) plots.Chart {
 	chart := plots.Chart{Title: "Admitted " + title(result), Subtitle: "part of the capacity",
 		X: "minutes", Y: "part", Lines: map[string][]plots.Point{}}
