--- a/internal/loadtest/loadtest_test.go
+++ b/internal/loadtest/loadtest_test.go
@@ -9,13 +9,14 @@
 	"time"
 )
 
-// All rounds are run, however they divide among the clusters: a measurement would else claim more than it ran.
+// All rounds are run, even if their number isn't a multiple of the number of clusters. Otherwise a
+// measurement would claim more rounds than it ran.
 func TestRunClustersDividesAllRounds(t *testing.T) {
 	for _, c := range []struct{ rounds, clusters int }{{10, 4}, {3, 4}, {8, 4}, {1, 1}} {
 		var mu sync.Mutex
 		rounds, directories := 0, map[string]bool{}
 		result := NewResult()
-		RunClusters(result, c.clusters, c.rounds, t.TempDir(), func(cluster Cluster) error {
+		RunClusters(result, c.clusters, c.rounds, t.TempDir(), func(cluster ClusterRun) error {
 			mu.Lock()
 			defer mu.Unlock()
 			rounds += cluster.Rounds
@@ -24,26 +25,27 @@
 			return err
 		})
 		if rounds != c.rounds || len(directories) != c.clusters || result.Err() != nil {
-			t.Errorf("%+v: %d rounds in %d directories, %v", c, rounds, len(directories), result.Broken)
+			t.Errorf("%+v: %d rounds in %d directories, failures %v", c, rounds, len(directories), result.Failures)
 		}
 	}
 }
 
-// A cluster that fails makes the tool fail: a measurement without it would pass for a whole one.
+// A cluster that fails makes the tool fail. Otherwise a measurement without that cluster would look
+// like a complete one.
 func TestRunClustersNotesErrors(t *testing.T) {
 	result := NewResult()
-	RunClusters(result, 2, 2, t.TempDir(), func(c Cluster) error {
+	RunClusters(result, 2, 2, t.TempDir(), func(c ClusterRun) error {
 		if c.Number == 1 {
 			return errors.New("no port")
 		}
 		return nil
 	})
-	if !errors.Is(result.Err(), ErrRulesBroken) || len(result.Broken) != 1 || result.Broken[0] != "cluster 1: no port" {
-		t.Errorf("%v", result.Broken)
+	if !errors.Is(result.Err(), ErrRulesBroken) || len(result.Failures) != 1 || result.Failures[0] != "cluster 1: no port" {
+		t.Errorf("wrong failures: %v", result.Failures)
 	}
 }
 
-// A temporary directory is removed, and one that is to be kept is not.
+// A temporary directory is removed; a directory that the caller wants to keep is not.
 func TestInDirectory(t *testing.T) {
 	keep := t.TempDir()
 	for _, kept := range []string{"", keep} {
@@ -54,12 +56,13 @@
 		})
 		_, statErr := os.Stat(filepath.Join(used, "log"))
 		if err != nil || (statErr == nil) != (kept != "") {
-			t.Errorf("%q: %v, %v", kept, err, statErr)
+			t.Errorf("keep %q: run: %v, file afterwards: %v", kept, err, statErr)
 		}
 	}
 }
 
-// Values out of a histogram's bounds count as its bounds: a takeover that took too long must not vanish.
+// Values outside a histogram's bounds are recorded as the nearest bound, so that a takeover that took
+// too long isn't lost.
 func TestHistogramKeepsOutliers(t *testing.T) {
 	result := NewResult()
 	result.Observe("takeover", 0)
@@ -67,6 +70,6 @@
 	result.Observe("takeover", 30*time.Hour)
 	histogram := result.Histograms["takeover"]
 	if histogram.TotalCount() != 3 || histogram.Quantile(50) != 20*time.Millisecond || histogram.Quantile(100) < time.Hour {
-		t.Errorf("%d values, %s, %s", histogram.TotalCount(), histogram.Quantile(50), histogram.Quantile(100))
+		t.Errorf("%d values, median %s, maximum %s", histogram.TotalCount(), histogram.Quantile(50), histogram.Quantile(100))
 	}
 }
--- a/internal/loadtest/result.go
+++ b/internal/loadtest/result.go
@@ -13,63 +13,64 @@
 	"gingertally/internal/emulator"
 )
 
-// ErrRulesBroken is the error of a tool that found rules of the protocol broken.
+// ErrRulesBroken says that a measurement found violations of the protocol's rules, or failed.
 var ErrRulesBroken = errors.New("rules were broken")
 
-// Bounds and precision of histograms, of milliseconds or other counts.
+// Bounds and precision of the values in histograms, in milliseconds or as plain counts.
 const (
-	lowestValue  = 1
-	highestValue = 3_600_000
-	digits       = 3
+	lowestValue       = 1
+	highestValue      = 3_600_000
+	significantDigits = 3
 )
 
-// Histogram is a distribution of times in milliseconds, or of other counts. Values are moved into its bounds.
+// Histogram is a distribution of times in milliseconds, or of plain counts. Values outside its bounds
+// are recorded as the nearest bound.
 type Histogram struct{ *hdrhistogram.Histogram }
 
-// NewHistogram makes an empty histogram.
+// NewHistogram returns an empty histogram.
 func NewHistogram() Histogram {
-	return Histogram{hdrhistogram.New(lowestValue, highestValue, digits)}
+	return Histogram{hdrhistogram.New(lowestValue, highestValue, significantDigits)}
 }
 
 // Record adds a value.
 func (h Histogram) Record(value int64) {
-	_ = h.RecordValue(min(max(value, lowestValue), highestValue)) // it is within the bounds
+	_ = h.RecordValue(min(max(value, lowestValue), highestValue)) // can't fail within the bounds
 }
 
-// Observe adds a time.
+// Observe adds a time, in milliseconds.
 func (h Histogram) Observe(d time.Duration) { h.Record(d.Milliseconds()) }
 
-// quantilePrecision is the precision of printed times.
+// quantilePrecision is what Quantile rounds to.
 const quantilePrecision = 10 * time.Millisecond
 
-// Quantile is the time below which so many percent of all are.
+// Quantile returns the time that the given percentage of all times don't exceed, rounded.
 func (h Histogram) Quantile(percent float64) time.Duration {
 	return (time.Duration(h.ValueAtQuantile(percent)) * time.Millisecond).Round(quantilePrecision)
 }
 
-// Result collects what several clusters show. It may be used by many goroutines until the clusters have ended;
-// its fields are read afterwards.
+// Result collects the measurements of several clusters. Its methods that add to it are safe for
+// concurrent use. Its fields are read only after all clusters have ended.
 type Result struct {
 	mu         sync.Mutex
 	Histograms map[string]Histogram
 	Counts     map[string]int
-	Started    int // tasks
-	Broken     []string
+	Started    int      // number of tasks that were started
+	Failures   []string // violated rules and other failures
 }
 
-// NewResult makes an empty result.
+// NewResult returns an empty result.
 func NewResult() *Result {
 	return &Result{Histograms: map[string]Histogram{}, Counts: map[string]int{}}
 }
 
-// Fail notes a broken rule, or what else went wrong.
+// Fail records a violated rule or another failure.
 func (r *Result) Fail(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Broken = append(r.Broken, fmt.Sprintf(format, args...))
+	r.Failures = append(r.Failures, fmt.Sprintf(format, args...))
 }
 
-// Count counts something that happened so many times.
+// Count adds to the counter with a name.
 func (r *Result) Count(what string, times int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -91,8 +92,8 @@
 // Observe adds a time, in milliseconds, to the histogram with a name.
 func (r *Result) Observe(what string, d time.Duration) { r.Record(what, d.Milliseconds()) }
 
-// AddHistory takes in the history of a cluster whose load has stopped: the rules that were broken, one of which is
-// that every accepted job comes to its end.
+// AddHistory adds the history of a cluster whose load has stopped: the rules that were violated and
+// the number of started tasks. It records a failure if accepted jobs haven't ended.
 func (r *Result) AddHistory(history *emulator.History) {
 	open, broken, started := history.Open(), history.Broken(), history.Started()
 	if len(open) > 0 {
@@ -100,31 +101,31 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Broken = append(r.Broken, broken...)
+	r.Failures = append(r.Failures, broken...)
 	r.Started += started
 }
 
-// PrintCounts prints what was counted, a line each.
+// PrintCounts prints the counters, one per line.
 func (r *Result) PrintCounts() {
 	for _, what := range slices.Sorted(maps.Keys(r.Counts)) {
 		fmt.Printf("%6d %s\n", r.Counts[what], what)
 	}
 }
 
-// maxBrokenPrinted bounds the broken rules that are printed.
-const maxBrokenPrinted = 20
+// maxPrintedFailures bounds the failures that are printed.
+const maxPrintedFailures = 20
 
-// PrintBroken prints how many rules were broken, and the first of them.
-func (r *Result) PrintBroken() {
-	fmt.Printf("rules broken: %d\n", len(r.Broken))
-	for _, text := range r.Broken[:min(len(r.Broken), maxBrokenPrinted)] {
+// PrintFailures prints the number of failures, and the first ones.
+func (r *Result) PrintFailures() {
+	fmt.Printf("rules broken: %d\n", len(r.Failures))
+	for _, text := range r.Failures[:min(len(r.Failures), maxPrintedFailures)] {
 		fmt.Println(" ", text)
 	}
 }
 
-// Err is ErrRulesBroken if a rule was broken.
+// Err returns ErrRulesBroken if a failure was recorded, and nil otherwise.
 func (r *Result) Err() error {
-	if len(r.Broken) > 0 {
+	if len(r.Failures) > 0 {
 		return ErrRulesBroken
 	}
 	return nil
--- a/tools/drain/budgets.go
+++ b/tools/drain/budgets.go
@@ -10,29 +10,31 @@
 	"gingertally/internal/emulator"
 )
 
-// Teams of the measurement.
+// Names of the teams, under which their results are printed.
 const (
-	teamRuns  = "runs"  // long runs that save, and may restart once
-	teamDesk  = "desk"  // work that must not move in its opening hours
-	teamBatch = "batch" // work that doesn't save, of which few may be interrupted
+	teamRuns  = "runs"  // long tasks that save their progress, each of which may be interrupted once
+	teamDesk  = "desk"  // work that must not be interrupted in its opening hours
+	teamBatch = "batch" // work that doesn't save, of which few tasks may be interrupted in a window
 )
 
-// Budgets of the teams.
+// Disruption budgets of the teams.
 const (
 	runsInterruptions = 1
 	batchInWindow     = 3
 	batchWindow       = time.Minute
 	batchFinishWait   = 3 * time.Second
-	// openMinutes: of so many minutes, the desk is open in the first.
-	openMinutes = 2
-	// openHours is how long closed windows are declared for.
-	openHours = 2
+	// openPeriodMinutes is the period of the desk's opening hours: it is open in the first minute
+	// of each.
+	openPeriodMinutes = 2
+	// scheduleHours is how far ahead the desk's opening hours are declared.
+	scheduleHours = 2
 )
 
-// usersPerTeam bounds the users of a team, so that the numbers of different teams' users differ.
-const usersPerTeam = 1000
+// userNumbersPerTeam is how many user numbers each team has to itself, so that no two users share a
+// number. It bounds the users of a team.
+const userNumbersPerTeam = 1000
 
-// team is a team with its load.
+// team is a team with its users and the jobs that they submit.
 type team struct {
 	name    string
 	users   int
@@ -45,20 +47,22 @@
 	{teamBatch, 20, emulator.JobProfile{Run: 20 * time.Second}},
 }
 
-// budgets are the budgets of a run. They differ from run to run in the minutes in which the desk is open, which are
-// given by their beginnings.
-type budgets struct{ open []time.Time }
+// budgets holds the disruption budgets of a run. Only the desk's opening hours differ from run to
+// run: openFrom lists the beginnings of the minutes in which it is open.
+type budgets struct{ openFrom []time.Time }
 
+// newBudgets returns the budgets of a run whose first opening minute is the present one.
 func newBudgets(now time.Time) *budgets {
 	b := &budgets{}
 	first := now.UTC().Truncate(time.Minute)
-	for i := 0; i < openHours*60; i += openMinutes {
-		b.open = append(b.open, first.Add(time.Duration(i)*time.Minute))
+	for i := 0; i < scheduleHours*60; i += openPeriodMinutes {
+		b.openFrom = append(b.openFrom, first.Add(time.Duration(i)*time.Minute))
 	}
 	return b
 }
 
-// settings are the operators' settings; without budgets for a baseline.
+// settings returns the text of the operators' settings. If ignore is set, it has no budgets, as a
+// baseline.
 func (b *budgets) settings(ignore bool) string {
 	if ignore {
 		return "draining { enabled: true finish_wait { seconds: 3 } }\n"
@@ -68,16 +72,16 @@
 	fmt.Fprintf(&text, " budgets { team: %q window_interruptions: %d window { seconds: %d } finish_wait { seconds: %d } }\n",
 		teamBatch, batchInWindow, int(batchWindow.Seconds()), int(batchFinishWait.Seconds()))
 	fmt.Fprintf(&text, " budgets {\n  team: %q\n", teamDesk)
-	for _, at := range b.open {
+	for _, at := range b.openFrom {
 		fmt.Fprintf(&text, "  closed { from: %q to: %q }\n", at.Format("15:04"), at.Add(time.Minute).Format("15:04"))
 	}
 	text.WriteString(" }\n}\n")
 	return text.String()
 }
 
-// isOpen reports whether the desk is open.
+// isOpen reports whether the desk is open at a time.
 func (b *budgets) isOpen(at time.Time) bool {
-	for _, open := range b.open {
+	for _, open := range b.openFrom {
 		if !at.Before(open) && at.Before(open.Add(time.Minute)) {
 			return true
 		}
@@ -85,21 +89,21 @@
 	return false
 }
 
-// use is what of a team's budget was used, as the workers saw it.
-type use struct {
+// budgetUse is how much of a team's budget was used, as counted at the workers.
+type budgetUse struct {
 	Team          string
 	Interruptions int
 	Used, Allowed int
-	What          string        // is used
+	Metric        string        // describes what Used counts
 	Lost          time.Duration // work that was repeated
 }
 
-// count holds the interruptions against the budgets. The uses are in the order of the teams' names.
-func (b *budgets) count(interruptions []emulator.Interruption) []use {
-	uses := map[string]*use{
-		teamRuns:  {Team: teamRuns, Allowed: runsInterruptions, What: "most interruptions of one task"},
-		teamDesk:  {Team: teamDesk, Allowed: 0, What: "interruptions in opening hours"},
-		teamBatch: {Team: teamBatch, Allowed: batchInWindow, What: "most interruptions within " + batchWindow.String()},
+// count returns how much of each budget the interruptions used, sorted by team name.
+func (b *budgets) count(interruptions []emulator.Interruption) []budgetUse {
+	uses := map[string]*budgetUse{
+		teamRuns:  {Team: teamRuns, Allowed: runsInterruptions, Metric: "most interruptions of one task"},
+		teamDesk:  {Team: teamDesk, Allowed: 0, Metric: "interruptions in opening hours"},
+		teamBatch: {Team: teamBatch, Allowed: batchInWindow, Metric: "most interruptions within " + batchWindow.String()},
 	}
 	perTask := map[string]int{}
 	var batch []time.Time
@@ -117,16 +121,17 @@
 			}
 		case teamBatch:
 			batch = append(batch, interruption.At)
-			use.Used = max(use.Used, within(batch, batchWindow))
+			use.Used = max(use.Used, countInWindow(batch, batchWindow))
 		}
 	}
-	sorted := []use{*uses[teamRuns], *uses[teamDesk], *uses[teamBatch]}
-	slices.SortFunc(sorted, func(a, b use) int { return cmp.Compare(a.Team, b.Team) })
+	sorted := []budgetUse{*uses[teamRuns], *uses[teamDesk], *uses[teamBatch]}
+	slices.SortFunc(sorted, func(a, b budgetUse) int { return cmp.Compare(a.Team, b.Team) })
 	return sorted
 }
 
-// within counts the times in the window that ends with the last.
-func within(times []time.Time, window time.Duration) int {
+// countInWindow counts the times in the window that ends with the last one. There must be at least
+// one.
+func countInWindow(times []time.Time, window time.Duration) int {
 	last, count := times[len(times)-1], 0
 	for _, at := range times {
 		if last.Sub(at) < window {
--- a/tools/drain/budgets_test.go
+++ b/tools/drain/budgets_test.go
@@ -10,8 +10,8 @@
 	"gingertally/internal/operator"
 )
 
-// Interruptions are held against each team's budget by its own rule: a count that misses one would call a broken
-// budget kept.
+// Interruptions are counted against each team's budget by that budget's own rule. A count that misses
+// one would report an exceeded budget as kept.
 func TestCountHoldsInterruptionsAgainstBudgets(t *testing.T) {
 	began := time.Date(2026, 1, 5, 9, 0, 30, 0, time.UTC)
 	b := newBudgets(began)
@@ -26,7 +26,7 @@
 		{Team: teamBatch, Task: "j-3/1", At: at(0.5), Lost: time.Second},
 		{Team: teamBatch, Task: "j-3/2", At: at(1.2), Lost: time.Second},
 	})
-	want := map[string]use{
+	want := map[string]budgetUse{
 		teamRuns:  {Interruptions: 3, Used: 2, Allowed: runsInterruptions},
 		teamDesk:  {Interruptions: 2, Used: 1, Allowed: 0},
 		teamBatch: {Interruptions: 3, Used: 2, Allowed: batchInWindow, Lost: 3 * time.Second},
@@ -38,11 +38,12 @@
 		}
 	}
 	if len(uses) != len(want) || uses[0].Team != teamBatch {
-		t.Errorf("%+v", uses)
+		t.Errorf("wrong number or order of results: %+v", uses)
 	}
 }
 
-// The minutes in which the desk is open, and budgets hold, are those that the controllers are told.
+// The generated operators' settings are valid, have budgets unless those are ignored, and the desk is
+// open in the first minute and not in the second.
 func TestSettingsAreValid(t *testing.T) {
 	b := newBudgets(time.Date(2026, 1, 5, 9, 0, 30, 0, time.UTC))
 	names := []string{teamRuns, teamDesk, teamBatch}
--- a/tools/drain/main.go
+++ b/tools/drain/main.go
@@ -1,7 +1,9 @@
-// Command drain measures a rolling replacement: it runs a cluster of real controllers on loopback against
-// stand-ins of all else, has every worker replaced under the load of three teams with different disruption
-// budgets, and meanwhile kills or pauses the leader again and again. It counts interruptions at the workers, holds
-// them against the budgets and the protocol's rules, and writes how long machines took to replace, with plots.
+// Command drain measures a rolling replacement of machines. It runs a cluster of real controllers
+// on loopback with an emulated state service, cloud, workers and users. It has every worker
+// replaced under the load of three teams with different disruption budgets, and repeatedly kills or
+// pauses the leader meanwhile. It counts interruptions at the workers, checks them against the
+// budgets and the history against the protocol's rules, and prints the times between the removals
+// of machines, with plots.
 package main
 
 import (
@@ -22,7 +24,7 @@
 	Keep      string        `help:"Directory for the controllers' logs; else they are removed."`
 }
 
-// The cluster.
+// Parameters of the cluster.
 const (
 	controllers       = 3
 	heartbeatInterval = time.Second
@@ -35,7 +37,7 @@
 	loadtest.Main("drain", "Replaces every worker of a cluster on loopback and counts interruptions against budgets.", run)
 }
 
-// run plays the replacement and prints its result.
+// run runs the replacement and prints its result.
 func run(o options) error {
 	return loadtest.InDirectory(o.Keep, "drain", func(directory string) error {
 		budgets := newBudgets(time.Now())
@@ -51,7 +53,7 @@
 		}
 		defer cluster.Stop()
 		r := newReplacement(o, cluster, budgets)
-		if err := r.play(); err != nil {
+		if err := r.run(); err != nil {
 			return err
 		}
 		return r.finish()
--- a/tools/drain/replacement.go
+++ b/tools/drain/replacement.go
@@ -15,31 +15,31 @@
 const (
 	planID = "replace-all"
 	surge  = 2
-	// loadWait is how long users wait for the ends of their jobs.
-	loadWait = 3 * time.Minute
-	// warmUp is the time until the cluster is busy.
+	// jobEndTimeout is how long users wait for their jobs to end after the replacement.
+	jobEndTimeout = 3 * time.Minute
+	// warmUp is the time that the cluster is given to become busy.
 	warmUp       = 10 * heartbeatInterval
 	pollInterval = 100 * time.Millisecond
-	// Fault-free time between two faults.
+	// Bounds of the time between two faults.
 	shortestFaultFree, longestFaultFree = time.Second, 5 * time.Second
-	// Length of a leader's pause, which is longer than the leader's lease.
+	// Bounds of a leader's pause, which is longer than the leader's lease.
 	shortestPause, longestPause = 3500 * time.Millisecond, 8 * time.Second
-	// Time for which a killed leader is down.
+	// Bounds of the time for which a killed leader is down.
 	shortestDown, longestDown = 10 * time.Millisecond, 2 * time.Second
-	// pauseOneIn is how many faults there are for each pause; the others are kills.
+	// pauseOneIn: on average one in so many faults is a pause, and the others are kills.
 	pauseOneIn = 3
 )
 
-// replacement is one run.
+// replacement is a rolling replacement of all machines under load and faults.
 type replacement struct {
-	options options
-	cluster *emulator.Cluster
-	budgets *budgets
-	random  loadtest.Random
-	old     []string // machines that are to be replaced
+	options     options
+	cluster     *emulator.Cluster
+	budgets     *budgets
+	random      loadtest.Random
+	oldMachines []string // names of the machines to replace
 
 	began, ended time.Time
-	removed      map[string]time.Time // when each of the old machines was deleted
+	removed      map[string]time.Time // when each of the old machines was seen to be deleted
 	killed       int
 	paused       int
 }
@@ -47,13 +47,14 @@
 func newReplacement(o options, cluster *emulator.Cluster, budgets *budgets) *replacement {
 	return &replacement{
 		options: o, cluster: cluster, budgets: budgets, random: loadtest.NewRandom(o.Seed, 1),
-		old: cluster.Cloud.Machines(), removed: map[string]time.Time{},
+		oldMachines: cluster.Cloud.Machines(), removed: map[string]time.Time{},
 	}
 }
 
-// play runs load, plan and faults until all machines are replaced.
-func (r *replacement) play() error {
-	load := loadtest.StartLoad(loadWait, r.users()...)
+// run starts the load and the drain plan, and injects faults until all machines are replaced and
+// there were enough faults.
+func (r *replacement) run() error {
+	load := loadtest.StartLoad(jobEndTimeout, r.users()...)
 	defer load.Stop()
 	time.Sleep(warmUp)
 	r.began = time.Now()
@@ -70,33 +71,35 @@
 			r.injectFault()
 			nextFault = time.Now().Add(r.faultFreeTime())
 		}
-		r.noteRemoved()
+		r.recordRemoved()
 		time.Sleep(pollInterval)
 	}
 	r.ended = time.Now()
 	return nil
 }
 
-// users are the users of all teams.
+// users returns the users of all teams.
 func (r *replacement) users() []*emulator.Users {
 	var all []*emulator.Users
 	for i, team := range teams {
 		users := r.cluster.Users(team.users, maxTasks)
 		users.Team, users.Profile, users.RunTime = team.name, team.profile, team.profile.Run
-		users.First = i * usersPerTeam
+		users.First = i * userNumbersPerTeam
 		all = append(all, users)
 	}
 	return all
 }
 
+// faultFreeTime returns the random time until the next fault.
 func (r *replacement) faultFreeTime() time.Duration {
 	return r.random.Between(shortestFaultFree, longestFaultFree)
 }
 
-// startPlan asks one controller after the other for the plan until one accepts it; repeats change nothing.
+// startPlan submits the drain plan to randomly chosen controllers until one accepts it. Submitting it
+// again changes nothing.
 func (r *replacement) startPlan() error {
 	plan := drain.Plan{ID: planID, Selector: drain.Selector{All: true}, MaxAtOnce: r.options.MaxAtOnce, Surge: surge}
-	err := errors.New("the time limit is over")
+	err := errors.New("the time limit has passed")
 	for time.Since(r.began) < r.options.Limit {
 		controller := r.cluster.Controllers[r.random.IntN(len(r.cluster.Controllers))]
 		if _, err = (&client.Client{Addr: controller.Addr}).StartDrain(context.Background(), plan); err == nil {
@@ -107,22 +110,22 @@
 	return fmt.Errorf("no controller accepts the plan: %w", err)
 }
 
-// noteRemoved notes which of the old machines were deleted.
-func (r *replacement) noteRemoved() {
-	there := map[string]bool{}
+// recordRemoved records the time for each old machine that was deleted since the last call.
+func (r *replacement) recordRemoved() {
+	present := map[string]bool{}
 	for _, name := range r.cluster.Cloud.Machines() {
-		there[name] = true
+		present[name] = true
 	}
-	for _, name := range r.old {
-		if !there[name] && r.removed[name].IsZero() {
+	for _, name := range r.oldMachines {
+		if !present[name] && r.removed[name].IsZero() {
 			r.removed[name] = time.Now()
 		}
 	}
 }
 
-// done reports whether all machines are replaced and there were enough faults.
+// done reports whether all old machines are deleted and there were enough faults.
 func (r *replacement) done() bool {
-	return len(r.removed) == len(r.old) && r.killed+r.paused >= r.options.Faults
+	return len(r.removed) == len(r.oldMachines) && r.killed+r.paused >= r.options.Faults
 }
 
 // injectFault kills or pauses the leader, if there is one.
@@ -143,6 +146,7 @@
 	r.killed++
 }
 
+// pause pauses the leader for a random time that is longer than its lease.
 func (r *replacement) pause(leader *emulator.Controller) {
 	if err := leader.Pause(); err != nil {
 		fmt.Println("pause:", err)
@@ -155,7 +159,7 @@
 	r.paused++
 }
 
-// printWaiting prints why machines aren't empty.
+// printWaiting prints the drain plans, and why machines haven't been emptied yet.
 func (r *replacement) printWaiting() {
 	_, status := r.cluster.Leader()
 	if status.Leading == nil || status.Leading.Drains == nil {
--- a/tools/drain/result.go
+++ b/tools/drain/result.go
@@ -11,23 +11,25 @@
 	"gingertally/tools/plots"
 )
 
-// finish prints what the run showed; an error if a budget or a rule was broken.
+// finish prints the result and writes the page. It returns an error if a budget was exceeded, a
+// rule was violated, or an accepted job hasn't ended.
 func (r *replacement) finish() error {
 	name := "within budgets"
 	if r.options.Ignore {
 		name = "without budgets"
 	}
-	fmt.Printf("%d machines replaced %s in %s, %d at once; leaders killed %d times, paused %d times\n", len(r.old), name,
-		r.ended.Sub(r.began).Round(time.Second), r.options.MaxAtOnce, r.killed, r.paused)
-	broken := append(r.cluster.History.Broken(), r.printUses()...)
+	fmt.Printf("%d machines replaced %s in %s, %d at once; leaders killed %d times, paused %d times\n",
+		len(r.oldMachines), name, r.ended.Sub(r.began).Round(time.Second), r.options.MaxAtOnce, r.killed, r.paused)
+	broken := append(r.cluster.History.Broken(), r.printBudgetUses()...)
 	intervals := r.intervals()
 	fmt.Printf("  time between two releases: p50 %s, p90 %s, longest %s\n",
 		intervals.Quantile(50), intervals.Quantile(90), intervals.Quantile(100))
-	again := 0
-	for _, machine := range r.old {
-		again += r.cluster.History.StartsOn(machine)
+	startsOnReplaced := 0
+	for _, machine := range r.oldMachines {
+		startsOnReplaced += r.cluster.History.StartsOn(machine)
 	}
-	fmt.Printf("  tasks started: %d, on machines that were then replaced: %d\n", r.cluster.History.Started(), again)
+	fmt.Printf("  tasks started: %d, on machines that were then replaced: %d\n",
+		r.cluster.History.Started(), startsOnReplaced)
 	open := r.cluster.History.Open()
 	fmt.Printf("  rules broken: %d, accepted jobs that never came to an end: %d\n", len(broken), len(open))
 	for _, rule := range broken {
@@ -42,12 +44,13 @@
 	return nil
 }
 
-// printUses prints what of each budget was used, and returns the budgets that were broken.
-func (r *replacement) printUses() (broken []string) {
+// printBudgetUses prints how much of each budget was used, and returns the budgets that were
+// exceeded. Without budgets, as in the baseline, none is.
+func (r *replacement) printBudgetUses() (broken []string) {
 	interruptions := r.cluster.History.Interruptions()
 	for _, use := range r.budgets.count(interruptions) {
 		fmt.Printf("  %-6s %4d interruptions; %s: %d, allowed %d; work repeated: %s\n",
-			use.Team, use.Interruptions, use.What, use.Used, use.Allowed, use.Lost.Round(time.Millisecond))
+			use.Team, use.Interruptions, use.Metric, use.Used, use.Allowed, use.Lost.Round(time.Millisecond))
 		if use.Used > use.Allowed && !r.options.Ignore {
 			broken = append(broken, "budget of "+use.Team)
 			printInterruptions(interruptions, use.Team)
@@ -65,7 +68,8 @@
 	}
 }
 
-// intervals are the times from the removal of one machine to the next.
+// intervals returns the times between consecutive removals of machines. The first is measured from
+// the beginning of the replacement.
 func (r *replacement) intervals() loadtest.Histogram {
 	histogram := loadtest.NewHistogram()
 	at := []time.Time{r.began}
@@ -79,7 +83,7 @@
 	return histogram
 }
 
-// writePage draws the intervals, if a page is asked for.
+// writePage plots the intervals on a page, if a file for it is given.
 func (r *replacement) writePage(name string, intervals loadtest.Histogram) error {
 	if r.options.Page == "" {
 		return nil
--- a/tools/failover/main.go
+++ b/tools/failover/main.go
@@ -1,6 +1,7 @@
-// Command failover measures takeovers: it runs clusters of real controllers on loopback against stand-ins of all
-// else, kills the leader again and again under load, and holds the protocol's rules against what workers were told
-// and users heard. It writes takeover times by phase as distributions, and a page with plots.
+// Command failover measures takeovers. It runs clusters of real controllers on loopback with an
+// emulated state service, cloud, workers and users, and repeatedly kills or pauses the leader, or
+// tells it to end, under load. It checks the protocol's rules against the answers that workers and
+// users got. It prints the distributions of takeover times by phase, and writes a page with plots.
 package main
 
 import (
@@ -35,19 +36,19 @@
 	loadtest.Main("failover", "Kills leaders on loopback and measures the takeovers.", run)
 }
 
-// run runs all clusters, prints the result, and fails if a rule was broken.
+// run runs all clusters and prints the result. It returns an error if a rule was violated.
 func run(o options) error {
 	return loadtest.InDirectory(o.Keep, "failover", func(directory string) error {
 		result := newResult(o)
 		began := time.Now()
-		loadtest.RunClusters(result.Result, o.Clusters, o.Kills, directory, func(c loadtest.Cluster) error {
+		loadtest.RunClusters(result.Result, o.Clusters, o.Kills, directory, func(c loadtest.ClusterRun) error {
 			return runCluster(o, c, result, began)
 		})
 		return result.finish(time.Since(began))
 	})
 }
 
-// operatorSettings is the text of the controllers' operators' settings.
+// operatorSettings returns the text of the operators' settings; empty for none.
 func operatorSettings(o options) string {
 	if !o.Warm {
 		return ""
@@ -55,8 +56,8 @@
 	return "standby { enabled: true }\n"
 }
 
-// runCluster runs one cluster until its share of leaders was ended.
-func runCluster(o options, c loadtest.Cluster, result *result, began time.Time) error {
+// runCluster runs one cluster until its share of the leaders was ended or the time limit has passed.
+func runCluster(o options, c loadtest.ClusterRun, result *result, began time.Time) error {
 	cluster, err := emulator.StartCluster(emulator.ClusterOptions{
 		Directory: c.Directory, Controllers: o.Controllers, Machines: o.Machines,
 		Timings:          emulator.Timings{Heartbeat: o.HeartbeatInterval, Lease: o.Lease, RunTime: o.RunTime},
--- a/tools/failover/result.go
+++ b/tools/failover/result.go
@@ -12,10 +12,10 @@
 	"gingertally/tools/plots"
 )
 
-// objective is the time within which the first start of a new leader is wanted.
+// objective is the time within which a new leader should have started its first task.
 const objective = 5 * time.Second
 
-// result collects what all clusters show.
+// result collects the measurements of all clusters.
 type result struct {
 	*loadtest.Result
 	options       options
@@ -23,13 +23,13 @@
 	distributions map[string]distribution
 }
 
-// distribution are figures of a histogram, in milliseconds.
+// distribution summarizes a histogram; its values are in milliseconds.
 type distribution struct {
 	Count                    int64
 	Min, P50, P90, P99, P999 int64
 	Max                      int64
 	Mean                     float64
-	AboveObjective           int64   `json:"AboveAim"` // how many are above the objective
+	AboveObjective           int64   `json:"AboveAim"` // number of values above the objective
 	AboveObjectiveShare      float64 `json:"AboveAimShare"`
 }
 
@@ -37,7 +37,8 @@
 	return &result{Result: loadtest.NewResult(), options: o, distributions: map[string]distribution{}}
 }
 
-// finish prints the result and writes it to files; it fails if a rule was broken.
+// finish prints the result and writes the files that were asked for. It returns an error if a rule
+// was violated.
 func (r *result) finish(took time.Duration) error {
 	r.took = took.Round(time.Second)
 	for name, histogram := range r.Histograms {
@@ -57,6 +58,7 @@
 	return r.Err()
 }
 
+// distributionOf returns the summary of a histogram.
 func distributionOf(h loadtest.Histogram) distribution {
 	d := distribution{
 		Count: h.TotalCount(), Min: h.Min(), P50: h.ValueAtQuantile(50), P90: h.ValueAtQuantile(90),
@@ -71,7 +73,7 @@
 	return d
 }
 
-// print prints the figures.
+// print prints the counts, the distributions and the failures.
 func (r *result) print() {
 	fmt.Printf("took %s, %d tasks started\n", r.took, r.Started)
 	r.PrintCounts()
@@ -82,22 +84,22 @@
 		fmt.Printf("%-34s %6d %7d %7d %7d %7d %7d  %d (%.2f%%)\n",
 			name, d.Count, d.Min, d.P50, d.P90, d.P99, d.Max, d.AboveObjective, 100*d.AboveObjectiveShare)
 	}
-	r.PrintBroken()
+	r.PrintFailures()
 }
 
-// resultFile is the result as a file has it, in JSON.
+// resultFile is the content of the result file, in JSON.
 type resultFile struct {
 	Options       options
 	Took          string
 	Counts        map[string]int
-	Started       int // tasks
-	Broken        []string
+	Started       int      // number of tasks that were started
+	Broken        []string // violated rules and other failures
 	Distributions map[string]distribution
 }
 
 func (r *result) writeJSON(path string) error {
 	text, err := json.MarshalIndent(resultFile{
-		Options: r.options, Took: r.took.String(), Counts: r.Counts, Started: r.Started, Broken: r.Broken,
+		Options: r.options, Took: r.took.String(), Counts: r.Counts, Started: r.Started, Broken: r.Failures,
 		Distributions: r.distributions,
 	}, "", "  ")
 	if err != nil {
@@ -106,7 +108,7 @@
 	return os.WriteFile(path, append(text, '\n'), 0o600)
 }
 
-// writePage draws each distribution by percentile.
+// writePage plots each distribution by percentile.
 func (r *result) writePage(path string) error {
 	chart := plots.Chart{
 		Title:    "Takeover times",
--- a/tools/failover/takeover.go
+++ b/tools/failover/takeover.go
@@ -11,25 +11,27 @@
 )
 
 const (
-	// settleTimeout bounds the wait for a leader with work before it is ended.
+	// settleTimeout bounds the wait for a settled leader, which is then ended.
 	settleTimeout = 40 * time.Second
-	// takeoverTimeout is when a takeover that hasn't come about counts as failed.
+	// takeoverTimeout is how long a takeover may take before it counts as failed.
 	takeoverTimeout = 30 * time.Second
-	// pollInterval is the time between two looks for a takeover, settlePollInterval between two for a leader.
+	// pollInterval is the time between two checks for a takeover, and settlePollInterval between two
+	// checks for a settled leader.
 	pollInterval       = 20 * time.Millisecond
 	settlePollInterval = 5 * pollInterval
-	// longestWork is the longest time from a settled leader to its end, at any moment of its work.
-	longestWork = time.Second
-	// longestPaused is the longest time from a takeover to the end of the old leader's pause.
-	longestPaused = time.Second
-	// longestDown is the longest time from a leader's end, with the takeover, to its next start.
-	longestDown = 500 * time.Millisecond
+	// maxEndDelay bounds the random time from when the leader has settled until it is ended, so
+	// that it is ended at any moment of its work.
+	maxEndDelay = time.Second
+	// maxResumeDelay bounds the random time from a takeover until the old leader is resumed.
+	maxResumeDelay = time.Second
+	// maxRestartDelay bounds the random time from a takeover until the old leader is started again.
+	maxRestartDelay = 500 * time.Millisecond
 )
 
 // ending is a way of ending a leader.
 type ending string
 
-// The ways of ending a leader, by their names in the result.
+// The ways of ending a leader, with the names that the result has for them.
 const (
 	endingKilled   ending = "killed"
 	endingPaused   ending = "paused"
@@ -48,17 +50,17 @@
 	return &takeoverTest{options: o, random: loadtest.NewRandom(o.Seed, stream), cluster: cluster, result: result}
 }
 
-// endLeader ends the leader, measures the takeover, and has the old leader go on or start again.
+// endLeader ends the leader, measures the takeover, and resumes or restarts the old leader.
 func (t *takeoverTest) endLeader() {
 	leader, term := t.waitSettled()
 	if leader == nil {
 		t.result.Count("not run: no settled leader", 1)
 		return
 	}
-	time.Sleep(t.random.Between(0, longestWork))
+	time.Sleep(t.random.Between(0, maxEndDelay))
 	how := t.chooseEnding()
 	if t.cluster.History.Term() != term {
-		// It has lost the leadership meanwhile: ending it would bring no takeover.
+		// It has lost leadership meanwhile, so ending it would cause no takeover.
 		t.result.Count("not run: another leader meanwhile", 1)
 		return
 	}
@@ -69,7 +71,7 @@
 	}
 	t.measure(how, term, at)
 	if how == endingPaused {
-		time.Sleep(t.random.Between(0, longestPaused))
+		time.Sleep(t.random.Between(0, maxResumeDelay))
 		if err := leader.Resume(); err != nil {
 			t.result.Fail("%v", err)
 		}
@@ -79,13 +81,13 @@
 		t.result.Fail("%s didn't end after SIGTERM", leader.Name)
 		leader.Kill()
 	}
-	time.Sleep(t.random.Between(0, longestDown))
+	time.Sleep(t.random.Between(0, maxRestartDelay))
 	if err := leader.Start(); err != nil {
 		t.result.Fail("%v", err)
 	}
 }
 
-// end ends a leader in one of the ways.
+// end ends a leader in the given way. Only Kill waits for the process to exit.
 func end(leader *emulator.Controller, how ending) error {
 	switch how {
 	case endingPaused:
@@ -98,7 +100,7 @@
 	return nil
 }
 
-// chooseEnding chooses among the ways by their shares.
+// chooseEnding chooses a way of ending a leader at random, by the shares in the options.
 func (t *takeoverTest) chooseEnding() ending {
 	switch x := t.random.Float64(); {
 	case x < t.options.Paused:
@@ -109,8 +111,9 @@
 	return endingKilled
 }
 
-// waitSettled waits until a leader leads in whose term a task was started, with all controllers up and, with the
-// warm standby, all followers current. It returns that leader with its term; nil if there was none in time.
+// waitSettled waits until the cluster is settled: a task was started in the leader's term, all
+// controllers are up and, with the warm standby, all followers are current. It returns the leader and
+// its term, or nil if the cluster didn't settle in time.
 func (t *takeoverTest) waitSettled() (*emulator.Controller, uint64) {
 	controllers := t.cluster.Controllers
 	for end := time.Now().Add(settleTimeout); time.Now().Before(end); time.Sleep(settlePollInterval) {
@@ -127,7 +130,7 @@
 	return nil, 0
 }
 
-// isSettled reports whether a status is that of a settled cluster.
+// isSettled reports whether a controller's status is that of the leader of a settled cluster.
 func (t *takeoverTest) isSettled(status *operatorapi.Status) bool {
 	if status.Leading == nil || status.Leading.Term != t.cluster.History.Term() {
 		return false
@@ -138,7 +141,7 @@
 	return t.allUp(status) && (!t.options.Warm || followersCurrent(status))
 }
 
-// allUp reports whether all controllers are up.
+// allUp reports whether the status lists all controllers, with this version.
 func (t *takeoverTest) allUp(status *operatorapi.Status) bool {
 	for _, node := range t.cluster.Controllers {
 		if status.Versions[node.Name] != controller.Version {
@@ -148,7 +151,8 @@
 	return true
 }
 
-// followersCurrent reports whether all followers have the leader's warm state.
+// followersCurrent reports whether the standbys of all controllers are known, and those of the
+// followers are in the state "following".
 func followersCurrent(status *operatorapi.Status) bool {
 	if len(status.Standbys) < len(status.Versions) {
 		return false
@@ -161,7 +165,7 @@
 	return true
 }
 
-// measure waits for the takeover from a leader that was ended, and records its times.
+// measure waits for the takeover after a leader was ended, and records how long it took.
 func (t *takeoverTest) measure(how ending, term uint64, ended time.Time) {
 	answer, start := t.waitTakeover(term, ended)
 	t.result.Count(string(how), 1)
@@ -174,8 +178,8 @@
 	t.recordPhases()
 }
 
-// waitTakeover waits for the first start in a later term. It returns when a worker accepted the first answer and the
-// first start; the start is zero if none came in time.
+// waitTakeover waits for the first start of a task in a later term. It returns when a worker first
+// accepted an answer and a start of a later term. The start is zero if there was none in time.
 func (t *takeoverTest) waitTakeover(term uint64, ended time.Time) (answer, start time.Time) {
 	for time.Since(ended) < takeoverTimeout && start.IsZero() {
 		time.Sleep(pollInterval)
@@ -190,7 +194,7 @@
 	return answer, start
 }
 
-// recordPhases records the phases of the last takeover, as the new leader tells them.
+// recordPhases records the phases of the last takeover, as the new leader reports them.
 func (t *takeoverTest) recordPhases() {
 	for _, node := range t.cluster.Controllers {
 		status, err := node.Status()
--- a/tools/outage/main.go
+++ b/tools/outage/main.go
@@ -1,7 +1,8 @@
-// Command outage measures restarts after a total outage: it kills all controllers of a cluster on loopback under
-// load, again and again, starts them after a while against the same workers, and holds the protocol's rules against
-// what workers were told and users heard. It writes how long until all is settled, and at what rate starts were
-// commanded, as distributions with plots.
+// Command outage measures restarts after a total outage. It repeatedly kills all controllers of a
+// cluster on loopback under load and starts them after a while with the same workers. It checks the
+// protocol's rules against the answers that workers and users got. It prints the distributions of
+// the times until recovery is over and of the rates at which tasks were started, and writes them as
+// plots.
 package main
 
 import (
@@ -22,7 +23,8 @@
 	Limit    time.Duration `default:"20m" help:"After which no further outage begins."`
 }
 
-// The clusters: jobs of up to four tasks of two CPUs that run for about three seconds.
+// Parameters of a cluster. Its jobs have up to four tasks of two CPUs, which run for about three
+// seconds.
 const (
 	controllers       = 3
 	heartbeatInterval = time.Second
@@ -32,26 +34,27 @@
 	maxTasks          = 4
 )
 
+// pacedSettings is the text of the operators' settings that bound the pace of starts during recovery.
 const pacedSettings = "recovery { paced: true initial_pace: 10 highest_pace: 60 }\n"
 
 func main() {
 	loadtest.Main("outage", "Kills all controllers on loopback and measures the restarts.", run)
 }
 
-// run runs all clusters, prints the result, and fails if a rule was broken.
+// run runs all clusters and prints the result. It returns an error if a rule was violated.
 func run(o options) error {
 	return loadtest.InDirectory("", "outage", func(directory string) error {
 		result := newResult()
 		began := time.Now()
-		loadtest.RunClusters(result.Result, o.Clusters, o.Outages, directory, func(c loadtest.Cluster) error {
+		loadtest.RunClusters(result.Result, o.Clusters, o.Outages, directory, func(c loadtest.ClusterRun) error {
 			return runCluster(o, c, result, began)
 		})
 		return result.finish(o, time.Since(began))
 	})
 }
 
-// runCluster runs one cluster through its outages.
-func runCluster(o options, c loadtest.Cluster, result *result, began time.Time) error {
+// runCluster runs one cluster through its share of the outages.
+func runCluster(o options, c loadtest.ClusterRun, result *result, began time.Time) error {
 	settings := ""
 	if o.Paced {
 		settings = pacedSettings
--- a/tools/outage/outage.go
+++ b/tools/outage/outage.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	// settleTimeout bounds the wait until a leader's recovery is over.
+	// settleTimeout bounds the wait until a leader has finished its recovery.
 	settleTimeout = time.Minute
 	pollInterval  = 50 * time.Millisecond
-	// Time from a settled leader to the outage.
+	// Bounds of the time from a leader's finished recovery to the outage.
 	shortestNormal, longestNormal = 2 * time.Second, 4 * time.Second
-	// longestShort is the length up to which every second outage lasts at the most.
-	longestShort = 2 * time.Second
-	// longestGap is the longest time between the starts of two controllers.
-	longestGap = 200 * time.Millisecond
-	// rateWindow is the time after a restart in which starts are counted.
+	// longestShortOutage bounds the length of short outages, which are half of all on average.
+	longestShortOutage = 2 * time.Second
+	// longestStartGap bounds the random time between the starts of two controllers.
+	longestStartGap = 200 * time.Millisecond
+	// rateWindow is how long after a restart starts of tasks are counted.
 	rateWindow = 10 * time.Second
 )
 
-// outageTest brings about the outages of one cluster.
+// outageTest causes the outages of one cluster and measures the restarts.
 type outageTest struct {
 	options options
 	random  loadtest.Random
@@ -31,7 +31,7 @@
 	result  *result
 }
 
-// outage kills all controllers, starts them after a while, and measures the restart.
+// outage kills all controllers, starts them again after a while, and measures the restart.
 func (t *outageTest) outage() {
 	if _, err := t.waitSettled(); err != nil {
 		t.result.Count("not run: "+err.Error(), 1)
@@ -59,26 +59,27 @@
 	}
 }
 
-// chooseLength is the length of an outage; every second one is short.
+// chooseLength returns a random length for an outage. With probability 1/2 it is a short one.
 func (t *outageTest) chooseLength() time.Duration {
 	length := t.random.Between(t.options.Shortest, t.options.Longest)
 	if t.random.IntN(2) == 0 {
-		length = t.random.Between(t.options.Shortest, longestShort)
+		length = t.random.Between(t.options.Shortest, longestShortOutage)
 	}
 	return length
 }
 
-// startControllers starts all controllers one after the other, in any order.
+// startControllers starts all controllers one after the other, in random order.
 func (t *outageTest) startControllers() {
 	for _, i := range t.random.Perm(len(t.cluster.Controllers)) {
 		if err := t.cluster.Controllers[i].Start(); err != nil {
 			t.result.Fail("%v", err)
 		}
-		time.Sleep(t.random.Between(0, longestGap))
+		time.Sleep(t.random.Between(0, longestStartGap))
 	}
 }
 
-// measureFirsts measures the time to the first answer and start of the first term in which a task was started.
+// measureFirsts measures the times from the restart to the first answer and to the first start, in
+// the first term in which a task was started.
 func (t *outageTest) measureFirsts(lastTerm uint64, restarted time.Time) {
 	for term := lastTerm + 1; term <= t.cluster.History.Term(); term++ {
 		if answer, start := t.cluster.History.FirstOf(term); !start.IsZero() {
@@ -89,9 +90,10 @@
 	}
 }
 
+// errNotSettled says that no leader finished its recovery in time.
 var errNotSettled = errors.New("no settled leader")
 
-// waitSettled waits until a leader's recovery is over, and returns its status.
+// waitSettled waits until a leader has finished its recovery, and returns the leader's status.
 func (t *outageTest) waitSettled() (operatorapi.Status, error) {
 	for end := time.Now().Add(settleTimeout); time.Now().Before(end); time.Sleep(pollInterval) {
 		for _, controller := range t.cluster.Controllers {
--- a/tools/outage/result.go
+++ b/tools/outage/result.go
@@ -11,29 +11,29 @@
 	"gingertally/tools/plots"
 )
 
-// result collects what all clusters show.
+// result collects the measurements of all clusters.
 type result struct {
 	*loadtest.Result
 
 	mu       sync.Mutex
-	findings map[string]int // of recoveries
+	findings map[string]int // number of the recoveries' findings, by reason
 }
 
 func newResult() *result {
 	return &result{Result: loadtest.NewResult(), findings: map[string]int{}}
 }
 
-// countFinding counts how often recoveries found a difference.
+// countFinding adds to the number of findings with a reason.
 func (r *result) countFinding(reason string, times int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.findings[reason] += times
 }
 
-// observe adds a time to the histogram with a name.
+// observe adds a time to the histogram with a name, to which it adds the unit.
 func (r *result) observe(what string, d time.Duration) { r.Observe(what+" (ms)", d) }
 
-// recordRates records how many starts there were in the busiest second, and in a second on the mean.
+// recordRates records the number of starts in the busiest second, and the mean number per second.
 func (r *result) recordRates(starts []time.Time) {
 	r.Record("starts in the busiest second", int64(busiestSecond(starts)))
 	if len(starts) > 1 {
@@ -42,7 +42,8 @@
 	}
 }
 
-// busiestSecond is the largest number of times within a second. The times are in order.
+// busiestSecond returns the largest number of times within any second. The times are in ascending
+// order.
 func busiestSecond(times []time.Time) int {
 	most := 0
 	for i := range times {
@@ -57,7 +58,8 @@
 	return most
 }
 
-// finish prints the result and draws the page; it fails if a rule was broken.
+// finish prints the result and writes the page if asked to. It returns an error if a rule was
+// violated.
 func (r *result) finish(o options, took time.Duration) error {
 	fmt.Printf("took %s, %d tasks started, paced: %v\n", took.Round(time.Second), r.Started, o.Paced)
 	r.PrintCounts()
@@ -65,7 +67,7 @@
 	for _, reason := range slices.Sorted(maps.Keys(r.findings)) {
 		fmt.Printf("found %7d times: %s\n", r.findings[reason], reason)
 	}
-	r.PrintBroken()
+	r.PrintFailures()
 	if o.Page != "" {
 		if err := plots.WritePage(o.Page, []plots.Chart{r.chart(o)}); err != nil {
 			return err
@@ -83,7 +85,7 @@
 	}
 }
 
-// chart draws each distribution by percentile.
+// chart returns a chart of each distribution by percentile.
 func (r *result) chart(o options) plots.Chart {
 	chart := plots.Chart{
 		Title: "Restarts after a total outage", Subtitle: fmt.Sprintf("%d outages, paced: %v", o.Outages, o.Paced),
--- a/tools/outage/result_test.go
+++ b/tools/outage/result_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// The busiest second may begin at any start: a count by whole seconds would miss a burst across their border.
+// The busiest second may begin at any start. A count by whole clock seconds would miss a burst that
+// spans two of them.
 func TestBusiestSecond(t *testing.T) {
 	began := time.Now()
 	at := func(milliseconds ...int) []time.Time {
@@ -25,7 +26,7 @@
 		{at(0, 900, 1100, 1800, 3000), 3},
 	} {
 		if got := busiestSecond(c.times); got != c.want {
-			t.Errorf("%v: %d, want %d", c.times, got, c.want)
+			t.Errorf("%v: %d in the busiest second, want %d", c.times, got, c.want)
 		}
 	}
 }
