--- a/internal/controller/contact.go
+++ b/internal/controller/contact.go
@@ -48,7 +48,7 @@
 			return ctx.Err()
 		case <-ticker.C:
 		}
-		if c.health.StoreFresh(time.Now(), usercalls.StoreFresh) {
+		if c.health.StoreServedWithin(time.Now(), usercalls.StoreFresh) {
 			continue
 		}
 		if !c.storeServes(ctx, storeProbeTimeout) {
@@ -61,7 +61,7 @@
 func (c *Controller) storeServes(ctx context.Context, timeout time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return c.store.Serves(ctx, leadership.HolderKey)
+	return c.store.IsServing(ctx, leadership.HolderKey)
 }
 
 // pingPeers pings the other controllers, and records the contact as soon as one answers.
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -56,7 +56,7 @@
 	addNames(&lines, "drain phase", drain.Running, drain.Expired)
 	addNames(&lines, "drained machine", drain.Planned, drain.Failed)
 	addNames(&lines, "interruption", drain.Voluntary, drain.Involuntary)
-	addNames(&lines, "role", leadership.Follower, leadership.Resting)
+	addNames(&lines, "role", leadership.Follower, leadership.Resigned)
 	addNames(&lines, "standby", standby.CatchingUp, standby.SteppedDown)
 	addNames(&lines, "takeover phase", standby.LastHeard, standby.FirstStart)
 	addNames(&lines, "admission", admission.NotOverloaded, admission.Writes)
--- a/internal/controller/http.go
+++ b/internal/controller/http.go
@@ -116,7 +116,7 @@
 // which submissions can't be checked, and the health tracker says that this controller can serve
 // users, itself or by forwarding their calls; else 503.
 func (c *Controller) healthStatus() int {
-	if len(c.machineTypes.Types()) == 0 || !c.health.Serves(time.Now()) {
+	if len(c.machineTypes.Types()) == 0 || !c.health.CanServe(time.Now()) {
 		return fasthttp.StatusServiceUnavailable
 	}
 	return fasthttp.StatusOK
--- a/internal/controller/leader_view.go
+++ b/internal/controller/leader_view.go
@@ -112,7 +112,7 @@
 // has contact neither with the state service nor with its peers: the last known name may be out of
 // date, and workers would be redirected in circles.
 func (l agentLeader) Name() string {
-	if !l.c.health.Serves(time.Now()) {
+	if !l.c.health.CanServe(time.Now()) {
 		return ""
 	}
 	return l.c.elector.Leader()
--- a/internal/controller/operatorapi/drains.go
+++ b/internal/controller/operatorapi/drains.go
@@ -110,7 +110,7 @@
 		status = http.StatusBadRequest
 	case errors.Is(err, jobstore.ErrUnknownPlan):
 		status = http.StatusNotFound
-	case errors.Is(err, jobstore.ErrOtherPlan), errors.Is(err, jobstore.ErrPlanOver):
+	case errors.Is(err, jobstore.ErrOtherPlan), errors.Is(err, jobstore.ErrPlanPhase):
 		status = http.StatusConflict
 	}
 	return drainFailure(status, err.Error())
--- a/internal/controller/usercalls/usercalls.go
+++ b/internal/controller/usercalls/usercalls.go
@@ -54,7 +54,7 @@
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	localTimeout := time.Duration(float64(limit) * localAttemptFraction)
-	fresh := s.Health.StoreFresh(time.Now(), StoreFresh)
+	fresh := s.Health.StoreServedWithin(time.Now(), StoreFresh)
 	if !fresh {
 		localTimeout = localTimeoutInOutage
 	}
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -49,19 +49,19 @@
 // PeerAnswered records that another controller answered.
 func (t *Tracker) PeerAnswered(now time.Time) { t.advance(&t.peerAnswered, now) }
 
-// StoreFresh returns whether the state service has served this controller less than within ago.
-func (t *Tracker) StoreFresh(now time.Time, within time.Duration) bool {
+// StoreServedWithin returns whether the state service has served this controller less than within ago.
+func (t *Tracker) StoreServedWithin(now time.Time, within time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return now.Sub(t.storeServed) < within
 }
 
-// Serves returns whether this controller can serve users. An outage of the state service, which
+// CanServe returns whether this controller can serve users. An outage of the state service, which
 // affects all controllers, takes none of them out of service: a controller then still reaches its
 // peers, or at least gets refusals from the state service rather than no answers, which counts for
 // up to outageTimeout. A controller that reaches neither is out of service (docs/design.md, "Safety
 // arguments" 13; TestServes).
-func (t *Tracker) Serves(now time.Time) bool {
+func (t *Tracker) CanServe(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if now.Sub(t.storeServed) < contactTimeout || now.Sub(t.peerAnswered) < contactTimeout {
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -37,7 +37,7 @@
 				record(tracker, start.Add(s))
 			}
 		}
-		if got := tracker.Serves(start.Add(c.at)); got != c.want {
+		if got := tracker.CanServe(start.Add(c.at)); got != c.want {
 			t.Errorf("%s: serves %v", c.name, got)
 		}
 	}
--- a/internal/jobstore/drains.go
+++ b/internal/jobstore/drains.go
@@ -20,8 +20,8 @@
 	ErrUnknownPlan = errors.New("unknown drain plan")
 	// ErrOtherPlan reports that a plan with this ID exists and was requested with other parameters.
 	ErrOtherPlan = errors.New("another drain plan has this id")
-	// ErrPlanOver reports that the plan's phase can't change to the requested one.
-	ErrPlanOver = errors.New("the drain plan can't do that any more")
+	// ErrPlanPhase reports that the plan's phase can't change to the requested one.
+	ErrPlanPhase = errors.New("the drain plan can't do that any more")
 	// errPlanContended reports that all attempts conflicted with other changes of the plan.
 	errPlanContended = errors.New("the drain plan changes all the time")
 )
@@ -102,7 +102,7 @@
 }
 
 // ChangeDrainPlan changes a plan's phase; a plan that is in that phase already is left as it is.
-// The error wraps ErrPlanOver if the present phase doesn't allow the change.
+// The error wraps ErrPlanPhase if the present phase doesn't allow the change.
 func (j *Jobs) ChangeDrainPlan(ctx context.Context, id string, to drain.Phase) (drain.StoredPlan, error) {
 	for range maxPlanAttempts {
 		stored, err := j.DrainPlan(ctx, id)
@@ -110,7 +110,7 @@
 			return stored, err
 		}
 		if !stored.Plan.MoveTo(to) {
-			return stored, fmt.Errorf("%w: it is %s", ErrPlanOver, stored.Plan.Phase)
+			return stored, fmt.Errorf("%w: it is %s", ErrPlanPhase, stored.Plan.Phase)
 		}
 		version, err := j.putDrainPlan(ctx, nil, drain.PlanWrite{Plan: stored.Plan, Version: stored.Version})
 		var conflict *statestore.ConflictError
--- a/internal/leadership/campaign.go
+++ b/internal/leadership/campaign.go
@@ -85,7 +85,7 @@
 // claimDelay returns how long after the loss of the leader this node lets others claim first.
 func (e *Elector) claimDelay() time.Duration {
 	switch {
-	case e.Role() == Resting:
+	case e.Role() == Resigned:
 		return claimDelayAfterResigning
 	case e.node.HeartbeatsMissing():
 		return claimDelayWithoutHeartbeats
@@ -224,7 +224,7 @@
 	for ctx.Err() == nil {
 		if e.isResigning() {
 			e.revoke(ctx, lease)
-			return Resting
+			return Resigned
 		}
 		wait.Sleep(ctx, e.options.TTL/renewalsPerTTL)
 		if !e.renew(ctx, lease) {
--- a/internal/leadership/extension.go
+++ b/internal/leadership/extension.go
@@ -12,7 +12,7 @@
 //
 // During an outage of the state service a leader can't renew its lease, and no node can tell
 // whether the outage affects all nodes or only itself. So a leader whose lease isn't renewed asks
-// every peer to extend it. A peer that grants an extension doesn't claim for ExtensionFor. While
+// every peer to extend it. A peer that grants an extension doesn't claim for ExtensionDuration. While
 // the extensions of all peers are in force, no other node can claim, whether or not the lease still
 // exists in the state service. An extension only prolongs a lease that is still valid: once the
 // lease has lapsed, another node may have led in the meantime, and only the state service can tell.
@@ -25,18 +25,18 @@
 // TestExtensionBindsItsGrantors, TestNoExtensionWhileClaiming and TestStartedNodeWaits.
 
 const (
-	// ExtensionFor is how long an extension lasts from when a peer grants it. A node that has just
+	// ExtensionDuration is how long an extension lasts from when a peer grants it. A node that has just
 	// started must not claim for the same time, since it may have granted one before its restart.
-	ExtensionFor = 1500 * time.Millisecond
+	ExtensionDuration = 1500 * time.Millisecond
 	// extensionInterval is how often the leader asks for extensions while it needs them, and
 	// extensionTimeout how long it waits for the answers.
 	extensionInterval = 300 * time.Millisecond
 	extensionTimeout  = 700 * time.Millisecond
 )
 
-// ExtensionCounted is how long an extension counts for the leader, from the time just before it sent
-// the request. It is ExtensionFor less the drift between two clocks and the granularity of timers.
-const ExtensionCounted = ExtensionFor - ExtensionFor/driftDivisor - timerStep
+// CountedExtensionDuration is how long an extension counts for the leader, from the time just before it sent
+// the request. It is ExtensionDuration less the drift between two clocks and the granularity of timers.
+const CountedExtensionDuration = ExtensionDuration - ExtensionDuration/driftDivisor - timerStep
 
 // extendLease asks the peers for extensions, until ctx ends, whenever this node leads and the state
 // service doesn't renew its lease. It returns at once if extensions are disabled.
@@ -69,7 +69,7 @@
 	for _, peer := range e.options.Others {
 		requests.Go(func() {
 			if e.node.RequestExtension(ctx, peer) {
-				e.recordExtension(peer, requested.Add(ExtensionCounted))
+				e.recordExtension(peer, requested.Add(CountedExtensionDuration))
 			}
 		})
 	}
@@ -96,7 +96,7 @@
 }
 
 // grant records an extension that begins now.
-func (g *extensionGrants) grant(now time.Time) { g.grantedUntil = now.Add(ExtensionFor) }
+func (g *extensionGrants) grant(now time.Time) { g.grantedUntil = now.Add(ExtensionDuration) }
 
 // inForce returns whether an extension that this process has granted is still in force.
 func (g *extensionGrants) inForce(now time.Time) bool { return now.Before(g.grantedUntil) }
@@ -104,10 +104,10 @@
 // earlierMayBeInForce returns whether an extension that this node granted before its process started
 // may still be in force.
 func (g *extensionGrants) earlierMayBeInForce(now time.Time) bool {
-	return now.Sub(g.startedAt) < ExtensionFor
+	return now.Sub(g.startedAt) < ExtensionDuration
 }
 
-// GrantExtension extends the leader's lease: this node doesn't claim for ExtensionFor. It returns
+// GrantExtension extends the leader's lease: this node doesn't claim for ExtensionDuration. It returns
 // false, and grants nothing, if this node itself leads or is claiming.
 func (e *Elector) GrantExtension() bool {
 	e.mu.Lock()
--- a/internal/leadership/extension_test.go
+++ b/internal/leadership/extension_test.go
@@ -43,7 +43,7 @@
 			}
 		}
 		silent.Store(true)
-		time.Sleep(ExtensionFor)
+		time.Sleep(ExtensionDuration)
 		silent.Store(false) // too late: the lease has lapsed
 		c.checkOneLeaderFor(t, 5*time.Second)
 		if who := c.leaseHolder(t); who >= 0 {
@@ -113,7 +113,7 @@
 		if elector.mayClaim(t.Context()) {
 			t.Fatal("claims although it has extended another node's lease")
 		}
-		time.Sleep(ExtensionFor)
+		time.Sleep(ExtensionDuration)
 		if !elector.mayClaim(t.Context()) {
 			t.Fatal("never claims again")
 		}
@@ -145,7 +145,7 @@
 		if elector.mayClaim(t.Context()) {
 			t.Fatal("claims at once after its start")
 		}
-		time.Sleep(ExtensionFor)
+		time.Sleep(ExtensionDuration)
 		if !elector.mayClaim(t.Context()) {
 			t.Fatal("never claims")
 		}
--- a/internal/leadership/node.go
+++ b/internal/leadership/node.go
@@ -40,7 +40,7 @@
 	HeartbeatsMissing() bool
 	// ClaimDelay returns how long after the loss of the leader this node lets others claim first.
 	ClaimDelay() time.Duration
-	// RequestExtension asks a peer to extend this node's lease for ExtensionFor. It returns whether
+	// RequestExtension asks a peer to extend this node's lease for ExtensionDuration. It returns whether
 	// the peer has agreed.
 	RequestExtension(ctx context.Context, member string) bool
 }
@@ -53,7 +53,7 @@
 	Follower Role = iota // another node leads, or no leader is known
 	Claiming             // there is no leader, and this node is claiming leadership
 	Leading              // this node has claimed a term; HoldsLease tells whether its lease is valid
-	Resting              // this node has resigned and lets others claim first
+	Resigned             // this node has resigned and lets others claim first
 )
 
 var roleNames = [...]string{"follower", "claiming", "leading", "resting"}
--- a/internal/simulation/node_heartbeats.go
+++ b/internal/simulation/node_heartbeats.go
@@ -37,7 +37,7 @@
 	if n.holdsLease() {
 		return n.answerAsLeader(h.Machine, core.HeartbeatReceived{Heartbeat: h})
 	}
-	if relayed || !n.health.Serves(n.local()) {
+	if relayed || !n.health.CanServe(n.local()) {
 		return answerUnavailable
 	}
 	for _, o := range n.w.nodes {
--- a/internal/simulation/node_lease_extension.go
+++ b/internal/simulation/node_lease_extension.go
@@ -34,7 +34,7 @@
 		return false
 	}
 	led := n.w.store.items[leadership.TermKey] != nil
-	return n.runsProduction || !led || n.local().Sub(n.bootedAt) >= leadership.ExtensionFor
+	return n.runsProduction || !led || n.local().Sub(n.bootedAt) >= leadership.ExtensionDuration
 }
 
 // requestExtensions asks all peers to extend the lease if the state service doesn't renew it. Nodes of the version in
@@ -60,7 +60,7 @@
 	}
 	granted := func() {
 		if n.engine == engine {
-			n.extensionGranted(peer, sent.Add(leadership.ExtensionCounted))
+			n.extensionGranted(peer, sent.Add(leadership.CountedExtensionDuration))
 		}
 	}
 	w.after(there, func() {
@@ -81,6 +81,6 @@
 	if served := !n.storeDown() && !n.cutOff(); served && !n.w.script.grantsWhileServed() && !n.w.chance(0.2) {
 		return false
 	}
-	n.candidacy.grantedUntil = n.local().Add(leadership.ExtensionFor)
+	n.candidacy.grantedUntil = n.local().Add(leadership.ExtensionDuration)
 	return true
 }
--- a/internal/simulation/user_job.go
+++ b/internal/simulation/user_job.go
@@ -106,7 +106,7 @@
 func (j *userJob) loadBalancedNode() *node {
 	var up []*node
 	for _, n := range j.w.nodes {
-		if !n.down && !n.paused() && j.w.network.reachable("", n.zone) && n.health.Serves(n.local()) {
+		if !n.down && !n.paused() && j.w.network.reachable("", n.zone) && n.health.CanServe(n.local()) {
 			up = append(up, n)
 		}
 	}
--- a/internal/statestore/client.go
+++ b/internal/statestore/client.go
@@ -31,7 +31,7 @@
 type Client struct {
 	http     *fasthttp.HostClient // for all requests but watches
 	watches  *fasthttp.HostClient
-	requests *rate.Limiter // limits all requests but those about leases and those of Serves
+	requests *rate.Limiter // limits all requests but those about leases and those of IsServing
 	writes   *rate.Limiter // limits the changes in transactions
 	contact  func(Contact) // called with each response
 }
--- a/internal/statestore/client_test.go
+++ b/internal/statestore/client_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Serves must ask the state service now, and count a reached rate limit as service. Controllers
+// IsServing must ask the state service now, and count a reached rate limit as service. Controllers
 // once counted it as service that they had been served within the last second, and so refused to
 // extend leases just after an outage had begun: leaders that were refused shortly before the outage
 // lost their lease, and with it every task. And a busy controller that had reached its rate limit
@@ -34,7 +34,7 @@
 	} {
 		status = c.status
 		began := time.Now()
-		if got := client.Serves(t.Context(), "lead/holder"); got != c.want {
+		if got := client.IsServing(t.Context(), "lead/holder"); got != c.want {
 			t.Errorf("status %d: serves %v", c.status, got)
 		}
 		if d := time.Since(began); d > maxRateWait/2 {
--- a/internal/statestore/errors_test.go
+++ b/internal/statestore/errors_test.go
@@ -26,7 +26,7 @@
 	return New(Options{Addr: strings.TrimPrefix(server.URL, "http://"), Requests: 100, Writes: 100, MaxConns: 2})
 }
 
-// calls holds one call of each method of a client that sends a request, by name, except Serves.
+// calls holds one call of each method of a client that sends a request, by name, except IsServing.
 var calls = map[string]func(context.Context, *Client) error{
 	"get":    func(ctx context.Context, c *Client) error { _, _, err := c.Get(ctx, "k"); return err },
 	"list":   func(ctx context.Context, c *Client) error { _, _, err := c.List(ctx, "k"); return err },
--- a/internal/statestore/read.go
+++ b/internal/statestore/read.go
@@ -41,10 +41,10 @@
 	return request{client: c.http, method: fasthttp.MethodGet, uri: wire.StorePath + "/" + key, timeout: callTimeout}
 }
 
-// Serves reads a key to find out whether the state service serves this controller at present. It
+// IsServing reads a key to find out whether the state service serves this controller at present. It
 // doesn't wait for the rate limits, and a response that a rate limit is reached counts as service:
 // otherwise a busy controller would conclude that there is an outage.
-func (c *Client) Serves(ctx context.Context, key string) bool {
+func (c *Client) IsServing(ctx context.Context, key string) bool {
 	response, err := c.do(ctx, c.getRequest(key))
 	return err == nil || response.status == fasthttp.StatusTooManyRequests
 }
--- a/internal/userapi/userapi.go
+++ b/internal/userapi/userapi.go
@@ -65,7 +65,7 @@
 	Known(ctx context.Context, ref string) bool
 }
 
-// MaxBody is the largest body that a user or a worker may send or be sent, in bytes.
+// MaxBody is the size in bytes of the largest body that a user or a worker may send or receive.
 const MaxBody = wire.MaxBody
 
 // Service answers users. Its fields are set before its first use and not changed later.
@@ -173,7 +173,7 @@
 }
 
 // answerState answers with a job's state: from the leader if that can be asked, else from the store
-// (docs/design.md, "Safety arguments" 9; TestNoAnswerInDoubt).
+// (docs/design.md, "Safety arguments" 9; TestNoAnswerWhileOutcomeUnknown).
 func (s *Service) answerState(ctx context.Context, ref string) Answer {
 	if view, ok := s.Leader.View(ref); ok {
 		return JobStateAnswer(ref, view)
