--- a/internal/controller/replication/node.go
+++ b/internal/controller/replication/node.go
@@ -145,7 +145,7 @@
 	}
 	n.publisher, n.term = standby.NewPublisher(term.Number, n.options), term.Number
 	if n.log != nil {
-		n.publisher.Follow(logFollower, standby.Position{})
+		n.publisher.AddFollower(logFollower, standby.Position{})
 	}
 	n.phaseReached(standby.ViewCurrent, now)
 	var records []core.WarmRecord
@@ -221,7 +221,7 @@
 	if n.publisher == nil {
 		return ""
 	}
-	successor := n.publisher.HandOver(candidates)
+	successor := n.publisher.ChooseSuccessor(candidates)
 	n.wakeStreams()
 	return successor
 }
--- a/internal/controller/replication/stream.go
+++ b/internal/controller/replication/stream.go
@@ -26,7 +26,7 @@
 		return nil, errNotLeading
 	}
 	n.logger.Debug("follower joined", "follower", follower, "term", from.Term, "sequence", from.Sequence)
-	n.publisher.Follow(follower, from)
+	n.publisher.AddFollower(follower, from)
 	wake := make(chan struct{}, 1)
 	n.streams[follower] = wake
 	return wake, nil
@@ -52,7 +52,7 @@
 		return
 	}
 	if resync {
-		n.publisher.Follow(follower, at)
+		n.publisher.AddFollower(follower, at)
 		return
 	}
 	n.publisher.Acknowledge(follower, at)
@@ -67,6 +67,6 @@
 	}
 	delete(n.streams, follower)
 	if n.publisher != nil {
-		n.publisher.Leave(follower)
+		n.publisher.RemoveFollower(follower)
 	}
 }
--- a/internal/decisionlog/decisionlog_test.go
+++ b/internal/decisionlog/decisionlog_test.go
@@ -34,7 +34,7 @@
 	}
 	w := &writer{t: t, rng: rand.New(rand.NewPCG(seed, 5)), log: log, now: time.Unix(5000, 0),
 		publisher: standby.NewPublisher(7, standby.Options{QueueBound: 500, SnapshotInterval: time.Second, Heartbeat: time.Hour})}
-	w.publisher.Follow("log", standby.Position{})
+	w.publisher.AddFollower("log", standby.Position{})
 	return w, recovered
 }
 
--- a/internal/simulation/node_standby.go
+++ b/internal/simulation/node_standby.go
@@ -97,7 +97,7 @@
 		if !n.reaches(o) {
 			if s.streams[n][o] != nil {
 				delete(s.streams[n], o)
-				n.publisher.Leave(o.name)
+				n.publisher.RemoveFollower(o.name)
 			}
 			continue
 		}
@@ -139,7 +139,7 @@
 			names = append(names, o.name)
 		}
 	}
-	if n.publisher.HandOver(names) != "" {
+	if n.publisher.ChooseSuccessor(names) != "" {
 		n.w.standbys.count("successors named", 1)
 	}
 	n.replicate()
--- a/internal/simulation/standby.go
+++ b/internal/simulation/standby.go
@@ -63,7 +63,7 @@
 		s.streams[leader] = map[*node]*stream{}
 	}
 	s.streams[leader][follower] = c
-	leader.publisher.Follow(follower.name, follower.standby.Position())
+	leader.publisher.AddFollower(follower.name, follower.standby.Position())
 	return c
 }
 
@@ -83,7 +83,7 @@
 					}
 					leader.publisher.Acknowledge(follower.name, at)
 					if resync {
-						leader.publisher.Follow(follower.name, at)
+						leader.publisher.AddFollower(follower.name, at)
 					}
 				})
 			})
--- a/internal/standby/pair_test.go
+++ b/internal/standby/pair_test.go
@@ -79,7 +79,7 @@
 func (p *pair) beginTerm(term uint64) {
 	p.publisher = NewPublisher(term, testOptions())
 	p.snapshots = nil // each leader limits its own snapshots
-	p.publisher.Follow("b", p.follower.Position())
+	p.publisher.AddFollower("b", p.follower.Position())
 	p.recordDigest()
 }
 
@@ -123,7 +123,7 @@
 		}
 		p.publisher.Acknowledge("b", p.follower.Position())
 		if outcome.NeedsSnapshot() && p.follower.MayResync(p.now) {
-			p.publisher.Follow("b", p.follower.Position())
+			p.publisher.AddFollower("b", p.follower.Position())
 		}
 	}
 }
@@ -139,7 +139,7 @@
 		p.beginTerm(p.publisher.term + 1)
 	}
 	if p.rng.IntN(40) == 0 { // a new connection
-		p.publisher.Leave("b")
-		p.publisher.Follow("b", p.follower.Position())
+		p.publisher.RemoveFollower("b")
+		p.publisher.AddFollower("b", p.follower.Position())
 	}
 }
--- a/internal/standby/publisher.go
+++ b/internal/standby/publisher.go
@@ -26,7 +26,7 @@
 	newest    uint64  // number of the newest change
 	recent    []Entry // the newest changes, at most QueueBound; the number of the last one is newest
 	followers map[string]*follower
-	successor string // follower that HandOver has chosen; empty if none
+	successor string // follower that ChooseSuccessor has chosen; empty if none
 }
 
 // follower is the leader's state for one follower.
@@ -70,9 +70,9 @@
 // Newest returns the number of the newest change.
 func (p *Publisher) Newest() uint64 { return p.newest }
 
-// Follow starts or restarts serving a follower from its position. If the position is of another term,
+// AddFollower starts or restarts serving a follower from its position. If the position is of another term,
 // or the kept changes don't continue from it, the follower is sent a snapshot first.
-func (p *Publisher) Follow(name string, from Position) {
+func (p *Publisher) AddFollower(name string, from Position) {
 	f := p.followers[name]
 	if f == nil {
 		f = &follower{}
@@ -87,9 +87,9 @@
 	f.lastFrameAt = time.Time{}
 }
 
-// Leave stops serving a follower. The time of its last snapshot is kept, so that a follower which
+// RemoveFollower stops serving a follower. The time of its last snapshot is kept, so that a follower which
 // reconnects at once doesn't get snapshots more often.
-func (p *Publisher) Leave(name string) {
+func (p *Publisher) RemoveFollower(name string) {
 	if f := p.followers[name]; f != nil {
 		f.acknowledged, f.snapshot, f.needsSnapshot = 0, nil, true
 	}
@@ -134,11 +134,11 @@
 	return 0
 }
 
-// HandOver chooses the successor of a leader that is about to give up its lease: the candidate that
+// ChooseSuccessor chooses the successor of a leader that is about to give up its lease: the candidate that
 // has acknowledged the most changes of this term, or the first of these by name. It returns the
 // successor's name, which Next then sends to all followers, or an empty string if no candidate has
 // any state of this term.
-func (p *Publisher) HandOver(candidates []string) string {
+func (p *Publisher) ChooseSuccessor(candidates []string) string {
 	var best *follower
 	for _, name := range slices.Sorted(slices.Values(candidates)) {
 		f := p.followers[name]
--- a/internal/standby/standby_test.go
+++ b/internal/standby/standby_test.go
@@ -114,8 +114,8 @@
 		t.Fatal("the lagging standby doesn't let the current one claim first")
 	}
 	other := New("d", testTimeouts())
-	p.publisher.Follow("d", Position{})
-	if named := p.publisher.HandOver([]string{"b", "d", "x"}); named != "b" {
+	p.publisher.AddFollower("d", Position{})
+	if named := p.publisher.ChooseSuccessor([]string{"b", "d", "x"}); named != "b" {
 		t.Fatalf("%q is named as the successor, want b, the only one with the state", named)
 	}
 	for f, ok := p.publisher.Next(p.now, "d"); ok; f, ok = p.publisher.Next(p.now, "d") {
@@ -136,8 +136,8 @@
 func TestNoSuccessor(t *testing.T) {
 	p := NewPublisher(4, testOptions())
 	p.Publish([]Entry{{Key: "k", Value: []byte("v")}})
-	p.Follow("b", Position{})
-	if named := p.HandOver([]string{"b", "c"}); named != "" {
+	p.AddFollower("b", Position{})
+	if named := p.ChooseSuccessor([]string{"b", "c"}); named != "" {
 		t.Fatalf("%q is named as the successor, but has no state", named)
 	}
 }
--- a/internal/standby/stream_test.go
+++ b/internal/standby/stream_test.go
@@ -29,7 +29,7 @@
 			p.now = p.now.Add(400 * time.Millisecond)
 			p.deliverFrames()
 			if p.follower.State() != Following && p.follower.MayResync(p.now) {
-				p.publisher.Follow("b", p.follower.Position())
+				p.publisher.AddFollower("b", p.follower.Position())
 			}
 		}
 		newest := Position{p.publisher.term, p.publisher.newest}
@@ -90,7 +90,7 @@
 		p.publisher.Publish([]Entry{{Key: fmt.Sprint("big", i), Value: append([]byte{byte(i)}, big...)}})
 		p.recordDigest()
 	}
-	p.publisher.Follow("b", Position{})
+	p.publisher.AddFollower("b", Position{})
 	var parts []Frame
 	for f, ok := p.publisher.Next(p.now, "b"); ok; f, ok = p.publisher.Next(p.now, "b") {
 		parts = append(parts, f)
--- a/internal/standbyrpc/standbyrpc_test.go
+++ b/internal/standbyrpc/standbyrpc_test.go
@@ -33,7 +33,7 @@
 	if s.publisher == nil {
 		return nil, errNotLeading
 	}
-	s.publisher.Follow(follower, from)
+	s.publisher.AddFollower(follower, from)
 	return s.wake, nil
 }
 
@@ -55,7 +55,7 @@
 	switch {
 	case s.publisher == nil:
 	case resync:
-		s.publisher.Follow(follower, at)
+		s.publisher.AddFollower(follower, at)
 	default:
 		s.publisher.Acknowledge(follower, at)
 	}
