--- a/cmd/gingertally/recovery.go
+++ b/cmd/gingertally/recovery.go
@@ -41,7 +41,7 @@
 		fmt.Fprintln(&text, "\nMACHINE\tSTATE\tLAST DIFFERENCE")
 	}
 	for _, machine := range status.Unsettled {
-		fmt.Fprintf(&text, "%s\t%s\t%s\n", machine.Machine, machine.State, machine.Why)
+		fmt.Fprintf(&text, "%s\t%s\t%s\n", machine.Machine, machine.State, machine.LastDifference)
 	}
 	return text.String()
 }
--- a/internal/core/drain_eviction.go
+++ b/internal/core/drain_eviction.go
@@ -228,7 +228,7 @@
 // judged again.
 func (e *Engine) sendEviction(now time.Time, m *fleet.Machine, a *fleet.Attempt) bool {
 	j := e.jobs.get(a.Ref)
-	if j == nil || !e.cfg.Drain.MayMoveNow(now, j.Team, j.Class, evictionTime(j)) {
+	if j == nil || !e.cfg.Drain.OutsideClosedWindows(now, j.Team, j.Class, evictionTime(j)) {
 		a.WithdrawEviction()
 		return false
 	}
@@ -278,7 +278,7 @@
 // endCharge records that an attempt is gone, which ends its charge if it has one.
 func (e *Engine) endCharge(now time.Time, a *fleet.Attempt) {
 	if e.drains != nil {
-		e.drains.coordinator.Ledger.End(now, taskKey(a), a.Number)
+		e.drains.coordinator.Ledger.AttemptGone(now, taskKey(a), a.Number)
 	}
 }
 
@@ -286,7 +286,7 @@
 // what they still allow.
 func (e *Engine) chargeInvoluntary(now time.Time, a *fleet.Attempt) {
 	j := e.jobs.get(a.Ref)
-	if e.drains == nil || j == nil || j.Over() || !e.cfg.Drain.Limits(j.Team, j.Class) {
+	if e.drains == nil || j == nil || j.Over() || !e.cfg.Drain.HasBudget(j.Team, j.Class) {
 		return
 	}
 	onMachine := a.State() >= fleet.Fetching && a.State() != fleet.Exited
@@ -310,7 +310,7 @@
 
 // budgetsAllowMove reports whether disruption budgets allow consolidation to move an attempt.
 func (e *Engine) budgetsAllowMove(now time.Time, a *fleet.Attempt, j *pipeline.Job) bool {
-	if e.drains == nil || !e.cfg.Drain.Limits(j.Team, j.Class) {
+	if e.drains == nil || !e.cfg.Drain.HasBudget(j.Team, j.Class) {
 		return true
 	}
 	g := newEvictionGroup(now, j, e.interruptedWith(j, a))
@@ -324,7 +324,7 @@
 		j := e.jobs.get(a.Ref)
 		switch {
 		case j == nil || a.State() == fleet.Exited:
-		case e.drains != nil && e.cfg.Drain.Limits(j.Team, j.Class):
+		case e.drains != nil && e.cfg.Drain.HasBudget(j.Team, j.Class):
 			e.drains.consolidating.begin(now, m)
 		default:
 			e.stopWithCheckpoint(now, m, a, j)
--- a/internal/core/drain_preview.go
+++ b/internal/core/drain_preview.go
@@ -22,7 +22,7 @@
 	interrupted := map[drain.Scope]int{}
 	for _, name := range e.machines.names() {
 		m := e.machines.get(name)
-		if !plan.Selects(drain.MachineID{Name: m.Name, Type: m.Type, Zone: m.Zone}) {
+		if !plan.Selects(drain.MachineInfo{Name: m.Name, Type: m.Type, Zone: m.Zone}) {
 			continue
 		}
 		stage := preview.Machines / plan.MaxAtOnce
--- a/internal/core/drain_round.go
+++ b/internal/core/drain_round.go
@@ -204,7 +204,7 @@
 	switch {
 	case g.candidate.Replicas > 0:
 		return allowed
-	case v.OnlyEnds || ends.Before(allowed):
+	case v.MustFinish || ends.Before(allowed):
 		return ends
 	}
 	return allowed
--- a/internal/core/drain_writes.go
+++ b/internal/core/drain_writes.go
@@ -161,7 +161,7 @@
 
 // chargePageWritten passes the outcome of the write of a page to the ledger of charges.
 func (e *Engine) chargePageWritten(name string, deleted bool, outcome drain.PageWriteOutcome) {
-	e.drains.coordinator.Ledger.Written(drain.ChargePageWrite{Name: name, Delete: deleted}, outcome)
+	e.drains.coordinator.Ledger.PageWritten(drain.ChargePageWrite{Name: name, Delete: deleted}, outcome)
 }
 
 // cordonPageWritten passes the outcome of the write of a page to the coordinator. Machines that the
--- a/internal/core/draining.go
+++ b/internal/core/draining.go
@@ -42,7 +42,7 @@
 	ledger := e.drains.coordinator.Ledger
 	for _, c := range ledger.OpenCharges() {
 		if e.usage.find(fleet.TaskID{Ref: c.Job, Task: c.Task}, c.Attempt) == nil {
-			ledger.End(now, c.TaskKey, c.Attempt)
+			ledger.AttemptGone(now, c.TaskKey, c.Attempt)
 		}
 	}
 	for _, job := range ledger.ChargedJobs() {
@@ -60,7 +60,7 @@
 		return
 	}
 	d.lastMachine = max(d.lastMachine, m.Name)
-	d.coordinator.MachineAdded(drain.MachineID{Name: m.Name, Type: m.Type, Zone: m.Zone})
+	d.coordinator.MachineAdded(drain.MachineInfo{Name: m.Name, Type: m.Type, Zone: m.Zone})
 	e.applyCordon(m)
 	if d.coordinator.Emptied(m.Name) {
 		e.startDraining(now, m) // it was emptied, and its release may not have been carried out
@@ -112,7 +112,7 @@
 	}
 	if needsMachines {
 		for m := range e.machines.all() {
-			d.coordinator.MachineAdded(drain.MachineID{Name: m.Name, Type: m.Type, Zone: m.Zone})
+			d.coordinator.MachineAdded(drain.MachineInfo{Name: m.Name, Type: m.Type, Zone: m.Zone})
 		}
 	}
 	for m := range e.machines.all() {
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -244,7 +244,7 @@
 				return
 			}
 		}
-		h.stored.Charges = append(h.stored.Charges, drain.StoredCharges{Name: w.Name, Version: 100, Record: w.Record})
+		h.stored.Charges = append(h.stored.Charges, drain.StoredChargePage{Name: w.Name, Version: 100, Record: w.Record})
 	case PutCordonPage:
 		h.storeCordons(w.Name, w.Record)
 	case DeleteCordonPage:
@@ -268,7 +268,7 @@
 			return
 		}
 	}
-	h.stored.Machines = append(h.stored.Machines, drain.StoredMachines{Name: name, Version: 100, Record: record})
+	h.stored.Machines = append(h.stored.Machines, drain.StoredMachinePage{Name: name, Version: 100, Record: record})
 }
 
 // storePlan stores a drain plan and tells the leader.
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -184,7 +184,7 @@
 			continue
 		}
 		finding := recovery.ClassifyUnreported(recovery.UnreportedAttempt{
-			Inherited: a.Inherited, Confirmed: m.TermConfirmed(),
+			Inherited: a.Inherited, TermConfirmed: m.TermConfirmed(),
 			// The worker received or dropped the answer with the start before it sent this
 			// heartbeat, and doesn't execute it later.
 			Answered: a.State() == fleet.Sent && r.Sequence > a.CommandSequence(),
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -18,7 +18,7 @@
 	exited := t.State == fleet.Exited
 	o := recovery.ObservedTask{
 		Exited: exited, Done: exited && t.Cause == fleet.CauseDone,
-		Confirmed: token == e.numbers.term,
+		TermConfirmed: token == e.numbers.term,
 	}
 	if j := e.jobs.get(t.Ref); j != nil && t.Task < len(j.Tasks) {
 		o.JobOpen, o.ResultWanted = !j.Over(), j.Tasks[t.Task].State() != pipeline.Finished
--- a/internal/drain/budget.go
+++ b/internal/drain/budget.go
@@ -77,8 +77,8 @@
 	return out
 }
 
-// Limits reports whether any budget applies to jobs of a team and class.
-func (p *Policy) Limits(team, class string) bool { return len(p.budgetsFor(team, class)) > 0 }
+// HasBudget reports whether any budget applies to jobs of a team and class.
+func (p *Policy) HasBudget(team, class string) bool { return len(p.budgetsFor(team, class)) > 0 }
 
 // LimitsUnavailable reports whether any budget that applies to jobs of a team and class limits how
 // many tasks of a job may be down at a time.
--- a/internal/drain/charge_page.go
+++ b/internal/drain/charge_page.go
@@ -25,8 +25,8 @@
 	Jobs []JobCharges `cbor:"c"`
 }
 
-// StoredCharges is a page of charges as the state service holds it.
-type StoredCharges struct {
+// StoredChargePage is a page of charges as the state service holds it.
+type StoredChargePage struct {
 	Name    string
 	Version uint64
 	Record  ChargePage
--- a/internal/drain/coordinator.go
+++ b/internal/drain/coordinator.go
@@ -21,8 +21,8 @@
 // Stored holds everything about drains that the state service has.
 type Stored struct {
 	Plans    []StoredPlan
-	Machines []StoredMachines
-	Charges  []StoredCharges
+	Machines []StoredMachinePage
+	Charges  []StoredChargePage
 }
 
 // NewCoordinator returns a coordinator that continues from what the state service holds. The function
@@ -109,7 +109,7 @@
 
 // MachineAdded reports that a machine exists. It is queued for every unfinished plan that
 // selects it and hasn't claimed it yet.
-func (c *Coordinator) MachineAdded(id MachineID) {
+func (c *Coordinator) MachineAdded(id MachineInfo) {
 	for _, p := range c.plans.byAge {
 		if p.takesMachines() && !p.queue.queued[id.Name] && p.Selects(id) && !c.machines.claimed(id.Name, p.ID) {
 			p.queue.insert(id.Name)
--- a/internal/drain/coordinator_test.go
+++ b/internal/drain/coordinator_test.go
@@ -11,13 +11,13 @@
 // testStore stands in for the state service: it holds pages by name, and fails the test if a write
 // doesn't name the version that it replaces.
 type testStore struct {
-	charges  map[string]StoredCharges
-	machines map[string]StoredMachines
+	charges  map[string]StoredChargePage
+	machines map[string]StoredMachinePage
 	revision uint64
 }
 
 func newTestStore() *testStore {
-	return &testStore{charges: map[string]StoredCharges{}, machines: map[string]StoredMachines{}}
+	return &testStore{charges: map[string]StoredChargePage{}, machines: map[string]StoredMachinePage{}}
 }
 
 // writeAll carries out the writes that a coordinator proposes, until it proposes no more.
@@ -45,13 +45,13 @@
 	}
 	c.Ledger.WriteStarted(w.Name)
 	s.revision++
-	s.charges[w.Name] = StoredCharges{Name: w.Name, Version: s.revision, Record: w.Record}
+	s.charges[w.Name] = StoredChargePage{Name: w.Name, Version: s.revision, Record: w.Record}
 	outcome := PageWriteOutcome{OK: true, Version: s.revision}
 	if w.Delete {
 		delete(s.charges, w.Name)
 		outcome.Version = 0
 	}
-	c.Ledger.Written(w, outcome)
+	c.Ledger.PageWritten(w, outcome)
 }
 
 func (s *testStore) writeMachines(t *testing.T, c *Coordinator, w MachinePageWrite) {
@@ -61,7 +61,7 @@
 	}
 	c.MachinePageWriteStarted(w.Name)
 	s.revision++
-	s.machines[w.Name] = StoredMachines{Name: w.Name, Version: s.revision, Record: w.Record}
+	s.machines[w.Name] = StoredMachinePage{Name: w.Name, Version: s.revision, Record: w.Record}
 	outcome := PageWriteOutcome{OK: true, Version: s.revision}
 	if w.Delete {
 		delete(s.machines, w.Name)
@@ -95,8 +95,8 @@
 		Through: "m-999999", CreatedMS: testStart.UnixMilli()}}
 }
 
-func machineID(i int) MachineID {
-	return MachineID{Name: fmt.Sprintf("m-%06d", i), Type: "t", Zone: "z"}
+func machineID(i int) MachineInfo {
+	return MachineInfo{Name: fmt.Sprintf("m-%06d", i), Type: "t", Zone: "z"}
 }
 
 // A plan for 4,000 machines, ten at a time, with a takeover after every 500, drains each machine once,
@@ -388,8 +388,8 @@
 		return ChargePage{Jobs: []JobCharges{{Job: "j-1", Team: "red", Class: "c", Entries: []ChargeEntry{charge}}}}
 	}
 	l := newTestLedger(p)
-	l.Recover(StoredCharges{Name: "1-1", Version: 1, Record: entry(testStart.UnixMilli())})
-	l.Recover(StoredCharges{Name: "1-2", Version: 2, Record: entry(0)})
+	l.Recover(StoredChargePage{Name: "1-1", Version: 1, Record: entry(testStart.UnixMilli())})
+	l.Recover(StoredChargePage{Name: "1-2", Version: 2, Record: entry(0)})
 	if open := l.OpenCharges(); len(open) != 1 {
 		t.Fatalf("%d open charges", len(open))
 	}
@@ -411,8 +411,8 @@
 	if c.Ledger.Withdraw(task, 1); c.Ledger.Find(task, 1) == nil {
 		t.Fatal("withdrawn while its page is being written")
 	}
-	c.Ledger.Written(w[0], PageWriteOutcome{OK: true, Version: 1})
-	store.charges[w[0].Name], store.revision = StoredCharges{Name: w[0].Name, Version: 1, Record: w[0].Record}, 1
+	c.Ledger.PageWritten(w[0], PageWriteOutcome{OK: true, Version: 1})
+	store.charges[w[0].Name], store.revision = StoredChargePage{Name: w[0].Name, Version: 1, Record: w[0].Record}, 1
 	if c.Ledger.Withdraw(task, 1); c.Ledger.Find(task, 1) != nil {
 		t.Fatal("not withdrawn")
 	}
--- a/internal/drain/ledger.go
+++ b/internal/drain/ledger.go
@@ -22,7 +22,7 @@
 }
 
 // Recover adds the charges of a page that the state service holds.
-func (l *Ledger) Recover(stored StoredCharges) {
+func (l *Ledger) Recover(stored StoredChargePage) {
 	p := l.pages.newPage(stored.Name)
 	p.version = stored.Version
 	for _, job := range stored.Record.Jobs {
@@ -99,8 +99,8 @@
 // Find returns the charge of an attempt, or nil if it has none.
 func (l *Ledger) Find(task TaskKey, attempt uint64) *Charge { return l.index.find(task, attempt) }
 
-// End records that an attempt is known to be gone, and ends its charge if it has an open one.
-func (l *Ledger) End(now time.Time, task TaskKey, attempt uint64) {
+// AttemptGone records that an attempt is known to be gone, and ends its charge if it has an open one.
+func (l *Ledger) AttemptGone(now time.Time, task TaskKey, attempt uint64) {
 	if c := l.Find(task, attempt); c != nil && c.Open() {
 		c.EndMS = now.UnixMilli()
 		l.pages.changed(c)
@@ -162,8 +162,8 @@
 // WriteStarted records that a write of a page is under way.
 func (l *Ledger) WriteStarted(name string) { l.pages.writeStarted(name) }
 
-// Written records the outcome of a write of a page.
-func (l *Ledger) Written(w ChargePageWrite, outcome PageWriteOutcome) {
+// PageWritten records the outcome of a write of a page.
+func (l *Ledger) PageWritten(w ChargePageWrite, outcome PageWriteOutcome) {
 	p := l.pages.byName[w.Name]
 	if p == nil {
 		return
--- a/internal/drain/machine_page.go
+++ b/internal/drain/machine_page.go
@@ -19,8 +19,8 @@
 	Machines []MachineEntry `cbor:"m"`
 }
 
-// StoredMachines is a page of machines as the state service holds it.
-type StoredMachines struct {
+// StoredMachinePage is a page of machines as the state service holds it.
+type StoredMachinePage struct {
 	Name    string
 	Version uint64
 	Record  MachinePage
--- a/internal/drain/machine_pages.go
+++ b/internal/drain/machine_pages.go
@@ -28,7 +28,7 @@
 }
 
 // recover adds a page that the state service holds, and returns its machines.
-func (s *machinePages) recover(stored StoredMachines) []*Machine {
+func (s *machinePages) recover(stored StoredMachinePage) []*Machine {
 	p := s.newPage(stored.Name)
 	p.mayExist, p.version = true, stored.Version
 	var out []*Machine
--- a/internal/drain/machine_set.go
+++ b/internal/drain/machine_set.go
@@ -21,7 +21,7 @@
 }
 
 // recover adds the machines of a page that the state service holds.
-func (s *machineSet) recover(stored StoredMachines) {
+func (s *machineSet) recover(stored StoredMachinePage) {
 	for _, m := range s.pages.recover(stored) {
 		s.byName[m.Name] = m
 	}
--- a/internal/drain/plan.go
+++ b/internal/drain/plan.go
@@ -132,13 +132,13 @@
 	return time.UnixMilli(p.CreatedMS).Add(p.Deadline)
 }
 
-// MachineID holds the name of a machine and the attributes by which plans select it.
-type MachineID struct{ Name, Type, Zone string }
+// MachineInfo holds the name of a machine and the attributes by which plans select it.
+type MachineInfo struct{ Name, Type, Zone string }
 
 // Selects reports whether the plan applies to a machine.
-func (p *Plan) Selects(m MachineID) bool { return m.Name <= p.Through && p.Selector.matches(m) }
+func (p *Plan) Selects(m MachineInfo) bool { return m.Name <= p.Through && p.Selector.matches(m) }
 
-func (s *Selector) matches(m MachineID) bool {
+func (s *Selector) matches(m MachineInfo) bool {
 	return (len(s.Machines) == 0 || slices.Contains(s.Machines, m.Name)) &&
 		(s.Type == "" || s.Type == m.Type) &&
 		(s.Zone == "" || s.Zone == m.Zone)
--- a/internal/drain/verdict.go
+++ b/internal/drain/verdict.go
@@ -84,8 +84,8 @@
 	Scope Scope     // of the budget that forbids it; empty: no budget does
 	Job   string    // whose tasks are judged
 	Until time.Time // when the cause ends; zero: not known
-	// OnlyEnds says that a budget will never allow the eviction: the tasks have to finish.
-	OnlyEnds bool
+	// MustFinish says that a budget will never allow the eviction: the tasks have to finish.
+	MustFinish bool
 }
 
 // String returns the verdict as shown to operators: empty if it is Allowed.
@@ -137,7 +137,7 @@
 	return max(1, c.Replicas/serviceUnavailableDivisor)
 }
 
-// worse returns the stricter of two verdicts: by their kind, then by OnlyEnds, then, if they are
+// worse returns the stricter of two verdicts: by their kind, then by MustFinish, then, if they are
 // NotYet, by the later Until. If none is stricter, it returns a.
 func worse(a, b Verdict) Verdict {
 	switch {
@@ -145,8 +145,8 @@
 		if b.Kind > a.Kind {
 			return b
 		}
-	case b.OnlyEnds != a.OnlyEnds:
-		if b.OnlyEnds {
+	case b.MustFinish != a.MustFinish:
+		if b.MustFinish {
 			return b
 		}
 	case b.Kind == NotYet && b.Until.After(a.Until):
@@ -217,7 +217,7 @@
 	if c.isService() {
 		kind = Never
 	}
-	return Verdict{Kind: kind, Cause: cause, Scope: scope, Job: c.Job, OnlyEnds: true}
+	return Verdict{Kind: kind, Cause: cause, Scope: scope, Job: c.Job, MustFinish: true}
 }
 
 // judgeClosed judges by a budget's closed windows: none may overlap the time from now until the
@@ -233,9 +233,9 @@
 	return Verdict{Job: c.Job}
 }
 
-// MayMoveNow reports whether the closed windows allow tasks of jobs of a team and class to be moved
-// now, if that takes the given time.
-func (p *Policy) MayMoveNow(now time.Time, team, class string, takes time.Duration) bool {
+// OutsideClosedWindows reports whether the closed windows allow tasks of jobs of a team and class to be
+// moved now, if that takes the given time.
+func (p *Policy) OutsideClosedWindows(now time.Time, team, class string, takes time.Duration) bool {
 	for _, b := range p.budgetsFor(team, class) {
 		if open, ok := openFrom(b.budget.Closed, now, takes, p.Skew); !ok || open.After(now) {
 			return false
--- a/internal/drain/verdict_test.go
+++ b/internal/drain/verdict_test.go
@@ -82,7 +82,7 @@
 	third := candidate("j-1", 2, 4)
 	at := testStart.Add(time.Hour)
 	expect(t, "while both are open", p.Judge(at, l, third), NotYet, CauseWindowBudget)
-	l.End(at, TaskKey{"j-1", 0}, 1)
+	l.AttemptGone(at, TaskKey{"j-1", 0}, 1)
 	v := p.Judge(at, l, third)
 	expect(t, "right after the end of one", v, NotYet, CauseWindowBudget)
 	if until := at.Add(time.Minute + 2*time.Second); !v.Until.Equal(until) {
@@ -153,7 +153,7 @@
 		{noon.Add(time.Hour + time.Second), true},
 	} {
 		v := p.Judge(c.at, l, candidate("j-1", 0, 1))
-		if (v.Kind == Allowed) != c.allowed || p.MayMoveNow(c.at, "red", "c", 5*time.Second) != c.allowed {
+		if (v.Kind == Allowed) != c.allowed || p.OutsideClosedWindows(c.at, "red", "c", 5*time.Second) != c.allowed {
 			t.Errorf("at %s: verdict %+v", c.at, v)
 		}
 		if until := noon.Add(time.Hour + time.Second); !c.allowed && !v.Until.Equal(until) {
--- a/internal/jobstore/drains.go
+++ b/internal/jobstore/drains.go
@@ -45,14 +45,14 @@
 	return stored, err
 }
 
-func decodeCordonPage(item statestore.KeyValue) (drain.StoredMachines, error) {
-	page := drain.StoredMachines{Name: strings.TrimPrefix(item.Key, cordonPrefix), Version: item.ModRevision}
+func decodeCordonPage(item statestore.KeyValue) (drain.StoredMachinePage, error) {
+	page := drain.StoredMachinePage{Name: strings.TrimPrefix(item.Key, cordonPrefix), Version: item.ModRevision}
 	err := decodeValue(item, &page.Record)
 	return page, err
 }
 
-func decodeChargePage(item statestore.KeyValue) (drain.StoredCharges, error) {
-	page := drain.StoredCharges{Name: strings.TrimPrefix(item.Key, chargePrefix), Version: item.ModRevision}
+func decodeChargePage(item statestore.KeyValue) (drain.StoredChargePage, error) {
+	page := drain.StoredChargePage{Name: strings.TrimPrefix(item.Key, chargePrefix), Version: item.ModRevision}
 	err := decodeValue(item, &page.Record)
 	return page, err
 }
--- a/internal/jobstore/drains_test.go
+++ b/internal/jobstore/drains_test.go
@@ -27,11 +27,11 @@
 	c := drain.NewCoordinator(now, policy, stored, newName, func() int { return limit })
 	for i := range 300 {
 		name := fmt.Sprintf("m-%06d", i)
-		c.MachineAdded(drain.MachineID{Name: name})
+		c.MachineAdded(drain.MachineInfo{Name: name})
 		c.Cordon(now, name, plan.ID)
 		task := drain.TaskKey{Job: fmt.Sprintf("j-%06d", i), Task: 99_999}
 		c.Ledger.Charge(now, "collect-ops", "script-read", task, math.MaxUint64, drain.Involuntary)
-		c.Ledger.End(now, task, math.MaxUint64)
+		c.Ledger.AttemptGone(now, task, math.MaxUint64)
 	}
 	var values []any
 	for _, w := range c.MachinePageWrites(math.MaxInt) {
--- a/internal/recovery/findings.go
+++ b/internal/recovery/findings.go
@@ -122,14 +122,14 @@
 
 // ObservedTask is a task as a heartbeat reports it, compared with what is recorded of it.
 type ObservedTask struct {
-	Holder       Holder
-	Inherited    bool // the attempt recorded here is from an earlier term, and no heartbeat has reported it
-	Exited       bool // the attempt has ended
-	Done         bool // the attempt has ended with a result
-	JobOpen      bool // the job is known and is neither over nor cancelled
-	ResultWanted bool // the task isn't done yet
-	Confirmed    bool // the heartbeat carries this term's fencing token
-	Gang         bool // the task belongs to a gang of several tasks, which run all together or not at all
+	Holder        Holder
+	Inherited     bool // the attempt recorded here is from an earlier term, and no heartbeat has reported it
+	Exited        bool // the attempt has ended
+	Done          bool // the attempt has ended with a result
+	JobOpen       bool // the job is known and is neither over nor cancelled
+	ResultWanted  bool // the task isn't done yet
+	TermConfirmed bool // the heartbeat carries this term's fencing token
+	Gang          bool // the task belongs to a gang of several tasks, which run all together or not at all
 }
 
 // Classify returns how a reported task differs from the records, and what to do about it.
@@ -172,7 +172,7 @@
 		return Finding{DoneJobOver, Forget}
 	case r.Exited:
 		return Finding{Failed, Forget}
-	case !r.Confirmed:
+	case !r.TermConfirmed:
 		return Finding{OlderHeartbeat, Ignore}
 	case !r.JobOpen || !r.ResultWanted:
 		return Finding{RunningJobOver, Stop}
@@ -188,10 +188,10 @@
 
 // UnreportedAttempt is a recorded attempt that a later heartbeat of its machine doesn't list.
 type UnreportedAttempt struct {
-	Inherited bool // the attempt is from an earlier term
-	Confirmed bool // the worker has this term's fencing token, or never held a task of an earlier term
-	Answered  bool // the start was in the response to an earlier heartbeat, so it was executed or dropped
-	Seen      bool // an earlier heartbeat in this term reported the attempt
+	Inherited     bool // the attempt is from an earlier term
+	TermConfirmed bool // the worker has this term's fencing token, or never held a task of an earlier term
+	Answered      bool // the start was in the response to an earlier heartbeat, so it was executed or dropped
+	Seen          bool // an earlier heartbeat in this term reported the attempt
 }
 
 // ClassifyUnreported returns what to do about an unreported attempt. An attempt of this term is gone
@@ -200,7 +200,7 @@
 func ClassifyUnreported(u UnreportedAttempt) Finding {
 	gone := u.Seen || u.Answered
 	if u.Inherited {
-		gone = u.Confirmed
+		gone = u.TermConfirmed
 	}
 	if gone {
 		return Finding{RecordedUnreported, MarkLost}
--- a/internal/recovery/findings_test.go
+++ b/internal/recovery/findings_test.go
@@ -5,7 +5,7 @@
 // taskWith returns a running, unrecorded task of an open job in a heartbeat with this term's fencing
 // token, after applying change to it.
 func taskWith(change func(*ObservedTask)) ObservedTask {
-	task := ObservedTask{JobOpen: true, ResultWanted: true, Confirmed: true}
+	task := ObservedTask{JobOpen: true, ResultWanted: true, TermConfirmed: true}
 	if change != nil {
 		change(&task)
 	}
@@ -25,7 +25,7 @@
 	},
 	{
 		"running and recorded, in a delayed or duplicated heartbeat",
-		taskWith(func(r *ObservedTask) { r.Holder, r.Confirmed, r.Inherited = HolderThisAttempt, false, true }),
+		taskWith(func(r *ObservedTask) { r.Holder, r.TermConfirmed, r.Inherited = HolderThisAttempt, false, true }),
 		Finding{RunningRecorded, Keep},
 	},
 	{
@@ -40,7 +40,7 @@
 	},
 	{
 		"running and never recorded, in a delayed or duplicated heartbeat",
-		taskWith(func(r *ObservedTask) { r.Confirmed = false }),
+		taskWith(func(r *ObservedTask) { r.TermConfirmed = false }),
 		Finding{OlderHeartbeat, Ignore},
 	},
 	{
@@ -136,12 +136,12 @@
 }{
 	{
 		"recorded by an earlier leader, missing from a heartbeat with this term's token",
-		UnreportedAttempt{Inherited: true, Confirmed: true}, MarkLost,
+		UnreportedAttempt{Inherited: true, TermConfirmed: true}, MarkLost,
 	},
 	{"recorded by an earlier leader, missing from a heartbeat without the token", UnreportedAttempt{Inherited: true}, Wait},
-	{"the start was executed or dropped", UnreportedAttempt{Answered: true, Confirmed: true}, MarkLost},
-	{"reported before", UnreportedAttempt{Seen: true, Confirmed: true}, MarkLost},
-	{"the start hasn't been sent, or may still be in transit", UnreportedAttempt{Confirmed: true}, Wait},
+	{"the start was executed or dropped", UnreportedAttempt{Answered: true, TermConfirmed: true}, MarkLost},
+	{"reported before", UnreportedAttempt{Seen: true, TermConfirmed: true}, MarkLost},
+	{"the start hasn't been sent, or may still be in transit", UnreportedAttempt{TermConfirmed: true}, Wait},
 }
 
 // Each row of the table of differences in docs/recovery.md is classified as stated there. A wrong
@@ -169,14 +169,14 @@
 			bit := func(i int) bool { return bits>>i&1 == 1 }
 			r := ObservedTask{
 				Holder: holder, Inherited: bit(0), Exited: bit(1) || bit(2), Done: bit(2),
-				JobOpen: bit(3), ResultWanted: bit(4), Confirmed: bit(5), Gang: bit(6),
+				JobOpen: bit(3), ResultWanted: bit(4), TermConfirmed: bit(5), Gang: bit(6),
 			}
 			f := Classify(r)
 			seen[f.Reason] = true
 			switch {
-			case f.Action == Adopt && (r.Exited || !r.JobOpen || !r.ResultWanted || !r.Confirmed || r.Gang || holder != HolderNone):
+			case f.Action == Adopt && (r.Exited || !r.JobOpen || !r.ResultWanted || !r.TermConfirmed || r.Gang || holder != HolderNone):
 				t.Errorf("adopted: %+v", r)
-			case f.Action == Stop && (r.Exited || !r.Confirmed):
+			case f.Action == Stop && (r.Exited || !r.TermConfirmed):
 				t.Errorf("stopped: %+v", r)
 			case f.Action == MarkLost && (holder != HolderOlderHere || !r.Inherited):
 				t.Errorf("marked lost: %+v", r)
--- a/internal/recovery/status.go
+++ b/internal/recovery/status.go
@@ -20,9 +20,9 @@
 
 // Unsettled is a machine that isn't settled yet.
 type Unsettled struct {
-	Machine string `json:"machine"`
-	State   string `json:"state"`
-	Why     string `json:"why,omitempty"` // reason of the last difference found on it; empty if there is none
+	Machine        string `json:"machine"`
+	State          string `json:"state"`
+	LastDifference string `json:"why,omitempty"` // reason of the last difference found on it; empty if there is none
 }
 
 // maxUnsettled is the largest number of machines in Status.Unsettled.
@@ -63,7 +63,7 @@
 		}
 		entry := Unsettled{Machine: name, State: m.state.String()}
 		if m.differs {
-			entry.Why = m.lastDifference.String()
+			entry.LastDifference = m.lastDifference.String()
 		}
 		list = append(list, entry)
 	}
