--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -119,7 +119,7 @@
 		t.Fatal(err)
 	}
 	got := stored.Catalog()["g8"]
-	if got == nil || got.CPUs != 96 || got.GPUs != 8 || got.SpotHour != 4.5 || got.Boot != 45*time.Second ||
+	if got == nil || got.CPUs != 96 || got.GPUs != 8 || got.SpotHourlyPrice != 4.5 || got.Boot != 45*time.Second ||
 		!slices.Equal(got.Zones, flavor.Yards) {
 		t.Errorf("machine type after encoding and decoding: %+v", got)
 	}
--- a/internal/cloud/messages.go
+++ b/internal/cloud/messages.go
@@ -21,7 +21,7 @@
 	for _, flavor := range t.flavors {
 		catalog[flavor.Label] = &placement.Type{
 			Name: flavor.Label, CPUs: flavor.VCPUs, GPUs: flavor.Cards, MemGB: flavor.MemGB, CacheGB: flavor.LocalGB,
-			FetchGBPerS: flavor.PullGBPerS, Hourly: flavor.Hourly, SpotHour: flavor.SpotPrice,
+			FetchGBPerS: flavor.PullGBPerS, HourlyPrice: flavor.Hourly, SpotHourlyPrice: flavor.SpotPrice,
 			Boot: seconds(flavor.ReadyS), Zones: flavor.Yards,
 		}
 	}
--- a/internal/controller/term/tick.go
+++ b/internal/controller/term/tick.go
@@ -53,7 +53,7 @@
 	began := time.Now()
 	end := began.Add(t.deps.RoundBudget)
 	defer func() { t.deps.Metrics.ObserveRound(time.Since(began)) }()
-	t.step(core.Tick{Spent: func() bool { return time.Now().After(end) }})
+	t.step(core.Tick{BudgetSpent: func() bool { return time.Now().After(end) }})
 }
 
 // Replicate streams changes of the engine's warm state to the standbys, at most maxWarmChanges of
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -46,7 +46,7 @@
 // log.
 func (e *Engine) settleExit(now time.Time, m *fleet.Machine, a *fleet.Attempt, was fleet.AttemptState) {
 	if was == fleet.Sent || was == fleet.Fetching {
-		if m.FetchGivenUp(now, a.Image, was) {
+		if m.FetchAbandoned(now, a.Image, was) {
 			e.imagesChanged(m)
 		}
 	}
--- a/internal/core/capacity/capacity.go
+++ b/internal/core/capacity/capacity.go
@@ -73,9 +73,9 @@
 	OutcomeUnknown bool // the request was given up without an answer
 }
 
-// Answered records the outcome of a request. If all machines were created, the offer's back-off
+// RecordAnswer records the outcome of a request. If all machines were created, the offer's back-off
 // ends; if some weren't, it is extended. An unknown outcome leaves it as it is.
-func (p *Plan) Answered(now time.Time, o fleet.PoolKey, a Answer) {
+func (p *Plan) RecordAnswer(now time.Time, o fleet.PoolKey, a Answer) {
 	p.requested[o] -= a.Requested
 	if p.requested[o] <= 0 {
 		delete(p.requested, o)
@@ -99,8 +99,8 @@
 	p.backoffs[o] = b
 }
 
-// Requested records that a request for machines of an offer was sent.
-func (p *Plan) Requested(o fleet.PoolKey, count int) {
+// RecordRequest records that a request for machines of an offer was sent.
+func (p *Plan) RecordRequest(o fleet.PoolKey, count int) {
 	if p.requested == nil {
 		p.requested = map[fleet.PoolKey]int{}
 	}
@@ -173,7 +173,7 @@
 		}
 		c := g.copies[s]
 		if c == nil {
-			c = s.Plain()
+			c = s.WithoutReservation()
 			g.copies[s] = c
 		}
 		more = fn(c)
--- a/internal/core/capacity/capacity_test.go
+++ b/internal/core/capacity/capacity_test.go
@@ -11,8 +11,8 @@
 )
 
 var types = placement.Catalog{
-	"cpu": {Name: "cpu", CPUs: 8, MemGB: 32, Hourly: 1, SpotHour: 0.5, Zones: []string{"a", "b"}},
-	"big": {Name: "big", CPUs: 64, MemGB: 256, Hourly: 7, SpotHour: 3, Zones: []string{"a"}},
+	"cpu": {Name: "cpu", CPUs: 8, MemGB: 32, HourlyPrice: 1, SpotHourlyPrice: 0.5, Zones: []string{"a", "b"}},
+	"big": {Name: "big", CPUs: 64, MemGB: 256, HourlyPrice: 7, SpotHourlyPrice: 3, Zones: []string{"a"}},
 }
 
 // job returns a job with a spec, all of whose tasks wait.
@@ -37,11 +37,11 @@
 	if len(o) != 1 || o[0] != (Order{fleet.PoolKey{Type: "cpu", Zone: "a", Spot: true}, 3}) {
 		t.Fatalf("orders %v", o)
 	}
-	p.Requested(o[0].Offer, 3)
+	p.RecordRequest(o[0].Offer, 3)
 	if again := p.Choose(now, []Demand{{Job: j, Tasks: 3}}, &placement.FreeCapacity{}, types); len(again) != 0 {
 		t.Fatalf("requested again while a request is in flight: %v", again)
 	}
-	p.Answered(now, o[0].Offer, Answer{Requested: 3})
+	p.RecordAnswer(now, o[0].Offer, Answer{Requested: 3})
 	other := fleet.PoolKey{Type: "cpu", Zone: "b", Spot: true}
 	o = p.Choose(now, []Demand{{Job: j, Tasks: 3}}, &placement.FreeCapacity{}, types)
 	if len(o) != 1 || o[0].Offer != other {
@@ -113,8 +113,8 @@
 	var first []Order
 	for i := range 100 {
 		var p Plan
-		p.Requested(fleet.PoolKey{Type: "cpu", Zone: "b", Spot: false}, 1)
-		p.Requested(fleet.PoolKey{Type: "big", Zone: "a", Spot: false}, 1)
+		p.RecordRequest(fleet.PoolKey{Type: "cpu", Zone: "b", Spot: false}, 1)
+		p.RecordRequest(fleet.PoolKey{Type: "big", Zone: "a", Spot: false}, 1)
 		orders := p.Choose(now, demand, &placement.FreeCapacity{}, types)
 		if i == 0 {
 			first = orders
--- a/internal/core/capacity_view.go
+++ b/internal/core/capacity_view.go
@@ -45,5 +45,5 @@
 	if m.HeartbeatExpected() {
 		return true
 	}
-	return m.StartBlock() == fleet.NotBlocked && m.ExistenceVerified() && !m.HasUnrecorded()
+	return m.StartBlock() == fleet.NotBlocked && m.ExistenceVerified() && !m.HasUnwanted()
 }
--- a/internal/core/consolidate.go
+++ b/internal/core/consolidate.go
@@ -197,7 +197,7 @@
 func (v *consolidation) copyOf(s *placement.Slot) *placement.Slot {
 	c := v.copies[s]
 	if c == nil {
-		c = s.Plain()
+		c = s.WithoutReservation()
 		v.copies[s] = c
 	}
 	return c
--- a/internal/core/drain_capacity.go
+++ b/internal/core/drain_capacity.go
@@ -98,7 +98,7 @@
 func (b *capacityBooking) copyOf(s *placement.Slot) *placement.Slot {
 	c := b.copies[s]
 	if c == nil {
-		c = s.Plain()
+		c = s.WithoutReservation()
 		b.copies[s] = c
 	}
 	return c
@@ -122,7 +122,7 @@
 	request := e.numbers.nextRequestName()
 	d.replacements.request(now, dm.Name, request)
 	d.coordinator.Move(dm, drain.Replacing)
-	e.plan.Requested(m.PoolKey, 1)
+	e.plan.RecordRequest(m.PoolKey, 1)
 	e.out.ScaleOut = append(e.out.ScaleOut, ScaleOut{
 		Name: request, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Count: 1,
 	})
--- a/internal/core/drain_eviction.go
+++ b/internal/core/drain_eviction.go
@@ -42,7 +42,7 @@
 	seen := map[string]bool{}
 	for _, a := range m.SortedAttempts() {
 		j := e.jobs.get(a.Ref)
-		if a.Leaving() || j == nil || j.Over() || a.Unrecorded {
+		if a.Leaving() || j == nil || j.Over() || a.Unwanted {
 			continue
 		}
 		if isGang(j) && seen[a.Ref] {
@@ -290,7 +290,7 @@
 		return
 	}
 	onMachine := a.State() >= fleet.Fetching && a.State() != fleet.Exited
-	if a.Unrecorded || a.Stopping() || !onMachine {
+	if a.Unwanted || a.Stopping() || !onMachine {
 		return
 	}
 	ledger := e.drains.coordinator.Ledger
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -152,9 +152,9 @@
 // Tick runs everything that depends on the time: the pace of a recovery, checks of machines and
 // their leases, deadlines of cancellations, rounds of decisions, and drains.
 type Tick struct {
-	// Spent reports whether the time budget of this pass of a round is used up; nil means that
+	// BudgetSpent reports whether the time budget of this pass of a round is used up; nil means that
 	// there is no time budget.
-	Spent func() bool
+	BudgetSpent func() bool
 }
 
 func (t Tick) apply(e *Engine, now time.Time) {
@@ -163,7 +163,7 @@
 	e.recovery.Advance(now, e.machines.everListed())
 	e.checkMachines(now)
 	e.enforceCancellations(now)
-	e.decide(now, t.Spent)
+	e.decide(now, t.BudgetSpent)
 	e.drainRound(now)
 }
 
--- a/internal/core/fair_order.go
+++ b/internal/core/fair_order.go
@@ -82,7 +82,7 @@
 		queue := queues[next]
 		group[i] = queue.entries[0]
 		queue.entries = queue.entries[1:]
-		queue.used += dominantShare(needOf(group[i].Job, group[i].Most), total) / e.fairWeight(next)
+		queue.used += dominantShare(needOf(group[i].Job, group[i].MaxTasks), total) / e.fairWeight(next)
 	}
 }
 
--- a/internal/core/fair_order_test.go
+++ b/internal/core/fair_order_test.go
@@ -58,7 +58,7 @@
 				t.Fatal(err)
 			}
 			p.Urgency = pipeline.Priority(i / 10)
-			in = append(in, prioritized{QueueEntry: placement.QueueEntry{Job: p, Most: len(p.Tasks)}, starving: i%10 == 0})
+			in = append(in, prioritized{QueueEntry: placement.QueueEntry{Job: p, MaxTasks: len(p.Tasks)}, starving: i%10 == 0})
 		}
 		out := append([]prioritized(nil), in...)
 		b.e.orderFairly(out)
--- a/internal/core/fleet/attempt.go
+++ b/internal/core/fleet/attempt.go
@@ -61,7 +61,7 @@
 	MemGB          float64
 	Image          string
 	Inherited      bool // from an earlier term: only a heartbeat under this term's fencing token proves it gone
-	Unrecorded     bool // reported though it should not run: stopped, and its result is ignored
+	Unwanted       bool // reported though it should not run: stopped, and its result is ignored
 	ServiceReplica bool // a service's replica, which runs until the service is cancelled
 
 	state      AttemptState
--- a/internal/core/fleet/images.go
+++ b/internal/core/fleet/images.go
@@ -68,11 +68,11 @@
 	return true
 }
 
-// FetchGivenUp records that an attempt which may have waited for an image has ended in the state was.
+// FetchAbandoned records that an attempt which may have waited for an image has ended in the state was.
 // If no other attempt on the machine waits for that image, the worker abandons the fetch, so the
 // image is removed if it can't be there yet: the attempt was reported as fetching it, or the fetch
 // isn't expected to be complete. It returns true if the image was removed.
-func (m *Machine) FetchGivenUp(now time.Time, name string, was AttemptState) bool {
+func (m *Machine) FetchAbandoned(now time.Time, name string, was AttemptState) bool {
 	for _, a := range m.attempts {
 		if a.Image == name && (a.state == Sent || a.state == Fetching) {
 			return false
--- a/internal/core/fleet/machine.go
+++ b/internal/core/fleet/machine.go
@@ -191,11 +191,11 @@
 	return out
 }
 
-// HasUnrecorded reports whether an attempt that should not run there, see Attempt.Unrecorded, may
+// HasUnwanted reports whether an attempt that should not run there, see Attempt.Unwanted, may
 // still be on the machine.
-func (m *Machine) HasUnrecorded() bool {
+func (m *Machine) HasUnwanted() bool {
 	for _, a := range m.attempts {
-		if a.Unrecorded && a.state != Exited {
+		if a.Unwanted && a.state != Exited {
 			return true
 		}
 	}
--- a/internal/core/fleet/start_log.go
+++ b/internal/core/fleet/start_log.go
@@ -48,14 +48,14 @@
 // a new leader reads all pages. Many starts share one write, and rewriting a page drops the entries
 // of attempts that are gone.
 type StartLogPage struct {
-	Name    string
-	Version uint64            // in the state service; 0: not there as far as is known
-	Sending bool              // a write is in flight
-	Dirty   bool              // has attempts that the stored page lacks
-	Trimmed time.Time         // when it was last stored or rejected, or a trim was last attempted
-	live    map[*Attempt]bool // attempts that may be on machines
-	bytes   int               // upper bound of the size of the live attempts' entries
-	stale   int               // stored entries whose attempts are gone
+	Name      string
+	Version   uint64            // in the state service; 0: not there as far as is known
+	Sending   bool              // a write is in flight
+	Dirty     bool              // has attempts that the stored page lacks
+	TrimmedAt time.Time         // when it was last stored or rejected, or a trim was last attempted
+	live      map[*Attempt]bool // attempts that may be on machines
+	bytes     int               // upper bound of the size of the live attempts' entries
+	stale     int               // stored entries whose attempts are gone
 }
 
 // NewStartLogPage returns an empty page.
@@ -161,7 +161,7 @@
 // Stored records that a record of the page is stored. The intended attempts in it become recorded,
 // so that they may be started.
 func (p *StartLogPage) Stored(now time.Time, r StartLogRecord, version uint64) {
-	p.Version, p.Sending, p.Trimmed = version, false, now
+	p.Version, p.Sending, p.TrimmedAt = version, false, now
 	stored := map[StartLogEntry]bool{}
 	for _, pl := range r.Placed {
 		for _, e := range pl.Entries {
@@ -185,6 +185,6 @@
 // WriteRefused records that the state service rejected the page as it was sent, so that a repeated
 // write would fail, too.
 func (p *StartLogPage) WriteRefused(now time.Time) {
-	p.Sending, p.Dirty, p.Trimmed = false, false, now
+	p.Sending, p.Dirty, p.TrimmedAt = false, false, now
 	p.stale++
 }
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -57,7 +57,7 @@
 // testCatalog returns a catalog with the one machine type of most tests.
 func testCatalog() CatalogUpdated {
 	return CatalogUpdated{placement.Catalog{"big": {
-		Name: "big", CPUs: 8, MemGB: 32, CacheGB: 10, FetchGBPerS: 1, Hourly: 1,
+		Name: "big", CPUs: 8, MemGB: 32, CacheGB: 10, FetchGBPerS: 1, HourlyPrice: 1,
 		Boot: 20 * time.Second, Zones: []string{"a"},
 	}}}
 }
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -139,7 +139,7 @@
 	}
 	e.recovery.HeartbeatReceived(m.Name, recovery.ObservedHeartbeat{
 		TermConfirmed: r.FencingToken == e.numbers.term,
-		HasUnrecorded: m.HasUnrecorded(),
+		HasUnrecorded: m.HasUnwanted(),
 	})
 	e.interruptionAnnounced(now, m, r.InterruptionIn)
 }
--- a/internal/core/job_write_types.go
+++ b/internal/core/job_write_types.go
@@ -143,9 +143,9 @@
 
 // DeleteDependencyPage deletes a page of the list of dependencies of a job that is over.
 type DeleteDependencyPage struct {
-	Ref     string
-	ListSum string // of the list that the page belongs to
-	Page    int
+	Ref      string
+	ListHash string // of the list that the page belongs to
+	Page     int
 }
 
 // Kind implements Write.
--- a/internal/core/job_writes.go
+++ b/internal/core/job_writes.go
@@ -39,7 +39,7 @@
 	}
 	sum, pages := j.DependencyPages()
 	for i := range pages {
-		w.cleanup = append(w.cleanup, DeleteDependencyPage{Ref: j.Ref, ListSum: sum, Page: i})
+		w.cleanup = append(w.cleanup, DeleteDependencyPage{Ref: j.Ref, ListHash: sum, Page: i})
 	}
 }
 
--- a/internal/core/pipeline/dependencies.go
+++ b/internal/core/pipeline/dependencies.go
@@ -14,7 +14,7 @@
 // still waits for some of them becomes held.
 func (j *Job) restoreDependencies(r *Record) {
 	d := &j.dependencies
-	d.pages, d.listSum = r.DependencyPages, r.DependencyListSum
+	d.pages, d.listSum = r.DependencyPages, r.DependencyListHash
 	if !r.Held() {
 		return
 	}
--- a/internal/core/pipeline/record.go
+++ b/internal/core/pipeline/record.go
@@ -11,13 +11,13 @@
 	Restarts    []int `cbor:"r,omitempty"` // pairs of a task and its restart count
 
 	// A job that depends on others lists them in Dependencies or, if the list is too large, on as many
-	// pages as DependencyPages says. DependencyListSum distinguishes those pages from the pages of
+	// pages as DependencyPages says. DependencyListHash distinguishes those pages from the pages of
 	// other lists. ReadyMS is when the last dependency was done, once all are done according to the
 	// state service.
-	Dependencies      []string `cbor:"aw,omitempty"`
-	DependencyPages   int      `cbor:"ap,omitempty"`
-	DependencyListSum string   `cbor:"as,omitempty"`
-	ReadyMS           int64    `cbor:"rd,omitempty"`
+	Dependencies       []string `cbor:"aw,omitempty"`
+	DependencyPages    int      `cbor:"ap,omitempty"`
+	DependencyListHash string   `cbor:"as,omitempty"`
+	ReadyMS            int64    `cbor:"rd,omitempty"`
 }
 
 // Held reports whether the job waits for others according to the record.
@@ -81,7 +81,7 @@
 // don't fit in maxBytes are left out.
 func (j *Job) Record(maxBytes int) Record {
 	r := Record{Spec: j.Spec, SubmittedMS: j.Submitted.UnixMilli(), Phase: j.phase,
-		DependencyPages: j.dependencies.pages, DependencyListSum: j.dependencies.listSum}
+		DependencyPages: j.dependencies.pages, DependencyListHash: j.dependencies.listSum}
 	switch j.phase {
 	case Done:
 		r.Phase = Active // Done is stored in the job's final entry, not in its record
--- a/internal/core/placement/array.go
+++ b/internal/core/placement/array.go
@@ -10,12 +10,12 @@
 // cachedWithin is how soon an image must be on a machine for the machine to count as having it.
 const cachedWithin = 3 * time.Second
 
-// placeTasks places as many tasks of an array as there is room for, and at most entry.Most. Slots
+// placeTasks places as many tasks of an array as there is room for, and at most entry.MaxTasks. Slots
 // are filled one after the other, since one more task on a machine that has the image, or is in use
 // already, costs nothing extra.
 func (b *Board) placeTasks(entry QueueEntry) {
 	j := entry.Job
-	room := min(b.quotaHeadroom(j), entry.Most)
+	room := min(b.quotaHeadroom(j), entry.MaxTasks)
 	want := min(room, j.Count(pipeline.Waiting))
 	if want == 0 {
 		return
--- a/internal/core/placement/board.go
+++ b/internal/core/placement/board.go
@@ -33,8 +33,8 @@
 	Zones(ref string) map[string]int
 	// ActiveAttempts returns the number of a job's attempts that may be on machines.
 	ActiveAttempts(ref string) int
-	// EndOf returns when an attempt is expected to leave its machine.
-	EndOf(a *fleet.Attempt) time.Time
+	// ExpectedEnd returns when an attempt is expected to leave its machine.
+	ExpectedEnd(a *fleet.Attempt) time.Time
 	// NeedsCapacityBy returns when a job must start to meet its next objective.
 	NeedsCapacityBy(j *pipeline.Job) time.Time
 	// StartBy returns when a job's tasks must have started for its next objective on starting; zero
@@ -56,6 +56,6 @@
 	Unplaced(j *pipeline.Job, tasks int)
 	// Preempt stops an attempt to make room.
 	Preempt(a *fleet.Attempt)
-	// Spent reports whether the budget of this call of Run is used up.
-	Spent() bool
+	// BudgetSpent reports whether the budget of this pass is used up.
+	BudgetSpent() bool
 }
--- a/internal/core/placement/machine_type.go
+++ b/internal/core/placement/machine_type.go
@@ -11,21 +11,21 @@
 
 // Type is a machine type with its current prices.
 type Type struct {
-	Name             string
-	CPUs, GPUs       float64
-	MemGB, CacheGB   float64       // memory, and size of the image cache
-	FetchGBPerS      float64       // rate of image fetches
-	Hourly, SpotHour float64       // prices of an hour, on demand and spot
-	Boot             time.Duration // expected time to boot
-	Zones            []string      // in which it is offered
+	Name                         string
+	CPUs, GPUs                   float64
+	MemGB, CacheGB               float64       // memory, and size of the image cache
+	FetchGBPerS                  float64       // rate of image fetches
+	HourlyPrice, SpotHourlyPrice float64       // prices of an hour, on demand and spot
+	Boot                         time.Duration // expected time to boot
+	Zones                        []string      // in which it is offered
 }
 
 // Price returns the price of a machine of the type for an hour.
 func (t *Type) Price(spot bool) float64 {
 	if spot {
-		return t.SpotHour
+		return t.SpotHourlyPrice
 	}
-	return t.Hourly
+	return t.HourlyPrice
 }
 
 // InZone reports whether the type is offered in a zone.
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -9,8 +9,8 @@
 )
 
 var types = Catalog{
-	"cpu": {Name: "cpu", CPUs: 8, MemGB: 32, Hourly: 1, FetchGBPerS: 1, Zones: []string{"a", "b"}},
-	"gpu": {Name: "gpu", CPUs: 8, GPUs: 2, MemGB: 32, Hourly: 9, FetchGBPerS: 1, Zones: []string{"a"}},
+	"cpu": {Name: "cpu", CPUs: 8, MemGB: 32, HourlyPrice: 1, FetchGBPerS: 1, Zones: []string{"a", "b"}},
+	"gpu": {Name: "gpu", CPUs: 8, GPUs: 2, MemGB: 32, HourlyPrice: 9, FetchGBPerS: 1, Zones: []string{"a"}},
 }
 
 // Possible tells the jobs that could run from those that no machine type, zone or limit ever allows.
@@ -60,7 +60,7 @@
 		Cluster: b, Executor: b,
 	}
 	for _, j := range jobs {
-		b.Queue = append(b.Queue, QueueEntry{Job: j, Most: len(j.Tasks)})
+		b.Queue = append(b.Queue, QueueEntry{Job: j, MaxTasks: len(j.Tasks)})
 	}
 	for _, m := range machines {
 		b.FreeCapacity.Set(m, types[m.Type], false)
@@ -76,7 +76,7 @@
 
 func (*board) ActiveAttempts(string) int { return 0 }
 
-func (b *board) EndOf(*fleet.Attempt) time.Time { return b.Now.Add(time.Minute) }
+func (b *board) ExpectedEnd(*fleet.Attempt) time.Time { return b.Now.Add(time.Minute) }
 
 func (b *board) NeedsCapacityBy(*pipeline.Job) time.Time { return b.Now.Add(time.Second) }
 
@@ -100,7 +100,7 @@
 
 func (b *board) Preempt(a *fleet.Attempt) { b.stopped = append(b.stopped, a) }
 
-func (b *board) Spent() bool { return b.spent != nil && b.spent() }
+func (b *board) BudgetSpent() bool { return b.spent != nil && b.spent() }
 
 // machine returns a live machine on which a task of 4 CPUs runs for each job in tasks.
 func machine(name, typ, zone string, tasks ...string) *fleet.Machine {
--- a/internal/core/placement/preempt.go
+++ b/internal/core/placement/preempt.go
@@ -139,7 +139,7 @@
 	}
 	var ends []end
 	for _, a := range activeAttempts(s.Machine) {
-		ends = append(ends, end{a, b.Cluster.EndOf(a)})
+		ends = append(ends, end{a, b.Cluster.ExpectedEnd(a)})
 	}
 	slices.SortStableFunc(ends, func(a, b end) int { return a.at.Compare(b.at) })
 	for _, e := range ends {
--- a/internal/core/placement/replicas.go
+++ b/internal/core/placement/replicas.go
@@ -10,11 +10,11 @@
 )
 
 // placeReplicas places as many of a service's waiting replicas as there is room for, and at most
-// entry.Most. They are spread evenly over the zones, and over the machines as far as there are
+// entry.MaxTasks. They are spread evenly over the zones, and over the machines as far as there are
 // enough: replicas on a lost machine or zone aren't replaced before they are proven gone.
 func (b *Board) placeReplicas(entry QueueEntry) {
 	j := entry.Job
-	want := min(b.quotaHeadroom(j), entry.Most, j.Count(pipeline.Waiting))
+	want := min(b.quotaHeadroom(j), entry.MaxTasks, j.Count(pipeline.Waiting))
 	task := j.NextWaiting(b.Now, 0)
 	if want == 0 || task < 0 {
 		return
--- a/internal/core/placement/rounds.go
+++ b/internal/core/placement/rounds.go
@@ -18,20 +18,20 @@
 // QueueEntry is the entry of a job in the queue of a round. A job may have several.
 type QueueEntry struct {
 	Job             *pipeline.Job
-	Most            int  // most tasks to place for this entry; ignored for gangs
+	MaxTasks        int  // most tasks to place for this entry; ignored for gangs
 	ImageCachedOnly bool // of an array: only on machines that have its image within cachedWithin
 }
 
-// Round is a round of decisions, which may be spread over several calls of Run.
+// Round is a round of decisions, which may take several passes, each a call of Run.
 type Round struct {
-	resume string // the job at which the next call resumes; empty: it begins a new round
+	resume string // the job at which the next pass resumes; empty: it begins a new round
 }
 
-// Resumes reports whether the next call of Run continues a round.
+// Resumes reports whether the next pass continues a round.
 func (r *Round) Resumes() bool { return r.resume != "" }
 
-// Run goes through the queue from where it last stopped, until its end or until the budget is spent.
-// It reports whether it has reached the end.
+// Run carries out a pass: it goes through the queue from where the last pass stopped, until its end or
+// until the budget is spent. It reports whether it has reached the end.
 func (r *Round) Run(b *Board) bool {
 	from := 0
 	if r.resume != "" {
@@ -43,7 +43,7 @@
 	}
 	for _, entry := range b.Queue[from:] {
 		j := entry.Job
-		if b.Executor.Spent() {
+		if b.Executor.BudgetSpent() {
 			r.resume = j.Ref
 			return false
 		}
--- a/internal/core/placement/slot.go
+++ b/internal/core/placement/slot.go
@@ -72,8 +72,8 @@
 	return share
 }
 
-// Plain returns a copy of the slot for planning, without its reservation.
-func (s *Slot) Plain() *Slot {
+// WithoutReservation returns a copy of the slot for planning, without its reservation.
+func (s *Slot) WithoutReservation() *Slot {
 	c := *s
 	c.reserved, c.pool = nil, nil
 	return &c
--- a/internal/core/placement_adapter.go
+++ b/internal/core/placement_adapter.go
@@ -45,8 +45,10 @@
 // ActiveAttempts implements placement.Cluster.
 func (b *placementAdapter) ActiveAttempts(ref string) int { return b.engine.usage.ofJob(ref).active() }
 
-// EndOf implements placement.Cluster.
-func (b *placementAdapter) EndOf(a *fleet.Attempt) time.Time { return b.engine.expectedEnd(b.now, a) }
+// ExpectedEnd implements placement.Cluster.
+func (b *placementAdapter) ExpectedEnd(a *fleet.Attempt) time.Time {
+	return b.engine.expectedEnd(b.now, a)
+}
 
 // NeedsCapacityBy implements placement.Cluster.
 func (b *placementAdapter) NeedsCapacityBy(j *pipeline.Job) time.Time {
@@ -82,8 +84,8 @@
 // Preempt implements placement.Executor.
 func (b *placementAdapter) Preempt(a *fleet.Attempt) { b.engine.preempt(b.now, a) }
 
-// Spent implements placement.Executor.
-func (b *placementAdapter) Spent() bool {
+// BudgetSpent implements placement.Executor.
+func (b *placementAdapter) BudgetSpent() bool {
 	b.steps++
 	return b.steps > b.engine.cfg.RoundBudget || (b.spent != nil && b.spent())
 }
--- a/internal/core/preemption.go
+++ b/internal/core/preemption.go
@@ -17,7 +17,7 @@
 // cost less than one gang.
 func (e *Engine) preemptionCost(now time.Time, preemptor *pipeline.Job, a *fleet.Attempt) (float64, bool) {
 	j := e.jobs.get(a.Ref)
-	if j == nil || a.Unrecorded || a.Stopping() || a.State() == fleet.Checkpointing {
+	if j == nil || a.Unwanted || a.Stopping() || a.State() == fleet.Checkpointing {
 		return 0, false
 	}
 	if preemptor.Urgency >= j.Urgency && !e.mayReclaimGuarantee(preemptor, j) || e.starvesBefore(now, j, preemptor) {
--- a/internal/core/priority_order.go
+++ b/internal/core/priority_order.go
@@ -82,20 +82,20 @@
 			limit = 1 + limit/starvingDivisor
 		}
 		out = append(out, prioritized{
-			QueueEntry: placement.QueueEntry{Job: j, Most: limit},
+			QueueEntry: placement.QueueEntry{Job: j, MaxTasks: limit},
 			starving:   true, due: e.starvingSince(j),
 		})
 	}
 	sizePenalty := time.Duration(float64(e.remainingWork(j)) * e.cfg.Weights.SmallFirst / machines)
 	sizePenalty = time.Duration(float64(sizePenalty) * min(1, max(0, 2-float64(wait)/float64(sizePenaltyFade))))
 	due := e.dueStart(now, j)
-	rest := prioritized{QueueEntry: placement.QueueEntry{Job: j, Most: len(j.Tasks)}, failing: failing, due: due.Add(sizePenalty)}
+	rest := prioritized{QueueEntry: placement.QueueEntry{Job: j, MaxTasks: len(j.Tasks)}, failing: failing, due: due.Add(sizePenalty)}
 	if j.Shape == pipeline.Array && e.expectedFetch(j) > longFetch {
 		cached, first := rest, rest
 		cached.ImageCachedOnly, rest.fetchRank, first.fetchRank = true, 2, 1
-		first.Most = e.firstWave(j, due.Sub(now)-firstWaveSlack) - e.usage.ofJob(j.Ref).active()
+		first.MaxTasks = e.firstWave(j, due.Sub(now)-firstWaveSlack) - e.usage.ofJob(j.Ref).active()
 		out = append(out, cached)
-		if first.Most > 0 {
+		if first.MaxTasks > 0 {
 			out = append(out, first)
 		}
 	}
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -110,7 +110,7 @@
 	a := e.newAttempt(t)
 	e.attach(now, m, a, t.State)
 	a.RunStart = time.Time{}
-	a.Unrecorded = true
+	a.Unwanted = true
 	e.log(LogUnwantedAttempt, logAttempt(a)...)
 	e.stop(now, m, a, 0)
 }
--- a/internal/core/reconcile_test.go
+++ b/internal/core/reconcile_test.go
@@ -33,7 +33,7 @@
 	}
 	b.heartbeat("m-1", 9, running1)
 	a := b.e.machines.get("m-1").Attempt(fleet.TaskID{Ref: "j-1", Task: 1})
-	if a == nil || a.Unrecorded || a.Stopping() || b.e.jobs.get("j-1").Tasks[1].Machine != "m-1" {
+	if a == nil || a.Unwanted || a.Stopping() || b.e.jobs.get("j-1").Tasks[1].Machine != "m-1" {
 		t.Fatalf("not adopted: %+v", a)
 	}
 	batch := b.e.Batch(b.now, 10)
--- a/internal/core/scale_out.go
+++ b/internal/core/scale_out.go
@@ -15,7 +15,7 @@
 	}
 	e.recovery.Pacer().Allow(true) // scale-out isn't held up by the pace, but slows other starts down
 	for _, o := range e.plan.Choose(now, demand, &e.capacity.free, e.catalog) {
-		e.plan.Requested(o.Offer, o.Count)
+		e.plan.RecordRequest(o.Offer, o.Count)
 		e.out.ScaleOut = append(e.out.ScaleOut, ScaleOut{
 			Name: e.numbers.nextRequestName(),
 			Type: o.Offer.Type, Zone: o.Offer.Zone, Spot: o.Offer.Spot, Count: o.Count,
@@ -33,7 +33,7 @@
 
 func (r ScaleOutAnswered) apply(e *Engine, now time.Time) {
 	o := fleet.PoolKey{Type: r.Request.Type, Zone: r.Request.Zone, Spot: r.Request.Spot}
-	e.plan.Answered(now, o, capacity.Answer{
+	e.plan.RecordAnswer(now, o, capacity.Answer{
 		Requested: r.Request.Count, Created: len(r.Machines), OutcomeUnknown: r.OutcomeUnknown,
 	})
 	e.warm.noteOffer(o)
--- a/internal/core/start_log.go
+++ b/internal/core/start_log.go
@@ -130,7 +130,7 @@
 	if p == nil || b.remaining <= 0 {
 		return
 	}
-	p.Trimmed = now
+	p.TrimmedAt = now
 	if p.Live() > 0 || p.Version == 0 {
 		b.add(pageWrite(p))
 		return
@@ -143,7 +143,7 @@
 func (l *startLog) stalestPage(now time.Time) *fleet.StartLogPage {
 	var worst *fleet.StartLogPage
 	for _, p := range l.pages {
-		if p.Sending || p == l.open || p.Stale() == 0 || now.Sub(p.Trimmed) < trimInterval ||
+		if p.Sending || p == l.open || p.Stale() == 0 || now.Sub(p.TrimmedAt) < trimInterval ||
 			!p.Fits(nil, l.cfg.MaxValueBytes) {
 			continue
 		}
--- a/internal/core/warm_state.go
+++ b/internal/core/warm_state.go
@@ -227,7 +227,7 @@
 		return nil
 	}
 	a := m.Attempt(task)
-	if a == nil || a.State() == fleet.Exited || a.Unrecorded {
+	if a == nil || a.State() == fleet.Exited || a.Unwanted {
 		return nil
 	}
 	w := &WarmAttempt{Ref: a.Ref, Task: a.Task, Number: a.Number, Machine: m.Name}
--- a/internal/jobstore/dependencies_test.go
+++ b/internal/jobstore/dependencies_test.go
@@ -184,7 +184,7 @@
 	}
 	writes := []core.Write{cancelledFinal("j-9", late.ModRevision)}
 	for i := range job.Record.DependencyPages {
-		writes = append(writes, core.DeleteDependencyPage{Ref: "j-9", ListSum: job.Record.DependencyListSum, Page: i})
+		writes = append(writes, core.DeleteDependencyPage{Ref: "j-9", ListHash: job.Record.DependencyListHash, Page: i})
 	}
 	if applied, err := jobs.Apply(t.Context(), term, writes); err != nil || len(applied.Sent) != len(writes) {
 		t.Fatal(err)
--- a/internal/jobstore/dependency_pages.go
+++ b/internal/jobstore/dependency_pages.go
@@ -41,7 +41,7 @@
 		return nil
 	}
 	sum := sha256.Sum256([]byte(strings.Join(dependencies, " ")))
-	record.DependencyListSum = hex.EncodeToString(sum[:listSumBytes])
+	record.DependencyListHash = hex.EncodeToString(sum[:listSumBytes])
 	pages := splitPages(dependencies, j.limits.ValueBytes)
 	record.DependencyPages = len(pages)
 	stored, err := j.storedDependencyKeys(ctx, record)
@@ -49,7 +49,7 @@
 		return err
 	}
 	for i, page := range pages {
-		key := dependencyKey(record.Spec.Ref, record.DependencyListSum, i)
+		key := dependencyKey(record.Spec.Ref, record.DependencyListHash, i)
 		if stored[key] {
 			continue
 		}
@@ -77,7 +77,7 @@
 // storedDependencyKeys returns the set of keys of those pages of a record's list of dependencies
 // that are stored.
 func (j *Jobs) storedDependencyKeys(ctx context.Context, record *pipeline.Record) (map[string]bool, error) {
-	items, _, err := j.store.List(ctx, dependencyPagesPrefix(record.Spec.Ref, record.DependencyListSum))
+	items, _, err := j.store.List(ctx, dependencyPagesPrefix(record.Spec.Ref, record.DependencyListHash))
 	if err != nil {
 		return nil, err
 	}
@@ -95,7 +95,7 @@
 	if !record.Held() || record.DependencyPages == 0 {
 		return nil
 	}
-	prefix := dependencyPagesPrefix(record.Spec.Ref, record.DependencyListSum)
+	prefix := dependencyPagesPrefix(record.Spec.Ref, record.DependencyListHash)
 	items, _, err := j.store.List(ctx, prefix)
 	if err != nil {
 		return err
--- a/internal/jobstore/encode.go
+++ b/internal/jobstore/encode.go
@@ -52,7 +52,7 @@
 
 // DeleteDependencyPage implements core.WriteEncoder.
 func (e *encodedWrite) DeleteDependencyPage(w core.DeleteDependencyPage) error {
-	e.delete(dependencyKey(w.Ref, w.ListSum, w.Page))
+	e.delete(dependencyKey(w.Ref, w.ListHash, w.Page))
 	return nil
 }
 
--- a/internal/jobstore/golden_test.go
+++ b/internal/jobstore/golden_test.go
@@ -36,7 +36,7 @@
 		core.DeleteStartLogPage{Name: "7-1"},
 		core.DeleteDoneRanges{Ref: "j-000001", Chunk: 2},
 		core.DeleteImagePage{Name: "7-2"},
-		core.DeleteDependencyPage{Ref: "j-000001", ListSum: "00ff", Page: 1},
+		core.DeleteDependencyPage{Ref: "j-000001", ListHash: "00ff", Page: 1},
 		core.DeleteChargePage{Name: "7-3"},
 		core.DeleteCordonPage{Name: "7-4"},
 	}
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -123,9 +123,9 @@
 func newCatalog(zones []string) placement.Catalog {
 	return placement.Catalog{
 		"small": {Name: "small", CPUs: 4, MemGB: 16, CacheGB: 10, FetchGBPerS: 0.5,
-			Hourly: 1, SpotHour: 0.4, Boot: 8 * time.Second, Zones: zones},
+			HourlyPrice: 1, SpotHourlyPrice: 0.4, Boot: 8 * time.Second, Zones: zones},
 		"large": {Name: "large", CPUs: 16, GPUs: 4, MemGB: 64, CacheGB: 10, FetchGBPerS: 1,
-			Hourly: 6, SpotHour: 2, Boot: 10 * time.Second, Zones: zones},
+			HourlyPrice: 6, SpotHourlyPrice: 2, Boot: 10 * time.Second, Zones: zones},
 	}
 }
 
