--- a/internal/agentapi/answers.go
+++ b/internal/agentapi/answers.go
@@ -42,7 +42,7 @@
 )
 
 // DirectCommandsBody returns the encoded body of a request to DirectCommandsPath of a worker.
-func DirectCommandsBody(direct core.Direct) []byte {
+func DirectCommandsBody(direct core.DirectCommands) []byte {
 	return codec.MustMarshal(wire.Orders{
 		Gavel: direct.FencingToken, Shift: direct.Incarnation, Orders: wire.OrdersOf(direct.Commands),
 	})
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -196,7 +196,7 @@
 	if err != nil {
 		return fmt.Errorf("peer_listen: %w", err)
 	}
-	if !c.core.CancelKept() {
+	if !c.core.CancelBoundKept() {
 		c.log.Warn("cancellations are confirmed only once the tasks are gone: lease_s is too long for cancel_s",
 			"bound", c.core.CancelBound(), "cancel_within", c.core.CancelWithin)
 	}
--- a/internal/controller/term/cancel.go
+++ b/internal/controller/term/cancel.go
@@ -20,7 +20,7 @@
 // error is ErrTasksMayRun if the job's tasks first have to be gone.
 func (t *Term) Cancel(ctx context.Context, jobs *jobstore.Jobs, ref string) (pipeline.Phase, error) {
 	t.step(core.CancelRequested{Ref: ref})
-	if !t.deps.Config.CancelKept() && t.mayBeOnMachines(ref) {
+	if !t.deps.Config.CancelBoundKept() && t.mayBeOnMachines(ref) {
 		t.step(core.CancelUndecided{Ref: ref, Deferred: true})
 		return 0, ErrTasksMayRun
 	}
@@ -33,5 +33,5 @@
 func (t *Term) mayBeOnMachines(ref string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.engine.MayBeOnMachines(ref)
+	return t.engine.MayHaveAttempts(ref)
 }
--- a/internal/controller/term/direct.go
+++ b/internal/controller/term/direct.go
@@ -43,7 +43,7 @@
 // sendDirectCommands sends commands to a worker in the background. It drops them if too many
 // requests are in flight or the lease isn't valid any more: they are repeated with the worker's
 // next heartbeat anyway.
-func (t *Term) sendDirectCommands(commands core.Direct) {
+func (t *Term) sendDirectCommands(commands core.DirectCommands) {
 	select {
 	case t.deps.Direct.slots <- struct{}{}:
 	default:
@@ -64,7 +64,7 @@
 func (s *DirectSender) release() { <-s.slots }
 
 // post sends commands to a worker and logs the outcome, which needs no other handling.
-func (s *DirectSender) post(log *slog.Logger, commands core.Direct) {
+func (s *DirectSender) post(log *slog.Logger, commands core.DirectCommands) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
--- a/internal/controller/term/heartbeats.go
+++ b/internal/controller/term/heartbeats.go
@@ -24,7 +24,7 @@
 	if response != nil && response.OK {
 		t.noteContact() // a delayed copy of a heartbeat, which isn't OK, shows no contact
 	}
-	for response != nil && response.Held {
+	for response != nil && response.Hold {
 		if !t.hold() || !t.HoldsLease() {
 			return core.HeartbeatResponse{}, false
 		}
--- a/internal/controller/term/step.go
+++ b/internal/controller/term/step.go
@@ -36,7 +36,7 @@
 
 // carryOut starts the work that the engine asks for, in the background.
 func (t *Term) carryOut(effects core.Effects) {
-	for _, commands := range effects.Direct {
+	for _, commands := range effects.DirectCommands {
 		t.sendDirectCommands(commands)
 	}
 	for _, plan := range effects.Drains {
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -115,13 +115,13 @@
 // argument 7).
 func (e *Engine) direct(m *fleet.Machine, c fleet.Command) {
 	m.NoteFencingTokenSent()
-	for i := range e.out.Direct {
-		if d := &e.out.Direct[i]; d.Machine == m.Name {
+	for i := range e.out.DirectCommands {
+		if d := &e.out.DirectCommands[i]; d.Machine == m.Name {
 			d.Commands = append(d.Commands, c)
 			return
 		}
 	}
-	e.out.Direct = append(e.out.Direct, Direct{
+	e.out.DirectCommands = append(e.out.DirectCommands, DirectCommands{
 		Machine: m.Name, Addr: m.Addr(), Incarnation: m.Incarnation(), FencingToken: e.numbers.term,
 		Commands: []fleet.Command{c},
 	})
--- a/internal/core/cancel_test.go
+++ b/internal/core/cancel_test.go
@@ -16,7 +16,7 @@
 	b, c := withStartedTask(t)
 	b.heartbeat("m-1", 2, running(c))
 	eff := b.e.Step(b.now, CancelRequested{"j-1"})
-	if len(eff.Direct) != 1 || eff.Direct[0].Commands[0].Kind != fleet.Stop {
+	if len(eff.DirectCommands) != 1 || eff.DirectCommands[0].Commands[0].Kind != fleet.Stop {
 		t.Fatalf("effects before the transaction: %+v", eff)
 	}
 	if r := b.heartbeat("m-1", 2, running(c)); stops(r) != 1 {
@@ -83,26 +83,26 @@
 		{64 * time.Second, 65 * time.Second, false}, // fails only because of the allowances for clock drift and timers
 	} {
 		cfg := Config{Lease: c.lease, CancelWithin: c.cancel}
-		if cfg.CancelKept() != c.kept {
-			t.Errorf("lease %s, cancel %s: kept %v, bound %s", c.lease, c.cancel, cfg.CancelKept(), cfg.CancelBound())
+		if cfg.CancelBoundKept() != c.kept {
+			t.Errorf("lease %s, cancel %s: kept %v, bound %s", c.lease, c.cancel, cfg.CancelBoundKept(), cfg.CancelBound())
 		}
 	}
 }
 
 // If the settings can't keep the bound of a cancellation, it is deferred: the job's tasks are
-// stopped and not started again until the user retries or gives up, and MayBeOnMachines tells when
+// stopped and not started again until the user retries or gives up, and MayHaveAttempts tells when
 // the cancellation may be sent.
 func TestCancelPutOff(t *testing.T) {
 	b, c := withStartedTask(t)
 	b.heartbeat("m-1", 2, running(c))
 	b.e.Step(b.now, CancelRequested{"j-1"})
-	if !b.e.MayBeOnMachines("j-1") {
-		t.Fatal("MayBeOnMachines is false for a running task")
+	if !b.e.MayHaveAttempts("j-1") {
+		t.Fatal("MayHaveAttempts is false for a running task")
 	}
 	b.e.Step(b.now, CancelUndecided{Ref: "j-1", Deferred: true})
 	b.heartbeat("m-1", 2, exited(c, fleet.CauseStopped))
 	b.pass(10*time.Second, true)
-	if r := b.heartbeat("m-1", 2); len(starts(r)) != 0 || b.e.MayBeOnMachines("j-1") {
+	if r := b.heartbeat("m-1", 2); len(starts(r)) != 0 || b.e.MayHaveAttempts("j-1") {
 		t.Fatalf("task started again, or still on a machine, before the user retried: %+v", r)
 	}
 	if _, ok := b.e.Lookup("j-1"); !ok {
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -9,13 +9,13 @@
 type HeartbeatResponse struct {
 	OK           bool // status 200; otherwise the heartbeat is refused with status 503
 	FencingToken uint64
-	Held         bool // not to be sent yet: the caller waits briefly and then applies HeldResponseDue
+	Hold         bool // not to be sent yet: the caller waits briefly and then applies HeldResponseDue
 	Commands     []fleet.Command
 }
 
-// Direct holds commands that are to be sent to a worker at once, not with the answer to a
+// DirectCommands holds commands that are to be sent to a worker at once, not with the answer to a
 // heartbeat.
-type Direct struct {
+type DirectCommands struct {
 	Machine, Addr string
 	Incarnation   uint64
 	FencingToken  uint64
@@ -32,11 +32,11 @@
 
 // Effects holds what the caller has to carry out after a step.
 type Effects struct {
-	Response *HeartbeatResponse
-	Direct   []Direct
-	ScaleOut []ScaleOut
-	ScaleIn  [][]string        // requests for releases, each with the names of its machines
-	Drains   []drain.PlanWrite // drain plans whose records are to be written
+	Response       *HeartbeatResponse
+	DirectCommands []DirectCommands
+	ScaleOut       []ScaleOut
+	ScaleIn        [][]string        // requests for releases, each with the names of its machines
+	Drains         []drain.PlanWrite // drain plans whose records are to be written
 	// HigherFencingToken is a fencing token that a worker has from another leader, which shows that
 	// a higher term, or this same one, has been claimed elsewhere; 0 if there is none.
 	HigherFencingToken uint64
--- a/internal/core/fleet_size_test.go
+++ b/internal/core/fleet_size_test.go
@@ -50,7 +50,7 @@
 			r := heartbeatFrom(name, term, b.sequences[name])
 			r.Tasks = tasks[name]
 			reply := b.e.Step(b.now, HeartbeatReceived{r}).Response
-			if reply.Held {
+			if reply.Hold {
 				reply = b.e.Step(b.now.Add(maxResponseHold+time.Second), HeldResponseDue{r}).Response
 			}
 			for _, c := range starts(*reply) {
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -113,7 +113,7 @@
 	if eff.Deposed() && token == h.e.numbers.term {
 		h.t.Fatalf("error in the test: %s reports a fencing token that it hasn't received", machine)
 	}
-	for eff.Response.Held {
+	for eff.Response.Hold {
 		h.now = h.now.Add(250 * time.Millisecond)
 		eff = h.e.Step(h.now, HeldResponseDue{r})
 	}
@@ -227,7 +227,7 @@
 		h.storePlan(w.Plan)
 		h.e.Step(h.now, DrainPlanWritten{Write: w, OK: true})
 	}
-	for _, direct := range effects.Direct {
+	for _, direct := range effects.DirectCommands {
 		h.execute(direct.Machine, direct.Commands)
 	}
 	return effects
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -51,7 +51,7 @@
 // moment.
 func (e *Engine) respond(now time.Time, m *fleet.Machine, hold bool) {
 	m.HeartbeatAnswered(hold)
-	e.out.Response = &HeartbeatResponse{OK: true, FencingToken: e.numbers.term, Held: hold}
+	e.out.Response = &HeartbeatResponse{OK: true, FencingToken: e.numbers.term, Hold: hold}
 	if !hold {
 		e.out.Response.Commands = e.commands(now, m)
 	}
--- a/internal/core/images_test.go
+++ b/internal/core/images_test.go
@@ -181,7 +181,7 @@
 	b.listInstances("m-1")
 	r := heartbeatFrom("m-1", 1, 1)
 	b.e.Step(b.now, Tick{})
-	if eff := b.e.Step(b.now, HeartbeatReceived{r}); !eff.Response.Held {
+	if eff := b.e.Step(b.now, HeartbeatReceived{r}); !eff.Response.Hold {
 		t.Fatal("answered before anything can have been placed")
 	}
 	b.e.Step(b.now, imageJob(b, "j-1", "x", 1, 0))
@@ -192,7 +192,7 @@
 		if s := starts(*eff.Response); len(s) == 1 {
 			break
 		}
-		if !eff.Response.Held || b.now.Sub(reported) > 3*time.Second {
+		if !eff.Response.Hold || b.now.Sub(reported) > 3*time.Second {
 			t.Fatalf("answered after %s without the start", b.now.Sub(reported))
 		}
 	}
@@ -200,11 +200,11 @@
 	idle := heartbeatFrom("m-2", 1, 1)
 	b = newHarness(t, 2, Snapshot{})
 	b.e.Step(b.now, Tick{})
-	if eff := b.e.Step(b.now, HeartbeatReceived{idle}); !eff.Response.Held {
+	if eff := b.e.Step(b.now, HeartbeatReceived{idle}); !eff.Response.Hold {
 		t.Fatal("an idle machine's answer isn't held")
 	}
 	reported = b.now
-	for b.e.Step(b.now, HeldResponseDue{idle}).Response.Held {
+	for b.e.Step(b.now, HeldResponseDue{idle}).Response.Hold {
 		if b.pass(200*time.Millisecond, true); b.now.Sub(reported) > maxResponseHold+time.Second {
 			t.Fatalf("held for %s; workers wait 4 s", b.now.Sub(reported))
 		}
@@ -212,7 +212,7 @@
 	b = newHarness(t, 2, Snapshot{})
 	b.e.Step(b.now, Tick{})
 	b.now = b.now.Add(2 * maxTickLag)
-	if eff := b.e.Step(b.now, HeartbeatReceived{idle}); eff.Response.Held || !eff.Response.OK {
+	if eff := b.e.Step(b.now, HeartbeatReceived{idle}); eff.Response.Hold || !eff.Response.OK {
 		t.Fatal("held by a leader that falls behind, or not answered")
 	}
 }
--- a/internal/core/safety_test.go
+++ b/internal/core/safety_test.go
@@ -157,7 +157,7 @@
 	cancelled := job("j-1", 1)
 	cancelled.Version, cancelled.Record.Phase, cancelled.Record.CancelledMS = 200, pipeline.Cancelled, at.UnixMilli()
 	eff := b.e.Step(b.now, JobStored{cancelled})
-	if len(eff.Direct) != 1 || eff.Direct[0].Commands[0].Kind != fleet.Stop || eff.Direct[0].Commands[0].Grace != 0 {
+	if len(eff.DirectCommands) != 1 || eff.DirectCommands[0].Commands[0].Kind != fleet.Stop || eff.DirectCommands[0].Commands[0].Grace != 0 {
 		t.Fatalf("effects of a cancellation: %+v", eff)
 	}
 	for b.now.Sub(at) < testConfig().CancelWithin {
--- a/internal/core/warm_start.go
+++ b/internal/core/warm_start.go
@@ -24,11 +24,11 @@
 
 // WarmOutcome counts the results of a warm start.
 type WarmOutcome struct {
-	Confirmed bool
-	Expected  int // machines on which work is placed before their first heartbeat
-	Differing int // machines on which the start log and the warm state disagree
-	Unstored  int // attempts that only the warm state knows
-	Unknown   int // attempts that only the start log knows
+	Confirmed       bool
+	Expected        int // machines on which work is placed before their first heartbeat
+	Differing       int // machines on which the start log and the warm state disagree
+	OnlyInWarmState int // attempts that only the warm state knows
+	OnlyInStartLog  int // attempts that only the start log knows
 }
 
 func (w WarmStart) apply(e *Engine, now time.Time) {
@@ -43,8 +43,8 @@
 			s.attempts[fleet.TaskID{Ref: r.Attempt.Ref, Task: r.Attempt.Task}] = r.Attempt
 		case r.Class != nil:
 			s.restoreClass(r.Class)
-		case r.Offer != nil:
-			s.restoreOffer(r.Offer)
+		case r.Backoff != nil:
+			s.restoreOffer(r.Backoff)
 		case r.Job != nil:
 			s.restoreJob(r.Job)
 		}
@@ -58,7 +58,7 @@
 	e.rounds.request()
 	e.log(LogWarmStateApplied, slog.Bool("confirmed", w.Confirmed),
 		slog.Int("machines_expected", s.outcome.Expected), slog.Int("machines_differing", s.outcome.Differing),
-		slog.Int("attempts_unstored", s.outcome.Unstored), slog.Int("attempts_unknown", s.outcome.Unknown))
+		slog.Int("attempts_unstored", s.outcome.OnlyInWarmState), slog.Int("attempts_unknown", s.outcome.OnlyInStartLog))
 }
 
 // WarmOutcome returns the results of this term's warm start; all zero without one.
@@ -83,7 +83,7 @@
 			known := s.attempts[task]
 			if known == nil || known.Number != a.Number || known.Machine != m.Name {
 				s.differing[m.Name] = true
-				s.outcome.Unknown++
+				s.outcome.OnlyInStartLog++
 				continue
 			}
 			delete(s.attempts, task)
@@ -94,7 +94,7 @@
 			e.jobs.get(task.Ref).Started = true
 		}
 	}
-	s.outcome.Unstored = len(s.attempts)
+	s.outcome.OnlyInWarmState = len(s.attempts)
 }
 
 // pastTime returns a time recorded by the previous leader. It is never in the future, whatever the
@@ -122,14 +122,14 @@
 
 func (s *warmStart) restoreClass(w *WarmClass) {
 	var lastAt time.Time
-	if w.LastArriveMS != 0 {
-		lastAt = s.pastTime(w.LastArriveMS)
+	if w.LastReadyMS != 0 {
+		lastAt = s.pastTime(w.LastReadyMS)
 	}
 	s.engine.classes.class(w.Name).restore(w, lastAt)
 	s.engine.warm.noteClass(w.Name)
 }
 
-func (s *warmStart) restoreOffer(w *WarmOffer) {
+func (s *warmStart) restoreOffer(w *WarmBackoff) {
 	o := fleet.PoolKey{Type: w.Type, Zone: w.Zone, Spot: w.Spot}
 	s.engine.plan.SetBackoff(o, capacity.Backoff{Until: s.futureTime(w.UntilMS), Refusals: w.Refusals})
 	s.engine.warm.noteOffer(o)
--- a/internal/core/warm_start_test.go
+++ b/internal/core/warm_start_test.go
@@ -24,7 +24,7 @@
 func (w warmTable) take(e *Engine, now time.Time) {
 	for records := e.WarmChanges(now, 10); len(records) > 0; records = e.WarmChanges(now, 10) {
 		for _, r := range records {
-			if r.Machine == nil && r.Attempt == nil && r.Class == nil && r.Offer == nil && r.Job == nil {
+			if r.Machine == nil && r.Attempt == nil && r.Class == nil && r.Backoff == nil && r.Job == nil {
 				delete(w, r.Key)
 			} else {
 				w[r.Key] = r
@@ -118,7 +118,7 @@
 			Ref: "j-2", Task: 7, Number: 2<<attemptBits | 99, Machine: "m-2", RunStartMS: 1,
 		}}
 	})
-	if o := b.e.WarmOutcome(); o.Differing != 1 || o.Unknown != 1 || o.Unstored != 1 || o.Expected != 1 {
+	if o := b.e.WarmOutcome(); o.Differing != 1 || o.OnlyInStartLog != 1 || o.OnlyInWarmState != 1 || o.Expected != 1 {
 		t.Fatalf("%+v", o)
 	}
 	b.pass(2*time.Second, true)
@@ -168,15 +168,15 @@
 			if r.Machine != nil && r.Machine.Name == "m-2" {
 				r.Machine.Quarantined = true
 			}
-			if r.Class != nil && (r.Class.Spec == nil || r.Class.Name != "c" || r.Class.LastArriveMS == 0) {
+			if r.Class != nil && (r.Class.Spec == nil || r.Class.Name != "c" || r.Class.LastReadyMS == 0) {
 				t.Errorf("%+v: %+v", key, r.Class)
 			}
 			if r.Class != nil {
 				r.Class.Runs, r.Class.Ratio = 12, 1.5
 			}
 		}
-		key := WarmKey{Kind: WarmOfferKind, Name: "big", Zone: "a"}
-		state[key] = WarmRecord{Key: key, Offer: &WarmOffer{
+		key := WarmKey{Kind: WarmBackoffKind, Name: "big", Zone: "a"}
+		state[key] = WarmRecord{Key: key, Backoff: &WarmBackoff{
 			Type: "big", Zone: "a", Refusals: 3, UntilMS: time.Unix(5050, 0).UnixMilli(),
 		}}
 		avoid := WarmKey{Kind: WarmJobKind, Name: "j-2"}
--- a/internal/core/warm_state.go
+++ b/internal/core/warm_state.go
@@ -23,7 +23,7 @@
 	WarmMachineKind WarmKind = iota + 1
 	WarmAttemptKind
 	WarmClassKind
-	WarmOfferKind
+	WarmBackoffKind
 	WarmJobKind
 )
 
@@ -87,16 +87,16 @@
 
 // WarmClass is what the leader has learned about a class of jobs.
 type WarmClass struct {
-	Name         string         `cbor:"n"`
-	Runs         int            `cbor:"r,omitempty"`
-	Ratio        float64        `cbor:"q"`
-	Rate         float64        `cbor:"v,omitempty"`
-	LastArriveMS int64          `cbor:"l,omitempty"`
-	Spec         *pipeline.Spec `cbor:"s,omitempty"`
+	Name        string         `cbor:"n"`
+	Runs        int            `cbor:"r,omitempty"`
+	Ratio       float64        `cbor:"q"`
+	Rate        float64        `cbor:"v,omitempty"`
+	LastReadyMS int64          `cbor:"l,omitempty"`
+	Spec        *pipeline.Spec `cbor:"s,omitempty"`
 }
 
-// WarmOffer is an offer of machines that the cloud has refused recently.
-type WarmOffer struct {
+// WarmBackoff is the back-off of an offer of machines that the cloud has refused recently.
+type WarmBackoff struct {
 	Type     string `cbor:"t"`
 	Zone     string `cbor:"z"`
 	Spot     bool   `cbor:"p,omitempty"`
@@ -124,7 +124,7 @@
 	Machine *WarmMachine
 	Attempt *WarmAttempt
 	Class   *WarmClass
-	Offer   *WarmOffer
+	Backoff *WarmBackoff
 	Job     *WarmJob
 }
 
@@ -150,7 +150,7 @@
 func (f *warmChangeSet) noteClass(name string) { f.note(WarmKey{Kind: WarmClassKind, Name: name}) }
 
 func (f *warmChangeSet) noteOffer(o fleet.PoolKey) {
-	f.note(WarmKey{Kind: WarmOfferKind, Name: o.Type, Zone: o.Zone, Spot: o.Spot})
+	f.note(WarmKey{Kind: WarmBackoffKind, Name: o.Type, Zone: o.Zone, Spot: o.Spot})
 }
 
 func (f *warmChangeSet) noteJob(ref string) { f.note(WarmKey{Kind: WarmJobKind, Name: ref}) }
@@ -190,8 +190,8 @@
 		record.Attempt = e.warmAttempt(fleet.TaskID{Ref: key.Name, Task: key.Task})
 	case WarmClassKind:
 		record.Class = e.warmClass(key.Name)
-	case WarmOfferKind:
-		record.Offer = e.warmOffer(now, fleet.PoolKey{Type: key.Name, Zone: key.Zone, Spot: key.Spot})
+	case WarmBackoffKind:
+		record.Backoff = e.warmOffer(now, fleet.PoolKey{Type: key.Name, Zone: key.Zone, Spot: key.Spot})
 	case WarmJobKind:
 		record.Job = e.warmJob(now, key.Name)
 	}
@@ -244,17 +244,17 @@
 	}
 	w := &WarmClass{Name: name, Runs: c.runs, Ratio: c.ratio, Rate: c.rate, Spec: c.spec}
 	if !c.lastAt.IsZero() {
-		w.LastArriveMS = c.lastAt.UnixMilli()
+		w.LastReadyMS = c.lastAt.UnixMilli()
 	}
 	return w
 }
 
-func (e *Engine) warmOffer(now time.Time, o fleet.PoolKey) *WarmOffer {
+func (e *Engine) warmOffer(now time.Time, o fleet.PoolKey) *WarmBackoff {
 	b, refused := e.plan.Backoff(o)
 	if !refused || !b.Until.After(now) {
 		return nil
 	}
-	return &WarmOffer{Type: o.Type, Zone: o.Zone, Spot: o.Spot, UntilMS: b.Until.UnixMilli(), Refusals: b.Refusals}
+	return &WarmBackoff{Type: o.Type, Zone: o.Zone, Spot: o.Spot, UntilMS: b.Until.UnixMilli(), Refusals: b.Refusals}
 }
 
 func (e *Engine) warmJob(now time.Time, ref string) *WarmJob {
--- a/internal/simulation/invariant_pace.go
+++ b/internal/simulation/invariant_pace.go
@@ -25,7 +25,7 @@
 	if !ok || !i.w.options.Pace.Enabled {
 		return
 	}
-	if response := stepped.effects.Response; response != nil && response.OK && !response.Held {
+	if response := stepped.effects.Response; response != nil && response.OK && !response.Hold {
 		i.checkResponse(stepped.node, response)
 	}
 }
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -59,7 +59,7 @@
 		response core.HeartbeatResponse
 	}
 	// directCommandsSent: a leader has sent commands to a worker directly.
-	directCommandsSent struct{ direct core.Direct }
+	directCommandsSent struct{ direct core.DirectCommands }
 	// engineStepped: the engine of a node has taken in an event.
 	engineStepped struct {
 		node    *node
--- a/internal/simulation/machine_commands.go
+++ b/internal/simulation/machine_commands.go
@@ -8,7 +8,7 @@
 )
 
 // sendDirectCommands takes direct commands to a worker. They may be lost or late.
-func (w *World) sendDirectCommands(n *node, d core.Direct) {
+func (w *World) sendDirectCommands(n *node, d core.DirectCommands) {
 	m := w.machines[d.Machine]
 	if m == nil {
 		return
@@ -29,7 +29,7 @@
 
 // takeDirectCommands carries direct commands out, unless they come from an earlier leader or are meant for another
 // incarnation of the worker.
-func (m *machine) takeDirectCommands(d core.Direct) {
+func (m *machine) takeDirectCommands(d core.DirectCommands) {
 	m.w.digest.add(m.w, "direct commands", m.name, d)
 	if !m.isUp || d.FencingToken < m.fencingToken || d.Incarnation != m.incarnation {
 		return
--- a/internal/simulation/node_engine.go
+++ b/internal/simulation/node_engine.go
@@ -60,7 +60,7 @@
 
 // carryOut sends out what an engine wants done.
 func (n *node) carryOut(effects core.Effects) {
-	for _, d := range effects.Direct {
+	for _, d := range effects.DirectCommands {
 		n.w.output.directCommands(n, d)
 		n.w.sendDirectCommands(n, d)
 	}
--- a/internal/simulation/node_heartbeats.go
+++ b/internal/simulation/node_heartbeats.go
@@ -52,7 +52,7 @@
 func (n *node) answerAsLeader(machine string, event core.Event) heartbeatAnswer {
 	response := n.step(event).Response
 	switch {
-	case response != nil && response.Held:
+	case response != nil && response.Hold:
 		return heartbeatAnswer{status: statusHeld, leader: n}
 	case response == nil || !response.OK || !n.holdsLease():
 		return answerUnavailable
--- a/internal/simulation/node_standby.go
+++ b/internal/simulation/node_standby.go
@@ -72,7 +72,7 @@
 	outcome := n.engine.WarmOutcome()
 	s.count("machines expected", outcome.Expected)
 	s.count("machines differing", outcome.Differing)
-	s.count("attempts unstored", outcome.Unstored)
+	s.count("attempts unstored", outcome.OnlyInWarmState)
 }
 
 // endTerm ends the node's term.
--- a/internal/simulation/output_digest.go
+++ b/internal/simulation/output_digest.go
@@ -105,7 +105,7 @@
 }
 
 // directCommands takes in commands that a controller sends to a worker directly.
-func (d *outputDigest) directCommands(n *node, direct core.Direct) {
+func (d *outputDigest) directCommands(n *node, direct core.DirectCommands) {
 	if d == nil {
 		return
 	}
--- a/internal/standby/codec.go
+++ b/internal/standby/codec.go
@@ -39,8 +39,8 @@
 		return codec.MustMarshal(record.Attempt)
 	case record.Class != nil:
 		return codec.MustMarshal(record.Class)
-	case record.Offer != nil:
-		return codec.MustMarshal(record.Offer)
+	case record.Backoff != nil:
+		return codec.MustMarshal(record.Backoff)
 	case record.Job != nil:
 		return codec.MustMarshal(record.Job)
 	}
@@ -84,9 +84,9 @@
 	case core.WarmClassKind:
 		record.Class = &core.WarmClass{}
 		err = codec.Unmarshal(value, record.Class)
-	case core.WarmOfferKind:
-		record.Offer = &core.WarmOffer{}
-		err = codec.Unmarshal(value, record.Offer)
+	case core.WarmBackoffKind:
+		record.Backoff = &core.WarmBackoff{}
+		err = codec.Unmarshal(value, record.Backoff)
 	case core.WarmJobKind:
 		record.Job = &core.WarmJob{}
 		err = codec.Unmarshal(value, record.Job)
--- a/internal/standby/golden_test.go
+++ b/internal/standby/golden_test.go
@@ -10,13 +10,13 @@
 // warmRecords returns a record of each kind with every field set, and a deleted record.
 func warmRecords() []core.WarmRecord {
 	machine, attempt := goldentest.Filled[core.WarmMachine](), goldentest.Filled[core.WarmAttempt]()
-	class, offer := goldentest.Filled[core.WarmClass](), goldentest.Filled[core.WarmOffer]()
+	class, offer := goldentest.Filled[core.WarmClass](), goldentest.Filled[core.WarmBackoff]()
 	job := goldentest.Filled[core.WarmJob]()
 	return []core.WarmRecord{
 		{Key: core.WarmKey{Kind: core.WarmMachineKind, Name: "m-1"}, Machine: &machine},
 		{Key: core.WarmKey{Kind: core.WarmAttemptKind, Name: "j-1", Task: 3}, Attempt: &attempt},
 		{Key: core.WarmKey{Kind: core.WarmClassKind, Name: "c"}, Class: &class},
-		{Key: core.WarmKey{Kind: core.WarmOfferKind, Name: "g8", Zone: "a", Spot: true}, Offer: &offer},
+		{Key: core.WarmKey{Kind: core.WarmBackoffKind, Name: "g8", Zone: "a", Spot: true}, Backoff: &offer},
 		{Key: core.WarmKey{Kind: core.WarmJobKind, Name: "j-1"}, Job: &job},
 		{Key: core.WarmKey{Kind: core.WarmMachineKind, Name: "m-2"}},
 	}
