--- a/cmd/gingertally/jobs.go
+++ b/cmd/gingertally/jobs.go
@@ -67,7 +67,7 @@
 
 // printRun prints the state of a job in JSON. It takes the results of the call that returned the state,
 // and returns err if that call failed.
-func printRun(run client.Run, err error) error {
+func printRun(run client.JobStatus, err error) error {
 	if err != nil {
 		return err
 	}
--- a/cmd/gingertally/status.go
+++ b/cmd/gingertally/status.go
@@ -57,7 +57,7 @@
 		leader = "unknown"
 	}
 	fmt.Fprintf(text, "leader\t%s\n", leader)
-	fmt.Fprintf(text, "told by\t%s, %s, serves users: %v\n", status.Node, status.Role, status.Serves)
+	fmt.Fprintf(text, "told by\t%s, %s, serves users: %v\n", status.Node, status.Role, status.ServesUsers)
 	for _, name := range slices.Sorted(maps.Keys(status.Versions)) {
 		fmt.Fprintf(text, "version\t%s %s\n", name, status.Versions[name])
 	}
--- a/internal/agentapi/agentapi.go
+++ b/internal/agentapi/agentapi.go
@@ -84,9 +84,9 @@
 	return RedirectAnswer(leader)
 }
 
-// Relayed answers a heartbeat that another node relayed to this one. It is never relayed again,
+// RelayedHeartbeat answers a heartbeat that another node relayed to this one. It is never relayed again,
 // so that two nodes that take each other for the leader can't pass it back and forth.
-func (s *Service) Relayed(body []byte) Answer {
+func (s *Service) RelayedHeartbeat(body []byte) Answer {
 	heartbeat, err := wire.ParseHeartbeat(body)
 	if err != nil {
 		return malformedAnswer()
--- a/internal/agentapi/agentapi_test.go
+++ b/internal/agentapi/agentapi_test.go
@@ -100,7 +100,7 @@
 		t.Fatalf("relaying fails: status %d, want 503", a.Status)
 	}
 	// A heartbeat that another node relayed is not relayed again.
-	if a := s.Relayed(encodedHeartbeat("m-2")); a.Status != 503 || l.relayed != 4 {
+	if a := s.RelayedHeartbeat(encodedHeartbeat("m-2")); a.Status != 503 || l.relayed != 4 {
 		t.Fatalf("heartbeat relayed by another node: status %d, want 503 without relaying it again", a.Status)
 	}
 	// After a change of leader, a worker that was redirected is redirected to the new leader first.
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -20,9 +20,9 @@
 type Client struct {
 	// Addr is the address of the controller or load balancer, as host:port.
 	Addr string
-	// Budget limits the time for all tries of a user's call and the pauses between them; 0 stands
+	// RetryBudget limits the time for all tries of a user's call and the pauses between them; 0 stands
 	// for a minute.
-	Budget time.Duration
+	RetryBudget time.Duration
 	// Pause waits for d, or until ctx ends; nil stands for a wait in real time.
 	Pause func(ctx context.Context, d time.Duration) error
 	// Dial opens connections; nil stands for TCP.
--- a/internal/client/jobs.go
+++ b/internal/client/jobs.go
@@ -21,9 +21,9 @@
 	pollInterval  = 5 * time.Second // between two queries of Wait
 )
 
-// Run is the state of a job as a controller reports it: its status and how many of its tasks are done
+// JobStatus is the state of a job as a controller reports it: its status and how many of its tasks are done
 // and running.
-type Run struct {
+type JobStatus struct {
 	Ref     string `cbor:"ref" json:"ref"`
 	Status  string `cbor:"status" json:"status"`
 	Done    int    `cbor:"done" json:"done"`
@@ -31,20 +31,20 @@
 }
 
 // Cancelled reports whether the job was cancelled.
-func (r Run) Cancelled() bool { return r.Status == wire.StatusCancelled }
+func (r JobStatus) Cancelled() bool { return r.Status == wire.StatusCancelled }
 
 // Over reports whether the job's state is final.
-func (r Run) Over() bool { return r.Status == wire.StatusDone || r.Cancelled() }
+func (r JobStatus) Over() bool { return r.Status == wire.StatusDone || r.Cancelled() }
 
 // Submit submits a job that is described in JSON with the protocol's field names.
-func (c *Client) Submit(ctx context.Context, job []byte) (Run, error) {
+func (c *Client) Submit(ctx context.Context, job []byte) (JobStatus, error) {
 	fields, err := decodeJob(job)
 	if err != nil {
-		return Run{}, fmt.Errorf("job: %w", err)
+		return JobStatus{}, fmt.Errorf("job: %w", err)
 	}
 	body, err := codec.Marshal(fields)
 	if err != nil {
-		return Run{}, fmt.Errorf("job: %w", err)
+		return JobStatus{}, fmt.Errorf("job: %w", err)
 	}
 	return c.callJob(ctx, request{
 		operation: fmt.Sprintf("submit job %v", fields["ref"]), method: fasthttp.MethodPost, path: wire.RunsPath,
@@ -53,12 +53,12 @@
 }
 
 // Get returns a job's state.
-func (c *Client) Get(ctx context.Context, ref string) (Run, error) {
+func (c *Client) Get(ctx context.Context, ref string) (JobStatus, error) {
 	return c.callJob(ctx, request{operation: "get job " + ref, method: fasthttp.MethodGet, path: jobPath(ref)})
 }
 
 // Cancel cancels a job, unless it is already done. The returned state says which is the case.
-func (c *Client) Cancel(ctx context.Context, ref string) (Run, error) {
+func (c *Client) Cancel(ctx context.Context, ref string) (JobStatus, error) {
 	return c.callJob(ctx, request{
 		operation: "cancel job " + ref, method: fasthttp.MethodPost, path: jobPath(ref) + wire.CancelSuffix,
 	})
@@ -68,7 +68,7 @@
 
 // Wait queries a job's state until it is final. It goes on, without a limit, while no controller gives
 // a usable response (ErrGaveUp); any other error ends it.
-func (c *Client) Wait(ctx context.Context, ref string) (Run, error) {
+func (c *Client) Wait(ctx context.Context, ref string) (JobStatus, error) {
 	for {
 		run, err := c.Get(ctx, ref)
 		if err != nil && !errors.Is(err, ErrGaveUp) || run.Over() {
@@ -82,7 +82,7 @@
 
 // callJob sends a request about a job until a response settles it or the budget is used up. Errors are
 // of type *CallError.
-func (c *Client) callJob(ctx context.Context, request request) (Run, error) {
+func (c *Client) callJob(ctx context.Context, request request) (JobStatus, error) {
 	run, err := c.retry(ctx, request)
 	if err != nil {
 		return run, &CallError{Operation: request.operation, Addr: c.Addr, Err: err}
@@ -92,8 +92,8 @@
 
 // retry sends a request about a job until a response settles it. The error wraps ErrGaveUp if the
 // budget doesn't allow for the pause before a further try.
-func (c *Client) retry(ctx context.Context, request request) (Run, error) {
-	left := c.Budget
+func (c *Client) retry(ctx context.Context, request request) (JobStatus, error) {
+	left := c.RetryBudget
 	if left == 0 {
 		left = defaultBudget
 	}
@@ -129,7 +129,7 @@
 
 // tryJob sends a request about a job once. If that doesn't settle the call, the error is a
 // *noAnswerError or a *retryableError.
-func (c *Client) tryJob(ctx context.Context, request request) (run Run, err error) {
+func (c *Client) tryJob(ctx context.Context, request request) (run JobStatus, err error) {
 	err = c.send(ctx, request, func(response *fasthttp.Response) error {
 		switch status := response.StatusCode(); status {
 		case fasthttp.StatusOK, fasthttp.StatusCreated:
--- a/internal/controller/contact.go
+++ b/internal/controller/contact.go
@@ -48,7 +48,7 @@
 			return ctx.Err()
 		case <-ticker.C:
 		}
-		if c.health.StoreServedWithin(time.Now(), usercalls.StoreFresh) {
+		if c.health.StoreServedWithin(time.Now(), usercalls.StoreFreshWithin) {
 			continue
 		}
 		if !c.storeServes(ctx, storeProbeTimeout) {
@@ -123,8 +123,8 @@
 // Leader returns the name of the controller that is believed to lead; it is empty if unknown.
 func (p operatorPeers) Leader() string { return p.c.elector.Leader() }
 
-// PeersFirst returns the names of the other controllers, the leader before the rest.
-func (p operatorPeers) PeersFirst() []string { return p.c.peersLeaderFirst() }
+// PeersLeaderFirst returns the names of the other controllers, the leader before the rest.
+func (p operatorPeers) PeersLeaderFirst() []string { return p.c.peersLeaderFirst() }
 
 // Relay forwards a call to another controller and returns its response.
 func (p operatorPeers) Relay(ctx context.Context, to string, request peer.Request) (peer.Response, error) {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -96,7 +96,7 @@
 func New(settings *config.Settings, operatorSettings operator.Settings) (*Controller, error) {
 	c := &Controller{
 		settings: settings, operator: operatorSettings, core: coreConfig(settings, operatorSettings),
-		limits: limits.Of(settings), started: time.Now(), log: slog.With("component", "controller"),
+		limits: limits.New(settings), started: time.Now(), log: slog.With("component", "controller"),
 		health: health.New(time.Now()), metrics: metrics.New(), direct: term.NewDirectSender(),
 	}
 	c.cloud = cloud.New(settings.Endpoints.Cloud, c.limits.Cloud())
@@ -116,13 +116,13 @@
 	users := &userapi.Service{Jobs: c.userJobs, Leader: userLeader{c}, Catalog: c.machineTypes.Types, Teams: c.core.Teams}
 	c.overload = c.newOverload(users)
 	c.users = &usercalls.Service{
-		Users: users, Health: c.health, PeersFirst: c.peersLeaderFirst,
+		Users: users, Health: c.health, PeersLeaderFirst: c.peersLeaderFirst,
 		Forwarder: usercalls.NewForwarder(c.peers, func() { c.health.PeerAnswered(time.Now()) }),
 	}
 	c.agents = &agentapi.Service{Self: settings.Member, Leader: agentLeader{c}}
 	c.operators = &operatorapi.Service{
-		Self: settings.Member, Peers: operatorPeers{c}, Jobs: c.userJobs, Drains: c.core.Drain != nil,
-		Term: c.operatorTerm, Own: c.status,
+		Self: settings.Member, Peers: operatorPeers{c}, Jobs: c.userJobs, DrainsEnabled: c.core.Drain != nil,
+		Term: c.operatorTerm, OwnStatus: c.status,
 	}
 	return c, nil
 }
--- a/internal/controller/core_config.go
+++ b/internal/controller/core_config.go
@@ -18,7 +18,7 @@
 // coreConfig returns the engine's configuration for a deployment and its operators' settings.
 func coreConfig(settings *config.Settings, operatorSettings operator.Settings) core.Config {
 	params := &settings.Params
-	shares := limits.Of(settings)
+	shares := limits.New(settings)
 	c := core.Config{
 		Teams:             map[string]placement.Quota{},
 		Objectives:        objectives(params.Objectives),
--- a/internal/controller/drains_test.go
+++ b/internal/controller/drains_test.go
@@ -28,7 +28,7 @@
 		Burst:    100,
 	})
 	jobs := jobstore.New(client, jobstore.Limits{ValueBytes: 4000, TxnOps: 12})
-	return &Controller{settings: settings, operators: &operatorapi.Service{Self: "n-1", Jobs: jobs, Drains: true}}
+	return &Controller{settings: settings, operators: &operatorapi.Service{Self: "n-1", Jobs: jobs, DrainsEnabled: true}}
 }
 
 // drainCall makes an operator's call to a controller, and returns the status and the body.
@@ -93,7 +93,7 @@
 	}); status != 503 {
 		t.Errorf("while the state service is down: status %d, body %s", status, body)
 	}
-	first.operators.Drains = false
+	first.operators.DrainsEnabled = false
 	if status, _ := drainCall(t, first, operatorapi.DrainsPath, plan); status != 404 {
 		t.Errorf("with drains off: status %d", status)
 	}
--- a/internal/controller/leader_view.go
+++ b/internal/controller/leader_view.go
@@ -136,6 +136,6 @@
 func (c *Controller) status(now time.Time) operatorapi.Status {
 	return operatorapi.Status{
 		Node: c.settings.Member, Version: Version, Role: c.elector.Role().String(), Leader: c.elector.Leader(),
-		Serves: c.healthStatus() == http.StatusOK, Standby: c.replicator.Status(now), Admission: c.overload.Status(now),
+		ServesUsers: c.healthStatus() == http.StatusOK, Standby: c.replicator.Status(now), Admission: c.overload.Status(now),
 	}
 }
--- a/internal/controller/limits/limits.go
+++ b/internal/controller/limits/limits.go
@@ -85,9 +85,9 @@
 	controllers int
 }
 
-// Of returns the limits of one controller, any of those that the settings name. If the settings
+// New returns the limits of one controller, any of those that the settings name. If the settings
 // announce lower limits of the state service, the lower ones apply from the start.
-func Of(settings *config.Settings) Limits {
+func New(settings *config.Settings) Limits {
 	return Limits{
 		state:       settings.Params.State.Lowest(),
 		cloud:       settings.Params.Cloud,
--- a/internal/controller/limits/limits_test.go
+++ b/internal/controller/limits/limits_test.go
@@ -25,7 +25,7 @@
 	for controllers := range 9 {
 		settings := &config.Settings{Peers: make([]config.Peer, controllers)}
 		settings.Params.State = config.State{RPS: 200, WriteRPS: 80, ValueKB: 16, TxnOps: 32}
-		l := Of(settings)
+		l := New(settings)
 		users, _ := l.Users()
 		if all := users.Requests / userOvercommit * float64(controllers+1); all > 200*userShare+1e-9 {
 			t.Errorf("%d controllers: users have %g requests a second at all of them together", controllers+1, all)
@@ -61,7 +61,7 @@
 		for i := range c.peers {
 			settings.Peers = append(settings.Peers, config.Peer{Member: fmt.Sprintf("n-%d", i)})
 		}
-		l := Of(settings)
+		l := New(settings)
 		got := l.ClientConns()
 		if got < c.workers {
 			t.Errorf("%d sockets: %d connections for %d workers", c.sockets, got, c.workers)
--- a/internal/controller/metrics/metrics_test.go
+++ b/internal/controller/metrics/metrics_test.go
@@ -17,7 +17,7 @@
 // alerts depend on them.
 func TestMetricNamesGolden(t *testing.T) {
 	m := New()
-	m.Standby.Watch(func() StandbyState { return StandbyState{} }) // registers the standby's gauges
+	m.Standby.RegisterState(func() StandbyState { return StandbyState{} }) // registers the standby's gauges
 	descriptions := make(chan *prometheus.Desc)
 	go func() {
 		m.registry.Describe(descriptions)
--- a/internal/controller/metrics/parts.go
+++ b/internal/controller/metrics/parts.go
@@ -49,9 +49,9 @@
 	Drops      uint64
 }
 
-// Watch registers gauges of the state of a node's standby. They call state whenever the metrics are
+// RegisterState registers gauges of the state of a node's standby. They call state whenever the metrics are
 // read.
-func (m *Standby) Watch(state func() StandbyState) {
+func (m *Standby) RegisterState(state func() StandbyState) {
 	gauge := func(name, help string, value func(StandbyState) float64) {
 		m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help},
 			func() float64 { return value(state()) }))
--- a/internal/controller/more_workers_test.go
+++ b/internal/controller/more_workers_test.go
@@ -25,7 +25,7 @@
 	settings.Params.Resources.MaxSockets = 64 // far fewer than workers
 	c := &Controller{
 		settings: settings,
-		limits:   limits.Of(settings),
+		limits:   limits.New(settings),
 		metrics:  metrics.New(),
 		agents:   &agentapi.Service{},
 	}
--- a/internal/controller/operatorapi/drains.go
+++ b/internal/controller/operatorapi/drains.go
@@ -65,7 +65,7 @@
 func (s *Service) serveDrain(ctx context.Context, method, path string, body []byte) drainAnswer {
 	plan, verb, changes := strings.Cut(strings.TrimPrefix(path, DrainsPath+"/"), "/")
 	switch {
-	case !s.Drains:
+	case !s.DrainsEnabled:
 		return drainFailure(http.StatusNotFound, "drains are off")
 	case method != fasthttp.MethodPost:
 		return drainFailure(http.StatusMethodNotAllowed, "POST only")
--- a/internal/controller/operatorapi/operatorapi.go
+++ b/internal/controller/operatorapi/operatorapi.go
@@ -23,9 +23,9 @@
 type Peers interface {
 	// Leader returns the name of the controller that is believed to lead; empty if unknown.
 	Leader() string
-	// PeersFirst returns the names of the other controllers, the leader's first if it is among
+	// PeersLeaderFirst returns the names of the other controllers, the leader's first if it is among
 	// them.
-	PeersFirst() []string
+	PeersLeaderFirst() []string
 	// Relay sends a call to another controller and returns its response.
 	Relay(ctx context.Context, to string, request peer.Request) (peer.Response, error)
 }
@@ -43,15 +43,15 @@
 // Service answers the calls of operators. Its fields are set before its first use and not changed
 // later.
 type Service struct {
-	Self   string // name of this controller
-	Peers  Peers
-	Jobs   *jobstore.Jobs
-	Drains bool // whether drains are enabled
+	Self          string // name of this controller
+	Peers         Peers
+	Jobs          *jobstore.Jobs
+	DrainsEnabled bool // whether drains are enabled
 	// Term returns this controller's present term; false if it has none. The lease may have expired
 	// during the term (Term.HoldsLease).
 	Term func() (Term, bool)
-	// Own returns the status of this controller alone.
-	Own func(now time.Time) Status
+	// OwnStatus returns the status of this controller alone.
+	OwnStatus func(now time.Time) Status
 }
 
 // leading returns this controller's term; false unless its lease is valid.
--- a/internal/controller/operatorapi/status.go
+++ b/internal/controller/operatorapi/status.go
@@ -27,14 +27,14 @@
 // Status is the status of a controller and, if it leads, of the deployment. Its JSON form is part
 // of the operators' interface.
 type Status struct {
-	Node      string              `json:"node"`                // name of the controller whose status this is
-	Version   string              `json:"version"`             // of the controller
-	Role      string              `json:"role"`                // its role in leader election
-	Leader    string              `json:"leader,omitempty"`    // name of the leader that it knows of
-	Serves    bool                `json:"serves_users"`        // whether it serves users, as its health check says
-	Leading   *core.Status        `json:"leading,omitempty"`   // the deployment; nil unless it leads with a valid lease
-	Standby   *replication.Status `json:"standby,omitempty"`   // nil if the warm standby is disabled
-	Admission *overload.Status    `json:"admission,omitempty"` // nil if admission control is disabled
+	Node        string              `json:"node"`                // name of the controller whose status this is
+	Version     string              `json:"version"`             // of the controller
+	Role        string              `json:"role"`                // its role in leader election
+	Leader      string              `json:"leader,omitempty"`    // name of the leader that it knows of
+	ServesUsers bool                `json:"serves_users"`        // whether it serves users, as its health check says
+	Leading     *core.Status        `json:"leading,omitempty"`   // the deployment; nil unless it leads with a valid lease
+	Standby     *replication.Status `json:"standby,omitempty"`   // nil if the warm standby is disabled
+	Admission   *overload.Status    `json:"admission,omitempty"` // nil if admission control is disabled
 
 	// These maps are by name of a controller. They are set only in answers to operators.
 
@@ -63,7 +63,7 @@
 
 // ownStatus returns the status of this controller and, if it leads, of the deployment.
 func (s *Service) ownStatus(now time.Time) Status {
-	status := s.Own(now)
+	status := s.OwnStatus(now)
 	if term, ok := s.leading(); ok {
 		leading := term.Status(now)
 		status.Leading = &leading
@@ -75,7 +75,7 @@
 // together with what is known of each controller's version, standby and admission policy.
 func (s *Service) deploymentStatus(ctx context.Context) Status {
 	own := s.ownStatus(time.Now())
-	names := s.Peers.PeersFirst()
+	names := s.Peers.PeersLeaderFirst()
 	shown := own
 	all := controllersSummary{
 		versions: map[string]string{},
--- a/internal/controller/overload/node_test.go
+++ b/internal/controller/overload/node_test.go
@@ -24,7 +24,7 @@
 		Settings: operator.Default().Admission,
 		Teams:    []string{"t"},
 		Quotas:   map[string]placement.Quota{"t": {}},
-		Limits:   limits.Of(settings),
+		Limits:   limits.New(settings),
 		Metrics:  metrics.New().Admission,
 	})
 }
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -19,7 +19,7 @@
 func (c *Controller) servePeer(ctx context.Context, request peer.Request) peer.Response {
 	switch request.Path {
 	case agentapi.HeartbeatPath:
-		answer := c.agents.Relayed(request.Body)
+		answer := c.agents.RelayedHeartbeat(request.Body)
 		return peer.Response{Status: answer.Status, Body: answer.Body}
 	case pingPath:
 		return peer.Response{Status: http.StatusOK}
@@ -35,7 +35,7 @@
 	if ref, ok := strings.CutPrefix(request.Path, viewPath); ok {
 		return c.serveView(ref)
 	}
-	return c.users.Forwarded(ctx, request)
+	return c.users.HandleForwarded(ctx, request)
 }
 
 // serveView answers another controller's query about a job. The status is 404 unless this controller
--- a/internal/controller/replication/node.go
+++ b/internal/controller/replication/node.go
@@ -64,7 +64,7 @@
 		standby: standby.New(self, standby.TimeoutsFor(workerHeartbeatInterval, settings.SnapshotInterval)),
 	}
 	n.openLog(settings)
-	standbyMetrics.Watch(n.metricsState)
+	standbyMetrics.RegisterState(n.metricsState)
 	return n
 }
 
@@ -132,10 +132,10 @@
 	n.standby.Claimed(standby.Claim{Term: term.Number, Revision: term.Revision})
 }
 
-// Confirm implements Replicator. The copy is used only if it is complete, lacks no known change, is
+// ConfirmCopy implements Replicator. The copy is used only if it is complete, lacks no known change, is
 // of the term right before this one, and can be decoded. Unless the records have to be read again,
 // this node publishes its own warm state from now on.
-func (n *Node) Confirm(term leadership.Term, revision uint64) (*core.WarmStart, error) {
+func (n *Node) ConfirmCopy(term leadership.Term, revision uint64) (*core.WarmStart, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
--- a/internal/controller/replication/node_test.go
+++ b/internal/controller/replication/node_test.go
@@ -32,10 +32,10 @@
 	t.Helper()
 	n.LeaderLost()
 	n.TermClaimed(leadership.Term{Number: term, Revision: 10 * term})
-	if _, err := n.Confirm(leadership.Term{Number: term}, 10*term-1); !errors.Is(err, standby.ErrBehindClaim) {
+	if _, err := n.ConfirmCopy(leadership.Term{Number: term}, 10*term-1); !errors.Is(err, standby.ErrBehindClaim) {
 		t.Fatalf("records read before the claim: error %v, want ErrBehindClaim", err)
 	}
-	start, err := n.Confirm(leadership.Term{Number: term}, 10*term)
+	start, err := n.ConfirmCopy(leadership.Term{Number: term}, 10*term)
 	if err != nil {
 		t.Fatalf("records read as of the claim: error %v, want none", err)
 	}
--- a/internal/controller/replication/replication.go
+++ b/internal/controller/replication/replication.go
@@ -35,11 +35,11 @@
 
 	// TermClaimed records that this node has claimed a term.
 	TermClaimed(term leadership.Term)
-	// Confirm decides, after the records were read from the state service as of a revision, whether
+	// ConfirmCopy decides, after the records were read from the state service as of a revision, whether
 	// the engine may also start from the copy of the previous leader's warm state. It returns that
 	// state, or nil if the engine starts from the records alone. The only error is
 	// standby.ErrBehindClaim: the records have to be read again.
-	Confirm(term leadership.Term, revision uint64) (*core.WarmStart, error)
+	ConfirmCopy(term leadership.Term, revision uint64) (*core.WarmStart, error)
 	// Publish streams changes of the engine's warm state to the followers, if the term is still
 	// this node's.
 	Publish(term uint64, records []core.WarmRecord)
@@ -87,8 +87,8 @@
 // TermClaimed implements Replicator.
 func (Disabled) TermClaimed(leadership.Term) {}
 
-// Confirm implements Replicator.
-func (Disabled) Confirm(leadership.Term, uint64) (*core.WarmStart, error) { return nil, nil }
+// ConfirmCopy implements Replicator.
+func (Disabled) ConfirmCopy(leadership.Term, uint64) (*core.WarmStart, error) { return nil, nil }
 
 // Publish implements Replicator.
 func (Disabled) Publish(uint64, []core.WarmRecord) {}
--- a/internal/controller/term/takeover.go
+++ b/internal/controller/term/takeover.go
@@ -50,7 +50,7 @@
 // from the copy of the previous leader's warm state. Revision is that of the records. The error
 // says that they have to be read again.
 func (t *Term) buildEngine(snapshot core.Snapshot, revision uint64) error {
-	warm, err := t.deps.Replicator.Confirm(t.claimed, revision)
+	warm, err := t.deps.Replicator.ConfirmCopy(t.claimed, revision)
 	if err != nil {
 		return err
 	}
--- a/internal/controller/usercalls/usercalls.go
+++ b/internal/controller/usercalls/usercalls.go
@@ -30,9 +30,9 @@
 	localTimeoutInOutage = 300 * time.Millisecond
 )
 
-// StoreFresh is how recently the state service must have served this controller for it to count as
+// StoreFreshWithin is how recently the state service must have served this controller for it to count as
 // available, so that calls wait for it.
-const StoreFresh = 2 * time.Second
+const StoreFreshWithin = 2 * time.Second
 
 const contentTypeCBOR = "application/cbor"
 
@@ -41,8 +41,8 @@
 	Users     *userapi.Service
 	Health    *health.Tracker
 	Forwarder *Forwarder
-	// PeersFirst returns the names of the other controllers, the leader's first.
-	PeersFirst func() []string
+	// PeersLeaderFirst returns the names of the other controllers, the leader's first.
+	PeersLeaderFirst func() []string
 }
 
 // Handle serves a user's call here, or forwards it if this controller can't serve it (503).
@@ -54,7 +54,7 @@
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	localTimeout := time.Duration(float64(limit) * localAttemptFraction)
-	fresh := s.Health.StoreServedWithin(time.Now(), StoreFresh)
+	fresh := s.Health.StoreServedWithin(time.Now(), StoreFreshWithin)
 	if !fresh {
 		localTimeout = localTimeoutInOutage
 	}
@@ -65,7 +65,7 @@
 		return
 	}
 	call := peer.Request{Method: method, Path: path, Body: body}
-	if forwarded, ok := s.Forwarder.forward(ctx, s.PeersFirst(), call); ok {
+	if forwarded, ok := s.Forwarder.forward(ctx, s.PeersLeaderFirst(), call); ok {
 		writeForwarded(request, forwarded)
 		return
 	}
@@ -75,8 +75,8 @@
 	writeAnswer(request, answer)
 }
 
-// Forwarded serves a call that another controller forwarded. It never forwards it again.
-func (s *Service) Forwarded(ctx context.Context, request peer.Request) peer.Response {
+// HandleForwarded serves a call that another controller forwarded. It never forwards it again.
+func (s *Service) HandleForwarded(ctx context.Context, request peer.Request) peer.Response {
 	answer := s.serveWithin(ctx, submitTimeout, request.Method, request.Path, request.Body)
 	if answer.Body == nil {
 		return peer.Response{Status: answer.Status}
--- a/internal/emulator/users.go
+++ b/internal/emulator/users.go
@@ -71,7 +71,7 @@
 
 // randomClient returns a client of a controller chosen at random.
 func (u *Users) randomClient(budget time.Duration) *client.Client {
-	return &client.Client{Addr: u.Controllers[rand.IntN(len(u.Controllers))], Budget: budget}
+	return &client.Client{Addr: u.Controllers[rand.IntN(len(u.Controllers))], RetryBudget: budget}
 }
 
 // submit submits a job, again and again until it is accepted. It returns false if the job is refused or
