--- a/internal/emulator/cluster_test.go
+++ b/internal/emulator/cluster_test.go
@@ -98,7 +98,7 @@
 		if leader == nil {
 			continue
 		}
-		if _, start := cluster.History.FirstOf(status.Leading.Term); !start.IsZero() {
+		if _, start := cluster.History.FirstAnswerAndStart(status.Leading.Term); !start.IsZero() {
 			return leader, status
 		}
 	}
@@ -148,10 +148,10 @@
 	}
 	stop()
 	<-over
-	for _, rule := range cluster.History.Broken() {
+	for _, rule := range cluster.History.Violations() {
 		t.Error(rule)
 	}
-	if open := cluster.History.Open(); len(open) > 0 {
+	if open := cluster.History.UnfinishedJobs(); len(open) > 0 {
 		t.Errorf("%d accepted jobs never came to an end: %v", len(open), open)
 	}
 	if n := cluster.History.Started(); n < 10 {
--- a/internal/emulator/controller.go
+++ b/internal/emulator/controller.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// Program returns a ClusterOptions.Command that runs the given binary as the controller.
-func Program(binary string) func(settings, operatorSettings string) *exec.Cmd {
+// CommandOf returns a ClusterOptions.Command that runs the given binary as the controller.
+func CommandOf(binary string) func(settings, operatorSettings string) *exec.Cmd {
 	return func(settings, operatorSettings string) *exec.Cmd {
 		arguments := []string{"--config", settings}
 		if operatorSettings != "" {
--- a/internal/emulator/drain_test.go
+++ b/internal/emulator/drain_test.go
@@ -49,10 +49,10 @@
 	}
 	stop()
 	<-over
-	for _, rule := range cluster.History.Broken() {
+	for _, rule := range cluster.History.Violations() {
 		t.Error(rule)
 	}
-	if open := cluster.History.Open(); len(open) > 0 {
+	if open := cluster.History.UnfinishedJobs(); len(open) > 0 {
 		t.Errorf("%d accepted jobs never came to an end: %v", len(open), open)
 	}
 	interrupted := map[string]int{}
--- a/internal/emulator/history.go
+++ b/internal/emulator/history.go
@@ -54,8 +54,8 @@
 	h.violations = append(h.violations, fmt.Sprintf(format, args...))
 }
 
-// Broken returns a description of each time a rule was broken, oldest first.
-func (h *History) Broken() []string {
+// Violations returns a description of each time a rule was broken, oldest first.
+func (h *History) Violations() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Clone(h.violations)
@@ -198,9 +198,9 @@
 	return h.highestTerm
 }
 
-// FirstOf returns when a worker first accepted the answer to a heartbeat from a term's leader, and when
-// one first started a task at its command. A time is zero if that hasn't happened.
-func (h *History) FirstOf(term uint64) (answer, start time.Time) {
+// FirstAnswerAndStart returns when a worker first accepted the answer to a heartbeat from a term's leader,
+// and when one first started a task at its command. A time is zero if that hasn't happened.
+func (h *History) FirstAnswerAndStart(term uint64) (answer, start time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.firstAnswers[term], h.firstStarts[term]
--- a/internal/emulator/history_jobs.go
+++ b/internal/emulator/history_jobs.go
@@ -62,8 +62,8 @@
 	job.lastStatus = status
 }
 
-// Open returns the accepted jobs whose users haven't been told that they are done.
-func (h *History) Open() []string {
+// UnfinishedJobs returns the accepted jobs whose users haven't been told that they are done.
+func (h *History) UnfinishedJobs() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var open []string
--- a/internal/emulator/history_test.go
+++ b/internal/emulator/history_test.go
@@ -52,7 +52,7 @@
 		history.jobSubmitted("j-000001", "t", 1, JobProfile{})
 		history.jobAccepted("j-000001")
 		c.fault(history)
-		broken := strings.Join(history.Broken(), "; ")
+		broken := strings.Join(history.Violations(), "; ")
 		if (broken == "") != (c.want == "") || !strings.HasPrefix(broken, c.want) {
 			t.Errorf("%s: violations %q, want prefix %q", c.name, broken, c.want)
 		}
@@ -90,7 +90,7 @@
 	history.jobAccepted("j-000001")
 	history.jobAccepted("j-000002")
 	history.statusReceived("j-000002", wire.StatusDone)
-	if open := history.Open(); !slices.Equal(open, []string{"j-000001"}) {
+	if open := history.UnfinishedJobs(); !slices.Equal(open, []string{"j-000001"}) {
 		t.Errorf("open jobs %v, want only j-000001", open)
 	}
 }
--- a/internal/emulator/users.go
+++ b/internal/emulator/users.go
@@ -21,7 +21,7 @@
 	Team        string
 	Class       string
 	Urgency     string // as on the wire
-	First       int    // number of the first user; numbers must not overlap among users of one history
+	FirstNumber int    // number of the first user; numbers must not overlap among users of one history
 	History     *History
 	RunTime     time.Duration // the estimate that users submit, not how long tasks run
 	Profile     JobProfile
@@ -62,7 +62,7 @@
 	defer stop()
 	context.AfterFunc(ctx, func() { time.AfterFunc(grace, stop) })
 	for n := 0; ctx.Err() == nil; n++ {
-		ref := fmt.Sprintf("j-%d%06d", firstRef+u.First+user, n)
+		ref := fmt.Sprintf("j-%d%06d", firstRef+u.FirstNumber+user, n)
 		if u.submit(querying, ref, 1+rand.IntN(u.MaxTasks)) {
 			u.pollUntilEnd(querying, ref)
 		}
--- a/internal/loadtest/result.go
+++ b/internal/loadtest/result.go
@@ -95,7 +95,7 @@
 // AddHistory adds the history of a cluster whose load has stopped: the rules that were violated and
 // the number of started tasks. It records a failure if accepted jobs haven't ended.
 func (r *Result) AddHistory(history *emulator.History) {
-	open, broken, started := history.Open(), history.Broken(), history.Started()
+	open, broken, started := history.UnfinishedJobs(), history.Violations(), history.Started()
 	if len(open) > 0 {
 		r.Fail("%d accepted jobs never came to an end, such as %s", len(open), open[0])
 	}
--- a/tools/drain/main.go
+++ b/tools/drain/main.go
@@ -46,7 +46,7 @@
 			Timings:          emulator.Timings{Heartbeat: heartbeatInterval, Lease: lease, RunTime: runTime},
 			Teams:            []config.Team{{Name: teamRuns}, {Name: teamDesk}, {Name: teamBatch}},
 			OperatorSettings: budgets.settings(o.Ignore),
-			Command:          emulator.Program(o.Binary),
+			Command:          emulator.CommandOf(o.Binary),
 		})
 		if err != nil {
 			return err
--- a/tools/drain/replacement.go
+++ b/tools/drain/replacement.go
@@ -84,7 +84,7 @@
 	for i, team := range teams {
 		users := r.cluster.Users(team.users, maxTasks)
 		users.Team, users.Profile, users.RunTime = team.name, team.profile, team.profile.Run
-		users.First = i * userNumbersPerTeam
+		users.FirstNumber = i * userNumbersPerTeam
 		all = append(all, users)
 	}
 	return all
--- a/tools/drain/result.go
+++ b/tools/drain/result.go
@@ -20,7 +20,7 @@
 	}
 	fmt.Printf("%d machines replaced %s in %s, %d at once; leaders killed %d times, paused %d times\n",
 		len(r.oldMachines), name, r.ended.Sub(r.began).Round(time.Second), r.options.MaxAtOnce, r.killed, r.paused)
-	broken := append(r.cluster.History.Broken(), r.printBudgetUses()...)
+	broken := append(r.cluster.History.Violations(), r.printBudgetUses()...)
 	intervals := r.intervals()
 	fmt.Printf("  time between two releases: p50 %s, p90 %s, longest %s\n",
 		intervals.Quantile(50), intervals.Quantile(90), intervals.Quantile(100))
@@ -30,7 +30,7 @@
 	}
 	fmt.Printf("  tasks started: %d, on machines that were then replaced: %d\n",
 		r.cluster.History.Started(), startsOnReplaced)
-	open := r.cluster.History.Open()
+	open := r.cluster.History.UnfinishedJobs()
 	fmt.Printf("  rules broken: %d, accepted jobs that never came to an end: %d\n", len(broken), len(open))
 	for _, rule := range broken {
 		fmt.Println("   ", rule)
--- a/tools/failover/main.go
+++ b/tools/failover/main.go
@@ -63,7 +63,7 @@
 		Timings:          emulator.Timings{Heartbeat: o.HeartbeatInterval, Lease: o.Lease, RunTime: o.RunTime},
 		OperatorSettings: operatorSettings(o),
 		Command: func(settings, operatorSettings string) *exec.Cmd {
-			command := emulator.Program(o.Binary)(settings, operatorSettings)
+			command := emulator.CommandOf(o.Binary)(settings, operatorSettings)
 			command.Env = append(os.Environ(), "LOG_LEVEL=info")
 			return command
 		},
--- a/tools/failover/takeover.go
+++ b/tools/failover/takeover.go
@@ -135,7 +135,7 @@
 	if status.Leading == nil || status.Leading.Term != t.cluster.History.Term() {
 		return false
 	}
-	if _, start := t.cluster.History.FirstOf(status.Leading.Term); start.IsZero() {
+	if _, start := t.cluster.History.FirstAnswerAndStart(status.Leading.Term); start.IsZero() {
 		return false
 	}
 	return t.allUp(status) && (!t.options.Warm || followersCurrent(status))
@@ -185,7 +185,7 @@
 		time.Sleep(pollInterval)
 		for next := term + 1; next <= t.cluster.History.Term() && start.IsZero(); next++ {
 			var firstAnswer time.Time
-			firstAnswer, start = t.cluster.History.FirstOf(next)
+			firstAnswer, start = t.cluster.History.FirstAnswerAndStart(next)
 			if answer.IsZero() {
 				answer = firstAnswer
 			}
--- a/tools/outage/main.go
+++ b/tools/outage/main.go
@@ -62,7 +62,7 @@
 	cluster, err := emulator.StartCluster(emulator.ClusterOptions{
 		Directory: c.Directory, Controllers: controllers, Machines: o.Machines, OperatorSettings: settings,
 		Timings: emulator.Timings{Heartbeat: heartbeatInterval, Lease: lease, RunTime: runTime},
-		Command: emulator.Program(o.Binary),
+		Command: emulator.CommandOf(o.Binary),
 	})
 	if err != nil {
 		return err
--- a/tools/outage/outage.go
+++ b/tools/outage/outage.go
@@ -82,7 +82,7 @@
 // the first term in which a task was started.
 func (t *outageTest) measureFirsts(lastTerm uint64, restarted time.Time) {
 	for term := lastTerm + 1; term <= t.cluster.History.Term(); term++ {
-		if answer, start := t.cluster.History.FirstOf(term); !start.IsZero() {
+		if answer, start := t.cluster.History.FirstAnswerAndStart(term); !start.IsZero() {
 			t.result.observe("restart to first answer", answer.Sub(restarted))
 			t.result.observe("restart to first start", start.Sub(restarted))
 			return
--- a/tools/surge/loopback.go
+++ b/tools/surge/loopback.go
@@ -72,7 +72,7 @@
 		Directory: directory, Controllers: 3, Machines: loopbackMachines, Teams: teams,
 		Timings:          emulator.Timings{Heartbeat: time.Second, Lease: 15 * time.Second, RunTime: loopbackRunTime},
 		OperatorSettings: fmt.Sprintf(loopbackSettings, !o.Without),
-		Command:          emulator.Program(o.Binary),
+		Command:          emulator.CommandOf(o.Binary),
 	})
 }
 
@@ -92,7 +92,7 @@
 	firstUser := 0
 	for _, t := range loopbackTeams {
 		users := cluster.Users(t.users, loopbackMaxTasks)
-		users.Team, users.Urgency, users.First = t.Name, t.urgency, firstUser
+		users.Team, users.Urgency, users.FirstNumber = t.Name, t.urgency, firstUser
 		firstUser += t.users
 		running.Go(func() { users.Run(loadCtx, loopbackJobEndTimeout) })
 	}
@@ -193,7 +193,7 @@
 			r.admissions.Quantile(90), r.admissions.Quantile(100))
 		chart.Lines[t.Name] = plots.Percentiles(r.waits.Histogram)
 	}
-	violations, open := cluster.History.Broken(), cluster.History.Open()
+	violations, open := cluster.History.Violations(), cluster.History.UnfinishedJobs()
 	fmt.Printf("rules broken: %d, accepted jobs that never came to an end: %d\n", len(violations), len(open))
 	for _, violation := range violations {
 		fmt.Println(" ", violation)
