--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -243,7 +243,7 @@
 // testGate returns the gate of a controller that can have 5 jobs per second stored.
 func testGate(age time.Duration) *Gate {
 	weights := map[string]float64{"b": 2}
-	return NewGate(start, GateOptions{Teams: []string{"a", "b", "c"}, Weights: weights, Jobs: 5, PolicyAge: age})
+	return NewGate(start, GateOptions{Teams: []string{"a", "b", "c"}, Weights: weights, JobsPerSecond: 5, PolicyAge: age})
 }
 
 // A policy that arrives late or twice, or comes from the leader of an older term, doesn't replace a
@@ -278,13 +278,13 @@
 	g := testGate(10 * time.Second)
 	g.Apply(start, overloadPolicy(1, 0.02, 0))
 	spec := &pipeline.Spec{Team: "a", Class: "c", Priority: pipeline.Normal, Tasks: 1, CPUs: 1}
-	if g.Fallback(at(9 * time.Second)) {
+	if g.InFallback(at(9 * time.Second)) {
 		t.Fatal("the fallback begins too early")
 	}
 	turns := 0
 	for second := range 70 {
 		now := at(11*time.Second + time.Duration(second)*time.Second)
-		if !g.Fallback(now) {
+		if !g.InFallback(now) {
 			t.Fatal("no fallback although the policy is too old")
 		}
 		if g.effectivePolicy(now).Decide(Key{spec.Team, spec.Class, spec.Priority}, "j-1").Admitted {
@@ -294,7 +294,7 @@
 	if turns < windowSpan {
 		t.Fatalf("the job was admitted in %d of 70 s at a fraction of 2%% per second", turns)
 	}
-	if g.Apply(at(90*time.Second), overloadPolicy(1, 0.02, 0)); g.Fallback(at(91 * time.Second)) {
+	if g.Apply(at(90*time.Second), overloadPolicy(1, 0.02, 0)); g.InFallback(at(91 * time.Second)) {
 		t.Fatal("a confirmation of the policy doesn't end the fallback")
 	}
 }
@@ -352,7 +352,7 @@
 
 // plannerOptions returns the options for a deployment with one team.
 func plannerOptions(enter, exit time.Duration) PlannerOptions {
-	return PlannerOptions{Teams: map[string]placement.Quota{"a": {}}, EnterBacklog: enter, ExitBacklog: exit,
+	return PlannerOptions{Quotas: map[string]placement.Quota{"a": {}}, EnterBacklog: enter, ExitBacklog: exit,
 		Interval: time.Second, Floor: 0.02}
 }
 
@@ -371,7 +371,7 @@
 		now = now.Add(time.Second)
 		count := Count{Key: Key{"a", "c", pipeline.Normal}, Offered: 1, Admitted: 1,
 			OfferedCost: cost, AdmittedCost: cost * 0.3}
-		policy, changed := p.Plan(now, Load{Rates: Rates{CPUs: 100, Jobs: 50}, Backlog: backlog, Batches: oneSecond(count)})
+		policy, changed := p.Plan(now, Load{Capacity: Capacity{CPUs: 100, JobsPerSecond: 50}, Backlog: backlog, Batches: oneSecond(count)})
 		if changed {
 			stored++
 		}
@@ -395,7 +395,7 @@
 	last := p.Policy()
 	p = NewPlanner(now, options, 2, last)
 	next := plan(90*time.Second, 3)
-	if !next.Overloaded() || !next.Newer(&last) || next.Number != last.Number+1 || len(next.Shares) != 1 {
+	if !next.Overloaded() || !next.NewerThan(&last) || next.Number != last.Number+1 || len(next.Shares) != 1 {
 		t.Fatalf("the next leader continues from %+v with %+v", last, next)
 	}
 	for range 60 {
@@ -415,7 +415,7 @@
 	count := Count{Key: Key{"a", "c", pipeline.Normal}, Offered: 100, OfferedCost: 10, AdmittedCost: 1}
 	for i := range 20 {
 		now := at(time.Duration(i+1) * time.Second)
-		p.Plan(now, Load{Rates: Rates{CPUs: 1e6, Jobs: 10}, Batches: oneSecond(count)})
+		p.Plan(now, Load{Capacity: Capacity{CPUs: 1e6, JobsPerSecond: 10}, Batches: oneSecond(count)})
 	}
 	policy := p.Policy()
 	if policy.Reason != Writes || !slices.ContainsFunc(policy.Shares, func(s Share) bool { return s.Fraction < 1 }) {
@@ -438,7 +438,7 @@
 		taken := 2 * last.Fraction * (0.5 + rng.Float64())
 		count := Count{Key: Key{"a", "c", pipeline.Normal}, Offered: 20,
 			OfferedCost: 8 * (0.5 + rng.Float64()), AdmittedCost: taken}
-		load := Load{Rates: Rates{CPUs: 100}, Backlog: 2 * time.Minute, Batches: oneSecond(count)}
+		load := Load{Capacity: Capacity{CPUs: 100}, Backlog: 2 * time.Minute, Batches: oneSecond(count)}
 		policy, _ := p.Plan(at(time.Duration(second+1)*time.Second), load)
 		if len(policy.Shares) != 1 {
 			t.Fatalf("second %d: not one share: %+v", second, policy)
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -11,9 +11,9 @@
 type GateOptions struct {
 	Weights map[string]float64 // by team; the default is 1
 	Teams   []string           // all teams of the settings
-	// Jobs is how many jobs per second this controller can have stored; 0 means no local bound.
-	Jobs float64
-	// PolicyAge is how long a policy is applied unchanged after it was last confirmed, see Fallback.
+	// JobsPerSecond is how many jobs per second this controller can have stored; 0 means no local bound.
+	JobsPerSecond float64
+	// PolicyAge is how long a policy is applied unchanged after it was last confirmed, see InFallback.
 	PolicyAge time.Duration
 }
 
@@ -46,7 +46,7 @@
 // policy, it is confirmed; an older one is ignored.
 func (g *Gate) Apply(now time.Time, p Policy) bool {
 	switch {
-	case p.Newer(&g.policy):
+	case p.NewerThan(&g.policy):
 		g.policy, g.confirmedAt, g.appliedAt = p, now, now
 		g.policy.Shares = slices.Clone(p.Shares)
 		return true
@@ -56,9 +56,9 @@
 	return false
 }
 
-// Fallback reports whether the gate is in fallback: the policy may refuse jobs, but was last confirmed
+// InFallback reports whether the gate is in fallback: the policy may refuse jobs, but was last confirmed
 // more than PolicyAge ago, so it is no longer applied unchanged.
-func (g *Gate) Fallback(now time.Time) bool {
+func (g *Gate) InFallback(now time.Time) bool {
 	return g.policy.Overloaded() && now.Sub(g.confirmedAt) > g.options.PolicyAge
 }
 
@@ -66,7 +66,7 @@
 // one step for each interval since the policy was applied, by this controller's clock, so that every
 // job still gets its turn; the fractions stay.
 func (g *Gate) effectivePolicy(now time.Time) *Policy {
-	if !g.Fallback(now) || g.policy.Interval <= 0 {
+	if !g.InFallback(now) || g.policy.Interval <= 0 {
 		return &g.policy
 	}
 	missedPolicies := float64(now.Sub(g.appliedAt) / g.policy.Interval)
--- a/internal/admission/local_bound.go
+++ b/internal/admission/local_bound.go
@@ -26,13 +26,13 @@
 type teamWindow struct{ admitted, offered, offeredBefore float64 }
 
 func newLocalBound(o GateOptions) localBound {
-	b := localBound{jobsPerSecond: o.Jobs, teamRates: map[string]float64{}, teams: map[string]*teamWindow{}}
+	b := localBound{jobsPerSecond: o.JobsPerSecond, teamRates: map[string]float64{}, teams: map[string]*teamWindow{}}
 	sum := 0.0
 	for _, team := range o.Teams {
 		sum += weightOf(o.Weights, team)
 	}
 	for _, team := range o.Teams {
-		b.teamRates[team] = o.Jobs * weightOf(o.Weights, team) / sum
+		b.teamRates[team] = o.JobsPerSecond * weightOf(o.Weights, team) / sum
 		b.teams[team] = &teamWindow{}
 	}
 	return b
--- a/internal/admission/planner.go
+++ b/internal/admission/planner.go
@@ -9,7 +9,7 @@
 
 // PlannerOptions configures the leader's planner.
 type PlannerOptions struct {
-	Teams   map[string]placement.Quota
+	Quotas  map[string]placement.Quota
 	Weights map[string]float64 // by team; the default is 1
 	// Floor is the part of the capacity that each key gets before anything else is allocated.
 	Floor float64
@@ -22,9 +22,9 @@
 // Load is the input of Planner.Plan: the present capacity and backlog, and the counts since the last
 // call.
 type Load struct {
-	Rates   Rates
-	Backlog time.Duration // how long the machines need for the waiting tasks
-	Batches []Batch       // one of each controller that answered
+	Capacity Capacity
+	Backlog  time.Duration // how long the machines need for the waiting tasks
+	Batches  []Batch       // one of each controller that answered
 }
 
 // Thresholds of overload. They differ for its start and its end (hysteresis), so that small changes
@@ -98,10 +98,10 @@
 	p.measure(now, load.Batches, elapsed)
 	last := p.policy
 	reason := p.nextReason(load)
-	if reason == NotOverloaded && !last.Overloaded() && last.Term == p.term && last.Capacity.similar(load.Rates) {
+	if reason == NotOverloaded && !last.Overloaded() && last.Term == p.term && last.Capacity.similar(load.Capacity) {
 		return p.policy, false
 	}
-	p.policy = Policy{Term: p.term, Number: last.Number + 1, Reason: reason, Interval: p.options.Interval, Capacity: load.Rates}
+	p.policy = Policy{Term: p.term, Number: last.Number + 1, Reason: reason, Interval: p.options.Interval, Capacity: load.Capacity}
 	if reason == NotOverloaded {
 		for _, control := range p.keys {
 			control.reset()
@@ -113,9 +113,9 @@
 }
 
 // similar reports whether no rate differs by more than minSimilarRatio allows.
-func (r Rates) similar(other Rates) bool {
+func (r Capacity) similar(other Capacity) bool {
 	near := func(x, y float64) bool { return x == y || x > y*minSimilarRatio && x < y*(1/minSimilarRatio) }
-	return near(r.CPUs, other.CPUs) && near(r.GPUs, other.GPUs) && near(r.MemGB, other.MemGB) && near(r.Jobs, other.Jobs)
+	return near(r.CPUs, other.CPUs) && near(r.GPUs, other.GPUs) && near(r.MemGB, other.MemGB) && near(r.JobsPerSecond, other.JobsPerSecond)
 }
 
 // measure updates the keys' averages with the controllers' counts, adds keys that are new and removes
@@ -161,8 +161,8 @@
 		demand += control.offered
 	}
 	writeLoad := 0.0
-	if load.Rates.Jobs > 0 {
-		writeLoad = p.jobRate / load.Rates.Jobs
+	if load.Capacity.JobsPerSecond > 0 {
+		writeLoad = p.jobRate / load.Capacity.JobsPerSecond
 	}
 	switch p.policy.Reason {
 	case Backlog:
@@ -190,7 +190,7 @@
 	teams := map[string]TeamShare{}
 	for i, k := range keys {
 		demands[i] = Demand{Key: k, Rate: p.keys[k].offered}
-		teams[k.Team] = TeamShare{Weight: weightOf(p.options.Weights, k.Team), Guarantee: p.guarantee(k.Team, load.Rates)}
+		teams[k.Team] = TeamShare{Weight: weightOf(p.options.Weights, k.Team), Guarantee: p.guarantee(k.Team, load.Capacity)}
 	}
 	fairShares := Allocate(p.allocatableCapacity(load), p.options.Floor, teams, demands)
 	var out []Share
@@ -211,8 +211,8 @@
 
 // guarantee returns a team's guarantee as a part of the capacity: that of CPUs or that of GPUs,
 // whichever is larger.
-func (p *Planner) guarantee(team string, r Rates) float64 {
-	quota, part := p.options.Teams[team], 0.0
+func (p *Planner) guarantee(team string, r Capacity) float64 {
+	quota, part := p.options.Quotas[team], 0.0
 	if r.CPUs > 0 {
 		part = quota.GuaranteedCPUs / r.CPUs
 	}
--- a/internal/admission/policy.go
+++ b/internal/admission/policy.go
@@ -59,23 +59,23 @@
 	Reason   Reason        `cbor:"r"`
 	Interval time.Duration `cbor:"i"` // between two policies under overload
 	Shares   []Share       `cbor:"s"` // sorted by key; empty without overload
-	Capacity Rates         `cbor:"c"` // as measured when the policy was made
+	Capacity Capacity      `cbor:"c"` // as measured when the policy was made
 }
 
-// Rates is the deployment's capacity per second; that of the machines is in CPU-, GPU- and GB-seconds.
-type Rates struct {
-	CPUs  float64 `cbor:"c"`
-	GPUs  float64 `cbor:"g"`
-	MemGB float64 `cbor:"m"`
-	Jobs  float64 `cbor:"j"` // new jobs that the state service can take
+// Capacity is the deployment's capacity per second; that of the machines is in CPU-, GPU- and GB-seconds.
+type Capacity struct {
+	CPUs          float64 `cbor:"c"`
+	GPUs          float64 `cbor:"g"`
+	MemGB         float64 `cbor:"m"`
+	JobsPerSecond float64 `cbor:"j"` // new jobs that the state service can take
 }
 
 // Overloaded reports whether the policy may refuse jobs.
 func (p *Policy) Overloaded() bool { return p.Reason != NotOverloaded }
 
-// Newer reports whether the policy replaces other: whether it has a higher term, or a higher number
+// NewerThan reports whether the policy replaces other: whether it has a higher term, or a higher number
 // in the same term.
-func (p *Policy) Newer(other *Policy) bool {
+func (p *Policy) NewerThan(other *Policy) bool {
 	if p.Term != other.Term {
 		return p.Term > other.Term
 	}
@@ -182,7 +182,7 @@
 // JobCost returns the cost of a job: for how many seconds it would use the whole capacity of its
 // dominant resource, where the state service's rate of jobs counts as a resource too. run is the
 // expected run time of a task; services are charged serviceSeconds instead.
-func JobCost(s *pipeline.Spec, run time.Duration, r Rates) float64 {
+func JobCost(s *pipeline.Spec, run time.Duration, r Capacity) float64 {
 	seconds := run.Seconds() * float64(s.Tasks)
 	if s.Shape == pipeline.Service {
 		seconds = serviceSeconds * float64(s.Tasks)
@@ -192,7 +192,7 @@
 		{s.CPUs * seconds, r.CPUs},
 		{s.GPUs * seconds, r.GPUs},
 		{s.MemGB * seconds, r.MemGB},
-		{1, r.Jobs},
+		{1, r.JobsPerSecond},
 	} {
 		if use.rate > 0 {
 			cost = max(cost, use.amount/use.rate)
--- a/internal/client/jobs.go
+++ b/internal/client/jobs.go
@@ -21,8 +21,8 @@
 	pollInterval  = 5 * time.Second // between two queries of Wait
 )
 
-// JobStatus is the state of a job as a controller reports it: its status and how many of its tasks are done
-// and running.
+// JobStatus is the state of a job as a controller reports it: its status and how many of its tasks are
+// done and running.
 type JobStatus struct {
 	Ref     string `cbor:"ref" json:"ref"`
 	Status  string `cbor:"status" json:"status"`
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -21,17 +21,17 @@
 	var c checker
 	c.node(s)
 	c.endpoints(&s.Endpoints)
-	if len(s.Params.Zones) == 0 {
+	if len(s.Deployment.Zones) == 0 {
 		c.fail("settings.zones", "missing")
 	}
-	c.teams(s.Params.Teams)
-	c.workers(&s.Params.Workers)
-	c.state(&s.Params.State)
-	c.positive("settings.cloud.rps", s.Params.Cloud.RPS)
-	c.atLeast("settings.cloud.list_lag_s", float64(s.Params.Cloud.ListLag), 0)
-	c.positive("settings.resources.memory_mb", s.Params.Resources.MemoryMB)
-	c.atLeast("settings.resources.max_sockets", float64(s.Params.Resources.MaxSockets), minSockets)
-	c.atLeast("settings.skew_ms", s.Params.SkewMS, 0)
+	c.teams(s.Deployment.Teams)
+	c.workers(&s.Deployment.Workers)
+	c.state(&s.Deployment.State)
+	c.positive("settings.cloud.rps", s.Deployment.Cloud.RPS)
+	c.atLeast("settings.cloud.list_lag_s", float64(s.Deployment.Cloud.ListLag), 0)
+	c.positive("settings.resources.memory_mb", s.Deployment.Resources.MemoryMB)
+	c.atLeast("settings.resources.max_sockets", float64(s.Deployment.Resources.MaxSockets), minSockets)
+	c.atLeast("settings.skew_ms", s.Deployment.SkewMS, 0)
 	return c.err
 }
 
@@ -75,7 +75,7 @@
 	}
 }
 
-func (c *checker) workers(workers *Workers) {
+func (c *checker) workers(workers *WorkerTimings) {
 	c.positive("settings.workers.report_s", float64(workers.HeartbeatInterval))
 	c.positive("settings.workers.lease_s", float64(workers.Lease))
 	c.positive("settings.workers.gang_wait_s", float64(workers.GangWait))
@@ -84,7 +84,7 @@
 }
 
 // state checks the present limits of the state service and those of the next ones that are set.
-func (c *checker) state(state *State) {
+func (c *checker) state(state *StateLimits) {
 	c.atLeast("settings.state.rps", state.RPS, minRate)
 	c.atLeast("settings.state.write_rps", state.WriteRPS, minRate)
 	c.atLeast("settings.state.value_kb", state.ValueKB, minValueKB)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -23,19 +23,19 @@
 
 // Settings is the content of the platform's settings file.
 type Settings struct {
-	Member       string    `json:"member"`
-	Zone         string    `json:"zone"`
-	ClientListen string    `json:"client_listen"`
-	PeerListen   string    `json:"peer_listen"`
-	Peers        []Peer    `json:"peers"`
-	Endpoints    Endpoints `json:"endpoints"`
-	Params       Params    `json:"settings"`
+	Member       string     `json:"member"`
+	Zone         string     `json:"zone"`
+	ClientListen string     `json:"client_listen"`
+	PeerListen   string     `json:"peer_listen"`
+	Peers        []Peer     `json:"peers"`
+	Endpoints    Endpoints  `json:"endpoints"`
+	Deployment   Deployment `json:"settings"`
 }
 
 // TeamNames returns the names of all teams, in the order of the file.
 func (s *Settings) TeamNames() []string {
-	names := make([]string, 0, len(s.Params.Teams))
-	for _, team := range s.Params.Teams {
+	names := make([]string, 0, len(s.Deployment.Teams))
+	for _, team := range s.Deployment.Teams {
 		names = append(names, team.Name)
 	}
 	return names
@@ -54,16 +54,16 @@
 	State string `json:"state"`
 }
 
-// Params are the parameters of the deployment, the same for all controllers.
-type Params struct {
-	Zones      []string    `json:"zones"`
-	Teams      []Team      `json:"teams"`
-	Objectives []Objective `json:"objectives"`
-	Workers    Workers     `json:"workers"`
-	State      State       `json:"state"`
-	Cloud      Cloud       `json:"cloud"`
-	Resources  Resources   `json:"resources"`
-	SkewMS     float64     `json:"skew_ms"`
+// Deployment holds the parameters of the deployment, the same for all controllers.
+type Deployment struct {
+	Zones      []string      `json:"zones"`
+	Teams      []Team        `json:"teams"`
+	Objectives []Objective   `json:"objectives"`
+	Workers    WorkerTimings `json:"workers"`
+	State      StateLimits   `json:"state"`
+	Cloud      CloudLimits   `json:"cloud"`
+	Resources  Resources     `json:"resources"`
+	SkewMS     float64       `json:"skew_ms"`
 }
 
 // Team holds a team's guaranteed capacity and its limit, in CPUs and GPUs; 0 means no guarantee or no
@@ -84,8 +84,8 @@
 	Times  float64 `json:"times"`
 }
 
-// Workers holds the intervals and timeouts that workers use.
-type Workers struct {
+// WorkerTimings holds the intervals and timeouts that workers use.
+type WorkerTimings struct {
 	HeartbeatInterval Seconds `json:"report_s"`
 	Lease             Seconds `json:"lease_s"`
 	GangWait          Seconds `json:"gang_wait_s"`
@@ -93,19 +93,19 @@
 	Cancel            Seconds `json:"cancel_s"`
 }
 
-// State holds the limits of the state service: requests and writes per second, the size of a value, and
-// operations per transaction.
-type State struct {
-	RPS      float64 `json:"rps"`
-	WriteRPS float64 `json:"write_rps"`
-	ValueKB  float64 `json:"value_kb"`
-	TxnOps   int     `json:"txn_ops"`
-	Next     Next    `json:"next"`
+// StateLimits holds the limits of the state service: requests and writes per second, the size of a value,
+// and operations per transaction.
+type StateLimits struct {
+	RPS      float64         `json:"rps"`
+	WriteRPS float64         `json:"write_rps"`
+	ValueKB  float64         `json:"value_kb"`
+	TxnOps   int             `json:"txn_ops"`
+	Next     NextStateLimits `json:"next"`
 }
 
-// Next holds the limits that the state service will have from an unspecified time on. A limit that is nil
-// doesn't change.
-type Next struct {
+// NextStateLimits holds the limits that the state service will have from an unspecified time on. A limit
+// that is nil doesn't change.
+type NextStateLimits struct {
 	RPS      *float64 `json:"rps"`
 	WriteRPS *float64 `json:"write_rps"`
 	ValueKB  *float64 `json:"value_kb"`
@@ -114,8 +114,8 @@
 
 // Lowest returns the lower one of each present limit and its next value. Controllers keep within both from
 // their start, because the settings don't say when the next limits take effect.
-func (s State) Lowest() State {
-	return State{
+func (s StateLimits) Lowest() StateLimits {
+	return StateLimits{
 		RPS:      lower(s.RPS, s.Next.RPS),
 		WriteRPS: lower(s.WriteRPS, s.Next.WriteRPS),
 		ValueKB:  lower(s.ValueKB, s.Next.ValueKB),
@@ -131,8 +131,8 @@
 	return min(present, *next)
 }
 
-// Cloud holds the rate limit of the cloud's API, and how far its list of machines may lag behind.
-type Cloud struct {
+// CloudLimits holds the rate limit of the cloud's API, and how far its list of machines may lag behind.
+type CloudLimits struct {
 	RPS     float64 `json:"rps"`
 	ListLag Seconds `json:"list_lag_s"`
 }
--- a/internal/config/limits_test.go
+++ b/internal/config/limits_test.go
@@ -11,15 +11,15 @@
 func TestLowestLimits(t *testing.T) {
 	for _, c := range []struct {
 		next, refused string
-		want          State
+		want          StateLimits
 	}{
-		{`null`, "", State{RPS: 60, WriteRPS: 20, ValueKB: 4, TxnOps: 12}},
-		{`{}`, "", State{RPS: 60, WriteRPS: 20, ValueKB: 4, TxnOps: 12}},
-		{`{"value_kb": 1, "txn_ops": 2, "write_rps": 1, "new": 5}`, "", State{RPS: 60, WriteRPS: 1, ValueKB: 1, TxnOps: 2}},
-		{`{"value_kb": 16, "txn_ops": 32, "write_rps": 15, "rps": 50}`, "", State{RPS: 50, WriteRPS: 15, ValueKB: 4, TxnOps: 12}},
-		{`{"value_kb": 0.5}`, "settings.state.next.value_kb", State{}},
-		{`{"txn_ops": 1}`, "settings.state.next.txn_ops", State{}},
-		{`{"write_rps": 0}`, "settings.state.next.write_rps", State{}},
+		{`null`, "", StateLimits{RPS: 60, WriteRPS: 20, ValueKB: 4, TxnOps: 12}},
+		{`{}`, "", StateLimits{RPS: 60, WriteRPS: 20, ValueKB: 4, TxnOps: 12}},
+		{`{"value_kb": 1, "txn_ops": 2, "write_rps": 1, "new": 5}`, "", StateLimits{RPS: 60, WriteRPS: 1, ValueKB: 1, TxnOps: 2}},
+		{`{"value_kb": 16, "txn_ops": 32, "write_rps": 15, "rps": 50}`, "", StateLimits{RPS: 50, WriteRPS: 15, ValueKB: 4, TxnOps: 12}},
+		{`{"value_kb": 0.5}`, "settings.state.next.value_kb", StateLimits{}},
+		{`{"txn_ops": 1}`, "settings.state.next.txn_ops", StateLimits{}},
+		{`{"write_rps": 0}`, "settings.state.next.write_rps", StateLimits{}},
 	} {
 		text := strings.Replace(validSettings, `"txn_ops":12`, `"txn_ops":12,"next":`+c.next, 1)
 		s, err := parse("settings.json", []byte(text))
@@ -30,8 +30,8 @@
 			}
 		case err != nil:
 			t.Errorf("%s: %v", c.next, err)
-		case s.Params.State.Lowest() != c.want:
-			t.Errorf("%s: lowest limits %+v, want %+v", c.next, s.Params.State.Lowest(), c.want)
+		case s.Deployment.State.Lowest() != c.want:
+			t.Errorf("%s: lowest limits %+v, want %+v", c.next, s.Deployment.State.Lowest(), c.want)
 		}
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -184,7 +184,7 @@
 
 // Run serves until ctx ends or a component fails for good.
 func (c *Controller) Run(ctx context.Context) error {
-	debug.SetMemoryLimit(int64(c.settings.Params.Resources.MemoryMB * memoryShare * bytesPerMByte))
+	debug.SetMemoryLimit(int64(c.settings.Deployment.Resources.MemoryMB * memoryShare * bytesPerMByte))
 	debug.SetGCPercent(gcPercent)
 	defer c.peers.Close()
 	var listen net.ListenConfig
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -80,11 +80,11 @@
 func testSettings(name string, peers []config.Peer, endpoints config.Endpoints) *config.Settings {
 	return &config.Settings{
 		Member: name, Zone: "a", Peers: peers, Endpoints: endpoints,
-		Params: config.Params{
+		Deployment: config.Deployment{
 			Zones: []string{"a"}, Teams: []config.Team{{Name: "t"}},
-			Workers:   config.Workers{HeartbeatInterval: 1, Lease: 15, GangWait: 10, GangPeer: 2, Cancel: 30},
-			State:     config.State{RPS: 500, WriteRPS: 200, ValueKB: 4, TxnOps: 12},
-			Cloud:     config.Cloud{RPS: 20, ListLag: 0.5},
+			Workers:   config.WorkerTimings{HeartbeatInterval: 1, Lease: 15, GangWait: 10, GangPeer: 2, Cancel: 30},
+			State:     config.StateLimits{RPS: 500, WriteRPS: 200, ValueKB: 4, TxnOps: 12},
+			Cloud:     config.CloudLimits{RPS: 20, ListLag: 0.5},
 			Resources: config.Resources{CPUShare: 1, MemoryMB: 200, MaxSockets: 800},
 		},
 	}
--- a/internal/controller/core_config.go
+++ b/internal/controller/core_config.go
@@ -17,7 +17,7 @@
 
 // coreConfig returns the engine's configuration for a deployment and its operators' settings.
 func coreConfig(settings *config.Settings, operatorSettings operator.Settings) core.Config {
-	params := &settings.Params
+	params := &settings.Deployment
 	shares := limits.New(settings)
 	c := core.Config{
 		Teams:             map[string]placement.Quota{},
@@ -28,7 +28,7 @@
 		GangWait:          params.Workers.GangWait.Duration(),
 		InstanceListLag:   params.Cloud.ListLag.Duration(),
 		RestartLimit:      operatorSettings.RestartLimit,
-		BatchInterval:     operatorSettings.BatchInterval,
+		BatchInterval:     operatorSettings.ProgressInterval,
 		Weights:           operatorSettings.Weights,
 		Pace:              operatorSettings.Recovery,
 		Admission:         operatorSettings.Admission.Enabled,
--- a/internal/controller/limits/limits.go
+++ b/internal/controller/limits/limits.go
@@ -79,8 +79,8 @@
 
 // Limits computes the shares of one controller.
 type Limits struct {
-	state       config.State
-	cloud       config.Cloud
+	state       config.StateLimits
+	cloud       config.CloudLimits
 	sockets     int
 	controllers int
 }
@@ -89,9 +89,9 @@
 // announce lower limits of the state service, the lower ones apply from the start.
 func New(settings *config.Settings) Limits {
 	return Limits{
-		state:       settings.Params.State.Lowest(),
-		cloud:       settings.Params.Cloud,
-		sockets:     settings.Params.Resources.MaxSockets,
+		state:       settings.Deployment.State.Lowest(),
+		cloud:       settings.Deployment.Cloud,
+		sockets:     settings.Deployment.Resources.MaxSockets,
 		controllers: len(settings.Peers) + 1,
 	}
 }
--- a/internal/controller/limits/limits_test.go
+++ b/internal/controller/limits/limits_test.go
@@ -24,7 +24,7 @@
 	}
 	for controllers := range 9 {
 		settings := &config.Settings{Peers: make([]config.Peer, controllers)}
-		settings.Params.State = config.State{RPS: 200, WriteRPS: 80, ValueKB: 16, TxnOps: 32}
+		settings.Deployment.State = config.StateLimits{RPS: 200, WriteRPS: 80, ValueKB: 16, TxnOps: 32}
 		l := New(settings)
 		users, _ := l.Users()
 		if all := users.Requests / userOvercommit * float64(controllers+1); all > 200*userShare+1e-9 {
@@ -57,7 +57,7 @@
 		{3068, 6, 2800}, {2747, 4, 1920}, {800, 4, 561}, {800, 2, 51},
 	} {
 		settings := &config.Settings{}
-		settings.Params.Resources.MaxSockets = c.sockets
+		settings.Deployment.Resources.MaxSockets = c.sockets
 		for i := range c.peers {
 			settings.Peers = append(settings.Peers, config.Peer{Member: fmt.Sprintf("n-%d", i)})
 		}
--- a/internal/controller/metrics/parts.go
+++ b/internal/controller/metrics/parts.go
@@ -49,8 +49,8 @@
 	Drops      uint64
 }
 
-// RegisterState registers gauges of the state of a node's standby. They call state whenever the metrics are
-// read.
+// RegisterState registers gauges of the state of a node's standby. They call state whenever the metrics
+// are read.
 func (m *Standby) RegisterState(state func() StandbyState) {
 	gauge := func(name, help string, value func(StandbyState) float64) {
 		m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help},
--- a/internal/controller/more_workers_test.go
+++ b/internal/controller/more_workers_test.go
@@ -22,7 +22,7 @@
 func TestMoreWorkersThanSockets(t *testing.T) {
 	const workers, rounds = 400, 3
 	settings := &config.Settings{}
-	settings.Params.Resources.MaxSockets = 64 // far fewer than workers
+	settings.Deployment.Resources.MaxSockets = 64 // far fewer than workers
 	c := &Controller{
 		settings: settings,
 		limits:   limits.New(settings),
--- a/internal/controller/overload/leader.go
+++ b/internal/controller/overload/leader.go
@@ -43,7 +43,7 @@
 	ctx context.Context, term Term, planner *admission.Planner, latest admission.Policy,
 ) admission.Policy {
 	load, settled := term.Load(time.Now())
-	load.Rates.Jobs = n.options.Limits.Submissions()
+	load.Capacity.JobsPerSecond = n.options.Limits.Submissions()
 	load.Batches = n.exchange(ctx, latest)
 	if !settled {
 		return latest
--- a/internal/controller/overload/node.go
+++ b/internal/controller/overload/node.go
@@ -67,10 +67,10 @@
 	users, _ := options.Limits.Users()
 	return &Node{
 		options: options, totals: map[admission.Key]*admission.Count{}, log: slog.With("component", "admission"),
-		plannerOptions: admission.PlannerOptions{Teams: options.Quotas, Weights: settings.Weights, Floor: settings.Floor,
+		plannerOptions: admission.PlannerOptions{Quotas: options.Quotas, Weights: settings.Weights, Floor: settings.Floor,
 			EnterBacklog: settings.EnterBacklog, ExitBacklog: settings.ExitBacklog, Interval: options.Limits.PolicyInterval()},
 		gate: admission.NewGate(time.Now(), admission.GateOptions{Weights: settings.Weights, Teams: options.Teams,
-			Jobs: users.Writes, PolicyAge: settings.PolicyAge}),
+			JobsPerSecond: users.Writes, PolicyAge: settings.PolicyAge}),
 	}
 }
 
--- a/internal/controller/overload/node_test.go
+++ b/internal/controller/overload/node_test.go
@@ -19,7 +19,7 @@
 // testNode returns a Node with one team, whose loops aren't running.
 func testNode() *Node {
 	settings := &config.Settings{Peers: []config.Peer{{Member: "n-2", Zone: "a", Addr: "127.0.0.1:1"}}}
-	settings.Params.State = config.State{RPS: 500, WriteRPS: 200, ValueKB: 4, TxnOps: 12}
+	settings.Deployment.State = config.StateLimits{RPS: 500, WriteRPS: 200, ValueKB: 4, TxnOps: 12}
 	return New(Options{
 		Settings: operator.Default().Admission,
 		Teams:    []string{"t"},
--- a/internal/controller/overload/status.go
+++ b/internal/controller/overload/status.go
@@ -44,7 +44,7 @@
 	defer n.mu.Unlock()
 	policy := n.gate.Policy()
 	status := &Status{Term: policy.Term, Number: policy.Number, Reason: policy.Reason.String(),
-		Age: now.Sub(n.gate.ConfirmedAt()), Fallback: n.gate.Fallback(now)}
+		Age: now.Sub(n.gate.ConfirmedAt()), Fallback: n.gate.InFallback(now)}
 	for _, class := range n.classStatuses(policy) {
 		status.Classes = append(status.Classes, *class)
 	}
--- a/internal/controller/term/step.go
+++ b/internal/controller/term/step.go
@@ -133,7 +133,7 @@
 	cluster := t.engine.Load(now)
 	t.mu.Unlock()
 	load.Backlog = cluster.Backlog
-	load.Rates = admission.Rates{
+	load.Capacity = admission.Capacity{
 		CPUs:  cluster.Capacity.CPUs,
 		GPUs:  cluster.Capacity.GPUs,
 		MemGB: cluster.Capacity.MemGB,
--- a/internal/emulator/cluster.go
+++ b/internal/emulator/cluster.go
@@ -162,9 +162,9 @@
 }
 
 // workerSettings returns the settings by which controllers know the workers' timings.
-func workerSettings(timings Timings) config.Workers {
+func workerSettings(timings Timings) config.WorkerTimings {
 	seconds := func(d time.Duration) config.Seconds { return config.Seconds(d.Seconds()) }
-	return config.Workers{
+	return config.WorkerTimings{
 		HeartbeatInterval: seconds(timings.Heartbeat), Lease: seconds(timings.Lease),
 		GangWait: 10, GangPeer: 2, Cancel: seconds(2 * timings.Lease),
 	}
--- a/internal/emulator/cluster_settings.go
+++ b/internal/emulator/cluster_settings.go
@@ -61,11 +61,11 @@
 	settings := &config.Settings{
 		Member: controllerName(i), Zone: zoneOf(i), ClientListen: clientAddr, PeerListen: peerAddrs[i],
 		Endpoints: endpoints,
-		Params: config.Params{
+		Deployment: config.Deployment{
 			Zones: zones, Teams: c.options.Teams,
 			Workers:   workerSettings(c.options.Timings),
-			State:     config.State{RPS: 500, WriteRPS: 200, ValueKB: 16, TxnOps: 32},
-			Cloud:     config.Cloud{RPS: 20, ListLag: 0.5},
+			State:     config.StateLimits{RPS: 500, WriteRPS: 200, ValueKB: 16, TxnOps: 32},
+			Cloud:     config.CloudLimits{RPS: 20, ListLag: 0.5},
 			Resources: config.Resources{CPUShare: 1, MemoryMB: 200, MaxSockets: 2000},
 			SkewMS:    20,
 		},
--- a/internal/leadership/extension.go
+++ b/internal/leadership/extension.go
@@ -34,8 +34,9 @@
 	extensionTimeout  = 700 * time.Millisecond
 )
 
-// CountedExtensionDuration is how long an extension counts for the leader, from the time just before it sent
-// the request. It is ExtensionDuration less the drift between two clocks and the granularity of timers.
+// CountedExtensionDuration is how long an extension counts for the leader, from the time just before it
+// sent the request. It is ExtensionDuration less the drift between two clocks and the granularity of
+// timers.
 const CountedExtensionDuration = ExtensionDuration - ExtensionDuration/driftDivisor - timerStep
 
 // extendLease asks the peers for extensions, until ctx ends, whenever this node leads and the state
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -21,24 +21,24 @@
 
 // Settings holds the operators' settings; those that the file doesn't set have their defaults.
 type Settings struct {
-	RestartLimit  int           // failures after which a task is retried less often
-	BatchInterval time.Duration // how often the progress of unfinished jobs is written
-	RoundBudget   time.Duration // time for one round of decisions
-	Weights       core.Weights
-	Standby       Standby
-	Admission     Admission
-	Recovery      recovery.PaceOptions
-	Draining      Draining
+	RestartLimit     int           // failures after which a task is retried less often
+	ProgressInterval time.Duration // how often the progress of unfinished jobs is written
+	RoundTime        time.Duration // time for one round of decisions
+	Weights          core.Weights
+	Standby          Standby
+	Admission        Admission
+	Recovery         recovery.PaceOptions
+	Draining         Draining
 }
 
 // Default returns the settings of an empty file.
 func Default() Settings {
 	return Settings{
-		RestartLimit:  3,
-		BatchInterval: 2 * time.Second,
-		RoundBudget:   60 * time.Millisecond,
-		Weights:       core.DefaultWeights(),
-		Standby:       Standby{QueueBound: 4096, SnapshotInterval: 2 * time.Second, LogBytes: 64 << 20},
+		RestartLimit:     3,
+		ProgressInterval: 2 * time.Second,
+		RoundTime:        60 * time.Millisecond,
+		Weights:          core.DefaultWeights(),
+		Standby:          Standby{QueueBound: 4096, SnapshotInterval: 2 * time.Second, LogBytes: 64 << 20},
 		Admission: Admission{
 			Floor: 0.02, EnterBacklog: 2 * time.Minute, ExitBacklog: time.Minute, PolicyAge: 15 * time.Second,
 		},
@@ -83,8 +83,8 @@
 	if message.RestartLimit != nil {
 		settings.RestartLimit = int(c.number("restart_limit", float64(message.GetRestartLimit()), 0, maxRestartLimit))
 	}
-	c.duration("batch_interval", message.BatchInterval, &settings.BatchInterval, minBatchInterval, maxBatchInterval)
-	c.duration("round_budget", message.RoundBudget, &settings.RoundBudget, minRoundBudget, maxRoundBudget)
+	c.duration("batch_interval", message.BatchInterval, &settings.ProgressInterval, minBatchInterval, maxBatchInterval)
+	c.duration("round_budget", message.RoundBudget, &settings.RoundTime, minRoundBudget, maxRoundBudget)
 	c.weights(message.Weights, &settings.Weights)
 	c.standby(message.Standby, &settings.Standby)
 	c.admission(message.Admission, &settings.Admission)
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -34,7 +34,7 @@
 func TestParse(t *testing.T) {
 	s, err := parse("op.txt", "restart_limit: 5\nbatch_interval { seconds: 3 }\nweights { idle_dollars: 0.2 } # more\n", testTeams)
 	want := Default()
-	want.RestartLimit, want.BatchInterval, want.Weights.IdleDollars = 5, 3*time.Second, 0.2
+	want.RestartLimit, want.ProgressInterval, want.Weights.IdleDollars = 5, 3*time.Second, 0.2
 	if err != nil || !reflect.DeepEqual(s, want) {
 		t.Fatalf("%+v, %v", s, err)
 	}
--- a/internal/simulation/invariant_admission.go
+++ b/internal/simulation/invariant_admission.go
@@ -27,7 +27,7 @@
 	switch o := o.(type) {
 	case policyTaken:
 		i.checkSame(o.offered)
-		if o.before.Newer(o.node.gate.Policy()) {
+		if o.before.NewerThan(o.node.gate.Policy()) {
 			i.w.checker.fail("%s goes back from policy %d.%d", o.node.name, o.before.Term, o.before.Number)
 		}
 	case submissionRefused:
--- a/internal/simulation/node_admission.go
+++ b/internal/simulation/node_admission.go
@@ -30,7 +30,7 @@
 		return
 	}
 	n.gate = admission.NewGate(n.local(), admission.GateOptions{
-		Teams: slices.Sorted(maps.Keys(n.w.teams)), Jobs: 4, PolicyAge: simulatedPolicyAge,
+		Teams: slices.Sorted(maps.Keys(n.w.teams)), JobsPerSecond: 4, PolicyAge: simulatedPolicyAge,
 	})
 	n.loop(n.incarnation, simulatedPolicyEvery, n.planAdmission)
 	n.loop(n.incarnation, simulatedPolicyAge/3, n.keepPolicy)
@@ -64,7 +64,7 @@
 		a.counts["policies not taken"]++
 	}
 	n.w.checker.observe(policyTaken{n, before, p})
-	if n.gate.Fallback(n.local()) {
+	if n.gate.InFallback(n.local()) {
 		a.counts["fallbacks"]++
 	}
 }
@@ -103,7 +103,7 @@
 			return
 		}
 		n.planner = admission.NewPlanner(n.local(), admission.PlannerOptions{
-			Teams: n.w.teams, Floor: simulatedFloor, EnterBacklog: simulatedEnter, ExitBacklog: simulatedExit,
+			Quotas: n.w.teams, Floor: simulatedFloor, EnterBacklog: simulatedEnter, ExitBacklog: simulatedExit,
 			Interval: simulatedPolicyEvery,
 		}, n.term.Number, stored)
 		n.plannerTerm, n.latestPolicy = n.term.Number, stored
@@ -119,7 +119,7 @@
 		return
 	}
 	policy, changed := n.planner.Plan(n.local(), admission.Load{Backlog: load.Backlog, Batches: batches,
-		Rates: admission.Rates{CPUs: load.Capacity.CPUs, GPUs: load.Capacity.GPUs, MemGB: load.Capacity.MemGB, Jobs: 20}})
+		Capacity: admission.Capacity{CPUs: load.Capacity.CPUs, GPUs: load.Capacity.GPUs, MemGB: load.Capacity.MemGB, JobsPerSecond: 20}})
 	if !changed {
 		n.sendPolicy()
 		return
--- a/internal/surge/leader.go
+++ b/internal/surge/leader.go
@@ -37,7 +37,7 @@
 func (w *World) beginTerm() {
 	settings := &w.options.Settings
 	w.leader.planner = admission.NewPlanner(start.Add(w.now), admission.PlannerOptions{
-		Teams:        w.options.Teams,
+		Quotas:       w.options.Teams,
 		Weights:      w.options.Weights,
 		Floor:        settings.Floor,
 		EnterBacklog: settings.EnterBacklog,
@@ -68,8 +68,8 @@
 	}
 	cutOff := w.options.cutOff(w.now)
 	load := admission.Load{
-		Rates:   admission.Rates{CPUs: w.options.CPUs(w.now), Jobs: w.options.JobsRate},
-		Backlog: w.machines.backlog(w.now),
+		Capacity: admission.Capacity{CPUs: w.options.CPUs(w.now), JobsPerSecond: w.options.JobsRate},
+		Backlog:  w.machines.backlog(w.now),
 	}
 	for i, g := range w.gates {
 		if !slices.Contains(cutOff, i) {
@@ -114,7 +114,7 @@
 		gate := w.gates[message.controller]
 		before := *gate.Policy()
 		gate.Apply(w.clock(message.controller), message.policy)
-		if after := gate.Policy(); before.Newer(after) {
+		if after := gate.Policy(); before.NewerThan(after) {
 			w.result.violated("controller %d went back from policy %d.%d to %d.%d",
 				message.controller, before.Term, before.Number, after.Term, after.Number)
 		}
--- a/internal/surge/result.go
+++ b/internal/surge/result.go
@@ -78,7 +78,7 @@
 	}
 	key := admission.Key{Team: j.spec.Team, Class: j.spec.Class, Priority: j.spec.Priority}
 	for i, gate := range w.gates {
-		if gate.Fallback(w.clock(i)) {
+		if gate.InFallback(w.clock(i)) {
 			continue
 		}
 		policy := gate.Policy()
@@ -125,7 +125,7 @@
 		return
 	}
 	for _, gate := range w.gates {
-		if w.leader.stored.Newer(gate.Policy()) {
+		if w.leader.stored.NewerThan(gate.Policy()) {
 			return
 		}
 	}
--- a/internal/surge/world.go
+++ b/internal/surge/world.go
@@ -40,7 +40,7 @@
 	teams := slices.Sorted(maps.Keys(o.Teams))
 	for i := range o.Controllers {
 		w.gates = append(w.gates, admission.NewGate(w.clock(i), admission.GateOptions{Weights: o.Weights, Teams: teams,
-			Jobs: o.JobsRate / float64(o.Controllers), PolicyAge: o.Settings.PolicyAge}))
+			JobsPerSecond: o.JobsRate / float64(o.Controllers), PolicyAge: o.Settings.PolicyAge}))
 	}
 	w.beginTerm()
 	return w
