--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -23,7 +23,7 @@
 type Settings struct {
 	RestartLimit     int           // failures after which a task is retried less often
 	ProgressInterval time.Duration // how often the progress of unfinished jobs is written
-	RoundTime        time.Duration // time for one round of decisions
+	RoundTime        time.Duration // time limit of one pass of a round of decisions
 	Weights          core.Weights
 	Standby          Standby
 	Admission        Admission
