--- a/internal/standby/doc.go
+++ b/internal/standby/doc.go
@@ -1,6 +1,6 @@
 // Package standby replicates a leader's warm state to the other controllers, so that the next leader
 // needn't wait until it has learned the same again. The warm state is what the leader knows of
-// machines, attempts, classes of jobs, offers and jobs (core.WarmRecord).
+// machines, attempts, classes of jobs, back-offs of refused offers and jobs (core.WarmRecord).
 //
 //   - Publisher is the leader's end: it numbers the changes of its term and decides which frame to
 //     send next to each follower.
