--- a/internal/controller/contact.go
+++ b/internal/controller/contact.go
@@ -48,7 +48,7 @@
 			return ctx.Err()
 		case <-ticker.C:
 		}
-		if c.health.StoreFresh(time.Now(), usercalls.StoreFresh) {
+		if c.health.StoreServedWithin(time.Now(), usercalls.StoreFreshWithin) {
 			continue
 		}
 		if !c.storeServes(ctx, storeProbeTimeout) {
@@ -61,7 +61,7 @@
 func (c *Controller) storeServes(ctx context.Context, timeout time.Duration) bool {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return c.store.Serves(ctx, leadership.HolderKey)
+	return c.store.IsServing(ctx, leadership.HolderKey)
 }
 
 // pingPeers pings the other controllers, and records the contact as soon as one answers.
@@ -123,8 +123,8 @@
 // Leader returns the name of the controller that is believed to lead; it is empty if unknown.
 func (p operatorPeers) Leader() string { return p.c.elector.Leader() }
 
-// PeersFirst returns the names of the other controllers, the leader before the rest.
-func (p operatorPeers) PeersFirst() []string { return p.c.peersLeaderFirst() }
+// PeersLeaderFirst returns the names of the other controllers, the leader before the rest.
+func (p operatorPeers) PeersLeaderFirst() []string { return p.c.peersLeaderFirst() }
 
 // Relay forwards a call to another controller and returns its response.
 func (p operatorPeers) Relay(ctx context.Context, to string, request peer.Request) (peer.Response, error) {
--- a/internal/controller/leader_view.go
+++ b/internal/controller/leader_view.go
@@ -112,7 +112,7 @@
 // has contact neither with the state service nor with its peers: the last known name may be out of
 // date, and workers would be redirected in circles.
 func (l agentLeader) Name() string {
-	if !l.c.health.Serves(time.Now()) {
+	if !l.c.health.CanServe(time.Now()) {
 		return ""
 	}
 	return l.c.elector.Leader()
@@ -136,6 +136,6 @@
 func (c *Controller) status(now time.Time) operatorapi.Status {
 	return operatorapi.Status{
 		Node: c.settings.Member, Version: Version, Role: c.elector.Role().String(), Leader: c.elector.Leader(),
-		Serves: c.healthStatus() == http.StatusOK, Standby: c.replicator.Status(now), Admission: c.overload.Status(now),
+		ServesUsers: c.healthStatus() == http.StatusOK, Standby: c.replicator.Status(now), Admission: c.overload.Status(now),
 	}
 }
--- a/internal/controller/operatorapi/drains.go
+++ b/internal/controller/operatorapi/drains.go
@@ -65,7 +65,7 @@
 func (s *Service) serveDrain(ctx context.Context, method, path string, body []byte) drainAnswer {
 	plan, verb, changes := strings.Cut(strings.TrimPrefix(path, DrainsPath+"/"), "/")
 	switch {
-	case !s.Drains:
+	case !s.DrainsEnabled:
 		return drainFailure(http.StatusNotFound, "drains are off")
 	case method != fasthttp.MethodPost:
 		return drainFailure(http.StatusMethodNotAllowed, "POST only")
@@ -110,7 +110,7 @@
 		status = http.StatusBadRequest
 	case errors.Is(err, jobstore.ErrUnknownPlan):
 		status = http.StatusNotFound
-	case errors.Is(err, jobstore.ErrOtherPlan), errors.Is(err, jobstore.ErrPlanOver):
+	case errors.Is(err, jobstore.ErrOtherPlan), errors.Is(err, jobstore.ErrPlanPhase):
 		status = http.StatusConflict
 	}
 	return drainFailure(status, err.Error())
--- a/internal/controller/term/step.go
+++ b/internal/controller/term/step.go
@@ -36,7 +36,7 @@
 
 // carryOut starts the work that the engine asks for, in the background.
 func (t *Term) carryOut(effects core.Effects) {
-	for _, commands := range effects.Direct {
+	for _, commands := range effects.DirectCommands {
 		t.sendDirectCommands(commands)
 	}
 	for _, plan := range effects.Drains {
@@ -133,7 +133,7 @@
 	cluster := t.engine.Load(now)
 	t.mu.Unlock()
 	load.Backlog = cluster.Backlog
-	load.Rates = admission.Rates{
+	load.Capacity = admission.Capacity{
 		CPUs:  cluster.Capacity.CPUs,
 		GPUs:  cluster.Capacity.GPUs,
 		MemGB: cluster.Capacity.MemGB,
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -57,7 +57,7 @@
 // testCatalog returns a catalog with the one machine type of most tests.
 func testCatalog() CatalogUpdated {
 	return CatalogUpdated{placement.Catalog{"big": {
-		Name: "big", CPUs: 8, MemGB: 32, CacheGB: 10, FetchGBPerS: 1, Hourly: 1,
+		Name: "big", CPUs: 8, MemGB: 32, CacheGB: 10, FetchGBPerS: 1, HourlyPrice: 1,
 		Boot: 20 * time.Second, Zones: []string{"a"},
 	}}}
 }
@@ -113,7 +113,7 @@
 	if eff.Deposed() && token == h.e.numbers.term {
 		h.t.Fatalf("error in the test: %s reports a fencing token that it hasn't received", machine)
 	}
-	for eff.Response.Held {
+	for eff.Response.Hold {
 		h.now = h.now.Add(250 * time.Millisecond)
 		eff = h.e.Step(h.now, HeldResponseDue{r})
 	}
@@ -227,7 +227,7 @@
 		h.storePlan(w.Plan)
 		h.e.Step(h.now, DrainPlanWritten{Write: w, OK: true})
 	}
-	for _, direct := range effects.Direct {
+	for _, direct := range effects.DirectCommands {
 		h.execute(direct.Machine, direct.Commands)
 	}
 	return effects
@@ -244,7 +244,7 @@
 				return
 			}
 		}
-		h.stored.Charges = append(h.stored.Charges, drain.StoredCharges{Name: w.Name, Version: 100, Record: w.Record})
+		h.stored.Charges = append(h.stored.Charges, drain.StoredChargePage{Name: w.Name, Version: 100, Record: w.Record})
 	case PutCordonPage:
 		h.storeCordons(w.Name, w.Record)
 	case DeleteCordonPage:
@@ -268,7 +268,7 @@
 			return
 		}
 	}
-	h.stored.Machines = append(h.stored.Machines, drain.StoredMachines{Name: name, Version: 100, Record: record})
+	h.stored.Machines = append(h.stored.Machines, drain.StoredMachinePage{Name: name, Version: 100, Record: record})
 }
 
 // storePlan stores a drain plan and tells the leader.
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -51,7 +51,7 @@
 // moment.
 func (e *Engine) respond(now time.Time, m *fleet.Machine, hold bool) {
 	m.HeartbeatAnswered(hold)
-	e.out.Response = &HeartbeatResponse{OK: true, FencingToken: e.numbers.term, Held: hold}
+	e.out.Response = &HeartbeatResponse{OK: true, FencingToken: e.numbers.term, Hold: hold}
 	if !hold {
 		e.out.Response.Commands = e.commands(now, m)
 	}
@@ -139,7 +139,7 @@
 	}
 	e.recovery.HeartbeatReceived(m.Name, recovery.ObservedHeartbeat{
 		TermConfirmed: r.FencingToken == e.numbers.term,
-		HasUnrecorded: m.HasUnrecorded(),
+		HasUnrecorded: m.HasUnwanted(),
 	})
 	e.interruptionAnnounced(now, m, r.InterruptionIn)
 }
@@ -184,7 +184,7 @@
 			continue
 		}
 		finding := recovery.ClassifyUnreported(recovery.UnreportedAttempt{
-			Inherited: a.Inherited, Confirmed: m.TermConfirmed(),
+			Inherited: a.Inherited, TermConfirmed: m.TermConfirmed(),
 			// The worker received or dropped the answer with the start before it sent this
 			// heartbeat, and doesn't execute it later.
 			Answered: a.State() == fleet.Sent && r.Sequence > a.CommandSequence(),
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -18,7 +18,7 @@
 	exited := t.State == fleet.Exited
 	o := recovery.ObservedTask{
 		Exited: exited, Done: exited && t.Cause == fleet.CauseDone,
-		Confirmed: token == e.numbers.term,
+		TermConfirmed: token == e.numbers.term,
 	}
 	if j := e.jobs.get(t.Ref); j != nil && t.Task < len(j.Tasks) {
 		o.JobOpen, o.ResultWanted = !j.Over(), j.Tasks[t.Task].State() != pipeline.Finished
@@ -110,7 +110,7 @@
 	a := e.newAttempt(t)
 	e.attach(now, m, a, t.State)
 	a.RunStart = time.Time{}
-	a.Unrecorded = true
+	a.Unwanted = true
 	e.log(LogUnwantedAttempt, logAttempt(a)...)
 	e.stop(now, m, a, 0)
 }
--- a/internal/simulation/node_heartbeats.go
+++ b/internal/simulation/node_heartbeats.go
@@ -37,7 +37,7 @@
 	if n.holdsLease() {
 		return n.answerAsLeader(h.Machine, core.HeartbeatReceived{Heartbeat: h})
 	}
-	if relayed || !n.health.Serves(n.local()) {
+	if relayed || !n.health.CanServe(n.local()) {
 		return answerUnavailable
 	}
 	for _, o := range n.w.nodes {
@@ -52,7 +52,7 @@
 func (n *node) answerAsLeader(machine string, event core.Event) heartbeatAnswer {
 	response := n.step(event).Response
 	switch {
-	case response != nil && response.Held:
+	case response != nil && response.Hold:
 		return heartbeatAnswer{status: statusHeld, leader: n}
 	case response == nil || !response.OK || !n.holdsLease():
 		return answerUnavailable
