--- a/internal/simulation/admission_test.go
+++ b/internal/simulation/admission_test.go
@@ -8,10 +8,10 @@
 // admissionSeeds is how many worlds of each family TestAdmissionWorlds plays.
 const admissionSeeds = 12
 
-// TestAdmissionWorlds plays worlds of every family with admission control on, and with a team
-// that floods the deployment again and again, with all their faults. The rules, and their
-// checker, are the same as without it; besides, no node goes back to an older policy, and
-// every policy says the same everywhere. The warm standby is on in every other world.
+// TestAdmissionWorlds plays worlds of every family, with all their faults, while admission control
+// is on and one team repeatedly floods the deployment. All invariants of worlds without admission
+// control hold too; in addition no node goes back to an older policy, and a policy has the same
+// content on all nodes. The warm standby is on in every other world.
 func TestAdmissionWorlds(t *testing.T) {
 	counts := eventCounts{}
 	change := func(o Options, number int) Options {
@@ -27,7 +27,8 @@
 	t.Log(counts)
 }
 
-// The same seed is the same run with admission control on as well.
+// TestAdmissionSameSeedSameRun expects two runs with the same seed to be identical, also with
+// admission control and the warm standby on.
 func TestAdmissionSameSeedSameRun(t *testing.T) {
 	for _, f := range families {
 		t.Run(fmt.Sprintf("%s/%d", f.name, f.repeatedSeeds[0]), func(t *testing.T) {
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -53,7 +53,7 @@
 			have++
 		}
 	}
-	n := min(r.Count, c.w.shortLease.offer()-have)
+	n := min(r.Count, c.w.shortLease.cloudCapacity()-have)
 	if n <= 0 {
 		return nil, true, true
 	}
@@ -75,7 +75,7 @@
 		return false
 	}
 	if c.w.drains != nil {
-		c.w.drains.call(c.w.drains.onScaleIn)
+		c.w.drains.runCallbacks(c.w.drains.onScaleIn)
 	}
 	for _, n := range names {
 		if m := c.w.machines[n]; m != nil {
--- a/internal/simulation/correlated_failures.go
+++ b/internal/simulation/correlated_failures.go
@@ -4,13 +4,14 @@
 	"time"
 )
 
-// correlatedFailures adds to a world what large fleets see: many machines that die, hang, restart or lose inbound
-// messages together, and controllers that pause for seconds while their clocks run on.
+// correlatedFailures injects failures as large fleets see them: many machines die, hang, restart or
+// lose inbound messages together, and controllers pause for seconds while their clocks run on.
 type correlatedFailures struct {
 	w *World
 	random
 }
 
+// planCorrelatedFailures schedules the correlated failures of a world at random times.
 func (w *World) planCorrelatedFailures() {
 	f := &correlatedFailures{w: w, random: newRandom(w.options.Seed, correlatedStream)}
 	w.correlated = f
@@ -22,7 +23,8 @@
 	}
 }
 
-// failMachines has up to all machines fail in one way within a second. Often the leader crashes with them, or all
+// failMachines has each machine fail with a probability between 0.2 and 1, all in the same way and
+// within a second. In a third of the cases the leader crashes with them, and in another third all
 // controllers do.
 func (f *correlatedFailures) failMachines() {
 	w := f.w
@@ -47,9 +49,9 @@
 			}
 		})
 	}
-	with := f.rng.IntN(3)
+	crashes := f.rng.IntN(3)
 	for _, n := range w.nodes {
-		if !n.down && (with == 1 && n.holdsLease() || with == 2) {
+		if !n.down && (crashes == 1 && n.holdsLease() || crashes == 2) {
 			w.after(f.between(0, 2*time.Second), func() {
 				if !n.down {
 					n.crash(f.between(10*time.Millisecond, 4*time.Second))
@@ -59,7 +61,8 @@
 	}
 }
 
-// pauseNode has a controller pause, mostly the leader. Some crash before they go on.
+// pauseNode pauses a controller, mostly the leader. A fifth of the paused controllers crash before
+// they resume.
 func (f *correlatedFailures) pauseNode() {
 	w := f.w
 	n := w.nodes[f.rng.IntN(len(w.nodes))]
@@ -85,7 +88,9 @@
 	}
 }
 
-// pauseBeforeAnswer is how long a process paused between the check of its lease and an answer. Seldom is that any time.
+// pauseBeforeAnswer is how long a controller is paused between the check of its lease and the
+// sending of an answer: 0 except in one of a hundred cases, and always 0 once the faults have
+// ended.
 func (f *correlatedFailures) pauseBeforeAnswer() time.Duration {
 	if f.w.network.reliable || f.rng.IntN(100) > 0 {
 		return 0
--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -81,7 +81,7 @@
 func TestUsersCallsGoByTheWorldsTime(t *testing.T) {
 	w := NewWorld(randomOptions(1, false))
 	s := newScript(w)
-	s.add(time.Second, pipeline.Spec{Tasks: 1}, time.Minute)
+	s.submitJob(time.Second, pipeline.Spec{Tasks: 1}, time.Minute)
 	submitted := false
 	s.at(20*time.Second, func() {
 		n := w.nodes[0]
--- a/internal/simulation/drain_faults.go
+++ b/internal/simulation/drain_faults.go
@@ -6,25 +6,27 @@
 	"gingertally/internal/statestore"
 )
 
-// deliberateDrainFault breaks a rule of drains, so that tests see its invariant fail. What isn't set works as it
-// should.
+// deliberateDrainFault breaks a rule of drains on purpose, to show that the invariant for that rule
+// fails. Each function that is set replaces correct behaviour.
 type deliberateDrainFault struct {
-	policy func(drain.Policy) drain.Policy                // that the controllers go by
-	stored func(*drain.Stored)                            // that a new leader reads
-	commit func([]statestore.Op) []statestore.Op          // that the state service is sent
-	batch  func(n *node, batch []core.Write) []core.Write // that a leader writes
+	policy func(drain.Policy) drain.Policy                // changes the policy that the controllers use
+	stored func(*drain.Stored)                            // changes what a new leader reads of drains
+	commit func([]statestore.Op) []statestore.Op          // changes what the state service applies
+	batch  func(n *node, batch []core.Write) []core.Write // changes the batch that a leader writes
 }
 
-// spoilCommit applies a deliberate fault to what the state service is sent.
-func (d *drainOperators) spoilCommit(changes []statestore.Op) []statestore.Op {
+// injectCommitFault returns the changes that the state service applies, altered if a deliberate
+// fault asks for it.
+func (d *drainOperators) injectCommitFault(changes []statestore.Op) []statestore.Op {
 	if d == nil || d.fault.commit == nil {
 		return changes
 	}
 	return d.fault.commit(changes)
 }
 
-// spoilBatch applies a deliberate fault to what a leader writes.
-func (n *node) spoilBatch(batch []core.Write) []core.Write {
+// injectBatchFault returns the batch that the leader writes, altered if a deliberate fault asks for
+// it.
+func (n *node) injectBatchFault(batch []core.Write) []core.Write {
 	if n.w.drains == nil || n.w.drains.fault.batch == nil {
 		return batch
 	}
--- a/internal/simulation/drain_operators.go
+++ b/internal/simulation/drain_operators.go
@@ -9,22 +9,23 @@
 	"gingertally/internal/drain"
 )
 
-// drainOperators are the operators of a world, who have machines drained while teams have disruption budgets. Nil
-// ones do nothing.
+// drainOperators are the operators of a world, who have machines drained while teams have
+// disruption budgets. Nil operators do nothing.
 type drainOperators struct {
 	w *World
 	random
 	policy *drain.Policy
-	plans  []string
+	plans  []string // ids of the plans requested so far
 	fault  deliberateDrainFault
-	counts eventCounts // what came about, and how often
+	counts eventCounts // events of each kind so far
 
-	// what scripts have called when something happens
+	// Callbacks of scripts: cordons have been written to the state service, charges have been
+	// written, and the cloud is deleting machines.
 	onCordon, onCharge, onScaleIn []func()
 }
 
-// call calls what scripts have waiting for an event.
-func (d *drainOperators) call(waiting []func()) {
+// runCallbacks schedules callbacks to run right after the current event.
+func (d *drainOperators) runCallbacks(waiting []func()) {
 	for _, fn := range waiting {
 		d.w.after(0, fn)
 	}
@@ -40,28 +41,29 @@
 
 func (d *drainOperators) count(what string) { d.counts[what]++ }
 
-// start plans the operators' requests.
+// start submits jobs and schedules the operators' requests. Once the faults have been over for 30
+// seconds, it has all plans cancelled.
 func (d *drainOperators) start() {
 	if d == nil {
 		return
 	}
-	d.planJobs()
+	d.submitJobs()
 	for range 2 + d.rng.IntN(3) {
-		d.w.after(d.between(5*time.Second, d.w.options.Length*2/3), d.request)
+		d.w.after(d.between(5*time.Second, d.w.options.Length*2/3), d.requestDrain)
 	}
 	for range 3 {
-		d.w.after(d.between(20*time.Second, d.w.options.Length), d.interfere)
+		d.w.after(d.between(20*time.Second, d.w.options.Length), d.changeRandomPlan)
 	}
 	d.w.after(d.w.options.Length+30*time.Second, func() {
 		for _, id := range d.plans {
-			d.cancel(id)
+			d.cancelPlan(id)
 		}
 	})
 }
 
-// planJobs submits work of the teams with budgets that doesn't end while drains go on. It is cancelled when the faults
-// are over.
-func (d *drainOperators) planJobs() {
+// submitJobs submits jobs of the teams with budgets that don't end while drains run. They are
+// cancelled within 20 seconds after the faults are over.
+func (d *drainOperators) submitJobs() {
 	for i, shape := range []pipeline.Shape{pipeline.Array, pipeline.Service, pipeline.Array, pipeline.Gang} {
 		s := pipeline.Spec{
 			Ref: drainJobRefs.ref(i), Class: []string{"c", "long"}[d.rng.IntN(2)], Team: []string{"red", "blue"}[i%2],
@@ -76,8 +78,9 @@
 	}
 }
 
-// request has an operator request a new drain, half of the time at two controllers at once.
-func (d *drainOperators) request() {
+// requestDrain has an operator request a random new drain, half of the time twice, so that two
+// controllers may create the same plan.
+func (d *drainOperators) requestDrain() {
 	p := drain.Plan{
 		ID: fmt.Sprintf("plan-%d", len(d.plans)), MaxAtOnce: 1 + d.rng.IntN(3), Surge: d.rng.IntN(3),
 		KeepCordoned: d.rng.IntN(3) == 0,
@@ -94,14 +97,15 @@
 		p.Deadline = d.between(20*time.Second, 90*time.Second)
 	}
 	d.plans = append(d.plans, p.ID)
-	d.create(p)
+	d.createPlan(p)
 	if d.rng.IntN(2) == 0 {
-		d.create(p)
+		d.createPlan(p)
 	}
 }
 
-// create sends a request to some controller until it is answered.
-func (d *drainOperators) create(p drain.Plan) {
+// createPlan asks a random controller to store a drain plan, and tries again every three seconds
+// until a call has succeeded.
+func (d *drainOperators) createPlan(p drain.Plan) {
 	n := d.anyNode()
 	answered := false
 	if !n.down && !n.paused() {
@@ -114,27 +118,28 @@
 	}
 	d.w.after(3*time.Second, func() {
 		if !answered {
-			d.create(p)
+			d.createPlan(p)
 		}
 	})
 }
 
-// interfere has an operator pause, resume or cancel a plan.
-func (d *drainOperators) interfere() {
+// changeRandomPlan has an operator cancel a random plan, or pause it and resume it later.
+func (d *drainOperators) changeRandomPlan() {
 	if len(d.plans) == 0 {
 		return
 	}
 	id := d.plans[d.rng.IntN(len(d.plans))]
 	if d.rng.IntN(3) == 0 {
-		d.change(id, drain.Cancelled)
+		d.changePhase(id, drain.Cancelled)
 		return
 	}
-	d.change(id, drain.Paused)
-	d.w.after(d.between(2*time.Second, 20*time.Second), func() { d.change(id, drain.Running) })
+	d.changePhase(id, drain.Paused)
+	d.w.after(d.between(2*time.Second, 20*time.Second), func() { d.changePhase(id, drain.Running) })
 }
 
-// change has an operator change a plan's phase at some controller, if that can be reached.
-func (d *drainOperators) change(id string, to drain.Phase) {
+// changePhase has an operator change a plan's phase through a random controller. It does nothing if
+// that controller is down or paused.
+func (d *drainOperators) changePhase(id string, to drain.Phase) {
 	n := d.anyNode()
 	if n.down || n.paused() {
 		return
@@ -146,13 +151,13 @@
 	}, func() {})
 }
 
-// cancel has an operator cancel a plan, again and again until it is over.
-func (d *drainOperators) cancel(id string) {
-	d.change(id, drain.Cancelled)
+// cancelPlan has an operator cancel a plan, repeatedly until it is cancelled or completed.
+func (d *drainOperators) cancelPlan(id string) {
+	d.changePhase(id, drain.Cancelled)
 	d.w.after(5*time.Second, func() {
 		stored, err := d.w.nodes[0].jobs.DrainPlan(context.Background(), id)
 		if err != nil || stored.Plan.Phase != drain.Cancelled && stored.Plan.Phase != drain.Completed {
-			d.cancel(id)
+			d.cancelPlan(id)
 		}
 	})
 }
--- a/internal/simulation/drain_policy.go
+++ b/internal/simulation/drain_policy.go
@@ -6,10 +6,10 @@
 	"gingertally/internal/drain"
 )
 
-// drainSkew bounds how far the controllers' clocks are off in these worlds.
+// drainSkew bounds how far the controllers' clocks may be off in worlds with drains.
 const drainSkew = 250 * time.Millisecond
 
-// randomPolicy gives the teams budgets of every kind.
+// randomPolicy returns a policy with random disruption budgets for the teams.
 func (d *drainOperators) randomPolicy() *drain.Policy {
 	p := &drain.Policy{
 		Budgets:    map[drain.Scope]drain.Budget{},
@@ -39,7 +39,8 @@
 	return p
 }
 
-// randomWindows are closed windows that come and go within the world.
+// randomWindows returns closed windows of 10 to 25 seconds that begin at random times within
+// Options.Length.
 func (d *drainOperators) randomWindows() []drain.ClosedWindow {
 	var out []drain.ClosedWindow
 	for at := d.between(0, 40*time.Second); at < d.w.options.Length; at += d.between(30*time.Second, 60*time.Second) {
@@ -56,7 +57,8 @@
 	return out
 }
 
-// nodePolicy is the policy that the controllers go by.
+// nodePolicy returns the policy that the controllers use, altered if a deliberate fault asks for
+// it.
 func (d *drainOperators) nodePolicy() *drain.Policy {
 	if d.fault.policy == nil {
 		return d.policy
--- a/internal/simulation/drain_scenarios_test.go
+++ b/internal/simulation/drain_scenarios_test.go
@@ -9,56 +9,58 @@
 	"gingertally/internal/drain"
 )
 
-// drainAll has an operator drain all machines that are there at some moment.
+// drainAll has an operator drain all machines that exist at the given time.
 func (s *script) drainAll(at time.Duration, atOnce int) {
 	d := s.w.drains
 	s.at(at, func() {
 		p := drain.Plan{ID: "all-" + at.String(), Selector: drain.Selector{All: true}, MaxAtOnce: atOnce, Surge: 2}
 		d.plans = append(d.plans, p.ID)
-		d.create(p)
+		d.createPlan(p)
 	})
 }
 
-// drainLoad submits work of all kinds that drains meet.
-func (s *script) drainLoad() {
+// submitDrainLoad submits endless and short jobs of all shapes, with and without checkpoints.
+func (s *script) submitDrainLoad() {
 	s.submitEndless(6, 0)
 	s.submitShort(30, 0, 160*time.Second)
 	for i, team := range []string{"red", "blue", "green"} {
 		at := time.Duration(i) * time.Second
-		s.add(at, pipeline.Spec{
+		s.submitJob(at, pipeline.Spec{
 			Team: team, Shape: pipeline.Service, Tasks: 3, CPUs: 1, MemGB: 1, Priority: pipeline.High,
 		}, endless)
-		s.add(at, pipeline.Spec{
+		s.submitJob(at, pipeline.Spec{
 			Team: team, Shape: pipeline.Gang, Tasks: 3, CPUs: 1, MemGB: 1,
 			CheckpointInterval: 3 * time.Second, CheckpointTime: 2 * time.Second,
 		}, endless)
 	}
 }
 
-// sometimes calls something with a chance, at most so often.
-func (s *script) sometimes(chance float64, most int, fn func()) func() {
+// sometimes returns a function that calls fn with a probability, at most callsLeft times, and not
+// after the faults are over.
+func (s *script) sometimes(chance float64, callsLeft int, fn func()) func() {
 	return func() {
-		if most > 0 && !s.faultsOver() && s.chance(chance) {
-			most--
+		if callsLeft > 0 && !s.faultsOver() && s.chance(chance) {
+			callsLeft--
 			fn()
 		}
 	}
 }
 
-// crashLeader ends the leader; it is back soon.
+// crashLeader crashes the leader, which boots again within six seconds.
 func (s *script) crashLeader() {
 	s.crashLeaderFor(10*time.Millisecond, 6*time.Second)
 }
 
-// pauseLeaderForDrain pauses the leader for longer than its lease, its clocks running on.
+// pauseLeaderForDrain pauses the leader for longer than its lease, while its clocks run on.
 func (s *script) pauseLeaderForDrain() { s.pauseLeader("leaders paused") }
 
-// drainScenarios are the hard cases of drains in which controllers fail.
+// drainScenarios are scenarios in which controllers, workers, the state service or the cloud fail
+// during drains.
 var drainScenarios = []faultScenario{
 	{name: "the leader ends between charge and stop, cordon and eviction, release and its record",
 		length: 200 * time.Second,
 		script: func(s *script) {
-			s.drainLoad()
+			s.submitDrainLoad()
 			s.drainAll(15*time.Second, 2)
 			s.drainAll(90*time.Second, 3)
 			d := s.w.drains
@@ -69,7 +71,7 @@
 
 	{name: "the leader stalls just then, and wakes after the takeover", length: 200 * time.Second,
 		script: func(s *script) {
-			s.drainLoad()
+			s.submitDrainLoad()
 			s.drainAll(15*time.Second, 2)
 			s.drainAll(90*time.Second, 3)
 			d := s.w.drains
@@ -80,17 +82,17 @@
 
 	{name: "the leader is refused by the state service alone, and another drains on", length: 220 * time.Second,
 		script: func(s *script) {
-			s.drainLoad()
+			s.submitDrainLoad()
 			s.drainAll(15*time.Second, 2)
 			s.drainAll(100*time.Second, 3)
 			s.every(25*time.Second, 35*time.Second, func() {
-				s.refuse(s.w.currentLeader(), s.between(5*time.Second, 25*time.Second))
+				s.refuseNode(s.w.currentLeader(), s.between(5*time.Second, 25*time.Second))
 			})
 		}, least: eventCounts{"nodes refused by the state service": 16, "machines released": 30}},
 
 	{name: "the state service is down in every stage, slow, and loses answers", length: 240 * time.Second,
 		script: func(s *script) {
-			s.drainLoad()
+			s.submitDrainLoad()
 			s.storeDelay, s.lostAnswerShare = 200*time.Millisecond, 0.1
 			s.drainAll(15*time.Second, 2)
 			s.drainAll(110*time.Second, 3)
@@ -107,14 +109,14 @@
 		}, least: eventCounts{"outages": 16, "machines released": 25, "late transactions carried out": 1}},
 
 	{name: "all controllers end in the middle", length: 200 * time.Second, script: func(s *script) {
-		s.drainLoad()
+		s.submitDrainLoad()
 		s.drainAll(15*time.Second, 2)
 		s.drainAll(90*time.Second, 3)
 		s.every(22*time.Second, 30*time.Second, func() { s.crashAll(10*time.Millisecond, 8*time.Second) })
 	}, least: eventCounts{"crashes of all controllers": 20, "machines released": 30}},
 
 	{name: "half the machines die, others hang and come back", length: 220 * time.Second, script: func(s *script) {
-		s.drainLoad()
+		s.submitDrainLoad()
 		s.drainAll(15*time.Second, 2)
 		s.drainAll(100*time.Second, 3)
 		s.every(30*time.Second, 60*time.Second, func() {
@@ -135,7 +137,7 @@
 		randomFaults: true,
 		length:       200 * time.Second,
 		script: func(s *script) {
-			s.drainLoad()
+			s.submitDrainLoad()
 			s.duplicateShare, s.forNextLeader = 0.1, true
 			s.drainAll(15*time.Second, 2)
 			s.drainAll(90*time.Second, 3)
@@ -151,7 +153,7 @@
 		}, least: eventCounts{"workers restarted": 20, "duplicate heartbeats": 100, "machines released": 25}},
 
 	{name: "replacements never boot, and the cloud is away", length: 220 * time.Second, script: func(s *script) {
-		s.drainLoad()
+		s.submitDrainLoad()
 		s.drainAll(15*time.Second, 2)
 		s.every(20*time.Second, 30*time.Second, func() {
 			s.count("cloud outages")
@@ -164,7 +166,7 @@
 	{name: "the version in production leads amid the plan", length: 220 * time.Second,
 		alter: func(o *Options) { o.RollingUpgrade, o.Pipelines = true, 4 },
 		script: func(s *script) {
-			s.drainLoad()
+			s.submitDrainLoad()
 			s.drainAll(60*time.Second, 2)
 			s.drainAll(110*time.Second, 3)
 			s.every(20*time.Second, 30*time.Second, s.crashLeader)
@@ -172,7 +174,7 @@
 
 	{name: "controllers cut off from the state service and each other", length: 220 * time.Second,
 		script: func(s *script) {
-			s.drainLoad()
+			s.submitDrainLoad()
 			s.drainAll(15*time.Second, 2)
 			s.drainAll(100*time.Second, 3)
 			s.every(25*time.Second, 40*time.Second, func() {
@@ -188,7 +190,8 @@
 		}},
 }
 
-// withDrains are scenarios in worlds with drains, with the warm standby on in every other one.
+// withDrains returns scenarios with drains switched on in their worlds, and the warm standby in
+// every other one.
 func withDrains(scenarios []faultScenario) []faultScenario {
 	out := slices.Clone(scenarios)
 	for i := range out {
@@ -204,15 +207,15 @@
 	return out
 }
 
-// TestDrainScenarios brings the hard cases of drains about, with the warm standby on in half of
-// the worlds, and budgets and plans of every kind beside the script's own.
+// TestDrainScenarios plays the drain scenarios, with the warm standby on in half of the worlds.
+// Besides the drains of the scripts there are random budgets and drain plans.
 func TestDrainScenarios(t *testing.T) {
 	scenarios := withDrains(drainScenarios)
 	for i := range scenarios {
-		m := scenarios[i]
-		t.Run(m.name, func(t *testing.T) {
+		scenario := scenarios[i]
+		t.Run(scenario.name, func(t *testing.T) {
 			t.Parallel()
-			m.playAll(t, 8000+uint64(i)*100)
+			scenario.playAll(t, 8000+uint64(i)*100)
 		})
 	}
 }
--- a/internal/simulation/drains_test.go
+++ b/internal/simulation/drains_test.go
@@ -15,9 +15,9 @@
 // drainSeeds is how many worlds of each family TestDrainWorlds plays.
 const drainSeeds = 12
 
-// TestDrainWorlds plays worlds of every family in which operators drain machines while teams
-// have budgets of every kind, with all faults, and the warm standby on in every other one.
-// Besides all rules, the budgets and cordons hold after every step.
+// TestDrainWorlds plays worlds of every family, with all their faults, in which operators drain
+// machines while teams have random disruption budgets. The warm standby is on in every other world.
+// Besides all other invariants, budgets and cordons are checked after every step.
 func TestDrainWorlds(t *testing.T) {
 	counts := eventCounts{}
 	change := func(o Options, number int) Options {
@@ -32,12 +32,13 @@
 	t.Log(counts)
 }
 
-// Each check of drains is seen to fail under a deliberate fault.
+// TestDrainChecksSeeFaults breaks each rule of drains with a deliberate fault, and expects the
+// invariant for that rule to fail.
 func TestDrainChecksSeeFaults(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		fault deliberateDrainFault
-		says  string
+		name    string
+		fault   deliberateDrainFault
+		message string
 	}{
 		{"charges after the stop", deliberateDrainFault{batch: chargeAfterTheStop}, "uncharged"},
 		{"charges kept in memory", deliberateDrainFault{commit: dropCharges}, "uncharged"},
@@ -50,33 +51,34 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			if !faultSeen(c.fault, c.says) {
+			if !faultSeen(c.fault, c.message) {
 				t.Error("no world shows the fault")
 			}
 		})
 	}
 }
 
-// faultSeen tells whether a world with a deliberate fault breaks a rule.
-func faultSeen(fault deliberateDrainFault, says string) bool {
+// faultSeen tells whether a deliberate fault makes any of 150 worlds fail with a violation that
+// contains the message.
+func faultSeen(fault deliberateDrainFault, message string) bool {
 	for seed := range uint64(150) {
 		o := randomOptions(1000+seed, true)
 		if seed%2 == 0 {
 			o = shortLeaseOptions(7000 + seed)
 		}
 		o.Drains, o.DrainFault = true, fault
-		if err := NewWorld(o).Run(); err != nil && strings.Contains(err.Error(), says) {
+		if err := NewWorld(o).Run(); err != nil && strings.Contains(err.Error(), message) {
 			return true
 		}
 	}
 	return false
 }
 
-// chargeDelay is how much too late charges are stored by chargeAfterTheStop.
+// chargeDelay is how long after the stop chargeAfterTheStop has charges stored.
 const chargeDelay = 10 * time.Second
 
-// chargeAfterTheStop has the leader go on as if its charges were stored; they are sent only
-// after a while.
+// chargeAfterTheStop tells the leader that its charges are stored, so that it goes on to send the
+// stops, but has them written only chargeDelay later.
 func chargeAfterTheStop(n *node, batch []core.Write) []core.Write {
 	var charges, rest []core.Write
 	for _, w := range batch {
@@ -95,7 +97,7 @@
 	return rest
 }
 
-// dropCharges has the state service lose pages of charges.
+// dropCharges has the state service lose all pages of charges.
 func dropCharges(changes []statestore.Op) (out []statestore.Op) {
 	for _, c := range changes {
 		if c.Delete || !strings.HasPrefix(c.Key, chargePrefix) {
@@ -105,7 +107,7 @@
 	return out
 }
 
-// chargeOneTask keeps of each job on a page of charges those of one task.
+// chargeOneTask keeps only the charges of the first task of each job on a page of charges.
 func chargeOneTask(changes []statestore.Op) (out []statestore.Op) {
 	for _, c := range changes {
 		var record drain.ChargePage
@@ -120,7 +122,7 @@
 	return out
 }
 
-// changeBudgets is a policy with something changed in each budget.
+// changeBudgets returns a copy of a policy in which each budget is changed.
 func changeBudgets(p drain.Policy, change func(*drain.Budget)) drain.Policy {
 	budgets := map[drain.Scope]drain.Budget{}
 	for scope, b := range p.Budgets {
--- a/internal/simulation/fault_scenario_message_rows_test.go
+++ b/internal/simulation/fault_scenario_message_rows_test.go
@@ -6,7 +6,8 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// messageScenarios are those in which requests, heartbeats and transactions are repeated, late or meet each other.
+// messageScenarios are the fault scenarios in which requests, heartbeats and transactions are
+// repeated, delayed, or cross each other.
 var messageScenarios = []faultScenario{
 	{name: "cancellation meets the end", script: func(s *script) {
 		s.submitShort(60, 0, 130*time.Second)
@@ -39,7 +40,7 @@
 		script: func(s *script) {
 			s.submitEndless(6, 0)
 			s.submitShort(30, 0, 120*time.Second)
-			s.lateHeartbeats(0.6, s.w.options.Length, false)
+			s.duplicateHeartbeats(0.6, s.w.options.Length, false)
 			s.every(30*time.Second, 25*time.Second, func() {
 				for _, m := range s.sampleMachines(0.3, hasTask) {
 					if s.chance(0.5) {
@@ -79,7 +80,7 @@
 		s.submitEndless(8, 0)
 		s.submitShort(40, 0, 120*time.Second)
 		s.probeConsistency()
-		s.every(15*time.Second, 20*time.Second, func() { s.lateWrites(0.7, 15*time.Second, false) })
+		s.every(15*time.Second, 20*time.Second, func() { s.loseCommitAnswers(0.7, 15*time.Second, false) })
 		s.every(20*time.Second, 10*time.Second, func() { s.cancelNow(1, 0) })
 		crashLeaderRepeatedly(s, 50*time.Second, 35*time.Second, 10*time.Millisecond, 3*time.Second)
 	}, least: eventCounts{
@@ -108,7 +109,7 @@
 		script: func(s *script) {
 			s.submitEndless(6, 0)
 			s.submitShort(30, 0, 120*time.Second)
-			s.lateHeartbeats(0.3, s.w.options.Length, true)
+			s.duplicateHeartbeats(0.3, s.w.options.Length, true)
 			crashLeaderRepeatedly(s, 20*time.Second, 18*time.Second, 10*time.Millisecond, 3*time.Second)
 			s.every(25*time.Second, 20*time.Second, func() { s.cancelNow(1, s.between(time.Second, 10*time.Second)) })
 		}, least: eventCounts{"duplicate heartbeats": 500, "leaders crashed": 16, "cancellations confirmed": 12}},
@@ -130,7 +131,7 @@
 			s.every(22*time.Second, 12*time.Second, func() { s.cancelNow(1, 0) })
 			s.at(s.between(60*time.Second, 80*time.Second), func() {
 				s.onceLeader(func(n *node) {
-					s.refuse(n, 30*time.Second)
+					s.refuseNode(n, 30*time.Second)
 					s.at(s.between(time.Second, 10*time.Second), func() {
 						s.outage(s.w.options.CancelWithin + s.between(time.Second, 10*time.Second))
 					})
@@ -148,14 +149,14 @@
 		script: func(s *script) {
 			s.submitEndless(6, 0)
 			s.submitShort(30, 0, 120*time.Second)
-			s.heldHeartbeats(0.1, s.w.options.Length)
+			s.holdHeartbeats(0.1, s.w.options.Length)
 			crashLeaderRepeatedly(s, 20*time.Second, 18*time.Second, 10*time.Millisecond, 3*time.Second)
 			s.every(25*time.Second, 20*time.Second, func() { s.cancelNow(1, 0) })
 		}, least: eventCounts{"held heartbeats": 60, "leaders crashed": 16, "cancellations confirmed": 12}},
 
 	{name: "four one-task jobs a second, a quarter cancelled", script: func(s *script) {
 		for at := time.Duration(0); at < 120*time.Second; at += 250 * time.Millisecond {
-			s.add(at, pipeline.Spec{Tasks: 1, CPUs: 1, MemGB: 1, Team: "green"}, s.between(time.Second, 4*time.Second))
+			s.submitJob(at, pipeline.Spec{Tasks: 1, CPUs: 1, MemGB: 1, Team: "green"}, s.between(time.Second, 4*time.Second))
 		}
 		cancelShare(s, 0.25, 3*time.Second)
 		crashLeaderRepeatedly(s, 40*time.Second, 40*time.Second, 10*time.Millisecond, 3*time.Second)
@@ -168,7 +169,7 @@
 			s.every(s.between(30*time.Second, 40*time.Second), 80*time.Second, func() {
 				s.onceLeader(func(old *node) {
 					s.cancelNow(5, s.between(0, 10*time.Second))
-					s.at(s.between(0, 200*time.Millisecond), func() { s.refuse(old, s.between(3*time.Second, 60*time.Second)) })
+					s.at(s.between(0, 200*time.Millisecond), func() { s.refuseNode(old, s.between(3*time.Second, 60*time.Second)) })
 					s.at(time.Second, func() {
 						s.outage(s.w.options.CancelWithin + s.between(2*time.Second, 12*time.Second))
 						s.sendHeartbeatsTo(old, s.w.options.CancelWithin)
@@ -212,8 +213,8 @@
 			s.submitShort(25, 0, 120*time.Second)
 			s.every(20*time.Second, 33*time.Second, func() {
 				s.onceLeader(func(old *node) {
-					// Refused alone, the old leader hasn't learnt that another leads when that one ends.
-					s.refuse(old, s.between(20*time.Second, 30*time.Second))
+					// Refused by the state service, the old leader hasn't learnt of the new one when that crashes.
+					s.refuseNode(old, s.between(20*time.Second, 30*time.Second))
 					s.onceNextLeader(old, func(n *node) {
 						s.cancelNow(1, 0)
 						s.at(s.between(0, 3*time.Second), func() {
@@ -225,7 +226,7 @@
 			})
 			s.every(10*time.Second, 7*time.Second, func() { s.outage(s.between(time.Second, 6*time.Second)) })
 			s.every(15*time.Second, 4*time.Second, func() { s.grantWhileServed = s.chance(0.6) })
-			s.every(10*time.Second, time.Second, func() { // nodes that granted an extension end and are back at once
+			s.every(10*time.Second, time.Second, func() { // nodes that granted an extension crash and boot at once
 				for _, n := range s.w.nodes {
 					if n.local().Before(n.candidacy.grantedUntil) && s.chance(0.1) {
 						s.count("nodes that had granted an extension crashed")
@@ -246,7 +247,7 @@
 
 	{name: "cancellations cross writes of their jobs, late and slow", randomFaults: true, script: func(s *script) {
 		for range 30 {
-			j := s.add(s.between(0, 100*time.Second), pipeline.Spec{Tasks: 8, CPUs: 1, MemGB: 1, Team: "green"}, 20*time.Second)
+			j := s.submitJob(s.between(0, 100*time.Second), pipeline.Spec{Tasks: 8, CPUs: 1, MemGB: 1, Team: "green"}, 20*time.Second)
 			for range j.spec.Tasks {
 				j.runs = append(j.runs, s.between(2*time.Second, 40*time.Second))
 			}
@@ -255,7 +256,7 @@
 		s.probeConsistency()
 		s.every(5*time.Second, 12*time.Second, func() {
 			s.storeDelay = s.between(0, 700*time.Millisecond)
-			s.lateWrites(0.5, 8*time.Second, s.chance(0.3))
+			s.loseCommitAnswers(0.5, 8*time.Second, s.chance(0.3))
 		})
 		s.every(5*time.Second, 250*time.Millisecond, func() {
 			for _, j := range s.w.sortedJobs() {
@@ -284,7 +285,7 @@
 			s.every(35*time.Second, 50*time.Second, func() {
 				unresponsive, d := s.sampleMachines(0.6, hasTask), s.between(60*time.Second, 80*time.Second)
 				s.cutMachines(unresponsive, d)
-				s.loseInbound(unresponsive, d) // no command reaches them late either
+				s.loseInbound(unresponsive, d) // so that commands are lost instead of arriving late
 				s.at(s.between(0, 5*time.Second), func() { s.cancelNow(4, 0) })
 			})
 		}, least: eventCounts{
--- a/internal/simulation/fault_scenario_rows_test.go
+++ b/internal/simulation/fault_scenario_rows_test.go
@@ -7,11 +7,12 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// faultScenarios are the rows of TestFaultScenarios; docs/fault-scenarios.md has the argument for each. A row's seeds
-// depend on its place, so new rows go to the end.
+// faultScenarios are the rows of TestFaultScenarios; docs/fault-scenarios.md has the argument for
+// each. The seeds of a row depend on its place in the list, so new rows go to the end.
 var faultScenarios = slices.Concat(clusterScenarios, messageScenarios)
 
-// clusterScenarios are those in which controllers, machines, zones and the state service fail.
+// clusterScenarios are the fault scenarios in which controllers, machines, zones and the state
+// service fail.
 var clusterScenarios = []faultScenario{
 	{name: "refused leader, next one confirms, out for all", length: 280 * time.Second, script: func(s *script) {
 		s.submitEndless(12, 0)
@@ -117,7 +118,7 @@
 	{name: "team at its limit, leader changes, machines cut, cancellation", randomFaults: true, script: func(s *script) {
 		limitTeams(s)
 		for range 8 {
-			s.add(s.between(0, 3*time.Second), pipeline.Spec{Team: "red", Tasks: 2}, endless)
+			s.submitJob(s.between(0, 3*time.Second), pipeline.Spec{Team: "red", Tasks: 2}, endless)
 		}
 		s.submitShort(25, 0, 120*time.Second)
 		s.every(40*time.Second, 30*time.Second, func() {
@@ -159,7 +160,7 @@
 		s.submitEndless(8, 0)
 		s.submitShort(40, 0, 120*time.Second)
 		s.probeConsistency()
-		s.every(15*time.Second, 20*time.Second, func() { s.lateWrites(0.4, 12*time.Second, true) })
+		s.every(15*time.Second, 20*time.Second, func() { s.loseCommitAnswers(0.4, 12*time.Second, true) })
 		s.every(20*time.Second, 10*time.Second, func() { s.cancelNow(1, 0) })
 		crashLeaderRepeatedly(s, 50*time.Second, 45*time.Second, 10*time.Millisecond, 3*time.Second)
 	}, least: eventCounts{
@@ -172,7 +173,7 @@
 			limitTeams(s)
 			for _, team := range []string{"red", "blue", "green"} {
 				for range 5 {
-					s.add(s.between(0, 3*time.Second), pipeline.Spec{Team: team, Tasks: 2}, endless)
+					s.submitJob(s.between(0, 3*time.Second), pipeline.Spec{Team: team, Tasks: 2}, endless)
 				}
 			}
 			s.submitShort(30, 0, 120*time.Second)
@@ -192,10 +193,10 @@
 	{name: "quick machines, late writes, the leader ends", randomFaults: true, script: func(s *script) {
 		s.quickMachines = true
 		s.submitShort(60, 0, 130*time.Second)
-		s.every(5*time.Second, 20*time.Second, func() { s.lateWrites(0.4, 15*time.Second, s.chance(0.3)) })
+		s.every(5*time.Second, 20*time.Second, func() { s.loseCommitAnswers(0.4, 15*time.Second, s.chance(0.3)) })
 		s.every(15*time.Second, 17*time.Second, func() {
 			n := len(s.w.machines)
-			s.add(0, pipeline.Spec{Tasks: 5, CPUs: 3, MemGB: 4, Team: "green"}, 8*time.Second)
+			s.submitJob(0, pipeline.Spec{Tasks: 5, CPUs: 3, MemGB: 4, Team: "green"}, 8*time.Second)
 			s.when(func() bool { return len(s.w.machines) > n }, func() {
 				s.at(s.between(0, 4*time.Second), func() { s.crashLeaderFor(10*time.Millisecond, 2*time.Second) })
 			})
@@ -214,7 +215,7 @@
 				if i%5 == 4 {
 					sp.Shape = pipeline.Gang
 				}
-				s.add(s.between(0, 90*time.Second), sp, s.between(5*time.Second, 15*time.Second))
+				s.submitJob(s.between(0, 90*time.Second), sp, s.between(5*time.Second, 15*time.Second))
 			}
 			cancelShare(s, 0.2, 40*time.Second)
 			crashLeaderRepeatedly(s, 60*time.Second, 50*time.Second, 10*time.Millisecond, 3*time.Second)
@@ -229,11 +230,11 @@
 
 	{name: "tasks end far apart across a change of leader", randomFaults: true, script: func(s *script) {
 		for i := range 30 {
-			j := s.add(s.between(0, 90*time.Second), pipeline.Spec{Tasks: 2 + i%2, CPUs: 1, MemGB: 1}, 20*time.Second)
+			j := s.submitJob(s.between(0, 90*time.Second), pipeline.Spec{Tasks: 2 + i%2, CPUs: 1, MemGB: 1}, 20*time.Second)
 			j.runs = []time.Duration{s.between(time.Second, 4*time.Second), s.between(15*time.Second, 40*time.Second)}
 		}
 		s.onTaskDone = append(s.onTaskDone, func(t *task) {
-			if left := t.job.spec.Tasks - len(t.job.done); left > 0 && s.tasksOf(t.job) > 0 && s.chance(0.3) {
+			if left := t.job.spec.Tasks - len(t.job.done); left > 0 && s.taskCount(t.job) > 0 && s.chance(0.3) {
 				s.count("one task done, others running")
 				s.at(s.between(0, 3*time.Second), func() { s.crashLeaderFor(10*time.Millisecond, 3*time.Second) })
 			}
@@ -297,7 +298,7 @@
 			case 2:
 				sp.Zone, sp.OneZone = "", true
 			}
-			s.add(s.between(0, 90*time.Second), sp, s.between(5*time.Second, 30*time.Second))
+			s.submitJob(s.between(0, 90*time.Second), sp, s.between(5*time.Second, 30*time.Second))
 		}
 		s.every(20*time.Second, 8*time.Second, func() {
 			for _, m := range s.sampleMachines(0.3, hasTask) {
--- a/internal/simulation/fault_scenarios_test.go
+++ b/internal/simulation/fault_scenarios_test.go
@@ -12,49 +12,53 @@
 	"gingertally/internal/core/placement"
 )
 
-// faultScenario is a row of a table of scenarios: faults that meet in a world.
+// faultScenario is a row of a table of scenarios: a script whose faults coincide in a world.
 type faultScenario struct {
 	name string
-	// digestLabel is the name in testdata/output_digests.txt, if the scenario was renamed since that file was written.
+	// digestLabel is the scenario's name in testdata/output_digests.txt, if the scenario was
+	// renamed since that file was written.
 	digestLabel  string
-	randomFaults bool             // every other seed has random faults besides
-	length       time.Duration    // of the world, if it isn't the usual one
-	alter        func(o *Options) // changes the world's options, if set
+	randomFaults bool             // every other world has random faults too
+	length       time.Duration    // Options.Length, if not the default
+	alter        func(o *Options) // if set, changes the options of the world
 	script       func(s *script)
-	// least is how often events have to come about over all seeds for the row to prove anything.
+	// least is how often events have to occur over all seeds; with fewer, the scenario proves
+	// nothing.
 	least eventCounts
 }
 
-// seedsPerScenario is how many worlds each scenario has.
+// seedsPerScenario is how many worlds of each scenario a test plays.
 const seedsPerScenario = 4
 
-// firstScenarioSeed is where the seeds of scenarios begin.
+// firstScenarioSeed is added to the seeds of all scenarios.
 const firstScenarioSeed = 9000
 
-func (m *faultScenario) options(seed uint64) Options {
-	o := randomOptions(firstScenarioSeed+seed, m.randomFaults && seed%2 == 1)
+// options returns the options of the scenario's world with a seed.
+func (scenario *faultScenario) options(seed uint64) Options {
+	o := randomOptions(firstScenarioSeed+seed, scenario.randomFaults && seed%2 == 1)
 	o.Jobs = 0
-	if m.length > 0 {
-		o.Length = m.length
+	if scenario.length > 0 {
+		o.Length = scenario.length
 	}
-	if m.alter != nil {
-		m.alter(&o)
+	if scenario.alter != nil {
+		scenario.alter(&o)
 	}
 	return o
 }
 
-// refusedLeaderThenOutage has the state service refuse the leader alone, and the next leader confirm cancellations to
-// users. Then the state service is out for all, while the workers keep sending their heartbeats to the old leader.
-func refusedLeaderThenOutage(s *script, at time.Duration, out func(s *script)) {
+// refusedLeaderThenOutage has the state service refuse the leader alone, and the next leader
+// confirm a cancellation to its user. Then startOutage has the state service fail for all nodes,
+// while the workers send their heartbeats to the old leader.
+func refusedLeaderThenOutage(s *script, at time.Duration, startOutage func(s *script)) {
 	outage := func(old *node) {
 		s.count("outage after confirmation by the next leader")
 		s.countCancelledWithTasks()
-		out(s)
+		startOutage(s)
 		s.sendHeartbeatsTo(old, 2*s.w.options.CancelWithin)
 	}
 	s.at(at, func() {
 		s.onceLeader(func(old *node) {
-			s.refuse(old, s.between(20*time.Second, 70*time.Second))
+			s.refuseNode(old, s.between(20*time.Second, 70*time.Second))
 			s.onceNextLeader(old, func(*node) {
 				s.at(s.between(0, 3*time.Second), func() { s.afterNextConfirmation(func() { outage(old) }) })
 			})
@@ -62,8 +66,8 @@
 	})
 }
 
-// afterNextConfirmation has jobs cancelled, and does something within a second of the first confirmation that a user
-// gets.
+// afterNextConfirmation has jobs cancelled, and runs fn within a second of the first confirmation
+// to a user.
 func (s *script) afterNextConfirmation(fn func()) {
 	before := s.counts["cancellations confirmed"]
 	s.cancelNow(3, 0)
@@ -72,16 +76,17 @@
 	})
 }
 
-// countCancelledWithTasks counts the jobs that are cancelled, as their users know, and still have tasks on machines.
+// countCancelledWithTasks counts the jobs whose users know that they are cancelled and that still
+// have tasks on machines.
 func (s *script) countCancelledWithTasks() {
 	for _, j := range s.w.sortedJobs() {
-		if j.reportedPhase == pipeline.Cancelled && s.tasksOf(j) > 0 {
+		if j.reportedPhase == pipeline.Cancelled && s.taskCount(j) > 0 {
 			s.count("cancelled jobs with tasks as the outage began")
 		}
 	}
 }
 
-// sendHeartbeatsTo has all workers send their heartbeats to one node for some time.
+// sendHeartbeatsTo directs the heartbeats of all workers to one node for some time.
 func (s *script) sendHeartbeatsTo(n *node, d time.Duration) {
 	for at := time.Duration(0); at < d; at += time.Second {
 		s.at(at, func() {
@@ -93,25 +98,27 @@
 	}
 }
 
-// limitTeams gives each team a limit that long jobs fill.
+// limitTeams gives each team a limit low enough for long jobs to reach it.
 func limitTeams(s *script) {
 	for _, t := range []string{"red", "blue", "green"} {
 		s.w.teams[t] = placement.Quota{CPULimit: 10, GPULimit: 4}
 	}
 }
 
-// teamAtLimit tells whether a team is at its limit, so that no further task of two CPUs is allowed.
+// teamAtLimit tells whether a team's limit has no room for another task of two CPUs.
 func (s *script) teamAtLimit(team string) bool {
 	cpus, _ := s.w.checker.ledger.teamUse(team)
 	return !s.w.teams[team].Within(cpus+2, 0)
 }
 
-// crashLeaderRepeatedly ends the leader again and again.
+// crashLeaderRepeatedly crashes the leader at regular intervals. It is down for a random time from
+// lo to hi.
 func crashLeaderRepeatedly(s *script, from, period time.Duration, lo, hi time.Duration) {
 	s.every(from, period, func() { s.crashLeaderFor(lo, hi) })
 }
 
-// cancelShare has a share of the users call off their jobs soon after they were accepted.
+// cancelShare has a share of the users cancel their jobs at a random time up to within after their
+// acceptance.
 func cancelShare(s *script, share float64, within time.Duration) {
 	s.onAccepted = append(s.onAccepted, func(j *userJob) {
 		if s.chance(share) {
@@ -121,7 +128,7 @@
 	})
 }
 
-// whenJobEnds does something at the very moment at which a job's last task ends.
+// whenJobEnds calls fn for a share of the accepted jobs, at the moment their last task completes.
 func whenJobEnds(s *script, share float64, fn func(j *userJob)) {
 	s.onEnded = append(s.onEnded, func(j *userJob) {
 		if j.accepted && s.chance(share) {
@@ -131,34 +138,35 @@
 	})
 }
 
-// TestFaultScenarios plays worlds in which faults meet at just the wrong moments.
+// TestFaultScenarios plays the fault scenarios, in which faults coincide at critical moments.
 func TestFaultScenarios(t *testing.T) {
 	for i := range faultScenarios {
-		m := &faultScenarios[i]
-		t.Run(m.name, func(t *testing.T) { m.playAll(t, uint64(i)*100) })
+		scenario := &faultScenarios[i]
+		t.Run(scenario.name, func(t *testing.T) { scenario.playAll(t, uint64(i)*100) })
 	}
 }
 
-// playAll plays all worlds of a scenario. A scenario that didn't come about proves nothing, and fails.
-func (m *faultScenario) playAll(t *testing.T, firstSeed uint64) {
+// playAll plays all worlds of a scenario. It fails if the scenario's events occurred too rarely,
+// since the scenario then proves nothing.
+func (scenario *faultScenario) playAll(t *testing.T, firstSeed uint64) {
 	t.Helper()
 	counts := eventCounts{}
 	for seed := range uint64(seedsPerScenario) {
-		m.play(t, firstSeed+seed, counts, false)
+		scenario.play(t, firstSeed+seed, counts, false)
 	}
-	counts.requireAtLeast(t, m.least)
+	counts.requireAtLeast(t, scenario.least)
 	t.Log(counts)
 }
 
-// play plays one world of a scenario, holds every invariant against each step, and expects all jobs to end. It adds what
-// came about to the counts.
-func (m *faultScenario) play(t *testing.T, seed uint64, counts eventCounts, trace bool) {
+// play plays one world of a scenario, checks every invariant after each step, and expects all jobs
+// to end. It adds the world's events to the counts.
+func (scenario *faultScenario) play(t *testing.T, seed uint64, counts eventCounts, trace bool) {
 	t.Helper()
-	o := m.options(seed)
+	o := scenario.options(seed)
 	o.Standby = o.Standby || os.Getenv("SIMULATION_STANDBY") != ""
 	w := NewWorld(o)
 	s := newScript(w)
-	m.script(s)
+	scenario.script(s)
 	if trace {
 		w.Trace = func(at time.Duration, node string, line core.LogRecord) {
 			t.Log(at.Seconds(), node, line.Event, line.Attrs)
@@ -181,13 +189,14 @@
 		case !j.accepted:
 			t.Errorf("seed %d: %s was never accepted", w.options.Seed, j.spec.Ref)
 		case j.reportedPhase == pipeline.Active:
-			t.Errorf("seed %d: %s never came to an end: %+v", w.options.Seed, j.spec.Ref, j.spec)
+			t.Errorf("seed %d: %s never ended: %+v", w.options.Seed, j.spec.Ref, j.spec)
 		}
 	}
 }
 
-// TestFaultScenarioSeeds plays as many worlds of each fault scenario and drain scenario as SIMULATION_FAULT_SCENARIOS
-// says, from SIMULATION_FROM on: a longer hunt than the tests have time for.
+// TestFaultScenarioSeeds plays as many worlds of each fault and drain scenario as
+// SIMULATION_FAULT_SCENARIOS says, beginning with the seed SIMULATION_FROM. It is for longer runs
+// than the other tests have time for.
 func TestFaultScenarioSeeds(t *testing.T) {
 	n, err := strconv.ParseUint(os.Getenv("SIMULATION_FAULT_SCENARIOS"), 10, 64)
 	if err != nil {
--- a/internal/simulation/invariants_test.go
+++ b/internal/simulation/invariants_test.go
@@ -144,9 +144,9 @@
 		})
 	}},
 	{name: "more than half of a spread job in one zone", says: "tasks of", plan: func(w *World) {
-		j := w.script.add(0, pipeline.Spec{Team: "green", Spread: true, Tasks: 4, CPUs: 1, MemGB: 1}, endless)
+		j := w.script.submitJob(0, pipeline.Spec{Team: "green", Spread: true, Tasks: 4, CPUs: 1, MemGB: 1}, endless)
 		everySecond(w, 10*time.Second, func() {
-			if w.script.tasksOf(j) == j.spec.Tasks {
+			if w.script.taskCount(j) == j.spec.Tasks {
 				moveToFirstZone(w, j)
 			}
 		})
@@ -184,11 +184,11 @@
 		})
 	}},
 	{name: "all replicas of a service stopped at once", says: "all moved", plan: func(w *World) {
-		j := w.script.add(time.Second, pipeline.Spec{
+		j := w.script.submitJob(time.Second, pipeline.Spec{
 			Team: "blue", Shape: pipeline.Service, Tasks: 2, CPUs: 1, MemGB: 1,
 		}, endless)
 		everySecond(w, 10*time.Second, func() {
-			if w.script.tasksOf(j) < j.spec.Tasks {
+			if w.script.taskCount(j) < j.spec.Tasks {
 				return
 			}
 			for _, m := range w.script.machinesOf(j) {
@@ -356,8 +356,8 @@
 	high := w.teams
 	w.teams = maps.Clone(high)
 	w.teams["green"] = placement.Quota{CPULimit: 0.1}
-	w.script.add(0, pipeline.Spec{Team: "blue", Shape: pipeline.Service, Tasks: 1, CPUs: 1, MemGB: 1}, endless)
-	w.script.add(time.Second, pipeline.Spec{Team: "green", Shape: shape, Tasks: 2, CPUs: 1, MemGB: 1}, 20*time.Second)
+	w.script.submitJob(0, pipeline.Spec{Team: "blue", Shape: pipeline.Service, Tasks: 1, CPUs: 1, MemGB: 1}, endless)
+	w.script.submitJob(time.Second, pipeline.Spec{Team: "green", Shape: shape, Tasks: 2, CPUs: 1, MemGB: 1}, 20*time.Second)
 	w.after(20*time.Second, func() {
 		w.teams = high
 		w.endFaults()
--- a/internal/simulation/node_drains.go
+++ b/internal/simulation/node_drains.go
@@ -50,9 +50,9 @@
 		case c.Delete:
 			continue
 		case strings.HasPrefix(c.Key, cordonPrefix):
-			w.drains.call(w.drains.onCordon)
+			w.drains.runCallbacks(w.drains.onCordon)
 		case strings.HasPrefix(c.Key, chargePrefix):
-			w.drains.call(w.drains.onCharge)
+			w.drains.runCallbacks(w.drains.onCharge)
 		}
 		id, ok := strings.CutPrefix(c.Key, jobstore.DrainPlanPrefix)
 		if !ok {
--- a/internal/simulation/node_engine.go
+++ b/internal/simulation/node_engine.go
@@ -41,7 +41,7 @@
 	effects := n.engine.Step(n.local(), ev)
 	n.w.digest.addStep(n, ev, effects)
 	n.w.checker.observe(engineStepped{n, effects})
-	n.compute(ev)
+	n.addComputeTime(ev)
 	if n.w.Trace != nil {
 		for _, line := range effects.Log {
 			n.w.Trace(n.w.elapsed(), n.name, line)
--- a/internal/simulation/node_store.go
+++ b/internal/simulation/node_store.go
@@ -74,7 +74,7 @@
 	if n.writing || !n.holdsLease() {
 		return
 	}
-	batch := n.spoilBatch(n.engine.Batch(n.local(), n.limits().TxnOps))
+	batch := n.injectBatchFault(n.engine.Batch(n.local(), n.limits().TxnOps))
 	if len(batch) == 0 {
 		return
 	}
--- a/internal/simulation/pipelines.go
+++ b/internal/simulation/pipelines.go
@@ -7,19 +7,20 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// pipelinePlan submits pipelines, whose jobs depend on each other: chains, diamonds, fans and random graphs. It also
-// rolls the version in production over to the new one.
+// pipelinePlan submits pipelines, whose jobs depend on each other: chains, diamonds, fan-outs and
+// random graphs. It also schedules the rolling upgrade from the version in production to the new
+// one, and the lowering of the state service's limits.
 type pipelinePlan struct {
 	w *World
 	random
-	jobs int // jobs so far
+	jobs int // created so far
 }
 
 func newPipelinePlan(w *World) *pipelinePlan {
 	l := &pipelinePlan{w: w, random: newRandom(w.options.Seed, pipelineStream)}
 	begin := time.Duration(0)
 	if w.options.RollingUpgrade {
-		begin = l.roll()
+		begin = l.planRollingUpgrade()
 	}
 	if w.options.LowerStoreLimits {
 		w.after(l.between(begin, w.options.Length), w.store.lower)
@@ -30,10 +31,11 @@
 	return l
 }
 
-// roll replaces the version in production node by node, and returns the time at which nothing of it is left. A node that
-// crashes before its turn boots with the version in production again. Half of the time the leader crashes too, so that
-// the versions take turns at leading.
-func (l *pipelinePlan) roll() time.Duration {
+// planRollingUpgrade schedules the restart of each node with the new version, one after the other,
+// and returns the time after which no node runs the version in production. Until its turn, a node
+// that crashes boots with the version in production again. After half of the restarts the leader
+// crashes, so that both versions get to lead in turn.
+func (l *pipelinePlan) planRollingUpgrade() time.Duration {
 	at := l.between(5*time.Second, 30*time.Second)
 	for _, i := range l.rng.Perm(len(l.w.nodes)) {
 		n := l.w.nodes[i]
@@ -49,6 +51,7 @@
 	return at
 }
 
+// crashLeader crashes the leader, if there is one.
 func (l *pipelinePlan) crashLeader() {
 	for _, n := range l.w.nodes {
 		if n.holdsLease() {
@@ -57,14 +60,15 @@
 	}
 }
 
-// dependenciesOf says which earlier jobs of a pipeline a job depends on.
+// dependenciesOf returns the indexes of the earlier jobs that job i of a pipeline of n jobs depends
+// on.
 func (l *pipelinePlan) dependenciesOf(shape, i, n int) []int {
 	switch {
 	case i == 0:
 		return nil
 	case shape == 0: // a chain
 		return []int{i - 1}
-	case shape == 1 && i < n-1: // a fan, and a diamond once the last one gathers it
+	case shape == 1 && i < n-1: // a fan-out, which the last job joins: a diamond
 		return []int{0}
 	case shape == 1:
 		all := make([]int, 0, n)
@@ -72,7 +76,7 @@
 			all = append(all, k)
 		}
 		return all
-	case shape == 2: // a fan of which nothing is gathered
+	case shape == 2: // a fan-out without a join
 		return []int{0}
 	}
 	var some []int
@@ -84,17 +88,17 @@
 	return some
 }
 
-// start has a user submit a pipeline, each job as soon as its dependencies are accepted. In some pipelines the last job
-// is submitted only when all others have ended.
+// start has a user submit a pipeline, each job as soon as its dependencies are accepted. In one of
+// eight pipelines the last job is submitted only when all others have ended.
 func (l *pipelinePlan) start() {
 	shape, n := l.rng.IntN(4), 2+l.rng.IntN(6)
 	if shape == 2 && l.rng.IntN(4) == 0 {
-		n = 40 // a wide one
+		n = 40 // a wide fan-out
 	}
 	late := l.rng.IntN(8) == 0
 	var jobs []*userJob
 	for i := range n {
-		j := l.job(i == n-1)
+		j := l.newJob(i == n-1)
 		for _, k := range l.dependenciesOf(shape, i, n) {
 			j.dependencies = append(j.dependencies, jobs[k])
 		}
@@ -113,8 +117,9 @@
 	}
 }
 
-// job is one job of a pipeline, most of them small.
-func (l *pipelinePlan) job(last bool) *userJob {
+// newJob returns one job of a pipeline. All jobs are small; about one of forty always fails, so its
+// user will cancel it. The last job has a deadline.
+func (l *pipelinePlan) newJob(last bool) *userJob {
 	l.jobs++
 	j := &userJob{
 		w: l.w, done: map[int]bool{}, run: l.between(time.Second, 8*time.Second), failsAlways: l.rng.IntN(40) == 0,
@@ -138,8 +143,8 @@
 	return j
 }
 
-// acceptedUserJob is an accepted job outside the pipeline, if one is found, on which a job of the pipeline may depend
-// too.
+// acceptedUserJob returns an accepted job of an ordinary user, for a job of the pipeline to depend
+// on. It tries five random ones, and returns nothing if none of them is suitable.
 func (l *pipelinePlan) acceptedUserJob() []*userJob {
 	for range 5 {
 		ref := userJobRefs.ref(userJobNumber(l.rng.IntN(max(1, l.w.options.Jobs))))
@@ -150,7 +155,8 @@
 	return nil
 }
 
-// submit submits a job once its dependencies are accepted. A late one waits until all others have ended.
+// submit submits a job once its dependencies are accepted. A late one also waits until the others
+// have ended or Options.Length has passed.
 func (l *pipelinePlan) submit(j *userJob, late bool, others []*userJob) {
 	for _, p := range j.dependencies {
 		if !p.accepted {
@@ -167,6 +173,8 @@
 	j.submit()
 }
 
+// cancel has a user cancel a job once it is accepted. In worlds with random faults, half of the
+// time an outage follows the confirmation.
 func (l *pipelinePlan) cancel(j *userJob) {
 	if !j.accepted {
 		l.w.after(time.Second, func() { l.cancel(j) })
@@ -178,8 +186,9 @@
 	}
 }
 
-// outageOnceCancelReported has the state service fail as soon as a user knows that a job is cancelled, mostly for longer
-// than the job's dependents may still be reported as active. Half of the time all controllers crash too.
+// outageOnceCancelReported has the state service fail as soon as the user is told that the job is
+// cancelled, mostly for longer than the job's dependents may still be reported as active. Half of
+// the time all controllers crash too.
 func (l *pipelinePlan) outageOnceCancelReported(j *userJob) {
 	w := l.w
 	if w.elapsed() > w.options.Length-w.options.CancelWithin {
--- a/internal/simulation/random_faults.go
+++ b/internal/simulation/random_faults.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// planFaults plans random faults, some of which overlap.
+// planFaults schedules random faults, some of which overlap, and their end after Options.Length.
 func (w *World) planFaults() {
 	for range 4 + w.rng.IntN(10) {
 		w.after(w.between(0, w.options.Length), w.randomFault)
@@ -10,13 +10,15 @@
 	w.after(w.options.Length, w.endFaults)
 }
 
-// endFaults ends all faults that have no end of their own.
+// endFaults ends all faults, and starts the repeated check that no job is left waiting.
 func (w *World) endFaults() {
 	w.checker.waiting.checkRepeatedly()
 	w.heal()
 }
 
-// heal ends all faults of the world's parts. None comes by chance any more.
+// heal ends the faults of the network, the state service, the cloud, the nodes and the machines,
+// and keeps new ones from occurring at random. Pauses and hangs of nodes and machines end at their
+// own times.
 func (w *World) heal() {
 	w.faultsEndedAt = w.now
 	w.network.heal()
@@ -30,7 +32,7 @@
 	}
 }
 
-// anyMachine is a random machine, nil if there is none.
+// anyMachine returns a random machine, or nil if there is none.
 func (w *World) anyMachine() *machine {
 	ms := w.sortedMachines()
 	if len(ms) == 0 {
@@ -39,7 +41,7 @@
 	return ms[w.rng.IntN(len(ms))]
 }
 
-// randomFault brings about one fault of a random kind.
+// randomFault injects one fault of a random kind.
 func (w *World) randomFault() {
 	n, m := w.nodes[w.rng.IntN(len(w.nodes))], w.anyMachine()
 	duration := w.between(2*time.Second, 40*time.Second)
@@ -47,8 +49,9 @@
 	kind(w, n, m, duration)
 }
 
-// randomFaultKinds are the kinds of random faults. A kind that is listed twice is twice as frequent. Each gets a random
-// node, a random machine, or nil if there is none, and a duration that it may use.
+// randomFaultKinds are the kinds of random faults. A kind that is listed several times is chosen
+// that much more often. Each function gets a random node, a random machine (nil if there is none)
+// and a random duration, and uses those that it needs.
 var randomFaultKinds = []func(w *World, n *node, m *machine, d time.Duration){
 	(*World).crashNode,
 	(*World).crashAllNodes,
@@ -65,7 +68,7 @@
 	(*World).networkFault, (*World).networkFault, (*World).networkFault,
 }
 
-// randomDowntime is how long a crashed node is down.
+// randomDowntime returns how long a crashed node stays down.
 func (w *World) randomDowntime() time.Duration { return w.between(10*time.Millisecond, 6*time.Second) }
 
 func (w *World) crashNode(n *node, _ *machine, _ time.Duration) { n.crash(w.randomDowntime()) }
@@ -92,7 +95,8 @@
 	w.after(d, func() { n.links.storeUnreachable, n.links.workersUnreachable = false, false })
 }
 
-// cutNodeFromStoreAndPeers leaves a node nothing but its workers and users.
+// cutNodeFromStoreAndPeers cuts a node off from the state service and the other nodes, while
+// workers and users still reach it.
 func (w *World) cutNodeFromStoreAndPeers(n *node, _ *machine, d time.Duration) {
 	n.links.storeUnreachable, n.links.peersUnreachable = true, true
 	w.after(d, func() { n.links.storeUnreachable, n.links.peersUnreachable = false, false })
@@ -127,7 +131,7 @@
 	}
 }
 
-// networkFault brings about a fault between zones or between controllers.
+// networkFault injects a fault between zones or between controllers, or restarts the controllers.
 func (w *World) networkFault(_ *node, _ *machine, d time.Duration) {
 	i := w.rng.IntN(len(w.zones))
 	zone, other := w.zones[i], w.zones[(i+1)%len(w.zones)]
@@ -141,14 +145,15 @@
 	case 2:
 		w.network.peersRefuse = true
 		w.after(d, func() { w.network.peersRefuse = false })
-	case 3: // all restarted, one after the other
+	case 3: // all controllers restart, one after the other
 		for i, n := range w.nodes {
 			w.after(time.Duration(i)*4*time.Second, func() { n.crash(w.between(10*time.Millisecond, 3*time.Second)) })
 		}
 	}
 }
 
-// machineFault has a machine die, restart, fail all its tasks, or be taken back by the cloud.
+// machineFault has a machine die, restart its worker, or fail all its tasks, or has the cloud take
+// it back after a notice.
 func (w *World) machineFault(_ *node, m *machine, _ time.Duration) {
 	if m == nil {
 		return
@@ -171,7 +176,8 @@
 	}
 }
 
-// outage has the state service refuse everybody for a while. A lease that was valid then has its full time again.
+// outage has the state service refuse all requests for a while. A leader lease that was valid when
+// the outage began gets its full time again when the outage ends.
 func (w *World) outage(d time.Duration) {
 	if w.store.down {
 		return
@@ -181,7 +187,7 @@
 	w.after(d, func() {
 		w.store.down = false
 		if held {
-			w.store.lease.until = w.now.Add(w.options.LeaseTTL) // all leases have their full time again
+			w.store.lease.until = w.now.Add(w.options.LeaseTTL)
 		}
 	})
 }
--- a/internal/simulation/recovery_test.go
+++ b/internal/simulation/recovery_test.go
@@ -11,31 +11,31 @@
 	"gingertally/internal/recovery"
 )
 
-// pace is the pace of orders in worlds that bound it.
+// pace is the limit on the rate of starts at the beginning of a term, in worlds that have one.
 var pace = recovery.PaceOptions{Enabled: true, Initial: 3, Highest: 20}
 
 // recoverySeeds is how many worlds of each family TestRecoveryWorlds plays.
 const recoverySeeds = 12
 
-// TestRecoveryWorlds plays worlds of every family with a bounded pace at the start of each
-// term, with all their faults and the warm standby on in every other one: besides all rules,
-// the orders of each term keep to the pace.
+// TestRecoveryWorlds plays worlds of every family, with all their faults, in which the pace of
+// starts is bounded at the beginning of each term. The warm standby is on in every other world.
+// Besides all other invariants, the starts of each term keep to the pace.
 func TestRecoveryWorlds(t *testing.T) {
-	held := 0
+	pacedSeconds := 0
 	change := func(o Options, number int) Options {
 		o.Pace, o.Standby = pace, number%2 == 0
 		return o
 	}
-	playFamilies(t, recoverySeeds, change, func(w *World) { held += w.checker.pace.seconds })
-	if held < 400 {
-		t.Errorf("orders were paced in %d seconds only", held)
+	playFamilies(t, recoverySeeds, change, func(w *World) { pacedSeconds += w.checker.pace.seconds })
+	if pacedSeconds < 400 {
+		t.Errorf("the pace was bounded in only %d seconds", pacedSeconds)
 	}
-	t.Log("seconds with a bounded pace:", held)
+	t.Log("seconds with a bounded pace:", pacedSeconds)
 }
 
-// forget restores the state service from a copy that lacks the start log and the last terms.
-// Jobs' records stay, since their users know of them.
-func (s *script) forget(terms uint64) {
+// restoreOlderCopy restores the state service from an older copy, which lacks the start log and the
+// last terms. Records of jobs stay, since their users know of the jobs.
+func (s *script) restoreOlderCopy(terms uint64) {
 	s.count("restored from an older copy")
 	store := s.w.store
 	for key, it := range store.items {
@@ -47,7 +47,7 @@
 				N uint64 `cbor:"n"`
 			}
 			if codec.Unmarshal(it.value, &term) != nil {
-				s.w.checker.fail("term unreadable")
+				s.w.checker.fail("the stored term can't be read")
 			}
 			term.N -= min(term.N, terms)
 			store.revision++
@@ -57,7 +57,8 @@
 	}
 }
 
-// recoveryScenarios are the hard cases of a restart.
+// recoveryScenarios are scenarios in which all controllers restart, most of them together with
+// other failures.
 var recoveryScenarios = []faultScenario{
 	{name: "all controllers end again and again, and come back in any order", length: 200 * time.Second,
 		script: func(s *script) {
@@ -85,15 +86,15 @@
 			s.submitEndless(10, 0)
 			s.submitShort(30, 0, 160*time.Second)
 			s.every(25*time.Second, 60*time.Second, func() {
-				long := s.w.options.Lease * 3 / 2
+				downtime := s.w.options.Lease * 3 / 2
 				if s.chance(0.5) {
-					long = s.w.options.Lease / 2
+					downtime = s.w.options.Lease / 2
 				}
 				for _, n := range s.w.nodes {
-					s.crash(n, long+s.between(0, 3*time.Second))
+					s.crash(n, downtime+s.between(0, 3*time.Second))
 				}
 				s.count("all controllers down")
-				s.cutMachines(s.sampleMachines(0.3, nil), long+s.between(0, 2*s.w.options.Lease))
+				s.cutMachines(s.sampleMachines(0.3, nil), downtime+s.between(0, 2*s.w.options.Lease))
 			})
 		}, least: eventCounts{"all controllers down": 12}},
 
@@ -115,7 +116,7 @@
 			for _, n := range s.w.nodes {
 				s.crash(n, s.between(s.w.options.LeaseTTL, 6*time.Second))
 			}
-			s.at(time.Second, func() { s.forget(3) })
+			s.at(time.Second, func() { s.restoreOlderCopy(3) })
 		})
 	}, least: eventCounts{"restored from an older copy": 8}},
 
@@ -143,16 +144,16 @@
 			s.submitEndless(6, 0)
 			s.submitShort(20, 0, 160*time.Second)
 			for i := range 4 {
-				s.add(time.Duration(i)*5*time.Second, pipeline.Spec{
+				s.submitJob(time.Duration(i)*5*time.Second, pipeline.Spec{
 					Team: "blue", Shape: pipeline.Service, Tasks: 2, CPUs: 1, MemGB: 2, Spot: true,
 				}, endless)
-				s.add(time.Duration(i)*30*time.Second, pipeline.Spec{
+				s.submitJob(time.Duration(i)*30*time.Second, pipeline.Spec{
 					Team: "red", Shape: pipeline.Gang, Tasks: 3, CPUs: 2, MemGB: 4, Spot: true,
 				}, 20*time.Second)
 			}
 			s.every(20*time.Second, 40*time.Second, func() {
 				s.crashAll(10*time.Millisecond, 8*time.Second)
-				s.refuse(s.w.nodes[s.rng.IntN(len(s.w.nodes))], s.between(10*time.Second, 25*time.Second))
+				s.refuseNode(s.w.nodes[s.rng.IntN(len(s.w.nodes))], s.between(10*time.Second, 25*time.Second))
 			})
 		}, least: eventCounts{"crashes of all controllers": 12, "nodes refused by the state service": 12}},
 
@@ -169,25 +170,25 @@
 		}, least: eventCounts{"crashes of all controllers": 16}},
 }
 
-// TestRecoveryScenarios brings the hard cases of a restart about, with the pace bounded, and
-// the warm standby on in half of the worlds.
+// TestRecoveryScenarios plays the recovery scenarios with a bounded pace, and with the warm standby
+// on in half of the worlds.
 func TestRecoveryScenarios(t *testing.T) {
 	for i := range recoveryScenarios {
-		m := recoveryScenarios[i]
-		alter := m.alter
-		m.alter = func(o *Options) {
+		scenario := recoveryScenarios[i]
+		alter := scenario.alter
+		scenario.alter = func(o *Options) {
 			o.Pace, o.Standby = pace, o.Seed%2 == 0
 			o.SettleTime = max(o.SettleTime, 300*time.Second)
 			if alter != nil {
 				alter(o)
 			}
 		}
-		t.Run(m.name, func(t *testing.T) { m.playAll(t, 8000+uint64(i)*100) })
+		t.Run(scenario.name, func(t *testing.T) { scenario.playAll(t, 8000+uint64(i)*100) })
 	}
 }
 
-// Rentals once waited behind bulk starts for as long as the pace was bounded, and a replica that
-// was lost wasn't replaced in time.
+// TestPaceHoldsNoRentalsBack guards against scale-outs that wait for as long as the pace is
+// bounded: they once waited behind starts of bulk work, so a lost replica wasn't replaced in time.
 func TestPaceHoldsNoRentalsBack(t *testing.T) {
 	o := shortLeaseOptions(10205)
 	o.Pace = pace
--- a/internal/simulation/script.go
+++ b/internal/simulation/script.go
@@ -6,40 +6,40 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// script brings faults together in a world: at given times, and whenever something happens there. A nil script
-// does nothing.
+// script injects faults into a world: at given times, and whenever certain events happen there. A
+// nil script does nothing.
 type script struct {
 	w *World
 	random
-	counts eventCounts // what came about
-	jobs   int         // submitted by the script
+	counts eventCounts // events of each kind so far
+	jobs   int         // submitted by the script so far
 	triggers
 	storeFaults
 	messageFaults
-	quickMachines    bool // machines are up within two seconds of their creation
-	grantWhileServed bool // nodes extend the lease of a leader although the state service serves them
+	quickMachines    bool // machines boot within two seconds of their creation
+	grantWhileServed bool // nodes grant lease extensions even while the state service serves them
 }
 
-// triggers are what a script does when something happens.
+// triggers hold what a script does when something happens in its world.
 type triggers struct {
 	onLeader    []func(n *node)
 	onConfirmed []func(j *userJob) // a user is told that the job is cancelled
 	onAccepted  []func(j *userJob)
-	onEnded     []func(j *userJob) // its last task has just completed
+	onEnded     []func(j *userJob) // the last task of a job has just completed
 	onTaskDone  []func(t *task)
 	waiting     []*conditionWait
 
-	termsSeen    map[uint64]bool // of the leaders so far
+	termsSeen    map[uint64]bool // numbers of the terms in which a node has led
 	newestLeader *node
 }
 
-// conditionWait is something to do once a condition holds.
+// conditionWait is a callback that waits for a condition to hold.
 type conditionWait struct {
 	cond func() bool
 	fn   func()
 }
 
-// newScript gives a world a script. Its faults end after the world's length.
+// newScript gives a world a script, whose faults end after Options.Length.
 func newScript(w *World) *script {
 	s := &script{w: w, random: newRandom(w.options.Seed, scriptStream), counts: eventCounts{},
 		triggers: triggers{termsSeen: map[uint64]bool{}}}
@@ -48,7 +48,9 @@
 	return s
 }
 
-// endFaults ends all faults of the world and the script, and has users cancel the jobs that don't end by themselves.
+// endFaults ends all faults of the world and the script, and has users cancel the jobs that would
+// not end by themselves. In worlds without random faults it also starts the repeated check that no
+// job is left waiting; in the others World.endFaults starts it.
 func (s *script) endFaults() {
 	w := s.w
 	w.heal()
@@ -69,14 +71,14 @@
 // faultsOver tells whether the faults of the world have ended.
 func (s *script) faultsOver() bool { return !s.w.faultsEndedAt.IsZero() }
 
-// count notes that something came about.
+// count counts one event of a kind.
 func (s *script) count(what string) {
 	if s != nil {
 		s.counts[what]++
 	}
 }
 
-// at does something after some time, unless the faults are over by then.
+// at runs fn after d, unless the faults are over by then.
 func (s *script) at(d time.Duration, fn func()) {
 	s.w.after(d, func() {
 		if !s.faultsOver() {
@@ -85,7 +87,7 @@
 	})
 }
 
-// every does something at regular intervals, until the faults are over.
+// every runs fn at regular intervals, first after from, until the faults are over.
 func (s *script) every(from, period time.Duration, fn func()) {
 	s.at(from, func() {
 		fn()
@@ -93,12 +95,13 @@
 	})
 }
 
-// when does something once, as soon as a condition holds.
+// when runs fn once, as soon as a condition holds, unless the faults are over by then.
 func (s *script) when(cond func() bool, fn func()) {
 	s.waiting = append(s.waiting, &conditionWait{cond, fn})
 }
 
-// observe is called after each event of the world and records what has happened.
+// observe is called after each event of the world. It detects newly elected leaders, and runs the
+// callbacks whose conditions hold by now.
 func (s *script) observe() {
 	if s == nil {
 		return
@@ -129,8 +132,9 @@
 	}
 }
 
-// leaderElected lets what was kept for a new leader reach the controllers just as its term begins or right after, and
-// what waited for its first acts arrive after those.
+// leaderElected runs what waits for a new leader. Duplicates of heartbeats that were kept for it
+// arrive within its first two seconds; heartbeats that were held until it has acted arrive 3 to 8
+// seconds after its election.
 func (s *script) leaderElected(n *node) {
 	kept, held := s.keptForNextLeader, s.heldUntilLeaderActed
 	s.keptForNextLeader, s.heldUntilLeaderActed = nil, nil
@@ -145,7 +149,7 @@
 	}
 }
 
-// cancellationConfirmed triggers what waits for a user to be told of a cancellation.
+// cancellationConfirmed runs what waits for a user to be told that a job is cancelled.
 func (s *script) cancellationConfirmed(j *userJob) {
 	if s == nil {
 		return
@@ -156,7 +160,7 @@
 	}
 }
 
-// jobAccepted triggers what waits for a job to be accepted.
+// jobAccepted runs what waits for a job to be accepted.
 func (s *script) jobAccepted(j *userJob) {
 	if s == nil {
 		return
@@ -166,7 +170,8 @@
 	}
 }
 
-// taskDone triggers what waits for a task to complete, and for the last task of a job.
+// taskDone runs what waits for a task to complete and, after the last task of a job, what waits for
+// the job to end.
 func (s *script) taskDone(t *task) {
 	if s == nil {
 		return
@@ -182,10 +187,12 @@
 	}
 }
 
-// grantsWhileServed tells whether nodes extend a lease although the state service serves them.
+// grantsWhileServed tells whether nodes always grant lease extensions to a leader, even while the
+// state service serves them.
 func (s *script) grantsWhileServed() bool { return s != nil && s.grantWhileServed }
 
-// bootDelay is how long a new machine takes to be up.
+// bootDelay is how long a new machine takes to boot: d, unless the script has machines boot
+// quickly.
 func (s *script) bootDelay(d time.Duration) time.Duration {
 	if s == nil || !s.quickMachines {
 		return d
--- a/internal/simulation/script_faults.go
+++ b/internal/simulation/script_faults.go
@@ -6,11 +6,12 @@
 	"gingertally/internal/core/fleet"
 )
 
-// The faults that scripts are made of. Each counts that it came about.
+// The faults that scripts inject. Each counts that it came about, for the test of the scenario.
 
-// refuse has the state service refuse one node alone: none of its requests is carried out, its leases expire, and its
-// watches go on afterwards.
-func (s *script) refuse(n *node, d time.Duration) {
+// refuseNode has the state service refuse one node alone. None of the requests of that node is
+// carried out, so its lease in the state service expires; the changes that its watch reports reach
+// it once it is served again.
+func (s *script) refuseNode(n *node, d time.Duration) {
 	if n == nil || n.links.refusedByStore {
 		return
 	}
@@ -19,7 +20,7 @@
 	s.w.after(d, func() { n.links.refusedByStore = false })
 }
 
-// onceLeader does something with the leader, as soon as there is one.
+// onceLeader calls fn with the leader, as soon as there is one.
 func (s *script) onceLeader(fn func(n *node)) {
 	s.when(func() bool { return s.w.currentLeader() != nil }, func() {
 		if n := s.w.currentLeader(); n != nil {
@@ -28,7 +29,7 @@
 	})
 }
 
-// onceNextLeader does something once another node than this one leads.
+// onceNextLeader calls fn with the new leader, once a node other than old leads.
 func (s *script) onceNextLeader(old *node, fn func(n *node)) {
 	s.when(func() bool { n := s.w.currentLeader(); return n != nil && n != old }, func() {
 		if n := s.w.currentLeader(); n != nil {
@@ -37,7 +38,7 @@
 	})
 }
 
-// outage has the state service refuse everybody.
+// outage has the state service refuse all requests for a while, unless it is down already.
 func (s *script) outage(d time.Duration) {
 	if s.w.store.down {
 		return
@@ -46,14 +47,14 @@
 	s.w.outage(d)
 }
 
-// outages are several outages with pauses between them.
+// outages has several outages follow each other, with pauses between them.
 func (s *script) outages(times int, d, pause time.Duration) {
 	for i := range times {
 		s.at(time.Duration(i)*(d+pause), func() { s.outage(d) })
 	}
 }
 
-// crash ends a node, which boots again after a while.
+// crash crashes a node, unless it is down already. It boots again after the time back.
 func (s *script) crash(n *node, back time.Duration) {
 	if n == nil || n.down {
 		return
@@ -64,12 +65,14 @@
 	n.crash(back)
 }
 
-// crashLeaderFor ends the leader for a time between two bounds.
+// crashLeaderFor crashes the leader, which is down for a random time from lo to hi.
 func (s *script) crashLeaderFor(lo, hi time.Duration) {
 	s.crash(s.w.currentLeader(), s.between(lo, hi))
 }
 
-// shutDownLeader ends the leader, which names a successor and gives its lease up before.
+// shutDownLeader shuts the leader down in an orderly way: if it reaches the state service, it gives
+// up its lease, and it names a successor before its process ends. It boots again after the time
+// back.
 func (s *script) shutDownLeader(back time.Duration) {
 	n := s.w.currentLeader()
 	if n == nil {
@@ -83,7 +86,8 @@
 	s.crash(n, back)
 }
 
-// crashAll ends all nodes within a second. Each boots again after a time between two bounds.
+// crashAll crashes all nodes within a second, or within lo if that is shorter. Each is down for a
+// random time from lo to hi.
 func (s *script) crashAll(lo, hi time.Duration) {
 	s.count("crashes of all controllers")
 	for _, n := range s.w.nodes {
@@ -91,22 +95,23 @@
 	}
 }
 
-// partitionFromPeersAndStore cuts a node off from the state service and the other nodes, while workers and users still
-// reach it.
+// partitionFromPeersAndStore cuts a node off from the state service and the other nodes, while
+// workers and users still reach it.
 func (s *script) partitionFromPeersAndStore(n *node, d time.Duration) {
 	s.count("nodes partitioned from peers and state service")
 	n.links.storeUnreachable, n.links.peersUnreachable = true, true
 	s.w.after(d, func() { n.links.storeUnreachable, n.links.peersUnreachable = false, false })
 }
 
-// cutZone cuts a zone off with all in it.
+// cutZone cuts a zone, with all nodes and machines in it, off from everything else.
 func (s *script) cutZone(zone string, d time.Duration) {
 	s.count("zones cut off")
 	s.w.network.cutZones[zone] = true
 	s.w.after(d, func() { delete(s.w.network.cutZones, zone) })
 }
 
-// sampleMachines are a random share of the machines that are up and meet a condition, if one is given.
+// sampleMachines returns machines that are up and meet a condition, if one is given, each with the
+// probability share.
 func (s *script) sampleMachines(share float64, only func(m *machine) bool) []*machine {
 	var out []*machine
 	for _, m := range s.w.sortedMachines() {
@@ -117,7 +122,7 @@
 	return out
 }
 
-// hasTask tells whether a machine has a task.
+// hasTask tells whether a machine has a task that hasn't exited.
 func hasTask(m *machine) bool {
 	for _, t := range m.tasks {
 		if t.state != fleet.Exited {
@@ -127,7 +132,7 @@
 	return false
 }
 
-// hangMachine has a machine hang for some time.
+// hangMachine has a machine hang for a while. If it already hangs for longer, nothing changes.
 func (s *script) hangMachine(m *machine, d time.Duration) {
 	if hasTask(m) {
 		s.count("machines with tasks hung")
@@ -137,7 +142,8 @@
 	}
 }
 
-// loseOutbound has machines reach no controller, while direct commands reach them.
+// loseOutbound has the heartbeats of the machines lost for a while, while direct commands still
+// reach them.
 func (s *script) loseOutbound(ms []*machine, d time.Duration) {
 	for _, m := range ms {
 		m.outboundLost = true
@@ -146,7 +152,8 @@
 	}
 }
 
-// loseInbound has messages to machines lost, while their heartbeats arrive.
+// loseInbound has direct commands to the machines and answers to their heartbeats lost for a while,
+// while the heartbeats still arrive.
 func (s *script) loseInbound(ms []*machine, d time.Duration) {
 	for _, m := range ms {
 		m.inboundLost = true
@@ -155,7 +162,7 @@
 	}
 }
 
-// cutMachines cuts machines off from all controllers.
+// cutMachines cuts machines off from all controllers for a while, in both directions.
 func (s *script) cutMachines(ms []*machine, d time.Duration) {
 	for _, m := range ms {
 		if hasTask(m) {
--- a/internal/simulation/script_messages.go
+++ b/internal/simulation/script_messages.go
@@ -7,19 +7,19 @@
 	"gingertally/internal/core/fleet"
 )
 
-// messageFaults are what a script does to messages between workers and controllers.
+// messageFaults are the faults that a script injects into messages between workers and controllers.
 type messageFaults struct {
-	linkDelayMax         time.Duration // messages take up to that much longer
-	duplicateShare       float64       // share of heartbeats of which a copy arrives again
-	forNextLeader        bool          // copies are kept for the next leader
-	keptForNextLeader    []func()      // copies that wait for it
+	linkDelayMax         time.Duration // greatest additional delay of a message
+	duplicateShare       float64       // share of heartbeats of which a duplicate arrives later
+	forNextLeader        bool          // duplicates are kept until the next leader is elected
+	keptForNextLeader    []func()      // deliver the duplicates that are kept
 	heldShare            float64       // share of heartbeats held back until a new leader has acted
-	heldUntilLeaderActed []func()      // those that wait for that
-	delayedAnswerShare   float64       // share of responses to heartbeats that are delayed
+	heldUntilLeaderActed []func()      // deliver the heartbeats that are held back
+	delayedAnswerShare   float64       // share of answers to heartbeats that are delayed
 	delayedCommandShare  float64       // share of direct commands that are delayed
 }
 
-// linkDelay is how much longer a message between worker and controller takes.
+// linkDelay is the additional delay of one message between a worker and a controller.
 func (s *script) linkDelay() time.Duration {
 	if s == nil || s.linkDelayMax == 0 {
 		return 0
@@ -27,14 +27,15 @@
 	return s.between(0, s.linkDelayMax)
 }
 
-// interceptHeartbeat sees a heartbeat on its way. Copies of it may arrive again, and it may itself be held back until
-// a new leader has acted; then it returns true.
+// interceptHeartbeat is called for each heartbeat that a worker sends. It may have a duplicate of
+// it delivered later. It returns true if it holds the heartbeat itself back until a new leader has
+// acted; the caller then doesn't deliver it.
 func (s *script) interceptHeartbeat(m *machine, h sentHeartbeat) bool {
 	if s == nil || s.faultsOver() {
 		return false
 	}
 	if s.duplicateShare > 0 && s.chance(s.duplicateShare) {
-		s.duplicate(h.Heartbeat)
+		s.duplicateHeartbeat(h.Heartbeat)
 	}
 	if s.heldShare == 0 || !s.chance(s.heldShare) {
 		return false
@@ -48,27 +49,28 @@
 	return true
 }
 
-// duplicate has a copy of a heartbeat arrive again, at all controllers when the next leader begins or at one of them
-// much later.
-func (s *script) duplicate(h fleet.Heartbeat) {
+// duplicateHeartbeat has a duplicate of a heartbeat delivered later: to all controllers when the
+// next leader is elected, or to a random one after two seconds to one and a half leases.
+func (s *script) duplicateHeartbeat(h fleet.Heartbeat) {
 	if s.forNextLeader {
-		s.keptForNextLeader = append(s.keptForNextLeader, func() { s.copyToAll(h) })
+		s.keptForNextLeader = append(s.keptForNextLeader, func() { s.deliverCopyToAll(h) })
 		return
 	}
 	s.w.after(s.between(2*time.Second, 3*s.w.options.Lease/2), func() {
-		s.copyTo(s.w.nodes[s.rng.IntN(len(s.w.nodes))], h)
+		s.deliverCopy(s.w.nodes[s.rng.IntN(len(s.w.nodes))], h)
 	})
 }
 
-// copyToAll has a copy of a heartbeat reach every controller.
-func (s *script) copyToAll(h fleet.Heartbeat) {
+// deliverCopyToAll delivers a duplicate of a heartbeat to every controller.
+func (s *script) deliverCopyToAll(h fleet.Heartbeat) {
 	for _, n := range s.w.nodes {
-		s.copyTo(n, h)
+		s.deliverCopy(n, h)
 	}
 }
 
-// copyTo has a copy of a heartbeat reach a controller. Nobody waits for its answer.
-func (s *script) copyTo(n *node, h fleet.Heartbeat) {
+// deliverCopy delivers a duplicate of a heartbeat to a controller, which relays it to the leader if
+// it doesn't lead itself. The answer is dropped.
+func (s *script) deliverCopy(n *node, h fleet.Heartbeat) {
 	n.run(n.incarnation, func() {
 		s.count("duplicate heartbeats")
 		if m := s.w.machines[h.Machine]; m != nil && m.incarnation != h.Incarnation {
@@ -84,8 +86,8 @@
 	})
 }
 
-// answerDelay is how long an answer to a heartbeat is delayed. If the answer has commands, the machine often hangs
-// meanwhile and then goes on.
+// answerDelay is the additional delay of an answer to a heartbeat. If the answer carries commands,
+// the machine hangs half of the time, for at least as long as the delay.
 func (s *script) answerDelay(m *machine, answer heartbeatAnswer) time.Duration {
 	if s == nil || s.delayedAnswerShare == 0 || answer.status != http.StatusOK || !s.chance(s.delayedAnswerShare) {
 		return 0
@@ -100,7 +102,7 @@
 	return d
 }
 
-// commandDelay is how long direct commands are delayed.
+// commandDelay is the additional delay of direct commands to a machine.
 func (s *script) commandDelay(m *machine) time.Duration {
 	if s == nil {
 		return 0
@@ -115,14 +117,16 @@
 	return s.between(time.Second, 20*time.Second)
 }
 
-// lateHeartbeats has copies of a share of the heartbeats arrive again, much later or just when a new leader begins.
-func (s *script) lateHeartbeats(share float64, d time.Duration, forNext bool) {
+// duplicateHeartbeats has duplicates of a share of the heartbeats that are sent within d arrive
+// much later, or, with forNext, when the next leader is elected.
+func (s *script) duplicateHeartbeats(share float64, d time.Duration, forNext bool) {
 	s.duplicateShare, s.forNextLeader = share, forNext
 	s.at(d, func() { s.duplicateShare = 0 })
 }
 
-// heldHeartbeats holds a share of the heartbeats back until a new leader has acted.
-func (s *script) heldHeartbeats(share float64, d time.Duration) {
+// holdHeartbeats holds back a share of the heartbeats that are sent within d, until a new leader
+// has acted.
+func (s *script) holdHeartbeats(share float64, d time.Duration) {
 	s.heldShare = share
 	s.at(d, func() { s.heldShare = 0 })
 }
--- a/internal/simulation/script_store.go
+++ b/internal/simulation/script_store.go
@@ -8,14 +8,14 @@
 	"gingertally/internal/statestore"
 )
 
-// storeFaults are what a script does to calls to the state service.
+// storeFaults are the faults that a script injects into calls to the state service.
 type storeFaults struct {
-	storeDelay       time.Duration // calls take up to that much longer, each way
+	storeDelay       time.Duration // greatest additional delay of a call, in each direction
 	lostAnswerShare  float64       // share of transactions whose answers are lost
-	commitBeforeLoss bool          // such transactions are carried out at once, and not later
+	commitBeforeLoss bool          // transactions with lost answers are carried out at once, not later
 }
 
-// randomStoreDelay is how much longer a call to the state service takes one way.
+// randomStoreDelay is the additional delay of a call to the state service, in one direction.
 func (s *script) randomStoreDelay() time.Duration {
 	if s == nil || s.storeDelay == 0 {
 		return 0
@@ -24,20 +24,22 @@
 	return s.between(0, s.storeDelay)
 }
 
-// lateWrites loses the answers of a share of the transactions for a while. They are carried out at once or later.
-func (s *script) lateWrites(share float64, d time.Duration, atOnce bool) {
+// loseCommitAnswers has the answers of a share of the transactions lost for a while, so that their
+// outcome is unknown to the node. The transactions themselves are carried out at once or, without
+// atOnce, 2 to 12 seconds later.
+func (s *script) loseCommitAnswers(share float64, d time.Duration, atOnce bool) {
 	s.lostAnswerShare, s.commitBeforeLoss = share, atOnce
 	s.at(d, func() { s.lostAnswerShare = 0 })
 }
 
-// nodeView is the state service as a node meets it. It may refuse this node alone, and lose the answers of transactions
-// that it carries out at once or later.
+// nodeView is the state service as one node sees it. It may refuse this node alone, and it may lose
+// the answer of a transaction, which it carries out at once or later.
 type nodeView struct {
 	jobstore.Store
 	n *node
 }
 
-// Get refuses the nodes that the state service refuses.
+// Get reads a key. It fails if the state service refuses the node.
 func (v nodeView) Get(ctx context.Context, key string) (statestore.KeyValue, bool, error) {
 	if v.n.links.refusedByStore {
 		v.n.w.script.count("refused calls")
@@ -46,7 +48,7 @@
 	return v.Store.Get(ctx, key)
 }
 
-// List refuses the nodes that the state service refuses.
+// List reads a range. It fails if the state service refuses the node.
 func (v nodeView) List(ctx context.Context, prefix string) ([]statestore.KeyValue, uint64, error) {
 	if v.n.links.refusedByStore {
 		v.n.w.script.count("refused calls")
@@ -55,8 +57,9 @@
 	return v.Store.List(ctx, prefix)
 }
 
-// Commit refuses the nodes that the state service refuses. It carries a transaction whose answer is lost out at once or
-// later, or hands it on.
+// Commit commits a transaction. It fails if the state service refuses the node. If the answer is to
+// be lost, or the request takes longer than callTimeout, it returns ErrUnknownOutcome, and the
+// transaction is carried out at once or later.
 func (v nodeView) Commit(
 	ctx context.Context, conditions []statestore.Compare, changes []statestore.Op,
 ) (uint64, error) {
@@ -76,13 +79,13 @@
 		}
 		return 0, statestore.ErrUnknownOutcome
 	}
-	sent := s.w.store.revision
+	revisionWhenSent := s.w.store.revision
 	if delay == 0 {
 		delay = s.between(2*time.Second, 12*time.Second)
 	}
 	s.w.after(delay, func() {
-		newer := s.w.store.revision > sent
-		if _, err := v.Store.Commit(ctx, conditions, changes); err == nil && newer {
+		overtaken := s.w.store.revision > revisionWhenSent
+		if _, err := v.Store.Commit(ctx, conditions, changes); err == nil && overtaken {
 			s.count("late transactions carried out")
 		} else if err != nil {
 			s.count("late transactions refused")
--- a/internal/simulation/short_lease.go
+++ b/internal/simulation/short_lease.go
@@ -8,27 +8,27 @@
 	"gingertally/internal/core/placement"
 )
 
-// shortLease adds to a world what a deployment with short leases meets: nodes that compute slowly, pause, refuse each
-// other or are refused by the state service alone, zones cut off for longer than a worker's lease, and clocks at the
-// bound of their drift, in a small cloud that several teams with guarantees and limits share. A nil shortLease does
-// nothing.
+// shortLease adds the jobs and faults of a deployment with short leases: nodes that compute slowly,
+// pause, refuse each other's connections or are refused by the state service alone, zones that are
+// cut off for longer than a worker's lease, and clocks at the bound of their drift. Several teams
+// with guarantees and limits share a small cloud. A nil shortLease does nothing.
 type shortLease struct {
 	w *World
 	random
-	counts eventCounts // what came about, and how often
+	counts eventCounts // events of each kind so far
 	jobs   int         // submitted so far
 }
 
-// maxDrift is the most that a steady clock gains or loses, as a share of the time.
+// maxDrift is the greatest drift of a steady clock, as a share of the elapsed time.
 const maxDrift = 0.0005
 
-// shortLeaseOffer is the capacity of each type, zone and kind in these worlds: little
-// enough for teams to be in each other's way.
-const shortLeaseOffer = 1
+// shortLeaseCapacity is how many machines of each type and zone, spot or not, the cloud has in
+// worlds with short leases: few, so that teams compete for them.
+const shortLeaseCapacity = 1
 
-// borrowed is the class of the jobs that fill what other teams don't use. They are the
-// most urgent of all, so that only a guarantee can stop one.
-const borrowed = "borrowed"
+// borrowingClass is the class of the jobs that use the quota which teams with guarantees leave
+// free. Their priority is the highest, so that only a guarantee can preempt them.
+const borrowingClass = "borrowed"
 
 func newShortLease(w *World) *shortLease {
 	s := &shortLease{w: w, random: newRandom(w.options.Seed, shortLeaseStream), counts: eventCounts{}}
@@ -41,16 +41,16 @@
 	return s
 }
 
-// start plans the jobs and the faults, once the world has its nodes.
+// start schedules the jobs and the faults. It is called once the world has its nodes.
 func (s *shortLease) start() {
 	if s == nil {
 		return
 	}
 	s.planServices()
 	s.planBorrowing()
-	s.planOrdinary()
+	s.planOrdinaryJobs()
 	for i := range 7 + s.rng.IntN(5) {
-		s.w.after(s.between(8*time.Second, s.w.options.Length-5*time.Second), func() { s.fault(i + int(s.w.options.Seed)) })
+		s.w.after(s.between(8*time.Second, s.w.options.Length-5*time.Second), func() { s.injectFault(i + int(s.w.options.Seed)) })
 	}
 	if !s.w.options.Faults {
 		s.w.after(s.w.options.Length, s.w.endFaults)
@@ -59,7 +59,8 @@
 
 func (s *shortLease) count(what string) { s.counts[what]++ }
 
-// clockRate is the rate of a steady clock: at its bound, in either direction.
+// clockRate returns the rate of a steady clock: at one of the bounds of its drift, or otherwise in
+// worlds without short leases.
 func (s *shortLease) clockRate(otherwise float64) float64 {
 	switch {
 	case s == nil:
@@ -72,16 +73,16 @@
 	return 1 + maxDrift
 }
 
-// offer is the capacity of each type, zone and kind.
-func (s *shortLease) offer() int {
+// cloudCapacity returns how many machines of each type and zone, spot or not, the cloud has.
+func (s *shortLease) cloudCapacity() int {
 	if s == nil {
 		return maxOffer
 	}
-	return shortLeaseOffer
+	return shortLeaseCapacity
 }
 
-// add has a user submit a job after some time.
-func (s *shortLease) add(at time.Duration, sp pipeline.Spec, run time.Duration) *userJob {
+// submitJob has a user submit a job after some time.
+func (s *shortLease) submitJob(at time.Duration, sp pipeline.Spec, run time.Duration) *userJob {
 	s.jobs++
 	sp.Ref, sp.Image, sp.ImageGB, sp.Estimate = shortLeaseJobRefs.ref(s.jobs), fmt.Sprintf("img-%d", s.rng.IntN(3)), 1, run
 	if sp.Class == "" {
@@ -90,8 +91,8 @@
 	return s.w.submitAfter(at, sp, run)
 }
 
-// planServices submits services, most of them spread over zones, and some with checkpoints, which can be moved. They go
-// on for long after the faults.
+// planServices submits services, most of them spread over zones, and some with checkpoints, so that
+// they can be moved. They run until long after the faults have ended.
 func (s *shortLease) planServices() {
 	for _, team := range []string{"red", "blue", "amber"} {
 		sp := pipeline.Spec{
@@ -101,26 +102,26 @@
 		if s.rng.IntN(2) == 0 {
 			sp.CheckpointInterval, sp.CheckpointTime = 3*time.Second, 2*time.Second
 		}
-		j := s.add(s.between(0, 20*time.Second), sp, endless)
+		j := s.submitJob(s.between(0, 20*time.Second), sp, endless)
 		s.w.after(s.w.options.Length+s.w.options.SettleTime*3/5, j.cancel)
 	}
 }
 
-// planBorrowing has a team without a guarantee use whatever quota is free, while the jobs of the teams with guarantees
-// come and go.
+// planBorrowing has a team without a guarantee use whatever quota is free, while the jobs of the
+// teams with guarantees come and go.
 func (s *shortLease) planBorrowing() {
 	for i := range 4 {
 		at := time.Duration(i) * s.w.options.Length / 5
 		spec := pipeline.Spec{
-			Class: borrowed, Team: "green", Tasks: 14, CPUs: 2, MemGB: 4, Priority: pipeline.Production, Spot: true,
+			Class: borrowingClass, Team: "green", Tasks: 14, CPUs: 2, MemGB: 4, Priority: pipeline.Production, Spot: true,
 			CheckpointInterval: 3 * time.Second, CheckpointTime: 2 * time.Second,
 		}
-		s.add(at+s.between(0, 5*time.Second), spec, s.between(40*time.Second, 60*time.Second))
+		s.submitJob(at+s.between(0, 5*time.Second), spec, s.between(40*time.Second, 60*time.Second))
 	}
 }
 
-// planOrdinary submits arrays and gangs of the teams with guarantees.
-func (s *shortLease) planOrdinary() {
+// planOrdinaryJobs submits arrays and gangs of the teams with guarantees.
+func (s *shortLease) planOrdinaryJobs() {
 	for i := range 18 {
 		sp := pipeline.Spec{
 			Team: []string{"red", "blue", "amber"}[s.rng.IntN(3)], Tasks: 1 + s.rng.IntN(4), CPUs: 2, MemGB: 4,
@@ -135,7 +136,7 @@
 		if s.rng.IntN(2) == 0 {
 			sp.CheckpointInterval, sp.CheckpointTime = 3*time.Second, 2*time.Second
 		}
-		j := s.add(s.between(0, s.w.options.Length*4/5), sp, s.between(3*time.Second, 30*time.Second))
+		j := s.submitJob(s.between(0, s.w.options.Length*4/5), sp, s.between(3*time.Second, 30*time.Second))
 		j.wantsCancel = i%4 == 0
 	}
 }
--- a/internal/simulation/short_lease_faults.go
+++ b/internal/simulation/short_lease_faults.go
@@ -6,15 +6,15 @@
 	"gingertally/internal/core"
 )
 
-// fault brings one fault about. The faults of a world begin with a kind that its seed chooses and go on from there, so
-// that each kind gets its share.
-func (s *shortLease) fault(kind int) {
+// injectFault injects one fault. The kinds of a world's faults are consecutive numbers, of which
+// the first depends on the seed, so that over all worlds each kind comes equally often.
+func (s *shortLease) injectFault(kind int) {
 	lease := s.w.options.Lease
 	switch kind % 7 {
 	case 0:
-		s.slowDown(s.nodeOrLeader(), s.between(10*time.Second, 40*time.Second))
+		s.slowDown(s.leaderOrRandomNode(), s.between(10*time.Second, 40*time.Second))
 	case 1:
-		s.pauseNode(s.nodeOrLeader(), s.w.options.LeaseTTL+s.between(time.Second, 25*time.Second))
+		s.pauseNode(s.leaderOrRandomNode(), s.w.options.LeaseTTL+s.between(time.Second, 25*time.Second))
 	case 2:
 		s.cutZone(true, lease+s.between(2*time.Second, 15*time.Second))
 	case 3:
@@ -22,15 +22,16 @@
 	case 4:
 		s.refusePeers(s.between(10*time.Second, 40*time.Second))
 	case 5:
-		s.refuse(s.nodeOrLeader(), s.between(5*time.Second, 40*time.Second))
-	case 6: // the state service is out, and the leader goes on by lease extensions, if at all
+		s.refuseNode(s.leaderOrRandomNode(), s.between(5*time.Second, 40*time.Second))
+	case 6: // the state service is down; the leader goes on only if its peers extend its lease
 		s.count("outages")
 		s.w.outage(s.between(5*time.Second, lease+5*time.Second))
 	}
 }
 
-// nodeOrLeader is the leader most of the time, and else any node.
-func (s *shortLease) nodeOrLeader() *node {
+// leaderOrRandomNode returns the leader three quarters of the time if there is one, and else a
+// random node.
+func (s *shortLease) leaderOrRandomNode() *node {
 	n := s.w.nodes[s.rng.IntN(len(s.w.nodes))]
 	if l := s.w.currentLeader(); l != nil && s.rng.IntN(4) > 0 {
 		return l
@@ -38,13 +39,13 @@
 	return n
 }
 
-// slowDown has a node compute several times slower.
+// slowDown has a node compute slowly for a while.
 func (s *shortLease) slowDown(n *node, d time.Duration) {
 	s.count("slow nodes")
 	n.slowUntil = s.w.now.Add(d)
 }
 
-// pauseNode pauses a node for longer than its lease.
+// pauseNode pauses a node. The caller passes a duration longer than the leader lease.
 func (s *shortLease) pauseNode(n *node, d time.Duration) {
 	if n.down {
 		return
@@ -55,14 +56,14 @@
 	n.pausedUntil = s.w.now.Add(d)
 }
 
-// cutZone cuts the leader's zone or another one off, with all in it.
-func (s *shortLease) cutZone(leaders bool, d time.Duration) {
+// cutZone cuts off the leader's zone or another one, with all nodes and machines in it.
+func (s *shortLease) cutZone(withLeader bool, d time.Duration) {
 	zone, what := s.w.zones[s.rng.IntN(len(s.w.zones))], "zones cut off without a leader"
 	if l := s.w.currentLeader(); l != nil {
-		for !leaders && zone == l.zone {
+		for !withLeader && zone == l.zone {
 			zone = s.w.zones[s.rng.IntN(len(s.w.zones))]
 		}
-		if leaders {
+		if withLeader {
 			zone, what = l.zone, "zones cut off with the leader"
 		}
 	}
@@ -71,7 +72,7 @@
 	s.w.after(d, func() { delete(s.w.network.cutZones, zone) })
 }
 
-// refusePeers has all nodes refuse each other's connections, or one node and the others.
+// refusePeers has all nodes refuse each other's connections, or cuts one node off from all others.
 func (s *shortLease) refusePeers(d time.Duration) {
 	s.count("refusals between nodes")
 	if s.rng.IntN(2) == 0 {
@@ -79,34 +80,35 @@
 		s.w.after(d, func() { s.w.network.peersRefuse = false })
 		return
 	}
-	n := s.nodeOrLeader()
+	n := s.leaderOrRandomNode()
 	n.links.peersUnreachable = true
 	s.w.after(d, func() { n.links.peersUnreachable = false })
 }
 
-// refuse has the state service refuse one node alone.
-func (s *shortLease) refuse(n *node, d time.Duration) {
+// refuseNode has the state service refuse one node alone.
+func (s *shortLease) refuseNode(n *node, d time.Duration) {
 	s.count("nodes refused by the state service")
 	n.links.refusedByStore = true
 	s.w.after(d, func() { n.links.refusedByStore = false })
 }
 
-// How long a slow node computes: a round of decisions, and anything else.
+// The longest that a slow node computes: in a scheduling round, and in any other step.
 const (
-	slowRound = 600 * time.Millisecond
-	slowStep  = 50 * time.Millisecond
+	maxSlowRound = 600 * time.Millisecond
+	maxSlowStep  = 50 * time.Millisecond
 )
 
-// compute keeps a slow node busy with a step for a while.
-func (n *node) compute(ev core.Event) {
+// addComputeTime keeps a slow node busy after a step, for a random time up to maxSlowRound or
+// maxSlowStep.
+func (n *node) addComputeTime(ev core.Event) {
 	s := n.w.shortLease
 	if s == nil || !n.w.now.Before(n.slowUntil) {
 		return
 	}
 	s.count("slow steps")
-	most := slowStep
+	most := maxSlowStep
 	if _, round := ev.(core.Tick); round {
-		most = slowRound
+		most = maxSlowRound
 	}
 	if n.busyUntil.Before(n.w.now) {
 		n.busyUntil = n.w.now
@@ -114,5 +116,5 @@
 	n.busyUntil = n.busyUntil.Add(s.between(most/8, most))
 }
 
-// busyFor is for how long the node is still busy.
+// busyFor returns how much longer the node is busy.
 func (n *node) busyFor() time.Duration { return max(0, n.busyUntil.Sub(n.w.now)) }
--- a/internal/simulation/short_lease_test.go
+++ b/internal/simulation/short_lease_test.go
@@ -4,10 +4,10 @@
 	"testing"
 )
 
-// TestShortLease plays worlds with a lease of 12 s: slow and stalling nodes, zones cut
-// off beyond the lease, refusals between nodes and of one node by the state service,
-// clocks at the bound of their drift, services spread over zones, and teams that borrow
-// from each other.
+// TestShortLease plays worlds with a worker lease of 12 s: nodes that are slow or pause, zones that
+// are cut off beyond the lease, nodes that refuse each other or that the state service refuses,
+// clocks at the bound of their drift, services that are spread over zones, and a team that borrows
+// the free quota of the others.
 func TestShortLease(t *testing.T) {
 	counts := eventCounts{}
 	for seed := range uint64(70) {
--- a/internal/simulation/standby_test.go
+++ b/internal/simulation/standby_test.go
@@ -8,9 +8,9 @@
 // standbySeeds is how many worlds of each family TestStandbyWorlds plays.
 const standbySeeds = 25
 
-// TestStandbyWorlds plays worlds of every family with the warm standby on, with all their
-// faults and a stream that loses, doubles, delays and reorders its frames. The rules, and
-// their checker, are the same as without it.
+// TestStandbyWorlds plays worlds of every family, with all their faults, while the warm standby is
+// on and its stream loses, duplicates, delays and reorders frames. All invariants of worlds without
+// the warm standby hold too.
 func TestStandbyWorlds(t *testing.T) {
 	counts := eventCounts{}
 	change := func(o Options, _ int) Options { return withStandby(o) }
@@ -23,16 +23,16 @@
 	t.Log(counts)
 }
 
-// TestStandbyFaultScenarios plays each fault scenario with the warm standby on.
+// TestStandbyFaultScenarios plays one world of each fault scenario with the warm standby on.
 func TestStandbyFaultScenarios(t *testing.T) {
 	counts := eventCounts{}
 	for i := range faultScenarios {
-		m := faultScenarios[i]
-		t.Run(m.name, func(t *testing.T) {
-			options := m.options(uint64(i)*100 + 50)
+		scenario := faultScenarios[i]
+		t.Run(scenario.name, func(t *testing.T) {
+			options := scenario.options(uint64(i)*100 + 50)
 			w := NewWorld(withStandby(options))
 			s := newScript(w)
-			m.script(s)
+			scenario.script(s)
 			if err := w.Run(); err != nil {
 				t.Error(err)
 			}
@@ -40,12 +40,13 @@
 		})
 	}
 	if counts["warm takeovers"] < 50 || counts["successors named"] < 10 {
-		t.Errorf("the scenarios did too little to prove anything: %v", counts)
+		t.Errorf("too few warm takeovers or named successors to prove anything: %v", counts)
 	}
 	t.Log(counts)
 }
 
-// The same seed is the same run with the warm standby on as well.
+// TestStandbySameSeedSameRun expects two runs with the same seed to be identical, also with the
+// warm standby on.
 func TestStandbySameSeedSameRun(t *testing.T) {
 	for _, f := range families {
 		for _, seed := range f.repeatedSeeds[:2] {
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -124,7 +124,7 @@
 	if len(changes) > 0 {
 		s.revision++
 	}
-	changes = s.w.drains.spoilCommit(changes)
+	changes = s.w.drains.injectCommitFault(changes)
 	for _, c := range changes {
 		if c.Delete {
 			delete(s.items, c.Key)
--- a/internal/simulation/task_ledger.go
+++ b/internal/simulation/task_ledger.go
@@ -56,7 +56,7 @@
 	for _, a := range preempted {
 		l.preempted[a.TaskID.String()] = true
 		l.preemptedAttempts[taskKey(a.Ref, a.Task, a.Number)] = true
-		if j := l.w.jobs[a.Ref]; j != nil && j.spec.Class == borrowed {
+		if j := l.w.jobs[a.Ref]; j != nil && j.spec.Class == borrowingClass {
 			l.borrowedPreempted++
 		}
 	}
