--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -206,8 +206,8 @@
 	return t
 }
 
-// A policy admits about windowSpan times the fraction of the jobs. Guards against a hash of job ids
-// that isn't spread evenly over the circle.
+// A policy admits about windowSpan*fraction of all jobs. Guards against a hash that doesn't spread
+// job ids evenly over the circle.
 func TestFractionOfJobs(t *testing.T) {
 	p := overloadPolicy(1, 0.05, 0.9)
 	admitted := 0
@@ -251,8 +251,8 @@
 func TestOlderPoliciesAreNotTaken(t *testing.T) {
 	g := testGate(time.Minute)
 	for i, c := range []struct {
-		policy Policy
-		taken  bool
+		policy  Policy
+		applied bool
 	}{
 		{Policy{Term: 1, Number: 1}, true},
 		{Policy{Term: 1, Number: 2}, true},
@@ -262,8 +262,8 @@
 		{Policy{Term: 3, Number: 2}, false},
 		{Policy{Term: 4, Number: 4}, true},
 	} {
-		if taken := g.Apply(at(time.Duration(i)), c.policy); taken != c.taken {
-			t.Errorf("term %d, policy %d: Apply returned %v", c.policy.Term, c.policy.Number, taken)
+		if applied := g.Apply(at(time.Duration(i)), c.policy); applied != c.applied {
+			t.Errorf("term %d, policy %d: Apply returned %v", c.policy.Term, c.policy.Number, applied)
 		}
 	}
 	if p := g.Policy(); p.Term != 4 || p.Number != 4 {
--- a/internal/admission/doc.go
+++ b/internal/admission/doc.go
@@ -1,10 +1,11 @@
 // Package admission decides which submitted jobs are admitted while the deployment is overloaded.
 //
 // The leader's Planner compares demand and backlog with the capacity, computes the share of each
-// team and class by weighted max-min fairness, and produces a small numbered Policy. Every
-// controller's Gate applies the policy as a pure function of the job's team, class, priority and
-// id, so that all controllers give the same answer. In addition, each controller has a local rate
-// limit, which contains a surge until a policy takes it into account.
+// team, class and priority by weighted max-min fairness, and produces a Policy, which is small and
+// numbered. Every controller's Gate applies the policy as a pure function of the job's team, class,
+// priority and id, so that all controllers with the same policy give the same answer. Two things
+// may differ between controllers: a local rate limit, which contains a surge until a policy takes
+// it into account, and the fallback of a gate whose policy wasn't confirmed for PolicyAge.
 //
 // The package does no I/O, starts no goroutines and reads no clock: callers pass in the time. It
 // relies on a policy being stored under the leader's term before any gate receives it. Gate and
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -11,7 +11,8 @@
 type GateOptions struct {
 	Weights map[string]float64 // by team; the default is 1
 	Teams   []string           // all teams of the settings
-	// JobsPerSecond is how many jobs per second this controller can have stored; 0 means no local bound.
+	// JobsPerSecond is how many jobs per second this controller may write to the state service; 0 means
+	// no local rate limit.
 	JobsPerSecond float64
 	// PolicyAge is how long a policy is applied unchanged after it was last confirmed, see InFallback.
 	PolicyAge time.Duration
@@ -24,15 +25,15 @@
 	policy      Policy
 	appliedAt   time.Time // when the policy replaced the previous one
 	confirmedAt time.Time // when the policy was last passed to Apply; at first, when the gate was made
-	local       localBound
+	local       localLimiter
 	counter     counter
 	collectedAt time.Time // when the counts were last collected
 }
 
 // NewGate returns the gate of a controller that has no policy yet: it admits all jobs within the
-// local bound.
+// local rate limit.
 func NewGate(now time.Time, options GateOptions) *Gate {
-	return &Gate{options: options, confirmedAt: now, collectedAt: now, counter: newCounter(), local: newLocalBound(options)}
+	return &Gate{options: options, confirmedAt: now, collectedAt: now, counter: newCounter(), local: newLocalLimiter(options)}
 }
 
 // Policy returns the current policy. The caller must not change it.
@@ -86,8 +87,8 @@
 }
 
 // Decide admits or refuses a submission and counts it. The policy, which is the same at every
-// controller, decides first; then the local bound, which contains a surge that the policy doesn't
-// take into account yet.
+// controller, decides first; then the local rate limit, which contains a surge that the policy
+// doesn't take into account yet.
 func (g *Gate) Decide(now time.Time, submission Submission) Decision {
 	k := Key{Team: submission.Spec.Team, Class: submission.Spec.Class, Priority: submission.Spec.Priority}
 	cost := JobCost(submission.Spec, submission.Spec.Estimate, g.policy.Capacity)
--- a/internal/admission/planner.go
+++ b/internal/admission/planner.go
@@ -11,7 +11,8 @@
 type PlannerOptions struct {
 	Quotas  map[string]placement.Quota
 	Weights map[string]float64 // by team; the default is 1
-	// Floor is the part of the capacity that each key gets before anything else is allocated.
+	// Floor is the part of the capacity that each key gets before anything else is allocated, or its
+	// whole demand if that is less.
 	Floor float64
 	// EnterBacklog and ExitBacklog are the backlogs at which overload begins and ends.
 	EnterBacklog, ExitBacklog time.Duration
@@ -27,17 +28,19 @@
 	Batches  []Batch       // one of each controller that answered
 }
 
-// Thresholds of overload. They differ for its start and its end (hysteresis), so that small changes
-// in the measurements don't switch it on and off.
+// Constants of the planner. Overload begins and ends at different thresholds of write load and
+// backlog (hysteresis; for the backlog see PlannerOptions), so that small changes in the
+// measurements don't switch it on and off.
 const (
 	// enterWriteLoad and exitWriteLoad are the thresholds of overload by writes, as parts of the rate
 	// of jobs that the state service can take.
 	enterWriteLoad, exitWriteLoad = 0.9, 0.6
-	// minBacklogDemand is the demand, as a part of the capacity, above which overload by backlog can
-	// begin, and to which demand must fall for it to end. With less, the backlog shrinks by itself.
-	minBacklogDemand = 0.9
-	// capacityWhileBacklogged is the part of the capacity that is allocated while the backlog is above
-	// the threshold at which overload begins, so that the backlog shrinks.
+	// backlogDemandThreshold is a demand, as a part of the capacity. Overload by backlog begins only
+	// if the demand is above it, and ends only if it isn't. With less demand, the backlog shrinks by
+	// itself.
+	backlogDemandThreshold = 0.9
+	// capacityWhileBacklogged is the part of the capacity that is allocated under overload by backlog
+	// while the backlog is above EnterBacklog, so that the backlog shrinks.
 	capacityWhileBacklogged = 0.8
 	// forgetAfter is how long after its last submission a key is forgotten.
 	forgetAfter = time.Minute
@@ -87,8 +90,9 @@
 }
 
 // Plan processes the load since the last call and returns the newest policy. If changed is true, the
-// policy is a new one and the caller must store it. Under overload, every call makes a new policy;
-// otherwise one policy lasts for the whole term, unless the capacity changes.
+// policy is a new one and the caller must store it. Under overload, every call makes a new policy.
+// Otherwise a call makes one only if it is the first of the term, if overload has just ended, or if
+// the capacity has changed (similar). A call without elapsed time makes none.
 func (p *Planner) Plan(now time.Time, load Load) (policy Policy, changed bool) {
 	elapsed := now.Sub(p.plannedAt).Seconds()
 	p.plannedAt = now
@@ -153,8 +157,8 @@
 }
 
 // nextReason returns why the deployment is overloaded now, or NotOverloaded. Overload by backlog
-// begins only if the demand also exceeds minBacklogDemand, and ends when both backlog and demand have
-// fallen to their thresholds.
+// begins only if the demand also exceeds backlogDemandThreshold, and ends when both backlog and
+// demand have fallen to their thresholds.
 func (p *Planner) nextReason(load Load) Reason {
 	demand := 0.0
 	for _, control := range p.keys {
@@ -166,7 +170,7 @@
 	}
 	switch p.policy.Reason {
 	case Backlog:
-		if load.Backlog > p.options.ExitBacklog || demand > minBacklogDemand {
+		if load.Backlog > p.options.ExitBacklog || demand > backlogDemandThreshold {
 			return Backlog
 		}
 	case Writes:
@@ -175,7 +179,7 @@
 		}
 	}
 	switch {
-	case load.Backlog >= p.options.EnterBacklog && demand > minBacklogDemand:
+	case load.Backlog >= p.options.EnterBacklog && demand > backlogDemandThreshold:
 		return Backlog
 	case writeLoad >= enterWriteLoad:
 		return Writes
--- a/internal/surge/result.go
+++ b/internal/surge/result.go
@@ -71,7 +71,7 @@
 
 // checkDecision checks the bounds of Retry-After, and that all controllers with the same policy make
 // the same decision. It compares what their policies decide rather than the gates' decisions, since a
-// controller's local bound may refuse a job that the policy admits.
+// controller's local rate limit may refuse a job that the policy admits.
 func (r *Result) checkDecision(w *World, j *job, d admission.Decision) {
 	if !d.Admitted && (d.RetryAfter < minRetryAfter || d.RetryAfter > maxRetryAfter) {
 		r.violated("Retry-After of %s", d.RetryAfter)
