--- a/cmd/gingertally/commands_test.go
+++ b/cmd/gingertally/commands_test.go
@@ -17,8 +17,9 @@
 	"gingertally/internal/testserver"
 )
 
-// Scripts decide by the exit code whether to repeat a command, to give up, or to look for the job
-// elsewhere: every kind of error keeps its code.
+// Scripts decide by the exit code whether to repeat a command (exitGaveUp), to give up
+// (exitRefused), or to look for the job in another cluster (exitNotFound). So every kind of error
+// must keep its code.
 func TestExitCodes(t *testing.T) {
 	for _, c := range []struct {
 		err  error
@@ -72,7 +73,7 @@
 	}{
 		{"leader unknown", 200, `{}`, exitGaveUp},
 		{"controller not ready", 503, ``, exitGaveUp},
-		{"no JSON", 200, `?`, exitFailed},
+		{"malformed JSON", 200, `?`, exitFailed},
 	} {
 		server := serveStatus(t, c.status, c.body)
 		_, err := server.leaderStatus()
--- a/cmd/gingertally/jobs.go
+++ b/cmd/gingertally/jobs.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		return err
 	}
-	return printRun(c.client().Submit(context.Background(), job))
+	return printJobStatus(c.client().Submit(context.Background(), job))
 }
 
 // readJob reads the file of a job, or standard input if the name is -.
@@ -37,7 +37,7 @@
 }
 
 // Run prints the job's state.
-func (c *getCmd) Run() error { return printRun(c.client().Get(context.Background(), c.Ref)) }
+func (c *getCmd) Run() error { return printJobStatus(c.client().Get(context.Background(), c.Ref)) }
 
 type cancelCmd struct {
 	serverFlag
@@ -45,7 +45,9 @@
 }
 
 // Run cancels the job and prints its state.
-func (c *cancelCmd) Run() error { return printRun(c.client().Cancel(context.Background(), c.Ref)) }
+func (c *cancelCmd) Run() error {
+	return printJobStatus(c.client().Cancel(context.Background(), c.Ref))
+}
 
 type waitCmd struct {
 	serverFlag
@@ -55,21 +57,21 @@
 // Run waits until the job is done or cancelled and prints its state. It returns errJobCancelled if the
 // job was cancelled.
 func (c *waitCmd) Run() error {
-	run, err := c.client().Wait(context.Background(), c.Ref)
-	if err := printRun(run, err); err != nil {
+	status, err := c.client().Wait(context.Background(), c.Ref)
+	if err := printJobStatus(status, err); err != nil {
 		return err
 	}
-	if run.Cancelled() {
+	if status.Cancelled() {
 		return fmt.Errorf("%s: %w", c.Ref, errJobCancelled)
 	}
 	return nil
 }
 
-// printRun prints the state of a job in JSON. It takes the results of the call that returned the state,
-// and returns err if that call failed.
-func printRun(run client.JobStatus, err error) error {
+// printJobStatus prints the state of a job in JSON. It takes the results of the call that returned
+// the state, and returns err if that call failed.
+func printJobStatus(status client.JobStatus, err error) error {
 	if err != nil {
 		return err
 	}
-	return printJSON(os.Stdout, run)
+	return printJSON(os.Stdout, status)
 }
--- a/cmd/gingertally/output.go
+++ b/cmd/gingertally/output.go
@@ -7,7 +7,8 @@
 	"text/tabwriter"
 )
 
-// Layout of tables.
+// Layout of tables. tabwriter.NewWriter requires tabWidth, but it has no effect, since cells are
+// padded with spaces.
 const (
 	tabWidth      = 4
 	columnPadding = 2 // spaces between columns
--- a/internal/client/client.go
+++ b/internal/client/client.go
@@ -1,9 +1,9 @@
-// Package client is a client of the controllers, for users, who submit, query and cancel jobs
-// (PROTOCOL: Users -> controller nodes), and for operators, who drain machines (through the
-// controllers' own JSON interface). A user's call is retried as the protocol says, until a response
-// settles it or its time is used up. An operator's call is tried once.
+// Package client is a client of the controllers. Users submit, query and cancel jobs (PROTOCOL:
+// Users -> controller nodes); operators drain machines, through the controllers' own JSON interface.
+// A user's call is retried as the protocol says, until a response settles it or its time is used up.
+// An operator's call is tried once.
 //
-// The command line, the emulator's users and the measuring tools use it.
+// The command line, the emulator's users and tools/drain use it.
 package client
 
 import (
@@ -21,7 +21,8 @@
 	// Addr is the address of the controller or load balancer, as host:port.
 	Addr string
 	// RetryBudget limits the time for all tries of a user's call and the pauses between them; 0 stands
-	// for a minute.
+	// for a minute. No try begins once it is used up, but the last one may exceed it by up to
+	// answerTimeout.
 	RetryBudget time.Duration
 	// Pause waits for d, or until ctx ends; nil stands for a wait in real time.
 	Pause func(ctx context.Context, d time.Duration) error
@@ -50,9 +51,9 @@
 	body         []byte
 }
 
-// send sends a request once and passes the response, which is valid only until handle returns, to
-// handle. It returns the error of handle, or a *noAnswerError if there is no response. If ctx has
-// already ended, nothing is sent; later it isn't taken into account.
+// send sends a request once and passes the response to handle. The response is valid only until
+// handle returns. It returns the error of handle, or a *noAnswerError if there is no response. If
+// ctx has already ended, nothing is sent; if it ends later, the request isn't interrupted.
 func (c *Client) send(ctx context.Context, request request, handle func(*fasthttp.Response) error) error {
 	if err := ctx.Err(); err != nil {
 		return err
--- a/internal/client/errors.go
+++ b/internal/client/errors.go
@@ -10,12 +10,13 @@
 var (
 	// ErrRefused says that the controllers will never accept the job or the plan as it is.
 	ErrRefused = errors.New("refused")
-	// ErrNotFound says that no such job was accepted, that there is no such plan, or that drains
-	// are off.
+	// ErrNotFound says that no such job was accepted, that there is no such plan or change of a plan,
+	// or that drains are off.
 	ErrNotFound = errors.New("not found")
 	// ErrConflict says that a plan can't be changed this way, or that its ID is taken.
 	ErrConflict = errors.New("conflict")
-	// ErrGaveUp says that there was no usable response in time. The call may have been carried out.
+	// ErrGaveUp says that there was no usable response: to a user's call within its budget, or to the
+	// only try of an operator's call. The call may have been carried out.
 	ErrGaveUp = errors.New("gave up")
 )
 
@@ -25,8 +26,8 @@
 	Operation string
 	// Addr is the address that was called.
 	Addr string
-	// Err is the cause: one of those above, the context's error, or that of a response that can't be
-	// decoded.
+	// Err is the cause. It wraps one of the errors above, or is the context's error or that of a
+	// response that can't be decoded.
 	Err error
 }
 
--- a/internal/client/job_json.go
+++ b/internal/client/job_json.go
@@ -22,8 +22,8 @@
 	return fields, nil
 }
 
-// convertNumbers returns a value in which every json.Number, at any depth, is replaced as by
-// convertNumber. It changes maps and slices in place.
+// convertNumbers replaces every json.Number in a value, at any depth, by the result of
+// convertNumber, and returns the value. It changes maps and slices in place.
 func convertNumbers(value any) any {
 	switch value := value.(type) {
 	case json.Number:
--- a/internal/client/jobs.go
+++ b/internal/client/jobs.go
@@ -70,12 +70,12 @@
 // a usable response (ErrGaveUp); any other error ends it.
 func (c *Client) Wait(ctx context.Context, ref string) (JobStatus, error) {
 	for {
-		run, err := c.Get(ctx, ref)
-		if err != nil && !errors.Is(err, ErrGaveUp) || run.Over() {
-			return run, err
+		status, err := c.Get(ctx, ref)
+		if err != nil && !errors.Is(err, ErrGaveUp) || status.Over() {
+			return status, err
 		}
 		if err := c.pause(ctx, pollInterval); err != nil {
-			return run, err
+			return status, err
 		}
 	}
 }
@@ -83,11 +83,11 @@
 // callJob sends a request about a job until a response settles it or the budget is used up. Errors are
 // of type *CallError.
 func (c *Client) callJob(ctx context.Context, request request) (JobStatus, error) {
-	run, err := c.retry(ctx, request)
+	status, err := c.retry(ctx, request)
 	if err != nil {
-		return run, &CallError{Operation: request.operation, Addr: c.Addr, Err: err}
+		return status, &CallError{Operation: request.operation, Addr: c.Addr, Err: err}
 	}
-	return run, nil
+	return status, nil
 }
 
 // retry sends a request about a job until a response settles it. The error wraps ErrGaveUp if the
@@ -99,22 +99,22 @@
 	}
 	for {
 		began := time.Now()
-		run, err := c.tryJob(ctx, request)
+		status, err := c.tryJob(ctx, request)
 		pause, repeat := retryPause(err)
 		if !repeat {
-			return run, err
+			return status, err
 		}
 		if left -= time.Since(began) + pause; left < 0 {
-			return run, fmt.Errorf("%w: %w", ErrGaveUp, err)
+			return status, fmt.Errorf("%w: %w", ErrGaveUp, err)
 		}
 		if err := c.pause(ctx, pause); err != nil {
-			return run, err
+			return status, err
 		}
 	}
 }
 
-// retryPause returns how long to wait before the next try, given the error of the last one; repeat is
-// false if that one settled the call.
+// retryPause returns how long to wait before the next try, given the error of the last try. Repeat
+// is false if the last try settled the call or wasn't made, since the context had ended.
 func retryPause(err error) (pause time.Duration, repeat bool) {
 	var retryable *retryableError
 	var noAnswer *noAnswerError
@@ -127,13 +127,13 @@
 	return 0, false
 }
 
-// tryJob sends a request about a job once. If that doesn't settle the call, the error is a
-// *noAnswerError or a *retryableError.
-func (c *Client) tryJob(ctx context.Context, request request) (run JobStatus, err error) {
+// tryJob sends a request about a job once. If the call has to be retried, the error is a
+// *noAnswerError or a *retryableError; otherwise the call is settled, or ctx has ended.
+func (c *Client) tryJob(ctx context.Context, request request) (jobStatus JobStatus, err error) {
 	err = c.send(ctx, request, func(response *fasthttp.Response) error {
 		switch status := response.StatusCode(); status {
 		case fasthttp.StatusOK, fasthttp.StatusCreated:
-			return codec.Unmarshal(response.Body(), &run)
+			return codec.Unmarshal(response.Body(), &jobStatus)
 		case fasthttp.StatusBadRequest, fasthttp.StatusUnprocessableEntity:
 			return fmt.Errorf("%w (%d): %s", ErrRefused, status, refusalReason(response.Body()))
 		case fasthttp.StatusNotFound:
@@ -142,7 +142,7 @@
 			return &retryableError{status: status, retryAfter: requestedPause(response)}
 		}
 	})
-	return run, err
+	return jobStatus, err
 }
 
 // refusalReason returns the reason that a response gives for refusing a job; empty if it gives none.
--- a/internal/client/jobs_test.go
+++ b/internal/client/jobs_test.go
@@ -60,7 +60,8 @@
 	})
 }
 
-// checkSubmission checks that a request body is the encoded form of job.
+// checkSubmission checks that a request body decodes to a job with the number of tasks, the memory
+// and the number of dependencies of job.
 func checkSubmission(t *testing.T, body []byte) {
 	t.Helper()
 	spec, dependencies, err := wire.ParseSubmission(body)
@@ -73,9 +74,9 @@
 // that gives up early loses the job, and one that retries too soon adds to an overload.
 func TestSubmitRetries(t *testing.T) {
 	c, pauses := serveStatuses(t, 503, 429, 500, 201)
-	run, err := c.Submit(t.Context(), []byte(job))
-	if err != nil || run.Status != wire.StatusQueued {
-		t.Fatalf("run %+v, error %v", run, err)
+	status, err := c.Submit(t.Context(), []byte(job))
+	if err != nil || status.Status != wire.StatusQueued {
+		t.Fatalf("job status %+v, error %v", status, err)
 	}
 	want := []time.Duration{time.Second, 7 * time.Second, time.Second}
 	if !slices.Equal(*pauses, want) {
@@ -137,13 +138,13 @@
 	}
 }
 
-// Wait queries a job until its state is final, also through responses that aren't usable, but doesn't
-// wait for an unknown job.
+// Wait queries a job until its state is final, also if a query gets a 503, which Get retries. It
+// doesn't wait for an unknown job.
 func TestWait(t *testing.T) {
 	c, _ := serveStatuses(t, 201, 503, 201, 200)
-	run, err := c.Wait(t.Context(), submittedRef)
-	if err != nil || run.Status != wire.StatusDone {
-		t.Fatalf("run %+v, error %v", run, err)
+	status, err := c.Wait(t.Context(), submittedRef)
+	if err != nil || status.Status != wire.StatusDone {
+		t.Fatalf("job status %+v, error %v", status, err)
 	}
 	c, _ = serveStatuses(t, 404)
 	if _, err := c.Wait(t.Context(), submittedRef); !errors.Is(err, ErrNotFound) {
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -193,11 +193,11 @@
 	w.tasks[lot]["status"], w.tasks[lot]["cause"], w.tasks[lot]["kept"] = "ended", "done", true
 }
 
-// TestControllers runs two controllers against external services in memory. Jobs are submitted, run
-// and cancelled through the controller that doesn't lead, a peer extends the lease only in an
-// outage, and when the leader resigns another term begins. The test runs in real time, and is
-// written to pass even if a busy machine makes the leader change in between. Since CI's result
-// mustn't depend on how busy its machine is, the test runs only if realTimeVariable is set.
+// TestControllers runs two controllers against in-memory fakes of the external services. Jobs are
+// submitted, run and cancelled through the controller that doesn't lead, a peer extends the lease
+// only in an outage, and when the leader resigns another term begins. The test runs in real time,
+// and is written to pass even if a busy machine makes the leader change in between. Since CI's
+// result mustn't depend on how busy its machine is, the test runs only if realTimeVariable is set.
 func TestControllers(t *testing.T) {
 	if os.Getenv(realTimeVariable) == "" {
 		t.Skip(realTimeVariable + " isn't set")
@@ -207,18 +207,18 @@
 	leader, follower := nodes[0], nodes[1]
 	user := &client.Client{Addr: follower.addr}
 	for _, ref := range []string{"j-1", "j-2"} {
-		if run, err := user.Submit(t.Context(), jobJSON(ref)); err != nil || run.Status != wire.StatusQueued {
-			t.Fatalf("submit %s: %+v, %v", ref, run, err)
+		if jobStatus, err := user.Submit(t.Context(), jobJSON(ref)); err != nil || jobStatus.Status != wire.StatusQueued {
+			t.Fatalf("submit %s: %+v, %v", ref, jobStatus, err)
 		}
 	}
 	work := &worker{addrs: []string{leader.addr, follower.addr}, tasks: map[string]map[string]any{}}
 	status := func(ref string) string {
 		work.sendHeartbeat(t)
-		run, err := user.Get(t.Context(), ref)
+		jobStatus, err := user.Get(t.Context(), ref)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return run.Status
+		return jobStatus.Status
 	}
 	eventually(t, "both jobs are running", func() bool {
 		return status("j-1") == wire.StatusRunning && status("j-2") == wire.StatusRunning
@@ -230,8 +230,8 @@
 	})
 	work.finish("j-1/0")
 	eventually(t, "the first job is done", func() bool { return status("j-1") == wire.StatusDone })
-	if run, err := user.Cancel(t.Context(), "j-2"); err != nil || run.Status != wire.StatusCancelled {
-		t.Fatalf("cancel: %+v, %v", run, err)
+	if jobStatus, err := user.Cancel(t.Context(), "j-2"); err != nil || jobStatus.Status != wire.StatusCancelled {
+		t.Fatalf("cancel: %+v, %v", jobStatus, err)
 	}
 	eventually(t, "the second job's task stops", func() bool {
 		return status("j-2") == wire.StatusCancelled && work.stops > 0
@@ -248,8 +248,8 @@
 		work.sendHeartbeat(t)
 		return work.fencingToken > before
 	})
-	if run, err := user.Get(t.Context(), "j-1"); err != nil || run.Status != wire.StatusDone {
-		t.Errorf("after the change of leader: %+v, %v", run, err)
+	if jobStatus, err := user.Get(t.Context(), "j-1"); err != nil || jobStatus.Status != wire.StatusDone {
+		t.Errorf("after the change of leader: %+v, %v", jobStatus, err)
 	}
 }
 
--- a/internal/emulator/users.go
+++ b/internal/emulator/users.go
@@ -109,14 +109,14 @@
 // pollUntilEnd queries a job until it is over or unknown, or ctx ends.
 func (u *Users) pollUntilEnd(ctx context.Context, ref string) {
 	for ctx.Err() == nil {
-		run, err := u.randomClient(callBudget).Get(ctx, ref)
+		status, err := u.randomClient(callBudget).Get(ctx, ref)
 		switch {
 		case errors.Is(err, client.ErrNotFound):
 			u.History.jobLost(ref)
 			return
 		case err == nil:
-			u.History.statusReceived(ref, run.Status)
-			if run.Over() {
+			u.History.statusReceived(ref, status.Status)
+			if status.Over() {
 				return
 			}
 		}
