--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -8,7 +8,7 @@
 //	machinetypes   the cloud's machine types and prices
 //	usercalls      users' calls, served here or forwarded to another controller
 //	operatorapi    status and drains for operators
-//	limits         the shares of rate limits and sockets that each use gets
+//	limits         the share of each rate limit, and of the sockets, for each kind of traffic
 //	metrics        the metrics that /metrics shows
 //
 // In this package itself, http.go routes the requests of users, workers and operators, and peers.go
@@ -58,7 +58,8 @@
 // without a leader for longer after a crash.
 const leaseTTL = 3 * time.Second
 
-// Controller is the process of one controller, with its clients and services.
+// Controller is one controller process, with its clients of other services and the services that it
+// offers.
 type Controller struct {
 	settings *config.Settings
 	operator operator.Settings
@@ -163,10 +164,10 @@
 	if !settings.Enabled {
 		return overload.Disabled{}
 	}
-	known := c.limits.KnownJobs()
+	lookupRate := c.limits.KnownJobLookups()
 	node := overload.New(overload.Options{
 		Settings: settings, Teams: c.settings.TeamNames(), Quotas: c.core.Teams, Limits: c.limits, Store: c.store,
-		Jobs: jobstore.New(c.store.WithRates(known.Requests, known.Writes),
+		Jobs: jobstore.New(c.store.WithRates(lookupRate.Requests, lookupRate.Writes),
 			jobstore.Limits{ValueBytes: c.core.MaxValueBytes, TxnOps: c.limits.TxnOps()}),
 		Peers: c.peers, Members: c.peerNames(), Metrics: c.metrics.Admission,
 	})
@@ -196,7 +197,7 @@
 	if err != nil {
 		return fmt.Errorf("peer_listen: %w", err)
 	}
-	if !c.core.CancelBoundKept() {
+	if !c.core.CancelBoundMet() {
 		c.log.Warn("cancellations are confirmed only once the tasks are gone: lease_s is too long for cancel_s",
 			"bound", c.core.CancelBound(), "cancel_within", c.core.CancelWithin)
 	}
--- a/internal/controller/core_config.go
+++ b/internal/controller/core_config.go
@@ -28,7 +28,7 @@
 		GangWait:          params.Workers.GangWait.Duration(),
 		InstanceListLag:   params.Cloud.ListLag.Duration(),
 		RestartLimit:      operatorSettings.RestartLimit,
-		BatchInterval:     operatorSettings.ProgressInterval,
+		ProgressInterval:  operatorSettings.ProgressInterval,
 		Weights:           operatorSettings.Weights,
 		Pace:              operatorSettings.Recovery,
 		Admission:         operatorSettings.Admission.Enabled,
--- a/internal/controller/limits/limits.go
+++ b/internal/controller/limits/limits.go
@@ -112,9 +112,9 @@
 	return Rate{l.state.RPS * userShare * userOvercommit / float64(l.controllers), writes}, burst
 }
 
-// KnownJobs returns the rate at which one controller may look up whether a job that it refuses had
-// been accepted before.
-func (l Limits) KnownJobs() Rate {
+// KnownJobLookups returns the rate at which one controller may look up whether a job that it refuses
+// had been accepted before.
+func (l Limits) KnownJobLookups() Rate {
 	return Rate{l.state.RPS * userShare * knownJobsShare / float64(l.controllers), 1}
 }
 
--- a/internal/controller/term/cancel.go
+++ b/internal/controller/term/cancel.go
@@ -20,7 +20,7 @@
 // error is ErrTasksMayRun if the job's tasks first have to be gone.
 func (t *Term) Cancel(ctx context.Context, jobs *jobstore.Jobs, ref string) (pipeline.Phase, error) {
 	t.step(core.CancelRequested{Ref: ref})
-	if !t.deps.Config.CancelBoundKept() && t.mayBeOnMachines(ref) {
+	if !t.deps.Config.CancelBoundMet() && t.mayHaveAttempts(ref) {
 		t.step(core.CancelUndecided{Ref: ref, Deferred: true})
 		return 0, ErrTasksMayRun
 	}
@@ -29,8 +29,8 @@
 	return state.Phase, err
 }
 
-// mayBeOnMachines reports whether tasks of a job may still be on machines.
-func (t *Term) mayBeOnMachines(ref string) bool {
+// mayHaveAttempts reports whether tasks of a job may still be on machines.
+func (t *Term) mayHaveAttempts(ref string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.engine.MayHaveAttempts(ref)
--- a/internal/core/batch.go
+++ b/internal/core/batch.go
@@ -43,7 +43,7 @@
 func (e *Engine) Batch(now time.Time, limit int) []Write {
 	b := &batch{remaining: limit}
 	e.drains.addWrites(now, b)
-	due := e.jobWrites.due(now, e.cfg.BatchInterval, e.writeNeed)
+	due := e.jobWrites.due(now, e.cfg.ProgressInterval, e.writeNeed)
 	if e.batches.endsFirst() {
 		e.addJobEnds(now, b, due.ends)
 		e.startLog.addWrites(b)
--- a/internal/core/cancel.go
+++ b/internal/core/cancel.go
@@ -23,10 +23,10 @@
 // the worker's lease, plus allowances for the drift of two clocks and the resolution of timers.
 func (c *Config) CancelBound() time.Duration { return fleet.LeaseBound(c.Lease) }
 
-// CancelBoundKept reports whether CancelBound is within CancelWithin, so that a cancellation may be
+// CancelBoundMet reports whether CancelBound is within CancelWithin, so that a cancellation may be
 // confirmed while tasks of the job may be on machines. If not, the tasks have to be proven gone
 // first.
-func (c *Config) CancelBoundKept() bool { return c.CancelBound() <= c.CancelWithin }
+func (c *Config) CancelBoundMet() bool { return c.CancelBound() <= c.CancelWithin }
 
 // cancellations holds the cancellations in progress: the pending ones, of which it isn't known
 // whether the store holds them, and the stored ones whose jobs may still have tasks on machines.
--- a/internal/core/cancel_test.go
+++ b/internal/core/cancel_test.go
@@ -74,7 +74,7 @@
 func TestCancelBound(t *testing.T) {
 	for _, c := range []struct {
 		lease, cancel time.Duration
-		kept          bool
+		met           bool
 	}{
 		{45 * time.Second, 65 * time.Second, true},
 		{32 * time.Second, 62 * time.Second, true},
@@ -83,8 +83,8 @@
 		{64 * time.Second, 65 * time.Second, false}, // fails only because of the allowances for clock drift and timers
 	} {
 		cfg := Config{Lease: c.lease, CancelWithin: c.cancel}
-		if cfg.CancelBoundKept() != c.kept {
-			t.Errorf("lease %s, cancel %s: kept %v, bound %s", c.lease, c.cancel, cfg.CancelBoundKept(), cfg.CancelBound())
+		if cfg.CancelBoundMet() != c.met {
+			t.Errorf("lease %s, cancel %s: met %v, bound %s", c.lease, c.cancel, cfg.CancelBoundMet(), cfg.CancelBound())
 		}
 	}
 }
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -18,7 +18,7 @@
 	GangWait          time.Duration // how long a started gang task waits for the other tasks
 	InstanceListLag   time.Duration
 	RestartLimit      int                  // failures after which a task is retried less often
-	BatchInterval     time.Duration        // how often the progress of unfinished jobs is written
+	ProgressInterval  time.Duration        // how often the progress of unfinished jobs is written
 	MaxValueBytes     int                  // size limit of one value in the store
 	WritesPerSecond   float64              // puts and deletes a second that the leader may make; 0 if unknown
 	RoundBudget       int                  // jobs considered and tasks placed in one pass of a round
--- a/internal/core/fleet/images.go
+++ b/internal/core/fleet/images.go
@@ -18,9 +18,10 @@
 // SetImages replaces the images that the machine is believed to have.
 func (m *Machine) SetImages(images []Image) { m.images = images }
 
-// FetchLeft estimates how long it takes until an image of the given size is on the machine. An
-// image that isn't being fetched yet shares the machine's rate (GB per second) with each fetch
-// under way, until the shorter of the two is complete.
+// FetchLeft estimates how long it takes until an image of the given size is on the machine. For a
+// listed image that is the time until Ready. Any other image shares the machine's rate (GB per
+// second) with each fetch under way until one of the two is complete, so each fetch adds the shorter
+// of its remaining time and the time that the image would need alone. Without a rate it returns 0.
 func (m *Machine) FetchLeft(now time.Time, name string, gb, rate float64) time.Duration {
 	if rate <= 0 {
 		return 0
@@ -38,7 +39,8 @@
 }
 
 // UseImage records that a task with an image was started, which makes the image the most recently
-// used one. Beyond cacheGB in all, the least recently used images are taken to be evicted.
+// used one. If the images exceed cacheGB in total, the least recently used ones are assumed to be
+// evicted, but never this one.
 func (m *Machine) UseImage(now time.Time, name string, gb, cacheGB, rate float64) {
 	ready := now.Add(m.FetchLeft(now, name, gb, rate))
 	m.RemoveImage(name)
@@ -53,9 +55,10 @@
 	}
 }
 
-// ImageThere records that the image is on the machine, since a task with it was seen past its
-// fetch; an earlier leader may have started that task. It returns true if the image wasn't listed.
-func (m *Machine) ImageThere(now time.Time, name string, gb float64) bool {
+// ConfirmImage records that the image is on the machine, since a task with it was reported in a
+// state other than Fetching; an earlier leader may have started that task. It returns true if the
+// image wasn't listed.
+func (m *Machine) ConfirmImage(now time.Time, name string, gb float64) bool {
 	for i := range m.images {
 		if m.images[i].Name == name {
 			if m.images[i].Ready.After(now) {
@@ -68,18 +71,18 @@
 	return true
 }
 
-// FetchAbandoned records that an attempt which may have waited for an image has ended in the state was.
-// If no other attempt on the machine waits for that image, the worker abandons the fetch, so the
-// image is removed if it can't be there yet: the attempt was reported as fetching it, or the fetch
-// isn't expected to be complete. It returns true if the image was removed.
-func (m *Machine) FetchAbandoned(now time.Time, name string, was AttemptState) bool {
+// FetchAbandoned is called when an attempt that may have waited for an image has ended; lastState is
+// its state before that. If no other attempt on the machine waits for the image, the worker abandons
+// the fetch, so the image is removed if it can't be there yet: the attempt was reported as fetching
+// it, or the fetch isn't expected to be complete. It returns true if the image was removed.
+func (m *Machine) FetchAbandoned(now time.Time, name string, lastState AttemptState) bool {
 	for _, a := range m.attempts {
 		if a.Image == name && (a.state == Sent || a.state == Fetching) {
 			return false
 		}
 	}
 	for _, i := range m.images {
-		if i.Name == name && (was == Fetching || i.Ready.After(now)) {
+		if i.Name == name && (lastState == Fetching || i.Ready.After(now)) {
 			m.RemoveImage(name)
 			return true
 		}
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -139,7 +139,7 @@
 	}
 	e.recovery.HeartbeatReceived(m.Name, recovery.ObservedHeartbeat{
 		TermConfirmed: r.FencingToken == e.numbers.term,
-		HasUnrecorded: m.HasUnwanted(),
+		HasUnwanted:   m.HasUnwanted(),
 	})
 	e.interruptionAnnounced(now, m, r.InterruptionIn)
 }
@@ -244,7 +244,7 @@
 		return
 	}
 	e.moveAttempt(now, m, a, t.State)
-	if t.State != fleet.Fetching && a.Image != "" && m.ImageThere(now, a.Image, e.imageGB(a.Ref)) {
+	if t.State != fleet.Fetching && a.Image != "" && m.ConfirmImage(now, a.Image, e.imageGB(a.Ref)) {
 		e.imagesChanged(m)
 	}
 	if j := e.jobs.get(t.Ref); j != nil && t.State == fleet.Running {
--- a/internal/core/job_writes.go
+++ b/internal/core/job_writes.go
@@ -37,9 +37,9 @@
 	for c := 1; c*pipeline.ChunkTasks < len(j.Tasks); c++ {
 		w.cleanup = append(w.cleanup, DeleteDoneRanges{Ref: j.Ref, Chunk: c})
 	}
-	sum, pages := j.DependencyPages()
+	hash, pages := j.DependencyPages()
 	for i := range pages {
-		w.cleanup = append(w.cleanup, DeleteDependencyPage{Ref: j.Ref, ListHash: sum, Page: i})
+		w.cleanup = append(w.cleanup, DeleteDependencyPage{Ref: j.Ref, ListHash: hash, Page: i})
 	}
 }
 
--- a/internal/core/pipeline/dependencies.go
+++ b/internal/core/pipeline/dependencies.go
@@ -4,17 +4,17 @@
 
 // dependencies holds the jobs that a job depends on.
 type dependencies struct {
-	refs    []string        // in the order of the record; nil once the job is no longer held
-	open    map[string]bool // the refs that aren't known to be done
-	listSum string          // identifies the list's pages in the state service, if it has any
-	pages   int             // number of those pages
+	refs     []string        // in the order of the record; nil once the job is no longer held
+	open     map[string]bool // the refs that aren't known to be done
+	listHash string          // identifies the list's pages in the state service, if it has any
+	pages    int             // number of those pages
 }
 
 // restoreDependencies restores a job's dependencies from its record, without duplicates. A job that
 // still waits for some of them becomes held.
 func (j *Job) restoreDependencies(r *Record) {
 	d := &j.dependencies
-	d.pages, d.listSum = r.DependencyPages, r.DependencyListHash
+	d.pages, d.listHash = r.DependencyPages, r.DependencyListHash
 	if !r.Held() {
 		return
 	}
@@ -40,10 +40,10 @@
 	return out
 }
 
-// DependencyPages returns the sum that identifies the pages with the dependencies that the job was
+// DependencyPages returns the hash that identifies the pages with the dependencies that the job was
 // submitted with, and the number of those pages, which is 0 if the list fits the job's record.
-func (j *Job) DependencyPages() (sum string, pages int) {
-	return j.dependencies.listSum, j.dependencies.pages
+func (j *Job) DependencyPages() (hash string, pages int) {
+	return j.dependencies.listHash, j.dependencies.pages
 }
 
 // DependencyDone records that a dependency is done, and since when, according to the state service.
--- a/internal/core/pipeline/record.go
+++ b/internal/core/pipeline/record.go
@@ -81,7 +81,7 @@
 // don't fit in maxBytes are left out.
 func (j *Job) Record(maxBytes int) Record {
 	r := Record{Spec: j.Spec, SubmittedMS: j.Submitted.UnixMilli(), Phase: j.phase,
-		DependencyPages: j.dependencies.pages, DependencyListHash: j.dependencies.listSum}
+		DependencyPages: j.dependencies.pages, DependencyListHash: j.dependencies.listHash}
 	switch j.phase {
 	case Done:
 		r.Phase = Active // Done is stored in the job's final entry, not in its record
--- a/internal/core/warm_start.go
+++ b/internal/core/warm_start.go
@@ -44,7 +44,7 @@
 		case r.Class != nil:
 			s.restoreClass(r.Class)
 		case r.Backoff != nil:
-			s.restoreOffer(r.Backoff)
+			s.restoreBackoff(r.Backoff)
 		case r.Job != nil:
 			s.restoreJob(r.Job)
 		}
@@ -129,7 +129,7 @@
 	s.engine.warm.noteClass(w.Name)
 }
 
-func (s *warmStart) restoreOffer(w *WarmBackoff) {
+func (s *warmStart) restoreBackoff(w *WarmBackoff) {
 	o := fleet.PoolKey{Type: w.Type, Zone: w.Zone, Spot: w.Spot}
 	s.engine.plan.SetBackoff(o, capacity.Backoff{Until: s.futureTime(w.UntilMS), Refusals: w.Refusals})
 	s.engine.warm.noteOffer(o)
--- a/internal/core/warm_state.go
+++ b/internal/core/warm_state.go
@@ -191,7 +191,7 @@
 	case WarmClassKind:
 		record.Class = e.warmClass(key.Name)
 	case WarmBackoffKind:
-		record.Backoff = e.warmOffer(now, fleet.PoolKey{Type: key.Name, Zone: key.Zone, Spot: key.Spot})
+		record.Backoff = e.warmBackoff(now, fleet.PoolKey{Type: key.Name, Zone: key.Zone, Spot: key.Spot})
 	case WarmJobKind:
 		record.Job = e.warmJob(now, key.Name)
 	}
@@ -249,7 +249,7 @@
 	return w
 }
 
-func (e *Engine) warmOffer(now time.Time, o fleet.PoolKey) *WarmBackoff {
+func (e *Engine) warmBackoff(now time.Time, o fleet.PoolKey) *WarmBackoff {
 	b, refused := e.plan.Backoff(o)
 	if !refused || !b.Until.After(now) {
 		return nil
--- a/internal/drain/coordinator_test.go
+++ b/internal/drain/coordinator_test.go
@@ -89,13 +89,13 @@
 	return NewCoordinator(now, testPolicy(nil), stored, newName, func() int { return limit })
 }
 
-// planOf returns a running plan for all machines that machineID can name.
+// planOf returns a running plan for all machines that machineInfo can name.
 func planOf(id string, maxAtOnce int, version uint64) StoredPlan {
 	return StoredPlan{Version: version, Plan: Plan{ID: id, Selector: Selector{All: true}, MaxAtOnce: maxAtOnce,
 		Through: "m-999999", CreatedMS: testStart.UnixMilli()}}
 }
 
-func machineID(i int) MachineInfo {
+func machineInfo(i int) MachineInfo {
 	return MachineInfo{Name: fmt.Sprintf("m-%06d", i), Type: "t", Zone: "z"}
 }
 
@@ -111,8 +111,8 @@
 	takeOver := func(term int) {
 		c = newTestCoordinator(now, store.stored(plan), term, limit)
 		for i := range machines {
-			if id := machineID(i); !gone[id.Name] {
-				c.MachineAdded(id)
+			if info := machineInfo(i); !gone[info.Name] {
+				c.MachineAdded(info)
 			}
 		}
 	}
@@ -165,7 +165,7 @@
 func TestCordonOutlivesItsLeader(t *testing.T) {
 	store, plan := newTestStore(), planOf("p", 1, 1)
 	c := newTestCoordinator(testStart, store.stored(plan), 1, 4000)
-	c.MachineAdded(machineID(1))
+	c.MachineAdded(machineInfo(1))
 	name, id := c.NextToCordon(testStart)
 	m := c.Cordon(testStart, name, id)
 	if m.CordonStored() {
@@ -201,7 +201,7 @@
 	store := newTestStore()
 	first, second := planOf("a", 1, 1), planOf("b", 1, 2)
 	c := newTestCoordinator(testStart, store.stored(first, second), 1, 4000)
-	c.MachineAdded(machineID(1))
+	c.MachineAdded(machineInfo(1))
 	name, id := c.NextToCordon(testStart)
 	if id != "a" {
 		t.Fatalf("%s is proposed for plan %q", name, id)
@@ -222,22 +222,22 @@
 func TestBlockedMachinesAreBypassed(t *testing.T) {
 	c := newTestCoordinator(testStart, newTestStore().stored(planOf("p", 1, 1)), 1, 4000)
 	for i := range 5 {
-		c.MachineAdded(machineID(i))
+		c.MachineAdded(machineInfo(i))
 	}
 	why := Verdict{Kind: Never, Cause: CauseTaskBudget}
 	for i := range 4 {
 		name, id := c.NextToCordon(testStart)
-		if name != machineID(i).Name {
+		if name != machineInfo(i).Name {
 			t.Fatalf("%q is proposed after %d machines were deferred", name, i)
 		}
 		c.DeferMachine(testStart, name, id, why)
 	}
 	last, id := c.NextToCordon(testStart)
 	c.DeferMachine(testStart, last, id, why)
-	if name, _ := c.NextToCordon(testStart); last != machineID(4).Name || name != "" {
+	if name, _ := c.NextToCordon(testStart); last != machineInfo(4).Name || name != "" {
 		t.Fatalf("%q is proposed last, then %q without a pause", last, name)
 	}
-	if name, _ := c.NextToCordon(testStart.Add(queueRetryInterval)); name != machineID(0).Name {
+	if name, _ := c.NextToCordon(testStart.Add(queueRetryInterval)); name != machineInfo(0).Name {
 		t.Errorf("%q is proposed after the pause", name)
 	}
 }
@@ -250,8 +250,8 @@
 		store, plan := newTestStore(), planOf("p", 1, 1)
 		plan.Plan.Deadline, plan.Plan.KeepCordoned = time.Minute, keep
 		c := newTestCoordinator(testStart, store.stored(plan), 1, 4000)
-		c.MachineAdded(machineID(1))
-		c.MachineAdded(machineID(2))
+		c.MachineAdded(machineInfo(1))
+		c.MachineAdded(machineInfo(2))
 		name, id := c.NextToCordon(testStart)
 		c.Cordon(testStart, name, id)
 		if w := c.PlanWrites(testStart.Add(59*time.Second), "", true); len(w) != 0 {
@@ -263,8 +263,8 @@
 		}
 		c.PlanStored(testStart, StoredPlan{Plan: writes[0].Plan, Version: 2})
 		store.writeAll(t, testStart, c)
-		if c.Cordoned(name) != keep || c.Queued(machineID(2).Name) {
-			t.Errorf("KeepCordoned %v: cordoned %v, other machine queued %v", keep, c.Cordoned(name), c.Queued(machineID(2).Name))
+		if c.Cordoned(name) != keep || c.Queued(machineInfo(2).Name) {
+			t.Errorf("KeepCordoned %v: cordoned %v, other machine queued %v", keep, c.Cordoned(name), c.Queued(machineInfo(2).Name))
 		}
 		cancelled := writes[0].Plan
 		if cancelled.MoveTo(Running) || !cancelled.MoveTo(Cancelled) {
--- a/internal/jobstore/dependency_pages.go
+++ b/internal/jobstore/dependency_pages.go
@@ -12,9 +12,9 @@
 	"gingertally/internal/statestore"
 )
 
-// listSumBytes is the number of bytes of a list's SHA-256 hash that are kept as its sum, which is
-// part of the keys of its pages.
-const listSumBytes = 8
+// listHashBytes is the number of bytes of a list's SHA-256 hash that are kept. They are part of the
+// keys of its pages.
+const listHashBytes = 8
 
 // MissingPagesError reports that the store holds more or fewer pages of a job's dependencies than
 // the job's record says: the record is out of date, or a submission of the job is under way.
@@ -28,7 +28,7 @@
 }
 
 // putDependencies puts a job's dependencies into its record or, if that would make the record
-// too large, stores them on separate pages and puts their number and the list's sum into the
+// too large, stores them on separate pages and puts their number and the list's hash into the
 // record. The pages are written before the record and have no effect without it. A repeated
 // submission skips the pages that are stored already (docs/design.md, "Safety arguments" 16;
 // TestLongListIsTakenWholeOrNotAtAll).
@@ -41,7 +41,7 @@
 		return nil
 	}
 	sum := sha256.Sum256([]byte(strings.Join(dependencies, " ")))
-	record.DependencyListHash = hex.EncodeToString(sum[:listSumBytes])
+	record.DependencyListHash = hex.EncodeToString(sum[:listHashBytes])
 	pages := splitPages(dependencies, j.limits.ValueBytes)
 	record.DependencyPages = len(pages)
 	stored, err := j.storedDependencyKeys(ctx, record)
--- a/internal/jobstore/keys.go
+++ b/internal/jobstore/keys.go
@@ -38,12 +38,12 @@
 }
 
 // dependencyPagesPrefix returns the common prefix of the keys of the pages of one list of
-// dependencies. The sum distinguishes the list from those of other submissions of the same job.
-func dependencyPagesPrefix(ref, sum string) string {
-	return dependencyPrefix + ref + "/" + sum + "-"
+// dependencies. The hash distinguishes the list from those of other submissions of the same job.
+func dependencyPagesPrefix(ref, hash string) string {
+	return dependencyPrefix + ref + "/" + hash + "-"
 }
 
 // dependencyKey returns the key of one page of a list of dependencies; the first page is 0.
-func dependencyKey(ref, sum string, page int) string {
-	return fmt.Sprintf("%s%05d", dependencyPagesPrefix(ref, sum), page)
+func dependencyKey(ref, hash string, page int) string {
+	return fmt.Sprintf("%s%05d", dependencyPagesPrefix(ref, hash), page)
 }
--- a/internal/jobstore/writes_test.go
+++ b/internal/jobstore/writes_test.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// Apply sends only as many writes as fit one transaction, and returns which. Otherwise the rest would
-// count as written and be lost.
+// Apply sends only as many writes as fit one transaction, and returns those that it sent. If it
+// returned all, the rest would count as written and be lost.
 func TestApplyInParts(t *testing.T) {
 	_, jobs, term := setup(t)
 	var writes []core.Write
@@ -82,6 +82,6 @@
 	}
 	applied, err := jobs.Apply(t.Context(), term, writes)
 	if err != nil || len(applied.Sent) == 0 || len(applied.Sent) == len(writes) {
-		t.Fatalf("%d of %d, %v", len(applied.Sent), len(writes), err)
+		t.Fatalf("sent %d of %d writes, error %v, want some but not all", len(applied.Sent), len(writes), err)
 	}
 }
--- a/internal/recovery/reconciler.go
+++ b/internal/recovery/reconciler.go
@@ -18,8 +18,8 @@
 // collectSlack is added to the time after which all machines should have sent a heartbeat.
 const collectSlack = time.Second
 
-// maxAwaitedDivisor is the number by which the known machines are divided to get the most machines
-// that may still be awaited when placing begins (MayPlace).
+// maxAwaitedDivisor sets how many machines may still be awaited when placing begins without a warm
+// state and before the time is up: one in maxAwaitedDivisor of the known machines (MayPlace).
 const maxAwaitedDivisor = 5
 
 // Reconciler tracks the recovery of one term. It isn't safe for concurrent use.
@@ -71,7 +71,7 @@
 }
 
 // setMachineState changes a machine's state, or adds the machine in that state if it is new. Nothing
-// else writes that field.
+// else writes machine.state.
 func (r *Reconciler) setMachineState(name string, to MachineState) *machine {
 	m := r.machines[name]
 	if m == nil {
@@ -130,17 +130,17 @@
 // ObservedHeartbeat is what a heartbeat shows about its machine as a whole.
 type ObservedHeartbeat struct {
 	TermConfirmed bool // the heartbeat carries this term's fencing token
-	HasUnrecorded bool // an attempt that wasn't recorded still has to be ended on the machine
+	HasUnwanted   bool // an attempt that wasn't recorded still has to be ended on the machine
 }
 
 // HeartbeatReceived updates a machine's state after a heartbeat, and adds the machine if it is new.
 func (r *Reconciler) HeartbeatReceived(name string, heartbeat ObservedHeartbeat) {
 	m := r.machines[name]
-	if m != nil && m.state == Settled && !heartbeat.HasUnrecorded {
+	if m != nil && m.state == Settled && !heartbeat.HasUnwanted {
 		return // the common case
 	}
 	switch {
-	case heartbeat.TermConfirmed && heartbeat.HasUnrecorded:
+	case heartbeat.TermConfirmed && heartbeat.HasUnwanted:
 		r.setMachineState(name, Differing)
 	case heartbeat.TermConfirmed:
 		r.setMachineState(name, Settled)
@@ -191,16 +191,17 @@
 // MayPlace reports whether enough is known to place tasks. Listed says that the cloud's list of
 // machines was read in this term.
 //
-// Placing early isn't unsafe, since tasks are placed only on capacity that is proven free, but with
-// few machines known they would be placed badly. So placing begins once few machines are still
-// awaited (maxAwaitedDivisor), once no more than half are if the warm state confirms any, or once all
-// of them should have sent a heartbeat. A machine is awaited while it is in state Expected and the
-// warm state doesn't confirm it.
+// Placing early is safe, since tasks are placed only on capacity that is proven free, but with few
+// machines known they would be placed badly. A machine is awaited while it is in state Expected and
+// the warm state doesn't confirm it. Placing begins once one of these is true:
+//   - the list was read, a machine is known, and at most one in maxAwaitedDivisor is awaited;
+//   - the warm state confirms a machine, and no more than half of the known machines are awaited;
+//   - all machines should have sent a heartbeat: 5/4 of HeartbeatInterval and collectSlack are over.
 //
 // If no machine is recorded, the state service may have been restored from a copy that has none, and
-// only the fencing tokens of workers can show that. Placing then waits for a worker that has served
-// an earlier leader (ConfirmPreviousTerm), or until all machines should have sent a heartbeat, except
-// in the very first term.
+// only the fencing tokens of workers can show that. Except in the very first term, the first
+// condition then also requires ConfirmPreviousTerm. After a restore that was noticed, only
+// RestoreSettled counts.
 func (r *Reconciler) MayPlace(now time.Time, listed bool) bool {
 	if r.restored {
 		return r.RestoreSettled(now)
@@ -226,8 +227,9 @@
 	return !r.restored || now.Sub(r.started) > r.options.RestoredBound
 }
 
-// ConfirmPreviousTerm records that a worker which has served an earlier leader knows of no later term
-// than the state service has, so that the records are at least as recent as what the worker knows.
+// ConfirmPreviousTerm records that a worker has sent a fencing token, of this term or an earlier
+// one, which isn't higher than the state service's term. So the records are at least as recent as
+// what the worker knows.
 func (r *Reconciler) ConfirmPreviousTerm() { r.previousTermConfirmed = true }
 
 // Advance moves the term through the next states whose conditions are met. Listed says that the
--- a/internal/recovery/reconciler_test.go
+++ b/internal/recovery/reconciler_test.go
@@ -141,7 +141,7 @@
 	case 1:
 		r.AddUnrecordedMachine(name)
 	case 2:
-		r.HeartbeatReceived(name, ObservedHeartbeat{TermConfirmed: rng.IntN(2) == 0, HasUnrecorded: rng.IntN(5) == 0})
+		r.HeartbeatReceived(name, ObservedHeartbeat{TermConfirmed: rng.IntN(2) == 0, HasUnwanted: rng.IntN(5) == 0})
 	case 3:
 		r.MachineGivenUp(name)
 	case 4:
--- a/internal/recovery/states.go
+++ b/internal/recovery/states.go
@@ -6,7 +6,7 @@
 // States of a machine.
 const (
 	Expected  MachineState = iota // recorded, and hasn't sent a heartbeat in this term
-	Reported                      // has sent a heartbeat without this term's fencing token
+	Reported                      // has sent a heartbeat without this term's fencing token, and isn't Unknown
 	Differing                     // has sent one with the token; an unrecorded attempt has to be ended
 	Settled                       // has sent one with the token; all attempts on it are recorded
 	Missing                       // given up: unresponsive, its lease expired, or being deleted
@@ -27,7 +27,7 @@
 const (
 	Collecting TermState = iota // too little is known of the machines to place tasks
 	Settling                    // tasks are placed; machines are still Expected, Reported or Differing
-	Paced                       // no machine is in these states any more; the rate of starts is still limited
+	Paced                       // every machine has left Expected, Reported and Differing; the rate of starts is still limited
 	Normal                      // the recovery is over
 )
 
--- a/internal/simulation/node_engine.go
+++ b/internal/simulation/node_engine.go
@@ -22,7 +22,7 @@
 		GangWait:          gangWait,
 		InstanceListLag:   2 * time.Second,
 		RestartLimit:      3,
-		BatchInterval:     2 * time.Second,
+		ProgressInterval:  2 * time.Second,
 		MaxValueBytes:     n.limits().ValueBytes,
 		RoundBudget:       200,
 		Weights:           core.DefaultWeights(),
