--- a/internal/agentapi/redirects.go
+++ b/internal/agentapi/redirects.go
@@ -23,34 +23,35 @@
 // goroutine.
 type redirectHistory struct {
 	mu        sync.Mutex
-	byMachine map[string]redirect
+	byMachine map[string]routing
 }
 
-// redirect is what this node did with a machine's latest heartbeats. Either the machine was
+// routing is what this node did with a machine's latest heartbeats. Either the machine was
 // redirected (leader and at are set), or its heartbeats are relayed (relayUntil is set).
-type redirect struct {
+type routing struct {
 	leader     string
 	at         time.Time
 	relayUntil time.Time
 }
 
-// shouldRelay decides whether a machine's heartbeat is relayed to the leader. If it isn't, the
-// caller redirects the machine, which is remembered here (docs/design.md, "Safety arguments" 13;
+// shouldRelay decides whether a machine's heartbeat is relayed to the leader, and records the
+// decision, unless the machine's heartbeats are being relayed already. If it returns false, the
+// caller redirects the machine (docs/design.md, "Safety arguments" 13;
 // TestRelayForWorkersThatComeBack).
 func (h *redirectHistory) shouldRelay(machine, leader string, now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.byMachine == nil || len(h.byMachine) > maxRedirects {
-		h.byMachine = map[string]redirect{}
+		h.byMachine = map[string]routing{}
 	}
 	last := h.byMachine[machine]
 	if now.Before(last.relayUntil) {
 		return true
 	}
 	if last.leader == leader && now.Sub(last.at) < returnWithin {
-		h.byMachine[machine] = redirect{relayUntil: now.Add(relayFor)}
+		h.byMachine[machine] = routing{relayUntil: now.Add(relayFor)}
 		return true
 	}
-	h.byMachine[machine] = redirect{leader: leader, at: now}
+	h.byMachine[machine] = routing{leader: leader, at: now}
 	return false
 }
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -24,9 +24,9 @@
 	return New(testserver.Start(t, handler), ampleRate)
 }
 
-// Callers act on the cause of an error: a scale-out of unknown outcome may have created machines, one
-// for which there is no capacity, or that the cloud didn't execute, hasn't. If a status were mapped to
-// the wrong cause, machines would be lost or created twice.
+// Callers act on the cause of an error. A scale-out of unknown outcome may have created machines; one
+// that found no capacity, or that the cloud didn't execute, has created none. If a status were mapped
+// to the wrong cause, machines would be lost or created twice.
 func TestErrorsSayWhetherExecuted(t *testing.T) {
 	noCapacity := codec.MustMarshal(wire.ErrorMessage{Error: wire.ErrorNoCapacity})
 	outage := codec.MustMarshal(wire.ErrorMessage{Error: "trouble"})
@@ -103,8 +103,8 @@
 	}
 }
 
-// Machine types have the values that the cloud reported also after encoding and decoding: a follower
-// plans with the copy that the leader has stored.
+// Machine types keep the values that the cloud reported when they are encoded and decoded: a
+// controller that starts while the cloud's API is down uses the copy that a leader has stored.
 func TestMachineTypesStored(t *testing.T) {
 	flavor := wire.Flavor{Label: "g8", VCPUs: 96, Cards: 8, MemGB: 768, SpotPrice: 4.5, ReadyS: 45, Yards: []string{"a", "b"}}
 	client := serve(t, func(request *fasthttp.RequestCtx) {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -135,8 +135,9 @@
 	})
 }
 
-// Guards against settings of the pace after a takeover that are lost or accepted outside their bounds. The
-// pace is not limited by default; deploy/recovery.txtpb switches the limit on.
+// Guards against settings of the rate of task starts after a takeover that are lost or accepted
+// outside their bounds. The rate is not limited by default; deploy/recovery.txtpb switches the limit
+// on.
 func TestRecoverySettings(t *testing.T) {
 	s, err := parse("op.txt", "recovery { paced: true initial_pace: 5 highest_pace: 50 }", nil)
 	if r := s.Recovery; err != nil || !r.Enabled || r.Initial != 5 || r.Highest != 50 {
--- a/internal/userapi/userapi_test.go
+++ b/internal/userapi/userapi_test.go
@@ -110,16 +110,16 @@
 		{"unknown team", map[string]any{"owner": "u"}, 422},
 		{"fits nowhere", map[string]any{"vcpus": 9.0}, 422},
 		{"gang above the limit", map[string]any{"shape": "ensemble"}, 422},
-		{"known", map[string]any{"ref": "j-000002"}, 200},
+		{"accepted before", map[string]any{"ref": "j-000002"}, 200},
 		{"waits for a known job", map[string]any{"awaits": []string{"j-000002"}}, 201},
 		{"waits for nothing", map[string]any{"awaits": []string{}}, 201},
 		{"waits for null", map[string]any{"awaits": nil}, 201},
 		{"waits for an unknown job", map[string]any{"awaits": []string{"j-000002", "j-000003"}}, 422},
-		{"waits for what is no list", map[string]any{"awaits": "j-000002"}, 400},
+		{"dependencies not a list", map[string]any{"awaits": "j-000002"}, 400},
 		{"waits for numbers", map[string]any{"awaits": []int{2}}, 400},
 		{"waits for null in a list", map[string]any{"awaits": []any{nil}}, 400},
-		{"known, whatever it now waits for", map[string]any{"ref": "j-000002", "awaits": []string{"j-000003"}}, 200},
-		{"known, now impossible", map[string]any{"ref": "j-000002", "owner": "u"}, 200},
+		{"accepted before, now with an unknown dependency", map[string]any{"ref": "j-000002", "awaits": []string{"j-000003"}}, 200},
+		{"accepted before, now of an unknown team", map[string]any{"ref": "j-000002", "owner": "u"}, 200},
 	} {
 		if a := s.Submit(ctx, encodedSubmission(c.change)); a.Status != c.want {
 			t.Errorf("%s: status %d, want %d", c.name, a.Status, c.want)
@@ -216,7 +216,7 @@
 	} {
 		a := s.Submit(ctx, encodedSubmission(c.change))
 		if a.Status != c.want || (a.Status == 429) != (a.RetryAfter == 10*time.Second) {
-			t.Errorf("%s: wrong status, or a RetryAfter of 10 s not exactly with 429: %+v", c.name, a)
+			t.Errorf("%s: %+v, want the row's status, and a RetryAfter of 10 s with 429 and only then", c.name, a)
 		}
 	}
 	if a := s.Get(ctx, "j-000002"); a.Status != 200 {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -24,9 +24,9 @@
 	}
 }
 
-// A submission is accepted or rejected as malformed as the protocol says. Most rows change or leave
-// out one field of a valid submission. A malformed job that is accepted can't be refused later, and a
-// valid one that is rejected isn't submitted again.
+// ParseSubmission accepts the submissions that the protocol allows and rejects all others as
+// malformed. Most rows change or leave out one field of a valid submission. A malformed job that is
+// accepted can't be refused later, and a valid one that is rejected isn't submitted again.
 func TestParseSubmission(t *testing.T) {
 	spec, _, err := ParseSubmission(codec.MustMarshal(validSubmission()))
 	if err != nil || spec.Tasks != 16 || spec.Types[0] != "g8" || spec.Deadline.Seconds() != 900 {
--- a/tools/failover/result.go
+++ b/tools/failover/result.go
@@ -12,7 +12,8 @@
 	"gingertally/tools/plots"
 )
 
-// objective is the time within which a new leader should have started its first task.
+// objective is the time after the end of a leader within which the next one should have started its
+// first task. All distributions are compared with it, also those of first answers and of phases.
 const objective = 5 * time.Second
 
 // result collects the measurements of all clusters.
@@ -37,8 +38,8 @@
 	return &result{Result: loadtest.NewResult(), options: o, distributions: map[string]distribution{}}
 }
 
-// finish prints the result and writes the files that were asked for. It returns an error if a rule
-// was violated.
+// finish prints the result and writes the files that were asked for. It returns an error if a
+// failure was recorded, a violated rule or any other, or if a file can't be written.
 func (r *result) finish(took time.Duration) error {
 	r.took = took.Round(time.Second)
 	for name, histogram := range r.Histograms {
--- a/tools/outage/outage.go
+++ b/tools/outage/outage.go
@@ -10,16 +10,17 @@
 )
 
 const (
-	// settleTimeout bounds the wait until a leader has finished its recovery.
-	settleTimeout = time.Minute
-	pollInterval  = 50 * time.Millisecond
+	// recoveryTimeout bounds the wait until a leader has finished its recovery.
+	recoveryTimeout = time.Minute
+	pollInterval    = 50 * time.Millisecond
 	// Bounds of the time from a leader's finished recovery to the outage.
-	shortestNormal, longestNormal = 2 * time.Second, 4 * time.Second
-	// longestShortOutage bounds the length of short outages, which are half of all on average.
+	minTimeInNormal, maxTimeInNormal = 2 * time.Second, 4 * time.Second
+	// longestShortOutage bounds the length of the outages that are chosen to be short, on average half
+	// of all. The others may be as short by chance.
 	longestShortOutage = 2 * time.Second
 	// longestStartGap bounds the random time between the starts of two controllers.
 	longestStartGap = 200 * time.Millisecond
-	// rateWindow is how long after a restart starts of tasks are counted.
+	// rateWindow is the time after a restart during which the starts of tasks are counted.
 	rateWindow = 10 * time.Second
 )
 
@@ -33,26 +34,26 @@
 
 // outage kills all controllers, starts them again after a while, and measures the restart.
 func (t *outageTest) outage() {
-	if _, err := t.waitSettled(); err != nil {
+	if _, err := t.waitRecovered(); err != nil {
 		t.result.Count("not run: "+err.Error(), 1)
 		return
 	}
-	time.Sleep(t.random.Between(shortestNormal, longestNormal))
+	time.Sleep(t.random.Between(minTimeInNormal, maxTimeInNormal))
 	for _, controller := range t.cluster.Controllers {
 		controller.Kill()
 	}
 	time.Sleep(t.chooseLength())
 	lastTerm, restarted := t.cluster.History.Term(), time.Now()
 	t.startControllers()
-	status, err := t.waitSettled()
+	status, err := t.waitRecovered()
 	if err != nil {
-		t.result.Count("not settled within "+settleTimeout.String(), 1)
+		t.result.Count("not settled within "+recoveryTimeout.String(), 1)
 		return
 	}
 	t.result.Count("restarts", 1)
 	t.result.observe("restart to normal", time.Since(restarted))
 	t.result.observe("term's start to normal", status.Leading.Recovery.Took)
-	t.measureFirsts(lastTerm, restarted)
+	t.measureFirstEvents(lastTerm, restarted)
 	t.result.recordRates(t.cluster.History.Starts(restarted, restarted.Add(rateWindow)))
 	for reason, times := range status.Leading.Recovery.Findings {
 		t.result.countFinding(reason, times)
@@ -78,9 +79,9 @@
 	}
 }
 
-// measureFirsts measures the times from the restart to the first answer and to the first start, in
-// the first term in which a task was started.
-func (t *outageTest) measureFirsts(lastTerm uint64, restarted time.Time) {
+// measureFirstEvents measures the times from the restart to the first answer to a heartbeat that a
+// worker accepted, and to the first start of a task, in the first term in which a task was started.
+func (t *outageTest) measureFirstEvents(lastTerm uint64, restarted time.Time) {
 	for term := lastTerm + 1; term <= t.cluster.History.Term(); term++ {
 		if answer, start := t.cluster.History.FirstAnswerAndStart(term); !start.IsZero() {
 			t.result.observe("restart to first answer", answer.Sub(restarted))
@@ -90,12 +91,12 @@
 	}
 }
 
-// errNotSettled says that no leader finished its recovery in time.
-var errNotSettled = errors.New("no settled leader")
+// errNotRecovered says that no leader finished its recovery in time.
+var errNotRecovered = errors.New("no settled leader")
 
-// waitSettled waits until a leader has finished its recovery, and returns the leader's status.
-func (t *outageTest) waitSettled() (operatorapi.Status, error) {
-	for end := time.Now().Add(settleTimeout); time.Now().Before(end); time.Sleep(pollInterval) {
+// waitRecovered waits until a leader has finished its recovery, and returns the leader's status.
+func (t *outageTest) waitRecovered() (operatorapi.Status, error) {
+	for end := time.Now().Add(recoveryTimeout); time.Now().Before(end); time.Sleep(pollInterval) {
 		for _, controller := range t.cluster.Controllers {
 			status, err := controller.Status()
 			if err == nil && status.Leading != nil && status.Leading.Recovery.State == "normal" {
@@ -103,5 +104,5 @@
 			}
 		}
 	}
-	return operatorapi.Status{}, errNotSettled
+	return operatorapi.Status{}, errNotRecovered
 }
