--- a/internal/core/cancel.go
+++ b/internal/core/cancel.go
@@ -49,7 +49,8 @@
 	// unknownVersion is the version of the record that a transaction without an answer may still
 	// change; 0 if there is none.
 	unknownVersion uint64
-	// deferredUntil is until when the cancellation is deferred, for its user to retry.
+	// deferredUntil is the time by which the user is expected to retry a deferred cancellation. No
+	// task of the job is started before it.
 	deferredUntil time.Time
 }
 
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -10,18 +10,18 @@
 
 // Config holds the settings that the core needs.
 type Config struct {
-	Teams             map[string]placement.Quota
-	Objectives        map[string][]Objective // by job class
+	Teams             map[string]placement.Quota // by team
+	Objectives        map[string][]Objective     // by job class
 	HeartbeatInterval time.Duration
-	Lease             time.Duration
-	CancelWithin      time.Duration
-	GangWait          time.Duration // how long a started gang task waits for the other tasks
-	InstanceListLag   time.Duration
+	Lease             time.Duration        // workers' lease
+	CancelWithin      time.Duration        // within which the tasks of a cancelled job must be gone
+	GangWait          time.Duration        // how long a started gang task waits for the other tasks
+	InstanceListLag   time.Duration        // how far the cloud's list of machines may lag behind
 	RestartLimit      int                  // failures after which a task is retried less often
 	ProgressInterval  time.Duration        // how often the progress of unfinished jobs is written
 	MaxValueBytes     int                  // size limit of one value in the store
 	WritesPerSecond   float64              // puts and deletes a second that the leader may make; 0 if unknown
-	RoundBudget       int                  // jobs considered and tasks placed in one pass of a round
+	RoundBudget       int                  // limit of jobs considered plus tasks placed in one pass of a round
 	Weights           Weights              // weights of cost against delay
 	Debug             bool                 // whether to emit log records at debug level
 	Pace              recovery.PaceOptions // limits the rate of starts at the beginning of a term
--- a/internal/core/consolidate.go
+++ b/internal/core/consolidate.go
@@ -123,7 +123,7 @@
 	engine  *Engine
 	scorer  *placement.Scorer
 	now     time.Time
-	copies  map[*placement.Slot]*placement.Slot // with the tasks that are to move there booked
+	copies  map[*placement.Slot]*placement.Slot // copies of slots, on which planned moves are booked
 	emptied map[*placement.Slot]bool            // slots that are being emptied
 	targets map[*fleet.Machine]bool             // machines that tasks are to move to
 }
@@ -137,12 +137,11 @@
 	}
 }
 
-// candidate is a machine that might be emptied, with the jobs of its tasks and what emptying it
-// would save: in dollars, less the weighted cost of the moves.
+// candidate is a machine that might be emptied.
 type candidate struct {
 	slot *placement.Slot
-	jobs []*pipeline.Job
-	gain float64
+	jobs []*pipeline.Job // the job of each task on it
+	gain float64         // dollars that emptying it saves, less the weighted cost of the moves
 }
 
 // candidates returns the machines whose emptying saves something, the largest gain first.
--- a/internal/core/drain_capacity.go
+++ b/internal/core/drain_capacity.go
@@ -75,8 +75,8 @@
 }
 
 // find returns the booking's copy of a slot with room for a task of a job, given how many of its
-// tasks each zone has; nil if there is none. Once it has found none for a job, it finds none for
-// that job again.
+// tasks each zone has; nil if there is none. A search without a result is remembered, and later ones
+// for the same job return nil at once.
 func (b *capacityBooking) find(j *pipeline.Job, zones map[string]int, skipPlanned bool) *placement.Slot {
 	if b.noCapacity[j.Ref] {
 		return nil
--- a/internal/core/drain_eviction.go
+++ b/internal/core/drain_eviction.go
@@ -10,13 +10,15 @@
 )
 
 const (
-	// responseMaxAge is how long after it sent a heartbeat a worker accepts the response to it
+	// responseMaxAge is how long after sending a heartbeat a worker accepts the response to it
 	// (PROTOCOL).
 	responseMaxAge = 4 * time.Second
-	// evictionSlack is what a stop takes besides its way to the worker and the checkpoint.
+	// evictionSlack is the time that a stop takes besides its delivery to the worker and the
+	// checkpoint.
 	evictionSlack = 2 * time.Second
-	// directCommandTimeout is how long a direct command may take. Direct commands stop only gangs
-	// of several tasks, which have to be told together.
+	// directCommandTimeout is how long a direct command may take. Evictions use direct commands only
+	// for gangs of several tasks, which have to be stopped together; all other tasks are evicted
+	// with the response to a heartbeat.
 	directCommandTimeout = 10 * time.Second
 )
 
@@ -117,9 +119,9 @@
 	return takes
 }
 
-// tasksDown counts the tasks of a job that are down, but for the given attempts: of a service the
-// replicas that don't run, of other jobs the tasks that were interrupted and don't run again. The
-// latter are counted only where a budget limits them.
+// tasksDown counts the tasks of a job that are down; the given attempts count as up. Of a service
+// these are the replicas that don't run, of other jobs the tasks that were interrupted and don't run
+// again yet. The latter are counted only if a budget limits them.
 func (e *Engine) tasksDown(j *pipeline.Job, except []*fleet.Attempt) int {
 	switch {
 	case j.Shape == pipeline.Service:
@@ -148,7 +150,8 @@
 	return len(j.Tasks) - len(up)
 }
 
-// taskUp reports whether a task runs and stays; the given attempts count as up.
+// taskUp reports whether a task runs and isn't about to be interrupted; the given attempts count as
+// up.
 func (e *Engine) taskUp(j *pipeline.Job, task int, except []*fleet.Attempt) bool {
 	m := e.machines.get(j.Tasks[task].Machine)
 	if m == nil {
--- a/internal/core/drain_round.go
+++ b/internal/core/drain_round.go
@@ -89,9 +89,10 @@
 	}
 }
 
-// mayCordon returns whether it makes sense to cordon a machine now. The machine must be live and
-// not draining already, and no gang may be starting there. None of its tasks may be unable to leave
-// by the plan's deadline, or have to wait long for a closed window to end.
+// mayCordon returns whether a machine may be cordoned now and, if not, why. The machine must be live
+// and not draining already, and no gang may be starting there. All its tasks must be able to leave
+// by the plan's deadline, and none may have to wait longer than maxCordonLead for a closed window to
+// end.
 func (e *Engine) mayCordon(now time.Time, m *fleet.Machine, deadline time.Time) drain.Verdict {
 	if m.State() != fleet.Live || m.Draining() {
 		return drain.Verdict{Kind: drain.NotYet, Cause: drain.CauseAwaitingHeartbeat}
@@ -180,8 +181,8 @@
 	}
 }
 
-// judgeAll judges all groups on a machine, and returns the verdict that forbids the most. A group
-// that may leave only after the deadline gets the verdict Never.
+// judgeAll sets the verdicts of all groups on a machine and returns the strictest one. A group that
+// may leave only after the deadline gets the verdict Never.
 func (e *Engine) judgeAll(now time.Time, work *machineWork, deadline time.Time) drain.Verdict {
 	worst := drain.Verdict{}
 	for _, group := range work.groups {
@@ -197,8 +198,9 @@
 	return worst
 }
 
-// earliestLeave returns the earliest time at which a group may leave, as far as is known: when it
-// is expected to finish, unless it is a service, or when its verdict allows it.
+// earliestLeave returns the earliest time at which a group may leave, as far as is known. A service
+// leaves when its verdict allows it, a group that must finish when it is expected to, and any other
+// at the earlier of the two times.
 func (e *Engine) earliestLeave(now time.Time, g *evictionGroup, v drain.Verdict) time.Time {
 	allowed, ends := v.Until, e.expectedEnd(now, g.attempts[0])
 	switch {
--- a/internal/core/draining.go
+++ b/internal/core/draining.go
@@ -12,7 +12,7 @@
 	"gingertally/internal/drain"
 )
 
-// draining is a leader's state of drains. A nil one stands for drains that are off.
+// draining is a leader's state of drains. A nil *draining means that drains are off.
 type draining struct {
 	coordinator      *drain.Coordinator
 	replacements     replacements
@@ -52,8 +52,8 @@
 	}
 }
 
-// drainMachineAdded takes in a machine that is new to this leader: it may be cordoned, or selected
-// by a plan.
+// drainMachineAdded applies the drain plans to a machine that is new to this leader: it may be
+// cordoned already, or selected by a plan.
 func (e *Engine) drainMachineAdded(now time.Time, m *fleet.Machine) {
 	d := e.drains
 	if d == nil {
@@ -80,7 +80,7 @@
 	e.capacityChanged(m)
 }
 
-// drainMachineRemoved takes in that a machine no longer exists.
+// drainMachineRemoved removes a machine that no longer exists from the state of drains.
 func (e *Engine) drainMachineRemoved(m *fleet.Machine) {
 	d := e.drains
 	if d == nil {
@@ -91,14 +91,14 @@
 	d.consolidating.end(m)
 }
 
-// drainJobOver takes in that a job is over.
+// drainJobOver tells the ledger of charges that a job is over.
 func (e *Engine) drainJobOver(ref string) {
 	if e.drains != nil {
 		e.drains.coordinator.Ledger.JobFinished(ref)
 	}
 }
 
-// DrainPlanStored brings a plan's record as the state service holds it.
+// DrainPlanStored carries a plan's record as the state service holds it.
 type DrainPlanStored struct{ Stored drain.StoredPlan }
 
 func (s DrainPlanStored) apply(e *Engine, now time.Time) {
--- a/internal/core/estimates.go
+++ b/internal/core/estimates.go
@@ -30,7 +30,9 @@
 }
 
 // dueStart returns when a job must have started to meet the next of its objectives, or of the
-// deadline objectives of the job at the end of its critical path.
+// deadline objectives of the job at the end of its critical path. If it can meet none of them any
+// more, lateFactor applies. If it has none, or would have had to start by the time it became ready
+// to meet any, it is due after defaultStartWithin.
 func (e *Engine) dueStart(now time.Time, j *pipeline.Job) time.Time {
 	run, fetch := e.expectedRun(j), e.expectedFetch(j)
 	var next, last time.Duration
--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -78,8 +78,7 @@
 const (
 	// maxResponseHold bounds how long an answer is held in total.
 	maxResponseHold = 2 * time.Second
-	// maxTickLag is how long ago the last tick may have been for answers to be held by a new
-	// leader.
+	// maxTickLag bounds the time since the last tick within which a new leader still holds answers.
 	maxTickLag = 300 * time.Millisecond
 )
 
--- a/internal/core/image_log.go
+++ b/internal/core/image_log.go
@@ -19,7 +19,7 @@
 	imagesOf  func(machine string) (has []fleet.Image, ok bool) // not ok: the machine isn't known yet
 	pages     map[string]*imagePage
 	byMachine map[string]*imagePage
-	inherited map[string][]fleet.Image // images that an earlier leader knew, of machines that have sent no heartbeat yet
+	inherited map[string][]fleet.Image // images that an earlier leader knew, of machines that this one doesn't know yet
 	open      *imagePage               // the page that takes machines that are on none
 	lastWrite time.Time
 	expired   bool // what was inherited and not used has been forgotten
@@ -41,16 +41,16 @@
 }
 
 const (
-	// imagePageInterval is about how long it takes until a page is written again.
+	// imagePageInterval is about how long it takes until a changed page is written again.
 	imagePageInterval = 20 * time.Second
 	// imageWritesDivisor bounds the image log's share of the leader's writes: one in
 	// imageWritesDivisor.
 	imageWritesDivisor = 8
-	// inheritedRetention is how long the inherited images of a machine are kept while it sends no
-	// heartbeat.
+	// inheritedRetention is how long after the beginning of the term inherited images are kept if
+	// their machine hasn't become known.
 	inheritedRetention = 5 * time.Minute
-	// machineBytes is about what a machine takes of a page; minPageMachines and maxPageMachines
-	// bound how many machines a page takes.
+	// machineBytes is the approximate size of a machine's entry in a page; minPageMachines and
+	// maxPageMachines bound how many machines a page takes.
 	machineBytes    = 120
 	minPageMachines = 8
 	maxPageMachines = 100
@@ -69,8 +69,7 @@
 	return min(maxPageMachines, max(minPageMachines, l.cfg.MaxValueBytes/machineBytes))
 }
 
-// recover takes over the pages that the store holds. If several name a machine, the first one
-// counts.
+// recover adds the pages that the store holds. If several pages name a machine, the first one counts.
 func (l *imageLog) recover(stored []StoredImages) {
 	for _, s := range stored {
 		p := l.newPage(s.Name)
@@ -173,7 +172,8 @@
 	b.add(PutImagePage{Name: p.name, Record: record})
 }
 
-// expireInherited forgets, once, the machines that haven't been heard of for inheritedRetention.
+// expireInherited forgets the machines with inherited images that haven't become known within
+// inheritedRetention. It does so once in a term.
 func (l *imageLog) expireInherited(now time.Time) {
 	if l.expired || now.Sub(l.started) <= inheritedRetention {
 		return
@@ -204,8 +204,8 @@
 func (l *imageLog) record(p *imagePage) fleet.ImageRecord {
 	has := make(map[string][]fleet.Image, len(p.machines))
 	for name := range p.machines {
-		images, heard := l.imagesOf(name)
-		if !heard {
+		images, known := l.imagesOf(name)
+		if !known {
 			images = l.inherited[name]
 		}
 		has[name] = images
--- a/internal/core/job_registry.go
+++ b/internal/core/job_registry.go
@@ -7,7 +7,7 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// jobRegistry holds the jobs that aren't over, by name and in the order of compareReady, and a
+// jobRegistry holds the jobs that aren't over, by name and in the order of compareJobs, and a
 // cache of the final entries of jobs that are.
 type jobRegistry struct {
 	byRef   map[string]*pipeline.Job
@@ -35,7 +35,7 @@
 // add adds a job that isn't over.
 func (r *jobRegistry) add(j *pipeline.Job) {
 	r.byRef[j.Ref] = j
-	at, _ := slices.BinarySearchFunc(r.ordered, j, compareReady)
+	at, _ := slices.BinarySearchFunc(r.ordered, j, compareJobs)
 	r.ordered = slices.Insert(r.ordered, at, j)
 }
 
@@ -61,7 +61,7 @@
 	r.finals[ref] = f
 }
 
-// compareReady orders jobs by priority, then by submission time, then by name.
-func compareReady(a, b *pipeline.Job) int {
+// compareJobs orders jobs by priority, then by submission time, then by name.
+func compareJobs(a, b *pipeline.Job) int {
 	return cmp.Or(cmp.Compare(a.Priority, b.Priority), a.Submitted.Compare(b.Submitted), cmp.Compare(a.Ref, b.Ref))
 }
--- a/internal/core/job_write_types.go
+++ b/internal/core/job_write_types.go
@@ -31,7 +31,7 @@
 func (w PutJob) started(e *Engine, now time.Time) {
 	if j := e.jobs.get(w.Ref); j != nil {
 		j.MarkWriting(0, w.Record.Done)
-		e.jobWrites.recordWritten(j.Ref, now)
+		e.jobWrites.recordWriteStarted(j.Ref, now)
 	}
 }
 
@@ -184,8 +184,8 @@
 	}
 }
 
-// jobWriteRejected has a rejected write of a job tried again after a pause; values are smaller by
-// then.
+// jobWriteRejected requests that a rejected write of a job is tried again after a pause. By then the
+// size limit of values is lower.
 func (e *Engine) jobWriteRejected(now time.Time, w Write, ref string) {
 	w.failed(e, nil)
 	e.jobWrites.pause(ref, now.Add(rejectedRetryDelay))
--- a/internal/core/job_writes.go
+++ b/internal/core/job_writes.go
@@ -12,7 +12,7 @@
 // are over.
 type jobWrites struct {
 	changed   map[*pipeline.Job]int // jobs that may have something to write, with their place in the order of changes
-	changes   int                   // counts the changes
+	changes   int                   // place of the latest change in that order
 	lastWrite map[string]time.Time  // when a job's record was last written, or until when its writes are paused
 	cleanup   []Write               // deletes of the remaining keys of jobs that are over
 }
@@ -103,8 +103,8 @@
 	return due
 }
 
-// recordWritten notes that a job's record is being written.
-func (w *jobWrites) recordWritten(ref string, now time.Time) { w.lastWrite[ref] = now }
+// recordWriteStarted notes that a job's record is being written.
+func (w *jobWrites) recordWriteStarted(ref string, now time.Time) { w.lastWrite[ref] = now }
 
 // pause holds writes of a job back until a time.
 func (w *jobWrites) pause(ref string, until time.Time) { w.lastWrite[ref] = until }
--- a/internal/core/log.go
+++ b/internal/core/log.go
@@ -98,15 +98,16 @@
 
 func logReason(reason string) slog.Attr { return slog.String(logKeyReason, reason) }
 
-// logActive is the number of attempts that may be on a machine.
+// logActive returns an attribute with the number of attempts that may be on a machine.
 func logActive(m *fleet.Machine) slog.Attr { return slog.Int("attempts", m.ActiveAttempts()) }
 
-// logPool is a machine's type and zone, and whether it is a spot machine.
+// logPool returns attributes with a machine's type and zone, and whether it is a spot machine.
 func logPool(k fleet.PoolKey) []slog.Attr {
 	return []slog.Attr{slog.String("type", k.Type), slog.String("zone", k.Zone), slog.Bool("spot", k.Spot)}
 }
 
-// logAttempt is an attempt's job, task, number and machine, followed by further attributes.
+// logAttempt returns attributes with an attempt's job, task, number and machine, followed by further
+// ones.
 func logAttempt(a *fleet.Attempt, more ...slog.Attr) []slog.Attr {
 	attrs := []slog.Attr{
 		slog.String(logKeyJob, a.Ref), slog.Int(logKeyTask, a.Task), slog.Uint64(logKeyAttempt, a.Number),
@@ -115,5 +116,5 @@
 	return append(attrs, more...)
 }
 
-// logSince is the time that has passed since an event.
+// logSince returns an attribute with the time that has passed since an event.
 func logSince(key string, now, since time.Time) slog.Attr { return slog.Duration(key, now.Sub(since)) }
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -101,7 +101,7 @@
 	return next
 }
 
-// startDraining makes a machine get no more starts, and has it released once it is empty.
+// startDraining ends starts on a machine, which is then released once it is empty.
 func (e *Engine) startDraining(now time.Time, m *fleet.Machine) {
 	m.StartDraining()
 	e.machines.checkAt(m, now)
--- a/internal/core/priority_order.go
+++ b/internal/core/priority_order.go
@@ -11,11 +11,11 @@
 	"gingertally/internal/core/placement"
 )
 
-// priorityOrder returns the jobs with waiting tasks in the order in which they may choose: by
-// urgency, then by how soon they must start to meet an objective that can still be met, small jobs
-// sooner. Jobs that fail repeatedly come last. A job that has waited past its starvation bound for
-// its first task comes before all others, an array only with a few of its tasks: neither urgent nor
-// small work may starve it.
+// priorityOrder returns the jobs with waiting tasks in the order in which they are placed: by
+// urgency, then by rank (fetchRank), then by when they have to start (dueStart), small jobs sooner.
+// Jobs that fail repeatedly come last. A job that has waited past its starvation bound for its first
+// task comes before all others, an array only with a few of its tasks: neither urgent nor small work
+// may starve it. If fair order is on, orderFairly then reorders jobs of equal urgency.
 func (e *Engine) priorityOrder(now time.Time) []placement.QueueEntry {
 	machines := float64(max(e.capacity.free.Size(), minFleetSize))
 	var out []prioritized
@@ -42,11 +42,14 @@
 type prioritized struct {
 	placement.QueueEntry
 	starving, failing bool
-	fetchRank         int // 0: needs no image fetch, or a short one; 1: the first wave of an array; 2: its rest
-	due               time.Time
+	// fetchRank puts arrays whose image is slow to fetch after other work: 1 for the first wave of
+	// such an array, 2 for its rest, and 0 for all else, also for such an array past its starvation
+	// bound or on machines that have the image.
+	fetchRank int
+	due       time.Time // entries of the same rank are placed in this order
 }
 
-// comparePrioritized compares two queue entries; the one that is to choose first is less.
+// comparePrioritized compares two queue entries; the one that is to be placed first is less.
 func comparePrioritized(a, b prioritized) int {
 	switch {
 	case a.failing != b.failing:
@@ -70,9 +73,11 @@
 	return -1
 }
 
-// appendEntries appends a job's queue entries. An array whose image is slow to fetch has three: one
-// for machines that have the image, one for as many others as it needs to finish in time, and one
-// for the rest. While a place waits for a fetch, nobody can use it.
+// appendEntries appends a job's queue entries. A job past its starvation bound has an additional
+// one, which comes before all others, unless the job fails repeatedly. An array whose image is slow
+// to fetch has three: one for machines that have the image, one for its first wave unless that is
+// placed already, and one for the rest. They are ranked, since capacity is taken and unused while an
+// image is being fetched.
 func (e *Engine) appendEntries(out []prioritized, now time.Time, j *pipeline.Job, machines float64) []prioritized {
 	wait := now.Sub(j.Since)
 	failing := j.FailsRepeatedly(e.cfg.RestartLimit)
@@ -102,9 +107,9 @@
 	return append(out, rest)
 }
 
-// firstWave returns how many places an array needs at once so that all its tasks, run there one
-// after the other, are done in time. So many may fetch its image ahead of later work that needs no
-// fetch.
+// firstWave returns how many tasks of an array must run in parallel for all of them to be done in
+// time, given the time to spare before they are due. So many of them are placed ahead of the rests
+// of arrays whose images are slow to fetch.
 func (e *Engine) firstWave(j *pipeline.Job, spare time.Duration) int {
 	run := e.expectedRun(j).Seconds()
 	if run <= 0 {
@@ -135,7 +140,7 @@
 }
 
 // starvationBound returns how long a job may wait for its first task before it comes ahead of all
-// others: the largest must begin within four minutes.
+// others. Even the largest jobs must start within four minutes.
 func (e *Engine) starvationBound(j *pipeline.Job) time.Duration {
 	if j.Shape == pipeline.Gang && len(j.Tasks) > 1 {
 		return max(gangStarvationBound-e.gangAgeBonus(j), 0)
--- a/internal/core/replacements.go
+++ b/internal/core/replacements.go
@@ -24,7 +24,7 @@
 // forget removes a machine's replacement, which is given up or kept like any other machine.
 func (r replacements) forget(replaced string) { delete(r, replaced) }
 
-// answered takes in the cloud's answer to a request, which may be for a replacement.
+// answered applies the cloud's answer to a request, which may be for a replacement.
 func (r replacements) answered(a ScaleOutAnswered) {
 	for replaced, by := range r {
 		if by.request != a.Request.Name {
--- a/internal/core/scale_in.go
+++ b/internal/core/scale_in.go
@@ -33,10 +33,10 @@
 // recentClassWindow is how long after its latest job a class of jobs is expected to have more.
 const recentClassWindow = 4 * time.Minute
 
-// idleTimeoutUnused is how long an idle machine is kept that no recent class of jobs fits. Other
-// idle machines are kept for idleTimeout and as long as Weights.IdleDollars pay for: a machine that
-// is up saves a job the boot time, whatever the machine costs. If the last job that fits came
-// longer than idleTimeoutOld ago, they are kept for idleTimeoutOld at most.
+// idleTimeoutUnused is how long an idle machine is kept that fits no recent class of jobs. Other
+// idle machines are kept for idleTimeout plus the time that Weights.IdleDollars pay for; idleTimeout
+// doesn't depend on the price, since any machine that is up saves a job the boot time. If the last
+// job that fits came longer than idleTimeoutOld ago, they are kept for idleTimeoutOld at most.
 const (
 	idleTimeoutUnused = 10 * time.Second
 	idleTimeout       = 10 * time.Second
@@ -103,7 +103,7 @@
 	return last
 }
 
-// ScaleInAnswered brings the outcome of a release. If OK, the cloud answered with 200: the machines
+// ScaleInAnswered carries the outcome of a release. If OK, the cloud answered with 200: the machines
 // and everything on them are gone. Otherwise the outcome isn't known, and the release is tried
 // again.
 type ScaleInAnswered struct {
--- a/internal/core/scale_out.go
+++ b/internal/core/scale_out.go
@@ -13,7 +13,7 @@
 	if now.Sub(e.started) < e.cfg.HeartbeatInterval*5/4 {
 		return // there may be machines that haven't sent a heartbeat yet
 	}
-	e.recovery.Pacer().Allow(true) // scale-out isn't held up by the pace, but slows other starts down
+	e.recovery.Pacer().Allow(true) // the pace doesn't limit scale-out, but each round of it counts as a start
 	for _, o := range e.plan.Choose(now, demand, &e.capacity.free, e.catalog) {
 		e.plan.RecordRequest(o.Offer, o.Count)
 		e.out.ScaleOut = append(e.out.ScaleOut, ScaleOut{
@@ -23,7 +23,7 @@
 	}
 }
 
-// ScaleOutAnswered brings the outcome of a request for machines.
+// ScaleOutAnswered carries the outcome of a request for machines.
 type ScaleOutAnswered struct {
 	Request        ScaleOut
 	Machines       []string // those created
@@ -36,7 +36,7 @@
 	e.plan.RecordAnswer(now, o, capacity.Answer{
 		Requested: r.Request.Count, Created: len(r.Machines), OutcomeUnknown: r.OutcomeUnknown,
 	})
-	e.warm.noteOffer(o)
+	e.warm.noteBackoff(o)
 	for _, name := range r.Machines {
 		if e.machines.wasRemoved(name) || e.machines.get(name) != nil {
 			continue
--- a/internal/core/start_log.go
+++ b/internal/core/start_log.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// pageChanged puts a page on the list of those to be written, or takes it off.
+// pageChanged adds a page to those that have to be written, or removes it if it no longer has to be.
 func (l *startLog) pageChanged(p *fleet.StartLogPage) {
 	if p.Dirty {
 		l.dirty[p] = true
--- a/internal/core/start_waits.go
+++ b/internal/core/start_waits.go
@@ -26,7 +26,7 @@
 // startWaits holds how long jobs have waited for their first start.
 type startWaits map[waitKey]*StartWait
 
-// record adds how long a job has waited whose first task starts.
+// record adds the time that a job has waited when its first start is sent.
 func (w startWaits) record(j *pipeline.Job, wait time.Duration) {
 	key := waitKey{j.Team, j.Class}
 	s := w[key]
--- a/internal/core/tick_clock.go
+++ b/internal/core/tick_clock.go
@@ -12,8 +12,8 @@
 const (
 	// answerTimeout is after how long a worker stops waiting for an answer (PROTOCOL).
 	answerTimeout = 4 * time.Second
-	// lateTick is the time between two ticks from which on this node counts as slow, so that its
-	// answers may exceed answerTimeout.
+	// lateTick is the longest time between two ticks at which this node doesn't count as slow. The
+	// answers of a slow node may take longer than answerTimeout.
 	lateTick = 500 * time.Millisecond
 )
 
--- a/internal/core/usage.go
+++ b/internal/core/usage.go
@@ -42,8 +42,8 @@
 	return noUsage
 }
 
-// track returns the usage of a job, and adds it if it is missing. The map of zones is shared: those
-// who keep it see later changes.
+// track returns the usage of a job, and adds it if it is missing. The map of zones is shared:
+// callers that keep it see later changes.
 func (u *usage) track(ref string) *jobUsage {
 	j := u.byJob[ref]
 	if j == nil {
@@ -117,7 +117,7 @@
 	return out
 }
 
-// find returns the attempt of a task with a number, or nil if none may be on a machine.
+// find returns a task's attempt with the given number, or nil if that can't be on a machine.
 func (u *usage) find(id fleet.TaskID, number uint64) *fleet.Attempt {
 	for a := range u.ofJob(id.Ref).attempts {
 		if a.TaskID == id && a.Number == number {
--- a/internal/core/warm_start.go
+++ b/internal/core/warm_start.go
@@ -8,7 +8,7 @@
 	"gingertally/internal/core/fleet"
 )
 
-// WarmStart brings a new leader the warm state of the previous one, right after New and before any
+// WarmStart carries the warm state of the previous one, right after New and before any
 // other event. Confirmed says that this state is recent and, as far as can be told, the previous
 // leader's last: machines that sent that leader heartbeats are then expected to send them to this
 // one, and work is placed on them at once.
@@ -73,8 +73,8 @@
 	outcome   WarmOutcome
 }
 
-// compareAttempts compares the start log's attempts with those of the warm state, and takes over
-// since when they have run.
+// compareAttempts compares the start log's attempts with those of the warm state, and restores when
+// they began to run.
 func (s *warmStart) compareAttempts() {
 	e := s.engine
 	for m := range e.machines.all() {
@@ -132,7 +132,7 @@
 func (s *warmStart) restoreBackoff(w *WarmBackoff) {
 	o := fleet.PoolKey{Type: w.Type, Zone: w.Zone, Spot: w.Spot}
 	s.engine.plan.SetBackoff(o, capacity.Backoff{Until: s.futureTime(w.UntilMS), Refusals: w.Refusals})
-	s.engine.warm.noteOffer(o)
+	s.engine.warm.noteBackoff(o)
 }
 
 func (s *warmStart) restoreJob(w *WarmJob) {
@@ -146,8 +146,9 @@
 	s.engine.warm.noteJob(w.Ref)
 }
 
-// restoreMachine takes over what is known of a machine. One that the start log doesn't name is
-// added only if it is to be expected; otherwise the cloud's list or its heartbeat will name it.
+// restoreMachine restores what the warm state says about a machine. One that the start log doesn't
+// name is added only if it is to be expected; otherwise the cloud's list or its heartbeat will name
+// it.
 func (s *warmStart) restoreMachine(w *WarmMachine) {
 	e := s.engine
 	m := e.machines.get(w.Name)
@@ -194,8 +195,9 @@
 	}
 }
 
-// stopExpectingHeartbeat gives up on a machine that was expected and hasn't sent a heartbeat for as
-// long as makes any machine unresponsive. What was placed there goes elsewhere.
+// stopExpectingHeartbeat ends the placement of work on a machine that was expected to send a
+// heartbeat and hasn't within unresponsiveAfter. The starts placed there are withdrawn, and their
+// tasks are placed elsewhere.
 func (e *Engine) stopExpectingHeartbeat(now time.Time, m *fleet.Machine) {
 	m.HeartbeatOverdue()
 	e.recovery.SetConfirmedByWarmState(m.Name, false)
--- a/internal/core/warm_state.go
+++ b/internal/core/warm_state.go
@@ -30,10 +30,10 @@
 // WarmKey identifies a record of the warm state.
 type WarmKey struct {
 	Kind WarmKind
-	Name string // of the machine, class or job; of an attempt its job, of an offer its type
+	Name string // of the machine, class or job; of an attempt its job, of a back-off the machine type
 	Task int    // of an attempt
-	Spot bool   // of an offer
-	Zone string
+	Spot bool   // of a back-off
+	Zone string // of a back-off
 }
 
 // compareWarmKeys compares keys in a fixed order, so that equal states give equal streams.
@@ -149,7 +149,7 @@
 
 func (f *warmChangeSet) noteClass(name string) { f.note(WarmKey{Kind: WarmClassKind, Name: name}) }
 
-func (f *warmChangeSet) noteOffer(o fleet.PoolKey) {
+func (f *warmChangeSet) noteBackoff(o fleet.PoolKey) {
 	f.note(WarmKey{Kind: WarmBackoffKind, Name: o.Type, Zone: o.Zone, Spot: o.Spot})
 }
 
--- a/internal/core/writes.go
+++ b/internal/core/writes.go
@@ -32,7 +32,7 @@
 	rejected(e *Engine, now time.Time)
 }
 
-// WriteEncoder puts writes into the form in which they are stored. It has a method for each kind,
+// WriteEncoder converts writes to the form in which they are stored. It has a method for each kind,
 // so that the compiler reports a kind that is missing.
 type WriteEncoder interface {
 	PutStartLogPage(w PutStartLogPage) error
@@ -59,7 +59,7 @@
 	}
 }
 
-// WritesFinished brings a batch's outcome. If OK, Revision is that of all its keys. Otherwise
+// WritesFinished carries a batch's outcome. If OK, Revision is that of all its keys. Otherwise
 // nothing is known to have changed, and CurrentVersions holds the versions of the pages that were
 // read afterwards, by name.
 type WritesFinished struct {
