--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -227,8 +227,8 @@
 	e.jobWrites.jobChanged(j)
 }
 
-// A machine is quarantined after failures of this many different jobs, or of this many attempts,
-// with no success in between.
+// A machine is quarantined after failures of this many different jobs, or of this many attempts if
+// the job that failed last has no machine in AvoidUntil, with no success in between.
 const (
 	quarantineAfterJobs     = 2
 	quarantineAfterFailures = 3
--- a/internal/core/connectivity.go
+++ b/internal/core/connectivity.go
@@ -13,7 +13,8 @@
 }
 
 // detectOneWayLoss looks in a heartbeat for the effects of the last answers to its machine. If
-// answers have shown no effect, it pauses starts on the machine.
+// answers have shown no effect, it pauses starts on the machine, unless this node's answers may have
+// been late or the loss was counted a moment ago.
 func (e *Engine) detectOneWayLoss(now time.Time, m *fleet.Machine, r *fleet.Heartbeat, leaseEnded bool) {
 	switch d := e.deliveryShown(now, m, r, leaseEnded); {
 	case d.delivered:
--- a/internal/core/fair_order.go
+++ b/internal/core/fair_order.go
@@ -26,10 +26,10 @@
 	e.fairOrder = f
 }
 
-// teamQueue holds the entries of a team that are left while a group is ordered.
+// teamQueue holds the entries of a team that have no place in the order of their group yet.
 type teamQueue struct {
 	entries []prioritized
-	used    float64 // dominant share over the team's weight, counting what is ordered already
+	used    float64 // dominant share divided by the team's weight, including the entries that have a place
 }
 
 // orderFairly reorders each run of adjacent entries that are equal in urgency, starvation and
@@ -126,7 +126,7 @@
 // ClusterLoad is the capacity of the cluster and the work that waits for it.
 type ClusterLoad struct {
 	Capacity fleet.Amount  // of all machines that take tasks, or soon will
-	Backlog  time.Duration // how long all of it needs for the waiting tasks
+	Backlog  time.Duration // how long the whole cluster would take for the waiting tasks
 	Settled  bool          // the takeover is over; until then the capacity isn't known
 }
 
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -21,7 +21,7 @@
 	Waiting  []WaitingJob // at most statusJobs of them, in order of priority
 	Waits    int          // number of all waiting jobs
 	Active   int          // jobs that aren't over
-	Unstored int          // starts that aren't written to the state service yet
+	Unstored int          // starts that aren't on a page of the start log yet, and so not stored
 	Recovery recovery.Status
 	Starts   []StartWait   // how long jobs waited for their first start in this term
 	Drains   *drain.Status `json:",omitempty"` // operators' drains; nil if drains are off
--- a/internal/core/warm_state.go
+++ b/internal/core/warm_state.go
@@ -104,7 +104,7 @@
 	Refusals int    `cbor:"r"`
 }
 
-// WarmJob lists the machines on which a job has failed, and until when it avoids them.
+// WarmJob lists the machines that a job avoids since it has failed there, and until when.
 type WarmJob struct {
 	Ref    string      `cbor:"j"`
 	Avoids []WarmAvoid `cbor:"a"` // by machine
