--- a/internal/core/heartbeats.go
+++ b/internal/core/heartbeats.go
@@ -78,8 +78,7 @@
 const (
 	// maxResponseHold bounds how long an answer is held in total.
 	maxResponseHold = 2 * time.Second
-	// maxTickLag is how long ago the last tick may have been for answers to be held by a new
-	// leader.
+	// maxTickLag bounds the time since the last tick within which a new leader still holds answers.
 	maxTickLag = 300 * time.Millisecond
 )
 
@@ -139,7 +138,7 @@
 	}
 	e.recovery.HeartbeatReceived(m.Name, recovery.ObservedHeartbeat{
 		TermConfirmed: r.FencingToken == e.numbers.term,
-		HasUnrecorded: m.HasUnwanted(),
+		HasUnwanted:   m.HasUnwanted(),
 	})
 	e.interruptionAnnounced(now, m, r.InterruptionIn)
 }
@@ -244,7 +243,7 @@
 		return
 	}
 	e.moveAttempt(now, m, a, t.State)
-	if t.State != fleet.Fetching && a.Image != "" && m.ImageThere(now, a.Image, e.imageGB(a.Ref)) {
+	if t.State != fleet.Fetching && a.Image != "" && m.ConfirmImage(now, a.Image, e.imageGB(a.Ref)) {
 		e.imagesChanged(m)
 	}
 	if j := e.jobs.get(t.Ref); j != nil && t.State == fleet.Running {
