--- a/internal/core/capacity/capacity.go
+++ b/internal/core/capacity/capacity.go
@@ -267,8 +267,8 @@
 }
 
 // cheapest returns the available offer with the lowest hourly price per task of the job, nil if
-// there is none. The price of a machine is divided among the tasks that would run on it, left at
-// the most. Zone, if not empty, is the zone that the offer has to be in.
+// there is none. The price of a machine is divided by the number of tasks that would run on it,
+// which is no more than left. Zone, if not empty, is the zone that the offer has to be in.
 func (g *planner) cheapest(j *pipeline.Job, left int, zones map[string]int, zone string) *pricedOffer {
 	var best *pricedOffer
 	lowest := math.Inf(1)
--- a/internal/core/fleet/image_log.go
+++ b/internal/core/fleet/image_log.go
@@ -79,13 +79,13 @@
 func (b *imageRecordBuilder) add(machine string, images []Image) {
 	entry := MachineImages{Machine: machine}
 	for _, i := range images {
-		place, known := b.index[i.Name]
+		index, known := b.index[i.Name]
 		if !known {
-			place = len(b.record.Images)
-			b.index[i.Name] = place
+			index = len(b.record.Images)
+			b.index[i.Name] = index
 			b.record.Images = append(b.record.Images, ImageSize{Name: i.Name, GB: i.GB})
 		}
-		entry.Images = append(entry.Images, place)
+		entry.Images = append(entry.Images, index)
 	}
 	b.record.Machines = append(b.record.Machines, entry)
 }
@@ -95,13 +95,13 @@
 // Each calls fn for each machine in the record, with its images. Indexes without an image are
 // skipped.
 func (r *ImageRecord) Each(fn func(machine string, images []Image)) {
-	for _, h := range r.Machines {
+	for _, m := range r.Machines {
 		var images []Image
-		for _, at := range h.Images {
+		for _, at := range m.Images {
 			if at >= 0 && at < len(r.Images) {
 				images = append(images, Image{Name: r.Images[at].Name, GB: r.Images[at].GB})
 			}
 		}
-		fn(h.Machine, images)
+		fn(m.Machine, images)
 	}
 }
--- a/internal/core/fleet/machine_heartbeats.go
+++ b/internal/core/fleet/machine_heartbeats.go
@@ -42,8 +42,8 @@
 	m.addr, m.lastHeartbeat, m.newest = r.Addr, now, r.Version()
 }
 
-// ExcuseMissingHeartbeats restarts the time without heartbeats at now. The time before says nothing
-// about the machine, since this node could not receive heartbeats then.
+// ExcuseMissingHeartbeats lets the time without heartbeats count from now on only. That none arrived
+// before says nothing about the machine, since this node could not receive heartbeats then.
 func (m *Machine) ExcuseMissingHeartbeats(now time.Time) { m.lastHeartbeat = now }
 
 // ConfirmTerm records that the worker has this term's fencing token, which also verifies that the
--- a/internal/core/fleet/stale_heartbeats.go
+++ b/internal/core/fleet/stale_heartbeats.go
@@ -30,7 +30,7 @@
 
 // Restarted reports whether the worker must have restarted between another version and this later
 // one: the fencing token is higher, but incarnation and sequence number are not. The other version
-// is then of a heartbeat from before the restart, as a rule of a late copy.
+// then belongs to a heartbeat from before the restart, usually to a late copy of one.
 func (p HeartbeatVersion) Restarted(o HeartbeatVersion) bool {
 	return p.FencingToken > o.FencingToken && !p.CountsPast(o)
 }
--- a/internal/core/fleet/start_log.go
+++ b/internal/core/fleet/start_log.go
@@ -69,7 +69,7 @@
 	p.Dirty = true
 }
 
-// Recover puts an attempt on the page whose stored entry AddStale has counted, and which turned out
+// Recover puts an attempt on the page after its stored entry, which AddStale has counted, turned out
 // to be current.
 func (p *StartLogPage) Recover(a *Attempt) {
 	p.put(a)
@@ -149,8 +149,8 @@
 		if i == 0 || attempts[i-1].Machine != m {
 			r.Placed = append(r.Placed, MachineStarts{Machine: m.Name, Type: m.Type, Zone: m.Zone, Spot: m.Spot})
 		}
-		pl := &r.Placed[len(r.Placed)-1]
-		pl.Entries = append(pl.Entries, StartLogEntry{Ref: a.Ref, Task: a.Task, Attempt: a.Number})
+		starts := &r.Placed[len(r.Placed)-1]
+		starts.Entries = append(starts.Entries, StartLogEntry{Ref: a.Ref, Task: a.Task, Attempt: a.Number})
 	}
 	return r
 }
@@ -163,8 +163,8 @@
 func (p *StartLogPage) Stored(now time.Time, r StartLogRecord, version uint64) {
 	p.Version, p.Sending, p.TrimmedAt = version, false, now
 	stored := map[StartLogEntry]bool{}
-	for _, pl := range r.Placed {
-		for _, e := range pl.Entries {
+	for _, starts := range r.Placed {
+		for _, e := range starts.Entries {
 			stored[e] = true
 		}
 	}
--- a/internal/core/pipeline/done_ranges.go
+++ b/internal/core/pipeline/done_ranges.go
@@ -79,7 +79,7 @@
 // runBytes returns the size of a run length in JSON, with its comma.
 func runBytes(length int) int { return len(strconv.Itoa(length)) + len(",") }
 
-// restoreChunk marks the tasks as finished that a stored chunk's run lengths say are.
+// restoreChunk marks as finished the tasks that are finished according to a stored chunk's run lengths.
 func (j *Job) restoreChunk(chunk int, runs []int) {
 	task, finished := chunk*ChunkTasks, false
 	for _, length := range runs {
--- a/internal/core/pipeline/graph.go
+++ b/internal/core/pipeline/graph.go
@@ -12,7 +12,7 @@
 type Graph struct {
 	jobs       map[string]*Job          // those that aren't over, by reference
 	dependents map[string]map[*Job]bool // by the reference of the job they wait for; it may not be in jobs
-	unknown    map[string]bool          // dependencies that may be over: not added, and no known end
+	unknown    map[string]bool          // dependencies that weren't added and aren't known to be over
 	lookups    []string                 // those of unknown that have to be looked up, in order
 	// ExpectedDuration returns how long a job is expected to take once it is ready.
 	ExpectedDuration func(j *Job) time.Duration
@@ -48,8 +48,8 @@
 	g.propagateUrgency(j)
 }
 
-// ToLookUp removes from the queue of look-ups, and returns, up to limit dependencies of which it isn't
-// known whether they are over. Each is returned once, and again only after LookUpAgain.
+// ToLookUp returns up to limit dependencies of which it isn't known whether they are over, and removes
+// them from the queue of look-ups. Each is returned once, and again only after LookUpAgain.
 func (g *Graph) ToLookUp(limit int) []string {
 	var out []string
 	for len(g.lookups) > 0 && len(out) < limit {
--- a/internal/core/pipeline/job.go
+++ b/internal/core/pipeline/job.go
@@ -47,7 +47,8 @@
 	firstOpenTask  int             // all tasks before this one are finished
 }
 
-// Errors that NewJob wraps. Such a record is damaged, or was written by a version with another format.
+// Errors that NewJob wraps. A record that causes one of them is damaged, or was written by a version
+// with another format.
 var (
 	ErrNoTasks        = errors.New("record without tasks")
 	ErrNoDependencies = errors.New("record of a held job without its dependencies")
@@ -114,9 +115,9 @@
 func (j *Job) Over() bool { return j.phase == Done || j.phase == Cancelled }
 
 // setPhase changes the job's phase. It returns false if the present one is final or the same. A held
-// job becomes active once its dependencies are done, or cancelled. It may also become done directly:
-// reported results prove that an earlier leader has started it (docs/design.md, safety argument 14;
-// TestResultsOfAJobStartedBefore).
+// job becomes Active once its dependencies are done, or it becomes Cancelled. It may also become Done
+// directly, when reported results prove that an earlier leader has started it (docs/design.md, safety
+// argument 14; TestResultsOfAJobStartedBefore).
 func (j *Job) setPhase(to Phase) bool {
 	if j.phase != Active && j.phase != Held || to == j.phase || to == Held {
 		return false
--- a/internal/core/pipeline/task.go
+++ b/internal/core/pipeline/task.go
@@ -137,6 +137,7 @@
 // Avoids reports whether the job avoids a machine now.
 func (j *Job) Avoids(now time.Time, machine string) bool { return now.Before(j.AvoidUntil[machine]) }
 
-// FailsRepeatedly reports whether tasks of the job have failed on more than limit machines. Then the
-// job itself is likely the cause, and is placed after all others.
+// FailsRepeatedly reports whether tasks of the job have failed on more than limit machines, not
+// counting machines that were quarantined since. Then the job itself is likely the cause, and is placed
+// after all others.
 func (j *Job) FailsRepeatedly(limit int) bool { return len(j.AvoidUntil) > limit }
--- a/internal/core/placement/board.go
+++ b/internal/core/placement/board.go
@@ -18,7 +18,8 @@
 	// GangSlack is the tolerated difference between the ends of the image fetches of a gang's tasks.
 	GangSlack time.Duration
 	// MaxReservations is the number of jobs without room for which this round may reserve capacity or
-	// preempt attempts. If it is 0, the reservations of the last round that made some stay in force.
+	// preempt attempts. If it is 0, the reservations of earlier rounds stay in force; else a new round
+	// begins by clearing them.
 	MaxReservations int
 }
 
@@ -52,10 +53,11 @@
 type Executor interface {
 	// Commit assigns a task to a machine.
 	Commit(d Decision)
-	// Unplaced records that so many tasks of a job have found no room.
+	// Unplaced records that the given number of a job's tasks have found no room.
 	Unplaced(j *pipeline.Job, tasks int)
 	// Preempt stops an attempt to make room.
 	Preempt(a *fleet.Attempt)
-	// BudgetSpent reports whether the budget of this pass is used up.
+	// BudgetSpent reports whether the budget of this pass is used up. Run calls it once before each
+	// entry of the queue, so that an Executor may count the calls.
 	BudgetSpent() bool
 }
--- a/internal/core/placement/doc.go
+++ b/internal/core/placement/doc.go
@@ -1,6 +1,6 @@
 // Package placement decides on which machines waiting tasks run, within the constraints of their jobs
-// and the quotas of their teams. It works in rounds: a round that has used up its budget stops, and
-// resumes there the next time.
+// and the quotas of their teams. It works in rounds of one or more passes: a pass that has used up its
+// budget stops, and the next one resumes at the same job.
 //
 //   - rounds.go: Round, which goes through the queue of jobs; board.go: Board, its inputs, with the
 //     interfaces Cluster and Executor through which it asks and acts
--- a/internal/core/placement/free_capacity.go
+++ b/internal/core/placement/free_capacity.go
@@ -88,7 +88,7 @@
 		(sp.Spot || !p.Key.Spot) && p.Type.Fits(sp)
 }
 
-// mayFit reports whether any slot might have room for a task. If it is false, none has.
+// mayFit reports whether any slot might have room for a task. If it returns false, none has.
 func (p *Pool) mayFit(sp *pipeline.Spec) bool {
 	if p.maxFreeStale {
 		p.maxFreeStale, p.maxFree = false, fleet.Amount{}
@@ -130,9 +130,9 @@
 	}
 }
 
-// EachWithFreeCapacity calls fn for each slot in the zone (empty: in all zones), those of booting
-// machines too, that has room for a task of the job if reservations are ignored, until fn returns
-// false.
+// EachWithFreeCapacity calls fn, until it returns false, for each slot in the zone (empty: in all
+// zones) that has room for a task of the job. It ignores reservations, and includes the slots of
+// booting machines.
 func (f *FreeCapacity) EachWithFreeCapacity(sp *pipeline.Spec, zone string, fn func(*Slot) bool) {
 	for _, p := range f.Pools {
 		if (zone != "" && p.Key.Zone != zone) || !p.Allowed(sp) || !p.mayFit(sp) {
@@ -189,8 +189,8 @@
 }
 
 // reserve reserves a slot for a job, until ClearReservations is called.
-func (f *FreeCapacity) reserve(s *Slot, left reservation) {
-	s.reserved = &left
+func (f *FreeCapacity) reserve(s *Slot, r reservation) {
+	s.reserved = &r
 	f.reservedSlots = append(f.reservedSlots, s)
 }
 
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -26,7 +26,8 @@
 }
 
 // ZoneCapacity returns how many more tasks of the job its constraints allow in a zone, given the
-// number of its tasks in each zone. It doesn't look at machines.
+// number of its tasks in each zone. Where none restricts it, that is the number of all its tasks.
+// It doesn't look at machines.
 func ZoneCapacity(j *pipeline.Job, zone string, zones map[string]int) int {
 	n := len(j.Tasks)
 	if j.OneZone {
--- a/internal/core/placement/preempt.go
+++ b/internal/core/placement/preempt.go
@@ -58,7 +58,7 @@
 	}
 	for _, p := range places {
 		if n > 1 || Share(p.slot.Type, &j.Spec) >= largeTaskShare {
-			b.FreeCapacity.reserve(p.slot, p.left)
+			b.FreeCapacity.reserve(p.slot, p.reservation)
 		}
 	}
 }
@@ -81,11 +81,11 @@
 
 // place is a slot that may be reserved for a task of a waiting job.
 type place struct {
-	slot    *Slot
-	at      time.Time        // of earliestPlaces: when the slot is expected to have room
-	left    reservation      // the reservation to be made
-	cost    float64          // of chooseVictims: total cost of the preemption in seconds
-	victims []*fleet.Attempt // of chooseVictims: the attempts to stop
+	slot        *Slot
+	at          time.Time        // of earliestPlaces: when the slot is expected to have room
+	reservation reservation      // the reservation to be made
+	cost        float64          // of chooseVictims: total cost of the preemption in seconds
+	victims     []*fleet.Attempt // of chooseVictims: the attempts to stop
 }
 
 // earliestPlaces returns the n slots that are expected to have room for a task of the job first, and
@@ -96,8 +96,8 @@
 		var all []place
 		b.FreeCapacity.EachAllowed(&j.Spec, z, func(s *Slot) {
 			if b.usable(s, j, zones) {
-				t, rest := b.capacityAt(s, &j.Spec)
-				all = append(all, place{slot: s, at: t, left: rest})
+				t, r := b.capacityAt(s, &j.Spec)
+				all = append(all, place{slot: s, at: t, reservation: r})
 			}
 		})
 		if len(all) < n {
@@ -193,7 +193,7 @@
 
 // preemptAndReserve preempts the victims of a place and reserves its slot.
 func (b *Board) preemptAndReserve(p place) {
-	b.FreeCapacity.reserve(p.slot, p.left)
+	b.FreeCapacity.reserve(p.slot, p.reservation)
 	for _, a := range p.victims {
 		b.Executor.Preempt(a)
 	}
@@ -208,7 +208,7 @@
 		attempt *fleet.Attempt
 		cost    float64
 	}
-	var may []candidate
+	var candidates []candidate
 	if !free.fits(&j.Spec) {
 		for _, a := range activeAttempts(s.Machine) {
 			if a.Stopping() {
@@ -216,19 +216,19 @@
 				continue
 			}
 			if cost, ok := b.Cluster.PreemptionCost(j, a); ok {
-				may = append(may, candidate{a, cost})
+				candidates = append(candidates, candidate{a, cost})
 			}
 		}
-		slices.SortStableFunc(may, func(a, b candidate) int { return cmp.Compare(a.cost, b.cost) })
+		slices.SortStableFunc(candidates, func(a, b candidate) int { return cmp.Compare(a.cost, b.cost) })
 	}
 	p := place{slot: s}
-	for _, c := range may {
+	for _, c := range candidates {
 		if free.fits(&j.Spec) {
 			break
 		}
 		free, p.cost = free.plus(c.attempt), p.cost+c.cost
 		p.victims = append(p.victims, c.attempt)
 	}
-	p.left = free.minus(&j.Spec)
+	p.reservation = free.minus(&j.Spec)
 	return p, free.fits(&j.Spec)
 }
--- a/internal/core/placement/replicas.go
+++ b/internal/core/placement/replicas.go
@@ -118,12 +118,12 @@
 	}
 }
 
-// preemptibleIn lists up to most places of a pool where preemption can make room for one task of the
+// preemptibleIn lists up to limit places of a pool where preemption can make room for one task of the
 // job, in the order of the machines' names.
-func (b *Board) preemptibleIn(pool *Pool, j *pipeline.Job, zones map[string]int, most int) []place {
+func (b *Board) preemptibleIn(pool *Pool, j *pipeline.Job, zones map[string]int, limit int) []place {
 	var found []place
 	for _, s := range pool.Slots {
-		if len(found) == most {
+		if len(found) == limit {
 			break
 		}
 		if s.Future || !b.usable(s, j, zones) {
--- a/internal/drain/charge_page.go
+++ b/internal/drain/charge_page.go
@@ -45,7 +45,7 @@
 type chargePage struct {
 	pageState
 	charges        []*Charge
-	chargesInWrite int         // how many of charges, from the first, are in the write under way
+	chargesInWrite int         // the write under way contains the first chargesInWrite of charges
 	writtenAfter   *chargePage // has to be stored before this page is written; nil: none
 }
 
--- a/internal/drain/closed_window.go
+++ b/internal/drain/closed_window.go
@@ -13,7 +13,7 @@
 // covered, whatever day the search begins on.
 const searchDays = 9
 
-// startingOn returns the begin and end of the window that begins daysAfter days after the given day
+// startingOn returns the start and end of the window that begins daysAfter days after the given day
 // in the window's time zone; ok is false if none begins on that weekday.
 func (w *ClosedWindow) startingOn(day time.Time, daysAfter int) (from, to time.Time, ok bool) {
 	local := day.In(w.Location)
@@ -30,7 +30,7 @@
 }
 
 // wallClock returns the time at which clocks at the window's location show the given time of day. On
-// days on which summer time begins or ends, that isn't midnight plus the time of day.
+// days on which daylight saving time begins or ends, that isn't midnight plus the time of day.
 func (w *ClosedWindow) wallClock(year int, month time.Month, day int, at time.Duration) time.Time {
 	hour, minute, second := at/time.Hour, at%time.Hour/time.Minute, at%time.Minute/time.Second
 	return time.Date(year, month, day, int(hour), int(minute), int(second), 0, w.Location)
@@ -49,9 +49,9 @@
 	return until, ok
 }
 
-// openFrom returns the earliest time, not before now, from which an eviction that takes the given
-// time begins and ends outside all windows, even if the clock is off by the skew; ok is false if
-// there is none within searchDays.
+// openFrom returns the earliest time, not before now, at which an eviction that takes the given time
+// can begin so that no window overlaps it, even if the clock is off by the skew; ok is false if there
+// is none within searchDays.
 func openFrom(windows []ClosedWindow, now time.Time, takes, skew time.Duration) (open time.Time, ok bool) {
 	latest := now.Add(searchDays * 24 * time.Hour)
 	for at := now; at.Before(latest); {
--- a/internal/drain/coordinator.go
+++ b/internal/drain/coordinator.go
@@ -55,8 +55,9 @@
 	return c
 }
 
-// adopt counts a recovered machine among those that its plan is draining, if it is. A machine whose
-// plan no longer exists, was cancelled or is completed is removed: no plan claims it any more.
+// adopt adds a recovered machine to those that are being drained, if its state is an active one. A
+// machine whose plan no longer exists, was cancelled or is completed is removed: no plan claims it any
+// more.
 func (c *Coordinator) adopt(m *Machine) {
 	p := c.plans.byID[m.Plan]
 	switch {
@@ -107,17 +108,17 @@
 // Move changes a machine's state, or returns false if its present state doesn't allow that.
 func (c *Coordinator) Move(m *Machine, to MachineState) bool { return c.machines.move(m, to) }
 
-// MachineAdded reports that a machine exists. It is queued for every unfinished plan that
+// MachineAdded records that a machine exists. The machine is queued for every unfinished plan that
 // selects it and hasn't claimed it yet.
-func (c *Coordinator) MachineAdded(id MachineInfo) {
+func (c *Coordinator) MachineAdded(m MachineInfo) {
 	for _, p := range c.plans.byAge {
-		if p.takesMachines() && !p.queue.queued[id.Name] && p.Selects(id) && !c.machines.claimed(id.Name, p.ID) {
-			p.queue.insert(id.Name)
+		if p.takesMachines() && !p.queue.queued[m.Name] && p.Selects(m) && !c.machines.claimed(m.Name, p.ID) {
+			p.queue.insert(m.Name)
 		}
 	}
 }
 
-// MachineRemoved reports that a machine no longer exists: it is taken out of all queues, and is
+// MachineRemoved records that a machine no longer exists: it is taken out of all queues, and is
 // Released if a plan has claimed it.
 func (c *Coordinator) MachineRemoved(name string) {
 	if m := c.machines.byName[name]; m != nil {
@@ -128,9 +129,9 @@
 	}
 }
 
-// Cordoned reports whether no task may be started on a machine. That holds for a machine that was
-// uncordoned until the state service has stored that, since a leader that takes over before would
-// still find it cordoned.
+// Cordoned reports whether no task may be started on a machine. A machine that was uncordoned still
+// counts as cordoned until the state service has stored the change, since a leader that takes over
+// before that would find it cordoned.
 func (c *Coordinator) Cordoned(name string) bool {
 	m := c.machines.byName[name]
 	return m != nil && m.state.cordoned() || c.machines.pages.mayBeStored(name)
@@ -190,7 +191,7 @@
 }
 
 // DeferMachine puts a machine at the end of its plan's queue, since it can't be emptied now. It may
-// be one that was proposed, or one that the plan has cordoned already; that one is uncordoned.
+// be one that was proposed, or one that the plan has cordoned already; the latter is uncordoned.
 func (c *Coordinator) DeferMachine(now time.Time, name, plan string, reason Verdict) {
 	if m := c.machines.byName[name]; m != nil {
 		c.machines.move(m, Planned)
@@ -210,8 +211,8 @@
 // MachinePageWriteStarted records that a write of a page of machines is under way.
 func (c *Coordinator) MachinePageWriteStarted(name string) { c.machines.pages.writeStarted(name) }
 
-// MachinePageRejected splits a page of machines in two. The caller reports that the state service has
-// rejected it for a reason other than its version, which means that the page is too large.
+// MachinePageRejected splits a page of machines in two. It is to be called when the state service has
+// rejected the page for a reason other than its version, which means that the page is too large.
 func (c *Coordinator) MachinePageRejected(name string) { c.machines.pages.split(name) }
 
 // MachinePageWritten records the outcome of a write of a page of machines, and returns the machines
--- a/internal/drain/ledger.go
+++ b/internal/drain/ledger.go
@@ -4,8 +4,8 @@
 
 // Ledger records the charges: the interruptions of tasks that count against budgets. It is stored in
 // pages that only the leader writes, under its term, and a voluntary interruption may begin only once
-// the page with its charge is stored: a leader that ends in between leaves a charge too many, never
-// one too few (docs/draining.md, "Proof").
+// the page with its charge is stored: a leader whose term ends in between leaves one charge too many,
+// never one too few (docs/draining.md, "Proof").
 type Ledger struct {
 	policy  *Policy
 	pages   chargePages
@@ -34,8 +34,8 @@
 }
 
 // recoverCharge adds a charge of a stored page. Two pages have the same charge if a leader split a
-// page and ended before it had written both halves. Then the charge stays on the page that was
-// recovered first, and the other page has to be written without it.
+// page and its term ended before it had written both halves. Then the charge stays on the page that
+// was recovered first, and the other page has to be written without it.
 func (l *Ledger) recoverCharge(p *chargePage, c *Charge) {
 	if known := l.Find(c.TaskKey, c.Attempt); known != nil {
 		l.merge(known, c)
@@ -87,8 +87,8 @@
 	return c
 }
 
-// reopen opens the charge of an attempt that was taken for gone and has turned up again. The state
-// service may hold it as ended, so it has to be stored again.
+// reopen reopens the charge of an attempt that was believed gone and has turned up again. The state
+// service may hold the charge as ended, so the charge has to be stored again.
 func (l *Ledger) reopen(now time.Time, c *Charge) {
 	if !c.Open() {
 		c.AtMS, c.EndMS, c.stored = now.UnixMilli(), 0, false
@@ -180,8 +180,8 @@
 	}
 }
 
-// PageRejected splits a page in two. The caller reports that the state service has rejected it for a
-// reason other than its version, which means that the page is too large.
+// PageRejected splits a page in two. It is to be called when the state service has rejected the page
+// for a reason other than its version, which means that the page is too large.
 func (l *Ledger) PageRejected(name string) { l.pages.split(name) }
 
 // forget removes a page that the state service no longer holds, with its charges.
--- a/internal/drain/machine_queue.go
+++ b/internal/drain/machine_queue.go
@@ -17,23 +17,23 @@
 	deferredFor   map[string]Verdict // why a machine was last deferred
 	deferredInRow int                // deferrals since one was last cordoned, or since the last pause
 	retryAt       time.Time          // nothing is proposed before that
-	plansQueuing  map[string]int     // number of queues by machine; shared by all queues
+	plansQueuing  map[string]int     // by machine, the number of queues that hold it; shared by all queues
 }
 
 func newMachineQueue(plansQueuing map[string]int) machineQueue {
 	return machineQueue{queued: map[string]bool{}, deferredFor: map[string]Verdict{}, plansQueuing: plansQueuing}
 }
 
-// insert queues a machine by its name. The deferred machines at the end aren't sorted in, so that the
-// place is only approximate while there are any.
+// insert puts a machine into the queue, in the order of names. The deferred machines at the end aren't
+// in that order, so the position is only approximate while there are any.
 func (q *machineQueue) insert(name string) {
 	at, _ := slices.BinarySearch(q.names, name)
 	q.names = slices.Insert(q.names, at, name)
 	q.markQueued(name)
 }
 
-// deferMachine puts a machine at the end. Once there were as many deferrals in a row as the queue has
-// machines, nothing is proposed for queueRetryInterval.
+// deferMachine puts a machine at the end. After as many deferrals in a row as the queue has machines,
+// nothing is proposed for queueRetryInterval.
 func (q *machineQueue) deferMachine(now time.Time, name string, reason Verdict) {
 	q.names = append(q.without(name), name)
 	q.markQueued(name)
--- a/internal/drain/page_write.go
+++ b/internal/drain/page_write.go
@@ -23,7 +23,7 @@
 type PageWriteOutcome struct {
 	OK      bool   // the write is known to have been carried out
 	Version uint64 // of the page in the state service; only set if OK or Known
-	Known   bool   // the write isn't known to have been carried out, and Version was read since
+	Known   bool   // the write isn't known to have been carried out, and Version was read after it
 }
 
 // pageState is what pages of charges and of machines have in common: the page's name, and what is
--- a/internal/drain/plan.go
+++ b/internal/drain/plan.go
@@ -69,7 +69,7 @@
 // Bounds of a plan's fields.
 const (
 	maxIDBytes  = 60
-	maxNames    = 100 // so that the plan fits the smallest value that the state service may allow
+	maxNames    = 100 // keeps the plan within the smallest value limit that a state service may have
 	maxDeadline = 90 * 24 * time.Hour
 	maxMachines = 1_000_000 // more than any deployment has
 )
--- a/internal/drain/plan_set.go
+++ b/internal/drain/plan_set.go
@@ -9,11 +9,11 @@
 // planProgress is a plan with the leader's progress in carrying it out.
 type planProgress struct {
 	Plan
-	version       uint64
-	knownSince    time.Time // when this leader first read the plan
-	queue         machineQueue
-	recordWriting bool      // a write of the plan's record is under way
-	recordRetryAt time.Time // the record isn't written before that
+	version         uint64
+	knownSince      time.Time // when this leader first read the plan
+	queue           machineQueue
+	recordWriting   bool      // a write of the plan's record is under way
+	recordNotBefore time.Time // the record isn't written before that
 }
 
 // compareAge orders plans by their time of creation, then by ID.
--- a/internal/drain/plan_writes.go
+++ b/internal/drain/plan_writes.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// planRetryInterval is the pause between two writes of a plan's record.
-	planRetryInterval = 2 * time.Second
+	// planWriteInterval is the pause between two writes of a plan's record.
+	planWriteInterval = 2 * time.Second
 	// keptPlans is how many finished plans are kept for operators to look at.
 	keptPlans = 20
 	// settleTime is how long a leader has to have known a plan before it may conclude that none of
@@ -31,7 +31,7 @@
 func (c *Coordinator) PlanWrites(now time.Time, newest string, complete bool) []PlanWrite {
 	var out []PlanWrite
 	for _, p := range c.plans.byAge {
-		if p.recordWriting || now.Before(p.recordRetryAt) {
+		if p.recordWriting || now.Before(p.recordNotBefore) {
 			continue
 		}
 		if write, due := c.planWrite(now, p, newest, complete); due {
@@ -47,11 +47,11 @@
 	now time.Time, p *planProgress, newest string, complete bool,
 ) (write PlanWrite, due bool) {
 	write = PlanWrite{Plan: p.Plan, Version: p.version}
-	switch end := p.DeadlineAt(); {
+	switch deadline := p.DeadlineAt(); {
 	case p.Phase.Final():
 		write.Delete = true
 		return write, c.isNextDeleted(p)
-	case !end.IsZero() && now.After(end):
+	case !deadline.IsZero() && now.After(deadline):
 		return write, write.Plan.MoveTo(Expired)
 	case p.Through == "" && newest != "" && complete:
 		write.Plan.Through = newest
@@ -87,7 +87,7 @@
 	if p == nil {
 		return
 	}
-	p.recordWriting, p.recordRetryAt = false, now.Add(planRetryInterval)
+	p.recordWriting, p.recordNotBefore = false, now.Add(planWriteInterval)
 	if w.Delete && ok {
 		c.plans.remove(p)
 	}
--- a/internal/drain/verdict.go
+++ b/internal/drain/verdict.go
@@ -11,7 +11,8 @@
 	Attempt uint64
 }
 
-// Candidate is what would be evicted together to empty a machine: one task or a whole gang.
+// Candidate holds the tasks that would be evicted together to empty a machine: one task or a whole
+// gang.
 type Candidate struct {
 	Team, Class  string
 	Job          string
--- a/internal/jobstore/cancel.go
+++ b/internal/jobstore/cancel.go
@@ -23,10 +23,10 @@
 
 // Cancel cancels a job and returns its state. A job that is over or cancelled already is left as
 // it is; for an unknown one the error is ErrUnknownJob. The write is conditional on the record's
-// version, so that of a cancellation and a write of the same record by the leader only one succeeds.
+// version: if the leader writes the same record at the same time, only one of the two succeeds.
 //
 // The guard is a further condition of the write. It ensures that no leader keeps answering users
-// with the state from before: it holds only during the caller's own term (UnderTerm), or only
+// with the state from before: the guard holds only during the caller's own term (UnderTerm), or only
 // while nobody leads (docs/design.md, "The bound of a cancellation"; TestCancelWithoutAnswer). If
 // it fails, the error wraps ErrNotLeader. On statestore.ErrUnknownOutcome, the returned state holds
 // the version of the record that the cancellation may have replaced.
--- a/internal/leadership/extension.go
+++ b/internal/leadership/extension.go
@@ -19,7 +19,7 @@
 //
 // A node grants an extension only while the state service doesn't serve it either; the caller of
 // GrantExtension checks that, and safety doesn't depend on it. A peer that can't be reached grants
-// nothing. So a leader that alone is cut off still loses its lease.
+// nothing. So a leader that is the only node cut off from the state service still loses its lease.
 //
 // The safety argument is in docs/design.md, "Lease extension"; it is tested by TestPeersExtendLease,
 // TestExtensionBindsItsGrantors, TestNoExtensionWhileClaiming and TestStartedNodeWaits.
