--- a/internal/simulation/admission.go
+++ b/internal/simulation/admission.go
@@ -6,35 +6,37 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// admissionNetwork is admission control in a world. The nodes' gates and the leader's planner are the real ones;
-// the network carries policies between them. A nil one admits everything.
+// admissionNetwork is the part of a world that admission control needs: it carries policies between
+// the nodes, whose gates and planner are the real ones, and counts what happens. A nil one means
+// that admission control is off: every job is admitted.
 type admissionNetwork struct {
 	w *World
 	random
 	counts eventCounts
 }
 
-// policyKey holds the policy in the state service, as in the daemon.
+// policyKey is the key of the policy in the state service, the same as in the real controller.
 const policyKey = "adm/policy"
 
-// Settings of admission control in simulated worlds, in which a backlog of seconds is much.
+// Settings of admission control in simulated worlds. A world lasts minutes, so a backlog of seconds
+// already counts as overload.
 const (
-	simulatedPolicyEvery = time.Second
-	simulatedEnter       = 20 * time.Second
-	simulatedExit        = 8 * time.Second
-	simulatedPolicyAge   = 6 * time.Second
-	simulatedFloor       = 0.05
+	simulatedPolicyInterval = time.Second
+	simulatedEnterBacklog   = 20 * time.Second
+	simulatedExitBacklog    = 8 * time.Second
+	simulatedPolicyAge      = 6 * time.Second
+	simulatedFloor          = 0.05
 )
 
 func newAdmissionNetwork(w *World) *admissionNetwork {
 	return &admissionNetwork{w: w, random: newRandom(w.options.Seed, admissionStream), counts: eventCounts{}}
 }
 
-// jobsPerFlood is how many jobs a flood consists of.
+// jobsPerFlood is the number of jobs in a flood.
 const jobsPerFlood = 15
 
-// floodUsers has one team submit bulk work several times, many jobs at once.
-func (w *World) floodUsers() {
+// planFloods schedules several floods: each time, one team submits many bulk jobs within a second.
+func (w *World) planFloods() {
 	a := w.admission
 	for flood := range 3 {
 		at := a.between(0, w.options.Length*2/3)
--- a/internal/simulation/clock.go
+++ b/internal/simulation/clock.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// clock is a world's simulated time: a queue of events, each of which happens at its time and may plan others.
-// Events of the same time happen in the order in which they were planned, so a run depends on nothing but the
-// seed.
+// clock is a world's simulated time and its queue of events. An event that runs may schedule
+// others. Events of the same time run in the order in which they were scheduled, so a run depends
+// on nothing but the seed.
 type clock struct {
-	start   time.Time
-	now     time.Time
-	queue   eventQueue
-	planned int // events so far
+	start     time.Time
+	now       time.Time
+	queue     eventQueue
+	scheduled int // number of events scheduled so far
 }
 
-// startTime is when all worlds begin.
+// startTime is the simulated time at which every world begins.
 var startTime = time.Unix(1_800_000_000, 0)
 
 func newClock() clock { return clock{start: startTime, now: startTime} }
 
-// after runs fn once some time has passed.
+// after schedules fn to run when d has passed; a negative d counts as 0.
 func (c *clock) after(d time.Duration, fn func()) {
-	c.planned++
-	heap.Push(&c.queue, event{c.now.Add(max(d, 0)), c.planned, fn})
+	c.scheduled++
+	heap.Push(&c.queue, event{c.now.Add(max(d, 0)), c.scheduled, fn})
 }
 
-// next takes the next event out of the queue and sets the time to it. It returns false if there is none until
-// the end.
+// next removes the earliest event from the queue and advances the time to it. It returns false if
+// the queue is empty or the earliest event is after the end; such an event is dropped.
 func (c *clock) next(end time.Time) (event, bool) {
 	if len(c.queue) == 0 {
 		return event{}, false
@@ -40,17 +40,17 @@
 	return e, true
 }
 
-// elapsed is the time since the world began.
+// elapsed returns the time since the world began.
 func (c *clock) elapsed() time.Duration { return c.now.Sub(c.start) }
 
-// event is something that happens in a world at some time.
+// event is a function that runs at a given simulated time.
 type event struct {
 	at     time.Time
-	number int // in the order in which events were planned
+	number int // in the order in which events were scheduled
 	fn     func()
 }
 
-// eventQueue is a heap of events, the earliest first.
+// eventQueue is a heap of events with the earliest first. It implements heap.Interface.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
@@ -64,10 +64,10 @@
 
 func (q eventQueue) Swap(i, k int) { q[i], q[k] = q[k], q[i] }
 
-// Push adds an event at the end.
+// Push appends an event.
 func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
 
-// Pop takes the last event out.
+// Pop removes the last event and returns it.
 func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -9,28 +9,30 @@
 	"gingertally/internal/core"
 )
 
-// cloudSim is the cloud: it creates machines within the capacity of each offer, deletes them, and lists them as they
-// were some time ago.
+// cloudSim simulates the cloud. It creates machines, up to a capacity for each combination of type,
+// zone, and spot or on-demand; it deletes them; and its list of machines may be some seconds old.
 type cloudSim struct {
 	w               *World
-	made            int
-	scaleOutAnswers map[string][]string
-	down            bool
-	history         []snapshot
+	created         int                 // number of machines created so far
+	scaleOutAnswers map[string][]string // names of the machines created, by the name of the request
+	down            bool                // the cloud answers no request
+	history         []listSnapshot      // the most recently recorded lists, oldest first
 }
 
-type snapshot struct {
+// listSnapshot is the list of all machines at some time.
+type listSnapshot struct {
 	at   time.Time
 	list []core.Instance
 }
 
-// maxOffer is how many machines of each type, zone and kind there can be.
-const maxOffer = 3
+// offerCapacity is the maximum number of machines of one type in one zone, counted separately for
+// spot and on-demand machines.
+const offerCapacity = 3
 
-// create creates a machine that is up after some time.
+// create creates a machine, whose worker starts after the boot time, and returns its name.
 func (c *cloudSim) create(typ, zone string, spot bool, boot time.Duration) string {
-	name := fmt.Sprintf("m-%06d", c.made)
-	c.made++
+	name := fmt.Sprintf("m-%06d", c.created)
+	c.created++
 	m := &machine{w: c.w, name: name, typ: typ, zone: zone, spot: spot, createdAt: c.w.now,
 		clockRate: c.w.randomClockRate(), images: map[string]bool{}, tasks: map[string]*task{}}
 	c.w.machines[name] = m
@@ -38,9 +40,10 @@
 	return name
 }
 
-// scaleOut creates the machines of a request, once however often it is repeated. It tells whether the request was
-// refused for want of capacity, and whether the cloud answers at all.
-func (c *cloudSim) scaleOut(r core.ScaleOut) (names []string, refused, ok bool) {
+// scaleOut creates the machines of a request, or fewer if the capacity doesn't suffice. A repeated
+// request creates no more machines and returns the same names. It returns noCapacity if no machine
+// can be created, and ok is false if the cloud doesn't answer.
+func (c *cloudSim) scaleOut(r core.ScaleOut) (names []string, noCapacity, ok bool) {
 	if c.down {
 		return nil, false, false
 	}
@@ -69,7 +72,7 @@
 	return names, false, true
 }
 
-// scaleIn deletes machines. They and all tasks on them are gone at once.
+// scaleIn deletes machines; all tasks on them end at once. It returns false if the cloud is down.
 func (c *cloudSim) scaleIn(names []string) bool {
 	if c.down {
 		return false
@@ -85,9 +88,9 @@
 	return true
 }
 
-// snapshot records the present list.
-func (c *cloudSim) snapshot() {
-	s := snapshot{at: c.w.now}
+// recordList adds the current list of machines to the history.
+func (c *cloudSim) recordList() {
+	s := listSnapshot{at: c.w.now}
 	for _, m := range c.w.machines {
 		st := core.InstanceRunning
 		if !m.isUp {
@@ -103,9 +106,11 @@
 	}
 }
 
-// list returns the list as it was some time ago.
+// list records the current list of machines, and returns the newest one that was recorded at or
+// before a random time within the last 4 s; nil if there was none yet. It returns false if the
+// cloud is down.
 func (c *cloudSim) list() ([]core.Instance, bool) {
-	c.snapshot()
+	c.recordList()
 	if c.down {
 		return nil, false
 	}
--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -85,7 +85,7 @@
 	submitted := false
 	s.at(20*time.Second, func() {
 		n := w.nodes[0]
-		body := bodyOf(&w.sortedJobs()[len(w.jobs)-1].spec)
+		body := submissionBody(&w.sortedJobs()[len(w.jobs)-1].spec)
 		body["ref"] = probeJobRefs.ref(0)
 		submitted = s.postSubmission(n, body).Status == http.StatusCreated
 		st, err := n.jobs.Load(t.Context(), probeJobRefs.ref(0))
--- a/internal/simulation/job_refs.go
+++ b/internal/simulation/job_refs.go
@@ -2,11 +2,11 @@
 
 import "fmt"
 
-// jobRefs is a range of job ids. Each generator of jobs in a world has a range of its own, so
-// that no two jobs of a world can have the same id, whichever generators it combines.
+// jobRefs is the first number of a range of job ids. Each generator of jobs in a world has its own
+// range, so that no two jobs of a world have the same id, whichever generators are combined.
 type jobRefs int
 
-// First numbers of the ranges; each has room for 100,000 jobs, that of ordinary users for 200,000.
+// Ranges of job ids. Each has room for at least 100,000 jobs, that of ordinary users for 200,000.
 const (
 	userJobRefs       jobRefs = 0
 	drainJobRefs      jobRefs = 200_000
@@ -20,5 +20,5 @@
 // unsubmittedRef is the id of a job that nobody submits.
 const unsubmittedRef = "j-999999"
 
-// ref is the id of one job of the range.
+// ref returns the id of the job with a number within the range.
 func (r jobRefs) ref(number int) string { return fmt.Sprintf("j-%06d", int(r)+number) }
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -1,8 +1,8 @@
 package simulation
 
-// network is what connects zones and controllers, with its faults.
+// network holds the current faults of the network between zones, controllers and the state service.
 type network struct {
-	reliable         bool               // nothing is lost or delayed by chance any more
+	reliable         bool               // no message is randomly lost or delayed any more
 	peersRefuse      bool               // controllers refuse each other's connections
 	cutZones         map[string]bool    // cut off from everything
 	partitionedZones map[[2]string]bool // pairs of zones that can't reach each other
@@ -12,8 +12,8 @@
 	return network{cutZones: map[string]bool{}, partitionedZones: map[[2]string]bool{}}
 }
 
-// reachable tells whether packets get from one zone to another. An empty name stands for what belongs to no zone,
-// such as the state service.
+// reachable reports whether packets get from one zone to another. An empty name stands for services
+// outside all zones, such as the state service and the cloud.
 func (n *network) reachable(a, b string) bool {
 	if a == b {
 		return true
@@ -22,7 +22,7 @@
 	return !n.cutZones[a] && !n.cutZones[b] && !partitioned
 }
 
-// heal ends all faults of the network, and keeps it from having others by chance.
+// heal ends all faults of the network and turns off random ones.
 func (n *network) heal() {
 	n.reliable, n.peersRefuse = true, false
 	clear(n.cutZones)
--- a/internal/simulation/node.go
+++ b/internal/simulation/node.go
@@ -10,12 +10,12 @@
 	"gingertally/internal/leadership"
 )
 
-// node is a controller: the real core, job store, standby and admission control round a simulated shell. Its
-// state is divided by concern; the methods of each concern stand in a file of their own.
+// node is a controller: the real core, job store, standby and admission control in a simulated
+// process. Its state and methods are grouped by concern; each concern has its own node_*.go file.
 type node struct {
 	w              *World
 	name, zone     string
-	clockRate      float64 // of its steady clock
+	clockRate      float64 // rate of its monotonic clock relative to simulated time
 	runsProduction bool    // runs the version in production
 	health         *health.Tracker
 	jobs           *jobstore.Jobs
@@ -31,39 +31,39 @@
 
 // process is the state of a node's operating system process.
 type process struct {
-	incarnation int       // rises with each end of the process
+	incarnation int       // increases whenever the process starts or ends
 	bootedAt    time.Time // by the node's clock
 	down        bool
-	pausedUntil time.Time // stopped until then, its clocks running on
-	slowUntil   time.Time // computes slowly until then
-	busyUntil   time.Time // is busy with a step until then
+	pausedUntil time.Time // suspended until then, while its clocks run on
+	slowUntil   time.Time // every step takes longer until then
+	busyUntil   time.Time // occupied with a step until then
 }
 
-// leaderState is what a node has while it leads. Without an engine it doesn't.
+// leaderState is the state of a node that leads. The engine is nil if the node doesn't lead.
 type leaderState struct {
 	engine     *core.Engine
 	term       leadership.Term
-	lease      int                 // number of its leader lease in the state service
-	leaseUntil time.Time           // when the lease ends, by its clock
-	extensions map[*node]time.Time // of its lease, granted by each peer, by its clock
-	writing    bool                // a batch is on its way to the state service
+	lease      int                 // id of its leader lease in the state service
+	leaseUntil time.Time           // end of the lease, by the node's clock
+	extensions map[*node]time.Time // ends of the extensions granted by peers, by the node's clock
+	writing    bool                // the outcome of a batch that was sent isn't known yet
 }
 
-// links are the faults of a node's connections.
+// links holds the current faults of a node's connections.
 type links struct {
-	storeUnreachable   bool // cut off from the state service
-	refusedByStore     bool // the state service refuses this node alone
+	storeUnreachable   bool // its requests to the state service get no answer
+	refusedByStore     bool // the state service refuses requests of this node, but not of others
 	workersUnreachable bool
 	peersUnreachable   bool
 }
 
-// storeRequest is how the state service treats the request that a node is just sending.
+// storeRequest says what happens to the request that the state service is executing for a node.
 type storeRequest struct {
 	answerLost  bool
-	commitDelay time.Duration // how much later its transaction is carried out
+	commitDelay time.Duration // its transaction is executed that much later
 }
 
-// How often a node does what it does again and again.
+// Intervals of a node's periodic work.
 const (
 	dependencyLookupInterval = 500 * time.Millisecond
 	healthProbeInterval      = time.Second
@@ -71,17 +71,17 @@
 	instanceListInterval     = 2 * time.Second
 )
 
-// local is the time by the node's steady clock.
+// local returns the time by the node's monotonic clock.
 func (n *node) local() time.Time {
 	return n.w.start.Add(time.Duration(float64(n.w.elapsed()) * n.clockRate))
 }
 
-// holdsLease tells whether the node leads with a valid lease, by its own clock.
+// holdsLease reports whether the node leads and, by its own clock, its lease is valid.
 func (n *node) holdsLease() bool {
 	return !n.down && n.engine != nil && n.local().Before(n.leaseUntil)
 }
 
-// boot starts the process. Its loops end with it.
+// boot starts the process and its periodic work, which ends with the process.
 func (n *node) boot() {
 	n.incarnation++
 	n.down, n.bootedAt = false, n.local()
@@ -100,7 +100,7 @@
 	n.loop(n.incarnation, instanceListInterval, n.listInstances)
 }
 
-// crash ends the process. It boots again after a while.
+// crash ends the process, and boots it again after downFor.
 func (n *node) crash(downFor time.Duration) {
 	n.down, n.pausedUntil, n.busyUntil = true, time.Time{}, time.Time{}
 	n.engine, n.publisher = nil, nil
@@ -108,10 +108,11 @@
 	n.w.after(downFor, n.boot)
 }
 
-// paused tells whether the process is stopped for a while, its clocks running on.
+// paused reports whether the process is suspended; its clocks run on.
 func (n *node) paused() bool { return n.w.now.Before(n.pausedUntil) }
 
-// loop calls a function again and again for as long as an incarnation of the process lasts.
+// loop calls fn periodically until an incarnation of the process ends. The time to the next call is
+// random, from half of `every` to all of it, and longer if the process is paused or busy then.
 func (n *node) loop(incarnation int, every time.Duration, fn func()) {
 	n.w.after(n.w.between(every/2, every), func() {
 		n.run(incarnation, func() {
@@ -121,8 +122,8 @@
 	})
 }
 
-// run has an incarnation of the process do something: at once, or, if it is paused or busy, when it goes on. It
-// does nothing if the process has ended meanwhile.
+// run calls fn in an incarnation of the process: at once or, if the process is paused or busy, once
+// it continues. If the incarnation has ended by then, fn isn't called.
 func (n *node) run(incarnation int, fn func()) {
 	switch {
 	case n.incarnation != incarnation || n.down:
@@ -136,24 +137,26 @@
 	}
 }
 
-// cutOff tells whether the state service can't be reached from here.
-func (n *node) cutOff() bool { return n.links.storeUnreachable || !n.w.network.reachable("", n.zone) }
+// cutOffFromStore reports whether the node's requests to the state service get no answer.
+func (n *node) cutOffFromStore() bool {
+	return n.links.storeUnreachable || !n.w.network.reachable("", n.zone)
+}
 
-// storeDown tells whether the state service, if it is reached, refuses this node.
-func (n *node) storeDown() bool { return n.w.store.down || n.links.refusedByStore }
+// storeRefuses reports whether the state service, if the node reaches it, refuses its requests.
+func (n *node) storeRefuses() bool { return n.w.store.down || n.links.refusedByStore }
 
-// reaches tells whether another controller can be reached from here.
+// reaches reports whether this node and another one can exchange messages.
 func (n *node) reaches(o *node) bool {
 	running := !n.down && !o.down && !n.paused() && !o.paused()
 	connected := !n.links.peersUnreachable && !o.links.peersUnreachable && !n.w.network.peersRefuse
 	return running && connected && n.w.network.reachable(n.zone, o.zone)
 }
 
-// probeHealth notes whether this node reaches the state service and other controllers.
+// probeHealth records which of the state service and the other controllers answer this node.
 func (n *node) probeHealth() {
 	switch {
-	case n.cutOff():
-	case n.storeDown():
+	case n.cutOffFromStore():
+	case n.storeRefuses():
 		n.health.StoreRefused(n.local())
 	default:
 		n.health.StoreServed(n.local())
--- a/internal/simulation/node_admission.go
+++ b/internal/simulation/node_admission.go
@@ -15,15 +15,17 @@
 	"gingertally/internal/userapi"
 )
 
-// admissionControl is a node's part in admission control. All of it is nil where that is off.
+// admissionControl is a node's state of admission control. The gate and the planner are nil if
+// admission control is off.
 type admissionControl struct {
 	gate         *admission.Gate
-	planner      *admission.Planner // of the term that the node leads in
+	planner      *admission.Planner // of the last term in which the node led and planned
 	plannerTerm  uint64
-	latestPolicy admission.Policy // that is stored
+	latestPolicy admission.Policy // the newest stored one that the node knows as leader
 }
 
-// bootAdmission gives a process that has just started a gate without a policy.
+// bootAdmission gives a process that has just started a new gate, which has no policy yet. Nodes of
+// the version in production get none.
 func (n *node) bootAdmission() {
 	n.gate, n.planner = nil, nil
 	if n.w.admission == nil || n.runsProduction {
@@ -32,13 +34,13 @@
 	n.gate = admission.NewGate(n.local(), admission.GateOptions{
 		Teams: slices.Sorted(maps.Keys(n.w.teams)), JobsPerSecond: 4, PolicyAge: simulatedPolicyAge,
 	})
-	n.loop(n.incarnation, simulatedPolicyEvery, n.planAdmission)
-	n.loop(n.incarnation, simulatedPolicyAge/3, n.keepPolicy)
+	n.loop(n.incarnation, simulatedPolicyInterval, n.planAdmission)
+	n.loop(n.incarnation, simulatedPolicyAge/3, n.refreshPolicy)
 }
 
-// admits tells whether a node takes a job now, or after which time its user may come again. A known job is never
-// refused.
-func (n *node) admits(j *userJob) (again time.Duration, ok bool) {
+// admits reports whether the node admits a submission; if not, it returns how long the user has to
+// wait before the next attempt. A job that is already stored is never refused.
+func (n *node) admits(j *userJob) (retryAfter time.Duration, ok bool) {
 	if n.gate == nil || n.w.store.holdsJob(j.spec.Ref) {
 		return 0, true
 	}
@@ -55,8 +57,9 @@
 	return d.RetryAfter, false
 }
 
-// takePolicy offers a node a policy, which it takes if the policy is newer than its own.
-func (n *node) takePolicy(p admission.Policy) {
+// applyPolicy makes a policy the node's own if it is newer, or confirms it if it is the current
+// one.
+func (n *node) applyPolicy(p admission.Policy) {
 	a, before := n.w.admission, *n.gate.Policy()
 	if n.gate.Apply(n.local(), p) {
 		a.counts["policies taken"]++
@@ -69,32 +72,35 @@
 	}
 }
 
-// storedPolicy is the policy that the state service holds, as a node reads it.
+// storedPolicy reads the policy from the state service; without a stored one it returns the zero
+// policy. It returns false if the read fails.
 func (n *node) storedPolicy() (p admission.Policy, ok bool) {
 	item, found, err := n.storeView().Get(context.Background(), policyKey)
 	if err != nil {
 		return p, false
 	}
 	if found && codec.Unmarshal(item.Value, &p) != nil {
-		n.w.checker.fail("the policy can't be read")
+		n.w.checker.fail("the stored admission policy can't be decoded")
 	}
 	return p, true
 }
 
-// keepPolicy has a node that hears no leader read the policy from the state service.
-func (n *node) keepPolicy() {
-	if n.holdsLease() || n.cutOff() || n.local().Sub(n.gate.ConfirmedAt()) < simulatedPolicyAge/2 {
+// refreshPolicy reads the policy from the state service if the node doesn't lead and its policy
+// hasn't been confirmed for a while.
+func (n *node) refreshPolicy() {
+	if n.holdsLease() || n.cutOffFromStore() || n.local().Sub(n.gate.ConfirmedAt()) < simulatedPolicyAge/2 {
 		return
 	}
 	if p, ok := n.storedPolicy(); ok {
-		n.takePolicy(p)
+		n.applyPolicy(p)
 	}
 }
 
-// planAdmission is the leader's round: it gathers what the gates have counted, plans a policy, stores it and sends it
-// to all nodes.
+// planAdmission is the leader's periodic planning of admission control: it collects the counts of
+// all gates and plans a policy. A new policy is stored first and then sent to all nodes; an
+// unchanged one is only sent again.
 func (n *node) planAdmission() {
-	if !n.holdsLease() || n.cutOff() {
+	if !n.holdsLease() || n.cutOffFromStore() {
 		return
 	}
 	if n.planner == nil || n.plannerTerm != n.term.Number {
@@ -103,8 +109,8 @@
 			return
 		}
 		n.planner = admission.NewPlanner(n.local(), admission.PlannerOptions{
-			Quotas: n.w.teams, Floor: simulatedFloor, EnterBacklog: simulatedEnter, ExitBacklog: simulatedExit,
-			Interval: simulatedPolicyEvery,
+			Quotas: n.w.teams, Floor: simulatedFloor, EnterBacklog: simulatedEnterBacklog, ExitBacklog: simulatedExitBacklog,
+			Interval: simulatedPolicyInterval,
 		}, n.term.Number, stored)
 		n.plannerTerm, n.latestPolicy = n.term.Number, stored
 	}
@@ -134,14 +140,15 @@
 		if stored && n.engine == engine && n.holdsLease() {
 			n.w.admission.counts["policies stored"]++
 			n.latestPolicy = policy
-			n.takePolicy(policy)
+			n.applyPolicy(policy)
 			n.step(core.FairOrderChanged{On: policy.Overloaded()})
 			n.sendPolicy()
 		}
 	})
 }
 
-// sendPolicy sends the stored policy to all nodes, some late and some twice.
+// sendPolicy sends the stored policy to all other nodes that can be reached. In an unreliable
+// network some get it a second time, late.
 func (n *node) sendPolicy() {
 	a, p := n.w.admission, n.latestPolicy
 	for _, o := range n.w.nodes {
@@ -150,7 +157,7 @@
 		}
 		incarnation := o.incarnation
 		deliver := func(delay time.Duration) {
-			n.w.after(delay, func() { o.run(incarnation, func() { o.takePolicy(p) }) })
+			n.w.after(delay, func() { o.run(incarnation, func() { o.applyPolicy(p) }) })
 		}
 		deliver(a.between(time.Millisecond, 30*time.Millisecond))
 		if n.w.unreliable() && a.rng.IntN(10) == 0 {
--- a/internal/simulation/node_cloud.go
+++ b/internal/simulation/node_cloud.go
@@ -6,7 +6,7 @@
 	"gingertally/internal/core"
 )
 
-// listInstances has the leader list the cloud's machines.
+// listInstances has the leader request the cloud's list of machines and pass it to its engine.
 func (n *node) listInstances() {
 	if !n.holdsLease() {
 		return
@@ -24,7 +24,8 @@
 	})
 }
 
-// scaleOut sends a request for machines to the cloud. Its answer may be lost.
+// scaleOut sends a request for machines to the cloud. The request may fail to arrive, and its
+// answer may be lost; the outcome is then unknown.
 func (n *node) scaleOut(r core.ScaleOut) {
 	answer := n.cloudAnswer()
 	n.w.after(n.w.between(50*time.Millisecond, 300*time.Millisecond), func() {
@@ -32,18 +33,18 @@
 			n.w.after(4*time.Second, func() { answer(core.ScaleOutAnswered{Request: r, OutcomeUnknown: true}) })
 			return
 		}
-		names, refused, ok := n.w.cloud.scaleOut(r)
+		names, noCapacity, ok := n.w.cloud.scaleOut(r)
 		lost := n.w.unreliable() && n.w.chance(0.1)
-		answer(core.ScaleOutAnswered{Request: r, Machines: names, NoCapacity: refused, OutcomeUnknown: !ok || lost})
+		answer(core.ScaleOutAnswered{Request: r, Machines: names, NoCapacity: noCapacity, OutcomeUnknown: !ok || lost})
 	})
 }
 
-// scaleIn has the cloud delete machines.
+// scaleIn sends the cloud a request to delete machines.
 func (n *node) scaleIn(names []string) {
 	answer := n.cloudAnswer()
 	delay := n.w.between(50*time.Millisecond, 300*time.Millisecond)
 	if n.w.unreliable() && (n.w.chance(0.05) || !n.w.network.reachable("", n.zone)) {
-		// The answer is lost, and the deletion happens at some later time.
+		// The answer is lost, and the machines are deleted at some later time.
 		n.w.after(n.w.between(time.Second, 20*time.Second), func() { n.w.cloud.scaleIn(names) })
 		n.w.after(4*time.Second, func() { answer(core.ScaleInAnswered{Machines: names}) })
 		return
@@ -51,7 +52,8 @@
 	n.w.after(delay, func() { answer(core.ScaleInAnswered{Machines: names, OK: n.w.cloud.scaleIn(names)}) })
 }
 
-// cloudAnswer returns a function that brings an answer of the cloud to the engine that has asked, if that still leads.
+// cloudAnswer returns a function that passes the cloud's answer to the engine that sent the
+// request, or drops the answer if that engine's term has ended by then.
 func (n *node) cloudAnswer() func(core.Event) {
 	engine, incarnation := n.engine, n.incarnation
 	return func(ev core.Event) {
--- a/internal/simulation/node_drains.go
+++ b/internal/simulation/node_drains.go
@@ -11,10 +11,11 @@
 	"gingertally/internal/statestore"
 )
 
-// drainsOn tells whether a node runs a version that knows of drains.
+// drainsOn reports whether drains are on in this world and the node runs a version that supports
+// them.
 func (n *node) drainsOn() bool { return n.w.drains != nil && !n.runsProduction }
 
-// readDrains reads what is stored of drains for a new leader.
+// readDrains adds what is stored about drains to the snapshot of a new leader.
 func (n *node) readDrains(snap *core.Snapshot) error {
 	if !n.drainsOn() {
 		return nil
@@ -27,8 +28,8 @@
 	return err
 }
 
-// writePlan writes a leader's change of a plan's record.
-func (n *node) writePlan(w drain.PlanWrite) {
+// writeDrainPlan writes a plan's record for the leader, and passes the outcome to its engine.
+func (n *node) writeDrainPlan(w drain.PlanWrite) {
 	engine, term, jobs := n.engine, n.term, n.jobs
 	ok := false
 	n.callOnce(func() {
@@ -40,8 +41,10 @@
 	})
 }
 
-// drainChanged has the leader's watch see changes of drain plans, each after a while.
-func (w *World) drainChanged(changes []statestore.Op) {
+// notifyDrainWatchers delivers changed drain plans to the watches of all leaders, each after a
+// random delay, and triggers what scripts have waiting for a cordon or a charge to a disruption
+// budget.
+func (w *World) notifyDrainWatchers(changes []statestore.Op) {
 	if w.drains == nil {
 		return
 	}
@@ -66,7 +69,7 @@
 	}
 }
 
-// loadDrainPlan brings a leader a plan as it is stored.
+// loadDrainPlan reads a plan from the state service and passes it to the engine.
 func (n *node) loadDrainPlan(id string) {
 	if stored, err := n.jobs.DrainPlan(context.Background(), id); err == nil {
 		n.step(core.DrainPlanStored{Stored: stored})
--- a/internal/simulation/node_election.go
+++ b/internal/simulation/node_election.go
@@ -10,15 +10,16 @@
 	"gingertally/internal/statestore"
 )
 
-// candidacy is a node's part in elections.
+// candidacy is a node's state in elections.
 type candidacy struct {
-	claimTried   bool
-	pendingClaim int       // which claim is under way, 0: none
-	claims       int       // so far
+	claimTried   bool      // it didn't skip the last round
+	pendingClaim int       // number of the claim that is under way; 0: none
+	claims       int       // number of claims so far
 	grantedUntil time.Time // end of the last lease extension that it granted to a leader
 }
 
-// claimOrRenew claims the leader lease, or renews it.
+// claimOrRenew renews the leader lease if the node leads. If not, it tries to claim the lease;
+// after an attempt it skips the next round at random, but never two rounds in succession.
 func (n *node) claimOrRenew() {
 	if n.engine != nil {
 		n.requestExtensions()
@@ -30,19 +31,20 @@
 		return
 	}
 	n.candidacy.claimTried = true
-	if n.mayClaim() && n.mayClaimNow() {
+	if n.mayClaim() && n.claimDelayElapsed() {
 		n.claim()
 	}
 }
 
-// renew asks the state service to renew the leader lease.
+// renew asks the state service to renew the leader lease. If the lease no longer exists there, the
+// node's term ends.
 func (n *node) renew() {
 	w, sent := n.w, n.local()
 	lease, renewed, over := n.lease, false, false
 	n.send(func() {
 		switch {
-		case n.storeDown():
-		case w.store.lease.alive(w.now, lease):
+		case n.storeRefuses():
+		case w.store.lease.heldAs(w.now, lease):
 			w.store.lease.until, renewed = w.now.Add(w.options.LeaseTTL), true
 		default:
 			over = true
@@ -53,19 +55,19 @@
 		case over:
 			n.endTerm()
 		case renewed:
-			n.leaseProven(sent)
+			n.leaseRenewed(sent)
 		}
 	}, true)
 }
 
-// claim asks the state service for the next term.
+// claim asks the state service for the leader lease and the next term.
 func (n *node) claim() {
 	sent := n.local()
 	n.candidacy.claims++
 	claim := n.candidacy.claims
 	n.candidacy.pendingClaim = claim
 	incarnation := n.incarnation
-	n.w.after(callTimeout, func() { // without an answer by then it is never acted on
+	n.w.after(callTimeout, func() { // an answer that comes later is ignored
 		n.run(incarnation, func() {
 			if n.candidacy.pendingClaim == claim {
 				n.candidacy.pendingClaim = 0
@@ -85,49 +87,52 @@
 	}, true)
 }
 
-// nextTerm is the state service's part in a claim. Term 0 means that the claim has failed.
+// nextTerm is what the state service does for a claim: unless the lease is held, it grants the
+// lease and begins the next term. The term's number is 0 if the claim has failed.
 func (n *node) nextTerm() (t leadership.Term, lease int) {
 	w := n.w
-	if n.storeDown() || w.store.lease.held(w.now) {
+	if n.storeRefuses() || w.store.lease.held(w.now) {
 		return t, 0
 	}
-	var tv struct {
+	var latest struct {
 		N uint64 `cbor:"n"`
 	}
 	it, found, _ := w.store.Get(context.Background(), leadership.TermKey)
-	if found && codec.Unmarshal(it.Value, &tv) != nil {
+	if found && codec.Unmarshal(it.Value, &latest) != nil {
 		return t, 0
 	}
-	seen, restored, _ := w.store.Get(context.Background(), leadership.RestoredKey)
-	highest := tv
-	if restored && codec.Unmarshal(seen.Value, &highest) != nil {
+	record, restored, _ := w.store.Get(context.Background(), leadership.RestoredKey)
+	highest := latest
+	if restored && codec.Unmarshal(record.Value, &highest) != nil {
 		return t, 0
 	}
-	tv.N = max(tv.N, highest.N) + 1
+	latest.N = max(latest.N, highest.N) + 1
 	rev, err := w.store.Commit(context.Background(),
 		[]statestore.Compare{{Key: leadership.TermKey, ModRevision: it.ModRevision}},
-		[]statestore.Op{statestore.Put(leadership.TermKey, codec.MustMarshal(tv))})
+		[]statestore.Op{statestore.Put(leadership.TermKey, codec.MustMarshal(latest))})
 	if err != nil {
 		return t, 0
 	}
 	w.store.lease.id++
 	w.store.lease.until = w.now.Add(w.options.LeaseTTL)
-	return leadership.Term{Number: tv.N, Revision: rev, Restored: restored}, w.store.lease.id
+	return leadership.Term{Number: latest.N, Revision: rev, Restored: restored}, w.store.lease.id
 }
 
-// leaderLease is the lease under the leader's key.
+// leaderLease is the leader lease as the state service keeps it.
 type leaderLease struct {
-	id    int
+	id    int // increases with each claim that succeeds
 	until time.Time
 }
 
+// held reports whether a node holds the lease.
 func (l *leaderLease) held(now time.Time) bool { return now.Before(l.until) }
 
-func (l *leaderLease) alive(now time.Time, id int) bool { return l.id == id && l.held(now) }
+// heldAs reports whether the lease with this id is still held.
+func (l *leaderLease) heldAs(now time.Time, id int) bool { return l.id == id && l.held(now) }
 
-// leaseProven notes that a request which was sent at some time has renewed the lease. The lease counts from then, less
-// the drift of clocks and a margin.
-func (n *node) leaseProven(sent time.Time) {
+// leaseRenewed records that a request has granted or renewed the lease. The lease lasts from when
+// the request was sent, shortened by the drift between two clocks and a margin.
+func (n *node) leaseRenewed(sent time.Time) {
 	if u := sent.Add(n.w.options.LeaseTTL - n.w.options.LeaseTTL/500 - 100*time.Millisecond); u.After(n.leaseUntil) {
 		lapsed := !n.holdsLease()
 		n.leaseUntil = u
@@ -137,7 +142,8 @@
 	}
 }
 
-// elected begins a term with what the state service holds.
+// elected begins a term with the records that the state service holds. If they can't be read, the
+// node doesn't lead.
 func (n *node) elected(t leadership.Term, lease int, sent time.Time) {
 	snap, revision, err := n.jobs.Snapshot(context.Background())
 	if err != nil || n.readDrains(&snap) != nil {
@@ -147,6 +153,6 @@
 	snap.Restored = t.Restored
 	n.engine = core.New(n.local(), n.engineConfig(), t.Number, snap)
 	n.warmStart(t, revision)
-	n.leaseProven(sent)
+	n.leaseRenewed(sent)
 	n.step(core.CatalogUpdated{Types: n.w.catalog})
 }
--- a/internal/simulation/node_engine.go
+++ b/internal/simulation/node_engine.go
@@ -10,7 +10,7 @@
 	"gingertally/internal/statestore"
 )
 
-// engineConfig is the engine's part of a node's settings.
+// engineConfig returns the configuration of the node's engine.
 func (n *node) engineConfig() core.Config {
 	o := &n.w.options
 	config := core.Config{
@@ -36,7 +36,8 @@
 	return config
 }
 
-// step brings the engine an event, and carries out what it decides.
+// step passes an event to the engine and applies the effects that it returns. The node's term ends
+// if the effects show that it is deposed, or that its attempt numbers are exhausted.
 func (n *node) step(ev core.Event) core.Effects {
 	effects := n.engine.Step(n.local(), ev)
 	n.w.digest.addStep(n, ev, effects)
@@ -48,24 +49,24 @@
 		}
 	}
 	if effects.Deposed() {
-		n.noteRestored(effects.HigherFencingToken)
+		n.recordRestore(effects.HigherFencingToken)
 	}
 	if effects.Deposed() || effects.AttemptNumbersExhausted {
 		n.endTerm()
 		return core.Effects{}
 	}
-	n.carryOut(effects)
+	n.applyEffects(effects)
 	return effects
 }
 
-// carryOut sends out what an engine wants done.
-func (n *node) carryOut(effects core.Effects) {
+// applyEffects sends the commands, writes of drain plans and cloud requests in an engine's effects.
+func (n *node) applyEffects(effects core.Effects) {
 	for _, d := range effects.DirectCommands {
 		n.w.output.directCommands(n, d)
 		n.w.sendDirectCommands(n, d)
 	}
 	for _, p := range effects.Drains {
-		n.writePlan(p)
+		n.writeDrainPlan(p)
 	}
 	for _, r := range effects.ScaleOut {
 		n.w.output.scaleOut(n, r)
@@ -77,32 +78,33 @@
 	}
 }
 
-// noteRestored notes in the state service that it was restored from an older copy, if this node's term is the
-// newest that the state service knows.
-func (n *node) noteRestored(token uint64) {
+// recordRestore records in the state service that it was restored from an older copy, with the
+// higher fencing token that shows this. The write fails unless this node's term is still the newest
+// one there.
+func (n *node) recordRestore(token uint64) {
 	term, view := n.term, n.storeView()
 	n.call(func() {
-		// If this fails the next leader finds it out again.
+		// If the write fails, the next leader detects the restore again.
 		_, _ = view.Commit(context.Background(), []statestore.Compare{jobstore.UnderTerm(term)},
 			[]statestore.Op{statestore.Put(leadership.RestoredKey, leadership.RestoredValue(token))})
 	}, func() {})
 }
 
-// tick has the leader decide, write and replicate.
+// tick has the leader decide, write its records, and replicate its warm state.
 func (n *node) tick() {
 	if !n.holdsLease() {
 		return
 	}
 	n.step(core.Tick{})
 	if n.restoreSettled() {
-		_ = n.jobs.Delete(context.Background(), n.term, leadership.RestoredKey) // else with the next tick
+		_ = n.jobs.Delete(context.Background(), n.term, leadership.RestoredKey) // retried with the next tick
 	}
 	n.write()
 	n.replicate()
 }
 
-// restoreSettled tells whether the note that the state service was restored can be dropped now.
+// restoreSettled reports whether the record of a restore of the state service can be deleted now.
 func (n *node) restoreSettled() bool {
 	return n.term.Restored && n.engine != nil && n.engine.RestoreSettled(n.local()) &&
-		n.w.store.items[leadership.RestoredKey] != nil && !n.storeDown() && !n.cutOff()
+		n.w.store.items[leadership.RestoredKey] != nil && !n.storeRefuses() && !n.cutOffFromStore()
 }
--- a/internal/simulation/node_heartbeats.go
+++ b/internal/simulation/node_heartbeats.go
@@ -10,29 +10,33 @@
 
 // heartbeatAnswer is a controller's answer to a heartbeat.
 type heartbeatAnswer struct {
-	status   int // of HTTP, or statusHeld
+	status   int // HTTP status, or statusHeld
 	response core.HeartbeatResponse
-	leader   *node // that holds the answer, or that the worker is redirected to
+	leader   *node // the node that holds the answer, or to which the worker is redirected
 }
 
-// statusHeld stands for an answer that the leader holds until it has decided what the worker is to do.
+// statusHeld marks an answer that the leader holds back until it has decided what the worker has to
+// do.
 const statusHeld = 0
 
 var answerUnavailable = heartbeatAnswer{status: http.StatusServiceUnavailable}
 
-// held tells whether the leader holds the answer.
+// held reports whether the leader holds the answer back.
 func (a *heartbeatAnswer) held() bool { return a.status == statusHeld }
 
-// redirects tells whether the answer names another node as the leader.
+// redirects reports whether the answer names another node as the leader.
 func (a *heartbeatAnswer) redirects() bool { return a.status == http.StatusMisdirectedRequest }
 
-// answerHeartbeat answers a worker's heartbeat that has arrived; relayed ones come from another node.
+// answerHeartbeat answers a worker's heartbeat; relayed says that another node has passed it on.
 func (n *node) answerHeartbeat(h fleet.Heartbeat, relayed bool) heartbeatAnswer {
 	answer := n.decideAnswer(h, relayed)
 	n.w.output.workerAnswer(n, h.Machine, answer)
 	return answer
 }
 
+// decideAnswer has the leader's engine answer a heartbeat. A node that doesn't lead redirects the
+// worker to the leader, or is unavailable if it knows no leader, can't serve, or got the heartbeat
+// relayed.
 func (n *node) decideAnswer(h fleet.Heartbeat, relayed bool) heartbeatAnswer {
 	if n.holdsLease() {
 		return n.answerAsLeader(h.Machine, core.HeartbeatReceived{Heartbeat: h})
@@ -48,7 +52,8 @@
 	return answerUnavailable
 }
 
-// answerAsLeader is the answer that a leader's engine gives to an event of a machine, if the node still leads then.
+// answerAsLeader passes a machine's event to the engine and returns its answer. The node is
+// unavailable if the engine accepts nothing, or if the node no longer holds the lease afterwards.
 func (n *node) answerAsLeader(machine string, event core.Event) heartbeatAnswer {
 	response := n.step(event).Response
 	switch {
@@ -61,7 +66,8 @@
 	return heartbeatAnswer{status: http.StatusOK, response: *response}
 }
 
-// completeHeldAnswer completes an answer that is held a moment later, or when the leader says so.
+// completeHeldAnswer completes a held answer after a random delay, and again after another one for
+// as long as the engine keeps holding it, and then sends it.
 func (n *node) completeHeldAnswer(h fleet.Heartbeat, send func(heartbeatAnswer)) {
 	engine, incarnation := n.engine, n.incarnation
 	var tryAgain func()
@@ -80,7 +86,8 @@
 	tryAgain()
 }
 
-// answerHeldHeartbeat answers a heartbeat whose answer an engine held. It may hold it once more.
+// answerHeldHeartbeat completes the answer to a heartbeat that an engine has held. The engine may
+// hold it once more. If that engine no longer leads, the node is unavailable.
 func (n *node) answerHeldHeartbeat(h fleet.Heartbeat, engine *core.Engine) heartbeatAnswer {
 	answer := answerUnavailable
 	if n.holdsLease() && n.engine == engine {
--- a/internal/simulation/node_lease_extension.go
+++ b/internal/simulation/node_lease_extension.go
@@ -6,11 +6,11 @@
 	"gingertally/internal/leadership"
 )
 
-// Lease extension as in package leadership: while the state service doesn't renew the leader's lease, the lease lasts
-// for as long as all peers have agreed not to claim.
+// This file simulates the lease extension of package leadership: while the state service doesn't
+// renew the leader's lease, the lease lasts for as long as all peers have agreed not to claim.
 
-// extensionGranted records a peer's extension. A lease that is still valid is extended to the earliest time that all
-// peers have granted. One that has lapsed stays lapsed.
+// extensionGranted records an extension that a peer has granted. If the lease is still valid, it is
+// extended to the earliest of the times that the peers have granted. A lapsed lease stays lapsed.
 func (n *node) extensionGranted(peer *node, until time.Time) {
 	if !n.holdsLease() {
 		return
@@ -27,8 +27,9 @@
 	}
 }
 
-// mayClaim tells whether no extension that this node has granted can be in force any more, not even one from before it
-// booted, of which it knows nothing.
+// mayClaim reports whether no extension that this node has granted can still be in force. A node
+// that has just booted doesn't know what it granted before, so it waits as long as an extension
+// lasts, unless there was no term yet. The version in production grants none and doesn't wait.
 func (n *node) mayClaim() bool {
 	if n.local().Before(n.candidacy.grantedUntil) {
 		return false
@@ -37,8 +38,8 @@
 	return n.runsProduction || !led || n.local().Sub(n.bootedAt) >= leadership.ExtensionDuration
 }
 
-// requestExtensions asks all peers to extend the lease if the state service doesn't renew it. Nodes of the version in
-// production know of no lease extensions.
+// requestExtensions asks all peers to extend the lease if the state service hasn't renewed it for a
+// while. Nodes of the version in production don't support lease extensions.
 func (n *node) requestExtensions() {
 	if n.runsProduction || n.leaseUntil.Sub(n.local()) >= n.w.options.LeaseTTL*5/8 {
 		return
@@ -50,8 +51,8 @@
 	}
 }
 
-// requestExtension asks one peer. The request may be delayed, so the extension counts from the time at which it was
-// sent.
+// requestExtension asks one peer for an extension. Since the request may be delayed, the extension
+// counts from when the request was sent.
 func (n *node) requestExtension(peer *node) {
 	w, engine, incarnation, sent := n.w, n.engine, n.incarnation, n.local()
 	there, back := w.between(time.Millisecond, 30*time.Millisecond), w.between(time.Millisecond, 30*time.Millisecond)
@@ -72,13 +73,14 @@
 	})
 }
 
-// grantExtension has this node agree not to claim for a while. Now and then it does so although the state service
-// serves it, since safety doesn't depend on its refusal.
+// grantExtension has this node agree not to claim for a while, and reports whether it agrees. It
+// refuses if it leads, is claiming, or runs the version in production. If the state service serves
+// it, it refuses most of the time, but not always, since safety doesn't depend on this refusal.
 func (n *node) grantExtension() bool {
 	if n.runsProduction || n.engine != nil || n.candidacy.pendingClaim != 0 {
 		return false
 	}
-	if served := !n.storeDown() && !n.cutOff(); served && !n.w.script.grantsWhileServed() && !n.w.chance(0.2) {
+	if served := !n.storeRefuses() && !n.cutOffFromStore(); served && !n.w.script.grantsWhileServed() && !n.w.chance(0.2) {
 		return false
 	}
 	n.candidacy.grantedUntil = n.local().Add(leadership.ExtensionDuration)
--- a/internal/simulation/node_queries.go
+++ b/internal/simulation/node_queries.go
@@ -6,14 +6,15 @@
 	"gingertally/internal/core"
 )
 
-// answerQuery is a node's answer to a query about a job: what it knows itself, or what another node knows. ok is false
-// if it can't tell.
+// answerQuery answers a user's query about a job with what the node itself knows or, if that is
+// nothing, what another node knows. It returns false for ok if the node can't tell.
 func (n *node) answerQuery(ref string) (v core.JobView, known, ok bool) {
 	v, known, ok = n.queryAnyNode(ref)
 	n.w.output.jobView(n, ref, v, known, ok)
 	return v, known, ok
 }
 
+// queryAnyNode is answerQuery without adding the answer to the output digest.
 func (n *node) queryAnyNode(ref string) (v core.JobView, known, ok bool) {
 	if n.down || n.paused() || !n.w.network.reachable("", n.zone) {
 		return v, false, false
@@ -31,8 +32,9 @@
 	return v, false, false
 }
 
-// queryLocally is what a node knows of a job by itself: from its engine if it leads, and else from the state service.
-// ok is false if it can't tell.
+// queryLocally returns what a node knows about a job without asking others: from its engine if it
+// leads and knows the job, otherwise from the state service. It returns false for ok if the node
+// can't tell.
 func (n *node) queryLocally(ref string) (v core.JobView, known, ok bool) {
 	if n.down {
 		return v, false, false
@@ -42,7 +44,7 @@
 			return v, true, true
 		}
 	}
-	if n.cutOff() {
+	if n.cutOffFromStore() {
 		return v, false, false
 	}
 	st, err := n.jobs.Load(context.Background(), ref)
--- a/internal/simulation/node_standby.go
+++ b/internal/simulation/node_standby.go
@@ -8,14 +8,16 @@
 	"gingertally/internal/standby"
 )
 
-// warmStandby is a node's part in the replication of the warm state. All of it is nil where that is off.
+// warmStandby is a node's state in the replication of the warm state. The standby and the publisher
+// are nil if replication is off.
 type warmStandby struct {
 	standby     *standby.Standby   // its copy of the leader's warm state
-	publisher   *standby.Publisher // of the term that the node leads in
-	vacantSince time.Time          // since when nobody leads, as far as it knows
+	publisher   *standby.Publisher // of the term in which the node leads; nil if it doesn't lead
+	vacantSince time.Time          // when the node noticed that there is no leader; zero if it hasn't
 }
 
-// standbyOn tells whether a node takes part in the replication. The version in production doesn't.
+// standbyOn reports whether the node takes part in the replication. The version in production
+// doesn't.
 func (n *node) standbyOn() bool { return n.w.standbys != nil && !n.runsProduction }
 
 // bootStandby gives a process that has just started an empty copy.
@@ -26,9 +28,10 @@
 	}
 }
 
-// mayClaimNow tells whether the node may claim leadership, or lets a standby with a more current copy claim first. It
-// learns that nobody leads as it tries to claim.
-func (n *node) mayClaimNow() bool {
+// claimDelayElapsed reports whether the node has waited long enough, since it noticed that there is
+// no leader, for a standby with a more current copy to claim first. It notices this only here, that
+// is, when it tries to claim.
+func (n *node) claimDelayElapsed() bool {
 	if n.standby == nil {
 		return true
 	}
@@ -47,7 +50,8 @@
 	return true
 }
 
-// warmStart begins a term from the standby's copy of the warm state, if what the state service held confirms the copy.
+// warmStart begins a term with the standby's copy of the warm state if the records read from the
+// state service, as of a revision, confirm the copy. Otherwise the takeover is a cold one.
 func (n *node) warmStart(t leadership.Term, revision uint64) {
 	if n.standby == nil {
 		return
@@ -56,7 +60,7 @@
 	n.standby.Claimed(standby.Claim{Term: t.Number, Revision: t.Revision})
 	view, err := n.standby.ConfirmCopy(n.local(), revision)
 	n.publisher = standby.NewPublisher(t.Number, standby.Options{
-		QueueBound: simulatedQueueBound, SnapshotInterval: simulatedSnapshotPace, Heartbeat: simulatedHeartbeat,
+		QueueBound: simulatedQueueBound, SnapshotInterval: simulatedSnapshotInterval, Heartbeat: simulatedHeartbeat,
 	})
 	if err != nil {
 		s.count("cold takeovers: "+err.Error(), 1)
@@ -64,7 +68,7 @@
 	}
 	records, err := standby.Decode(view.Entries)
 	if err != nil {
-		n.w.checker.fail("%s can't read its copy: %v", n.name, err)
+		n.w.checker.fail("%s can't decode its copy of the warm state: %v", n.name, err)
 		return
 	}
 	n.step(core.WarmStart{Records: records, Confirmed: view.Recent})
@@ -75,7 +79,7 @@
 	s.count("attempts unstored", outcome.OnlyInWarmState)
 }
 
-// endTerm ends the node's term.
+// endTerm ends the term in which the node leads.
 func (n *node) endTerm() {
 	n.engine, n.publisher = nil, nil
 	if n.standby != nil {
@@ -83,12 +87,12 @@
 	}
 }
 
-// replicate sends the changes of the leader's warm state to its followers.
+// replicate sends the changes of the leader's warm state to all followers that it reaches.
 func (n *node) replicate() {
 	if n.publisher == nil || n.engine == nil {
 		return
 	}
-	n.publisher.Publish(standby.Encode(n.engine.WarmChanges(n.local(), warmChangesAtOnce)))
+	n.publisher.Publish(standby.Encode(n.engine.WarmChanges(n.local(), maxWarmChanges)))
 	s := n.w.standbys
 	for _, o := range n.w.nodes {
 		if o == n || o.standby == nil {
@@ -105,8 +109,8 @@
 	}
 }
 
-// sendFrames sends what a follower lacks. A follower whose disk or network is slow gets nothing for a while, so that the
-// bound of the leader's queue is met.
+// sendFrames sends a follower the frames that it lacks. A follower that is slow gets nothing for a
+// while, so that the leader's queue for it reaches its bound.
 func (n *node) sendFrames(c *stream, o *node) {
 	s, w := n.w.standbys, n.w
 	if w.now.Before(c.lagUntil) || w.now.Before(s.laggingUntil) {
@@ -128,7 +132,7 @@
 	}
 }
 
-// nameSuccessor has a leader that is shutting down tell its followers which of them is to lead next.
+// nameSuccessor has a leader that shuts down choose a successor among its followers and tell them.
 func (n *node) nameSuccessor() {
 	if n.publisher == nil {
 		return
--- a/internal/simulation/node_store.go
+++ b/internal/simulation/node_store.go
@@ -11,15 +11,16 @@
 	"gingertally/internal/statestore"
 )
 
-// callTimeout is when a node takes a call for unanswered.
+// callTimeout is how long a node waits for the answer to a call.
 const callTimeout = 1500 * time.Millisecond
 
-// call sends a request to the state service, and answer gets what comes back. In a world with faults the request
-// may be lost on the way or carried out late, and its answer may be lost.
+// call sends a request to the state service: request is what happens there, and answer is called on
+// the node when the answer arrives. With faults, the request may be lost or executed late, and its
+// answer may be lost.
 func (n *node) call(request func(), answer func()) { n.send(request, answer, false) }
 
-// callOnce is a call that ends exactly once, with its answer or without one after callTimeout, unless the process
-// ends before.
+// callOnce is call with a timeout: it calls done exactly once, when the answer arrives or after
+// callTimeout without one, unless the process ends before.
 func (n *node) callOnce(request func(), done func(answered bool)) {
 	ended := false
 	end := func(answered bool) {
@@ -33,13 +34,14 @@
 	n.w.after(callTimeout, func() { n.run(incarnation, func() { end(false) }) })
 }
 
-// send is call. In worlds with a script, a request that is under way for longer than callTimeout is a transaction
-// whose conditions were read in time, and whose answer nobody waits for. Requests that read nothing before they
-// are sent travel whole instead.
-func (n *node) send(request func(), answer func(), whole bool) {
+// send implements call. It treats a request that takes longer than callTimeout to arrive specially
+// in worlds with a script: the request's reads happen in time, only its transaction is executed
+// late, and the answer is lost. With delayWhole, all of the request happens late instead; this is
+// for requests that read nothing before they are sent.
+func (n *node) send(request func(), answer func(), delayWhole bool) {
 	w, incarnation := n.w, n.incarnation
-	if n.cutOff() {
-		if w.chance(0.3) { // held back, and delivered when the cut is over
+	if n.cutOffFromStore() {
+		if w.chance(0.3) { // held back in the network and delivered late
 			w.after(w.between(time.Second, 20*time.Second), request)
 		}
 		return
@@ -56,7 +58,7 @@
 	there += w.script.randomStoreDelay()
 	back += w.script.randomStoreDelay()
 	var commitDelay time.Duration
-	if w.script != nil && !whole && there > callTimeout {
+	if w.script != nil && !delayWhole && there > callTimeout {
 		there, commitDelay, lost = 30*time.Millisecond, there, true
 	}
 	w.after(there, func() {
@@ -69,7 +71,7 @@
 	})
 }
 
-// write sends the next batch of the leader's writes, one at a time.
+// write sends the leader's next batch of writes to the state service, unless one is under way.
 func (n *node) write() {
 	if n.writing || !n.holdsLease() {
 		return
@@ -97,7 +99,8 @@
 	})
 }
 
-// batchFinished brings the engine the outcome of a batch, of which a first part was sent.
+// batchFinished passes the outcome of a batch to the engine. Only the first writes of the batch may
+// have been sent (applied.Sent); the others are reported as not written.
 func (n *node) batchFinished(batch []core.Write, applied jobstore.Applied, err error) {
 	n.writing = false
 	sent := applied.Sent
@@ -117,15 +120,16 @@
 		n.step(core.WriteRejected{Write: sent[0]})
 		return
 	}
-	n.readAgain(sent)
+	n.reloadTargets(sent)
 }
 
-// readAgain reads what writes with an unknown outcome were to change, and brings it to the engine.
-func (n *node) readAgain(sent []core.Write) {
+// reloadTargets reads the jobs and pages that failed writes may or may not have changed, and passes
+// them to the engine.
+func (n *node) reloadTargets(sent []core.Write) {
 	current := map[string]uint64{}
 	for _, write := range sent {
 		if ref := write.JobRef(); ref != "" {
-			n.refresh(ref)
+			n.reloadJob(ref)
 			continue
 		}
 		if version, err := n.jobs.PageVersion(context.Background(), write); err == nil {
@@ -137,14 +141,14 @@
 	}
 }
 
-// refresh reads a job, and brings it to the engine.
-func (n *node) refresh(ref string) {
+// reloadJob reads a job from the state service and passes it to the engine.
+func (n *node) reloadJob(ref string) {
 	if st, err := n.jobs.Load(context.Background(), ref); err == nil && n.engine != nil {
 		n.jobLoaded(st, ref)
 	}
 }
 
-// jobLoaded brings the engine what the state service held of a job.
+// jobLoaded passes a job as read from the state service to the engine, if the job exists.
 func (n *node) jobLoaded(st jobstore.State, ref string) {
 	switch {
 	case !st.Found:
@@ -155,7 +159,8 @@
 	}
 }
 
-// lookUpDependencies reads jobs from the state service that others depend on, and that the engine doesn't know.
+// lookUpDependencies reads jobs that others depend on, and that the engine doesn't know, from the
+// state service.
 func (n *node) lookUpDependencies() {
 	if !n.holdsLease() {
 		return
@@ -181,7 +186,8 @@
 	}
 }
 
-// notifyWatchers has the leader's watch see changes of jobs, each after a while.
+// notifyWatchers delivers a transaction's changes of jobs and drain plans to the watches of all
+// leaders, each after a random delay, and reports the transaction to the invariants.
 func (w *World) notifyWatchers(changes []statestore.Op) {
 	for _, c := range changes {
 		ref, ok := strings.CutPrefix(c.Key, jobPrefix)
@@ -190,22 +196,23 @@
 		}
 		for _, n := range w.nodes {
 			if n.engine != nil {
-				w.deliverWatch(n, n.engine, w.between(time.Millisecond, 200*time.Millisecond), func() { n.refresh(ref) })
+				w.deliverWatch(n, n.engine, w.between(time.Millisecond, 200*time.Millisecond), func() { n.reloadJob(ref) })
 			}
 		}
 	}
 	w.checker.observe(transactionCommitted{changes})
-	w.drainChanged(changes)
+	w.notifyDrainWatchers(changes)
 }
 
-// deliverWatch has a leader take a change in, once it reaches the state service.
+// deliverWatch has a leader handle a change after a delay. While the state service doesn't serve
+// the leader, it tries again every second; once the engine's term is over, the change is dropped.
 func (w *World) deliverWatch(n *node, engine *core.Engine, delay time.Duration, take func()) {
 	incarnation := n.incarnation
 	w.after(delay, func() {
 		n.run(incarnation, func() {
 			switch {
 			case n.engine != engine:
-			case n.cutOff() || n.storeDown():
+			case n.cutOffFromStore() || n.storeRefuses():
 				w.deliverWatch(n, engine, time.Second, take)
 			default:
 				take()
--- a/internal/simulation/production.go
+++ b/internal/simulation/production.go
@@ -11,10 +11,13 @@
 	"gingertally/internal/statestore"
 )
 
-// The version in production (deploy/service.toml) reads only these fields of jobs, and so writes back only these; what
-// else their records hold is lost to it. It leads, places and answers like the present version as far as jobs without
-// dependencies go, and keeps to the present limits of the state service rather than the coming ones.
+// This file simulates the version in production (deploy/service.toml). It reads only the fields of
+// jobs that are declared here, and so writes back only these; the other fields of a record are lost
+// whenever it writes the record. For jobs without dependencies it otherwise behaves like the
+// current version, except that it observes the state service's present limits and not the lower
+// ones that are to come.
 
+// productionSpec holds the fields of a job's specification that the version in production knows.
 type productionSpec struct {
 	Ref        string            `cbor:"ref"`
 	Class      string            `cbor:"cl"`
@@ -38,6 +41,7 @@
 	Deadline   time.Duration     `cbor:"dl,omitempty"`
 }
 
+// productionRecord holds the fields of a job's record that the version in production knows.
 type productionRecord struct {
 	Spec        productionSpec `cbor:"s"`
 	SubmittedMS int64          `cbor:"at"`
@@ -47,15 +51,19 @@
 	Restarts    []int          `cbor:"r,omitempty"`
 }
 
+// productionFinal holds the fields of a job's final entry that the version in production knows.
 type productionFinal struct {
 	Phase pipeline.Phase `cbor:"p"`
 	Tasks int            `cbor:"n"`
 }
 
-// productionView is the state service as the version in production sees it.
+// productionView is a view of the state service in which records hold only the fields that the
+// version in production knows.
 type productionView struct{ *Store }
 
-func (v productionView) read(it statestore.KeyValue) statestore.KeyValue {
+// dropUnknownFields removes the fields that the version in production doesn't know from a job's
+// record or final entry. Other items are returned as they are.
+func (v productionView) dropUnknownFields(it statestore.KeyValue) statestore.KeyValue {
 	var as any
 	switch {
 	case strings.HasPrefix(it.Key, jobPrefix):
@@ -66,31 +74,31 @@
 		return it
 	}
 	if err := codec.Unmarshal(it.Value, as); err != nil {
-		v.w.checker.fail("the version in production can't read %s: %v", it.Key, err)
+		v.w.checker.fail("the version in production can't decode %s: %v", it.Key, err)
 	}
 	it.Value = codec.MustMarshal(as)
 	return it
 }
 
-// Get reads a key.
+// Get reads a key without the unknown fields of its value.
 func (v productionView) Get(ctx context.Context, key string) (statestore.KeyValue, bool, error) {
 	it, found, err := v.Store.Get(ctx, key)
 	if found {
-		it = v.read(it)
+		it = v.dropUnknownFields(it)
 	}
 	return it, found, err
 }
 
-// List reads a range.
+// List reads all keys with a prefix without the unknown fields of their values.
 func (v productionView) List(ctx context.Context, prefix string) ([]statestore.KeyValue, uint64, error) {
 	items, rev, err := v.Store.List(ctx, prefix)
 	for i := range items {
-		items[i] = v.read(items[i])
+		items[i] = v.dropUnknownFields(items[i])
 	}
 	return items, rev, err
 }
 
-// storeView is the state service as the node's version sees it.
+// storeView returns the view of the state service that the node has with its version and faults.
 func (n *node) storeView() jobstore.Store {
 	if n.runsProduction {
 		return nodeView{productionView{n.w.store}, n}
@@ -98,7 +106,7 @@
 	return nodeView{n.w.store, n}
 }
 
-// limits are those of the state service that the node's version obeys.
+// limits returns the limits of the state service that the node's version observes.
 func (n *node) limits() jobstore.Limits {
 	if n.w.options.LowerStoreLimits && !n.runsProduction {
 		return lowLimits
--- a/internal/simulation/random.go
+++ b/internal/simulation/random.go
@@ -5,11 +5,13 @@
 	"time"
 )
 
-// random draws the random numbers of one part of a world. Each part has a stream of its own, so that switching
-// one on leaves the draws of the others, and with them the world of the same seed, as they are.
+// random draws the random numbers of one part of a world. Each part has its own generator, so that
+// switching a part on doesn't change the numbers that the others draw from the same seed.
 type random struct{ rng *rand.Rand }
 
-// Streams of random numbers, as the second half of a generator's seed.
+// Streams of random numbers; each is the second half of a generator's seed. The standby and drains
+// have the same stream, so their generators yield the same numbers, but drawing from one doesn't
+// affect the other.
 const (
 	worldStream      = 7
 	correlatedStream = 11
@@ -23,10 +25,10 @@
 
 func newRandom(seed, stream uint64) random { return random{rand.New(rand.NewPCG(seed, stream))} }
 
-// between is a random duration, both bounds included.
+// between returns a random duration from lo to hi, both included.
 func (r random) between(lo, hi time.Duration) time.Duration {
 	return lo + time.Duration(r.rng.Int64N(int64(hi-lo)+1))
 }
 
-// chance is true with a probability.
+// chance returns true with probability p.
 func (r random) chance(p float64) bool { return r.rng.Float64() < p }
--- a/internal/simulation/script_faults.go
+++ b/internal/simulation/script_faults.go
@@ -75,7 +75,7 @@
 	if n == nil {
 		return
 	}
-	if !s.w.store.down && !n.links.refusedByStore && !n.cutOff() && s.w.store.lease.id == n.lease {
+	if !s.w.store.down && !n.links.refusedByStore && !n.cutOffFromStore() && s.w.store.lease.id == n.lease {
 		s.w.store.lease.until = s.w.now
 	}
 	n.nameSuccessor()
--- a/internal/simulation/script_store.go
+++ b/internal/simulation/script_store.go
@@ -66,7 +66,7 @@
 		return 0, statestore.ErrUnavailable
 	}
 	delay := v.n.request.commitDelay
-	if delay == 0 && (s == nil || s.lostAnswerShare == 0 || v.n.storeDown() || !s.chance(s.lostAnswerShare)) {
+	if delay == 0 && (s == nil || s.lostAnswerShare == 0 || v.n.storeRefuses() || !s.chance(s.lostAnswerShare)) {
 		return v.Store.Commit(ctx, conditions, changes)
 	}
 	v.n.request.answerLost = true
--- a/internal/simulation/short_lease.go
+++ b/internal/simulation/short_lease.go
@@ -75,7 +75,7 @@
 // offer is the capacity of each type, zone and kind.
 func (s *shortLease) offer() int {
 	if s == nil {
-		return maxOffer
+		return offerCapacity
 	}
 	return shortLeaseOffer
 }
--- a/internal/simulation/standby.go
+++ b/internal/simulation/standby.go
@@ -7,31 +7,32 @@
 	"gingertally/internal/standby"
 )
 
-// standbyNetwork carries the stream of the warm state between the nodes of a world. A nil one carries nothing.
+// standbyNetwork carries the warm state from the leader to its followers, with faults. It is nil in
+// worlds without replication.
 type standbyNetwork struct {
 	w *World
 	random
 	counts         eventCounts
-	lostShare      float64 // share of frames lost
-	duplicateShare float64 // share of frames that come twice
+	lostShare      float64 // share of frames that are lost
+	duplicateShare float64 // share of frames that are delivered twice
 	extraDelay     time.Duration
-	laggingUntil   time.Time                   // no follower gets anything until then
+	laggingUntil   time.Time                   // no follower is sent anything until then
 	streams        map[*node]map[*node]*stream // by leader and follower
 }
 
-// stream is one connection from a leader to a follower.
+// stream is a connection from a leader to a follower.
 type stream struct {
 	engine              *core.Engine // the leader's
 	followerIncarnation int          // of the follower
 	lagUntil            time.Time    // the follower's disk or network is slow until then
 }
 
-// Bounds of the stream in simulated worlds. They are small, so that they are met.
+// Settings of the replication in simulated worlds. The bounds are small, so that they are reached.
 const (
-	simulatedQueueBound   = 60
-	simulatedHeartbeat    = 500 * time.Millisecond
-	simulatedSnapshotPace = 2 * time.Second
-	warmChangesAtOnce     = 500
+	simulatedQueueBound       = 60
+	simulatedHeartbeat        = 500 * time.Millisecond
+	simulatedSnapshotInterval = 2 * time.Second
+	maxWarmChanges            = 500
 )
 
 func newStandbyNetwork(w *World) *standbyNetwork {
@@ -47,12 +48,13 @@
 
 func (s *standbyNetwork) count(what string, n int) { s.counts[what] += n }
 
-// standbyTimeouts are a standby's timeouts, derived as the daemon derives them.
+// standbyTimeouts returns a standby's timeouts, derived like in the real controller.
 func (w *World) standbyTimeouts() standby.Timeouts {
-	return standby.TimeoutsFor(w.options.HeartbeatInterval, simulatedSnapshotPace)
+	return standby.TimeoutsFor(w.options.HeartbeatInterval, simulatedSnapshotInterval)
 }
 
-// connect returns the stream between a leader and a follower. It is a new one if either process or term is new.
+// connect returns the stream from a leader to a follower. If the leader's engine or the follower's
+// process is a new one, it starts a new stream from the follower's current position.
 func (s *standbyNetwork) connect(leader, follower *node) *stream {
 	c := s.streams[leader][follower]
 	if c != nil && c.engine == leader.engine && c.followerIncarnation == follower.incarnation {
@@ -67,7 +69,8 @@
 	return c
 }
 
-// deliver brings a frame to a follower, and its acknowledgement back.
+// deliver delivers a frame to a follower after a delay, and then its acknowledgement to the leader,
+// together with a request for a snapshot if the follower needs one.
 func (s *standbyNetwork) deliver(leader, follower *node, f standby.Frame) {
 	w, engine, leaderIncarnation, incarnation := s.w, leader.engine, leader.incarnation, follower.incarnation
 	w.after(s.between(time.Millisecond, 20*time.Millisecond+s.extraDelay), func() {
--- a/internal/simulation/store.go
+++ b/internal/simulation/store.go
@@ -11,33 +11,37 @@
 	"gingertally/internal/statestore"
 )
 
-// Store is the state service: keys with modification revisions, and atomic transactions. The leader lease is kept
-// beside the keys.
+// Store simulates the state service: keys with modification revisions, and atomic transactions. The
+// leader lease is kept apart from the keys.
 type Store struct {
 	w        *World
-	lease    leaderLease // under the leader's key
-	items    map[string]*item
-	revision uint64
-	down     bool
-	lowered  bool // the lower limits hold
-	// How many changes it still takes at once with the lower limits, and as of when.
+	lease    leaderLease
+	items    map[string]*item // by key
+	revision uint64           // of the last transaction that changed something
+	down     bool             // it refuses all requests
+	lowered  bool             // the lower limits apply
+	// With the lower limits, a token bucket limits the rate of changes: writesLeft is the number of
+	// tokens in it as of writesLeftAt.
 	writesLeft   float64
 	writesLeftAt time.Time
 }
 
-// Limits of the state service at first, and once it has lowered them.
+// Limits of the state service: at first, and after it has lowered them.
 var (
 	highLimits = jobstore.Limits{ValueBytes: 4000, TxnOps: 8}
 	lowLimits  = jobstore.Limits{ValueBytes: 1000, TxnOps: 3}
 )
 
-// loweredWriteRate is how many changes a second the state service then takes.
+// loweredWriteRate is the number of changes per second that the state service accepts with the
+// lower limits. It is also the size of the token bucket.
 const loweredWriteRate = 12
 
-// lower has the lower limits hold from now on.
+// lower makes the lower limits apply from now on.
 func (s *Store) lower() { s.lowered = true }
 
-// checkLimits refuses changes beyond the limits.
+// checkLimits returns ErrRejected for changes that exceed the limits of size, and ErrUnavailable
+// for those that exceed the write rate of the lower limits. With the lower limits, accepted changes
+// use up tokens.
 func (s *Store) checkLimits(changes []statestore.Op) error {
 	limits := highLimits
 	if s.lowered {
@@ -66,7 +70,7 @@
 	return nil
 }
 
-// item is the value of a key.
+// item holds the value of a key and the revision at which it was last changed.
 type item struct {
 	value       []byte
 	modRevision uint64
@@ -84,7 +88,7 @@
 	return statestore.KeyValue{Key: key, Value: it.value, ModRevision: it.modRevision}, true, nil
 }
 
-// List reads a range.
+// List reads all keys with a prefix, sorted by key. It also returns the current revision.
 func (s *Store) List(_ context.Context, prefix string) ([]statestore.KeyValue, uint64, error) {
 	if s.down {
 		return nil, 0, statestore.ErrUnavailable
@@ -99,7 +103,8 @@
 	return out, s.revision, nil
 }
 
-// Commit applies changes if all conditions hold.
+// Commit applies changes if they are within the limits and all conditions hold, and returns the
+// revision. The error is a ConflictError with the keys whose conditions failed.
 func (s *Store) Commit(_ context.Context, conds []statestore.Compare, changes []statestore.Op) (uint64, error) {
 	if s.down {
 		return 0, statestore.ErrUnavailable
--- a/internal/simulation/submissions.go
+++ b/internal/simulation/submissions.go
@@ -12,12 +12,13 @@
 	"gingertally/internal/wire"
 )
 
-// noAnswer is the status of a call that gets no answer.
+// noAnswer stands for the status of a call that gets no answer.
 const noAnswer = 0
 
-// postSubmission sends a submission's body to a node.
+// postSubmission sends the body of a submission to a node's user service. There is no answer if the
+// node can't serve the call.
 func (*script) postSubmission(n *node, body any) userapi.Answer {
-	if n.down || n.paused() || n.cutOff() {
+	if n.down || n.paused() || n.cutOffFromStore() {
 		return userapi.Answer{}
 	}
 	answer := n.service().Submit(context.Background(), codec.MustMarshal(body))
@@ -25,7 +26,7 @@
 	return answer
 }
 
-// The protocol's names of shapes and priorities.
+// Names of shapes and priorities in the users' protocol.
 var shapeNames = map[pipeline.Shape]string{
 	pipeline.Array: "sweep", pipeline.Gang: "ensemble", pipeline.Service: "service",
 }
@@ -34,8 +35,9 @@
 	pipeline.Production: "production", pipeline.High: "urgent", pipeline.Normal: "normal", pipeline.Low: "idle",
 }
 
-// bodyOf is the submission of a job as its user sends it.
-func bodyOf(s *pipeline.Spec) map[string]any {
+// submissionBody returns the body of a job's submission, with the field names of the users'
+// protocol.
+func submissionBody(s *pipeline.Spec) map[string]any {
 	b := map[string]any{
 		"ref": s.Ref, "lot_kind": s.Class, "owner": s.Team, "shape": shapeNames[s.Shape],
 		"urgency": urgencyNames[s.Priority], "lots": s.Tasks, "vcpus": s.CPUs, "cards": s.GPUs, "mem_gb": s.MemGB,
@@ -52,7 +54,7 @@
 	return b
 }
 
-// phaseOf is the phase that an answer of the user service reports.
+// phaseOf returns the phase of the job that an answer of the user service reports.
 func phaseOf(a userapi.Answer) pipeline.Phase {
 	st, _ := a.Body.(wire.RunState)
 	switch st.Status {
@@ -64,8 +66,8 @@
 	return pipeline.Active
 }
 
-// oddRequests has users repeat submissions, cancel jobs that are done, and submit what can't run or lacks a field, at
-// regular intervals.
+// oddRequests has users send unusual requests at regular intervals: they repeat submissions, cancel
+// jobs that are done, and submit jobs that can't run or lack a field.
 func (s *script) oddRequests(from, period time.Duration) {
 	s.every(from, period, func() {
 		n := s.w.nodes[s.rng.IntN(len(s.w.nodes))]
@@ -94,14 +96,15 @@
 	})
 }
 
-// submitInvalid submits a job that can't run or lacks a field; it must be refused.
+// submitInvalid submits a job that can't run, or whose submission lacks a field. It must be refused
+// with the right status, and must not be stored.
 func (s *script) submitInvalid(n *node) {
 	s.jobs++
 	sp := pipeline.Spec{
 		Ref: probeJobRefs.ref(s.jobs), Class: "c", Team: "red", Image: "img-0", ImageGB: 1, Tasks: 2, CPUs: 1, MemGB: 1,
 		Priority: pipeline.Normal, Estimate: time.Second,
 	}
-	b := bodyOf(&sp)
+	b := submissionBody(&sp)
 	want := http.StatusUnprocessableEntity
 	switch s.rng.IntN(6) {
 	case 0:
@@ -129,15 +132,15 @@
 	case a.Status == noAnswer || a.Status == http.StatusServiceUnavailable:
 		return
 	case a.Status != want:
-		s.w.checker.fail("accepted: a submission that must get %d gets %d: %v", want, a.Status, b)
+		s.w.checker.fail("accepted: a submission that must get status %d gets %d: %v", want, a.Status, b)
 	case s.w.store.items[jobPrefix+sp.Ref] != nil:
 		s.w.checker.fail("accepted: %s is stored and was refused: %v", sp.Ref, b)
 	}
 	s.count("invalid submissions refused")
 }
 
-// resubmit repeats the submission of an accepted job. It must never be refused, and its answer must never be older than
-// what its user knew.
+// resubmit repeats the submission of an accepted job. It must never be refused, and the answer must
+// not report an older state than the user already knows.
 func (s *script) resubmit(n *node, j *userJob) {
 	if !j.accepted {
 		return
@@ -145,7 +148,7 @@
 	askedAt, incarnation := s.w.now, n.incarnation
 	s.at(s.between(0, 4*time.Millisecond), func() {
 		n.run(incarnation, func() {
-			a := s.postSubmission(n, bodyOf(&j.spec))
+			a := s.postSubmission(n, submissionBody(&j.spec))
 			var v core.JobView
 			switch a.Status {
 			case noAnswer, http.StatusServiceUnavailable:
@@ -153,7 +156,7 @@
 			case http.StatusOK, http.StatusCreated:
 				v.Phase = phaseOf(a)
 			default:
-				s.w.checker.fail("forgotten: a repeated submission of %s gets %d", j.spec.Ref, a.Status)
+				s.w.checker.fail("forgotten: a repeated submission of %s gets status %d", j.spec.Ref, a.Status)
 			}
 			s.count("repeated submissions answered")
 			if j.reportedPhase != pipeline.Active {
--- a/internal/simulation/user_job.go
+++ b/internal/simulation/user_job.go
@@ -14,19 +14,20 @@
 	"gingertally/internal/userapi"
 )
 
-// userJob is a job as its user knows it.
+// userJob is a job from its user's point of view: what was submitted, what the user was told, and
+// what has become of its tasks.
 type userJob struct {
 	w *World
 
 	// What the user submits and intends.
 	spec         pipeline.Spec
 	dependencies []*userJob
-	run          time.Duration   // of each task
-	runs         []time.Duration // of the first tasks, if they differ
-	failsAlways  bool
-	wantsCancel  bool
+	run          time.Duration   // run time of each task
+	runs         []time.Duration // run times of the first tasks, if they differ from run
+	failsAlways  bool            // each of its tasks fails
+	wantsCancel  bool            // the user will cancel it
 
-	// What the user has done and learnt.
+	// What the user has done and was told.
 	firstSubmittedAt time.Time
 	accepted         bool
 	acceptedAt       time.Time
@@ -37,26 +38,26 @@
 	lastAnsweredAt   time.Time // when a query was last answered
 
 	// What has become of its tasks.
-	startedAt time.Time // when a first one ran
-	failures  int       // how often one failed
-	done      map[int]bool
+	startedAt time.Time    // when the first one started to run
+	failures  int          // number of failed runs of tasks
+	done      map[int]bool // by index of the task
 }
 
-// newJob adds a job to the world that its user hasn't submitted yet.
+// newJob adds a job to the world. Its user hasn't submitted it yet.
 func (w *World) newJob(spec pipeline.Spec, run time.Duration) *userJob {
 	j := &userJob{w: w, spec: spec, run: run, done: map[int]bool{}}
 	w.jobs[spec.Ref] = j
 	return j
 }
 
-// submitAfter adds a job to the world that its user submits after some time.
+// submitAfter adds a job to the world, and has its user submit it after a delay.
 func (w *World) submitAfter(delay time.Duration, spec pipeline.Spec, run time.Duration) *userJob {
 	j := w.newJob(spec, run)
 	w.after(delay, j.submit)
 	return j
 }
 
-// mates are the tasks of one attempt of a gang that haven't exited.
+// mates returns the tasks of one attempt of a gang, on all machines, that haven't exited.
 func (j *userJob) mates(attempt uint64) []*task {
 	var out []*task
 	for _, m := range j.w.sortedMachines() {
@@ -69,7 +70,7 @@
 	return out
 }
 
-// runTime is how long a task of the job runs.
+// runTime returns how long a task of the job runs.
 func (j *userJob) runTime(index int) time.Duration {
 	if index < len(j.runs) {
 		return j.runs[index]
@@ -77,8 +78,9 @@
 	return j.run
 }
 
-// dependencyNames are the jobs that the job names as dependencies, the first one twice.
-func (j *userJob) dependencyNames() []string {
+// dependencyRefs returns the ids of the jobs that the submission names as dependencies, the first
+// one twice.
+func (j *userJob) dependencyRefs() []string {
 	var out []string
 	for _, p := range j.dependencies {
 		out = append(out, p.spec.Ref)
@@ -89,7 +91,8 @@
 	return out
 }
 
-// mayBeCancelled tells whether somebody has asked to cancel a job or one that it depends on.
+// mayBeCancelled reports whether the cancellation of the job, or of one that it depends on directly
+// or indirectly, was requested.
 func (j *userJob) mayBeCancelled() bool {
 	if j.cancelRequested {
 		return true
@@ -102,7 +105,8 @@
 	return false
 }
 
-// loadBalancedNode is a node that the load balancer may choose: a healthy one, if any is.
+// loadBalancedNode returns a node that the load balancer chooses at random: a healthy one, if there
+// is one.
 func (j *userJob) loadBalancedNode() *node {
 	var up []*node
 	for _, n := range j.w.nodes {
@@ -116,25 +120,26 @@
 	return up[j.w.rng.IntN(len(up))]
 }
 
-// submit submits the job until it is accepted. From then on the user polls for it, and cancels it if that is intended.
+// submit submits the job, again and again until it is accepted. From then on the user polls its
+// state, and cancels it if wantsCancel is set.
 func (j *userJob) submit() {
 	if j.firstSubmittedAt.IsZero() {
 		j.firstSubmittedAt = j.w.now
 	}
 	n := j.loadBalancedNode()
-	if n.down || n.paused() || n.cutOff() {
+	if n.down || n.paused() || n.cutOffFromStore() {
 		j.w.after(time.Second, j.submit)
 		return
 	}
-	if again, ok := n.admits(j); !ok {
-		j.w.after(again, j.submit)
+	if retryAfter, ok := n.admits(j); !ok {
+		j.w.after(retryAfter, j.submit)
 		return
 	}
 	jobs := n.jobs
 	answered := false
 	create := func() {
 		n.call(func() {
-			answered = j.submissionStored(jobs.Create(context.Background(), j.spec, j.dependencyNames(), j.w.now))
+			answered = j.submissionStored(jobs.Create(context.Background(), j.spec, j.dependencyRefs(), j.w.now))
 		}, func() {
 			if answered {
 				j.w.output.userAnswer(n, j.spec.Ref, userapi.Answer{Status: http.StatusCreated})
@@ -147,9 +152,9 @@
 	}
 	if len(j.dependencies) == 0 {
 		create()
-	} else { // the check and the write are two calls, between which anything may happen
+	} else { // the check and the write are separate calls, and anything may happen in between
 		err := statestore.ErrUnknownOutcome
-		n.call(func() { err = jobs.CheckDependencies(context.Background(), j.spec.Ref, j.dependencyNames()) }, func() {
+		n.call(func() { err = jobs.CheckDependencies(context.Background(), j.spec.Ref, j.dependencyRefs()) }, func() {
 			if j.submissionStored(err) {
 				create()
 			}
@@ -167,15 +172,17 @@
 	})
 }
 
-// submissionStored tells whether the outcome of a submission means that the job is accepted.
+// submissionStored reports whether the outcome of a submission means that the job is stored. Users'
+// jobs are valid, so it is a violation if one is refused.
 func (j *userJob) submissionStored(err error) bool {
 	if errors.Is(err, jobstore.ErrBadDependency) || errors.Is(err, jobstore.ErrTooLarge) {
-		j.w.checker.fail("%s refused: %v", j.spec.Ref, err)
+		j.w.checker.fail("the submission of %s was refused: %v", j.spec.Ref, err)
 	}
 	return err == nil || errors.Is(err, jobstore.ErrExists)
 }
 
-// learn has the job's user learn of its state from a controller.
+// learn records that a controller has told the user the job's state, and lets the invariants check
+// it.
 func (j *userJob) learn(v core.JobView, known bool) {
 	j.w.checker.observe(jobReported{j, v, known})
 	if v.Phase == pipeline.Cancelled && j.reportedPhase != pipeline.Cancelled {
@@ -189,8 +196,11 @@
 	j.reportedPhase = v.Phase
 }
 
-// learnLate has the job's user learn of it by an answer that took its time. Such an answer counts by when its
-// query was sent: an older answer may cross a newer one, and nothing else may.
+// learnLate is learn for an answer that took some time, to a query that was sent at askedAt. The
+// answer is ignored if a newer one may have overtaken it: if it says that the job is unknown and
+// the query wasn't sent after the job was accepted, or that it is active and the query wasn't sent
+// after another phase was first reported. All other answers must be consistent with what the user
+// was told before.
 func (j *userJob) learnLate(askedAt time.Time, v core.JobView, known bool) {
 	if !known && (!j.accepted || !askedAt.After(j.acceptedAt)) {
 		return
@@ -201,7 +211,7 @@
 	j.learn(v, known)
 }
 
-// poll queries the job's state, again and again.
+// poll queries the job's state periodically.
 func (j *userJob) poll() {
 	if v, known, ok := j.loadBalancedNode().answerQuery(j.spec.Ref); ok {
 		j.learn(v, known)
@@ -211,13 +221,13 @@
 	j.w.after(j.w.between(2*time.Second, 5*time.Second), j.poll)
 }
 
-// cancel asks the leader to cancel the job, until the user is told that it has ended.
+// cancel asks the leader to cancel the job, again and again until the user is told that it is over.
 func (j *userJob) cancel() {
 	n := j.loadBalancedNode()
 	if leader := j.w.currentLeader(); leader != nil {
-		n = leader // other nodes pass cancellations on to it
+		n = leader // other nodes forward cancellations to it
 	}
-	if n.down || n.paused() || n.cutOff() {
+	if n.down || n.paused() || n.cutOffFromStore() {
 		j.w.after(time.Second, j.cancel)
 		return
 	}
--- a/internal/simulation/user_plan.go
+++ b/internal/simulation/user_plan.go
@@ -7,10 +7,11 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// userJobNumber scatters the numbers of users' jobs, since ids come in no order.
+// userJobNumber returns the number in the id of the i-th ordinary job. The numbers are scattered
+// over their range, since users' ids are in no order.
 func userJobNumber(i int) int { return i * 7919 % 100_003 }
 
-// planUsers plans the jobs of ordinary users.
+// planUsers schedules the submissions of random jobs by ordinary users.
 func (w *World) planUsers() {
 	for i := range w.options.Jobs {
 		j := &userJob{
@@ -55,7 +56,7 @@
 	w.after(w.between(0, 5*time.Second), w.queryUnknownJob)
 }
 
-// queryUnknownJob queries a job that nobody submitted, again and again.
+// queryUnknownJob periodically queries a job that nobody submitted.
 func (w *World) queryUnknownJob() {
 	n := w.nodes[w.rng.IntN(len(w.nodes))]
 	if v, known, ok := n.answerQuery(unsubmittedRef); ok && known {
--- a/internal/simulation/user_service.go
+++ b/internal/simulation/user_service.go
@@ -11,10 +11,11 @@
 	"gingertally/internal/userapi"
 )
 
-// leaderView is the leader as a node's user service sees it.
+// leaderView gives a node's user service access to the leader.
 type leaderView struct{ n *node }
 
-// View is what this node, leading with a valid lease, knows of a job.
+// View returns what this node's engine knows about a job. It returns false if the node doesn't lead
+// with a valid lease, or doesn't know the job.
 func (l leaderView) View(ref string) (v core.JobView, ok bool) {
 	if !l.n.holdsLease() {
 		return v, false
@@ -22,7 +23,8 @@
 	return l.n.engine.Lookup(ref)
 }
 
-// ViewFromLeader queries the other nodes that this one reaches.
+// ViewFromLeader returns what the leader's engine knows about a job if the leader is another node
+// that this one reaches.
 func (l leaderView) ViewFromLeader(_ context.Context, ref string) (v core.JobView, ok bool) {
 	for _, o := range l.n.w.nodes {
 		if o != l.n && l.n.reaches(o) && o.holdsLease() {
@@ -32,32 +34,32 @@
 	return v, false
 }
 
-// Cancel isn't called here: cancellations go through node.cancel.
+// Cancel isn't called in simulated worlds, where cancellations go through node.cancel.
 func (leaderView) Cancel(context.Context, string) (pipeline.Phase, error) {
 	return pipeline.Active, context.Canceled
 }
 
-// simulatedClock is a node's job store for its user service, which passes the time of the machine that the simulation
-// runs on. It goes by the world's time instead.
-type simulatedClock struct {
+// simulatedTimeJobs is a node's job store for its user service. The user service passes the real
+// time, which simulatedTimeJobs replaces by simulated time.
+type simulatedTimeJobs struct {
 	*jobstore.Jobs
 	n *node
 }
 
-// Create stores a submission as of the world's time.
-func (c simulatedClock) Create(ctx context.Context, spec pipeline.Spec, dependencies []string, _ time.Time) error {
+// Create stores a submission with the world's time.
+func (c simulatedTimeJobs) Create(ctx context.Context, spec pipeline.Spec, dependencies []string, _ time.Time) error {
 	return c.Jobs.Create(ctx, spec, dependencies, c.n.w.now)
 }
 
-// DependencyCancelled asks as of the node's own clock.
-func (c simulatedClock) DependencyCancelled(ctx context.Context, st jobstore.State, _ time.Time) (bool, error) {
+// DependencyCancelled calls Jobs.DependencyCancelled with the time of the node's clock.
+func (c simulatedTimeJobs) DependencyCancelled(ctx context.Context, st jobstore.State, _ time.Time) (bool, error) {
 	return c.Jobs.DependencyCancelled(ctx, st, c.n.local())
 }
 
-// service is the node's real user service.
+// service returns the real user service for the node.
 func (n *node) service() *userapi.Service {
 	return &userapi.Service{
-		Jobs: simulatedClock{n.jobs, n}, Leader: leaderView{n}, Teams: n.w.teams,
+		Jobs: simulatedTimeJobs{n.jobs, n}, Leader: leaderView{n}, Teams: n.w.teams,
 		Catalog: func() placement.Catalog { return n.w.catalog },
 	}
 }
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -105,7 +105,7 @@
 	w.createFirstMachines()
 	w.planUsers()
 	if w.admission != nil {
-		w.floodUsers()
+		w.planFloods()
 	}
 	w.pipelines = newPipelinePlan(w)
 	w.shortLease.start()
