--- a/internal/simulation/short_lease.go
+++ b/internal/simulation/short_lease.go
@@ -76,7 +76,7 @@
 // cloudCapacity returns how many machines of each type and zone, spot or not, the cloud has.
 func (s *shortLease) cloudCapacity() int {
 	if s == nil {
-		return maxOffer
+		return offerCapacity
 	}
 	return shortLeaseCapacity
 }
