--- a/internal/simulation/short_lease.go
+++ b/internal/simulation/short_lease.go
@@ -22,8 +22,8 @@
 // maxDrift is the greatest drift of a steady clock, as a share of the elapsed time.
 const maxDrift = 0.0005
 
-// shortLeaseCapacity is how many machines of each type and zone, spot or not, the cloud has in
-// worlds with short leases: few, so that teams compete for them.
+// shortLeaseCapacity is offerCapacity in worlds with short leases: one machine of each type in each
+// zone, counted separately for spot and on-demand machines, so that teams compete for them.
 const shortLeaseCapacity = 1
 
 // borrowingClass is the class of the jobs that use the quota which teams with guarantees leave
@@ -73,7 +73,8 @@
 	return 1 + maxDrift
 }
 
-// cloudCapacity returns how many machines of each type and zone, spot or not, the cloud has.
+// cloudCapacity returns the maximum number of machines of one type in one zone, counted separately
+// for spot and on-demand machines.
 func (s *shortLease) cloudCapacity() int {
 	if s == nil {
 		return offerCapacity
