--- a/internal/simulation/admission_test.go
+++ b/internal/simulation/admission_test.go
@@ -18,7 +18,7 @@
 		o.Standby = number%2 == 0
 		return withAdmission(o)
 	}
-	playFamilies(t, admissionSeeds, change, func(w *World) { counts.addAll(w.admission.counts) })
+	runFamilies(t, admissionSeeds, change, func(w *World) { counts.addAll(w.admission.counts) })
 	least := eventCounts{
 		"admitted": 1500, "refused: backlog": 150, "policies stored": 1000, "policies taken": 1000,
 		"policies not taken": 3000,
@@ -32,7 +32,7 @@
 	for _, f := range families {
 		t.Run(fmt.Sprintf("%s/%d", f.name, f.repeatedSeeds[0]), func(t *testing.T) {
 			t.Parallel()
-			playTwice(t, func() *World {
+			runTwice(t, func() *World {
 				return NewWorld(withStandby(withAdmission(f.options(f.repeatedSeeds[0]))))
 			})
 		})
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -34,7 +34,7 @@
 	m := &machine{w: c.w, name: name, typ: typ, zone: zone, spot: spot, createdAt: c.w.now,
 		clockRate: c.w.randomClockRate(), images: map[string]bool{}, tasks: map[string]*task{}}
 	c.w.machines[name] = m
-	c.w.after(boot, m.up)
+	c.w.after(boot, m.startWorker)
 	return name
 }
 
@@ -79,7 +79,7 @@
 	}
 	for _, n := range names {
 		if m := c.w.machines[n]; m != nil {
-			m.die()
+			m.terminate()
 		}
 	}
 	return true
--- a/internal/simulation/consistency_probes.go
+++ b/internal/simulation/consistency_probes.go
@@ -8,7 +8,8 @@
 	"gingertally/internal/core"
 )
 
-// probeConsistency has users query right after a job was accepted, ended or cancelled.
+// probeConsistency has users query a job right after it was accepted, ended or confirmed as
+// cancelled.
 func (s *script) probeConsistency() {
 	s.onAccepted = append(s.onAccepted, s.probeJob)
 	s.onConfirmed = append(s.onConfirmed, s.probeJob)
@@ -19,7 +20,8 @@
 	})
 }
 
-// probeJob queries all nodes about a job within milliseconds, several times, and repeats its submission.
+// probeJob queries every node about a job several times within milliseconds, and repeats its
+// submission to one node.
 func (s *script) probeJob(j *userJob) {
 	for range 3 {
 		for _, n := range s.w.nodes {
@@ -30,8 +32,8 @@
 	s.at(s.between(1, 10*time.Millisecond), func() { s.resubmit(n, j) })
 }
 
-// queryJob queries a node about a job. The answer is found some milliseconds after the query was sent, and arrives
-// some milliseconds later.
+// queryJob queries a node about a job. The node answers up to 4 ms after the query was sent, later
+// if it is paused or busy, and the answer takes up to 4 ms to arrive.
 func (s *script) queryJob(n *node, j *userJob) {
 	askedAt, incarnation := s.w.now, n.incarnation
 	s.at(s.between(0, 4*time.Millisecond), func() {
@@ -48,8 +50,9 @@
 	})
 }
 
-// queryAtRandom is a node's answer to a query: half of the time as the simulated controller gives it, and else as the
-// real user service does.
+// queryAtRandom returns a node's answer to a query: with a probability of one half that of the
+// simulated controller, otherwise that of the real user service. ok is false if the node can't
+// answer.
 func (s *script) queryAtRandom(n *node, ref string) (v core.JobView, known, ok bool) {
 	if s.chance(0.5) {
 		return n.answerQuery(ref)
--- a/internal/simulation/correlated_failures.go
+++ b/internal/simulation/correlated_failures.go
@@ -36,7 +36,7 @@
 			switch {
 			case m.dead || !m.isUp:
 			case kind == 0:
-				m.die()
+				m.terminate()
 			case kind == 1:
 				m.reboot()
 			case kind == 2 && !w.network.reliable:
--- a/internal/simulation/counts.go
+++ b/internal/simulation/counts.go
@@ -1,7 +1,8 @@
 package simulation
 
-// eventCounts counts what came about in a world, by a short description of each kind of event. A test that
-// plays a scenario requires a least number of each, since a scenario that didn't come about proves nothing.
+// eventCounts counts the events of a world by kind; the key is a short description of the kind. A
+// test of a scenario requires a minimum for each kind, since a scenario whose events don't occur
+// proves nothing.
 type eventCounts map[string]int
 
 // addAll adds the counts of another world.
--- a/internal/simulation/counts_test.go
+++ b/internal/simulation/counts_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// requireAtLeast fails the test for each kind of event that came about less often than expected.
+// requireAtLeast fails the test for each kind of event that occurred less often than its minimum.
 func (c eventCounts) requireAtLeast(t *testing.T, least eventCounts) {
 	t.Helper()
 	for event, n := range least {
--- a/internal/simulation/digest.go
+++ b/internal/simulation/digest.go
@@ -10,17 +10,17 @@
 	"gingertally/internal/core/fleet"
 )
 
-// digest sums up a run: every event of the world, every event and effect of the controllers' engines, and every message
-// to and from workers. Runs of one seed have the same digest, or else the world or the engine depends on something
-// besides the seed.
+// digest is a hash over a run: every event of the world, every event and effect of the controllers'
+// engines, and every message to and from workers. Runs of one seed must have the same digest; if
+// they differ, the world or the engine depends on something besides the seed.
 type digest struct {
 	sum  hash.Hash64
-	line func(text string) // if set, gets what is summed up, to find where two runs part
+	line func(text string) // if set, is called with each hashed line, to find where two runs diverge
 }
 
 func newDigest() *digest { return &digest{sum: fnv.New64a()} }
 
-// add takes in one thing that happened; a nil digest takes in nothing.
+// add hashes one thing that happened, with its time. It does nothing on a nil digest.
 func (d *digest) add(w *World, kind, who string, what any) {
 	if d == nil {
 		return
@@ -28,7 +28,7 @@
 	body, err := json.Marshal(what)
 	if err != nil {
 		body = fmt.Append(nil, "no JSON: ", err)
-		w.checker.fail("the digest can't take in a %s: %v", kind, err)
+		w.checker.fail("the digest can't encode a %s: %v", kind, err)
 	}
 	text := fmt.Sprintf("%d %s %s %T %s\n", w.elapsed(), kind, who, what, body)
 	d.sum.Write([]byte(text))
@@ -37,15 +37,15 @@
 	}
 }
 
-// summary is the digest so far.
+// summary returns the hash so far.
 func (d *digest) summary() uint64 { return d.sum.Sum64() }
 
-// addStep takes in what an engine was brought and what it wanted done.
+// addStep hashes an event that an engine handled and its effects.
 func (d *digest) addStep(n *node, ev core.Event, effects core.Effects) {
 	if d == nil {
 		return
 	}
-	if _, tick := ev.(core.Tick); !tick { // a tick brings nothing but the time
+	if _, tick := ev.(core.Tick); !tick { // a tick carries nothing but the time
 		d.add(n.w, "step", n.name, ev)
 	}
 	d.add(n.w, "effects", n.name, encodableEffects(effects))
@@ -57,14 +57,16 @@
 	Preempted []digestedAttempt // in place of the attempts themselves
 }
 
-// digestedAttempt is an attempt with the names of its machine and page in place of these: they
-// refer back to the attempt, and a machine's map of attempts has keys that JSON doesn't know.
+// digestedAttempt is an attempt with the names of its machine and page in place of the pointers.
+// Machine and page refer back to the attempt, and a machine's map of attempts has keys that JSON
+// can't encode.
 type digestedAttempt struct {
 	*fleet.Attempt
 	Machine string
 	Page    string
 }
 
+// encodableEffects converts an engine's effects for encoding as JSON.
 func encodableEffects(effects core.Effects) digestedEffects {
 	digested := digestedEffects{Effects: effects}
 	for _, a := range effects.Preempted {
--- a/internal/simulation/digest_test.go
+++ b/internal/simulation/digest_test.go
@@ -9,14 +9,14 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// runTrace is what happened in a run, line by line.
+// runTrace holds the digest of a run and the lines that were hashed for it.
 type runTrace struct {
 	digest uint64
 	lines  []string
 }
 
-// playTraced plays a world and keeps its trace.
-func playTraced(t *testing.T, w *World) runTrace {
+// runTraced runs a world and returns its trace.
+func runTraced(t *testing.T, w *World) runTrace {
 	t.Helper()
 	var tr runTrace
 	w.digest = newDigest()
@@ -28,19 +28,20 @@
 	return tr
 }
 
-// playTwice plays a world twice and compares the digests of the two runs.
-func playTwice(t *testing.T, build func() *World) {
+// runTwice runs a world twice and compares the digests of the two runs.
+func runTwice(t *testing.T, build func() *World) {
 	t.Helper()
-	first, second := playTraced(t, build()), playTraced(t, build())
+	first, second := runTraced(t, build()), runTraced(t, build())
 	if len(first.lines) == 0 {
-		t.Error("the digest took nothing in")
+		t.Error("nothing was added to the digest")
 	}
 	if first.digest != second.digest {
 		t.Errorf("two runs of one seed differ, first at\n%s", first.firstDifference(second))
 	}
 }
 
-// firstDifference is the first line at which two traces differ, in both, with the one before.
+// firstDifference returns the first line at which two traces differ, from both, and the line before
+// it.
 func (tr runTrace) firstDifference(other runTrace) string {
 	before := "the start\n"
 	for i := range min(len(tr.lines), len(other.lines)) {
@@ -52,14 +53,15 @@
 	return "the end of one: " + before
 }
 
-// TestSameSeedSameRun plays worlds of each family and of each fault scenario twice, and
-// compares the digests of all events, effects and messages.
+// TestSameSeedSameRun runs worlds of each family and of each fault scenario twice, and
+// compares the digests of all events, effects and messages. It fails if a run depends on
+// anything besides the seed, such as the iteration order of a map.
 func TestSameSeedSameRun(t *testing.T) {
 	for _, f := range families {
 		for _, seed := range f.repeatedSeeds {
 			t.Run(fmt.Sprintf("%s/%d", f.name, seed), func(t *testing.T) {
 				t.Parallel()
-				playTwice(t, func() *World { return NewWorld(f.options(seed)) })
+				runTwice(t, func() *World { return NewWorld(f.options(seed)) })
 			})
 		}
 	}
@@ -67,7 +69,7 @@
 		m := &faultScenarios[i]
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
-			playTwice(t, func() *World {
+			runTwice(t, func() *World {
 				w := NewWorld(m.options(uint64(i)*100 + 1))
 				m.script(newScript(w))
 				return w
@@ -76,8 +78,8 @@
 	}
 }
 
-// The calls of a node's users go by the world's time, not by that of the machine that
-// the simulation runs on.
+// TestUsersCallsGoByTheWorldsTime checks that a submission is stored with the simulated time,
+// and not with the wall-clock time of the host that runs the simulation.
 func TestUsersCallsGoByTheWorldsTime(t *testing.T) {
 	w := NewWorld(randomOptions(1, false))
 	s := newScript(w)
@@ -92,9 +94,9 @@
 		if at := time.UnixMilli(st.Record.SubmittedMS); err != nil || !at.Equal(w.now.Truncate(time.Millisecond)) {
 			t.Errorf("submitted at %s, stored as at %s (%v)", w.now, at, err)
 		}
-		w.queue = nil // it has shown what it had to
+		w.queue = nil // ends the run: the check is done
 	})
-	_ = w.Run() // ended early, its jobs are left undone
+	_ = w.Run() // reports jobs that haven't ended, since the run ends early
 	if !submitted {
 		t.Error("nothing was submitted")
 	}
--- a/internal/simulation/drain_scenarios_test.go
+++ b/internal/simulation/drain_scenarios_test.go
@@ -120,7 +120,7 @@
 		s.every(30*time.Second, 60*time.Second, func() {
 			for _, m := range s.sampleMachines(0.5, nil) {
 				s.count("machines lost")
-				m.die()
+				m.terminate()
 			}
 			for _, m := range s.sampleMachines(0.4, nil) {
 				s.hangMachine(m, s.between(2*time.Second, s.w.options.Lease))
--- a/internal/simulation/drains_test.go
+++ b/internal/simulation/drains_test.go
@@ -24,7 +24,7 @@
 		o.Drains, o.Standby = true, number%2 == 0
 		return o
 	}
-	playFamilies(t, drainSeeds, change, func(w *World) { counts.addAll(w.drains.counts) })
+	runFamilies(t, drainSeeds, change, func(w *World) { counts.addAll(w.drains.counts) })
 	counts.requireAtLeast(t, eventCounts{
 		"plans accepted": 100, "machines cordoned": 100, "machines released": 50, "interruptions by choice": 40,
 		"interruptions of gangs": 5,
--- a/internal/simulation/families_test.go
+++ b/internal/simulation/families_test.go
@@ -6,16 +6,17 @@
 	"time"
 )
 
-// family is a kind of random world. Each seed of a family is another world.
+// family is a kind of random world. Each seed of a family gives a different world.
 type family struct {
 	name string
-	// digestLabel names the family in testdata/output_digests.txt. It stays as it was when that file was
-	// written, also when the family is renamed.
+	// digestLabel names the family in testdata/output_digests.txt. It must not change when the
+	// family is renamed.
 	digestLabel string
 	options     func(seed uint64) Options
-	firstSeed   uint64 // of the worlds that the tests of single subsystems play
-	// repeatedSeeds are those of the worlds that are played twice and compared. They include seeds at which
-	// two runs once differed because scale-outs were planned in the order of a map.
+	firstSeed   uint64 // of the worlds that runFamilies runs
+	// repeatedSeeds are the seeds whose worlds TestSameSeedSameRun runs twice; TestOutputDigests
+	// uses them too. They include seeds at which two runs once differed because scale-outs were
+	// planned in the iteration order of a map.
 	repeatedSeeds []uint64
 }
 
@@ -30,9 +31,10 @@
 	{"short leases", "short leases", shortLeaseOptions, 7000, []uint64{7000, 7001, 7002, 7005}},
 }
 
-// playFamilies plays worlds of every family, from its first seed on, with their options changed, and calls a function
-// with each world that has ended. The changed options may depend on the world's number in its family.
-func playFamilies(
+// runFamilies runs the given number of worlds of every family, from its first seed on, and calls
+// ended after each. change adapts a world's options; it also gets the world's number within its
+// family.
+func runFamilies(
 	t *testing.T, worlds int, change func(o Options, number int) Options, ended func(w *World),
 ) {
 	t.Helper()
@@ -47,7 +49,7 @@
 	}
 }
 
-// randomOptions are the options of a world of ordinary jobs, with or without random faults.
+// randomOptions returns the options of a world with ordinary jobs, with or without random faults.
 func randomOptions(seed uint64, faults bool) Options {
 	return Options{
 		Seed: seed, Length: 150 * time.Second, SettleTime: 250 * time.Second,
@@ -57,15 +59,15 @@
 	}
 }
 
-// correlatedFailureOptions are the options of a world in which many machines fail together.
+// correlatedFailureOptions returns the options of a world in which many machines fail together.
 func correlatedFailureOptions(seed uint64) Options {
 	o := randomOptions(seed, seed%4 != 0)
 	o.CorrelatedFailures, o.Jobs = true, 20
 	return o
 }
 
-// pipelineOptions are the options of a world with pipelines. In most of them the version in production leads
-// at first.
+// pipelineOptions returns the options of a world with pipelines. In two thirds of these worlds the
+// version in production leads at first.
 func pipelineOptions(seed uint64) Options {
 	o := randomOptions(seed, seed%4 != 0)
 	o.Pipelines, o.Jobs, o.RollingUpgrade, o.LowerStoreLimits = 12, 8, seed%3 != 0, seed%2 == 0
@@ -73,10 +75,11 @@
 	return o
 }
 
-// shortLeaseOptions are the options of a world with the settings, jobs and faults of a deployment with short
-// leases. Half of them have all other faults too, and a fifth correlated failures. The time without faults at
-// the end is long, since a simulated task starts from its beginning although it has a checkpoint, and some
-// long tasks are moved late more than once.
+// shortLeaseOptions returns the options of a world with the settings, jobs and faults of a
+// deployment with short leases. Half of these worlds have all other faults too, and a fifth have
+// correlated failures. The time without faults at the end is long because a simulated task restarts
+// from its beginning even if it has a checkpoint, and some long tasks are moved more than once late
+// in the world.
 func shortLeaseOptions(seed uint64) Options {
 	return Options{
 		Seed: seed, Length: 150 * time.Second, SettleTime: 350 * time.Second, Nodes: 3 + 2*int(seed%2), Zones: 3,
@@ -86,28 +89,28 @@
 	}
 }
 
-// withStandby switches the warm standby on.
+// withStandby enables the warm standby.
 func withStandby(o Options) Options {
 	o.Standby = true
 	return o
 }
 
-// withAdmission switches admission control on. A team then floods the deployment, so the world gets more
-// time to work the jobs off.
+// withAdmission enables admission control. A team then floods the deployment with jobs, so the
+// world gets more time to finish them.
 func withAdmission(o Options) Options {
 	o.Admission = true
 	o.SettleTime *= 2
 	return o
 }
 
-// allSwitches switches everything on that can be switched on in any family.
-func allSwitches(o Options) Options {
+// withAllFeatures enables the warm standby, admission control, drains and a bounded pace.
+func withAllFeatures(o Options) Options {
 	o = withStandby(withAdmission(o))
 	o.Drains, o.Pace = true, pace
 	return o
 }
 
-// optionsByVariables are the options of a world of the kind that the environment names (README).
+// optionsByVariables returns the options that the SIMULATION_* environment variables choose (README).
 func optionsByVariables(seed uint64) Options {
 	set := func(variable string) bool { return os.Getenv("SIMULATION_"+variable) != "" }
 	o := randomOptions(seed, true)
--- a/internal/simulation/fault_scenario_rows_test.go
+++ b/internal/simulation/fault_scenario_rows_test.go
@@ -304,7 +304,7 @@
 				s.count("machines with tasks lost")
 				switch s.rng.IntN(3) {
 				case 0:
-					m.die()
+					m.terminate()
 				case 1:
 					m.reboot()
 				default:
--- a/internal/simulation/invariant_admission.go
+++ b/internal/simulation/invariant_admission.go
@@ -8,36 +8,37 @@
 	"gingertally/internal/codec"
 )
 
-// The times for which admission control may turn a user away.
+// Bounds of the Retry-After that a refused submission gets.
 const (
-	shortestRetryAfter = time.Second
-	longestRetryAfter  = 30 * time.Second
+	minRetryAfter = time.Second
+	maxRetryAfter = 30 * time.Second
 )
 
-// admissionConsistent: no controller goes back to an older admission policy, a policy says the same at every
-// controller, and a refused submission is told to come back after a sensible time.
+// admissionConsistent: no controller goes back to an older admission policy, a policy has the same
+// content at every controller, and a refused submission gets a Retry-After within its bounds.
 //
 // Deliberate faults: "an older policy taken", "two policies of one number", "a user turned away for an hour".
 type admissionConsistent struct {
 	w        *World
-	policies map[[2]uint64]string // the encoded policies so far, by term and number
+	policies map[[2]uint64]string // the encoded policies seen so far, by term and number
 }
 
 func (i *admissionConsistent) observe(o observation) {
 	switch o := o.(type) {
-	case policyTaken:
+	case policyOffered:
 		i.checkSame(o.offered)
 		if o.before.NewerThan(o.node.gate.Policy()) {
-			i.w.checker.fail("%s goes back from policy %d.%d", o.node.name, o.before.Term, o.before.Number)
+			i.w.checker.fail("%s goes back from policy %d.%d to an older one", o.node.name, o.before.Term, o.before.Number)
 		}
 	case submissionRefused:
-		if o.retryAfter < shortestRetryAfter || o.retryAfter > longestRetryAfter {
-			i.w.checker.fail("Retry-After of %s", o.retryAfter)
+		if o.retryAfter < minRetryAfter || o.retryAfter > maxRetryAfter {
+			i.w.checker.fail("a submission is refused with a Retry-After of %s", o.retryAfter)
 		}
 	}
 }
 
-// checkSame checks that a policy says what it said when it was first seen. Number 0 is no policy.
+// checkSame checks that a policy has the content that it had when it was last seen. Number 0 means
+// no policy.
 func (i *admissionConsistent) checkSame(p admission.Policy) {
 	if p.Number == 0 {
 		return
@@ -45,7 +46,7 @@
 	key := [2]uint64{p.Term, p.Number}
 	text := fmt.Sprintf("%x", codec.MustMarshal(p))
 	if earlier, known := i.policies[key]; known && earlier != text {
-		i.w.checker.fail("policy %d.%d says two things", p.Term, p.Number)
+		i.w.checker.fail("policy %d.%d has two different contents", p.Term, p.Number)
 	}
 	i.policies[key] = text
 }
--- a/internal/simulation/invariant_cordons.go
+++ b/internal/simulation/invariant_cordons.go
@@ -11,40 +11,47 @@
 	"gingertally/internal/statestore"
 )
 
-// Keys of the state service under which leaders store what they do about drains.
+// Prefixes of the state service's keys under which leaders store cordons and charges.
 const (
 	cordonPrefix = "drain/cordon/"
 	chargePrefix = "drain/charge/"
 )
 
-// cordonsHold: no response to a heartbeat starts anything on a machine that the state service holds as cordoned.
-// The version in production knows of no cordons, so worlds with a rolling upgrade are excepted.
+// cordonsRespected: no response to a heartbeat starts a task on a machine that the state service
+// holds as cordoned. The version in production doesn't know cordons, so worlds with a rolling
+// upgrade are exempt.
 //
 // Deliberate fault: "cordons forgotten at a takeover" in TestDrainChecksSeeFaults.
-type cordonsHold struct {
+type cordonsRespected struct {
 	w        *World
-	cordoned map[string]time.Time // machines, and since when the state service holds them as cordoned
-	pages    map[string][]string  // machines on each stored page
-	released map[string]bool      // machines
+	cordoned map[string]time.Time // by machine: since when the state service holds it as cordoned
+	pages    map[string][]string  // names of the machines on each stored page, by key
+	released map[string]bool      // machines that were stored as released
 }
 
-func newCordonsHold(w *World) *cordonsHold {
-	return &cordonsHold{w: w, cordoned: map[string]time.Time{}, pages: map[string][]string{}, released: map[string]bool{}}
+func newCordonsRespected(w *World) *cordonsRespected {
+	return &cordonsRespected{
+		w: w, cordoned: map[string]time.Time{}, pages: map[string][]string{}, released: map[string]bool{},
+	}
 }
 
-func (i *cordonsHold) observe(o observation) {
+func (i *cordonsRespected) observe(o observation) {
 	switch o := o.(type) {
 	case transactionCommitted:
-		i.follow(o.changes)
+		i.recordCordons(o.changes)
 	case heartbeatAnswered:
 		i.checkStarts(o)
 	}
 }
 
-// isCordoned tells whether a machine is cordoned. A nil invariant knows of no cordons.
-func (i *cordonsHold) isCordoned(m *machine) bool { return i != nil && !i.cordoned[m.name].IsZero() }
+// isCordoned reports whether a machine is cordoned. It is false for a nil invariant, in a world
+// without drains.
+func (i *cordonsRespected) isCordoned(m *machine) bool {
+	return i != nil && !i.cordoned[m.name].IsZero()
+}
 
-func (i *cordonsHold) checkStarts(answered heartbeatAnswered) {
+// checkStarts checks that a response starts nothing on a cordoned machine.
+func (i *cordonsRespected) checkStarts(answered heartbeatAnswered) {
 	since := i.cordoned[answered.machine]
 	if since.IsZero() || i.w.options.RollingUpgrade {
 		return
@@ -57,21 +64,22 @@
 	}
 }
 
-// follow takes in which machines the state service holds as cordoned.
-func (i *cordonsHold) follow(changes []statestore.Op) {
+// recordCordons records which machines the changes of a transaction cordon or uncordon.
+func (i *cordonsRespected) recordCordons(changes []statestore.Op) {
 	for _, change := range changes {
 		if !strings.HasPrefix(change.Key, cordonPrefix) {
 			continue
 		}
 		var page drain.MachinePage
 		if !change.Delete && codec.Unmarshal(change.Value, &page) != nil {
-			i.w.checker.fail("%s can't be read", change.Key)
+			i.w.checker.fail("%s can't be decoded", change.Key)
 		}
 		i.replacePage(change.Key, page)
 	}
 }
 
-func (i *cordonsHold) replacePage(key string, page drain.MachinePage) {
+// replacePage records the new content of a stored page; a deleted page is empty.
+func (i *cordonsRespected) replacePage(key string, page drain.MachinePage) {
 	before := i.pages[key]
 	i.pages[key] = nil
 	for _, m := range page.Machines {
@@ -92,7 +100,7 @@
 	}
 }
 
-func (i *cordonsHold) onAnyPage(machine string) bool {
+func (i *cordonsRespected) onAnyPage(machine string) bool {
 	for _, names := range i.pages {
 		if slices.Contains(names, machine) {
 			return true
--- a/internal/simulation/invariant_jobs.go
+++ b/internal/simulation/invariant_jobs.go
@@ -10,12 +10,13 @@
 	"gingertally/internal/statestore"
 )
 
-// queriesFailAtMost is how long all queries about a job may fail once all faults are over. The protocol
-// allows 90 s.
-const queriesFailAtMost = 75 * time.Second
+// maxQueryOutage is how long all queries about a job may fail once all faults are over. It is
+// stricter than the protocol, which allows 90 s.
+const maxQueryOutage = 75 * time.Second
 
-// jobsRemembered holds forgotten and invented: an accepted job is known to every controller that answers about
-// it, queries about it don't fail for long, and a job that nobody submitted is never reported.
+// jobsRemembered checks the rules forgotten and invented: every controller that answers a query
+// about an accepted job knows it, such queries don't fail for long, and a job that nobody submitted
+// is never reported.
 //
 // Deliberate faults: "a record lost from the state service", "controllers that stay away", "a record that nobody
 // submitted".
@@ -28,13 +29,14 @@
 			i.w.checker.fail("forgotten: %s", o.job.spec.Ref)
 		}
 	case unknownJobReported:
-		i.w.checker.fail("invented: unknown job is called %v", o.view.Phase)
+		i.w.checker.fail("invented: a job that nobody submitted is reported as %v", o.view.Phase)
 	case queryFinished:
 		i.checkAnswered(o.job)
 	}
 }
 
-// checkAnswered checks that some of the queries about a job are answered.
+// checkAnswered checks that, since all faults are over, queries about a job haven't all failed for longer
+// than maxQueryOutage.
 func (i *jobsRemembered) checkAnswered(j *userJob) {
 	if i.w.faultsEndedAt.IsZero() {
 		return
@@ -43,12 +45,13 @@
 	if j.lastAnsweredAt.After(from) {
 		from = j.lastAnsweredAt
 	}
-	if i.w.now.Sub(from) > queriesFailAtMost {
-		i.w.checker.fail("forgotten: no question about %s was answered for %s", j.spec.Ref, i.w.now.Sub(from))
+	if i.w.now.Sub(from) > maxQueryOutage {
+		i.w.checker.fail("forgotten: no query about %s was answered for %s", j.spec.Ref, i.w.now.Sub(from))
 	}
 }
 
-// doneIsComplete holds not_done: a job is neither stored nor reported as done before all of its tasks are.
+// doneIsComplete checks the rule not_done: a job is neither stored nor reported as done before all
+// of its tasks are.
 //
 // Deliberate faults: "an end stored too early", "an end reported too early".
 type doneIsComplete struct{ w *World }
@@ -64,14 +67,14 @@
 	case jobReported:
 		j := o.job
 		if o.known && o.view.Phase == pipeline.Done && len(j.done) != j.spec.Tasks {
-			i.w.checker.fail("not_done: %s has %d of %d tasks", j.spec.Ref, len(j.done), j.spec.Tasks)
+			i.w.checker.fail("not_done: %s is reported as done with %d of %d tasks", j.spec.Ref, len(j.done), j.spec.Tasks)
 		}
 	}
 }
 
-// endsAreFinal holds went_back: a job reported as done or cancelled is never reported as anything else, and a
-// job is neither stored nor reported as cancelled unless its user has asked for that, or the user of a job
-// that it depends on.
+// endsAreFinal checks the rule went_back: a job reported as done or cancelled is never reported as
+// anything else later, and a job is neither stored nor reported as cancelled unless the
+// cancellation of it, or of a job that it depends on, was requested.
 //
 // Deliberate faults: "a cancellation that nobody asked for", "an end taken back".
 type endsAreFinal struct{ w *World }
@@ -81,7 +84,7 @@
 	case transactionCommitted:
 		i.w.eachStoredEnd(o.changes, func(j *userJob, final pipeline.Final) {
 			if final.Phase == pipeline.Cancelled && !j.mayBeCancelled() {
-				i.w.checker.fail("went_back: %s is stored as cancelled, and nobody has asked for it", j.spec.Ref)
+				i.w.checker.fail("went_back: %s is stored as cancelled, but no cancellation was requested", j.spec.Ref)
 			}
 		})
 	case jobReported:
@@ -91,13 +94,13 @@
 		case j.reportedPhase != pipeline.Active && phase != j.reportedPhase:
 			i.w.checker.fail("went_back: %s from %v to %v", j.spec.Ref, j.reportedPhase, phase)
 		case phase == pipeline.Cancelled && !j.mayBeCancelled():
-			i.w.checker.fail("went_back: %s cancelled by nobody", j.spec.Ref)
+			i.w.checker.fail("went_back: %s is reported as cancelled, but no cancellation was requested", j.spec.Ref)
 		}
 	}
 }
 
-// dependentsCancelled: a job whose dependency was reported as cancelled isn't reported as active for longer
-// than the time for cancellations.
+// dependentsCancelled: a job whose dependency was reported as cancelled is no longer reported as
+// active after Options.CancelWithin.
 //
 // Deliberate fault: "a job that outlives its dependency".
 type dependentsCancelled struct{ w *World }
@@ -114,8 +117,9 @@
 	}
 }
 
-// overdueDependency is a direct or indirect dependency of a job that was reported as cancelled too long ago for
-// the job to be still waiting. The time counts from when the job was accepted, if that was later.
+// overdueDependency returns a direct or indirect dependency of a job that was reported as cancelled
+// too long ago for the job to be still active, nil if there is none. The time counts from when the
+// job was accepted, if that was later.
 func (i *dependentsCancelled) overdueDependency(j *userJob, accepted time.Time) *userJob {
 	for _, dependency := range j.dependencies {
 		if dependency.reportedPhase == pipeline.Cancelled {
@@ -134,8 +138,8 @@
 	return nil
 }
 
-// everyJobEnds holds nothing_ran, and of a world that goes on without faults for long enough at its end: every
-// job that was accepted and can end has ended.
+// everyJobEnds checks the rule nothing_ran, and that every accepted job that can end has ended when
+// the world does. Options.SettleTime, in which there are no faults, has to be long enough for that.
 //
 // Deliberate faults: "no jobs", "a task that never ends".
 type everyJobEnds struct{ w *World }
@@ -152,12 +156,12 @@
 	}
 	for _, j := range i.w.sortedJobs() {
 		if j.accepted && !j.failsAlways && j.reportedPhase == pipeline.Active && j.spec.Shape != pipeline.Service {
-			i.w.checker.fail("job %s never came to an end: %+v", j.spec.Ref, j.spec)
+			i.w.checker.fail("job %s never ended: %+v", j.spec.Ref, j.spec)
 		}
 	}
 }
 
-// eachStoredEnd calls a function for each job of a user whose end a transaction has stored.
+// eachStoredEnd calls fn for each job whose final entry a transaction has stored.
 func (w *World) eachStoredEnd(changes []statestore.Op, fn func(j *userJob, final pipeline.Final)) {
 	for _, change := range changes {
 		ref, ok := strings.CutPrefix(change.Key, finalPrefix)
@@ -171,13 +175,13 @@
 	}
 }
 
-// Keys of the state service under which jobs are stored.
+// Prefixes of the state service's keys under which jobs and their final entries are stored.
 const (
 	jobPrefix   = jobstore.JobPrefix
 	finalPrefix = "f/"
 )
 
-// finalEntry reads a job's final entry.
+// finalEntry returns a job's final entry in the state service, if there is one.
 func (w *World) finalEntry(ref string) (final pipeline.Final, over bool) {
 	it := w.store.items[finalPrefix+ref]
 	if it == nil {
@@ -189,7 +193,7 @@
 	return final, true
 }
 
-// holdsJob tells whether the state service holds a job's record or final entry.
+// holdsJob reports whether the state service holds a job's record or final entry.
 func (s *Store) holdsJob(ref string) bool {
 	return s.items[jobPrefix+ref] != nil || s.items[finalPrefix+ref] != nil
 }
--- a/internal/simulation/invariant_leader.go
+++ b/internal/simulation/invariant_leader.go
@@ -1,14 +1,15 @@
 package simulation
 
-// singleLeader: no two controllers may act at once, none acts in an earlier term than one that could act
-// before, and none acts while its process is paused. Leaders' terms fence what reaches workers and the state
-// service, so the protocol's rules about tasks and jobs rest on this.
+// singleLeader: no two controllers hold a valid leader lease at once, none holds one in an earlier
+// term than a previous leader's, and none acts while its process is paused. What leaders send to
+// workers and the state service is fenced by their term, so the protocol's rules about tasks and
+// jobs depend on this.
 //
 // Deliberate faults: "a second node with a valid lease", "a leader of an earlier term", "a paused leader that
 // acts".
 type singleLeader struct {
 	w          *World
-	newestTerm uint64 // of the leaders so far
+	newestTerm uint64 // highest term of the leaders so far
 }
 
 func (i *singleLeader) observe(o observation) {
@@ -22,6 +23,8 @@
 	}
 }
 
+// checkLeaders checks that at most one node holds a valid lease, and that its term isn't an earlier
+// one.
 func (i *singleLeader) checkLeaders() {
 	var leader *node
 	for _, n := range i.w.nodes {
@@ -31,13 +34,14 @@
 			i.w.checker.fail("two leaders: %s of term %d and %s of term %d",
 				leader.name, leader.term.Number, n.name, n.term.Number)
 		case n.term.Number < i.newestTerm:
-			i.w.checker.fail("leader of the past: %s acts in term %d after term %d", n.name, n.term.Number, i.newestTerm)
+			i.w.checker.fail("stale leader: %s acts in term %d after term %d", n.name, n.term.Number, i.newestTerm)
 		default:
 			leader, i.newestTerm = n, n.term.Number
 		}
 	}
 }
 
-// restoredTo has terms counted from an earlier one again, since the state service was restored from an older
-// copy. Fencing tokens keep the new terms apart from the forgotten ones.
-func (i *singleLeader) restoredTo(term uint64) { i.newestTerm = term }
+// resetNewestTerm sets the newest term back to an earlier one after the state service was restored
+// from an older copy. Fencing tokens distinguish the new terms from the lost ones of the same
+// numbers.
+func (i *singleLeader) resetNewestTerm(term uint64) { i.newestTerm = term }
--- a/internal/simulation/invariant_pace.go
+++ b/internal/simulation/invariant_pace.go
@@ -8,16 +8,16 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// boundedPace: while a new leader's pace is bounded, the starts of bulk work in a second don't exceed it by more
-// than what may go at once.
+// boundedPace: while a new leader's pace is bounded, the starts of bulk work in a second don't
+// exceed twice that rate plus two, which allows for the burst that may be sent at once.
 //
 // Deliberate fault: "a response with too many starts".
 type boundedPace struct {
 	w           *World
-	seconds     int       // in which a leader's pace was bounded
-	secondBegan time.Time // the present one of them
-	starts      int       // of bulk work in it
-	highestRate float64   // in it
+	seconds     int       // how many seconds were checked, that is, had a bounded pace
+	secondBegan time.Time // when the current second began; zero: the pace isn't bounded
+	starts      int       // of bulk work in the current second
+	highestRate float64   // of the pace in the current second
 }
 
 func (i *boundedPace) observe(o observation) {
@@ -30,6 +30,7 @@
 	}
 }
 
+// checkResponse counts the starts of bulk work in a response and checks them against the pace.
 func (i *boundedPace) checkResponse(n *node, response *core.HeartbeatResponse) {
 	rate := n.engine.Status(n.local()).Recovery.Pace
 	if rate == 0 {
@@ -47,17 +48,17 @@
 		}
 	}
 	if most := 2*i.highestRate + 2; float64(i.starts) > most {
-		i.w.checker.fail("pace: %d starts of bulk work in a second, at most %g a second are allowed", i.starts, i.highestRate)
+		i.w.checker.fail("pace: %d starts of bulk work in a second, with a pace of %g a second", i.starts, i.highestRate)
 	}
 }
 
-// isBulk tells whether a job's starts are paced: those of urgent jobs aren't, nor those of jobs that others
-// depend on, since a job inherits the urgency of its dependents.
+// isBulk reports whether a job's starts are paced. Those of urgent jobs aren't, nor those of jobs
+// that others depend on, since a job inherits the urgency of its dependents.
 func (*boundedPace) isBulk(j *userJob) bool {
 	return j != nil && j.spec.Priority > pipeline.High && !j.hasDependents()
 }
 
-// hasDependents tells whether some job names this one as a dependency.
+// hasDependents reports whether some job names this one as a dependency.
 func (j *userJob) hasDependents() bool {
 	for _, other := range j.w.jobs {
 		for _, dependency := range other.dependencies {
--- a/internal/simulation/invariant_replicas.go
+++ b/internal/simulation/invariant_replicas.go
@@ -2,14 +2,14 @@
 
 import "gingertally/internal/core/pipeline"
 
-// replicasMoveInTurn: a service with several replicas never has all of them moved by choice at once. A replica
-// counts as moved from when it is told to stop until it runs again.
+// replicasMoveInTurn: a service with several replicas never has all of them moved voluntarily at
+// once. A replica counts as moved from when its stop reaches the worker until it runs again.
 //
 // Deliberate fault: "all replicas of a service stopped at once".
 type replicasMoveInTurn struct {
 	w     *World
-	moved map[*userJob]map[int]bool // replicas that are moved at present, by number
-	moves int                       // so far
+	moved map[*userJob]map[int]bool // replicas that are being moved, by index
+	moves int                       // voluntary moves of replicas so far
 }
 
 func (i *replicasMoveInTurn) observe(o observation) {
@@ -21,9 +21,10 @@
 	}
 }
 
+// checkStop records the voluntary stop of a replica and checks that not all replicas are being moved.
 func (i *replicasMoveInTurn) checkStop(t *task) {
 	j := t.job
-	if j.spec.Shape != pipeline.Service || j.spec.Tasks < 2 || !i.w.checker.ledger.stoppedByChoice(t) {
+	if j.spec.Shape != pipeline.Service || j.spec.Tasks < 2 || !i.w.checker.ledger.stoppedVoluntarily(t) {
 		return
 	}
 	if i.moved[j] == nil {
@@ -32,6 +33,6 @@
 	i.moved[j][t.index] = true
 	i.moves++
 	if len(i.moved[j]) == j.spec.Tasks {
-		i.w.checker.fail("all moved: the last of %d replicas of %s is stopped on %s", j.spec.Tasks, j.spec.Ref, t.m.name)
+		i.w.checker.fail("all moved: the last of the %d replicas of %s is stopped on %s", j.spec.Tasks, j.spec.Ref, t.m.name)
 	}
 }
--- a/internal/simulation/invariant_tasks.go
+++ b/internal/simulation/invariant_tasks.go
@@ -4,8 +4,9 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// runsOnce holds ran_twice: a task doesn't start on one machine while it is on another. A task is on its
-// machine from when it has its image until it exits, is killed or the machine is gone.
+// runsOnce checks the rule ran_twice: a task doesn't start on one machine while it is on another. A
+// task is on its machine from when its image is fetched until it exits, is killed or the machine is
+// gone.
 //
 // Deliberate fault: "a second attempt beside the first".
 type runsOnce struct{ w *World }
@@ -23,13 +24,13 @@
 	}
 }
 
-// attemptsUsedOnce: no two starts of a task have the same attempt number, or a late stop of one could end the
-// other.
+// attemptsUsedOnce: no two starts of a task have the same attempt number, since a late stop of one
+// could otherwise end the other.
 //
 // Deliberate fault: "an attempt number used again".
 type attemptsUsedOnce struct {
 	w    *World
-	used map[string]bool
+	used map[string]bool // attempts that have started
 }
 
 func (i *attemptsUsedOnce) observe(o observation) {
@@ -44,14 +45,15 @@
 	i.used[t.key()] = true
 }
 
-// allowedPlace holds wrong_place: a task starts only on a machine type, in a zone and on a kind of machine that
-// its job allows, given where the job's other tasks are at that moment.
+// allowedPlacement checks the rule wrong_place: a task starts only on a machine type, in a zone
+// and, if the job forbids spot machines, on an on-demand machine, given where the job's other tasks
+// are at that moment.
 //
 // Deliberate faults: "a start in a zone that the job doesn't allow", "a start apart from tasks that share a
 // zone", "more than half of a spread job in one zone".
-type allowedPlace struct{ w *World }
+type allowedPlacement struct{ w *World }
 
-func (i *allowedPlace) observe(o observation) {
+func (i *allowedPlacement) observe(o observation) {
 	started, ok := o.(taskStarted)
 	if !ok {
 		return
@@ -64,8 +66,9 @@
 	i.checkZones(t)
 }
 
-// checkZones checks a task's zone against those of its job's other tasks.
-func (i *allowedPlace) checkZones(t *task) {
+// checkZones checks a task's zone against those of its job's other tasks, if the job is to be in
+// one zone or spread.
+func (i *allowedPlacement) checkZones(t *task) {
 	s := &t.job.spec
 	sameZone, otherZones := 0, 0
 	i.w.checker.ledger.each(func(o *task) {
@@ -78,14 +81,14 @@
 		}
 	})
 	if s.OneZone && otherZones > 0 {
-		i.w.checker.fail("wrong_place: %s in %s while others are elsewhere", taskName(t), t.m.zone)
+		i.w.checker.fail("wrong_place: %s in %s while others are in other zones", taskName(t), t.m.zone)
 	}
 	if s.Spread && sameZone > (s.Tasks+1)/2 {
 		i.w.checker.fail("wrong_place: %d of %d tasks of %s in %s", sameZone, s.Tasks, s.Ref, t.m.zone)
 	}
 }
 
-// withinQuota holds quota: a team's tasks that are on machines use no more than its limit.
+// withinQuota checks the rule quota: a team's tasks that are on machines use no more than its limit.
 //
 // Deliberate fault: "controllers that don't know a lower limit".
 type withinQuota struct{ w *World }
@@ -135,9 +138,9 @@
 	}
 }
 
-// cancelledTasksEnd holds ran_cancelled: once a user was told that a job is cancelled, none of its tasks is on a
-// machine after the time for cancellations. Nor does one start, run or complete then, not even on a machine
-// that hung meanwhile.
+// cancelledTasksEnd checks the rule ran_cancelled: Options.CancelWithin after a user was told that
+// a job is cancelled, none of its tasks is on a machine. From then on none starts, begins to run or
+// completes either, not even on a machine that was hung in the meantime.
 //
 // Deliberate faults: "a start long after the cancellation", "stops that don't arrive, and leases that don't
 // end".
@@ -158,7 +161,8 @@
 	}
 }
 
-// checkTask checks that a task that goes on in some way belongs to no job that had to be gone by now.
+// checkTask checks that a task that starts, runs or completes doesn't belong to a job whose tasks
+// must have ended.
 func (i *cancelledTasksEnd) checkTask(t *task, action string) {
 	j := t.job
 	if j.reportedPhase == pipeline.Cancelled && i.w.now.Sub(j.cancelReportedAt) > i.w.options.CancelWithin {
@@ -166,7 +170,7 @@
 	}
 }
 
-// checkEnded checks that no task of a job is on a machine.
+// checkEnded checks that no task of a cancelled job is on a machine.
 func (i *cancelledTasksEnd) checkEnded(j *userJob) {
 	i.w.checker.ledger.each(func(t *task) {
 		if t.job == j {
--- a/internal/simulation/invariant_waiting.go
+++ b/internal/simulation/invariant_waiting.go
@@ -7,39 +7,43 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// nothingLeftWaiting: once all faults are over, no job is left with tasks that wait though machines have room
-// for them: arrays whether they have begun or not, whole gangs, and replicas of services, which are replaced
-// sooner.
+// nothingLeftWaiting: once all faults are over, no job has tasks that wait for long although
+// machines have room for them. This covers arrays, whether any task has run or not, whole gangs,
+// and replicas of services, which have a shorter bound.
 //
 // Deliberate faults: "controllers that don't know a higher limit", "controllers that don't know a higher limit,
 // services".
 type nothingLeftWaiting struct {
 	w     *World
-	since map[*userJob]time.Time // since when there has been room for tasks of a job that wait
+	since map[*userJob]time.Time // since when a job's waiting tasks have had room
 }
 
-// waitsAtMost is how long an array or a gang may wait in a fault-free world though there is room.
-const waitsAtMost = 90 * time.Second
+// maxWaitWithRoom is how long an array or a gang may wait although there is room, once all faults
+// are over.
+const maxWaitWithRoom = 90 * time.Second
 
-// What replacing a replica takes besides the proof that its last place is lost: a round of decisions and its
-// write, two heartbeats of the machine that gets it, and fetching its image.
+// Parts of maxReplacementTime. Replacing a replica takes, besides the proof that the machine's
+// lease on the old one has expired, a scheduling round and its write, two heartbeats of the new
+// machine, and fetching the image. checkInterval is how often jobs are checked.
 const (
 	roundAndWrite = 2 * time.Second
-	longestFetch  = 8 * time.Second
+	maxFetchTime  = 8 * time.Second
 	checkInterval = 5 * time.Second
 )
 
-// failuresTolerated is how many failures of its tasks a job can have had without being held back.
+// failuresTolerated is how many task failures a job may have had and still be expected to start
+// without delay.
 const failuresTolerated = 3
 
-// A machine on which a task failed once is tried again after failureForgotten at the latest; one with
-// quarantinedAfter failures may be in quarantine.
+// A machine on which a task failed once is used again after maxFailureBackoff at the latest; one with
+// quarantinedAfter failures may be quarantined.
 const (
-	failureForgotten = 2 * time.Minute
-	quarantinedAfter = 2
+	maxFailureBackoff = 2 * time.Minute
+	quarantinedAfter  = 2
 )
 
-// observe drops a job that had begun from those that wait as soon as a task of it starts.
+// observe restarts the waiting time of a job when a task of it starts and the job had begun before:
+// another of its tasks is present on a machine or has completed.
 func (i *nothingLeftWaiting) observe(o observation) {
 	started, ok := o.(taskStarted)
 	if !ok {
@@ -55,14 +59,16 @@
 	}
 }
 
-// replacedWithin is how long a service may lack a replica in a fault-free world though there is room.
-func (i *nothingLeftWaiting) replacedWithin() time.Duration {
+// maxReplacementTime is how long a service may lack a replica although there is room, once all
+// faults are over.
+func (i *nothingLeftWaiting) maxReplacementTime() time.Duration {
 	o := &i.w.options
 	leaseProvenOver := o.Lease + o.Lease/500 + time.Second
-	return leaseProvenOver + roundAndWrite + 2*o.HeartbeatInterval*5/4 + longestFetch + checkInterval
+	return leaseProvenOver + roundAndWrite + 2*o.HeartbeatInterval*5/4 + maxFetchTime + checkInterval
 }
 
-// checkRepeatedly checks all jobs now and again until the world ends. It is called once all faults are over.
+// checkRepeatedly checks all jobs every checkInterval until the world ends. It is called once all
+// faults are over.
 func (i *nothingLeftWaiting) checkRepeatedly() {
 	for _, j := range i.w.sortedJobs() {
 		if !i.couldStart(j) {
@@ -76,16 +82,17 @@
 		}
 		waited := i.w.now.Sub(since)
 		switch {
-		case j.spec.Shape == pipeline.Service && waited > i.replacedWithin():
+		case j.spec.Shape == pipeline.Service && waited > i.maxReplacementTime():
 			i.w.checker.fail("not replaced: %s lacks a replica for %s though there is room: %+v", j.spec.Ref, waited, j.spec)
-		case j.spec.Shape != pipeline.Service && waited > waitsAtMost:
+		case j.spec.Shape != pipeline.Service && waited > maxWaitWithRoom:
 			i.w.checker.fail("left waiting: %s for %s though there is room: %+v", j.spec.Ref, waited, j.spec)
 		}
 	}
 	i.w.after(checkInterval, i.checkRepeatedly)
 }
 
-// couldStart tells whether tasks of a job wait, all of a gang or some of any other, and there is room for them.
+// couldStart reports whether tasks of a job wait, all of a gang's or some of any other job's, and
+// there is room for them.
 func (i *nothingLeftWaiting) couldStart(j *userJob) bool {
 	s := &j.spec
 	open := j.accepted && !j.cancelRequested && j.reportedPhase == pipeline.Active
@@ -116,7 +123,8 @@
 	return i.fits(s, need, present)
 }
 
-// fits tells whether the machines have room for so many more tasks of a job, given how many it has in each zone.
+// fits reports whether the machines have room for need more tasks of a job, given how many it has
+// in each zone.
 func (i *nothingLeftWaiting) fits(s *pipeline.Spec, need int, present map[string]int) bool {
 	room, mostInOneZone := 0, 0
 	for _, zone := range i.w.zones {
@@ -140,7 +148,8 @@
 	return room >= need
 }
 
-// presentByZone counts the tasks of a job that are on machines, or whose images are being fetched there.
+// presentByZone counts the tasks of a job by zone that are on machines or whose images are being
+// fetched there.
 func (i *nothingLeftWaiting) presentByZone(j *userJob) map[string]int {
 	present := map[string]int{}
 	for _, m := range i.w.machines {
@@ -153,7 +162,8 @@
 	return present
 }
 
-// teamClaims sums up the tasks of a team that are on machines, or whose images are being fetched there.
+// teamClaims sums the resources of a team's tasks that are on machines or whose images are being
+// fetched there.
 func (i *nothingLeftWaiting) teamClaims(team string) (cpus, gpus float64) {
 	for _, m := range i.w.machines {
 		for _, t := range m.tasks {
@@ -165,19 +175,20 @@
 	return cpus, gpus
 }
 
-// usable tells whether a machine is healthy, isn't cordoned, and is one that a job may use.
+// usable reports whether a machine is healthy, isn't cordoned or held back after failures, and is
+// allowed for a job.
 func (i *nothingLeftWaiting) usable(m *machine, s *pipeline.Spec) bool {
 	healthy := m.isUp && !m.faulty && !i.w.now.Before(m.hungUntil) && m.interruptionAt.IsZero()
 	if !healthy || i.w.checker.cordons.isCordoned(m) {
 		return false
 	}
-	if m.failures >= quarantinedAfter || m.failures > 0 && i.w.now.Sub(m.failedAt) <= failureForgotten {
+	if m.failures >= quarantinedAfter || m.failures > 0 && i.w.now.Sub(m.failedAt) <= maxFailureBackoff {
 		return false
 	}
 	return s.AllowsType(m.typ) && (s.Zone == "" || s.Zone == m.zone) && (!m.spot || s.Spot)
 }
 
-// tasksThatFit is how many more tasks of a job a machine has room for.
+// tasksThatFit returns how many more tasks of a job a machine has room for.
 func (m *machine) tasksThatFit(s *pipeline.Spec) int {
 	typ := m.w.catalog[m.typ]
 	cpus, gpus, mem := typ.CPUs, typ.GPUs, typ.MemGB
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -10,38 +10,41 @@
 	"gingertally/internal/statestore"
 )
 
-// invariant is a rule that holds at every step of every world. Each invariant stands in one of the files
-// invariant_*.go. It is told what happens in the world and reports what breaks the rule by checker.fail. It
-// draws no random numbers and changes nothing in the world.
+// invariant is a rule that holds at every step of every world. The invariants are in the files
+// invariant_*.go. An invariant observes what happens in the world and reports violations with
+// checker.fail. It draws no random numbers and changes nothing in the world.
 //
-// The rules that the protocol names begin their violations with its name for them: ran_twice, quota,
-// wrong_place, ran_cancelled, forgotten, invented, not_done, went_back, nothing_ran. The other rules are ours.
-// TestInvariantsSeeViolations and TestDrainChecksSeeFaults break each rule in a world, and expect its invariant to
-// fail; the comment on an invariant names these deliberate faults.
+// Violations of the protocol's rules begin with the protocol's name of the rule: ran_twice, quota,
+// wrong_place, ran_cancelled, forgotten, invented, not_done, went_back, nothing_ran. The other
+// rules are this project's own. TestInvariantsSeeViolations and TestDrainChecksSeeFaults break each
+// rule in a world, and expect its invariant to fail; the comment on an invariant names these
+// deliberate faults.
 type invariant interface {
 	observe(observation)
 }
 
-// observation is something that happens in a world and that invariants may judge.
+// observation is something that happens in a world and that invariants may check.
 type observation interface{ isObservation() }
 
-// What happens in a world.
+// Observations.
 type (
 	// eventHandled: the world has handled one event of its queue.
 	eventHandled struct{}
 	// startReceived: a worker has received the command to start a task that it doesn't have yet.
 	startReceived struct{ task *task }
-	// stopReceived: a worker has received the command to stop a task, and is about to obey.
+	// stopReceived: a worker has received the command to stop a task, and is about to carry it out.
 	stopReceived struct{ task *task }
 	// taskStarted: a task's image is there, so from now on it counts as being on its machine.
 	taskStarted struct{ task *task }
-	// taskRunning: a task begins to run. A gang's tasks have then waited for each other.
+	// taskRunning: a task begins to run. The tasks of a gang begin together, once all of them are
+	// on their machines.
 	taskRunning struct{ task *task }
 	// taskExited: a task exits by itself or because it was stopped. It still counts as being on its machine.
 	taskExited struct{ task *task }
 	// transactionCommitted: the state service has carried out a transaction.
 	transactionCommitted struct{ changes []statestore.Op }
-	// jobReported: a user is told of a job. The job still has what was reported before.
+	// jobReported: a user is told the state of a job. The userJob still holds what was reported
+	// before.
 	jobReported struct {
 		job   *userJob
 		view  core.JobView
@@ -49,30 +52,32 @@
 	}
 	// cancellationReported: a user is told for the first time that a job is cancelled.
 	cancellationReported struct{ job *userJob }
-	// unknownJobReported: a user has asked about a job that nobody submitted, and was told of one.
+	// unknownJobReported: a user has queried a job that nobody submitted, and was told that it
+	// exists.
 	unknownJobReported struct{ view core.JobView }
-	// queryFinished: a user's query about a job was answered, or wasn't.
+	// queryFinished: a user's query about a job has ended, with or without an answer.
 	queryFinished struct{ job *userJob }
-	// heartbeatAnswered: a leader's response to a heartbeat leaves.
+	// heartbeatAnswered: a leader sends its response to a heartbeat.
 	heartbeatAnswered struct {
 		machine  string
 		response core.HeartbeatResponse
 	}
 	// directCommandsSent: a leader has sent commands to a worker directly.
 	directCommandsSent struct{ direct core.DirectCommands }
-	// engineStepped: the engine of a node has taken in an event.
+	// engineStepped: the engine of a node has handled an event.
 	engineStepped struct {
 		node    *node
 		effects core.Effects
 	}
-	// policyTaken: a node was offered an admission policy, and took or ignored it.
-	policyTaken struct {
+	// policyOffered: a node was offered an admission policy, and adopted or ignored it. before is
+	// the one it had.
+	policyOffered struct {
 		node            *node
 		before, offered admission.Policy
 	}
-	// submissionRefused: admission control has refused a submission for some time.
+	// submissionRefused: admission control has refused a submission, with a Retry-After.
 	submissionRefused struct{ retryAfter time.Duration }
-	// worldEnded: the world is over, without a violation so far.
+	// worldEnded: the world has reached its end without a violation so far.
 	worldEnded struct{}
 )
 
@@ -90,23 +95,23 @@
 func (heartbeatAnswered) isObservation()    {}
 func (directCommandsSent) isObservation()   {}
 func (engineStepped) isObservation()        {}
-func (policyTaken) isObservation()          {}
+func (policyOffered) isObservation()        {}
 func (submissionRefused) isObservation()    {}
 func (worldEnded) isObservation()           {}
 
-// checker holds the invariants against what happens in a world, and keeps the first violation.
+// checker passes what happens in a world to the invariants, and keeps the first violation.
 type checker struct {
 	w          *World
 	violation  error
 	ledger     *taskLedger
 	invariants []invariant
 
-	// Those that something else refers to, too.
+	// Invariants that other code also refers to.
 	leaders  *singleLeader
 	pace     *boundedPace
 	replicas *replicasMoveInTurn
 	waiting  *nothingLeftWaiting
-	cordons  *cordonsHold // nil: nobody drains machines
+	cordons  *cordonsRespected // nil in a world without drains
 }
 
 func newChecker(w *World) *checker {
@@ -119,7 +124,7 @@
 		c.waiting,
 		&runsOnce{w: w},
 		&attemptsUsedOnce{w: w, used: map[string]bool{}},
-		&allowedPlace{w: w},
+		&allowedPlacement{w: w},
 		&storedBeforeStart{w: w},
 		&withinQuota{w: w},
 		&dependenciesFirst{w: w},
@@ -135,7 +140,7 @@
 		&everyJobEnds{w: w},
 	}
 	if w.drains != nil {
-		c.cordons = newCordonsHold(w)
+		c.cordons = newCordonsRespected(w)
 		c.invariants = append(c.invariants, newDisruptionBudgets(w), c.cordons)
 	}
 	return c
@@ -156,5 +161,5 @@
 	}
 }
 
-// taskName is the name of a task, whatever its attempt.
+// taskName returns the name of a task, which is the same for all its attempts.
 func taskName(t *task) string { return fleet.TaskID{Ref: t.job.spec.Ref, Task: t.index}.String() }
--- a/internal/simulation/invariants_test.go
+++ b/internal/simulation/invariants_test.go
@@ -19,18 +19,18 @@
 // deliberateFault breaks one rule in a world that otherwise has no faults.
 type deliberateFault struct {
 	name string
-	// plan prepares the fault before the world runs.
+	// plan schedules the fault before the world runs.
 	plan func(w *World)
 	// options, if set, changes the world's options.
 	options func(o *Options)
-	// says is part of the violation that the fault has to cause.
-	says string
+	// wantViolation is part of the violation that the fault has to cause.
+	wantViolation string
 }
 
-// unrecordedAttempt is an attempt number that no controller gives out in these worlds.
+// unrecordedAttempt is an attempt number that no controller assigns in these worlds.
 const unrecordedAttempt = 1 << 60
 
-// everySecond tries something each second from some time on until the world ends.
+// everySecond calls fn after a delay, and then every second until the world ends.
 func everySecond(w *World, from time.Duration, fn func()) {
 	w.after(from, func() {
 		fn()
@@ -38,7 +38,8 @@
 	})
 }
 
-// startUnrecorded has a machine start a task of a job that no controller has started there, and that isn't on any machine.
+// startUnrecorded has a machine start a task of a job that isn't on any machine, without a
+// controller's command.
 func startUnrecorded(w *World, m *machine, j *userJob) {
 	for index := range j.spec.Tasks {
 		if len(w.checker.ledger.onMachines[taskName(&task{job: j, index: index})]) == 0 && m.isUp {
@@ -48,7 +49,8 @@
 	}
 }
 
-// startUnrecordedTasks has tasks started each second, of jobs and on machines that are chosen.
+// startUnrecordedTasks calls startUnrecorded every second for each job and machine that chosen
+// selects.
 func startUnrecordedTasks(w *World, chosen func(j *userJob, m *machine) bool) {
 	everySecond(w, 10*time.Second, func() {
 		for _, j := range w.sortedJobs() {
@@ -61,7 +63,7 @@
 	})
 }
 
-// tasksOnMachines are all tasks that count as being on their machines.
+// tasksOnMachines returns all tasks that count as being on their machines.
 func tasksOnMachines(w *World) []*task {
 	var tasks []*task
 	for _, m := range w.sortedMachines() {
@@ -74,7 +76,8 @@
 	return tasks
 }
 
-// moveToFirstZone ends one of a job's tasks outside the first zone, and starts it again beside one in the first zone.
+// moveToFirstZone ends one of a job's tasks outside the first zone, and has the machines in the
+// first zone that have a task of the job start it again.
 func moveToFirstZone(w *World, j *userJob) {
 	for _, m := range w.script.machinesOf(j) {
 		for _, t := range m.sortedTasks() {
@@ -91,7 +94,8 @@
 	}
 }
 
-// firstJob is a job that is accepted and active, and of which no task has completed.
+// firstJob returns the first accepted job that has begun, has no completed task, doesn't always
+// fail and isn't to be cancelled, nil if there is none.
 func firstJob(w *World) *userJob {
 	for _, j := range w.sortedJobs() {
 		running := j.accepted && j.reportedPhase == pipeline.Active && !j.startedAt.IsZero()
@@ -102,7 +106,7 @@
 	return nil
 }
 
-// storeFinal stores a job's end, whatever its controllers think of it.
+// storeFinal stores a final entry for a job, regardless of the controllers' state.
 func storeFinal(w *World, j *userJob, phase pipeline.Phase) {
 	final := codec.MustMarshal(pipeline.Final{Phase: phase, Tasks: j.spec.Tasks})
 	_, _ = w.store.Commit(context.Background(), nil, []statestore.Op{statestore.Put(finalPrefix+j.spec.Ref, final)})
@@ -110,7 +114,7 @@
 
 // faultsOfTasks break rules about where and when tasks run.
 var faultsOfTasks = []deliberateFault{
-	{name: "a second attempt beside the first", says: "ran_twice", plan: func(w *World) {
+	{name: "a second attempt beside the first", wantViolation: "ran_twice", plan: func(w *World) {
 		everySecond(w, 10*time.Second, func() {
 			for _, t := range tasksOnMachines(w) {
 				for _, m := range w.sortedMachines() {
@@ -121,7 +125,7 @@
 			}
 		})
 	}},
-	{name: "an attempt number used again", says: "used again", plan: func(w *World) {
+	{name: "an attempt number used again", wantViolation: "used again", plan: func(w *World) {
 		var past []*task
 		everySecond(w, 10*time.Second, func() {
 			for _, t := range past {
@@ -132,18 +136,19 @@
 			past = append(past, tasksOnMachines(w)...)
 		})
 	}},
-	{name: "a start in a zone that the job doesn't allow", says: "wrong_place", plan: func(w *World) {
+	{name: "a start in a zone that the job doesn't allow", wantViolation: "wrong_place", plan: func(w *World) {
 		startUnrecordedTasks(w, func(j *userJob, m *machine) bool {
 			return j.accepted && j.spec.Zone != "" && j.spec.Zone != m.zone
 		})
 	}},
-	{name: "a start apart from tasks that share a zone", says: "while others are elsewhere", plan: func(w *World) {
-		startUnrecordedTasks(w, func(j *userJob, m *machine) bool {
-			tasks := w.script.machinesOf(j)
-			return j.spec.OneZone && j.spec.Zone == "" && len(tasks) > 0 && tasks[0].zone != m.zone
-		})
-	}},
-	{name: "more than half of a spread job in one zone", says: "tasks of", plan: func(w *World) {
+	{name: "a start apart from tasks that share a zone", wantViolation: "while others are in other zones",
+		plan: func(w *World) {
+			startUnrecordedTasks(w, func(j *userJob, m *machine) bool {
+				tasks := w.script.machinesOf(j)
+				return j.spec.OneZone && j.spec.Zone == "" && len(tasks) > 0 && tasks[0].zone != m.zone
+			})
+		}},
+	{name: "more than half of a spread job in one zone", wantViolation: "tasks of", plan: func(w *World) {
 		j := w.script.add(0, pipeline.Spec{Team: "green", Spread: true, Tasks: 4, CPUs: 1, MemGB: 1}, endless)
 		everySecond(w, 10*time.Second, func() {
 			if w.script.tasksOf(j) == j.spec.Tasks {
@@ -151,29 +156,29 @@
 			}
 		})
 	}},
-	{name: "controllers that don't know a lower limit", says: "quota", plan: func(w *World) {
+	{name: "controllers that don't know a lower limit", wantViolation: "quota", plan: func(w *World) {
 		w.after(10*time.Second, func() {
 			w.teams = map[string]placement.Quota{"red": {CPULimit: 1}, "blue": {CPULimit: 1}}
 		})
 	}},
-	{name: "a start before the job is stored", says: "isn't stored", plan: func(w *World) {
+	{name: "a start before the job is stored", wantViolation: "isn't stored", plan: func(w *World) {
 		startUnrecordedTasks(w, func(j *userJob, _ *machine) bool {
 			return !j.accepted && !w.store.holdsJob(j.spec.Ref)
 		})
 	}},
-	{name: "a start before a dependency is done", says: "too_early",
+	{name: "a start before a dependency is done", wantViolation: "too_early",
 		options: func(o *Options) { o.Pipelines, o.Jobs = 12, 8 },
 		plan: func(w *World) {
 			startUnrecordedTasks(w, func(j *userJob, _ *machine) bool {
 				return j.accepted && len(j.dependencies) > 0 && j.dependencies[0].reportedPhase == pipeline.Active
 			})
 		}},
-	{name: "a start long after the cancellation", says: "ran_cancelled", plan: func(w *World) {
+	{name: "a start long after the cancellation", wantViolation: "ran_cancelled", plan: func(w *World) {
 		startUnrecordedTasks(w, func(j *userJob, _ *machine) bool {
 			return j.reportedPhase == pipeline.Cancelled && w.now.Sub(j.cancelReportedAt) > w.options.CancelWithin
 		})
 	}},
-	{name: "stops that don't arrive, and leases that don't end", says: "ran_cancelled", plan: func(w *World) {
+	{name: "stops that don't arrive, and leases that don't end", wantViolation: "ran_cancelled", plan: func(w *World) {
 		w.script.submitEndless(6, 0)
 		w.after(40*time.Second, func() {
 			w.options.Lease = time.Hour
@@ -183,7 +188,7 @@
 			w.script.cancelNow(6, 0)
 		})
 	}},
-	{name: "all replicas of a service stopped at once", says: "all moved", plan: func(w *World) {
+	{name: "all replicas of a service stopped at once", wantViolation: "all moved", plan: func(w *World) {
 		j := w.script.add(time.Second, pipeline.Spec{
 			Team: "blue", Shape: pipeline.Service, Tasks: 2, CPUs: 1, MemGB: 1,
 		}, endless)
@@ -204,7 +209,7 @@
 
 // faultsOfControllers break rules about leaders, their pace and their admission policies.
 var faultsOfControllers = []deliberateFault{
-	{name: "a second node with a valid lease", says: "two leaders", plan: func(w *World) {
+	{name: "a second node with a valid lease", wantViolation: "two leaders", plan: func(w *World) {
 		w.after(20*time.Second, func() {
 			leader := w.currentLeader()
 			for _, n := range w.nodes {
@@ -214,17 +219,17 @@
 			}
 		})
 	}},
-	{name: "a leader of an earlier term", says: "leader of the past", plan: func(w *World) {
+	{name: "a leader of an earlier term", wantViolation: "stale leader", plan: func(w *World) {
 		w.after(20*time.Second, func() { w.currentLeader().term.Number-- })
 	}},
-	{name: "a paused leader that acts", says: "acts while it is paused", plan: func(w *World) {
+	{name: "a paused leader that acts", wantViolation: "acts while it is paused", plan: func(w *World) {
 		w.after(20*time.Second, func() {
 			n := w.currentLeader()
 			n.pausedUntil = w.now.Add(time.Second)
 			n.step(core.Tick{})
 		})
 	}},
-	{name: "a response with too many starts", says: "pace:", options: func(o *Options) { o.Pace = pace },
+	{name: "a response with too many starts", wantViolation: "pace:", options: func(o *Options) { o.Pace = pace },
 		plan: func(w *World) {
 			everySecond(w, time.Second, func() {
 				n, response := w.currentLeader(), &core.HeartbeatResponse{OK: true}
@@ -239,30 +244,32 @@
 				}
 			})
 		}},
-	{name: "an older policy taken", says: "goes back from policy", options: func(o *Options) { o.Admission = true },
+	{name: "an older policy taken", wantViolation: "goes back from policy",
+		options: func(o *Options) { o.Admission = true },
 		plan: func(w *World) {
 			w.after(time.Second, func() {
 				newer := admission.Policy{Term: 1 << 40, Number: 1}
-				w.checker.observe(policyTaken{w.nodes[0], newer, admission.Policy{}})
+				w.checker.observe(policyOffered{w.nodes[0], newer, admission.Policy{}})
 			})
 		}},
-	{name: "two policies of one number", says: "says two things", options: func(o *Options) { o.Admission = true },
+	{name: "two policies of one number", wantViolation: "has two different contents",
+		options: func(o *Options) { o.Admission = true },
 		plan: func(w *World) {
 			w.after(time.Second, func() {
 				policy := admission.Policy{Term: 1 << 40, Number: 1}
-				w.checker.observe(policyTaken{w.nodes[0], admission.Policy{}, policy})
+				w.checker.observe(policyOffered{w.nodes[0], admission.Policy{}, policy})
 				policy.Interval = time.Second
-				w.checker.observe(policyTaken{w.nodes[0], admission.Policy{}, policy})
+				w.checker.observe(policyOffered{w.nodes[0], admission.Policy{}, policy})
 			})
 		}},
-	{name: "a user turned away for an hour", says: "Retry-After", plan: func(w *World) {
+	{name: "a user turned away for an hour", wantViolation: "Retry-After", plan: func(w *World) {
 		w.after(time.Second, func() { w.checker.observe(submissionRefused{time.Hour}) })
 	}},
 }
 
 // faultsOfJobs break rules about what users are told of jobs.
 var faultsOfJobs = []deliberateFault{
-	{name: "a record lost from the state service", says: "forgotten: j-", plan: func(w *World) {
+	{name: "a record lost from the state service", wantViolation: "forgotten: j-", plan: func(w *World) {
 		everySecond(w, 20*time.Second, func() {
 			if j := firstJob(w); j != nil {
 				delete(w.store.items, jobPrefix+j.spec.Ref)
@@ -272,7 +279,7 @@
 			}
 		})
 	}},
-	{name: "controllers that stay away", says: "no question about", plan: func(w *World) {
+	{name: "controllers that stay away", wantViolation: "no query about", plan: func(w *World) {
 		w.after(30*time.Second, func() {
 			w.faultsEndedAt = w.now
 			for _, n := range w.nodes {
@@ -280,35 +287,35 @@
 			}
 		})
 	}},
-	{name: "a record that nobody submitted", says: "invented", plan: func(w *World) {
+	{name: "a record that nobody submitted", wantViolation: "invented", plan: func(w *World) {
 		everySecond(w, 20*time.Second, func() {
 			if j := firstJob(w); j != nil {
 				w.store.items[jobPrefix+unsubmittedRef] = w.store.items[jobPrefix+j.spec.Ref]
 			}
 		})
 	}},
-	{name: "an end stored too early", says: "is stored as done with", plan: func(w *World) {
+	{name: "an end stored too early", wantViolation: "is stored as done with", plan: func(w *World) {
 		everySecond(w, 20*time.Second, func() {
 			if j := firstJob(w); j != nil {
 				storeFinal(w, j, pipeline.Done)
 			}
 		})
 	}},
-	{name: "an end reported too early", says: "not_done", plan: func(w *World) {
+	{name: "an end reported too early", wantViolation: "not_done", plan: func(w *World) {
 		everySecond(w, 20*time.Second, func() {
 			for _, j := range w.sortedJobs() {
-				delete(j.done, 0) // the user knows better than the controllers
+				delete(j.done, 0) // so that the controllers seem to report the job as done too early
 			}
 		})
 	}},
-	{name: "a cancellation that nobody asked for", says: "is stored as cancelled", plan: func(w *World) {
+	{name: "a cancellation that nobody asked for", wantViolation: "is stored as cancelled", plan: func(w *World) {
 		everySecond(w, 20*time.Second, func() {
 			if j := firstJob(w); j != nil {
 				storeFinal(w, j, pipeline.Cancelled)
 			}
 		})
 	}},
-	{name: "an end taken back", says: "went_back", plan: func(w *World) {
+	{name: "an end taken back", wantViolation: "went_back", plan: func(w *World) {
 		records := map[string]*item{}
 		everySecond(w, 5*time.Second, func() {
 			for _, j := range w.sortedJobs() {
@@ -322,7 +329,7 @@
 			}
 		})
 	}},
-	{name: "a job that outlives its dependency", says: "orphaned",
+	{name: "a job that outlives its dependency", wantViolation: "orphaned",
 		options: func(o *Options) { o.Pipelines, o.Jobs = 12, 8 },
 		plan: func(w *World) {
 			everySecond(w, 60*time.Second, func() {
@@ -336,22 +343,23 @@
 				}
 			})
 		}},
-	{name: "controllers that don't know a higher limit", says: "left waiting", plan: func(w *World) {
+	{name: "controllers that don't know a higher limit", wantViolation: "left waiting", plan: func(w *World) {
 		planOutdatedLimits(w, pipeline.Array)
 	}},
-	{name: "controllers that don't know a higher limit, services", says: "not replaced", plan: func(w *World) {
+	{name: "controllers that don't know a higher limit, services", wantViolation: "not replaced", plan: func(w *World) {
 		planOutdatedLimits(w, pipeline.Service)
 	}},
-	{name: "a task that never ends", says: "never came to an end", plan: func(w *World) {
+	{name: "a task that never ends", wantViolation: "never ended", plan: func(w *World) {
 		for _, j := range w.jobs {
-			j.run = endless - time.Second // long jobs that are endless are cancelled
+			j.run = endless - time.Second // users cancel jobs that run for endless or longer
 		}
 	}},
-	{name: "no jobs", says: "nothing_ran", options: func(o *Options) { o.Jobs = 0 }, plan: func(*World) {}},
+	{name: "no jobs", wantViolation: "nothing_ran", options: func(o *Options) { o.Jobs = 0 }, plan: func(*World) {}},
 }
 
-// planOutdatedLimits has controllers go by a limit that allows a team next to nothing, while the rules know of none,
-// and submits a job of that team. A service of another team keeps a machine with room up.
+// planOutdatedLimits has controllers use an outdated limit that allows a team next to nothing,
+// while the invariants know that it has none, and submits a job of that team. A service of another
+// team keeps a machine with room up.
 func planOutdatedLimits(w *World, shape pipeline.Shape) {
 	high := w.teams
 	w.teams = maps.Clone(high)
@@ -364,8 +372,9 @@
 	})
 }
 
-// TestInvariantsSeeViolations breaks each rule by a deliberate fault, and expects the invariant that holds it to
-// fail. TestDrainChecksSeeFaults does the same for drains.
+// TestInvariantsSeeViolations breaks each rule by a deliberate fault, and expects the invariant
+// that checks it to fail. It guards against an invariant that can't fail. TestDrainChecksSeeFaults
+// does the same for drains.
 func TestInvariantsSeeViolations(t *testing.T) {
 	for _, faults := range [][]deliberateFault{faultsOfTasks, faultsOfControllers, faultsOfJobs} {
 		for _, fault := range faults {
@@ -377,8 +386,8 @@
 	}
 }
 
-// expectViolation plays worlds with the fault until one shows the violation. A fault that never came about, or
-// that caused another violation in each of them, is a failure.
+// expectViolation runs worlds with the fault until one ends with the expected violation. The test
+// fails if all of them end without a violation or with other ones.
 func (f *deliberateFault) expectViolation(t *testing.T) {
 	t.Helper()
 	var others []string
@@ -391,12 +400,12 @@
 		newScript(w)
 		f.plan(w)
 		err := w.Run()
-		if err != nil && strings.Contains(err.Error(), f.says) {
+		if err != nil && strings.Contains(err.Error(), f.wantViolation) {
 			return
 		}
 		if err != nil {
 			others = append(others, err.Error())
 		}
 	}
-	t.Errorf("no world says %q; others say %q", f.says, others)
+	t.Errorf("no world has the violation %q; other violations: %q", f.wantViolation, others)
 }
--- a/internal/simulation/machine.go
+++ b/internal/simulation/machine.go
@@ -9,52 +9,53 @@
 	"gingertally/internal/core/fleet"
 )
 
-// machine is an instance of the cloud with its worker.
+// machine is a cloud instance and the worker on it.
 type machine struct {
 	w         *World
 	name, typ string
 	zone      string
 	spot      bool
 	createdAt time.Time
-	clockRate float64 // of its steady clock
+	clockRate float64 // of its monotonic clock
 
 	machineFaults
 	isUp, dead    bool
-	workerProcess int // rises when its worker restarts
+	workerProcess int // incremented when its worker restarts
 	workerState
 	tasks  map[string]*task // by attempt
 	images map[string]bool
 }
 
-// machineFaults are what goes wrong with a machine.
+// machineFaults holds the faults of a machine.
 type machineFaults struct {
-	hungUntil      time.Time
-	faulty         bool           // its tasks fail
-	failures       int            // how many tasks failed on it
-	failedAt       time.Time      // the last of them
-	inboundLost    bool           // its heartbeats arrive, but nothing that is sent to it does (one-way loss)
-	outboundLost   bool           // it reaches no controller, while direct commands reach it (one-way loss)
-	cut            map[*node]bool // controllers that it neither reaches nor is reached by
-	interruptionAt time.Time      // when the cloud takes it back; zero: it hasn't given notice
+	hungUntil       time.Time
+	faulty          bool           // tasks that run on it fail
+	failures        int            // how many tasks have failed on it
+	failedAt        time.Time      // when a task last failed on it
+	inboundLost     bool           // its heartbeats arrive, but messages to it are lost
+	outboundLost    bool           // its heartbeats are lost, but direct commands reach it
+	partitionedFrom map[*node]bool // controllers that it can't exchange messages with
+	interruptionAt  time.Time      // when the cloud reclaims it; zero: no notice so far
 }
 
-// workerState is what a worker keeps of its connection to the controllers.
+// workerState is a worker's state towards the controllers.
 type workerState struct {
 	incarnation    uint64
 	sequence       uint64
 	fencingToken   uint64
-	target         int       // the node that it sends its heartbeats to
-	outstanding    uint64    // the heartbeat whose answer it waits for, 0: none
-	lastHeartbeat  time.Time // when it sent one
-	lastAnsweredAt time.Time // when the last heartbeat that was answered was sent, by its own clock
+	target         int       // index of the node that it sends its heartbeats to
+	outstanding    uint64    // sequence of the heartbeat whose answer it waits for, 0: none
+	lastHeartbeat  time.Time // when it sent the last one
+	lastAnsweredAt time.Time // when the last answered heartbeat was sent, by its own clock
 }
 
-// local is the time by the machine's steady clock.
+// local returns the time of the machine's monotonic clock.
 func (m *machine) local() time.Time {
 	return m.w.start.Add(time.Duration(float64(m.w.elapsed()) * m.clockRate))
 }
 
-// later runs fn on the machine: not while it hangs, and not after its end.
+// later runs fn on the machine after a delay. While the machine hangs, fn waits until it resumes;
+// once the machine is gone, fn doesn't run.
 func (m *machine) later(d time.Duration, fn func()) {
 	m.w.after(d, func() {
 		if m.dead {
@@ -68,20 +69,21 @@
 	})
 }
 
-// up starts the worker of a machine that has booted.
-func (m *machine) up() {
+// startWorker starts the worker of a machine that has booted.
+func (m *machine) startWorker() {
 	if m.dead {
 		return
 	}
 	m.isUp, m.incarnation, m.lastAnsweredAt = true, 1, m.local()
 	m.target = m.w.rng.IntN(len(m.w.nodes))
-	m.cut = map[*node]bool{}
+	m.partitionedFrom = map[*node]bool{}
 	m.leaseLoop()
 	m.heartbeatLoop()
 }
 
-// leaseLoop ends the worker's tasks when its lease has expired without an answer, and begins a new incarnation. A
-// machine that hangs may go on within its lease only, so this clock runs while it hangs.
+// leaseLoop ends the worker's tasks and begins a new incarnation when no heartbeat was answered
+// within the lease. A task must not outlive its lease even on a hung machine, so this check also
+// runs while the machine hangs.
 func (m *machine) leaseLoop() {
 	if m.dead {
 		return
@@ -98,16 +100,16 @@
 	m.w.after(leaseCheckInterval, m.leaseLoop)
 }
 
-// leaseCheckInterval is how often a worker looks at its lease.
+// leaseCheckInterval is how often a worker checks its lease.
 const leaseCheckInterval = 250 * time.Millisecond
 
-// sortedTasks are the machine's tasks in an order that doesn't depend on that of a map.
+// sortedTasks returns the machine's tasks, sorted by key.
 func (m *machine) sortedTasks() []*task {
 	byKey := func(a, b *task) int { return strings.Compare(a.key(), b.key()) }
 	return slices.SortedFunc(maps.Values(m.tasks), byKey)
 }
 
-// remove takes a task from the machine without a trace.
+// remove deletes a task from the machine without keeping its status.
 func (m *machine) remove(t *task) {
 	t.timerGeneration++
 	delete(m.tasks, t.key())
@@ -117,7 +119,8 @@
 	}
 }
 
-// reboot restarts the worker: all its tasks are gone, and it counts from one again.
+// reboot restarts the worker: its tasks and cached images are gone, and its incarnation and
+// sequence start anew.
 func (m *machine) reboot() {
 	for _, t := range m.sortedTasks() {
 		m.remove(t)
@@ -128,8 +131,8 @@
 	m.later(m.w.between(10*time.Millisecond, time.Second), m.sendHeartbeat)
 }
 
-// die ends the machine and all on it.
-func (m *machine) die() {
+// terminate removes the machine and all tasks on it from the world.
+func (m *machine) terminate() {
 	if m.dead {
 		return
 	}
--- a/internal/simulation/machine_commands.go
+++ b/internal/simulation/machine_commands.go
@@ -7,7 +7,7 @@
 	"gingertally/internal/core/fleet"
 )
 
-// sendDirectCommands takes direct commands to a worker. They may be lost or late.
+// sendDirectCommands delivers direct commands to a worker. They may be lost or late.
 func (w *World) sendDirectCommands(n *node, d core.DirectCommands) {
 	m := w.machines[d.Machine]
 	if m == nil {
@@ -27,8 +27,8 @@
 	m.later(delay, func() { m.takeDirectCommands(d) })
 }
 
-// takeDirectCommands carries direct commands out, unless they come from an earlier leader or are meant for another
-// incarnation of the worker.
+// takeDirectCommands carries out direct commands, unless they come from an earlier leader or are
+// meant for another incarnation of the worker.
 func (m *machine) takeDirectCommands(d core.DirectCommands) {
 	m.w.digest.add(m.w, "direct commands", m.name, d)
 	if !m.isUp || d.FencingToken < m.fencingToken || d.Incarnation != m.incarnation {
@@ -41,7 +41,7 @@
 	}
 }
 
-// execute carries commands out in order. It tells whether any task changed.
+// execute carries out commands in order and reports whether any task changed.
 func (m *machine) execute(cmds []fleet.Command) bool {
 	changed := false
 	for _, c := range cmds {
@@ -68,8 +68,8 @@
 	return changed
 }
 
-// startTask begins a task, unless another attempt of it is there or the machine has no room. The task counts as being
-// on the machine once its image is there.
+// startTask adds a task and fetches its image. The task exits at once if another attempt of it is
+// present or the machine has no room. It counts as being on the machine once its image is fetched.
 func (m *machine) startTask(c fleet.Command) {
 	j := m.w.jobs[c.Ref]
 	if j == nil {
@@ -84,7 +84,7 @@
 		t.state = fleet.Exited
 		return
 	}
-	fetch := m.w.between(time.Second, longestFetch)
+	fetch := m.w.between(time.Second, maxFetchTime)
 	if m.images[j.spec.Image] {
 		fetch = 0
 	}
@@ -94,7 +94,7 @@
 	})
 }
 
-// refusal is the cause for which a worker doesn't start a task, CauseNone if it does.
+// refusal returns why a worker doesn't start a task, CauseNone if it does.
 func (m *machine) refusal(t *task) fleet.ExitCause {
 	var cpus, gpus, mem float64
 	present := false
--- a/internal/simulation/machine_heartbeats.go
+++ b/internal/simulation/machine_heartbeats.go
@@ -8,21 +8,21 @@
 	"gingertally/internal/core/fleet"
 )
 
-// Times of a worker's heartbeats.
+// Timing of a worker's heartbeats.
 const (
-	answerWithin     = 4 * time.Second        // how long it waits for an answer
-	soonestHeartbeat = 500 * time.Millisecond // after a change of its tasks, since the last heartbeat
-	heartbeatPause   = 400 * time.Millisecond // the least time between any two
+	answerTimeout          = 4 * time.Second        // how long a worker waits for an answer
+	minIntervalAfterChange = 500 * time.Millisecond // between the last heartbeat and one because tasks have changed
+	minHeartbeatInterval   = 400 * time.Millisecond // between any two heartbeats
 )
 
-// sentHeartbeat is a heartbeat on its way, with what the worker needs to judge the answer.
+// sentHeartbeat is a heartbeat with what the worker needs to handle its answer.
 type sentHeartbeat struct {
 	fleet.Heartbeat
-	process int       // of the worker that sent it
+	process int       // machine.workerProcess when it was sent
 	sentAt  time.Time // by its machine's clock
 }
 
-// heartbeatLoop sends heartbeats at about regular intervals.
+// heartbeatLoop sends heartbeats at the heartbeat interval, plus or minus a quarter.
 func (m *machine) heartbeatLoop() {
 	every := m.w.options.HeartbeatInterval
 	m.later(m.w.between(every*3/4, every*5/4), func() {
@@ -31,12 +31,13 @@
 	})
 }
 
-// heartbeatSoon sends a heartbeat since tasks have changed, but not too soon after the last one.
+// heartbeatSoon sends a heartbeat ahead of the interval, but not before minIntervalAfterChange has
+// passed since the last one.
 func (m *machine) heartbeatSoon() {
-	m.later(max(0, soonestHeartbeat-m.w.now.Sub(m.lastHeartbeat)), m.sendHeartbeat)
+	m.later(max(0, minIntervalAfterChange-m.w.now.Sub(m.lastHeartbeat)), m.sendHeartbeat)
 }
 
-// newHeartbeat is the next heartbeat, with the status of all tasks.
+// newHeartbeat returns the next heartbeat, with the status of all tasks.
 func (m *machine) newHeartbeat() fleet.Heartbeat {
 	m.sequence++
 	h := fleet.Heartbeat{
@@ -55,36 +56,36 @@
 	return h
 }
 
-// sendHeartbeat sends a heartbeat, unless one is under way or was just sent. Without an answer in time the worker
-// tries another node.
+// sendHeartbeat sends a heartbeat, unless one awaits its answer or was just sent. Without an answer
+// within answerTimeout the worker tries the next node.
 func (m *machine) sendHeartbeat() {
-	if m.outstanding != 0 || m.w.now.Sub(m.lastHeartbeat) < heartbeatPause {
+	if m.outstanding != 0 || m.w.now.Sub(m.lastHeartbeat) < minHeartbeatInterval {
 		return
 	}
 	m.lastHeartbeat = m.w.now
 	h := sentHeartbeat{m.newHeartbeat(), m.workerProcess, m.local()}
 	m.outstanding = h.Sequence
 	m.deliver(m.w.nodes[m.target], h)
-	m.later(answerWithin, func() {
+	m.later(answerTimeout, func() {
 		if m.outstanding == h.Sequence {
 			m.tryNextNode()
 		}
 	})
 }
 
-// tryNextNode moves on to another node.
+// tryNextNode has the worker send its heartbeats to the next node.
 func (m *machine) tryNextNode() {
 	m.outstanding = 0
 	m.target = (m.target + 1) % len(m.w.nodes)
 	m.later(time.Second, m.sendHeartbeat)
 }
 
-// blocked tells whether nothing gets from the machine to a node or back.
+// blocked reports whether no message passes between the machine and a node.
 func (m *machine) blocked(n *node) bool {
-	return n.down || n.links.workersUnreachable || m.cut[n] || !m.w.network.reachable(m.zone, n.zone)
+	return n.down || n.links.workersUnreachable || m.partitionedFrom[n] || !m.w.network.reachable(m.zone, n.zone)
 }
 
-// deliver takes a heartbeat to a node. It may be lost, held back or doubled.
+// deliver sends a heartbeat to a node. It may be lost, delayed or duplicated.
 func (m *machine) deliver(n *node, h sentHeartbeat) {
 	w := m.w
 	w.digest.add(w, "heartbeat", m.name, h.Heartbeat)
@@ -100,7 +101,7 @@
 		if n.down || w.chance(0.5) {
 			return
 		}
-		delay = w.between(time.Second, 25*time.Second) // held back by the cut
+		delay = w.between(time.Second, 25*time.Second) // delayed until the partition ends
 	} else if w.unreliable() && w.chance(0.01) {
 		delay = w.between(0, 12*time.Second)
 	}
@@ -112,7 +113,8 @@
 	})
 }
 
-// heartbeatArrived has a node answer a heartbeat. A node that doesn't lead sometimes relays it to the leader.
+// heartbeatArrived has a node answer a heartbeat. A node that redirects to the leader sometimes
+// relays it instead.
 func (m *machine) heartbeatArrived(n *node, h sentHeartbeat) {
 	answer := n.answerHeartbeat(h.Heartbeat, false)
 	if answer.redirects() && n.reaches(answer.leader) && m.w.chance(0.2) {
@@ -126,7 +128,7 @@
 	m.sendAnswer(n, h, answer)
 }
 
-// sendAnswer takes a node's answer back to the worker, if it gets through.
+// sendAnswer sends a node's answer back to the worker. It may be lost or late.
 func (m *machine) sendAnswer(n *node, h sentHeartbeat, answer heartbeatAnswer) {
 	w := m.w
 	if m.inboundLost || m.blocked(n) || (w.unreliable() && w.chance(0.01)) {
@@ -134,7 +136,7 @@
 	}
 	delay := w.between(time.Millisecond, 30*time.Millisecond)
 	if w.correlated != nil {
-		delay += w.correlated.pauseBeforeAnswer() // between the check of the lease and the answer
+		delay += w.correlated.pauseBeforeAnswer() // between the leader's check of its lease and the answer
 	}
 	delay += w.script.linkDelay()
 	delay += w.script.answerDelay(m, answer)
@@ -146,8 +148,8 @@
 	})
 }
 
-// sendDuplicate has a copy of a heartbeat arrive late at some node, up to several leases later. Nobody waits for
-// its answer.
+// sendDuplicate delivers a copy of a heartbeat to a random node, up to three leases later. Its
+// answer is dropped.
 func (w *World) sendDuplicate(h fleet.Heartbeat) {
 	w.after(w.between(time.Second, 3*w.options.Lease), func() {
 		n := w.nodes[w.rng.IntN(len(w.nodes))]
@@ -163,8 +165,9 @@
 	})
 }
 
-// handleAnswer is what a worker does with an answer: it carries commands out, turns to the leader, or tries another
-// node. It drops an answer that it no longer waits for, or that comes from an earlier leader.
+// handleAnswer has the worker handle an answer: it carries out the commands, switches to the named
+// leader, or tries the next node. It drops an answer that it no longer waits for, or that comes
+// from an earlier leader.
 func (m *machine) handleAnswer(h sentHeartbeat, answer heartbeatAnswer) {
 	if m.outstanding != h.Sequence || h.Incarnation != m.incarnation {
 		return
--- a/internal/simulation/node_admission.go
+++ b/internal/simulation/node_admission.go
@@ -63,7 +63,7 @@
 	} else {
 		a.counts["policies not taken"]++
 	}
-	n.w.checker.observe(policyTaken{n, before, p})
+	n.w.checker.observe(policyOffered{n, before, p})
 	if n.gate.InFallback(n.local()) {
 		a.counts["fallbacks"]++
 	}
--- a/internal/simulation/output_digest.go
+++ b/internal/simulation/output_digest.go
@@ -17,21 +17,21 @@
 	"gingertally/internal/wire"
 )
 
-// outputDigest sums up everything that the controllers of a world store and send to the outside,
-// in its encoded form and with the simulated time. Unlike digest it depends on no name of a Go
-// type or field: two versions of the program that behave alike have equal output digests,
-// whatever their code looks like. A nil digest takes in nothing.
+// outputDigest is a hash over everything that the controllers of a world store and send, in encoded
+// form and with the simulated time. Unlike digest it doesn't depend on the names of Go types or
+// fields: two versions of the program that behave alike have equal output digests, whatever their
+// code looks like. The methods that add outputs do nothing on a nil digest.
 type outputDigest struct {
 	sum    hash.Hash
 	counts map[outputKind]int
-	// line, if set, gets what is summed up, to find where two runs differ first.
+	// line, if set, is called with each hashed line, to find where two runs first differ.
 	line func(text string)
-	// tamper, if set, changes an output before it is summed up, to show that the digest
-	// depends on it.
+	// tamper, if set, changes an output before it is hashed, to show that the digest depends
+	// on it.
 	tamper func(kind outputKind, body []byte) []byte
 }
 
-// outputKind is what an output is.
+// outputKind is the kind of an output; it is part of the hashed text.
 type outputKind string
 
 // Kinds of output.
@@ -54,7 +54,7 @@
 	return &outputDigest{sum: sha256.New(), counts: map[outputKind]int{}}
 }
 
-// add takes in one output about a subject: a key, machine or job.
+// add hashes one output. The subject is the key, machine, node or job that it is about.
 func (d *outputDigest) add(w *World, kind outputKind, subject string, body []byte) {
 	if d == nil {
 		return
@@ -70,15 +70,15 @@
 	}
 }
 
-// summaryBytes is how much of the hash a summary shows.
+// summaryBytes is how many bytes of the hash a summary contains.
 const summaryBytes = 16
 
-// summary is the digest so far.
+// summary returns the beginning of the hash so far, in hexadecimal.
 func (d *outputDigest) summary() string {
 	return hex.EncodeToString(d.sum.Sum(nil)[:summaryBytes])
 }
 
-// commit takes in a committed transaction.
+// commit adds the changes of a committed transaction.
 func (d *outputDigest) commit(w *World, changes []statestore.Op) {
 	for _, c := range changes {
 		if c.Delete {
@@ -89,7 +89,7 @@
 	}
 }
 
-// workerAnswer takes in a controller's answer to a worker, unless it is held.
+// workerAnswer adds a controller's answer to a worker, unless it is held.
 func (d *outputDigest) workerAnswer(n *node, machine string, decided heartbeatAnswer) {
 	if d == nil || decided.held() {
 		return
@@ -104,7 +104,7 @@
 	d.add(n.w, outputWorkerAnswer, fmt.Sprintf("%s from %s, %d", machine, n.name, answer.Status), answer.Body)
 }
 
-// directCommands takes in commands that a controller sends to a worker directly.
+// directCommands adds commands that a controller sends to a worker directly.
 func (d *outputDigest) directCommands(n *node, direct core.DirectCommands) {
 	if d == nil {
 		return
@@ -112,7 +112,7 @@
 	d.add(n.w, outputDirectCommand, direct.Machine, agentapi.DirectCommandsBody(direct))
 }
 
-// scaleOut takes in a request to the cloud for machines.
+// scaleOut adds a request to the cloud for machines.
 func (d *outputDigest) scaleOut(n *node, request core.ScaleOut) {
 	if d == nil {
 		return
@@ -120,7 +120,7 @@
 	d.add(n.w, outputScaleOut, n.name, cloud.ScaleOutBody(request))
 }
 
-// scaleIn takes in a request to the cloud to take machines back.
+// scaleIn adds a request to the cloud to release machines.
 func (d *outputDigest) scaleIn(n *node, machines []string) {
 	if d == nil {
 		return
@@ -128,7 +128,8 @@
 	d.add(n.w, outputScaleIn, n.name, cloud.ScaleInBody(machines))
 }
 
-// jobView takes in what a controller tells a user of a job; ok is false if it can't tell.
+// jobView adds a controller's answer to a query about a job; ok is false if the controller is
+// unavailable.
 func (d *outputDigest) jobView(n *node, ref string, view core.JobView, known, ok bool) {
 	if d == nil {
 		return
@@ -143,7 +144,7 @@
 	d.userAnswer(n, ref, answer)
 }
 
-// cancellation takes in the answer to a cancellation.
+// cancellation adds the answer to a cancellation.
 func (d *outputDigest) cancellation(n *node, ref string, phase pipeline.Phase) {
 	if d == nil {
 		return
@@ -151,7 +152,7 @@
 	d.userAnswer(n, ref, userapi.Answer{Status: http.StatusOK, Body: wire.StatusOf(phase, 0)})
 }
 
-// userAnswer takes in an answer to a user's call.
+// userAnswer adds an answer to a user's call.
 func (d *outputDigest) userAnswer(n *node, ref string, answer userapi.Answer) {
 	if d == nil {
 		return
--- a/internal/simulation/output_digest_test.go
+++ b/internal/simulation/output_digest_test.go
@@ -10,14 +10,14 @@
 	"gingertally/internal/goldentest"
 )
 
-// outputWorld is a world whose output digest is kept in the golden file.
+// outputWorld is a world whose output digest is in the golden file.
 type outputWorld struct {
 	name  string
 	build func() *World
 }
 
-// outputWorlds are worlds of each family, each with every switch alone and all together, and one
-// of each scenario.
+// outputWorlds returns worlds of each family, without features, with each feature alone and with all
+// of them, and one world of each scenario.
 func outputWorlds() []outputWorld {
 	switches := []struct {
 		name string
@@ -28,7 +28,7 @@
 		{", admission", func(o Options) Options { o.Admission = true; return o }},
 		{", drains", func(o Options) Options { o.Drains = true; return o }},
 		{", pace", func(o Options) Options { o.Pace = pace; return o }},
-		{", all switches", allSwitches},
+		{", all switches", withAllFeatures},
 	}
 	var worlds []outputWorld
 	for _, f := range families {
@@ -48,7 +48,7 @@
 	return worlds
 }
 
-// scenarioWorld is one world of a scenario, with everything on but admission control.
+// scenarioWorld returns one world of a scenario, with all features but admission control.
 func scenarioWorld(scenario *faultScenario, seed uint64) outputWorld {
 	return outputWorld{name: cmp.Or(scenario.digestLabel, scenario.name), build: func() *World {
 		o := scenario.options(seed)
@@ -59,19 +59,19 @@
 	}}
 }
 
-// playOutput plays a world and returns the digest of its outputs. That every rule holds in it is
-// shown by other tests.
-func playOutput(w *World) *outputDigest {
+// runForOutputDigest runs a world and returns the digest of its outputs. Other tests check that every
+// rule holds in it.
+func runForOutputDigest(w *World) *outputDigest {
 	w.output = newOutputDigest()
-	_ = w.Run() // a broken rule ends the run early, and so changes the digest
+	_ = w.Run() // a violation ends the run early, and so changes the digest
 	return w.output
 }
 
-// TestOutputDigests compares everything that the controllers store and send out, in its encoded
-// form, with what they did when the golden file was written. It guards changes that are to change
-// nothing: a renamed field that is stored by its name, a decision that differs, a command more.
+// TestOutputDigests compares everything that the controllers store and send, in encoded form, with
+// the state when the golden file was written. It guards refactorings against changes of behaviour: a
+// renamed field that is stored by its name, a decision that differs, an additional command.
 //
-// A change that is to change the behaviour writes the file anew: go test -run TestOutputDigests
+// After an intended change of behaviour, write the file anew: go test -run TestOutputDigests
 // ./internal/simulation -update.
 func TestOutputDigests(t *testing.T) {
 	worlds := outputWorlds()
@@ -80,7 +80,7 @@
 		for i, world := range worlds {
 			t.Run(world.name, func(t *testing.T) {
 				t.Parallel()
-				digests[i] = playOutput(world.build()).summary()
+				digests[i] = runForOutputDigest(world.build()).summary()
 			})
 		}
 	})
@@ -91,13 +91,14 @@
 	lines.Check(t, "output_digests.txt")
 }
 
-// TestOutputDigestCoversAllKinds changes one output of each kind, and expects another digest.
+// TestOutputDigestCoversAllKinds changes one output of each kind, and expects the digest to change.
+// It guards against a kind of output that the digest misses.
 func TestOutputDigestCoversAllKinds(t *testing.T) {
 	build := func() *World { return NewWorld(randomOptions(1000, true)) }
-	honest := playOutput(build())
+	baseline := runForOutputDigest(build())
 	for _, kind := range outputKinds {
-		if honest.counts[kind] == 0 {
-			t.Errorf("the world has no output of the kind %q", kind)
+		if baseline.counts[kind] == 0 {
+			t.Errorf("the world has no output of kind %q", kind)
 		}
 		w := build()
 		w.output = newOutputDigest()
@@ -106,34 +107,34 @@
 			if k != kind {
 				return body
 			}
-			if number++; number != 1+honest.counts[kind]/2 {
+			if number++; number != 1+baseline.counts[kind]/2 {
 				return body
 			}
 			changed := append([]byte{0}, body...)
 			changed[len(changed)-1] ^= 1
 			return changed
 		}
-		_ = w.Run() // as above
-		if w.output.summary() == honest.summary() {
+		_ = w.Run() // a violation ends the run early, and so changes the digest
+		if w.output.summary() == baseline.summary() {
 			t.Errorf("the digest doesn't depend on every %s", kind)
 		}
 	}
 }
 
-// TestPrintOutputDigests prints the output digests of as many worlds as
-// SIMULATION_OUTPUT_DIGESTS says, from seed 10000 on, of the kind that the environment names: to
-// compare two commits over more worlds than the golden file has.
+// TestPrintOutputDigests prints the output digests of as many worlds as SIMULATION_OUTPUT_DIGESTS
+// says, from seed 10000 on, with the options that the other SIMULATION_* variables choose. It serves
+// to compare two commits over more worlds than the golden file has.
 func TestPrintOutputDigests(t *testing.T) {
 	count, err := strconv.Atoi(os.Getenv("SIMULATION_OUTPUT_DIGESTS"))
 	if err != nil {
-		t.Skip("SIMULATION_OUTPUT_DIGESTS gives no number")
+		t.Skip("SIMULATION_OUTPUT_DIGESTS is not set to a number")
 	}
 	digests := make([]string, count)
 	t.Run("worlds", func(t *testing.T) {
 		for i := range digests {
 			t.Run(strconv.Itoa(i), func(t *testing.T) {
 				t.Parallel()
-				digests[i] = playOutput(NewWorld(optionsByVariables(10_000 + uint64(i)))).summary()
+				digests[i] = runForOutputDigest(NewWorld(optionsByVariables(10_000 + uint64(i)))).summary()
 			})
 		}
 	})
--- a/internal/simulation/random_faults.go
+++ b/internal/simulation/random_faults.go
@@ -26,7 +26,7 @@
 	}
 	for _, m := range w.machines {
 		m.faulty, m.inboundLost, m.outboundLost = false, false, false
-		clear(m.cut)
+		clear(m.partitionedFrom)
 	}
 }
 
@@ -115,8 +115,8 @@
 
 func (w *World) cutMachineFromNode(n *node, m *machine, d time.Duration) {
 	if m != nil && m.isUp {
-		m.cut[n] = true
-		w.after(d, func() { m.cut[n] = false })
+		m.partitionedFrom[n] = true
+		w.after(d, func() { m.partitionedFrom[n] = false })
 	}
 }
 
@@ -159,12 +159,12 @@
 			m.reboot()
 		}
 	case 0:
-		m.die()
+		m.terminate()
 	case 1:
 		m.faulty = true
 	case 2:
 		m.interruptionAt = w.now.Add(w.between(3*time.Second, 12*time.Second))
-		w.after(m.interruptionAt.Sub(w.now), m.die)
+		w.after(m.interruptionAt.Sub(w.now), m.terminate)
 		if m.isUp {
 			m.heartbeatSoon()
 		}
--- a/internal/simulation/random_test.go
+++ b/internal/simulation/random_test.go
@@ -9,7 +9,7 @@
 	"gingertally/internal/core"
 )
 
-// TestFaultFree plays worlds without faults: all jobs come to their end.
+// TestFaultFree runs worlds without faults, in which all jobs must end.
 func TestFaultFree(t *testing.T) {
 	for seed := range uint64(20) {
 		w := NewWorld(randomOptions(seed, false))
@@ -19,8 +19,8 @@
 	}
 }
 
-// TestRandomFaults plays seeded worlds full of faults, singly and together, and
-// holds every rule of PROTOCOL against each step.
+// TestRandomFaults runs seeded worlds with many faults, some of which overlap, and checks
+// every rule of the protocol after each step.
 func TestRandomFaults(t *testing.T) {
 	started, done, extensions := 0, 0, 0
 	for seed := range uint64(150) {
@@ -39,9 +39,9 @@
 	}
 }
 
-// TestCorrelatedFailures plays worlds in which, on top of all other faults, many
-// machines stop, hang, restart or lose inbound messages at once, with the leader or all
-// controllers, and controllers pause with their clocks running on.
+// TestCorrelatedFailures runs worlds in which, in most of them on top of all other faults,
+// many machines stop, hang, restart or lose inbound messages at once, often together with
+// the leader or all controllers, and controllers pause while their clocks run on.
 func TestCorrelatedFailures(t *testing.T) {
 	started, done := 0, 0
 	for seed := range uint64(80) {
@@ -56,9 +56,9 @@
 	}
 }
 
-// TestPipelines plays worlds in which jobs wait for each other: chains, diamonds
-// and fans, cancelled at any moment, with all faults, the state service lowering
-// its limits, and the version in production being replaced while it serves.
+// TestPipelines runs worlds in which jobs depend on each other: chains, diamonds, fans
+// and random graphs, cancelled at any moment. Most have random faults, and in many the
+// state service lowers its limits or a rolling upgrade replaces the version in production.
 func TestPipelines(t *testing.T) {
 	started, done, dependents := 0, 0, 0
 	for seed := range uint64(120) {
@@ -74,12 +74,13 @@
 	}
 }
 
-// TestSeed plays the one world of TestRandomFaults that SIMULATION_SEED names, and
-// logs what its controllers say.
+// TestSeed runs the world whose seed SIMULATION_SEED gives, with the options that the other
+// SIMULATION_* variables choose, and prints its controllers' logs. Without these variables it
+// is a world with random faults.
 func TestSeed(t *testing.T) {
 	seed, err := strconv.ParseUint(os.Getenv("SIMULATION_SEED"), 10, 64)
 	if err != nil {
-		t.Skip("SIMULATION_SEED names no seed")
+		t.Skip("SIMULATION_SEED is not set to a seed")
 	}
 	o := optionsByVariables(seed)
 	if o.CorrelatedFailures {
@@ -94,12 +95,12 @@
 	}
 }
 
-// TestSeeds plays as many worlds as SIMULATION_SEEDS says, from seed 10000 on: a
-// longer hunt than the tests have time for.
+// TestSeeds runs as many worlds as SIMULATION_SEEDS says, from seed 10000 on, to search
+// more worlds for violations than the regular tests have time for.
 func TestSeeds(t *testing.T) {
 	n, err := strconv.ParseUint(os.Getenv("SIMULATION_SEEDS"), 10, 64)
 	if err != nil {
-		t.Skip("SIMULATION_SEEDS gives no number")
+		t.Skip("SIMULATION_SEEDS is not set to a number")
 	}
 	for seed := range n {
 		t.Run(strconv.FormatUint(10_000+seed, 10), func(t *testing.T) {
--- a/internal/simulation/recovery_test.go
+++ b/internal/simulation/recovery_test.go
@@ -26,7 +26,7 @@
 		o.Pace, o.Standby = pace, number%2 == 0
 		return o
 	}
-	playFamilies(t, recoverySeeds, change, func(w *World) { held += w.checker.pace.seconds })
+	runFamilies(t, recoverySeeds, change, func(w *World) { held += w.checker.pace.seconds })
 	if held < 400 {
 		t.Errorf("orders were paced in %d seconds only", held)
 	}
@@ -52,7 +52,7 @@
 			term.N -= min(term.N, terms)
 			store.revision++
 			store.items[key] = &item{codec.MustMarshal(term), store.revision}
-			s.w.checker.leaders.restoredTo(term.N)
+			s.w.checker.leaders.resetNewestTerm(term.N)
 		}
 	}
 }
--- a/internal/simulation/script_faults.go
+++ b/internal/simulation/script_faults.go
@@ -162,8 +162,8 @@
 			s.count("machines with tasks cut off")
 		}
 		for _, n := range s.w.nodes {
-			m.cut[n] = true
-			s.w.after(d, func() { delete(m.cut, n) })
+			m.partitionedFrom[n] = true
+			s.w.after(d, func() { delete(m.partitionedFrom, n) })
 		}
 	}
 }
--- a/internal/simulation/script_messages.go
+++ b/internal/simulation/script_messages.go
@@ -90,7 +90,7 @@
 	if s == nil || s.delayedAnswerShare == 0 || answer.status != http.StatusOK || !s.chance(s.delayedAnswerShare) {
 		return 0
 	}
-	d := s.between(500*time.Millisecond, answerWithin+time.Second)
+	d := s.between(500*time.Millisecond, answerTimeout+time.Second)
 	if len(answer.response.Commands) > 0 {
 		s.count("answers with commands delayed")
 		if s.chance(0.5) {
--- a/internal/simulation/standby_test.go
+++ b/internal/simulation/standby_test.go
@@ -14,7 +14,7 @@
 func TestStandbyWorlds(t *testing.T) {
 	counts := eventCounts{}
 	change := func(o Options, _ int) Options { return withStandby(o) }
-	playFamilies(t, standbySeeds, change, func(w *World) { counts.addAll(w.standbys.counts) })
+	runFamilies(t, standbySeeds, change, func(w *World) { counts.addAll(w.standbys.counts) })
 	least := eventCounts{
 		"warm takeovers": 150, "machines expected": 600, "machines differing": 60, "frames applied": 20_000,
 		"frames ignored": 500, "frames gap": 30, "slow followers": 300, "claims delayed": 20,
@@ -51,7 +51,7 @@
 		for _, seed := range f.repeatedSeeds[:2] {
 			t.Run(fmt.Sprintf("%s/%d", f.name, seed), func(t *testing.T) {
 				t.Parallel()
-				playTwice(t, func() *World { return NewWorld(withStandby(f.options(seed))) })
+				runTwice(t, func() *World { return NewWorld(withStandby(f.options(seed))) })
 			})
 		}
 	}
--- a/internal/simulation/starvation_test.go
+++ b/internal/simulation/starvation_test.go
@@ -8,11 +8,11 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// largestStartWithin is how soon the largest jobs must begin (the users' check).
+// largestStartWithin is how soon the jobs of the largest classes must begin, as the users require.
 const largestStartWithin = 4 * time.Minute
 
-// submitOverload submits work without end for more than there is room: small urgent
-// arrays, small normal ones of another team, and now and then a large gang, a
+// submitOverload submits more work than there is room for, throughout the world's length:
+// small urgent arrays, small normal ones of another team, and every minute a large gang, a
 // large array and one of low priority.
 func submitOverload(w *World) {
 	n := 0
@@ -38,9 +38,9 @@
 	}
 }
 
-// TestNothingStarves plays a steady flow of small and more urgent work beyond
-// what there is room for, and holds the users' check of a day's end: the largest
-// jobs begin within four minutes, and half of each class and team is served.
+// TestNothingStarves submits a steady flow of small and more urgent work that exceeds the
+// capacity, and checks what the users require at the end of a day: the largest jobs begin
+// within four minutes, and half of the jobs of each class and team are done.
 func TestNothingStarves(t *testing.T) {
 	for seed := range uint64(2) {
 		o := randomOptions(seed, false)
@@ -57,13 +57,13 @@
 		}
 		for group, c := range countServed(w) {
 			if 2*c.served < c.all {
-				t.Errorf("seed %d: %d of %d served of %s", seed, c.served, c.all, group)
+				t.Errorf("seed %d: %d of %d jobs done of %s", seed, c.served, c.all, group)
 			}
 		}
 	}
 }
 
-// queueTime is how long the job waited until it began, or until now if it never began.
+// queueTime returns how long the job waited until it began, or until now if it never began.
 func (j *userJob) queueTime() time.Duration {
 	if j.startedAt.IsZero() {
 		return j.w.now.Sub(j.firstSubmittedAt)
@@ -71,12 +71,12 @@
 	return j.startedAt.Sub(j.firstSubmittedAt)
 }
 
-// isLargest tells whether the job is of a class that small work may starve.
+// isLargest reports whether the job is of a class that small jobs could starve: gang, wide or low.
 func (j *userJob) isLargest() bool {
 	return j.spec.Class == "gang" || j.spec.Class == "wide" || j.spec.Class == "low"
 }
 
-// servedCount counts the jobs of a group, and those of them that were done.
+// servedCount counts the jobs of a group, and those of them that are done.
 type servedCount struct{ all, served int }
 
 // countServed counts the jobs of each class and of each team.
--- a/internal/simulation/task.go
+++ b/internal/simulation/task.go
@@ -8,7 +8,7 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// task is an attempt of a job's task on a machine, as its worker sees it.
+// task is one attempt of a job's task on a machine, in the state that its worker knows.
 type task struct {
 	m               *machine
 	job             *userJob
@@ -17,22 +17,22 @@
 	state           fleet.AttemptState
 	cause           fleet.ExitCause
 	checkpointed    bool
-	onMachine       bool // it counts as being on the machine
-	timerGeneration int  // rises with each timer, which outdates earlier ones
+	onMachine       bool // it counts as being on the machine: its image is fetched, and it hasn't ended
+	timerGeneration int  // incremented by each new timer, which invalidates earlier ones
 }
 
-// taskKey names an attempt of a task.
+// taskKey returns the key of an attempt of a task.
 func taskKey(ref string, index int, attempt uint64) string {
 	return fmt.Sprintf("%s/%05d/%d", ref, index, attempt)
 }
 
-// key names the attempt.
+// key returns the key of the attempt.
 func (t *task) key() string { return taskKey(t.job.spec.Ref, t.index, t.attempt) }
 
-// completed tells whether the task has exited since it was done.
+// completed reports whether the task has exited because it was done.
 func (t *task) completed() bool { return t.state == fleet.Exited && t.cause == fleet.CauseDone }
 
-// timer runs fn after some time, unless the task gets another timer or exits meanwhile.
+// timer runs fn after a delay, unless the task gets another timer or exits in the meantime.
 func (t *task) timer(d time.Duration, fn func()) {
 	t.timerGeneration++
 	gen := t.timerGeneration
@@ -46,7 +46,8 @@
 // gangWait is how long a gang's task waits for the others before it gives up.
 const gangWait = 15 * time.Second
 
-// occupyMachine puts the task on its machine, now that its image is there. A gang's tasks run once all of them wait.
+// occupyMachine marks the task as being on its machine, since its image is fetched, and runs it. A
+// gang's tasks run once all of them wait.
 func (t *task) occupyMachine() {
 	t.onMachine = true
 	t.m.w.checker.observe(taskStarted{t})
@@ -70,7 +71,8 @@
 	}
 }
 
-// run begins the task's work, and plans its end.
+// run begins the task's work, and schedules its end. A replica of a service doesn't end by itself
+// unless it fails.
 func (t *task) run() {
 	t.m.w.checker.observe(taskRunning{t})
 	t.state = fleet.Running
@@ -93,7 +95,8 @@
 	}
 }
 
-// stop carries out a command to stop. The task saves a checkpoint if it can and if the grace period suffices.
+// stop carries out a command to stop. The task first saves a checkpoint if it can and if the grace
+// period suffices.
 func (t *task) stop(grace time.Duration) {
 	switch {
 	case t.state == fleet.Running && t.job.spec.CheckpointInterval > 0 && grace >= t.job.spec.CheckpointTime:
@@ -105,7 +108,7 @@
 	}
 }
 
-// exit ends the task. Its status stays on the machine until the leader has the worker forget it.
+// exit ends the task. Its status stays on the machine until the leader tells the worker to forget it.
 func (t *task) exit(c fleet.ExitCause, saved bool) {
 	if t.state == fleet.Exited {
 		return
@@ -124,7 +127,8 @@
 	}
 }
 
-// leaveMachine takes the task off its machine. The rest of its gang notices, and ends.
+// leaveMachine marks the task as no longer on its machine. Unless it was done, the running tasks of
+// its gang exit 2 s later.
 func (t *task) leaveMachine() {
 	if t.onMachine {
 		t.onMachine = false
--- a/internal/simulation/task_ledger.go
+++ b/internal/simulation/task_ledger.go
@@ -5,17 +5,17 @@
 	"gingertally/internal/core/pipeline"
 )
 
-// taskLedger records which tasks are on machines and which commands about them have arrived. Invariants look
-// things up in it; it checks nothing itself.
+// taskLedger records which tasks are on machines, which starts have arrived and which tasks were
+// preempted. Invariants read it; it checks nothing itself.
 type taskLedger struct {
 	w                 *World
 	onMachines        map[string]map[*task]bool // by the task's name
 	newestAttempt     map[string]uint64         // by the task's name
-	preempted         map[string]bool           // tasks that are to stop for a job with a better claim, by name
-	preemptedAttempts map[string]bool           // the same by attempt, whose start may arrive after the decision
+	preempted         map[string]bool           // tasks that are preempted by another job, by name
+	preemptedAttempts map[string]bool           // preempted attempts; a start may arrive after its preemption
 
-	started                 int // tasks that were started
-	startsAfterCancellation int // starts that arrived after the job's user knew that it is cancelled
+	started                 int // attempts that were started
+	startsAfterCancellation int // starts that arrived after the user was told that the job is cancelled
 	borrowedPreempted       int // tasks of jobs on borrowed quota that were preempted
 }
 
@@ -24,7 +24,7 @@
 		preempted: map[string]bool{}, preemptedAttempts: map[string]bool{}}
 }
 
-// record takes in what has happened, before the invariants hear of it.
+// record updates the ledger. It is called before the invariants observe the same.
 func (l *taskLedger) record(o observation) {
 	switch o := o.(type) {
 	case startReceived:
@@ -41,8 +41,9 @@
 	}
 }
 
-// recordStartCommand notes the newest attempt of a task, which nothing has preempted. A start that comes after
-// its job's user knew that it is cancelled breaks no rule as long as the task is gone in time, so it is counted.
+// recordStartCommand records the newest attempt of a task, which isn't preempted so far. A start
+// that arrives after the user was told that the job is cancelled breaks no rule if the task ends in
+// time, so it is only counted.
 func (l *taskLedger) recordStartCommand(t *task) {
 	l.newestAttempt[taskName(t)] = max(l.newestAttempt[taskName(t)], t.attempt)
 	delete(l.preempted, taskName(t))
@@ -51,7 +52,7 @@
 	}
 }
 
-// recordPreemptions notes the attempts that an engine preempts.
+// recordPreemptions records the attempts that an engine preempts.
 func (l *taskLedger) recordPreemptions(preempted []*fleet.Attempt) {
 	for _, a := range preempted {
 		l.preempted[a.TaskID.String()] = true
@@ -62,10 +63,10 @@
 	}
 }
 
-// taskLeft notes that a task is no longer on its machine, for whatever reason.
+// taskLeft records that a task is no longer on its machine, for whatever reason.
 func (l *taskLedger) taskLeft(t *task) { delete(l.onMachines[taskName(t)], t) }
 
-// each calls a function for every task on a machine, in no particular order.
+// each calls fn for every task on a machine, in no particular order.
 func (l *taskLedger) each(fn func(*task)) {
 	for _, tasks := range l.onMachines {
 		for t := range tasks {
@@ -74,7 +75,7 @@
 	}
 }
 
-// teamUse sums up what the tasks of a team that are on machines use.
+// teamUse sums the resources of a team's tasks that are on machines.
 func (l *taskLedger) teamUse(team string) (cpus, gpus float64) {
 	l.each(func(t *task) {
 		if t.job.spec.Team == team {
@@ -84,9 +85,10 @@
 	return cpus, gpus
 }
 
-// stoppedByChoice tells whether nothing but the service's own choice asks for a task's end: neither its user,
-// nor failures or the end of its machine, nor a job with a better claim, nor a newer attempt in its place.
-func (l *taskLedger) stoppedByChoice(t *task) bool {
+// stoppedVoluntarily reports whether a stop of a task is voluntary, that is, nothing but the service's
+// own choice asks for it: neither a cancellation, nor failures or the reclaim of its machine, nor a
+// preemption, nor a newer attempt.
+func (l *taskLedger) stoppedVoluntarily(t *task) bool {
 	switch {
 	case t.job.mayBeCancelled(), t.m.failures > 0, t.m.faulty, !t.m.interruptionAt.IsZero():
 		return false
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -13,11 +13,11 @@
 	"gingertally/internal/recovery"
 )
 
-// Options say what a world is like.
+// Options are the parameters of a world.
 type Options struct {
 	Seed       uint64
-	Length     time.Duration // faults and users' calls end here
-	SettleTime time.Duration // how long the world then goes on without faults
+	Length     time.Duration // how long there are faults and users' calls
+	SettleTime time.Duration // how long the world then runs without faults
 
 	Nodes int // controllers
 	Zones int
@@ -33,13 +33,13 @@
 	CorrelatedFailures bool // many machines fail together, and controllers pause
 	ShortLease         bool // the jobs and faults of a deployment with short leases
 	Pipelines          int  // pipelines of jobs that depend on each other
-	RollingUpgrade     bool // the version in production runs first, and is replaced node by node
-	LowerStoreLimits   bool // the state service lowers its limits at some moment after that
+	RollingUpgrade     bool // the version in production runs first and is replaced node by node
+	LowerStoreLimits   bool // the state service lowers its limits at a random time, after any upgrade
 
-	Standby    bool                 // the leader's warm state is replicated
+	Standby    bool                 // warm standby: the leader's state is replicated to other nodes
 	Admission  bool                 // admission control, and a team that floods the deployment
 	Drains     bool                 // operators drain machines, within disruption budgets
-	DrainFault deliberateDrainFault // shows that a check of drains fails
+	DrainFault deliberateDrainFault // breaks a rule of drains, to test that its invariant fails
 }
 
 // World is a simulated deployment.
@@ -48,7 +48,7 @@
 	random
 	clock
 
-	// What it consists of.
+	// Parts of the deployment.
 	network  network
 	store    *Store
 	cloud    *cloudSim
@@ -59,7 +59,7 @@
 	machines map[string]*machine
 	jobs     map[string]*userJob
 
-	// What the options switch on; nil: off.
+	// Parts that the options or a script enable; nil: disabled.
 	correlated *correlatedFailures
 	pipelines  *pipelinePlan
 	shortLease *shortLease
@@ -68,18 +68,18 @@
 	standbys   *standbyNetwork
 	script     *script
 
-	// What judges and records a run.
+	// Checks and records of the run.
 	checker *checker
 	digest  *digest       // nil: none
 	output  *outputDigest // nil: none
-	// Trace, if set, gets what the controllers log.
+	// Trace, if set, is called with each log record of the controllers.
 	Trace           func(at time.Duration, node string, line core.LogRecord)
-	faultsEndedAt   time.Time // zero: they haven't yet
+	faultsEndedAt   time.Time // zero while faults may occur
 	leaseExtensions int       // how often peers have extended the lease of a leader
 }
 
-// NewWorld builds a deployment without faults so far. The parts draw their random numbers in the order in which
-// they are built and started here.
+// NewWorld builds a deployment and schedules its users' calls and faults. Changing the order of the
+// steps here changes the random numbers that each of them draws from the world's stream.
 func NewWorld(o Options) *World {
 	zones := []string{"east", "west", "north"}[:o.Zones]
 	w := &World{
@@ -119,7 +119,7 @@
 	return w
 }
 
-// newCatalog are the machine types that the cloud offers.
+// newCatalog returns the machine types that the cloud offers.
 func newCatalog(zones []string) placement.Catalog {
 	return placement.Catalog{
 		"small": {Name: "small", CPUs: 4, MemGB: 16, CacheGB: 10, FetchGBPerS: 0.5,
@@ -129,7 +129,7 @@
 	}
 }
 
-// ordinaryTeams are the teams of all worlds but those with short leases.
+// ordinaryTeams returns the teams and quotas of all worlds but those with short leases.
 func ordinaryTeams() map[string]placement.Quota {
 	return map[string]placement.Quota{
 		"red":   {CPULimit: 20, GuaranteedGPUs: 2, GPULimit: 4},
@@ -138,7 +138,8 @@
 	}
 }
 
-// ordinaryDrift is how far the rates of ordinary steady clocks differ.
+// ordinaryDrift is the width of the range around 1 from which clock rates are drawn without short
+// leases.
 const ordinaryDrift = 0.001
 
 func (w *World) bootNodes() {
@@ -152,22 +153,23 @@
 	}
 }
 
-// randomClockRate is the rate of a node's or machine's steady clock.
+// randomClockRate returns a random rate for the monotonic clock of a node or machine.
 func (w *World) randomClockRate() float64 {
 	return w.shortLease.clockRate(1 + (w.rng.Float64()-0.5)*ordinaryDrift)
 }
 
-// createFirstMachines creates the machines that are up as the world begins.
+// createFirstMachines creates the machines that exist when the world begins.
 func (w *World) createFirstMachines() {
 	for range 4 {
 		w.cloud.create([]string{"small", "large"}[w.rng.IntN(2)], w.zones[w.rng.IntN(len(w.zones))], false, 0)
 	}
 }
 
-// unreliable tells whether the network loses and delays messages by chance.
+// unreliable reports whether the network loses and delays messages at random.
 func (w *World) unreliable() bool { return w.options.Faults && !w.network.reliable }
 
-// Run plays the world to its end, or to the first violation of an invariant.
+// Run runs the world to its end, or to the first violation of an invariant, and returns the
+// violation.
 func (w *World) Run() error {
 	end := w.start.Add(w.options.Length + w.options.SettleTime)
 	for {
@@ -187,7 +189,7 @@
 	return w.violation()
 }
 
-// violation is the first broken rule, with the seed and the time at which it was broken; nil if all held.
+// violation returns the first violation with the seed and the simulated time, nil if there is none.
 func (w *World) violation() error {
 	if w.checker.violation == nil {
 		return nil
@@ -195,7 +197,7 @@
 	return fmt.Errorf("seed %d, %.3f s: %w", w.options.Seed, w.elapsed().Seconds(), w.checker.violation)
 }
 
-// Started counts the tasks that were started.
+// Started counts the task attempts that were started.
 func (w *World) Started() int { return w.checker.ledger.started }
 
 // Done counts the jobs whose users were told that they are done.
@@ -209,8 +211,8 @@
 	return n
 }
 
-// CancelledAsDependent counts the jobs whose users were told that they are cancelled although they had asked for
-// that only of jobs that these depend on.
+// CancelledAsDependent counts the jobs that were reported as cancelled although only the
+// cancellation of jobs that they depend on was requested.
 func (w *World) CancelledAsDependent() int {
 	n := 0
 	for _, j := range w.jobs {
@@ -221,7 +223,7 @@
 	return n
 }
 
-// currentLeader is the node that may act now, nil if none does.
+// currentLeader returns the first node that holds a valid leader lease, nil if none does.
 func (w *World) currentLeader() *node {
 	for _, n := range w.nodes {
 		if n.holdsLease() {
@@ -231,13 +233,13 @@
 	return nil
 }
 
-// sortedMachines are all machines in an order that doesn't depend on that of a map.
+// sortedMachines returns all machines, sorted by name.
 func (w *World) sortedMachines() []*machine {
 	byName := func(a, b *machine) int { return strings.Compare(a.name, b.name) }
 	return slices.SortedFunc(maps.Values(w.machines), byName)
 }
 
-// sortedJobs are all jobs in an order that doesn't depend on that of a map.
+// sortedJobs returns all jobs, sorted by id.
 func (w *World) sortedJobs() []*userJob {
 	byRef := func(a, b *userJob) int { return strings.Compare(a.spec.Ref, b.spec.Ref) }
 	return slices.SortedFunc(maps.Values(w.jobs), byRef)
