--- a/internal/simulation/invariant_jobs.go
+++ b/internal/simulation/invariant_jobs.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// checkAnswered checks that, since all faults are over, queries about a job haven't all failed for longer
-// than maxQueryOutage.
+// checkAnswered checks that, once all faults are over, the queries about a job don't all fail for
+// longer than maxQueryOutage.
 func (i *jobsRemembered) checkAnswered(j *userJob) {
 	if i.w.faultsEndedAt.IsZero() {
 		return
--- a/internal/simulation/invariant_tasks.go
+++ b/internal/simulation/invariant_tasks.go
@@ -45,9 +45,8 @@
 	i.used[t.key()] = true
 }
 
-// allowedPlacement checks the rule wrong_place: a task starts only on a machine type, in a zone
-// and, if the job forbids spot machines, on an on-demand machine, given where the job's other tasks
-// are at that moment.
+// allowedPlacement checks the rule wrong_place: a task starts only on a machine whose type, zone and
+// kind (spot or on-demand) its job allows, given the zones of the job's other tasks at that moment.
 //
 // Deliberate faults: "a start in a zone that the job doesn't allow", "a start apart from tasks that share a
 // zone", "more than half of a spread job in one zone".
--- a/internal/simulation/output_digest_test.go
+++ b/internal/simulation/output_digest_test.go
@@ -68,8 +68,9 @@
 }
 
 // TestOutputDigests compares everything that the controllers store and send, in encoded form, with
-// the state when the golden file was written. It guards refactorings against changes of behaviour: a
-// renamed field that is stored by its name, a decision that differs, an additional command.
+// what they stored and sent when the golden file was written. It guards refactorings against
+// changes of behaviour: a renamed field that is stored by its name, a decision that differs, an
+// additional command.
 //
 // After an intended change of behaviour, write the file anew: go test -run TestOutputDigests
 // ./internal/simulation -update.
--- a/internal/simulation/task_ledger.go
+++ b/internal/simulation/task_ledger.go
@@ -24,7 +24,7 @@
 		preempted: map[string]bool{}, preemptedAttempts: map[string]bool{}}
 }
 
-// record updates the ledger. It is called before the invariants observe the same.
+// record updates the ledger with an observation, before the invariants get it.
 func (l *taskLedger) record(o observation) {
 	switch o := o.(type) {
 	case startReceived:
