--- a/internal/simulation/recovery_test.go
+++ b/internal/simulation/recovery_test.go
@@ -26,7 +26,7 @@
 		o.Pace, o.Standby = pace, number%2 == 0
 		return o
 	}
-	playFamilies(t, recoverySeeds, change, func(w *World) { pacedSeconds += w.checker.pace.seconds })
+	runFamilies(t, recoverySeeds, change, func(w *World) { pacedSeconds += w.checker.pace.seconds })
 	if pacedSeconds < 400 {
 		t.Errorf("the pace was bounded in only %d seconds", pacedSeconds)
 	}
@@ -52,7 +52,7 @@
 			term.N -= min(term.N, terms)
 			store.revision++
 			store.items[key] = &item{codec.MustMarshal(term), store.revision}
-			s.w.checker.leaders.restoredTo(term.N)
+			s.w.checker.leaders.resetNewestTerm(term.N)
 		}
 	}
 }
