--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -345,7 +345,7 @@
 	for _, c := range counts {
 		offered += c.Offered
 	}
-	if len(counts) > 2*(maxClassesPerTeam+1) || offered != 5000 {
+	if len(counts) > 2*(maxKeysPerTeam+1) || offered != 5000 {
 		t.Fatalf("%d counts with a total of %d jobs", len(counts), offered)
 	}
 }
--- a/internal/admission/counter.go
+++ b/internal/admission/counter.go
@@ -22,12 +22,12 @@
 	Counts []Count       `cbor:"c"`
 }
 
-// Once maxClassesPerTeam keys of a team are counted, its further classes are counted together as
-// otherClass, so that new class names can't use unbounded memory. Teams need no such limit: they come
-// from the settings.
+// Once maxKeysPerTeam keys (class and priority) of a team are counted, jobs with any further key
+// are counted under otherClass, with at most one count per priority beyond the limit, so that new
+// class names can't use unbounded memory. Teams need no such limit: they come from the settings.
 const (
-	maxClassesPerTeam = 32
-	otherClass        = "(other)"
+	maxKeysPerTeam = 32
+	otherClass     = "(other)"
 )
 
 // counter holds counts by key. Its size is bounded by teams and classes, not by jobs.
@@ -44,7 +44,7 @@
 	if count := c.counts[k]; count != nil {
 		return count
 	}
-	if c.keysPerTeam[k.Team] >= maxClassesPerTeam && k.Class != otherClass {
+	if c.keysPerTeam[k.Team] >= maxKeysPerTeam && k.Class != otherClass {
 		return c.countOf(Key{Team: k.Team, Class: otherClass, Priority: k.Priority})
 	}
 	c.keysPerTeam[k.Team]++
--- a/internal/admission/policy.go
+++ b/internal/admission/policy.go
@@ -48,7 +48,7 @@
 	// all jobs are admitted.
 	Fraction  float64 `cbor:"f"`
 	Offset    float64 `cbor:"o"` // position at which the window begins
-	FairShare float64 `cbor:"d"` // the key's fair share, as a part of the capacity
+	FairShare float64 `cbor:"d"` // the key's fair share, as a fraction of the capacity
 }
 
 // Policy contains all that gates need to admit or refuse jobs. All gates apply the same policy until
@@ -94,10 +94,11 @@
 	return slices.Delete(slices.Clone(p.Shares), widest, widest+1)
 }
 
-// Constants of decisions.
+// Parameters of Policy.Decide.
 const (
-	// windowSpan is the number of successive policies that a job's turn lasts. A job that is submitted
-	// a little late, or at a controller that still has the previous policy, doesn't miss its turn.
+	// windowSpan is the number of successive policies for which a job stays admitted once it is in the
+	// window. It is above 1 so that a job that is submitted a little late, or at a controller that
+	// still has the previous policy, doesn't miss its turn.
 	windowSpan = 3
 	// maxRetryAfter is the longest pause that users obey (PROTOCOL).
 	maxRetryAfter = 30 * time.Second
--- a/internal/controller/core_config.go
+++ b/internal/controller/core_config.go
@@ -12,8 +12,8 @@
 	"gingertally/internal/operator"
 )
 
-// roundBudget limits the jobs considered and tasks placed in one pass of a round of decisions.
-const roundBudget = 2000
+// maxRoundSteps limits the jobs considered plus the tasks placed in one pass of a round of decisions.
+const maxRoundSteps = 2000
 
 // coreConfig returns the engine's configuration for a deployment and its operators' settings.
 func coreConfig(settings *config.Settings, operatorSettings operator.Settings) core.Config {
@@ -34,7 +34,7 @@
 		Admission:         operatorSettings.Admission.Enabled,
 		MaxValueBytes:     shares.MaxValueBytes(),
 		WritesPerSecond:   shares.Leader().Writes,
-		RoundBudget:       roundBudget,
+		MaxRoundSteps:     maxRoundSteps,
 		Drain:             operatorSettings.Draining.Policy(time.Duration(params.SkewMS * float64(time.Millisecond))),
 		Debug:             slog.Default().Enabled(context.Background(), slog.LevelDebug),
 	}
--- a/internal/controller/overload/leader.go
+++ b/internal/controller/overload/leader.go
@@ -37,15 +37,16 @@
 	return ctx.Err()
 }
 
-// planRound collects the counts of all controllers and plans the next policy. It returns the newest
-// policy that is stored; one that couldn't be stored is neither applied nor sent.
+// planRound collects the counts of all controllers and plans the next policy, unless the capacity isn't
+// known yet. It returns the newest stored policy; a policy that couldn't be stored is neither applied
+// nor sent.
 func (n *Node) planRound(
 	ctx context.Context, term Term, planner *admission.Planner, latest admission.Policy,
 ) admission.Policy {
-	load, settled := term.Load(time.Now())
+	load, capacityKnown := term.Load(time.Now())
 	load.Capacity.JobsPerSecond = n.options.Limits.Submissions()
 	load.Batches = n.exchange(ctx, latest)
-	if !settled {
+	if !capacityKnown {
 		return latest
 	}
 	policy, changed := planner.Plan(time.Now(), load)
@@ -86,9 +87,9 @@
 	}
 }
 
-// exchange sends the policy to all other controllers and returns the batches of all, this one
-// included. There is none of a controller that can't be reached or takes no part in admission
-// control.
+// exchange sends the policy to all other controllers, and returns the batches of counts of this
+// controller and of each other one that answers. A controller that can't be reached or has admission
+// control disabled returns no batch.
 func (n *Node) exchange(ctx context.Context, policy admission.Policy) []admission.Batch {
 	batches := []admission.Batch{n.collectCounts()}
 	request := peer.Request{Method: http.MethodPost, Path: ExchangePath, Body: codec.MustMarshal(policy)}
--- a/internal/core/config.go
+++ b/internal/core/config.go
@@ -21,7 +21,7 @@
 	ProgressInterval  time.Duration        // how often the progress of unfinished jobs is written
 	MaxValueBytes     int                  // size limit of one value in the store
 	WritesPerSecond   float64              // puts and deletes a second that the leader may make; 0 if unknown
-	RoundBudget       int                  // limit of jobs considered plus tasks placed in one pass of a round
+	MaxRoundSteps     int                  // limit of jobs considered plus tasks placed in one pass of a round
 	Weights           Weights              // weights of cost against delay
 	Debug             bool                 // whether to emit log records at debug level
 	Pace              recovery.PaceOptions // limits the rate of starts at the beginning of a term
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -42,7 +42,7 @@
 	return Config{
 		Teams: map[string]placement.Quota{"t": {}}, HeartbeatInterval: 3 * time.Second, Lease: 30 * time.Second,
 		CancelWithin: 60 * time.Second, InstanceListLag: 4 * time.Second, RestartLimit: 3,
-		ProgressInterval: 2 * time.Second, MaxValueBytes: 4000, RoundBudget: 100, Weights: DefaultWeights(),
+		ProgressInterval: 2 * time.Second, MaxValueBytes: 4000, MaxRoundSteps: 100, Weights: DefaultWeights(),
 	}
 }
 
--- a/internal/core/placement_adapter.go
+++ b/internal/core/placement_adapter.go
@@ -87,5 +87,5 @@
 // BudgetSpent implements placement.Executor.
 func (b *placementAdapter) BudgetSpent() bool {
 	b.steps++
-	return b.steps > b.engine.cfg.RoundBudget || (b.spent != nil && b.spent())
+	return b.steps > b.engine.cfg.MaxRoundSteps || (b.spent != nil && b.spent())
 }
--- a/internal/simulation/node_engine.go
+++ b/internal/simulation/node_engine.go
@@ -24,7 +24,7 @@
 		RestartLimit:      3,
 		ProgressInterval:  2 * time.Second,
 		MaxValueBytes:     n.limits().ValueBytes,
-		RoundBudget:       200,
+		MaxRoundSteps:     200,
 		Weights:           core.DefaultWeights(),
 		WarmState:         n.standbyOn(),
 		Pace:              o.Pace,
