--- a/internal/controller/contact.go
+++ b/internal/controller/contact.go
@@ -25,7 +25,8 @@
 	pingPath    = "/ping"
 )
 
-// recordStoreContact records a response of the state service in the health tracker and the metrics.
+// recordStoreContact records in the health tracker and the metrics whether the state service served
+// a request of this controller or refused it.
 func (c *Controller) recordStoreContact(contact statestore.Contact) {
 	served := contact == statestore.Served
 	c.metrics.CountStoreAnswer(served)
@@ -36,9 +37,9 @@
 	}
 }
 
-// probeConnectivity probes the state service while it hasn't served this controller lately, and, if
-// the probe fails, pings the other controllers. That shows whether this controller alone is cut off.
-// It runs until ctx ends.
+// probeConnectivity probes the state service while it hasn't served this controller for
+// usercalls.StoreFreshWithin. If the probe fails, it pings the other controllers, to find out whether
+// this controller alone is cut off. It runs until ctx ends.
 func (c *Controller) probeConnectivity(ctx context.Context) error {
 	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
--- a/internal/controller/leader_view.go
+++ b/internal/controller/leader_view.go
@@ -34,8 +34,9 @@
 		return core.JobView{}, false
 	}
 	view, ok := t.Lookup(ref)
-	// The lease is checked after the lookup: what the engine knew then may be told only if the lease
-	// is still valid (docs/design.md, "Safety arguments" 9; TestNoAnswerWhileOutcomeUnknown).
+	// The lease is checked after the lookup, because the engine's view may be returned only if the
+	// lease was still valid after the engine was read (docs/design.md, "Safety arguments" 9;
+	// TestNoAnswerWhileOutcomeUnknown).
 	return view, ok && t.HoldsLease()
 }
 
@@ -55,8 +56,8 @@
 	return decodeView(response.Body)
 }
 
-// Cancel cancels a job if this controller leads with a valid lease. Otherwise it only returns the
-// phase of a job that is over already.
+// Cancel cancels a job if this controller leads with a valid lease. Otherwise it returns the phase of
+// a job that is already over, or jobstore.ErrNotLeader if the job is still active.
 func (l userLeader) Cancel(ctx context.Context, ref string) (pipeline.Phase, error) {
 	if t := l.c.term.Load(); t != nil && t.HoldsLease() {
 		return t.Cancel(ctx, l.c.userJobs, ref)
@@ -126,7 +127,8 @@
 	return agentapi.Answer{Status: response.Status, Body: response.Body}, err
 }
 
-// operatorTerm returns this controller's term for the operator API; false unless it leads.
+// operatorTerm returns this controller's present term for the operator API; false if it has none. The
+// term's lease may have expired (operatorapi.Term.HoldsLease).
 func (c *Controller) operatorTerm() (operatorapi.Term, bool) {
 	t := c.term.Load()
 	return t, t != nil
--- a/internal/controller/metrics/parts.go
+++ b/internal/controller/metrics/parts.go
@@ -31,8 +31,9 @@
 	return m
 }
 
-// ObservePhase records that a node reached a phase of a takeover, and how long after it had seen
-// that there was no leader. Warm says whether the takeover starts from the copy of the warm state.
+// ObservePhase records that a node reached a phase of a takeover, and the time since it saw that there
+// was no leader. Warm says whether the copy of the warm state had been accepted when the phase was
+// recorded; it is false for ClaimStored and ViewCurrent.
 func (m *Standby) ObservePhase(warm bool, phase standby.TakeoverPhase, since time.Duration) {
 	m.phases.WithLabelValues(phase.String(), strconv.FormatBool(warm)).Observe(since.Seconds())
 }
--- a/internal/controller/operatorapi/operatorapi.go
+++ b/internal/controller/operatorapi/operatorapi.go
@@ -2,8 +2,8 @@
 // and of the deployment, and drains. Bodies are JSON. Operators may call any controller, which asks
 // the leader for what only the leader knows.
 //
-// The package keeps no state: plans are stored in the state service (package jobstore), and the
-// rest is the leader's. A Service is safe for concurrent use.
+// The package keeps no state: plans are stored in the state service (package jobstore), and
+// everything else is read from the controllers. A Service is safe for concurrent use.
 package operatorapi
 
 import (
--- a/internal/controller/peers.go
+++ b/internal/controller/peers.go
@@ -15,7 +15,8 @@
 // by the job's reference, and is served to other controllers only.
 const viewPath = "/view/"
 
-// servePeer serves a request of another controller: its own, or one that it forwards.
+// servePeer serves a request from another controller: one of its own, or a call of a worker, user or
+// operator that it forwards.
 func (c *Controller) servePeer(ctx context.Context, request peer.Request) peer.Response {
 	switch request.Path {
 	case agentapi.HeartbeatPath:
--- a/internal/controller/replication/follow.go
+++ b/internal/controller/replication/follow.go
@@ -31,8 +31,7 @@
 	return group.Wait()
 }
 
-// followLeaders follows the node that is believed to lead, whenever that is another node, until ctx
-// ends.
+// followLeaders follows the node that is believed to lead, unless it is this one, until ctx ends.
 func (n *Node) followLeaders(ctx context.Context, peers Peers) error {
 	for ctx.Err() == nil {
 		leader := peers.Leader()
@@ -88,8 +87,8 @@
 	return n.standby.Position()
 }
 
-// receive applies a frame to the copy, hands it to the decision log, and returns the
-// acknowledgement for the leader.
+// receive applies a frame to the copy, passes it to the decision log, if there is one and the frame
+// was applied, and returns the acknowledgement for the leader.
 func (n *Node) receive(frame standby.Frame) standbyrpc.Acknowledgement {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -102,8 +101,8 @@
 	if outcome == standby.Applied && n.log != nil {
 		n.log.offer(frame)
 	}
-	// A request for a snapshot is suppressed if it comes too soon after the last one (MayResync),
-	// so heartbeats repeat it while there is no copy.
+	// MayResync suppresses requests for a snapshot that follow too soon on the last one. While there
+	// is no copy, each heartbeat therefore requests one again.
 	noCopy := n.standby.State() == standby.CatchingUp && n.standby.Position() == (standby.Position{})
 	resync := outcome.NeedsSnapshot() || noCopy && frame.Kind == standby.Heartbeat
 	return standbyrpc.Acknowledgement{At: n.standby.Position(), Resync: resync && n.standby.MayResync(now)}
--- a/internal/controller/replication/node.go
+++ b/internal/controller/replication/node.go
@@ -19,7 +19,7 @@
 // heartbeatInterval is the longest time between two frames that a leader sends to a follower.
 const heartbeatInterval = 500 * time.Millisecond
 
-// errNotLeading is returned to the streams of followers if this node doesn't lead, or no longer.
+// errNotLeading is returned to the streams of followers if this node doesn't lead or no longer leads.
 var errNotLeading = errors.New("this node doesn't lead")
 
 // Node is the Replicator of a controller with the warm standby enabled.
@@ -35,8 +35,8 @@
 	publisher *standby.Publisher       // nil unless this node leads
 	term      uint64                   // of the publisher, or of the last one
 	streams   map[string]chan struct{} // by follower: signals its stream that a frame may be due
-	takeover  standby.Takeover         // what was recorded since the last loss of a leader
-	minPhase  standby.TakeoverPhase    // phases of the takeover before this one aren't recorded any more
+	takeover  standby.Takeover         // phases recorded since the leader was last lost
+	minPhase  standby.TakeoverPhase    // first phase that may still be recorded
 }
 
 // New returns the Replicator of a controller, known to others by the name self: a Node that starts
@@ -133,8 +133,8 @@
 }
 
 // ConfirmCopy implements Replicator. The copy is used only if it is complete, lacks no known change, is
-// of the term right before this one, and can be decoded. Unless the records have to be read again,
-// this node publishes its own warm state from now on.
+// of the term right before this one, and can be decoded. With standby.ErrBehindClaim nothing is decided;
+// otherwise, whether or not the copy is used, this node publishes its own warm state from now on.
 func (n *Node) ConfirmCopy(term leadership.Term, revision uint64) (*core.WarmStart, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -197,9 +197,9 @@
 	n.phaseReached(phase, time.Now())
 }
 
-// phaseReached records the first time at which a phase of the takeover is reached, and from
-// ClaimStored on logs how long after the loss of the leader that was and adds it to the metrics, if
-// the time of the loss is known. The caller holds n.mu.
+// phaseReached records the first time at which a phase of the takeover is reached. From ClaimStored on
+// it also logs the time since the loss of the leader, if that is known, and adds it to the metrics. The
+// caller holds n.mu.
 func (n *Node) phaseReached(phase standby.TakeoverPhase, at time.Time) {
 	if phase < n.minPhase || !n.takeover.Reached(phase, at) {
 		return
--- a/internal/core/job_classes.go
+++ b/internal/core/job_classes.go
@@ -30,7 +30,7 @@
 )
 
 // class returns the statistics of a class of jobs, and adds the class if it is new. A new class has
-// the ratio 1: its users' estimates count as exact.
+// the ratio 1: estimates are taken to be exact.
 func (c jobClasses) class(name string) *classStats {
 	s := c[name]
 	if s == nil {
@@ -40,8 +40,8 @@
 	return s
 }
 
-// learnRunTime adds the run time of a task, as a ratio to its job's estimate, to the moving
-// average.
+// learnRunTime adds the run time of a task, as a ratio to its job's estimate and bounded by
+// minRunRatio and maxRunRatio, to the moving average. The estimate must be above 0.
 func (s *classStats) learnRunTime(ran, estimate time.Duration) {
 	ratio := min(max(float64(ran)/float64(estimate), minRunRatio), maxRunRatio)
 	s.runs++
@@ -49,7 +49,8 @@
 	s.ratio += (ratio - s.ratio) * weight
 }
 
-// arrived notes that a job with this many tasks has become ready.
+// arrived updates the arrival rate and the latest spec for a job with this many tasks that has become
+// ready.
 func (s *classStats) arrived(now time.Time, spec *pipeline.Spec, tasks int) {
 	s.rate = s.rateAt(now) + float64(tasks)/rateWindow.Seconds()
 	s.lastAt = now
@@ -64,8 +65,9 @@
 	return s.rate * math.Exp(-now.Sub(s.lastAt).Seconds()/rateWindow.Seconds())
 }
 
-// restore sets the statistics to those of the previous leader. lastAt is when a job of the class
-// last became ready, zero if none has.
+// restore sets the statistics to those of the previous leader, with the ratio bounded by minRunRatio
+// and maxRunRatio and the rate not below 0. The spec is set only if there is none yet. lastAt is when a
+// job of the class last became ready, zero if none has.
 func (s *classStats) restore(w *WarmClass, lastAt time.Time) {
 	s.runs, s.ratio = w.Runs, min(max(w.Ratio, minRunRatio), maxRunRatio)
 	s.rate, s.lastAt = max(w.Rate, 0), lastAt
--- a/internal/statestore/watch.go
+++ b/internal/statestore/watch.go
@@ -12,34 +12,34 @@
 	"gingertally/internal/wire"
 )
 
-// Watch waits for changes, after a revision, of keys with a prefix. If there are none within a few
-// seconds, the response has no events. The error is ErrCompacted if the changes are no longer kept,
+// Watch waits for changes, after a revision, of keys with a prefix. If there are none within
+// watchBlock, the response has no events. The error is ErrCompacted if the changes are no longer kept,
 // or are too large for one response; the keys then have to be listed again.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64) (WatchResponse, error) {
-	news, err := c.watch(ctx, prefix, after)
+	response, err := c.watch(ctx, prefix, after)
 	if err != nil {
 		return WatchResponse{}, &RequestError{"watch", prefix, err}
 	}
-	return watchResponseOf(news), nil
+	return watchResponseOf(response), nil
 }
 
-func (c *Client) watch(ctx context.Context, prefix string, after uint64) (news wire.News, err error) {
+func (c *Client) watch(ctx context.Context, prefix string, after uint64) (changes wire.News, err error) {
 	if err := waitForRate(ctx, c.requests, 1); err != nil {
-		return news, err
+		return changes, err
 	}
 	uri := fmt.Sprintf("%s?starts=%s&since=%d&block_ms=%d",
 		wire.WatchPath, url.QueryEscape(prefix), after, watchBlock.Milliseconds())
 	response, err := c.do(ctx, request{client: c.watches, method: fasthttp.MethodGet, uri: uri, timeout: watchTimeout})
 	switch {
 	case errors.Is(err, fasthttp.ErrBodyTooLarge):
-		return news, ErrCompacted // a retry would get a response that is too large again
+		return changes, ErrCompacted // a retry would get a response that is too large again
 	case err != nil:
-		return news, err
+		return changes, err
 	case response.status == fasthttp.StatusGone:
-		return news, ErrCompacted
+		return changes, ErrCompacted
 	case response.status != fasthttp.StatusOK:
-		return news, unexpectedStatus(response)
+		return changes, unexpectedStatus(response)
 	}
-	err = codec.Unmarshal(response.body, &news)
-	return news, err
+	err = codec.Unmarshal(response.body, &changes)
+	return changes, err
 }
