--- a/internal/simulation/node_store.go
+++ b/internal/simulation/node_store.go
@@ -14,13 +14,13 @@
 // callTimeout is how long a node waits for the answer to a call.
 const callTimeout = 1500 * time.Millisecond
 
-// call sends a request to the state service: request is what happens there, and answer is called on
-// the node when the answer arrives. With faults, the request may be lost or executed late, and its
-// answer may be lost.
+// call sends a request to the state service: request is executed at the state service, and answer on the
+// node when the answer arrives. With faults, the request may be lost or executed late, and its answer
+// may be lost.
 func (n *node) call(request func(), answer func()) { n.send(request, answer, false) }
 
-// callOnce is call with a timeout: it calls done exactly once, when the answer arrives or after
-// callTimeout without one, unless the process ends before.
+// callOnce is call with a timeout. It calls done exactly once, when the answer arrives or after
+// callTimeout without one; or not at all if the process ends first.
 func (n *node) callOnce(request func(), done func(answered bool)) {
 	ended := false
 	end := func(answered bool) {
@@ -34,10 +34,10 @@
 	n.w.after(callTimeout, func() { n.run(incarnation, func() { end(false) }) })
 }
 
-// send implements call. It treats a request that takes longer than callTimeout to arrive specially
-// in worlds with a script: the request's reads happen in time, only its transaction is executed
-// late, and the answer is lost. With delayWhole, all of the request happens late instead; this is
-// for requests that read nothing before they are sent.
+// send implements call. In a world with a script, if a request takes longer than callTimeout to arrive,
+// its reads are executed in time, only its transaction is executed late, and the answer is lost. With
+// delayWhole the whole request is executed late instead; this is for requests that read nothing before
+// they are sent.
 func (n *node) send(request func(), answer func(), delayWhole bool) {
 	w, incarnation := n.w, n.incarnation
 	if n.cutOffFromStore() {
@@ -46,27 +46,27 @@
 		}
 		return
 	}
-	there := w.between(time.Millisecond, 30*time.Millisecond)
-	back := w.between(time.Millisecond, 30*time.Millisecond)
+	requestDelay := w.between(time.Millisecond, 30*time.Millisecond)
+	answerDelay := w.between(time.Millisecond, 30*time.Millisecond)
 	lost := false
 	if w.unreliable() {
 		if w.chance(0.01) {
-			there += w.between(0, 10*time.Second)
+			requestDelay += w.between(0, 10*time.Second)
 		}
 		lost = w.chance(0.01)
 	}
-	there += w.script.randomStoreDelay()
-	back += w.script.randomStoreDelay()
+	requestDelay += w.script.randomStoreDelay()
+	answerDelay += w.script.randomStoreDelay()
 	var commitDelay time.Duration
-	if w.script != nil && !delayWhole && there > callTimeout {
-		there, commitDelay, lost = 30*time.Millisecond, there, true
+	if w.script != nil && !delayWhole && requestDelay > callTimeout {
+		requestDelay, commitDelay, lost = 30*time.Millisecond, requestDelay, true
 	}
-	w.after(there, func() {
+	w.after(requestDelay, func() {
 		n.request = storeRequest{commitDelay: commitDelay}
 		request()
 		n.request.commitDelay = 0
 		if !lost && !n.request.answerLost {
-			w.after(back, func() { n.run(incarnation, answer) })
+			w.after(answerDelay, func() { n.run(incarnation, answer) })
 		}
 	})
 }
@@ -123,8 +123,8 @@
 	n.reloadTargets(sent)
 }
 
-// reloadTargets reads the jobs and pages that failed writes may or may not have changed, and passes
-// them to the engine.
+// reloadTargets reads the jobs and pages that failed writes may have changed, and passes them to the
+// engine.
 func (n *node) reloadTargets(sent []core.Write) {
 	current := map[string]uint64{}
 	for _, write := range sent {
@@ -159,26 +159,26 @@
 	}
 }
 
-// lookUpDependencies reads jobs that others depend on, and that the engine doesn't know, from the
-// state service.
+// lookUpDependencies reads up to 3 jobs that others depend on, and that the engine doesn't know, from
+// the state service. If a job isn't found within callTimeout, the engine is told that its lookup failed.
 func (n *node) lookUpDependencies() {
 	if !n.holdsLease() {
 		return
 	}
 	engine, incarnation, jobs := n.engine, n.incarnation, n.jobs
 	for _, ref := range engine.DependenciesToLookUp(3) {
-		answered := false
+		found := false
 		var st jobstore.State
 		err := statestore.ErrUnknownOutcome
 		n.call(func() { st, err = jobs.LoadFinished(context.Background(), ref) }, func() {
 			if err == nil && st.Found && n.engine == engine {
-				answered = true
+				found = true
 				n.jobLoaded(st, ref)
 			}
 		})
 		n.w.after(callTimeout, func() {
 			n.run(incarnation, func() {
-				if !answered && n.engine == engine {
+				if !found && n.engine == engine {
 					n.step(core.DependencyLookupFailed{Ref: ref})
 				}
 			})
@@ -187,7 +187,7 @@
 }
 
 // notifyWatchers delivers a transaction's changes of jobs and drain plans to the watches of all
-// leaders, each after a random delay, and reports the transaction to the invariants.
+// leaders, each after a random delay, and passes the transaction to the checker of the invariants.
 func (w *World) notifyWatchers(changes []statestore.Op) {
 	for _, c := range changes {
 		ref, ok := strings.CutPrefix(c.Key, jobPrefix)
@@ -206,16 +206,16 @@
 
 // deliverWatch has a leader handle a change after a delay. While the state service doesn't serve
 // the leader, it tries again every second; once the engine's term is over, the change is dropped.
-func (w *World) deliverWatch(n *node, engine *core.Engine, delay time.Duration, take func()) {
+func (w *World) deliverWatch(n *node, engine *core.Engine, delay time.Duration, handle func()) {
 	incarnation := n.incarnation
 	w.after(delay, func() {
 		n.run(incarnation, func() {
 			switch {
 			case n.engine != engine:
 			case n.cutOffFromStore() || n.storeRefuses():
-				w.deliverWatch(n, engine, time.Second, take)
+				w.deliverWatch(n, engine, time.Second, handle)
 			default:
-				take()
+				handle()
 			}
 		})
 	})
--- a/internal/simulation/output_digest.go
+++ b/internal/simulation/output_digest.go
@@ -89,7 +89,8 @@
 	}
 }
 
-// workerAnswer adds a controller's answer to a worker, unless it is held.
+// workerAnswer adds a controller's answer to a worker's heartbeat, unless the answer is held back
+// (statusHeld).
 func (d *outputDigest) workerAnswer(n *node, machine string, decided heartbeatAnswer) {
 	if d == nil || decided.held() {
 		return
@@ -128,15 +129,15 @@
 	d.add(n.w, outputScaleIn, n.name, cloud.ScaleInBody(machines))
 }
 
-// jobView adds a controller's answer to a query about a job; ok is false if the controller is
-// unavailable.
-func (d *outputDigest) jobView(n *node, ref string, view core.JobView, known, ok bool) {
+// jobView adds a controller's answer to a query about a job. Available is false if the controller can't
+// answer; known is false if the job doesn't exist.
+func (d *outputDigest) jobView(n *node, ref string, view core.JobView, known, available bool) {
 	if d == nil {
 		return
 	}
 	answer := userapi.JobStateAnswer(ref, view)
 	switch {
-	case !ok:
+	case !available:
 		answer = userapi.Answer{Status: http.StatusServiceUnavailable}
 	case !known:
 		answer = userapi.Answer{Status: http.StatusNotFound}
--- a/tools/drain/main.go
+++ b/tools/drain/main.go
@@ -1,8 +1,8 @@
 // Command drain measures a rolling replacement of machines. It runs a cluster of real controllers
-// on loopback with an emulated state service, cloud, workers and users. It has every worker
-// replaced under the load of three teams with different disruption budgets, and repeatedly kills or
-// pauses the leader meanwhile. It counts interruptions at the workers, checks them against the
-// budgets and the history against the protocol's rules, and prints the times between the removals
+// on loopback with an emulated state service, cloud, workers and users, and replaces every worker
+// under the load of three teams with different disruption budgets. Meanwhile it repeatedly kills or
+// pauses the leader. It counts the interruptions that the workers see and checks them against the
+// budgets, checks the history against the protocol's rules, and prints the times between the removals
 // of machines, with plots.
 package main
 
--- a/tools/failover/takeover.go
+++ b/tools/failover/takeover.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// settleTimeout bounds the wait for a settled leader, which is then ended.
+	// settleTimeout bounds the wait until the cluster is settled (waitSettled).
 	settleTimeout = 40 * time.Second
 	// takeoverTimeout is how long a takeover may take before it counts as failed.
 	takeoverTimeout = 30 * time.Second
@@ -19,8 +19,8 @@
 	// checks for a settled leader.
 	pollInterval       = 20 * time.Millisecond
 	settlePollInterval = 5 * pollInterval
-	// maxEndDelay bounds the random time from when the leader has settled until it is ended, so
-	// that it is ended at any moment of its work.
+	// maxEndDelay bounds the random time from when the cluster has settled until the leader is ended.
+	// The time is random so that leaders are ended at different points of their work.
 	maxEndDelay = time.Second
 	// maxResumeDelay bounds the random time from a takeover until the old leader is resumed.
 	maxResumeDelay = time.Second
@@ -60,7 +60,7 @@
 	time.Sleep(t.random.Between(0, maxEndDelay))
 	how := t.chooseEnding()
 	if t.cluster.History.Term() != term {
-		// It has lost leadership meanwhile, so ending it would cause no takeover.
+		// The leader has lost its leadership meanwhile, so ending it would cause no takeover.
 		t.result.Count("not run: another leader meanwhile", 1)
 		return
 	}
@@ -116,7 +116,7 @@
 // its term, or nil if the cluster didn't settle in time.
 func (t *takeoverTest) waitSettled() (*emulator.Controller, uint64) {
 	controllers := t.cluster.Controllers
-	for end := time.Now().Add(settleTimeout); time.Now().Before(end); time.Sleep(settlePollInterval) {
+	for deadline := time.Now().Add(settleTimeout); time.Now().Before(deadline); time.Sleep(settlePollInterval) {
 		status, err := controllers[t.random.IntN(len(controllers))].Status()
 		if err != nil || !t.isSettled(&status) {
 			continue
@@ -178,8 +178,9 @@
 	t.recordPhases()
 }
 
-// waitTakeover waits for the first start of a task in a later term. It returns when a worker first
-// accepted an answer and a start of a later term. The start is zero if there was none in time.
+// waitTakeover waits until a task is started in a later term. It returns the times at which a worker
+// first accepted an answer, and first started a task, in a later term. The time of the start is zero
+// if there was none within takeoverTimeout.
 func (t *takeoverTest) waitTakeover(term uint64, ended time.Time) (answer, start time.Time) {
 	for time.Since(ended) < takeoverTimeout && start.IsZero() {
 		time.Sleep(pollInterval)
