--- a/cmd/gingertally/errors.go
+++ b/cmd/gingertally/errors.go
@@ -11,7 +11,7 @@
 	exitFailed    = 1 // any other error
 	exitRefused   = 2 // the job, the plan or the change of a plan will not be accepted as it is
 	exitNotFound  = 3 // there is no such job or plan
-	exitGaveUp    = 4 // no usable answer came in time
+	exitGaveUp    = 4 // no usable answer; the call may have been carried out
 	exitCancelled = 5 // wait: the job was cancelled
 )
 
--- a/cmd/gingertally/main.go
+++ b/cmd/gingertally/main.go
@@ -1,6 +1,6 @@
 // Command gingertally is the cluster scheduler. It runs a controller (serve), checks a controller's settings
-// (check-config), and has commands for users (submit, get, cancel, wait) and for operators (status,
-// admission, drain, differences).
+// (check-config), prints its version (version), and has commands for users (submit, get, cancel, wait) and
+// for operators (status, admission, drain, differences).
 //
 // A command that fails prints one line to standard error. A failed call names its operation and the
 // controller that was asked. The exit codes are in errors.go.
--- a/internal/agentapi/agentapi_test.go
+++ b/internal/agentapi/agentapi_test.go
@@ -11,14 +11,15 @@
 	"gingertally/internal/wire"
 )
 
-// fakeLeader is a Leader that a test configures. It counts the heartbeats that it gets.
+// fakeLeader is a Leader that a test configures. It counts the heartbeats that it receives while it
+// holds the lease, and the attempts to relay one.
 type fakeLeader struct {
 	holdsLease  bool   // this node holds the leader's lease
 	name        string // result of Name
 	response    core.HeartbeatResponse
 	unreachable bool // relaying to the leader fails
-	heartbeats  int  // heartbeats passed to this node's engine
-	relayed     int  // heartbeats relayed to the leader, also in vain
+	heartbeats  int  // heartbeats received while holdsLease was set
+	relayed     int  // attempts to relay a heartbeat to the leader, including failed ones
 }
 
 func (l *fakeLeader) Heartbeat(fleet.Heartbeat) (core.HeartbeatResponse, bool) {
--- a/internal/client/drains_test.go
+++ b/internal/client/drains_test.go
@@ -10,8 +10,9 @@
 	"gingertally/internal/drain"
 )
 
-// A call about drains is tried once, and each status is mapped to its cause and keeps the response's
-// text. An operator who isn't told of a conflict would wait in vain for a plan that wasn't started.
+// A failed drain call isn't retried. Its error is the one for the response's status, and ends with the
+// response's text. An operator who isn't told of a conflict would wait in vain for a plan that wasn't
+// started.
 func TestDrainCallsTellTheCause(t *testing.T) {
 	for _, c := range []struct {
 		status int
@@ -35,7 +36,7 @@
 	}
 }
 
-// A drain call without a response fails with ErrGaveUp, which says that it may have been carried out.
+// A drain call without a response fails with ErrGaveUp, since the call may have been carried out.
 func TestDrainCallWithoutAnswer(t *testing.T) {
 	client, _ := serve(t, func(request *fasthttp.RequestCtx) { _ = request.Conn().Close() })
 	if _, err := client.PreviewDrain(t.Context(), drain.Plan{ID: "p"}); !errors.Is(err, ErrGaveUp) {
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -143,8 +143,8 @@
 	}
 }
 
-// atLeast fails unless a value is finite and not below a lower bound. The comparison is negated so that
-// NaN fails too.
+// atLeast fails unless a value is finite and not below a lower bound. A missing field has the value 0, so
+// it passes if the bound is 0. The comparison is negated so that NaN fails too.
 func (c *checker) atLeast(field string, value, low float64) {
 	if !(value >= low) || math.IsInf(value, 0) {
 		c.fail(field, fmt.Sprintf("missing or below %g", low))
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,7 +1,7 @@
-// Package config reads and validates the settings file that the platform passes to a controller at its
-// start, which is in JSON (DEPLOY: The deploy file). Unknown fields are ignored, so that a newer platform
-// can start an older controller. There are no defaults: a required setting that is missing is an error,
-// a *FieldError that names the file and, where known, line and field.
+// Package config reads and validates the JSON settings file that the platform passes to a controller when
+// it starts it (DEPLOY: The deploy file). Unknown fields are ignored, so that a newer platform can start
+// an older controller. The package sets no defaults: a required setting that is missing is a *FieldError,
+// which names the file and, where known, line and field. A missing number that may be 0 is read as 0.
 //
 // The command calls Load once, before anything else runs. After that the settings don't change and may
 // be read from any goroutine.
--- a/internal/config/lines.go
+++ b/internal/config/lines.go
@@ -13,8 +13,8 @@
 }
 
 // fieldLines returns the line number of each field in a JSON text, by path, such as
-// settings.teams[0].name. Of a field that is set more than once it is that of the last time, whose value
-// the decoder keeps. The text must be valid JSON.
+// settings.teams[0].name. If a field is set more than once, the line is that of its last occurrence, whose
+// value the decoder keeps. The text must be valid JSON.
 func fieldLines(text []byte) map[string]int {
 	walker := fieldWalker{decoder: json.NewDecoder(bytes.NewReader(text)), text: text, lines: map[string]int{}}
 	walker.value("")
@@ -28,7 +28,8 @@
 	lines   map[string]int
 }
 
-// value walks over one value. Like object and array, it ignores errors, which valid JSON doesn't cause.
+// value reads one value, and records the lines of the fields in it. It ignores errors, as object and array
+// do, because the text is valid JSON.
 func (w *fieldWalker) value(path string) {
 	token, err := w.decoder.Token()
 	if err != nil {
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -20,8 +20,8 @@
 	"gingertally/internal/wire"
 )
 
-// The CBOR messages and paths that controllers, workers and clients use, and what the leader stores
-// besides jobs, must not change.
+// The CBOR messages and paths that controllers, workers and clients use, and the admission policy and
+// machine types that the leader stores, must not change.
 func TestNodeMessagesGolden(t *testing.T) {
 	var lines goldentest.Lines
 	lines.Add("view %x", encodeView(goldentest.Filled[core.JobView]()))
--- a/internal/controller/overload/node_test.go
+++ b/internal/controller/overload/node_test.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// A policy that is too large for a value of the state service loses its largest fractions, those of
-// the classes that it refuses least. Guards against policies that can't be stored.
+// If a policy is too large for a value of the state service, the shares with the largest fractions are
+// removed: those of the classes that it refuses least. Guards against policies that can't be stored.
 func TestPolicyFitsItsValue(t *testing.T) {
 	n := testNode()
 	p := admission.Policy{Term: 1, Number: 1, Reason: admission.Backlog}
--- a/internal/jobstore/golden_test.go
+++ b/internal/jobstore/golden_test.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// The keys and encoded values of everything that the package writes don't change. Otherwise another
-// version couldn't read them during an upgrade or after a rollback.
+// The keys and encoded values that the package writes must not change. Otherwise another version
+// couldn't read them during an upgrade or after a rollback.
 func TestStoredFormsGolden(t *testing.T) {
 	store, jobs, term := setup(t)
 	clear(store.items)
@@ -92,8 +92,9 @@
 	lines.Check(t, "stored.txt")
 }
 
-// Every kind of stored value is encoded to the same bytes again after it was decoded. Otherwise each
-// update of a record would lose the fields that decoding leaves out.
+// Decoding and encoding a stored record yields the same bytes. Otherwise each update of a record would
+// lose the fields that decoding leaves out. Done ranges and dependency pages, which are plain lists,
+// aren't covered.
 func TestStoredFormsRoundTrip(t *testing.T) {
 	for _, value := range []any{
 		goldentest.Filled[fleet.StartLogRecord](), goldentest.Filled[pipeline.Record](), goldentest.Filled[pipeline.Final](),
--- a/internal/recovery/reconciler_test.go
+++ b/internal/recovery/reconciler_test.go
@@ -11,14 +11,16 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// options returns the settings of a recovery with a heartbeat every 3 s and leases of 30 s.
+// options returns the settings of a recovery with a heartbeat every 3 s and a RestoredBound of 30 s.
 func options(pace PaceOptions) Options {
 	return Options{HeartbeatInterval: 3 * time.Second, RestoredBound: 30 * time.Second, Pace: pace}
 }
 
-// Placing begins once four fifths of the recorded machines have sent a heartbeat, once half of them
-// have or are confirmed by the warm state, or once all should have. Placing earlier would crowd tasks
-// onto the few known machines; without a time bound, one hanging machine would delay all work.
+// Placing begins once the cloud's list was read and four fifths of the recorded machines have sent a
+// heartbeat or are confirmed by the warm state, once the warm state confirms machines and at least half
+// of the recorded ones are confirmed or have sent a heartbeat, or once the time in which all machines
+// should have sent one is over. Placing earlier would overload the few known machines; without a time
+// bound, one unresponsive machine would delay all work.
 func TestMayPlace(t *testing.T) {
 	fleet := func(n int) *Reconciler {
 		r := New(start, options(PaceOptions{}))
@@ -71,7 +73,7 @@
 	r.AddUnrecordedMachine("m-1")
 	r.HeartbeatReceived("m-1", ObservedHeartbeat{TermConfirmed: true})
 	if r.MayPlace(at(29*time.Second), true) || r.RestoreSettled(at(29*time.Second)) {
-		t.Fatal("may place while an unlisted machine may be running an attempt")
+		t.Fatal("may place while a machine without a heartbeat may be running an attempt")
 	}
 	if !r.MayPlace(at(31*time.Second), true) || !r.RestoreSettled(at(31*time.Second)) {
 		t.Fatal("may not place after all leases have expired")
@@ -104,9 +106,9 @@
 	}
 }
 
-// Whatever is observed, and in whatever order, a term never returns to an earlier state and doesn't
-// stay in the first one, and the counts by state match the machines. A count that drifts would keep a
-// recovery from ever ending.
+// Whatever is observed, and in whatever order, a recovery never returns to an earlier state and has left
+// Collecting after 40 s, and the counts by state match the machines. A wrong count could keep a recovery
+// from ever ending.
 func TestStatesFollow(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -153,7 +155,8 @@
 	}
 }
 
-// checkCounts checks the counts by state against the machines.
+// checkCounts checks the counts by state, and the count of machines confirmed by the warm state,
+// against the machines.
 func checkCounts(t *testing.T, r *Reconciler) {
 	t.Helper()
 	counts := [machineStateCount]int{}
