--- a/internal/core/cancel.go
+++ b/internal/core/cancel.go
@@ -223,7 +223,7 @@
 			e.jobWrites.jobChanged(j) // its final entry can be written
 			continue
 		}
-		late := now.Sub(j.CancelAt) > e.cfg.CancelWithin*6/10
+		late := now.Sub(j.CancelledAt) > e.cfg.CancelWithin*6/10
 		for _, a := range left {
 			e.stop(now, a.Machine, a, 0)
 			if late {
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -66,7 +66,7 @@
 	a.CommandSent()
 	if j := e.jobs.get(a.Ref); j != nil && !j.Started && !j.StartSent {
 		j.StartSent = true
-		e.waits.record(j, now.Sub(j.Since))
+		e.waits.record(j, now.Sub(j.ReadyAt))
 	}
 	e.moveAttempt(now, m, a, fleet.Sent)
 	imageGB := e.imageGB(a.Ref)
--- a/internal/core/dependents_test.go
+++ b/internal/core/dependents_test.go
@@ -93,8 +93,8 @@
 	}
 	end := b.now.Add(-time.Minute).Truncate(time.Millisecond)
 	b.e.Step(b.now, JobFinished{Ref: "j-1", Final: pipeline.Final{Phase: pipeline.Done, EndMS: end.UnixMilli()}})
-	if j := b.e.jobs.get("j-2"); j.Phase() != pipeline.Active || !j.Since.Equal(end) {
-		t.Fatalf("phase %d since %v", j.Phase(), j.Since)
+	if j := b.e.jobs.get("j-2"); j.Phase() != pipeline.Active || !j.ReadyAt.Equal(end) {
+		t.Fatalf("phase %d since %v", j.Phase(), j.ReadyAt)
 	}
 	b.e.Step(b.now, JobFinished{Ref: "j-4", Final: pipeline.Final{Phase: pipeline.Cancelled}})
 	if f, ok := b.finalEntry("j-5"); !ok || f.Phase != pipeline.Cancelled {
--- a/internal/core/estimates.go
+++ b/internal/core/estimates.go
@@ -22,7 +22,7 @@
 // starting; zero if it has none that it can still meet.
 func (e *Engine) startBy(now time.Time, j *pipeline.Job) (by time.Time) {
 	for _, objective := range e.cfg.Objectives[j.Class] {
-		if t := j.Since.Add(objective.Within); objective.Kind == StartObjective && t.After(now) && (by.IsZero() || t.Before(by)) {
+		if t := j.ReadyAt.Add(objective.Within); objective.Kind == StartObjective && t.After(now) && (by.IsZero() || t.Before(by)) {
 			by = t
 		}
 	}
@@ -36,7 +36,7 @@
 func (e *Engine) dueStart(now time.Time, j *pipeline.Job) time.Time {
 	run, fetch := e.expectedRun(j), e.expectedFetch(j)
 	var next, last time.Duration
-	since := now.Sub(j.Since)
+	since := now.Sub(j.ReadyAt)
 	consider := func(d time.Duration) {
 		last = max(last, d)
 		if d >= since && (next == 0 || d < next) {
@@ -57,24 +57,24 @@
 			if j.Deadline == 0 {
 				continue
 			}
-			d = time.Duration(float64(j.Deadline)*objective.Times) - run - j.Since.Sub(j.Submitted)
+			d = time.Duration(float64(j.Deadline)*objective.Times) - run - j.ReadyAt.Sub(j.Submitted)
 		}
 		consider(d - fetch)
 	}
 	if path := j.CriticalPath; path.Job != nil {
 		for _, objective := range e.cfg.Objectives[path.Job.Class] {
 			if objective.Kind == DeadlineObjective {
-				consider(path.EndBy(objective.Times).Sub(j.Since) - run - fetch)
+				consider(path.EndBy(objective.Times).Sub(j.ReadyAt) - run - fetch)
 			}
 		}
 	}
 	switch {
 	case next > 0:
-		return j.Since.Add(next)
+		return j.ReadyAt.Add(next)
 	case last > 0:
-		return j.Since.Add(lateFactor * last)
+		return j.ReadyAt.Add(lateFactor * last)
 	}
-	return j.Since.Add(defaultStartWithin)
+	return j.ReadyAt.Add(defaultStartWithin)
 }
 
 // remainingWork returns the expected run time of all tasks of a job that aren't done, added up.
--- a/internal/core/pipeline/dependencies.go
+++ b/internal/core/pipeline/dependencies.go
@@ -53,8 +53,8 @@
 		return false
 	}
 	delete(j.dependencies.open, ref)
-	if at.After(j.Since) {
-		j.Since = at
+	if at.After(j.ReadyAt) {
+		j.ReadyAt = at
 	}
 	if len(j.dependencies.open) > 0 || !j.setPhase(Active) {
 		return false
@@ -69,6 +69,6 @@
 	if j.phase != Held || !j.setPhase(Cancelled) {
 		return false
 	}
-	j.CancelAt = at
+	j.CancelledAt = at
 	return true
 }
--- a/internal/core/pipeline/graph_test.go
+++ b/internal/core/pipeline/graph_test.go
@@ -203,7 +203,7 @@
 		t.Fatal("ready at the wrong moment")
 	}
 	again, err := NewJob(j.Record(4000), 2, nil)
-	if err != nil || again.Phase() != Active || again.Since.UnixMilli() != 9000 || again.Submitted.UnixMilli() != 5000 {
+	if err != nil || again.Phase() != Active || again.ReadyAt.UnixMilli() != 9000 || again.Submitted.UnixMilli() != 5000 {
 		t.Fatalf("%+v, %v", again, err)
 	}
 }
--- a/internal/core/pipeline/job.go
+++ b/internal/core/pipeline/job.go
@@ -29,8 +29,8 @@
 	Spec
 	Version      uint64 // of its record in the state service
 	Submitted    time.Time
-	Since        time.Time    // when it became ready: its submission, or the end of its last dependency
-	CancelAt     time.Time    // when it was cancelled; else zero
+	ReadyAt      time.Time    // when it became ready: its submission, or the end of its last dependency
+	CancelledAt  time.Time    // when it was cancelled; else zero
 	Started      bool         // a task of it has run
 	StartSent    bool         // a start of a task was sent in this term
 	Urgency      Priority     // the most urgent of its own priority and its dependents' urgencies
@@ -75,12 +75,12 @@
 		done:           doneRanges{dirty: map[int]bool{}},
 		minRecordBytes: (&Record{Spec: r.Spec}).Bytes(),
 	}
-	j.Since = j.Submitted
+	j.ReadyAt = j.Submitted
 	if r.ReadyMS != 0 {
-		j.Since = time.UnixMilli(r.ReadyMS)
+		j.ReadyAt = time.UnixMilli(r.ReadyMS)
 	}
 	if r.CancelledMS != 0 {
-		j.CancelAt = time.UnixMilli(r.CancelledMS)
+		j.CancelledAt = time.UnixMilli(r.CancelledMS)
 	}
 	j.restoreDependencies(&r)
 	j.counts[Waiting] = r.Spec.Tasks
@@ -152,7 +152,7 @@
 	if !j.setPhase(Cancelled) {
 		return false
 	}
-	j.CancelAt = at
+	j.CancelledAt = at
 	j.storedPhase = Cancelled
 	return true
 }
--- a/internal/core/pipeline/record.go
+++ b/internal/core/pipeline/record.go
@@ -91,11 +91,11 @@
 			r.Dependencies = j.dependencies.refs
 		}
 	}
-	if j.phase != Held && j.Since.After(j.Submitted) || j.phase == Active && r.DependencyPages > 0 {
-		r.ReadyMS = j.Since.UnixMilli()
+	if j.phase != Held && j.ReadyAt.After(j.Submitted) || j.phase == Active && r.DependencyPages > 0 {
+		r.ReadyMS = j.ReadyAt.UnixMilli()
 	}
-	if !j.CancelAt.IsZero() {
-		r.CancelledMS = j.CancelAt.UnixMilli()
+	if !j.CancelledAt.IsZero() {
+		r.CancelledMS = j.CancelledAt.UnixMilli()
 	}
 	bytesLeft := maxBytes - r.Bytes()
 	r.Done = TruncateRuns(j.DoneRuns(0), bytesLeft)
--- a/internal/core/priority_order.go
+++ b/internal/core/priority_order.go
@@ -79,7 +79,7 @@
 // placed already, and one for the rest. They are ranked, since capacity is taken and unused while an
 // image is being fetched.
 func (e *Engine) appendEntries(out []prioritized, now time.Time, j *pipeline.Job, machines float64) []prioritized {
-	wait := now.Sub(j.Since)
+	wait := now.Sub(j.ReadyAt)
 	failing := j.FailsRepeatedly(e.cfg.RestartLimit)
 	if !failing && e.pastStarvationBound(now, j) {
 		limit := len(j.Tasks)
@@ -122,12 +122,12 @@
 // pastStarvationBound reports whether a job has waited so long for its first task that it comes
 // before all others.
 func (e *Engine) pastStarvationBound(now time.Time, j *pipeline.Job) bool {
-	return !j.Started && now.Sub(j.Since) > e.starvationBound(j)
+	return !j.Started && now.Sub(j.ReadyAt) > e.starvationBound(j)
 }
 
 // starvingSince returns the time by which jobs past their starvation bounds are ordered among
 // themselves.
-func (e *Engine) starvingSince(j *pipeline.Job) time.Time { return j.Since.Add(-e.gangAgeBonus(j)) }
+func (e *Engine) starvingSince(j *pipeline.Job) time.Time { return j.ReadyAt.Add(-e.gangAgeBonus(j)) }
 
 // needsCapacityBy returns when a job must have room so as not to be late. A job past its starvation
 // bound is late already, whatever objective it can still meet, and so is a service with a replica
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -106,7 +106,7 @@
 			continue
 		}
 		s.Waiting = append(s.Waiting, WaitingJob{Ref: j.Ref, Class: j.Class, Team: j.Team, Waiting: j.Count(pipeline.Waiting),
-			Tasks: len(j.Tasks), Since: now.Sub(j.Since), Reason: e.reason(now, j, s.Settled)})
+			Tasks: len(j.Tasks), Since: now.Sub(j.ReadyAt), Reason: e.reason(now, j, s.Settled)})
 	}
 }
 
