--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -70,7 +70,7 @@
 	}
 	e.moveAttempt(now, m, a, fleet.Sent)
 	imageGB := e.imageGB(a.Ref)
-	cache, rate := e.catalog.Images(m.Type)
+	cache, rate := e.catalog.ImageCache(m.Type)
 	a.SentAt, a.FetchEstimate = now, m.FetchLeft(now, a.Image, imageGB, rate)
 	m.UseImage(now, a.Image, imageGB, cache, rate)
 	e.imagesChanged(m)
--- a/internal/core/drain_round.go
+++ b/internal/core/drain_round.go
@@ -40,8 +40,8 @@
 		e.cordonNext(now)
 	}
 	for _, m := range d.coordinator.NextActive(drainsPerRound) {
-		if now.Sub(m.Checked) >= drainCheckInterval {
-			m.Checked = now
+		if now.Sub(m.CheckedAt) >= drainCheckInterval {
+			m.CheckedAt = now
 			e.drainMachine(now, m, booking, complete)
 		}
 	}
@@ -143,7 +143,7 @@
 	case c.PlanPhase(dm) == drain.Paused:
 		e.revokeEvictions(m.Name)
 		return notYet(drain.CausePaused)
-	case m.ActiveAttempts() == 0 && !m.HasUnstoredResults():
+	case m.ActiveAttempts() == 0 && !m.HasUnhandledExits():
 		e.machineEmptied(now, dm, m)
 		return drain.Verdict{}
 	case !e.mayDisrupt(now):
--- a/internal/core/fleet/machine.go
+++ b/internal/core/fleet/machine.go
@@ -202,9 +202,9 @@
 	return false
 }
 
-// HasUnstoredResults reports whether an attempt on the machine has exited and its exit hasn't been
+// HasUnhandledExits reports whether an attempt on the machine has exited and its exit hasn't been
 // processed yet, so that a result may not be stored yet.
-func (m *Machine) HasUnstoredResults() bool {
+func (m *Machine) HasUnhandledExits() bool {
 	for _, a := range m.attempts {
 		if a.state == Exited && !a.ExitHandled {
 			return true
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -92,7 +92,7 @@
 	if m.ToBeReleased() || m.OneWayLoss.Unreachable() || m.State() == fleet.Unresponsive {
 		e.withdrawUnsentStarts(now, m)
 	}
-	if m.State() == fleet.Live && m.ToBeReleased() && m.ActiveAttempts() == 0 && !m.HasUnstoredResults() {
+	if m.State() == fleet.Live && m.ToBeReleased() && m.ActiveAttempts() == 0 && !m.HasUnhandledExits() {
 		e.scaleIn(now, m, ScaleInDrained)
 	}
 	if !next.After(now) {
--- a/internal/core/placement/machine_type.go
+++ b/internal/core/placement/machine_type.go
@@ -36,9 +36,9 @@
 // Catalog holds the machine types by name.
 type Catalog map[string]*Type
 
-// Images returns the size of a type's image cache and its rate of image fetches. For an unknown type
+// ImageCache returns the size of a type's image cache and its rate of image fetches. For an unknown type
 // the cache is unbounded and the rate 0, at which fetches count as taking no time.
-func (c Catalog) Images(typ string) (cacheGB, gbPerS float64) {
+func (c Catalog) ImageCache(typ string) (cacheGB, gbPerS float64) {
 	if t := c[typ]; t != nil {
 		return t.CacheGB, t.FetchGBPerS
 	}
--- a/internal/drain/machine.go
+++ b/internal/drain/machine.go
@@ -42,7 +42,7 @@
 	Name, Plan string
 	CordonedAt time.Time // when it was cordoned
 	Verdict    Verdict   // why it isn't empty yet
-	Checked    time.Time // when it was last examined
+	CheckedAt  time.Time // when it was last examined
 
 	state  MachineState
 	stored MachineState // the state that the state service is known to hold; Planned if it holds none
