--- a/internal/core/drain_writes.go
+++ b/internal/core/drain_writes.go
@@ -79,76 +79,80 @@
 	e.drains.coordinator.Ledger.PageRejected(w.Name)
 }
 
-// PutCordonPage writes a page with the drain states of machines.
-type PutCordonPage struct {
+// PutDrainMachinePage writes a page with the drain states of machines.
+type PutDrainMachinePage struct {
 	Name    string
 	Version uint64
 	Record  drain.MachinePage
 }
 
 // Kind implements Write.
-func (PutCordonPage) Kind() string { return "put cordon page" }
+func (PutDrainMachinePage) Kind() string { return "put cordon page" }
 
 // Target implements Write.
-func (w PutCordonPage) Target() string { return w.Name }
+func (w PutDrainMachinePage) Target() string { return w.Name }
 
 // JobRef implements Write.
-func (PutCordonPage) JobRef() string { return "" }
+func (PutDrainMachinePage) JobRef() string { return "" }
 
 // Encode implements Write.
-func (w PutCordonPage) Encode(encoder WriteEncoder) error { return encoder.PutCordonPage(w) }
+func (w PutDrainMachinePage) Encode(encoder WriteEncoder) error {
+	return encoder.PutDrainMachinePage(w)
+}
 
-func (PutCordonPage) ops() int { return 1 }
+func (PutDrainMachinePage) ops() int { return 1 }
 
-func (w PutCordonPage) started(e *Engine, _ time.Time) {
+func (w PutDrainMachinePage) started(e *Engine, _ time.Time) {
 	e.drains.coordinator.MachinePageWriteStarted(w.Name)
 }
 
-func (w PutCordonPage) succeeded(e *Engine, _ time.Time, revision uint64) {
+func (w PutDrainMachinePage) succeeded(e *Engine, _ time.Time, revision uint64) {
 	e.cordonPageWritten(w.Name, drain.PageWriteOutcome{OK: true, Version: revision})
 }
 
-func (w PutCordonPage) failed(e *Engine, versions map[string]uint64) {
+func (w PutDrainMachinePage) failed(e *Engine, versions map[string]uint64) {
 	e.cordonPageWritten(w.Name, failedOutcome(w.Name, versions))
 }
 
-func (w PutCordonPage) rejected(e *Engine, _ time.Time) {
+func (w PutDrainMachinePage) rejected(e *Engine, _ time.Time) {
 	e.drains.coordinator.MachinePageRejected(w.Name)
 }
 
-// DeleteCordonPage deletes a page with the drain states of machines that no longer names any.
-type DeleteCordonPage struct {
+// DeleteDrainMachinePage deletes a page with the drain states of machines that no longer names any.
+type DeleteDrainMachinePage struct {
 	Name    string
 	Version uint64
 }
 
 // Kind implements Write.
-func (DeleteCordonPage) Kind() string { return "delete cordon page" }
+func (DeleteDrainMachinePage) Kind() string { return "delete cordon page" }
 
 // Target implements Write.
-func (w DeleteCordonPage) Target() string { return w.Name }
+func (w DeleteDrainMachinePage) Target() string { return w.Name }
 
 // JobRef implements Write.
-func (DeleteCordonPage) JobRef() string { return "" }
+func (DeleteDrainMachinePage) JobRef() string { return "" }
 
 // Encode implements Write.
-func (w DeleteCordonPage) Encode(encoder WriteEncoder) error { return encoder.DeleteCordonPage(w) }
+func (w DeleteDrainMachinePage) Encode(encoder WriteEncoder) error {
+	return encoder.DeleteDrainMachinePage(w)
+}
 
-func (DeleteCordonPage) ops() int { return 1 }
+func (DeleteDrainMachinePage) ops() int { return 1 }
 
-func (w DeleteCordonPage) started(e *Engine, _ time.Time) {
+func (w DeleteDrainMachinePage) started(e *Engine, _ time.Time) {
 	e.drains.coordinator.MachinePageWriteStarted(w.Name)
 }
 
-func (w DeleteCordonPage) succeeded(e *Engine, _ time.Time, _ uint64) {
+func (w DeleteDrainMachinePage) succeeded(e *Engine, _ time.Time, _ uint64) {
 	e.cordonPageWritten(w.Name, drain.PageWriteOutcome{OK: true})
 }
 
-func (w DeleteCordonPage) failed(e *Engine, versions map[string]uint64) {
+func (w DeleteDrainMachinePage) failed(e *Engine, versions map[string]uint64) {
 	e.cordonPageWritten(w.Name, failedOutcome(w.Name, versions))
 }
 
-func (w DeleteCordonPage) rejected(e *Engine, _ time.Time) {
+func (w DeleteDrainMachinePage) rejected(e *Engine, _ time.Time) {
 	e.drains.coordinator.MachinePageRejected(w.Name)
 }
 
--- a/internal/core/draining.go
+++ b/internal/core/draining.go
@@ -157,9 +157,9 @@
 	limit := max(1, b.remaining/2)
 	for _, w := range d.coordinator.MachinePageWrites(limit) {
 		if w.Delete {
-			b.add(DeleteCordonPage{Name: w.Name, Version: w.Version})
+			b.add(DeleteDrainMachinePage{Name: w.Name, Version: w.Version})
 		} else {
-			b.add(PutCordonPage{Name: w.Name, Version: w.Version, Record: w.Record})
+			b.add(PutDrainMachinePage{Name: w.Name, Version: w.Version, Record: w.Record})
 		}
 		limit--
 	}
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -245,9 +245,9 @@
 			}
 		}
 		h.stored.Charges = append(h.stored.Charges, drain.StoredChargePage{Name: w.Name, Version: 100, Record: w.Record})
-	case PutCordonPage:
+	case PutDrainMachinePage:
 		h.storeCordons(w.Name, w.Record)
-	case DeleteCordonPage:
+	case DeleteDrainMachinePage:
 		h.storeCordons(w.Name, drain.MachinePage{})
 	case PutStartLogPage:
 		for i, p := range h.pages {
--- a/internal/core/writes.go
+++ b/internal/core/writes.go
@@ -46,8 +46,8 @@
 	DeleteImagePage(w DeleteImagePage) error
 	PutChargePage(w PutChargePage) error
 	DeleteChargePage(w DeleteChargePage) error
-	PutCordonPage(w PutCordonPage) error
-	DeleteCordonPage(w DeleteCordonPage) error
+	PutDrainMachinePage(w PutDrainMachinePage) error
+	DeleteDrainMachinePage(w DeleteDrainMachinePage) error
 }
 
 // WritesStarted says that a batch of writes is under way.
--- a/internal/jobstore/encode.go
+++ b/internal/jobstore/encode.go
@@ -85,13 +85,13 @@
 	return e.deletePage(chargePrefix+w.Name, w.Version)
 }
 
-// PutCordonPage implements core.WriteEncoder.
-func (e *encodedWrite) PutCordonPage(w core.PutCordonPage) error {
+// PutDrainMachinePage implements core.WriteEncoder.
+func (e *encodedWrite) PutDrainMachinePage(w core.PutDrainMachinePage) error {
 	return e.putPage(cordonPrefix+w.Name, w.Record, w.Version)
 }
 
-// DeleteCordonPage implements core.WriteEncoder.
-func (e *encodedWrite) DeleteCordonPage(w core.DeleteCordonPage) error {
+// DeleteDrainMachinePage implements core.WriteEncoder.
+func (e *encodedWrite) DeleteDrainMachinePage(w core.DeleteDrainMachinePage) error {
 	return e.deletePage(cordonPrefix+w.Name, w.Version)
 }
 
--- a/internal/jobstore/golden_test.go
+++ b/internal/jobstore/golden_test.go
@@ -26,7 +26,7 @@
 		core.PutFinal{Ref: "j-000002", Final: goldentest.Filled[pipeline.Final]()},
 		core.PutImagePage{Name: "7-2", Record: goldentest.Filled[fleet.ImageRecord]()},
 		core.PutChargePage{Name: "7-3", Record: goldentest.Filled[drain.ChargePage]()},
-		core.PutCordonPage{Name: "7-4", Record: goldentest.Filled[drain.MachinePage]()},
+		core.PutDrainMachinePage{Name: "7-4", Record: goldentest.Filled[drain.MachinePage]()},
 	}
 }
 
@@ -38,7 +38,7 @@
 		core.DeleteImagePage{Name: "7-2"},
 		core.DeleteDependencyPage{Ref: "j-000001", ListHash: "00ff", Page: 1},
 		core.DeleteChargePage{Name: "7-3"},
-		core.DeleteCordonPage{Name: "7-4"},
+		core.DeleteDrainMachinePage{Name: "7-4"},
 	}
 }
 
