--- a/internal/controller/node.go
+++ b/internal/controller/node.go
@@ -43,7 +43,7 @@
 	return term.Dependencies{
 		Lease: c.elector, Store: c.store, Records: c.leaderJobs, Cloud: c.cloud, MachineTypes: c.machineTypes,
 		Replicator: c.replicator, Direct: c.direct, Metrics: c.metrics,
-		Config: c.core, RoundBudget: c.operator.RoundTime, MaxBatch: c.limits.MaxBatch(),
+		Config: c.core, RoundTime: c.operator.RoundTime, MaxBatch: c.limits.MaxBatch(),
 		Loops: []term.Loop{func(ctx context.Context, t *term.Term) error { return c.overload.RunLeader(ctx, t) }},
 	}
 }
--- a/internal/controller/overload/overload.go
+++ b/internal/controller/overload/overload.go
@@ -57,9 +57,9 @@
 	Number() uint64
 	// HoldsLease reports whether this controller still holds a valid leader's lease, and so may act.
 	HoldsLease() bool
-	// Load returns the engine's capacity and backlog; settled is false while a new leader doesn't know
-	// the capacity yet.
-	Load(now time.Time) (load admission.Load, settled bool)
+	// Load returns the engine's capacity and backlog; capacityKnown is false while a new leader doesn't
+	// know the capacity yet.
+	Load(now time.Time) (load admission.Load, capacityKnown bool)
 	// StoreValue writes a value to the state service under the leader's term.
 	StoreValue(ctx context.Context, key string, value []byte) error
 	// SetFairOrder sets whether waiting jobs are ordered by their teams' fair shares, and by which
--- a/internal/controller/term/step.go
+++ b/internal/controller/term/step.go
@@ -126,9 +126,9 @@
 	return t.engine.PreviewDrain(now, plan)
 }
 
-// Load returns the cluster's capacity and backlog. Settled is false while the takeover isn't over
+// Load returns the cluster's capacity and backlog. CapacityKnown is false while the takeover isn't over
 // and the capacity therefore isn't known.
-func (t *Term) Load(now time.Time) (load admission.Load, settled bool) {
+func (t *Term) Load(now time.Time) (load admission.Load, capacityKnown bool) {
 	t.mu.Lock()
 	cluster := t.engine.Load(now)
 	t.mu.Unlock()
--- a/internal/controller/term/term.go
+++ b/internal/controller/term/term.go
@@ -53,9 +53,9 @@
 	Metrics      *metrics.Metrics
 	Loops        []Loop // run in addition to the term's own loops
 
-	Config      core.Config
-	RoundBudget time.Duration // time limit of one pass of a round of decisions
-	MaxBatch    int           // maximum number of changes in one transaction
+	Config    core.Config
+	RoundTime time.Duration // time limit of one pass of a round of decisions
+	MaxBatch  int           // maximum number of changes in one transaction
 }
 
 // Term is the work of this controller as the leader during one term.
--- a/internal/controller/term/tick.go
+++ b/internal/controller/term/tick.go
@@ -51,7 +51,7 @@
 // decide ticks the engine, which runs its round of decisions within the time limit.
 func (t *Term) decide() {
 	began := time.Now()
-	end := began.Add(t.deps.RoundBudget)
+	end := began.Add(t.deps.RoundTime)
 	defer func() { t.deps.Metrics.ObserveRound(time.Since(began)) }()
 	t.step(core.Tick{BudgetSpent: func() bool { return time.Now().After(end) }})
 }
