--- a/internal/core/capacity_view.go
+++ b/internal/core/capacity_view.go
@@ -17,7 +17,7 @@
 
 func newCapacityView() capacityView { return capacityView{changed: map[*fleet.Machine]bool{}} }
 
-// machineChanged notes that the capacity that a machine offers to placement has changed.
+// machineChanged records that the capacity that a machine offers to placement has changed.
 func (v *capacityView) machineChanged(m *fleet.Machine) { v.changed[m] = true }
 
 // update applies the changed machines to the free capacity. A machine that has been booting for
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -61,7 +61,7 @@
 	return j != nil && j.Urgency <= pipeline.High
 }
 
-// startSent notes that an attempt's start is sent with the answer to the newest heartbeat.
+// startSent records that an attempt's start is sent with the answer to the newest heartbeat.
 func (e *Engine) startSent(now time.Time, m *fleet.Machine, a *fleet.Attempt) {
 	a.CommandSent()
 	if j := e.jobs.get(a.Ref); j != nil && !j.Started && !j.StartSent {
--- a/internal/core/decision_rounds.go
+++ b/internal/core/decision_rounds.go
@@ -32,7 +32,7 @@
 	return r.requested || now.Sub(r.begunAt) >= decideEvery
 }
 
-// begin notes that a pass begins. Unless the pass resumes a round, the demand of the last round is
+// begin records that a pass begins. Unless the pass resumes a round, the demand of the last round is
 // dropped.
 func (r *decisionRounds) begin(now time.Time) {
 	r.requested, r.begunAt = false, now
@@ -62,5 +62,5 @@
 	return now.Sub(r.plannedAt) >= every
 }
 
-// planned notes that scaling is being planned.
+// planned records that scaling is being planned.
 func (r *decisionRounds) planned(now time.Time) { r.plannedAt = now }
--- a/internal/core/dependents.go
+++ b/internal/core/dependents.go
@@ -12,7 +12,7 @@
 // a new leader reaches the same result, wherever the last one stopped (docs/design.md, "Pipelines"
 // and safety arguments 14 and 15).
 
-// becameReady notes that a job's tasks may be placed from now on, and requests a round of
+// becameReady records that a job's tasks may be placed from now on, and requests a round of
 // decisions.
 func (e *Engine) becameReady(now time.Time, j *pipeline.Job) {
 	e.classes.class(j.Class).arrived(now, &j.Spec, j.Count(pipeline.Waiting))
--- a/internal/core/engine.go
+++ b/internal/core/engine.go
@@ -135,7 +135,7 @@
 	return nil, false
 }
 
-// capacityChanged notes that the capacity that a machine offers to placement has changed, and
+// capacityChanged records that the capacity that a machine offers to placement has changed, and
 // requests a round of decisions.
 func (e *Engine) capacityChanged(m *fleet.Machine) {
 	e.capacity.machineChanged(m)
@@ -143,7 +143,7 @@
 	e.warm.noteMachine(m.Name)
 }
 
-// imagesChanged notes that the known set of a machine's images has changed.
+// imagesChanged records that the known set of a machine's images has changed.
 func (e *Engine) imagesChanged(m *fleet.Machine) {
 	e.images.machineChanged(m.Name)
 	e.warm.noteMachine(m.Name)
--- a/internal/core/image_log.go
+++ b/internal/core/image_log.go
@@ -102,7 +102,7 @@
 	return images
 }
 
-// machineChanged notes that what is known of a machine's images has changed, so that its page is
+// machineChanged records that what is known of a machine's images has changed, so that its page is
 // written.
 func (l *imageLog) machineChanged(machine string) {
 	p := l.byMachine[machine]
@@ -213,14 +213,14 @@
 	return fleet.RecordImages(has, l.cfg.MaxValueBytes*9/10)
 }
 
-// writeStarted notes that a page's present content is being written.
+// writeStarted records that a page's present content is being written.
 func (l *imageLog) writeStarted(name string) {
 	if p := l.pages[name]; p != nil {
 		p.dirty = false
 	}
 }
 
-// writeFailed notes that a page isn't known to have been written.
+// writeFailed records that a page isn't known to have been written.
 func (l *imageLog) writeFailed(name string) {
 	if p := l.pages[name]; p != nil {
 		p.dirty = true
--- a/internal/core/job_writes.go
+++ b/internal/core/job_writes.go
@@ -21,7 +21,7 @@
 	return jobWrites{changed: map[*pipeline.Job]int{}, lastWrite: map[string]time.Time{}}
 }
 
-// jobChanged notes that a job may have something to write.
+// jobChanged records that a job may have something to write.
 func (w *jobWrites) jobChanged(j *pipeline.Job) {
 	if _, known := w.changed[j]; !known {
 		w.changes++
@@ -29,7 +29,7 @@
 	}
 }
 
-// jobOver notes that the store holds a job's final entry. The job's remaining keys are deleted when
+// jobOver records that the store holds a job's final entry. The job's remaining keys are deleted when
 // there is nothing else to write.
 func (w *jobWrites) jobOver(j *pipeline.Job) {
 	delete(w.changed, j)
@@ -55,7 +55,7 @@
 	}
 }
 
-// cleanedUp notes that a key of a job that is over has been deleted.
+// cleanedUp records that a key of a job that is over has been deleted.
 func (w *jobWrites) cleanedUp(key Write) {
 	if i := slices.Index(w.cleanup, key); i >= 0 {
 		w.cleanup = slices.Delete(w.cleanup, i, i+1)
@@ -103,7 +103,7 @@
 	return due
 }
 
-// recordWriteStarted notes that a job's record is being written.
+// recordWriteStarted records that a job's record is being written.
 func (w *jobWrites) recordWriteStarted(ref string, now time.Time) { w.lastWrite[ref] = now }
 
 // pause holds writes of a job back until a time.
--- a/internal/core/machine_registry.go
+++ b/internal/core/machine_registry.go
@@ -95,7 +95,7 @@
 	maps.DeleteFunc(r.removed, func(_ string, at time.Time) bool { return now.Sub(at) > keepRemovedNames })
 }
 
-// answerDelivered notes that an answer to a machine's heartbeat has had an effect. It reports
+// answerDelivered records that an answer to a machine's heartbeat has had an effect. It reports
 // whether the machine seemed unreachable until now.
 func (r *machineRegistry) answerDelivered(m *fleet.Machine) (regained bool) {
 	regained = m.OneWayLoss.Unreachable()
@@ -106,7 +106,7 @@
 	return regained
 }
 
-// answerUndelivered notes that an answer to a machine's heartbeat has had no effect.
+// answerUndelivered records that an answer to a machine's heartbeat has had no effect.
 func (r *machineRegistry) answerUndelivered(now time.Time, m *fleet.Machine) {
 	was := m.OneWayLoss.Unreachable()
 	m.OneWayLoss.NoteUndelivered(now)
@@ -125,7 +125,7 @@
 // there is none.
 func (r *machineRegistry) nextDue(now time.Time) *fleet.Machine { return r.timers.expired(now) }
 
-// listed notes that the cloud has listed its machines.
+// listed records that the cloud has listed its machines.
 func (r *machineRegistry) listed(now time.Time) { r.listedAt = now }
 
 // lastListed returns when the cloud last listed its machines; zero if it hasn't in this term.
--- a/internal/core/start_log.go
+++ b/internal/core/start_log.go
@@ -154,7 +154,7 @@
 	return worst
 }
 
-// writeStarted notes that a page is being written.
+// writeStarted records that a page is being written.
 func (l *startLog) writeStarted(name string) {
 	if p := l.pages[name]; p != nil {
 		p.WriteStarted()
@@ -162,7 +162,7 @@
 	}
 }
 
-// written notes that the store holds a page as it was sent.
+// written records that the store holds a page as it was sent.
 func (l *startLog) written(now time.Time, w PutStartLogPage, version uint64) {
 	if p := l.pages[w.Name]; p != nil {
 		p.Stored(now, w.Record, version)
@@ -170,7 +170,7 @@
 	}
 }
 
-// deleted notes that the store no longer holds a page.
+// deleted records that the store no longer holds a page.
 func (l *startLog) deleted(now time.Time, name string) {
 	p := l.pages[name]
 	p.Stored(now, fleet.StartLogRecord{}, 0)
@@ -179,7 +179,7 @@
 	}
 }
 
-// writeFailed notes that a page isn't known to have been written. The map holds the versions of the
+// writeFailed records that a page isn't known to have been written. The map holds the versions of the
 // pages that were read afterwards.
 func (l *startLog) writeFailed(name string, versions map[string]uint64) {
 	p := l.pages[name]
@@ -193,7 +193,7 @@
 	l.pageChanged(p)
 }
 
-// rejected notes that the store rejects a page whatever its version.
+// rejected records that the store rejects a page whatever its version.
 func (l *startLog) rejected(now time.Time, p *fleet.StartLogPage) {
 	p.WriteRefused(now)
 	l.pageChanged(p)
--- a/internal/core/writes.go
+++ b/internal/core/writes.go
@@ -20,15 +20,15 @@
 
 	// ops returns how many puts and deletes the write takes.
 	ops() int
-	// started notes that the write is under way: what it holds isn't written again unless it
+	// started records that the write is under way: what it holds isn't written again unless it
 	// changes or the write fails.
 	started(e *Engine, now time.Time)
-	// succeeded notes that the state service holds the write, at the given revision.
+	// succeeded records that the state service holds the write, at the given revision.
 	succeeded(e *Engine, now time.Time, revision uint64)
 	// failed requests another write of the same data. The map holds the versions of the pages that
 	// were read afterwards, by name.
 	failed(e *Engine, versions map[string]uint64)
-	// rejected notes that the state service rejects the write whatever its condition.
+	// rejected records that the state service rejects the write whatever its condition.
 	rejected(e *Engine, now time.Time)
 }
 
