--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -61,16 +61,16 @@
 	return j != nil && j.Urgency <= pipeline.High
 }
 
-// startSent notes that an attempt's start is sent with the answer to the newest heartbeat.
+// startSent records that an attempt's start is sent with the answer to the newest heartbeat.
 func (e *Engine) startSent(now time.Time, m *fleet.Machine, a *fleet.Attempt) {
 	a.CommandSent()
 	if j := e.jobs.get(a.Ref); j != nil && !j.Started && !j.StartSent {
 		j.StartSent = true
-		e.waits.record(j, now.Sub(j.Since))
+		e.waits.record(j, now.Sub(j.ReadyAt))
 	}
 	e.moveAttempt(now, m, a, fleet.Sent)
 	imageGB := e.imageGB(a.Ref)
-	cache, rate := e.catalog.Images(m.Type)
+	cache, rate := e.catalog.ImageCache(m.Type)
 	a.SentAt, a.FetchEstimate = now, m.FetchLeft(now, a.Image, imageGB, rate)
 	m.UseImage(now, a.Image, imageGB, cache, rate)
 	e.imagesChanged(m)
